--- a/src/main/java/org/shoreusher/cli/Main.java
+++ b/src/main/java/org/shoreusher/cli/Main.java
@@ -15,16 +15,15 @@
 import org.shoreusher.settings.Settings;
 
 /**
- * The program: reads flags and settings, then runs the service. Flags are read by Commons CLI, picocli's
- * nearest kin: picocli is compiled for Java 5, whose classes the class archive can't hold, and reading it
- * from its jar took a third of the start-up of a small machine.
+ * The program: reads flags and settings, then runs the service. Flags are read by Commons CLI,
+ * picocli's nearest kin: picocli is compiled for Java 5, whose classes the class archive can't
+ * hold, and reading it from its jar took a third of the start-up of a small machine.
  */
 public final class Main {
     private static final int USAGE = 2;
     private static final int UNUSABLE = 1;
 
-    private Main() {
-    }
+    private Main() {}
 
     public static void main(String[] args) {
         System.exit(run(args));
@@ -32,10 +31,22 @@
 
     private static Options options() {
         Options options = new Options();
-        options.addOption(Option.builder().longOpt("config").hasArg().argName("FILE").desc("The settings file (JSON) that the platform hands over.").build());
-        options.addOption(Option.builder().longOpt("check").desc("Check the settings file and exit.").build());
-        options.addOption(Option.builder("h").longOpt("help").desc("Show this help and exit.").build());
-        options.addOption(Option.builder("V").longOpt("version").desc("Print the version and exit.").build());
+        options.addOption(
+                Option.builder()
+                        .longOpt("config")
+                        .hasArg()
+                        .argName("FILE")
+                        .desc("The settings file (JSON) that the platform hands over.")
+                        .build());
+        options.addOption(
+                Option.builder()
+                        .longOpt("check")
+                        .desc("Check the settings file and exit.")
+                        .build());
+        options.addOption(
+                Option.builder("h").longOpt("help").desc("Show this help and exit.").build());
+        options.addOption(
+                Option.builder("V").longOpt("version").desc("Print the version and exit.").build());
         return options;
     }
 
@@ -56,7 +67,11 @@
             return 0;
         }
         if (!line.getArgList().isEmpty() || !line.hasOption("config")) {
-            return complain(line.getArgList().isEmpty() ? "--config FILE is missing; see --help" : "unexpected: " + line.getArgList().get(0) + "; see --help", USAGE);
+            return complain(
+                    line.getArgList().isEmpty()
+                            ? "--config FILE is missing; see --help"
+                            : "unexpected: " + line.getArgList().get(0) + "; see --help",
+                    USAGE);
         }
         String level = System.getenv().getOrDefault("LOG_LEVEL", "info").toLowerCase(Locale.ROOT);
         if (!level.equals("error") && !level.equals("info") && !level.equals("debug")) {
@@ -79,7 +94,8 @@
         System.setProperty("org.slf4j.simpleLogger.log.shoreusher", level);
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "error");
         System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
-        // The machines are small: one arena with chunks of 64 KiB is plenty for some hundred connections.
+        // The machines are small: one arena with chunks of 64 KiB is plenty for some hundred
+        // connections.
         System.setProperty("io.netty.allocator.numHeapArenas", "1");
         System.setProperty("io.netty.allocator.numDirectArenas", "1");
         System.setProperty("io.netty.allocator.maxOrder", "3");
@@ -92,7 +108,14 @@
             return complain("interrupted", UNUSABLE);
         } catch (Exception e) {
             // Netty rethrows a failed bind as it is, though it declares nothing.
-            return complain("cannot serve on " + settings.front() + " and " + settings.back() + ": " + e.getMessage(), UNUSABLE);
+            return complain(
+                    "cannot serve on "
+                            + settings.front()
+                            + " and "
+                            + settings.back()
+                            + ": "
+                            + e.getMessage(),
+                    UNUSABLE);
         }
         return 0;
     }
@@ -100,8 +123,15 @@
     private static void help() {
         PrintWriter out = new PrintWriter(System.out, true, StandardCharsets.UTF_8);
         HelpFormatter formatter = new HelpFormatter();
-        formatter.printHelp(out, HelpFormatter.DEFAULT_WIDTH, "shoreusher --config FILE [--check]", "Runs one controller of the shoreusher cluster scheduler.",
-                options(), HelpFormatter.DEFAULT_LEFT_PAD, HelpFormatter.DEFAULT_DESC_PAD, "LOG_LEVEL=error|info|debug sets how much is logged to standard error (info).");
+        formatter.printHelp(
+                out,
+                HelpFormatter.DEFAULT_WIDTH,
+                "shoreusher --config FILE [--check]",
+                "Runs one controller of the shoreusher cluster scheduler.",
+                options(),
+                HelpFormatter.DEFAULT_LEFT_PAD,
+                HelpFormatter.DEFAULT_DESC_PAD,
+                "LOG_LEVEL=error|info|debug sets how much is logged to standard error (info).");
         out.flush();
     }
 
--- a/src/main/java/org/shoreusher/cli/Service.java
+++ b/src/main/java/org/shoreusher/cli/Service.java
@@ -31,7 +31,8 @@
     private final Node node;
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final EventLoop loop = group.next();
-    private final ManyToOneConcurrentArrayQueue<Command> queue = new ManyToOneConcurrentArrayQueue<>(Tuning.QUEUE);
+    private final ManyToOneConcurrentArrayQueue<Command> queue =
+            new ManyToOneConcurrentArrayQueue<>(Tuning.QUEUE);
     private final List<Command> batch = new ArrayList<>(Tuning.BATCH);
     private final StateClient state;
     private final CloudClient cloud;
@@ -56,11 +57,20 @@
     public void run() throws InterruptedException {
         front.listen();
         peers.listen();
-        LOG.info("serving: {} in {}, front {}, back {}", settings.host(), settings.zone(), settings.front(), settings.back());
+        LOG.info(
+                "serving: {} in {}, front {}, back {}",
+                settings.host(),
+                settings.zone(),
+                settings.front(),
+                settings.back());
         tickedAtMs = steadyMs();
         loop.scheduleWithFixedDelay(this::tick, 0, Tuning.TICK_MS, TimeUnit.MILLISECONDS);
         if (LOG.isDebugEnabled()) {
-            loop.scheduleAtFixedRate(() -> LOG.debug(front.latency()), Tuning.LATENCY_LINE_S, Tuning.LATENCY_LINE_S, TimeUnit.SECONDS);
+            loop.scheduleAtFixedRate(
+                    () -> LOG.debug(front.latency()),
+                    Tuning.LATENCY_LINE_S,
+                    Tuning.LATENCY_LINE_S,
+                    TimeUnit.SECONDS);
         }
         group.terminationFuture().sync();
     }
@@ -72,7 +82,9 @@
         take(new Command.Tick());
     }
 
-    /** ms by which this node is behind its work: how late the last tick came, or the next one is. */
+    /**
+     * ms by which this node is behind its work: how late the last tick came, or the next one is.
+     */
     private long lagMs() {
         return Math.max(lateMs, steadyMs() - tickedAtMs - Tuning.TICK_MS);
     }
@@ -107,7 +119,8 @@
     private void work() {
         working = false;
         queue.drainTo(batch, Tuning.BATCH);
-        List<Effect> effects = node.step(new Reading(steadyMs(), System.currentTimeMillis()), batch);
+        List<Effect> effects =
+                node.step(new Reading(steadyMs(), System.currentTimeMillis()), batch);
         batch.clear();
         for (Effect effect : effects) {
             carryOut(effect);
--- a/src/main/java/org/shoreusher/cloud/CloudClient.java
+++ b/src/main/java/org/shoreusher/cloud/CloudClient.java
@@ -22,7 +22,10 @@
 
     public void call(Effect.CloudCall call) {
         StateFormat.Request request = CloudFormat.request(call.op());
-        caller.call(request.path(), request.body(), Tuning.CLOUD_TIMEOUT_MS,
+        caller.call(
+                request.path(),
+                request.body(),
+                Tuning.CLOUD_TIMEOUT_MS,
                 (status, body) -> core.accept(new Command.CloudReply(call.call(), status, body)));
     }
 }
--- a/src/main/java/org/shoreusher/core/Acceptance.java
+++ b/src/main/java/org/shoreusher/core/Acceptance.java
@@ -20,27 +20,40 @@
 import org.shoreusher.wire.UserFormat.Shown;
 
 /**
- * Makes submissions durable and answers them. One alone gets a record of its own; those that come while the write before
- * them is on its way, or waits for a token, share one, see {@link Arrivals}: at twenty changes a second a hundred
- * jobs that come together had to wait for six seconds. What does not fit the next writes is refused at once.
+ * Makes submissions durable and answers them. One alone gets a record of its own; those that come
+ * while the write before them is on its way, or waits for a token, share one, see {@link Arrivals}:
+ * at twenty changes a second a hundred jobs that come together had to wait for six seconds. What
+ * does not fit the next writes is refused at once.
  */
 final class Acceptance {
     /** A job with all requests that submit it just now. */
-    private record Arriving(JobSpec spec, long sinceMs, Map<String, Object> record, int bytes, List<Long> requests) {
-    }
+    private record Arriving(
+            JobSpec spec,
+            long sinceMs,
+            Map<String, Object> record,
+            int bytes,
+            List<Long> requests) {}
 
     private final Settings settings;
     private final Outbox out;
     private final Mirror mirror;
     private final String owner;
     private final ToIntFunction<JobSpec> roomiestPart;
+
     /** Told of a job that another try of its submission has made known first. */
     private final BiConsumer<Long, String> alreadyKnown;
+
     private final Map<String, Arriving> queue = new LinkedHashMap<>();
     private int writing;
     private long nextRecord = 1;
 
-    Acceptance(Settings settings, Outbox out, Mirror mirror, String owner, ToIntFunction<JobSpec> roomiestPart, BiConsumer<Long, String> alreadyKnown) {
+    Acceptance(
+            Settings settings,
+            Outbox out,
+            Mirror mirror,
+            String owner,
+            ToIntFunction<JobSpec> roomiestPart,
+            BiConsumer<Long, String> alreadyKnown) {
         this.settings = settings;
         this.out = out;
         this.mirror = mirror;
@@ -60,13 +73,24 @@
             out.later(request);
             return;
         }
-        Map<String, Object> record = JobRecord.open(roomiestPart.applyAsInt(spec), spec, out.now.wallMs()).write();
+        Map<String, Object> record =
+                JobRecord.open(roomiestPart.applyAsInt(spec), spec, out.now.wallMs()).write();
         int bytes = Tree.jsonLength(record);
         if (bytes > settings.valueBytes()) {
-            out.answer(request, 400, Map.of("error", "the description is longer than a record may be"));
+            out.answer(
+                    request,
+                    400,
+                    Map.of("error", "the description is longer than a record may be"));
             return;
         }
-        queue.put(spec.id(), new Arriving(spec, out.now.steadyMs(), record, bytes + Tuning.RECORD_FRAME, new ArrayList<>(List.of(request))));
+        queue.put(
+                spec.id(),
+                new Arriving(
+                        spec,
+                        out.now.steadyMs(),
+                        record,
+                        bytes + Tuning.RECORD_FRAME,
+                        new ArrayList<>(List.of(request))));
     }
 
     /** Sends what has gathered. */
@@ -75,13 +99,15 @@
             // until all is on its way, or tokens have run out
         }
         // Held for the next write only, not for the one after it: the user had better come back.
-        queue.values().removeIf(a -> {
-            boolean late = out.now.steadyMs() - a.sinceMs > Tuning.ACCEPT_WAIT_MS;
-            if (late) {
-                a.requests.forEach(out::later);
-            }
-            return late;
-        });
+        queue.values()
+                .removeIf(
+                        a -> {
+                            boolean late = out.now.steadyMs() - a.sinceMs > Tuning.ACCEPT_WAIT_MS;
+                            if (late) {
+                                a.requests.forEach(out::later);
+                            }
+                            return late;
+                        });
     }
 
     private boolean write() {
@@ -89,7 +115,9 @@
         int bytes = 0;
         for (Arriving a : queue.values()) {
             // One condition for each job, and one for the record.
-            if (!batch.isEmpty() && (bytes + a.bytes > settings.valueBytes() * Tuning.RECORD_FILL || batch.size() >= 4 * settings.txnOps() - 1)) {
+            if (!batch.isEmpty()
+                    && (bytes + a.bytes > settings.valueBytes() * Tuning.RECORD_FILL
+                            || batch.size() >= 4 * settings.txnOps() - 1)) {
                 break;
             }
             batch.add(a);
@@ -101,17 +129,21 @@
         if (batch.size() == 1) {
             writes.put(Keys.job(batch.get(0).spec.id()), batch.get(0).record);
         } else {
-            // The owner's name has a suffix that no other process has ever had, so no record is ever written over.
+            // The owner's name has a suffix that no other process has ever had, so no record is
+            // ever written over.
             String key = Keys.arrived(owner, nextRecord++);
             guards.put(key, 0L);
             Map<String, Map<String, Object>> jobs = new LinkedHashMap<>();
             batch.forEach(a -> jobs.put(a.spec.id(), a.record));
             writes.put(key, ArrivalRecord.write(jobs));
         }
-        boolean sent = out.stateForUser(new StateOp.Multi(guards, writes), reply -> {
-            writing--;
-            replied(reply, batch, writes);
-        });
+        boolean sent =
+                out.stateForUser(
+                        new StateOp.Multi(guards, writes),
+                        reply -> {
+                            writing--;
+                            replied(reply, batch, writes);
+                        });
         if (sent) {
             writing++;
             batch.forEach(a -> queue.remove(a.spec.id()));
@@ -119,10 +151,19 @@
         return sent;
     }
 
-    private void replied(StateReply reply, List<Arriving> batch, Map<String, Map<String, Object>> writes) {
+    private void replied(
+            StateReply reply, List<Arriving> batch, Map<String, Map<String, Object>> writes) {
         if (reply.status() == 200) {
             mirror.applied(reply, writes);
-            batch.forEach(a -> a.requests.forEach(r -> out.answer(r, 201, UserFormat.status(a.spec.id(), Shown.PENDING))));
+            batch.forEach(
+                    a ->
+                            a.requests.forEach(
+                                    r ->
+                                            out.answer(
+                                                    r,
+                                                    201,
+                                                    UserFormat.status(
+                                                            a.spec.id(), Shown.PENDING))));
         } else if (reply.status() == 409) {
             Set<String> failed = failed(reply);
             for (Arriving a : batch) {
--- a/src/main/java/org/shoreusher/core/Arrivals.java
+++ b/src/main/java/org/shoreusher/core/Arrivals.java
@@ -16,22 +16,27 @@
 /**
  * Jobs that were accepted several at once, in one record, and have none of their own yet.
  *
- * <p>Promise: such a record only says that its jobs exist. Whatever happens to one of them, its first start, its
- * cancellation, its end, creates its own record, guarded by there being none, and from then on that one alone counts. So two
- * nodes may accept the same job in two records, or one record may come late: the job is begun, cancelled and finished once.
+ * <p>Promise: such a record only says that its jobs exist. Whatever happens to one of them, its
+ * first start, its cancellation, its end, creates its own record, guarded by there being none, and
+ * from then on that one alone counts. So two nodes may accept the same job in two records, or one
+ * record may come late: the job is begun, cancelled and finished once.
  */
 final class Arrivals {
     /** A job as a shared record has it, and that record's version. */
-    private record Arrived(JobRecord record, long version) {
-    }
+    private record Arrived(JobRecord record, long version) {}
 
     private final Settings settings;
     private final Outbox out;
     private final Mirror mirror;
+
     /** Jobs without a record of their own. */
-    private final Object2ObjectLinkedOpenHashMap<String, Arrived> waiting = new Object2ObjectLinkedOpenHashMap<>();
+    private final Object2ObjectLinkedOpenHashMap<String, Arrived> waiting =
+            new Object2ObjectLinkedOpenHashMap<>();
+
     /** The shared records, with the jobs in each that have none of their own. */
-    private final Object2ObjectOpenHashMap<String, Set<String>> shared = new Object2ObjectOpenHashMap<>();
+    private final Object2ObjectOpenHashMap<String, Set<String>> shared =
+            new Object2ObjectOpenHashMap<>();
+
     private boolean removing;
     private long nextMs;
 
@@ -41,7 +46,10 @@
         this.mirror = mirror;
     }
 
-    /** Where a job stands as the view has it, by its own record or a shared one; null if the view has neither. */
+    /**
+     * Where a job stands as the view has it, by its own record or a shared one; null if the view
+     * has neither.
+     */
     JobRecord record(String id) {
         Mirror.Entry own = mirror.get(Keys.job(id));
         if (own != null) {
@@ -57,8 +65,9 @@
     }
 
     /**
-     * A shared record has come or gone; {@code arrived} is told of each job that is new by it. Of two records with the same job the
-     * older counts, whichever comes into the view first: else the owners of two parts might each take it for the other's.
+     * A shared record has come or gone; {@code arrived} is told of each job that is new by it. Of
+     * two records with the same job the older counts, whichever comes into the view first: else the
+     * owners of two parts might each take it for the other's.
      */
     void changed(String key, Mirror.Entry after, BiConsumer<String, JobRecord> arrived) {
         if (after == null) {
@@ -70,20 +79,23 @@
         }
         Map<String, JobRecord> jobs = ArrivalRecord.read(after.value()).jobs();
         Set<String> left = new HashSet<>();
-        jobs.forEach((id, record) -> {
-            // Done jobs have left the view; until the watch has passed that, the news of their arrival may still come.
-            if (!mirror.hasOrHad(Keys.job(id))) {
-                left.add(id);
-            }
-        });
+        jobs.forEach(
+                (id, record) -> {
+                    // Done jobs have left the view; until the watch has passed that, the news of
+                    // their arrival may still come.
+                    if (!mirror.hasOrHad(Keys.job(id))) {
+                        left.add(id);
+                    }
+                });
         shared.put(key, left);
-        jobs.forEach((id, record) -> {
-            Arrived known = waiting.get(id);
-            if (left.contains(id) && (known == null || known.version > after.version())) {
-                waiting.put(id, new Arrived(record, after.version()));
-                arrived.accept(id, record);
-            }
-        });
+        jobs.forEach(
+                (id, record) -> {
+                    Arrived known = waiting.get(id);
+                    if (left.contains(id) && (known == null || known.version > after.version())) {
+                        waiting.put(id, new Arrived(record, after.version()));
+                        arrived.accept(id, record);
+                    }
+                });
     }
 
     /** The job has a record of its own. */
@@ -101,19 +113,23 @@
         nextMs = out.now.steadyMs() + Tuning.SWEEP_EVERY_MS;
         Map<String, Long> guards = new LinkedHashMap<>(holding.fence());
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
-        shared.forEach((key, ids) -> {
-            if (ids.isEmpty() && writes.size() < settings.txnOps() / 2) {
-                guards.put(key, mirror.version(key));
-                writes.put(key, null);
-            }
-        });
+        shared.forEach(
+                (key, ids) -> {
+                    if (ids.isEmpty() && writes.size() < settings.txnOps() / 2) {
+                        guards.put(key, mirror.version(key));
+                        writes.put(key, null);
+                    }
+                });
         if (!writes.isEmpty()) {
-            removing = out.state(new StateOp.Multi(guards, writes), reply -> {
-                removing = false;
-                if (reply.status() == 200) {
-                    mirror.applied(reply, writes);
-                }
-            });
+            removing =
+                    out.state(
+                            new StateOp.Multi(guards, writes),
+                            reply -> {
+                                removing = false;
+                                if (reply.status() == 200) {
+                                    mirror.applied(reply, writes);
+                                }
+                            });
         }
     }
 }
--- a/src/main/java/org/shoreusher/core/Displacement.java
+++ b/src/main/java/org/shoreusher/core/Displacement.java
@@ -6,8 +6,9 @@
 import org.shoreusher.settings.Tuning;
 
 /**
- * Chooses batch tasks of lower priority that give way to replicas of services at once, on machines where the replicas then
- * fit. A replica can't wait for a task to save or to end, nor for a machine to boot: its users are waiting.
+ * Chooses batch tasks of lower priority that give way to replicas of services at once, on machines
+ * where the replicas then fit. A replica can't wait for a task to save or to end, nor for a machine
+ * to boot: its users are waiting.
  */
 final class Displacement {
     /** What a machine has free, or will have when its tasks that are to stop have stopped. */
@@ -38,7 +39,9 @@
         }
 
         boolean fits(JobSpec spec, double moreCpus, double moreGpus, double moreMem) {
-            return cpus + moreCpus + Tuning.EPSILON >= spec.cpus() && gpus + moreGpus + Tuning.EPSILON >= spec.gpus() && mem + moreMem + Tuning.EPSILON >= spec.memGb();
+            return cpus + moreCpus + Tuning.EPSILON >= spec.cpus()
+                    && gpus + moreGpus + Tuning.EPSILON >= spec.gpus()
+                    && mem + moreMem + Tuning.EPSILON >= spec.memGb();
         }
     }
 
@@ -59,18 +62,30 @@
                         room.victims.add(live);
                     }
                 }
-                room.victims.sort(Comparator.comparingDouble(this::loss).thenComparing(l -> l.job.id).thenComparingInt(l -> l.index));
+                room.victims.sort(
+                        Comparator.comparingDouble(this::loss)
+                                .thenComparing(l -> l.job.id)
+                                .thenComparingInt(l -> l.index));
                 rooms.add(room);
             }
         }
         rooms.sort(Comparator.comparing(r -> r.machine.id));
     }
 
-    /** CPU-seconds that are lost with the task: what it has done since it last saved, and its start if that would count yet. */
+    /**
+     * CPU-seconds that are lost with the task: what it has done since it last saved, and its start
+     * if that would count yet.
+     */
     private double loss(Live live) {
         double ranS = live.runningSinceMs < 0 ? 0 : (now.steadyMs() - live.runningSinceMs) / 1000.0;
-        double lostS = live.job.spec.checkpointS() > 0 ? Math.min(ranS, live.job.spec.checkpointS()) : ranS;
-        double early = now.steadyMs() - live.sinceMs < Tuning.START_COUNTS_MS ? Tuning.START_COUNTS_MS / 1000.0 : 0;
+        double lostS =
+                live.job.spec.checkpointS() > 0
+                        ? Math.min(ranS, live.job.spec.checkpointS())
+                        : ranS;
+        double early =
+                now.steadyMs() - live.sinceMs < Tuning.START_COUNTS_MS
+                        ? Tuning.START_COUNTS_MS / 1000.0
+                        : 0;
         return live.job.spec.cpus() * (lostS + early);
     }
 
@@ -80,19 +95,33 @@
         for (Job job : services) {
             JobSpec spec = job.spec;
             Planner.ZoneRule zones = new Planner.ZoneRule(job);
-            int left = Math.min(job.waitingCount, new Planner(new ArrayList<>(), part::cpusLeft, part::gpusLeft).allowedByTeam(spec));
+            int left =
+                    Math.min(
+                            job.waitingCount,
+                            new Planner(new ArrayList<>(), part::cpusLeft, part::gpusLeft)
+                                    .allowedByTeam(spec));
             while (left-- > 0) {
                 Room best = null;
                 List<Live> least = null;
                 double leastLoss = Double.MAX_VALUE;
                 for (Room room : rooms) {
                     Machine m = room.machine;
-                    if (!spec.allows(m.type.name(), m.zone, m.spot) || zones.room(m.zone) <= 0 || job.failedOn.contains(m.id)) {
+                    if (!spec.allows(m.type.name(), m.zone, m.spot)
+                            || zones.room(m.zone) <= 0
+                            || job.failedOn.contains(m.id)) {
                         continue;
                     }
                     List<Live> victims = victims(room, spec);
-                    double fetchS = m.images.contains(spec.image()) ? 0 : spec.imageGb() / Math.max(Tuning.LEAST_FETCH, m.type.fetchGbPerS());
-                    double loss = victims == null ? Double.MAX_VALUE : victims.stream().mapToDouble(this::loss).sum() + spec.cpus() * fetchS;
+                    double fetchS =
+                            m.images.contains(spec.image())
+                                    ? 0
+                                    : spec.imageGb()
+                                            / Math.max(Tuning.LEAST_FETCH, m.type.fetchGbPerS());
+                    double loss =
+                            victims == null
+                                    ? Double.MAX_VALUE
+                                    : victims.stream().mapToDouble(this::loss).sum()
+                                            + spec.cpus() * fetchS;
                     if (loss < leastLoss) {
                         best = room;
                         least = victims;
@@ -114,7 +143,10 @@
         return chosen;
     }
 
-    /** The tasks that must go from a machine for one replica, fewest losses first; null if it finds no room all the same. */
+    /**
+     * The tasks that must go from a machine for one replica, fewest losses first; null if it finds
+     * no room all the same.
+     */
     private static List<Live> victims(Room room, JobSpec spec) {
         List<Live> victims = new ArrayList<>();
         double cpus = 0;
--- a/src/main/java/org/shoreusher/core/Estimates.java
+++ b/src/main/java/org/shoreusher/core/Estimates.java
@@ -4,11 +4,12 @@
 import org.shoreusher.settings.Tuning;
 
 /**
- * How long tasks run: what a job's own finished tasks took, else its owner's estimate corrected by how
- * wrong the estimates of its class have lately been.
+ * How long tasks run: what a job's own finished tasks took, else its owner's estimate corrected by
+ * how wrong the estimates of its class have lately been.
  */
 final class Estimates {
-    private final Object2ObjectOpenHashMap<String, double[]> ratios = new Object2ObjectOpenHashMap<>();
+    private final Object2ObjectOpenHashMap<String, double[]> ratios =
+            new Object2ObjectOpenHashMap<>();
 
     /** A task of the job took so long. */
     void observed(Job job, double seconds) {
--- a/src/main/java/org/shoreusher/core/FinishedRecords.java
+++ b/src/main/java/org/shoreusher/core/FinishedRecords.java
@@ -14,32 +14,36 @@
 import org.shoreusher.wire.Tree;
 
 /**
- * The finished tasks of a part's open jobs, laid out in records below the value limit: record 0 is the part's own, the
- * others spill. A job's tasks are cut into slices that fit into a record however they finish, and a slice keeps its record, so that
- * a change touches one.
+ * The finished tasks of a part's open jobs, laid out in records below the value limit: record 0 is
+ * the part's own, the others spill. A job's tasks are cut into slices that fit into a record
+ * however they finish, and a slice keeps its record, so that a change touches one.
  *
- * <p>Promise: what is durable stays so. A slice that has to move, since an owner before could write longer records or cut jobs
- * otherwise, leaves its old record only when it stands in its new one; and no record is ever written above the limit.
+ * <p>Promise: what is durable stays so. A slice that has to move, since an owner before could write
+ * longer records or cut jobs otherwise, leaves its old record only when it stands in its new one;
+ * and no record is ever written above the limit.
  */
 final class FinishedRecords {
     /** A slice of a job in its record. */
-    private record Placed(Job job, int chunk, BitSet done) {
-    }
+    private record Placed(Job job, int chunk, BitSet done) {}
 
     private final int limit;
     private final Collection<Job> jobs;
+
     /** What the store has of a record; empty if nothing. */
     private final IntFunction<Map<String, Object>> stored;
+
     private final List<Map<String, BitSet>> chunks = new ArrayList<>();
     private final List<Placed> placed = new ArrayList<>();
 
-    private FinishedRecords(Collection<Job> jobs, int limit, IntFunction<Map<String, Object>> stored) {
+    private FinishedRecords(
+            Collection<Job> jobs, int limit, IntFunction<Map<String, Object>> stored) {
         this.jobs = jobs;
         this.limit = limit;
         this.stored = stored;
     }
 
-    static FinishedRecords of(Collection<Job> jobs, Settings s, IntFunction<Map<String, Object>> stored) {
+    static FinishedRecords of(
+            Collection<Job> jobs, Settings s, IntFunction<Map<String, Object>> stored) {
         FinishedRecords r = new FinishedRecords(jobs, limit(s), stored);
         r.chunks(0);
         r.assign();
@@ -72,14 +76,17 @@
     static void found(Job job, BitSet set, int chunk, Settings s) {
         int limit = limit(s);
         cut(job, limit);
-        for (int i = set.nextSetBit(0); i >= 0 && i < job.spec.tasks(); i = set.nextSetBit((i / slice(job, limit) + 1) * slice(job, limit))) {
+        for (int i = set.nextSetBit(0);
+                i >= 0 && i < job.spec.tasks();
+                i = set.nextSetBit((i / slice(job, limit) + 1) * slice(job, limit))) {
             job.chunks[i / slice(job, limit)] = chunk;
         }
     }
 
     private int worst(Job job, int slice) {
         int size = slice(job, limit);
-        return frame(job) + Math.min(size, job.spec.tasks() - slice * size) * Tuning.RECORD_PER_TASK;
+        return frame(job)
+                + Math.min(size, job.spec.tasks() - slice * size) * Tuning.RECORD_PER_TASK;
     }
 
     private void assign() {
@@ -105,7 +112,8 @@
         for (Job job : jobs) {
             for (int i = 0; i < job.chunks.length; i++) {
                 if (job.chunks[i] < 0) {
-                    // One that moves goes where nothing of others is kept: two records might else wait for each other.
+                    // One that moves goes where nothing of others is kept: two records might else
+                    // wait for each other.
                     int c = slice(job, i, job.durable).isEmpty() ? 0 : fresh;
                     while (loadOf(load, c) + worst(job, i) > limit) {
                         c++;
@@ -116,7 +124,8 @@
             }
         }
         chunks(Math.max(0, load.size() - 1));
-        // Records that an owner before has filled and nothing is assigned to any more: to be emptied.
+        // Records that an owner before has filled and nothing is assigned to any more: to be
+        // emptied.
         for (int c = load.size(); !stored.apply(c).isEmpty(); c++) {
             chunks(c);
         }
@@ -160,8 +169,8 @@
     }
 
     /**
-     * What a record should hold now: its slices, and of others what stands nowhere else yet. If that is too long, what it holds
-     * already, which is to be left as it is.
+     * What a record should hold now: its slices, and of others what stands nowhere else yet. If
+     * that is too long, what it holds already, which is to be left as it is.
      */
     Map<String, Object> chunk(int c) {
         Map<String, BitSet> wanted = new LinkedHashMap<>(chunks.get(c));
@@ -172,9 +181,11 @@
                 if (wanted.containsKey(job.id)) {
                     only.andNot(wanted.get(job.id));
                 }
-                // What stands in the record of its slice, which keeps it; two records that are both to lose it would trust in each other.
+                // What stands in the record of its slice, which keeps it; two records that are both
+                // to lose it would trust in each other.
                 for (int i = 0; i < job.chunks.length && !only.isEmpty(); i++) {
-                    if (job.chunks[i] != c && stored.apply(job.chunks[i]).get(job.id) instanceof String there) {
+                    if (job.chunks[i] != c
+                            && stored.apply(job.chunks[i]).get(job.id) instanceof String there) {
                         only.andNot(slice(job, i, TaskRanges.parse(there)));
                     }
                 }
@@ -201,11 +212,13 @@
     }
 
     /**
-     * Cuts finished tasks that an owner before has noted in one record into records that may be written.
+     * Cuts finished tasks that an owner before has noted in one record into records that may be
+     * written.
      *
      * @param covered finished tasks of a job that stand elsewhere already
      */
-    static List<Map<String, Object>> split(Map<String, Object> done, Settings s, Function<String, BitSet> covered) {
+    static List<Map<String, Object>> split(
+            Map<String, Object> done, Settings s, Function<String, BitSet> covered) {
         int limit = limit(s);
         List<Map<String, Object>> out = new ArrayList<>();
         Map<String, Object> open = new LinkedHashMap<>();
--- a/src/main/java/org/shoreusher/core/Fleet.java
+++ b/src/main/java/org/shoreusher/core/Fleet.java
@@ -19,8 +19,10 @@
     private final Rentals rentals;
     private final MachineList list;
     private final Standby standby;
+
     /** Machines the last plan had nothing for, and how many more it could have filled. */
     private final Set<Machine> spare = new HashSet<>();
+
     private int lacks;
     private double lacksCpus;
     private long nextPlanMs;
@@ -95,7 +97,14 @@
                 }
                 MachineType type = types.get(kind.type());
                 // In rounds over the zones, so that none gets all.
-                int count = Math.max(1, Math.min(left / Math.max(1, fits(type, job.spec)) / type.zones().size(), most - wanting.size()));
+                int count =
+                        Math.max(
+                                1,
+                                Math.min(
+                                        left
+                                                / Math.max(1, fits(type, job.spec))
+                                                / type.zones().size(),
+                                        most - wanting.size()));
                 for (int i = 0; i < count; i++) {
                     Planner.Slot slot = new Planner.Slot(type, kind.zone(), kind.spot());
                     wanting.add(slot);
@@ -119,7 +128,10 @@
         }
         lack(jobs);
         // Idle machines of other parts come by handover, which is quicker and cheaper than renting.
-        wanting.subList(Math.max(0, wanting.size() - part.neighbours().idleElsewhere()), wanting.size()).clear();
+        wanting.subList(
+                        Math.max(0, wanting.size() - part.neighbours().idleElsewhere()),
+                        wanting.size())
+                .clear();
         rentals.ask(wanting);
     }
 
@@ -127,7 +139,8 @@
     private List<Planner.Slot> slots() {
         List<Planner.Slot> slots = new ArrayList<>();
         for (Machine m : part.machines().values()) {
-            // A machine of an owner before has no room until it is heard: it may hold tasks, or can't be reached.
+            // A machine of an owner before has no room until it is heard: it may hold tasks, or
+            // can't be reached.
             if (part.available(m) || (m.state == Machine.State.BOOTING && !m.used)) {
                 slots.add(new Planner.Slot(m));
             }
@@ -135,7 +148,10 @@
         return slots;
     }
 
-    /** Machines and CPUs that would be filled beyond those there if every waiting task got its place at once. */
+    /**
+     * Machines and CPUs that would be filled beyond those there if every waiting task got its place
+     * at once.
+     */
     private void lack(List<Job> jobs) {
         Planner planner = new Planner(slots(), part::cpusRentable, part::gpusLeft);
         double machines = 0;
@@ -179,7 +195,11 @@
         int most = to < 0 ? 0 : part.neighbours().lacksOf(to);
         runEmpty(most);
         for (Machine m : new ArrayList<>(part.machines().values())) {
-            if (most > 0 && (spare.contains(m) || (m.yielding && m.tasks.isEmpty())) && m.state == Machine.State.UP && m.recordedUsed && out.now.steadyMs() - m.idleSinceMs > Tuning.HANDOVER_IDLE_MS) {
+            if (most > 0
+                    && (spare.contains(m) || (m.yielding && m.tasks.isEmpty()))
+                    && m.state == Machine.State.UP
+                    && m.recordedUsed
+                    && out.now.steadyMs() - m.idleSinceMs > Tuning.HANDOVER_IDLE_MS) {
                 part.records().handOver(m, to);
                 most--;
                 spare.remove(m);
@@ -188,8 +208,8 @@
     }
 
     /**
-     * Lets machines run empty when others lack machines and this part could do its work on fewer: tasks are
-     * never moved, so without this a part keeps many machines half full.
+     * Lets machines run empty when others lack machines and this part could do its work on fewer:
+     * tasks are never moved, so without this a part keeps many machines half full.
      */
     private void runEmpty(int lackedElsewhere) {
         double free = 0;
@@ -203,15 +223,26 @@
             } else if (part.available(m)) {
                 free += m.cpusFree();
                 size = Math.max(size, m.type.cpus());
-                least = least == null || m.cpusUsed < least.cpusUsed || (m.cpusUsed == least.cpusUsed && m.id.compareTo(least.id) < 0) ? m : least;
+                least =
+                        least == null
+                                        || m.cpusUsed < least.cpusUsed
+                                        || (m.cpusUsed == least.cpusUsed
+                                                && m.id.compareTo(least.id) < 0)
+                                ? m
+                                : least;
             }
         }
-        if (lackedElsewhere > yielding && lacks == 0 && least != null && free - least.cpusFree() > size * Tuning.YIELD_SLACK) {
+        if (lackedElsewhere > yielding
+                && lacks == 0
+                && least != null
+                && free - least.cpusFree() > size * Tuning.YIELD_SLACK) {
             least.yielding = true;
         }
     }
 
-    /** How many tasks of a job should run at once, so that its work takes a part of the time it has. */
+    /**
+     * How many tasks of a job should run at once, so that its work takes a part of the time it has.
+     */
     private int wantedAtOnce(Job job, MachineType type) {
         if (!job.spec.shape().ends()) {
             return job.waitingCount;
@@ -220,40 +251,58 @@
         double left = part.urgency().leftS(job, out.now.wallMs());
         // What can't be through in time on a machine that has yet to boot gains nothing from haste.
         boolean tooLate = left < type.bootS() + run;
-        double horizon = Math.max(run, left == Double.MAX_VALUE || tooLate ? Tuning.RENT_HORIZON_S : left * Tuning.RENT_TIME_SHARE);
+        double horizon =
+                Math.max(
+                        run,
+                        left == Double.MAX_VALUE || tooLate
+                                ? Tuning.RENT_HORIZON_S
+                                : left * Tuning.RENT_TIME_SHARE);
         return (int) Math.ceil(job.waitingCount * Math.min(1, run / horizon));
     }
 
     private MachineType cheapest(JobSpec spec) {
-        return types.all().stream().filter(t -> t.fits(spec)).min(Comparator.comparingDouble(t -> pricePerTask(t, true, spec))).orElse(null);
+        return types.all().stream()
+                .filter(t -> t.fits(spec))
+                .min(Comparator.comparingDouble(t -> pricePerTask(t, true, spec)))
+                .orElse(null);
     }
 
-    /** What a task's place costs on an empty machine: room that its size leaves over is paid for as well. */
+    /**
+     * What a task's place costs on an empty machine: room that its size leaves over is paid for as
+     * well.
+     */
     private static double pricePerTask(MachineType type, boolean spot, JobSpec spec) {
         return (spot ? type.spotPrice() : type.price()) / Math.max(1, fits(type, spec));
     }
 
     /**
-     * The kind of machine to rent for a job: spot before ordinary, then the cheapest type that the cloud has, then the zone
-     * with fewer machines; null if all are refused. With the cheapest type alone, a deployment whose large machines are few
-     * had work waiting beside hundreds of small ones that nobody rented.
+     * The kind of machine to rent for a job: spot before ordinary, then the cheapest type that the
+     * cloud has, then the zone with fewer machines; null if all are refused. With the cheapest type
+     * alone, a deployment whose large machines are few had work waiting beside hundreds of small
+     * ones that nobody rented.
      */
     private Rentals.Kind kindFor(JobSpec spec, Object2IntOpenHashMap<String> perZone) {
         Rentals.Kind spot = kindFor(spec, true, perZone);
         return spot != null ? spot : kindFor(spec, false, perZone);
     }
 
-    private Rentals.Kind kindFor(JobSpec spec, boolean spot, Object2IntOpenHashMap<String> perZone) {
+    private Rentals.Kind kindFor(
+            JobSpec spec, boolean spot, Object2IntOpenHashMap<String> perZone) {
         Rentals.Kind best = null;
         double least = Double.MAX_VALUE;
         for (MachineType type : types.all()) {
             double price = pricePerTask(type, spot, spec);
-            if (price > least || !type.fits(spec) || (!spot && spec.spot() && !worthOrdinary(type))) {
+            if (price > least
+                    || !type.fits(spec)
+                    || (!spot && spec.spot() && !worthOrdinary(type))) {
                 continue;
             }
             for (String zone : type.zones()) {
                 Rentals.Kind kind = new Rentals.Kind(type.name(), zone, spot);
-                boolean better = best == null || price < least || perZone.getInt(zone) < perZone.getInt(best.zone());
+                boolean better =
+                        best == null
+                                || price < least
+                                || perZone.getInt(zone) < perZone.getInt(best.zone());
                 if (better && spec.allows(type.name(), zone, spot) && !rentals.refused(kind)) {
                     best = kind;
                     least = price;
@@ -263,7 +312,10 @@
         return best;
     }
 
-    /** Ordinary machines cost a multiple of spot ones: for work that may use spot, only a long queue is worth it. */
+    /**
+     * Ordinary machines cost a multiple of spot ones: for work that may use spot, only a long queue
+     * is worth it.
+     */
     private boolean worthOrdinary(MachineType type) {
         return !type.dear() || lacksCpus > part.cpus() * Tuning.ORDINARY_QUEUE;
     }
@@ -276,25 +328,49 @@
         long deaf = part.machines().values().stream().filter(Machine::deaf).count();
         for (Machine m : part.machines().values()) {
             long age = out.now.wallMs() - m.rentedWallMs;
-            // One that an owner before has used did come up. Taken for dead in their boot, all machines behind a cut were returned by
+            // One that an owner before has used did come up. Taken for dead in their boot, all
+            // machines behind a cut were returned by
             // a taker, and came back with the zone as new ones without images.
-            if (m.state == Machine.State.BOOTING && !m.used && age > Tuning.BOOT_PATIENCE * m.type.bootS() * 1000) {
+            if (m.state == Machine.State.BOOTING
+                    && !m.used
+                    && age > Tuning.BOOT_PATIENCE * m.type.bootS() * 1000) {
                 out.log("retired: " + m.id + " did not come up in " + age / 1000 + " s");
                 m.state = Machine.State.DRAINING;
             } else if (m.state == Machine.State.UP && m.failedJobs.size() >= Tuning.FAULTY_ERRORS) {
-                out.log("retired: " + m.id + ", tasks of " + m.failedJobs.size() + " jobs failed on it");
+                out.log(
+                        "retired: "
+                                + m.id
+                                + ", tasks of "
+                                + m.failedJobs.size()
+                                + " jobs failed on it");
                 m.state = Machine.State.DRAINING;
             } else if (m.state == Machine.State.UP && m.slow()) {
-                out.log("retired: " + m.id + ", its tasks take far longer than others of their jobs");
+                out.log(
+                        "retired: "
+                                + m.id
+                                + ", its tasks take far longer than others of their jobs");
                 m.state = Machine.State.DRAINING;
-            } else if (m.state == Machine.State.UP && m.deaf() && m.tasks.isEmpty() && deaf <= Math.max(1, part.machines().size() * Tuning.DEAF_SHARE)) {
+            } else if (m.state == Machine.State.UP
+                    && m.deaf()
+                    && m.tasks.isEmpty()
+                    && deaf <= Math.max(1, part.machines().size() * Tuning.DEAF_SHARE)) {
                 out.log("retired: " + m.id + " reports but hears nothing");
                 m.state = Machine.State.DRAINING;
-            } else if (m.state == Machine.State.UP && !Double.isNaN(m.noticeS) && m.tasks.isEmpty()) {
+            } else if (m.state == Machine.State.UP
+                    && !Double.isNaN(m.noticeS)
+                    && m.tasks.isEmpty()) {
                 m.state = Machine.State.DRAINING;
-            } else if (m.used && (m.state == Machine.State.UP || m.state == Machine.State.BOOTING) && m.tasks.isEmpty()
-                    && out.now.steadyMs() - m.answeredAtMs > PartLease.workerLeaseMs(settings) + Tuning.MIN_CHARGE_MS) {
-                out.log("retired: " + m.id + " has been silent for " + (out.now.steadyMs() - m.answeredAtMs) / 1000 + " s");
+            } else if (m.used
+                    && (m.state == Machine.State.UP || m.state == Machine.State.BOOTING)
+                    && m.tasks.isEmpty()
+                    && out.now.steadyMs() - m.answeredAtMs
+                            > PartLease.workerLeaseMs(settings) + Tuning.MIN_CHARGE_MS) {
+                out.log(
+                        "retired: "
+                                + m.id
+                                + " has been silent for "
+                                + (out.now.steadyMs() - m.answeredAtMs) / 1000
+                                + " s");
                 m.state = Machine.State.DRAINING;
             }
             if (m.state == Machine.State.DRAINING) {
@@ -303,7 +379,10 @@
         }
     }
 
-    /** Replicas never end by themselves: on a machine that is to go they are stopped, and run again elsewhere. */
+    /**
+     * Replicas never end by themselves: on a machine that is to go they are stopped, and run again
+     * elsewhere.
+     */
     private void moveReplicas(Machine m) {
         for (Live live : m.tasks.values()) {
             if (!live.job.spec.shape().ends() && !live.doomed) {
@@ -315,8 +394,13 @@
 
     private void returnIdle(Set<Machine> needed) {
         for (Machine m : part.machines().values()) {
-            if (m.state == Machine.State.UP && m.tasks.isEmpty() && !needed.contains(m) && m.idleSinceMs >= 0 && !standby.needs(m)
-                    && out.now.steadyMs() - m.idleSinceMs > (m.spot ? Tuning.IDLE_KEEP_MS : Tuning.IDLE_KEEP_ORDINARY_MS)) {
+            if (m.state == Machine.State.UP
+                    && m.tasks.isEmpty()
+                    && !needed.contains(m)
+                    && m.idleSinceMs >= 0
+                    && !standby.needs(m)
+                    && out.now.steadyMs() - m.idleSinceMs
+                            > (m.spot ? Tuning.IDLE_KEEP_MS : Tuning.IDLE_KEEP_ORDINARY_MS)) {
                 m.state = Machine.State.DRAINING;
                 m.unneeded = true;
             }
@@ -329,7 +413,9 @@
         }
         List<String> ids = new ArrayList<>();
         for (Machine m : part.machines().values()) {
-            if ((m.state == Machine.State.DRAINING || m.state == Machine.State.RETURNING) && m.tasks.isEmpty() && ids.size() < Tuning.RETURN_AT_ONCE) {
+            if ((m.state == Machine.State.DRAINING || m.state == Machine.State.RETURNING)
+                    && m.tasks.isEmpty()
+                    && ids.size() < Tuning.RETURN_AT_ONCE) {
                 // From here on nothing may start on it, whatever becomes of the call.
                 m.state = Machine.State.RETURNING;
                 ids.add(m.id);
@@ -338,25 +424,30 @@
         if (ids.isEmpty()) {
             return;
         }
-        returning = out.cloud(new CloudOp.Return(List.copyOf(ids)), reply -> {
-            returning = false;
-            if (reply.status() != 200) {
-                nextReturnMs = out.now.steadyMs() + Tuning.CLOUD_RETRY_MS;
-                ids.forEach(id -> stillThere(part.machines().get(id), reply.status()));
-                return;
-            }
-            for (String id : ids) {
-                Machine m = part.machines().get(id);
-                if (m != null) {
-                    part.gone(m, "returned");
-                }
-            }
-        });
+        returning =
+                out.cloud(
+                        new CloudOp.Return(List.copyOf(ids)),
+                        reply -> {
+                            returning = false;
+                            if (reply.status() != 200) {
+                                nextReturnMs = out.now.steadyMs() + Tuning.CLOUD_RETRY_MS;
+                                ids.forEach(
+                                        id -> stillThere(part.machines().get(id), reply.status()));
+                                return;
+                            }
+                            for (String id : ids) {
+                                Machine m = part.machines().get(id);
+                                if (m != null) {
+                                    part.gone(m, "returned");
+                                }
+                            }
+                        });
     }
 
     /**
-     * A return was not confirmed. If it was refused, so were all before it, and the machine was only not needed, it is as
-     * good as ever: while the cloud's interface is down for a minute, work must not wait beside machines that wait for it.
+     * A return was not confirmed. If it was refused, so were all before it, and the machine was
+     * only not needed, it is as good as ever: while the cloud's interface is down for a minute,
+     * work must not wait beside machines that wait for it.
      */
     private void stillThere(Machine m, int status) {
         if (m == null) {
--- a/src/main/java/org/shoreusher/core/Holding.java
+++ b/src/main/java/org/shoreusher/core/Holding.java
@@ -12,8 +12,8 @@
 import org.shoreusher.wire.Tree;
 
 /**
- * The hold on one part: its lease, its term, and the fence that guards every write for it. Once lost it
- * is lost for good; a part taken again gets a new one.
+ * The hold on one part: its lease, its term, and the fence that guards every write for it. Once
+ * lost it is lost for good; a part taken again gets a new one.
  */
 final class Holding {
     private final int n;
@@ -31,17 +31,27 @@
     private boolean lost;
     private boolean renewing;
     private boolean lapsedLogged;
+
     /** The revision that the view must have reached since the last lapse; 0: it has. */
     private long viewNeeded;
+
     private long nextRenewMs;
+
     /** The last chunk of finished tasks that was written. */
     private int lastChunk;
 
     /**
      * @param writtenAt when the takeover was sent
-     * @param version   the revision at which it was applied
+     * @param version the revision at which it was applied
      */
-    Holding(int n, Settings settings, Outbox out, Mirror mirror, PartRecord record, Reading writtenAt, long version) {
+    Holding(
+            int n,
+            Settings settings,
+            Outbox out,
+            Mirror mirror,
+            PartRecord record,
+            Reading writtenAt,
+            long version) {
         this.n = n;
         this.settings = settings;
         this.out = out;
@@ -115,7 +125,10 @@
         }
     }
 
-    /** Renews when it is due. {@code records}: the finished tasks to write, or null before they are loaded. */
+    /**
+     * Renews when it is due. {@code records}: the finished tasks to write, or null before they are
+     * loaded.
+     */
     void heartbeat(Supplier<FinishedRecords> finished) {
         if (renewing || out.now.steadyMs() < nextRenewMs) {
             return;
@@ -124,12 +137,17 @@
         long expiry = Math.max(lease.expiryWallMs(), sentAt.wallMs() + PartLease.leaseMs(settings));
         FinishedRecords records = finished.get();
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
-        PartRecord record = new PartRecord(owner, expiry, term, records == null ? doneInStore() : records.chunk(0));
+        PartRecord record =
+                new PartRecord(
+                        owner, expiry, term, records == null ? doneInStore() : records.chunk(0));
         writes.put(Keys.part(n), record.write());
-        // In turns: with many jobs every chunk changes between heartbeats, and the last ones must become durable as well.
+        // In turns: with many jobs every chunk changes between heartbeats, and the last ones must
+        // become durable as well.
         int spilled = records == null ? 0 : records.chunks() - 1;
         int from = lastChunk;
-        for (int i = 1; i <= spilled && writes.size() < Math.min(settings.txnOps(), Tuning.RECORDS_AT_ONCE); i++) {
+        for (int i = 1;
+                i <= spilled && writes.size() < Math.min(settings.txnOps(), Tuning.RECORDS_AT_ONCE);
+                i++) {
             int c = 1 + (from + i - 1) % spilled;
             Map<String, Object> done = records.chunk(c);
             if (!done.equals(storedDone(c)) || mirror.get(Keys.done(n, c)) == null) {
@@ -137,13 +155,19 @@
                 lastChunk = c;
             }
         }
-        renewing = out.renewal(new StateOp.Multi(guards(Keys.part(n), recordVersion), writes), reply -> {
-            renewing = false;
-            renewed(reply, record, sentAt, records, writes);
-        });
+        renewing =
+                out.renewal(
+                        new StateOp.Multi(guards(Keys.part(n), recordVersion), writes),
+                        reply -> {
+                            renewing = false;
+                            renewed(reply, record, sentAt, records, writes);
+                        });
     }
 
-    /** The finished tasks in one of the part's records as the view has it; none if there is no such record. */
+    /**
+     * The finished tasks in one of the part's records as the view has it; none if there is no such
+     * record.
+     */
     Map<String, Object> storedDone(int chunk) {
         if (chunk == 0) {
             return doneInStore();
@@ -152,7 +176,8 @@
         try {
             return entry == null ? Map.of() : new Tree(entry.value()).map("done").asMap();
         } catch (Tree.Missing e) {
-            throw new IllegalStateException("a record of finished tasks of this service can't be read: " + e.getMessage());
+            throw new IllegalStateException(
+                    "a record of finished tasks of this service can't be read: " + e.getMessage());
         }
     }
 
@@ -168,7 +193,12 @@
         return guards;
     }
 
-    private void renewed(StateReply reply, PartRecord record, Reading sentAt, FinishedRecords records, Map<String, Map<String, Object>> writes) {
+    private void renewed(
+            StateReply reply,
+            PartRecord record,
+            Reading sentAt,
+            FinishedRecords records,
+            Map<String, Map<String, Object>> writes) {
         if (lost) {
             return;
         }
@@ -179,7 +209,12 @@
             if (lapsedLogged && holds()) {
                 lapsedLogged = false;
                 sinceMs = out.now.steadyMs();
-                out.log("renewed: part " + n + " term " + term + " after a lapse, nobody had taken it");
+                out.log(
+                        "renewed: part "
+                                + n
+                                + " term "
+                                + term
+                                + " after a lapse, nobody had taken it");
             }
             if (records != null) {
                 records.markDurable();
@@ -189,12 +224,15 @@
         nextRenewMs = out.now.steadyMs() + Tuning.HEARTBEAT_RETRY_MS;
         if (reply.status() == 409) {
             // Either somebody took the part, or an earlier renewal without an answer was applied.
-            renewing = out.renewal(new StateOp.Multi(Map.of(Keys.fence(n), fenceVersion), Map.of()), fence -> {
-                renewing = false;
-                if (fence.status() == 409) {
-                    lose("its fence has changed");
-                }
-            });
+            renewing =
+                    out.renewal(
+                            new StateOp.Multi(Map.of(Keys.fence(n), fenceVersion), Map.of()),
+                            fence -> {
+                                renewing = false;
+                                if (fence.status() == 409) {
+                                    lose("its fence has changed");
+                                }
+                            });
             out.state(new StateOp.Get(Keys.part(n)), this::rereadRecord);
         }
     }
@@ -240,16 +278,25 @@
         PartRecord record = new PartRecord(owner, lease.expiryWallMs(), next, doneInStore());
         writes.put(Keys.part(n), record.write());
         writes.put(Keys.TERM, Map.of("term", next));
-        renewing = out.renewal(new StateOp.Multi(guards, writes), reply -> {
-            renewing = false;
-            if (reply.status() == 200 && !lost) {
-                recordVersion = mirror.applied(reply, writes);
-                term = next;
-                out.log("term: part " + n + " raised to " + next + " for a worker that has seen " + above);
-            } else {
-                nextRenewMs = out.now.steadyMs();
-            }
-        });
+        renewing =
+                out.renewal(
+                        new StateOp.Multi(guards, writes),
+                        reply -> {
+                            renewing = false;
+                            if (reply.status() == 200 && !lost) {
+                                recordVersion = mirror.applied(reply, writes);
+                                term = next;
+                                out.log(
+                                        "term: part "
+                                                + n
+                                                + " raised to "
+                                                + next
+                                                + " for a worker that has seen "
+                                                + above);
+                            } else {
+                                nextRenewMs = out.now.steadyMs();
+                            }
+                        });
     }
 
     /** The view shows a new record of this part. */
@@ -260,16 +307,20 @@
     }
 
     /**
-     * Gives the part up so that another node can take it at once. This node acts for it no more from before the
-     * write is sent; if the write is lost, the lease runs out as after a crash. Beside a renewal in flight it would be
-     * refused for the record's version, so it has to wait for that.
+     * Gives the part up so that another node can take it at once. This node acts for it no more
+     * from before the write is sent; if the write is lost, the lease runs out as after a crash.
+     * Beside a renewal in flight it would be refused for the record's version, so it has to wait
+     * for that.
      */
     void release(String why, FinishedRecords done) {
         if (renewing) {
             return;
         }
         PartRecord record = new PartRecord(owner, 0, term, done.chunk(0));
-        if (out.renewal(new StateOp.Multi(guards(Keys.part(n), recordVersion), Map.of(Keys.part(n), record.write())), reply -> { })) {
+        if (out.renewal(
+                new StateOp.Multi(
+                        guards(Keys.part(n), recordVersion), Map.of(Keys.part(n), record.write())),
+                reply -> {})) {
             lose("released: " + why);
         }
     }
--- a/src/main/java/org/shoreusher/core/Job.java
+++ b/src/main/java/org/shoreusher/core/Job.java
@@ -10,28 +10,51 @@
     final String id;
     final JobSpec spec;
     final long acceptedMs;
+
     /** Finished, as far as the owner knows. */
     final BitSet done = new BitSet();
+
     /** Finished, and durably recorded. */
     BitSet durable = new BitSet();
+
     final BitSet waiting = new BitSet();
+
     /** Where each live task is; tasks that are only being hunted down are not here. */
     final Int2ObjectOpenHashMap<Live> live = new Int2ObjectOpenHashMap<>();
+
     final ObjectOpenHashSet<String> failedOn = new ObjectOpenHashSet<>();
-    /** Which record of finished tasks each slice of its tasks is in, -1 for none yet; see {@link FinishedRecords}. */
+
+    /**
+     * Which record of finished tasks each slice of its tasks is in, -1 for none yet; see {@link
+     * FinishedRecords}.
+     */
     int[] chunks = {};
+
     /** Which record of marks it is in. */
     int markChunk = -1;
+
     int waitingCount;
-    /** Only tasks below this number may be started: the store says so, hence a taker knows that no other ever was. */
+
+    /**
+     * Only tasks below this number may be started: the store says so, hence a taker knows that no
+     * other ever was.
+     */
     int startBelow;
+
     /** Final in the store, or taken away: nothing of it may start. */
     boolean closed;
+
     boolean finishing;
-    /** Which zones its tasks are in is not known: it has a rule on them, was begun under an owner before, and not all machines are heard. */
+
+    /**
+     * Which zones its tasks are in is not known: it has a rule on them, was begun under an owner
+     * before, and not all machines are heard.
+     */
     boolean zonesUnknown;
+
     /** Tasks that have been started at least once, as far as this owner knows. */
     int startedCount;
+
     private int observedCount;
     private double observedSumS;
     private int failures;
@@ -64,7 +87,10 @@
         }
     }
 
-    /** Up to which number tasks must be startable so that the next so many of those waiting are; 0 if none waits. */
+    /**
+     * Up to which number tasks must be startable so that the next so many of those waiting are; 0
+     * if none waits.
+     */
     int belowFor(int count) {
         int index = -1;
         for (int i = 0; i < count; i++) {
--- a/src/main/java/org/shoreusher/core/JobSpec.java
+++ b/src/main/java/org/shoreusher/core/JobSpec.java
@@ -2,22 +2,48 @@
 
 import java.util.List;
 
-/** What a user asked for. {@code types} null means any, {@code zone} null any, {@code deadlineS} NaN none. */
-public record JobSpec(String id, String jobClass, String team, Shape shape, Priority priority, int tasks, double cpus,
-                      double gpus, double memGb, String image, double imageGb, List<String> types, String zone,
-                      boolean oneZone, boolean spread, boolean spot, double estimateS, double checkpointS,
-                      double saveS, double deadlineS) {
+/**
+ * What a user asked for. {@code types} null means any, {@code zone} null any, {@code deadlineS} NaN
+ * none.
+ */
+public record JobSpec(
+        String id,
+        String jobClass,
+        String team,
+        Shape shape,
+        Priority priority,
+        int tasks,
+        double cpus,
+        double gpus,
+        double memGb,
+        String image,
+        double imageGb,
+        List<String> types,
+        String zone,
+        boolean oneZone,
+        boolean spread,
+        boolean spot,
+        double estimateS,
+        double checkpointS,
+        double saveS,
+        double deadlineS) {
 
     /** Most urgent first. */
     public enum Priority {
-        PRODUCTION, HIGH, NORMAL, LOW
+        PRODUCTION,
+        HIGH,
+        NORMAL,
+        LOW
     }
 
     /** What becomes of a job's tasks. */
     public enum Shape {
         /** Independent tasks, each of which runs to completion; the job is done when all have. */
         BATCH,
-        /** Replicas that run until the job is cancelled: one that ends, for whatever reason, runs again. */
+        /**
+         * Replicas that run until the job is cancelled: one that ends, for whatever reason, runs
+         * again.
+         */
         SERVICE;
 
         /** Whether a task that has completed is finished for good. */
@@ -27,19 +53,60 @@
     }
 
     /** A batch job. */
-    public JobSpec(String id, String jobClass, String team, Priority priority, int tasks, double cpus, double gpus, double memGb, String image, double imageGb,
-                   List<String> types, String zone, boolean oneZone, boolean spread, boolean spot, double estimateS, double checkpointS, double saveS,
-                   double deadlineS) {
-        this(id, jobClass, team, Shape.BATCH, priority, tasks, cpus, gpus, memGb, image, imageGb, types, zone, oneZone, spread, spot, estimateS, checkpointS, saveS,
+    public JobSpec(
+            String id,
+            String jobClass,
+            String team,
+            Priority priority,
+            int tasks,
+            double cpus,
+            double gpus,
+            double memGb,
+            String image,
+            double imageGb,
+            List<String> types,
+            String zone,
+            boolean oneZone,
+            boolean spread,
+            boolean spot,
+            double estimateS,
+            double checkpointS,
+            double saveS,
+            double deadlineS) {
+        this(
+                id,
+                jobClass,
+                team,
+                Shape.BATCH,
+                priority,
+                tasks,
+                cpus,
+                gpus,
+                memGb,
+                image,
+                imageGb,
+                types,
+                zone,
+                oneZone,
+                spread,
+                spot,
+                estimateS,
+                checkpointS,
+                saveS,
                 deadlineS);
     }
 
     /** Whether a machine of this kind may hold a task, other tasks of the job aside. */
     public boolean allows(String type, String machineZone, boolean spotMachine) {
-        return (types == null || types.contains(type)) && (zone == null || zone.equals(machineZone)) && (spot || !spotMachine);
+        return (types == null || types.contains(type))
+                && (zone == null || zone.equals(machineZone))
+                && (spot || !spotMachine);
     }
 
-    /** Tasks that must be able to run at the same time: all replicas of a service, one task of a batch job. */
+    /**
+     * Tasks that must be able to run at the same time: all replicas of a service, one task of a
+     * batch job.
+     */
     public int atLeastAtOnce() {
         return shape.ends() ? 1 : tasks;
     }
--- a/src/main/java/org/shoreusher/core/Keys.java
+++ b/src/main/java/org/shoreusher/core/Keys.java
@@ -14,15 +14,19 @@
 final class Keys {
     static final String TERM = "term";
     static final String TYPES = "types";
-    /** Stands before the jobs in the order of keys: a view that is read in pages learns of arrivals first, then of what became of them. */
+
+    /**
+     * Stands before the jobs in the order of keys: a view that is read in pages learns of arrivals
+     * first, then of what became of them.
+     */
     static final String ARRIVED = "arrived/";
+
     static final String JOB = "job/";
     static final String MACHINE = "machine/";
     static final String PART = "part/";
     static final String NODE = "node/";
 
-    private Keys() {
-    }
+    private Keys() {}
 
     static String part(int n) {
         return PART + n;
@@ -49,7 +53,10 @@
         return ARRIVED + owner + "/" + n;
     }
 
-    /** The key of the record that a machine is in, together with those whose names differ in the last signs only. */
+    /**
+     * The key of the record that a machine is in, together with those whose names differ in the
+     * last signs only.
+     */
     static String machine(String id, int valueBytes) {
         return machine(id, valueBytes >= Tuning.WIDE_GROUP_BYTES);
     }
@@ -74,9 +81,11 @@
         static PartRecord read(Map<String, Object> value) {
             try {
                 Tree t = new Tree(value);
-                return new PartRecord(t.text("owner"), t.whole("expiry"), t.whole("term"), t.map("done").asMap());
+                return new PartRecord(
+                        t.text("owner"), t.whole("expiry"), t.whole("term"), t.map("done").asMap());
             } catch (Tree.Missing e) {
-                throw new IllegalStateException("a part record of this service can't be read: " + e.getMessage());
+                throw new IllegalStateException(
+                        "a part record of this service can't be read: " + e.getMessage());
             }
         }
 
@@ -98,42 +107,66 @@
 
     /** How far a job has come, for good. */
     enum JobStatus {
-        OPEN, DONE, CANCELLED
+        OPEN,
+        DONE,
+        CANCELLED
     }
 
     /**
      * A job's record. A done job's description is dropped; a cancelled one's is kept, because its
      * tasks use their team's limit until they are hunted down, also under the next owner.
      *
-     * @param begun 0 for a job whose part's records of marks tell how far it has been begun, see {@link StartMarks}; in records from
-     *              before there were such, tasks from this number on had never been started
+     * @param begun 0 for a job whose part's records of marks tell how far it has been begun, see
+     *     {@link StartMarks}; in records from before there were such, tasks from this number on had
+     *     never been started
      */
-    record JobRecord(int part, JobStatus status, int tasks, long acceptedMs, int begun, Map<String, Object> spec) {
+    record JobRecord(
+            int part,
+            JobStatus status,
+            int tasks,
+            long acceptedMs,
+            int begun,
+            Map<String, Object> spec) {
         static JobRecord read(Map<String, Object> value) {
             try {
                 Tree t = new Tree(value);
                 int tasks = (int) t.whole("tasks");
                 // A record from before there were marks: any of its tasks may have been started.
                 int begun = t.has("begun") ? (int) t.whole("begun") : tasks;
-                return new JobRecord((int) t.whole("part"), JobStatus.valueOf(t.text("status")), tasks, t.whole("accepted"), begun, t.has("spec") ? t.map("spec").asMap() : null);
+                return new JobRecord(
+                        (int) t.whole("part"),
+                        JobStatus.valueOf(t.text("status")),
+                        tasks,
+                        t.whole("accepted"),
+                        begun,
+                        t.has("spec") ? t.map("spec").asMap() : null);
             } catch (Tree.Missing e) {
-                throw new IllegalStateException("a job record of this service can't be read: " + e.getMessage());
+                throw new IllegalStateException(
+                        "a job record of this service can't be read: " + e.getMessage());
             }
         }
 
         static JobRecord open(int part, JobSpec spec, long acceptedMs) {
-            return new JobRecord(part, JobStatus.OPEN, spec.tasks(), acceptedMs, 0, UserFormat.description(spec));
+            return new JobRecord(
+                    part,
+                    JobStatus.OPEN,
+                    spec.tasks(),
+                    acceptedMs,
+                    0,
+                    UserFormat.description(spec));
         }
 
         JobRecord ended(JobStatus status) {
-            return new JobRecord(part, status, tasks, acceptedMs, begun, status == JobStatus.DONE ? null : spec);
+            return new JobRecord(
+                    part, status, tasks, acceptedMs, begun, status == JobStatus.DONE ? null : spec);
         }
 
         JobSpec description() {
             try {
                 return UserFormat.described(new Tree(spec));
             } catch (Tree.Missing e) {
-                throw new IllegalStateException("a job description of this service can't be read: " + e.getMessage());
+                throw new IllegalStateException(
+                        "a job description of this service can't be read: " + e.getMessage());
             }
         }
 
@@ -161,7 +194,8 @@
                     below.put(id, (int) t.whole(id));
                 }
             } catch (Tree.Missing e) {
-                throw new IllegalStateException("a record of marks of this service can't be read: " + e.getMessage());
+                throw new IllegalStateException(
+                        "a record of marks of this service can't be read: " + e.getMessage());
             }
             return new MarkRecord(below);
         }
@@ -182,7 +216,8 @@
                     jobs.put(id, JobRecord.read(new Tree(value).map("jobs").map(id).asMap()));
                 }
             } catch (Tree.Missing e) {
-                throw new IllegalStateException("a record of arrivals of this service can't be read: " + e.getMessage());
+                throw new IllegalStateException(
+                        "a record of arrivals of this service can't be read: " + e.getMessage());
             }
             return new ArrivalRecord(jobs);
         }
@@ -195,7 +230,8 @@
     /** Each part's share of a team's limit. */
     record QuotaRecord(double[] cpus, double[] gpus) {
         static QuotaRecord read(Map<String, Object> value, int parts) {
-            return new QuotaRecord(amounts(value.get("cpus"), parts), amounts(value.get("gpus"), parts));
+            return new QuotaRecord(
+                    amounts(value.get("cpus"), parts), amounts(value.get("gpus"), parts));
         }
 
         /** Shares for another number of parts are worth nothing, which is safe. */
@@ -230,15 +266,17 @@
     }
 
     /** A machine's record: its part; {@code used} is written before the first start. */
-    record MachineRecord(int part, String type, String zone, boolean spot, long rentedMs, boolean used) {
+    record MachineRecord(
+            int part, String type, String zone, boolean spot, long rentedMs, boolean used) {
         MachineRecord asUsed() {
             return new MachineRecord(part, type, zone, spot, rentedMs, true);
         }
     }
 
     /**
-     * The records of neighbouring machines in one value, by name. Machines rented together are named one after the
-     * other, so that hundreds of them cost a handful of writes. Types and zones stand once, machines refer to them.
+     * The records of neighbouring machines in one value, by name. Machines rented together are
+     * named one after the other, so that hundreds of them cost a handful of writes. Types and zones
+     * stand once, machines refer to them.
      */
     record MachineGroup(Map<String, MachineRecord> machines) {
         static MachineGroup read(String key, Map<String, Object> value) {
@@ -248,12 +286,20 @@
                 Map<String, MachineRecord> machines = new TreeMap<>();
                 for (Map.Entry<String, Object> e : t.map("machines").asMap().entrySet()) {
                     List<?> f = (List<?>) e.getValue();
-                    machines.put(key.substring(MACHINE.length()) + e.getKey(), new MachineRecord((int) whole(f, 0), names.get((int) whole(f, 1)),
-                            names.get((int) whole(f, 2)), whole(f, 3) == 1, whole(f, 4), whole(f, 5) == 1));
+                    machines.put(
+                            key.substring(MACHINE.length()) + e.getKey(),
+                            new MachineRecord(
+                                    (int) whole(f, 0),
+                                    names.get((int) whole(f, 1)),
+                                    names.get((int) whole(f, 2)),
+                                    whole(f, 3) == 1,
+                                    whole(f, 4),
+                                    whole(f, 5) == 1));
                 }
                 return new MachineGroup(machines);
             } catch (Tree.Missing | ClassCastException | IndexOutOfBoundsException e) {
-                throw new IllegalStateException("a record of machines of this service can't be read: " + e.getMessage());
+                throw new IllegalStateException(
+                        "a record of machines of this service can't be read: " + e.getMessage());
             }
         }
 
@@ -268,8 +314,17 @@
             }
             List<String> names = new ArrayList<>();
             Map<String, Object> lines = new LinkedHashMap<>();
-            machines.forEach((id, m) -> lines.put(id.substring(key.length() - MACHINE.length()), List.of((long) m.part, name(names, m.type), name(names, m.zone),
-                    m.spot ? 1L : 0L, m.rentedMs, m.used ? 1L : 0L)));
+            machines.forEach(
+                    (id, m) ->
+                            lines.put(
+                                    id.substring(key.length() - MACHINE.length()),
+                                    List.of(
+                                            (long) m.part,
+                                            name(names, m.type),
+                                            name(names, m.zone),
+                                            m.spot ? 1L : 0L,
+                                            m.rentedMs,
+                                            m.used ? 1L : 0L)));
             return Map.of("names", names, "machines", lines);
         }
 
--- a/src/main/java/org/shoreusher/core/Live.java
+++ b/src/main/java/org/shoreusher/core/Live.java
@@ -5,7 +5,10 @@
     /** What is known of it. */
     enum State {
         /** Its start was answered to a report; a newer report will show it or not. */
-        ASKED, FETCHING, RUNNING, SAVING
+        ASKED,
+        FETCHING,
+        RUNNING,
+        SAVING
     }
 
     final Job job;
@@ -14,10 +17,13 @@
     final Machine machine;
     final long sinceMs;
     State state;
+
     /** To be stopped at once: cancelled, finished elsewhere, or of no known job. */
     boolean doomed;
+
     /** Told to stop with time to save; it goes back to waiting when it has exited. */
     boolean stopping;
+
     long runningSinceMs = -1;
     long haltedAtMs = Long.MIN_VALUE / 2;
 
--- a/src/main/java/org/shoreusher/core/MachineIndex.java
+++ b/src/main/java/org/shoreusher/core/MachineIndex.java
@@ -9,12 +9,15 @@
 import org.shoreusher.core.Keys.MachineRecord;
 
 /**
- * Every recorded machine by its name, as this node's view of the store shows it. A machine may stand in two groups, a narrow one and a
- * wide one that an owner with a larger value limit wrote: the narrow one counts, but whether it has been used is true if either says so.
+ * Every recorded machine by its name, as this node's view of the store shows it. A machine may
+ * stand in two groups, a narrow one and a wide one that an owner with a larger value limit wrote:
+ * the narrow one counts, but whether it has been used is true if either says so.
  */
 final class MachineIndex {
-    private final Object2ObjectOpenHashMap<String, MachineRecord> records = new Object2ObjectOpenHashMap<>();
-    private final Object2ObjectOpenHashMap<String, Map<String, MachineRecord>> groups = new Object2ObjectOpenHashMap<>();
+    private final Object2ObjectOpenHashMap<String, MachineRecord> records =
+            new Object2ObjectOpenHashMap<>();
+    private final Object2ObjectOpenHashMap<String, Map<String, MachineRecord>> groups =
+            new Object2ObjectOpenHashMap<>();
 
     /** The machine's record, or null. */
     MachineRecord get(String id) {
@@ -30,9 +33,13 @@
         return groups.getOrDefault(key, Map.of());
     }
 
-    /** A record of several machines has changed; {@code changed} is told of each machine that is new or different by it. */
+    /**
+     * A record of several machines has changed; {@code changed} is told of each machine that is new
+     * or different by it.
+     */
     void changed(String key, Mirror.Entry after, BiConsumer<String, MachineRecord> changed) {
-        Map<String, MachineRecord> now = after == null ? Map.of() : MachineGroup.read(key, after.value()).machines();
+        Map<String, MachineRecord> now =
+                after == null ? Map.of() : MachineGroup.read(key, after.value()).machines();
         Set<String> touched = new HashSet<>(group(key).keySet());
         touched.addAll(now.keySet());
         if (now.isEmpty()) {
--- a/src/main/java/org/shoreusher/core/MachineList.java
+++ b/src/main/java/org/shoreusher/core/MachineList.java
@@ -15,20 +15,24 @@
 import org.shoreusher.wire.Tree;
 
 /**
- * Reads the cloud's machine list, which lags: from it a part learns which of its machines are gone, and which machines
- * nobody knows of.
+ * Reads the cloud's machine list, which lags: from it a part learns which of its machines are gone,
+ * and which machines nobody knows of.
  */
 final class MachineList {
     private final Part part;
     private final Settings settings;
     private final Outbox out;
     private final Types types;
+
     /** Machines that lists show and no record does, with the moment they were first seen. */
     private final Object2LongOpenHashMap<String> strays = new Object2LongOpenHashMap<>();
+
     /** Machines in the newest list. */
     private Set<String> listed = Set.of();
+
     /** Machines that have been there and are gone; names are never used again. */
     private final ObjectLinkedOpenHashSet<String> gone = new ObjectLinkedOpenHashSet<>();
+
     private long nextListMs;
     private boolean listing;
 
@@ -63,25 +67,36 @@
     }
 
     private void readList(String after, Reading askedAt, List<Listed> soFar) {
-        listing = out.cloud(new CloudOp.Listing(after), reply -> {
-            listing = false;
-            // A rebuild waits for machines that are gone, until a list no longer shows them.
-            nextListMs = out.now.steadyMs() + (part.rebuilt() ? Tuning.LIST_EVERY_MS : Tuning.LIST_IN_REBUILD_MS);
-            if (reply.status() != 200 || part.lost()) {
-                return;
-            }
-            try {
-                ListPage page = CloudFormat.machines(new Tree(reply.body()));
-                soFar.addAll(page.machines());
-                if (page.more() && !page.machines().isEmpty()) {
-                    readList(page.machines().get(page.machines().size() - 1).id(), askedAt, soFar);
-                } else {
-                    listed(soFar, askedAt);
-                }
-            } catch (Tree.Missing e) {
-                out.log("cloud: machine list not understood: " + e.getMessage());
-            }
-        });
+        listing =
+                out.cloud(
+                        new CloudOp.Listing(after),
+                        reply -> {
+                            listing = false;
+                            // A rebuild waits for machines that are gone, until a list no longer
+                            // shows them.
+                            nextListMs =
+                                    out.now.steadyMs()
+                                            + (part.rebuilt()
+                                                    ? Tuning.LIST_EVERY_MS
+                                                    : Tuning.LIST_IN_REBUILD_MS);
+                            if (reply.status() != 200 || part.lost()) {
+                                return;
+                            }
+                            try {
+                                ListPage page = CloudFormat.machines(new Tree(reply.body()));
+                                soFar.addAll(page.machines());
+                                if (page.more() && !page.machines().isEmpty()) {
+                                    readList(
+                                            page.machines().get(page.machines().size() - 1).id(),
+                                            askedAt,
+                                            soFar);
+                                } else {
+                                    listed(soFar, askedAt);
+                                }
+                            } catch (Tree.Missing e) {
+                                out.log("cloud: machine list not understood: " + e.getMessage());
+                            }
+                        });
     }
 
     private void listed(List<Listed> all, Reading askedAt) {
@@ -95,13 +110,15 @@
             if (m == null && part.strayHere(l.id())) {
                 stray(l);
             } else {
-                // Else a machine returned later, which a lagging list still shows, would count as seen before.
+                // Else a machine returned later, which a lagging list still shows, would count as
+                // seen before.
                 strays.removeLong(l.id());
             }
         }
         strays.keySet().retainAll(names);
         listed = names;
-        // Lists are at most twice their lag old, and a machine once listed stays so until it is gone.
+        // Lists are at most twice their lag old, and a machine once listed stays so until it is
+        // gone.
         long shown = (long) (2 * settings.listLagS() * 1000) + Tuning.LIST_SLACK_MS;
         for (Machine m : new ArrayList<>(part.machines().values())) {
             if (!names.contains(m.id) && askedAt.wallMs() - m.rentedWallMs > shown) {
@@ -110,15 +127,26 @@
         }
     }
 
-    /** A machine of which no record tells: taken on once it is sure that no answer to a rental is still on its way. */
+    /**
+     * A machine of which no record tells: taken on once it is sure that no answer to a rental is
+     * still on its way.
+     */
     private void stray(Listed l) {
         if (!strays.containsKey(l.id())) {
             strays.put(l.id(), out.now.steadyMs());
-        } else if (out.now.steadyMs() - strays.getLong(l.id()) > (gone.contains(l.id()) ? Tuning.GONE_STILL_LISTED_MS : 2 * Tuning.LIST_EVERY_MS)) {
+        } else if (out.now.steadyMs() - strays.getLong(l.id())
+                > (gone.contains(l.id())
+                        ? Tuning.GONE_STILL_LISTED_MS
+                        : 2 * Tuning.LIST_EVERY_MS)) {
             strays.removeLong(l.id());
             gone.remove(l.id());
             out.log("adopted: " + l.id() + " in part " + part.n);
-            part.add(l.id(), types.get(l.type()), l.zone(), l.spot(), out.now.wallMs() - (long) (l.ageS() * 1000));
+            part.add(
+                    l.id(),
+                    types.get(l.type()),
+                    l.zone(),
+                    l.spot(),
+                    out.now.wallMs() - (long) (l.ageS() * 1000));
         }
     }
 }
--- a/src/main/java/org/shoreusher/core/MachineRecords.java
+++ b/src/main/java/org/shoreusher/core/MachineRecords.java
@@ -13,8 +13,9 @@
 import org.shoreusher.settings.Tuning;
 
 /**
- * Keeps the records of a part's machines in the store in step, and hands machines to other parts. A write is
- * guarded by the version of each group of machines it changes, so parts that share a group can't undo each other.
+ * Keeps the records of a part's machines in the store in step, and hands machines to other parts. A
+ * write is guarded by the version of each group of machines it changes, so parts that share a group
+ * can't undo each other.
  */
 final class MachineRecords {
     private final int n;
@@ -26,12 +27,22 @@
     private final Holding holding;
     private final Map<String, Machine> machines;
     private final ObjectLinkedOpenHashSet<String> dirty = new ObjectLinkedOpenHashSet<>();
+
     /** Wide groups, written under a larger value limit, whose machines move to narrow ones. */
     private final ObjectLinkedOpenHashSet<String> splitting = new ObjectLinkedOpenHashSet<>();
+
     private boolean recording;
     private long nextMs;
 
-    MachineRecords(int n, Settings settings, Outbox out, Mirror mirror, MachineIndex index, Formats formats, Holding holding, Map<String, Machine> machines) {
+    MachineRecords(
+            int n,
+            Settings settings,
+            Outbox out,
+            Mirror mirror,
+            MachineIndex index,
+            Formats formats,
+            Holding holding,
+            Map<String, Machine> machines) {
         this.n = n;
         this.settings = settings;
         this.out = out;
@@ -48,8 +59,8 @@
     }
 
     /**
-     * Hands an idle machine with nothing in flight to another part. From here on nothing starts on it; the write is
-     * repeated until it is done or the machine's record has changed.
+     * Hands an idle machine with nothing in flight to another part. From here on nothing starts on
+     * it; the write is repeated until it is done or the machine's record has changed.
      */
     void handOver(Machine m, int to) {
         m.state = Machine.State.HANDING;
@@ -64,9 +75,16 @@
             return null;
         }
         boolean handing = m.state == Machine.State.HANDING;
-        // An older version would write a wide group beside a narrow one, and read "not used" in the narrow one again later.
+        // An older version would write a wide group beside a narrow one, and read "not used" in the
+        // narrow one again later.
         boolean mixed = narrow() && !formats.services();
-        return new MachineRecord(handing ? m.handTo : n, m.type.name(), m.zone, m.spot, m.rentedWallMs, handing || mixed || m.used);
+        return new MachineRecord(
+                handing ? m.handTo : n,
+                m.type.name(),
+                m.zone,
+                m.spot,
+                m.rentedWallMs,
+                handing || mixed || m.used);
     }
 
     private boolean narrow() {
@@ -74,11 +92,15 @@
     }
 
     /**
-     * Records machines before their first start, and removes the records of those that are gone: as many as have
-     * gathered, since a few hundred machines that come up within seconds would else take the whole rate of changes.
+     * Records machines before their first start, and removes the records of those that are gone: as
+     * many as have gathered, since a few hundred machines that come up within seconds would else
+     * take the whole rate of changes.
      */
     void write() {
-        if (recording || (dirty.isEmpty() && splitting.isEmpty()) || !holding.holds() || out.now.steadyMs() < nextMs) {
+        if (recording
+                || (dirty.isEmpty() && splitting.isEmpty())
+                || !holding.holds()
+                || out.now.steadyMs() < nextMs) {
             return;
         }
         split();
@@ -107,14 +129,16 @@
         batch.forEach(dirty::remove);
         Map<String, Long> guards = new LinkedHashMap<>(holding.fence());
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
-        groups.forEach((key, group) -> {
-            if (!group.equals(index.group(key))) {
-                guards.put(key, mirror.version(key));
-                writes.put(key, MachineGroup.write(key, group));
-            }
-        });
+        groups.forEach(
+                (key, group) -> {
+                    if (!group.equals(index.group(key))) {
+                        guards.put(key, mirror.version(key));
+                        writes.put(key, MachineGroup.write(key, group));
+                    }
+                });
         for (String wide : splitting) {
-            if (writes.size() < settings.txnOps() && index.group(wide).keySet().stream().allMatch(this::standsElsewhere)) {
+            if (writes.size() < settings.txnOps()
+                    && index.group(wide).keySet().stream().allMatch(this::standsElsewhere)) {
                 guards.put(wide, mirror.version(wide));
                 writes.put(wide, null);
             }
@@ -123,16 +147,19 @@
             settle(batch);
             return;
         }
-        recording = out.state(new StateOp.Multi(guards, writes), reply -> {
-            recording = false;
-            if (holding.lost()) {
-                return;
-            }
-            if (reply.status() == 200) {
-                mirror.applied(reply, writes);
-            }
-            settle(batch);
-        });
+        recording =
+                out.state(
+                        new StateOp.Multi(guards, writes),
+                        reply -> {
+                            recording = false;
+                            if (holding.lost()) {
+                                return;
+                            }
+                            if (reply.status() == 200) {
+                                mirror.applied(reply, writes);
+                            }
+                            settle(batch);
+                        });
         if (recording) {
             nextMs = out.now.steadyMs() + Tuning.RECORDS_EVERY_MS;
         } else {
@@ -140,14 +167,19 @@
         }
     }
 
-    /** Whether nothing is lost of a machine with its wide group: its narrow one has it, or it is gone. */
+    /**
+     * Whether nothing is lost of a machine with its wide group: its narrow one has it, or it is
+     * gone.
+     */
     private boolean standsElsewhere(String id) {
-        return index.group(Keys.machine(id, false)).containsKey(id) || (index.group(Keys.machine(id, true)).get(id).part() == n && !machines.containsKey(id));
+        return index.group(Keys.machine(id, false)).containsKey(id)
+                || (index.group(Keys.machine(id, true)).get(id).part() == n
+                        && !machines.containsKey(id));
     }
 
     /**
-     * A machine that changes and stands in a wide group takes the whole group with it, a few narrow ones a write: the wide one
-     * may be longer than can be written again.
+     * A machine that changes and stands in a wide group takes the whole group with it, a few narrow
+     * ones a write: the wide one may be longer than can be written again.
      */
     private void split() {
         if (!narrow()) {
@@ -156,17 +188,21 @@
         for (String id : dirty.toArray(new String[0])) {
             String wide = Keys.machine(id, true);
             if (index.group(wide).containsKey(id) && splitting.add(wide)) {
-                index.group(wide).forEach((other, record) -> {
-                    if (record.part() == n && machines.containsKey(other)) {
-                        dirty.add(other);
-                    }
-                });
+                index.group(wide)
+                        .forEach(
+                                (other, record) -> {
+                                    if (record.part() == n && machines.containsKey(other)) {
+                                        dirty.add(other);
+                                    }
+                                });
             }
         }
         splitting.removeIf(wide -> index.group(wide).isEmpty());
     }
 
-    /** Takes over what the view now says of machines; what is not yet as wanted is written again. */
+    /**
+     * Takes over what the view now says of machines; what is not yet as wanted is written again.
+     */
     private void settle(List<String> batch) {
         for (String id : batch) {
             Machine m = machines.get(id);
@@ -178,7 +214,9 @@
                 machines.remove(id);
             } else if (record != null && record.part() != n) {
                 continue;
-            } else if (m == null && record != null && !index.group(Keys.machine(id, settings.valueBytes())).containsKey(id)) {
+            } else if (m == null
+                    && record != null
+                    && !index.group(Keys.machine(id, settings.valueBytes())).containsKey(id)) {
                 // Gone, and only its wide group still has it, which is on its way out.
                 continue;
             } else if (record == null ? m != null : !record.equals(wanted(id))) {
--- a/src/main/java/org/shoreusher/core/Mirror.java
+++ b/src/main/java/org/shoreusher/core/Mirror.java
@@ -12,14 +12,13 @@
 import org.shoreusher.wire.Tree;
 
 /**
- * This node's view of the store: read once page by page, then kept by one watch, and read again when
- * the watch has fallen too far behind (410). Changes are applied by version, so pages, watches and
- * the node's own writes may come in any order.
+ * This node's view of the store: read once page by page, then kept by one watch, and read again
+ * when the watch has fallen too far behind (410). Changes are applied by version, so pages, watches
+ * and the node's own writes may come in any order.
  */
 final class Mirror {
     /** One key. */
-    record Entry(Map<String, Object> value, long version) {
-    }
+    record Entry(Map<String, Object> value, long version) {}
 
     /** Told of every change; a null entry: the key is gone. */
     interface Listener {
@@ -30,8 +29,10 @@
     private final Listener listener;
     private final long watchGapMs;
     private final TreeMap<String, Entry> entries = new TreeMap<>();
+
     /** Versions at which keys were removed, until the watch has passed them. */
     private final Object2LongOpenHashMap<String> removed = new Object2LongOpenHashMap<>();
+
     private boolean loading = true;
     private boolean loaded;
     private boolean busy;
@@ -44,9 +45,12 @@
     private long nextAt;
 
     Mirror(Outbox out, Settings settings, Listener listener) {
-        // A change wakes the watches of all nodes: where requests are few they would leave none for anything else.
+        // A change wakes the watches of all nodes: where requests are few they would leave none for
+        // anything else.
         double share = settings.stateRps() * Tuning.RATE_USE / settings.nodes();
-        watchGapMs = Math.max(Tuning.WATCH_GAP_MS, (long) Math.ceil(1000 / (share * Tuning.WATCH_SHARE)));
+        watchGapMs =
+                Math.max(
+                        Tuning.WATCH_GAP_MS, (long) Math.ceil(1000 / (share * Tuning.WATCH_SHARE)));
         this.out = out;
         this.listener = listener;
     }
@@ -110,21 +114,24 @@
         }
     }
 
-    /** Puts an own write that succeeded into the view; returns the revision at which it was applied. */
+    /**
+     * Puts an own write that succeeded into the view; returns the revision at which it was applied.
+     */
     long applied(StateReply reply, Map<String, Map<String, Object>> writes) {
         long at;
         try {
             at = StateFormat.revision(new Tree(reply.body()));
         } catch (Tree.Missing e) {
-            throw new IllegalStateException("the state service confirmed a write without its revision: " + e.getMessage());
+            throw new IllegalStateException(
+                    "the state service confirmed a write without its revision: " + e.getMessage());
         }
         writes.forEach((key, value) -> apply(key, value, at));
         return at;
     }
 
     /**
-     * Drops a key from memory. News from before its last version, which a watch may yet bring, must not
-     * bring it back: a done job would be taken for an open one.
+     * Drops a key from memory. News from before its last version, which a watch may yet bring, must
+     * not bring it back: a done job would be taken for an open one.
      */
     void evict(String key) {
         Entry e = entries.remove(key);
@@ -139,16 +146,24 @@
             return;
         }
         long sentAt = out.now.steadyMs();
-        StateOp op = loading ? new StateOp.Page(page) : new StateOp.Watch(revision, loaded && revision >= needRevision ? Tuning.WATCH_BLOCK_MS : 0);
-        busy = out.state(op, reply -> {
-            busy = false;
-            try {
-                replied(reply, sentAt);
-            } catch (Tree.Missing e) {
-                out.log("state: answer not understood: " + e.getMessage());
-                retry();
-            }
-        });
+        StateOp op =
+                loading
+                        ? new StateOp.Page(page)
+                        : new StateOp.Watch(
+                                revision,
+                                loaded && revision >= needRevision ? Tuning.WATCH_BLOCK_MS : 0);
+        busy =
+                out.state(
+                        op,
+                        reply -> {
+                            busy = false;
+                            try {
+                                replied(reply, sentAt);
+                            } catch (Tree.Missing e) {
+                                out.log("state: answer not understood: " + e.getMessage());
+                                retry();
+                            }
+                        });
     }
 
     private void replied(StateReply reply, long sentAt) throws Tree.Missing {
@@ -175,7 +190,8 @@
         revision = Math.max(revision, StateFormat.revision(body));
         removed.object2LongEntrySet().removeIf(e -> e.getLongValue() <= revision);
         if (revision >= needRevision) {
-            // The answer holds all changes up to its sending, so the view was complete when asked for.
+            // The answer holds all changes up to its sending, so the view was complete when asked
+            // for.
             freshAt = sentAt;
             loaded = true;
         }
@@ -194,7 +210,8 @@
         if (StateFormat.more(body) && page != null) {
             return;
         }
-        // Pages are from different moments: watching on from the first page's revision repairs that.
+        // Pages are from different moments: watching on from the first page's revision repairs
+        // that.
         for (String key : entries.keySet().toArray(new String[0])) {
             if (!incoming.containsKey(key) && entries.get(key).version() <= startRevision) {
                 Entry before = entries.remove(key);
--- a/src/main/java/org/shoreusher/core/Neighbours.java
+++ b/src/main/java/org/shoreusher/core/Neighbours.java
@@ -13,7 +13,12 @@
     private final Map<String, Job> jobs;
     private final Map<String, Machine> machines;
 
-    Neighbours(int n, int parts, Part.Others others, Map<String, Job> jobs, Map<String, Machine> machines) {
+    Neighbours(
+            int n,
+            int parts,
+            Part.Others others,
+            Map<String, Job> jobs,
+            Map<String, Machine> machines) {
         this.n = n;
         this.parts = parts;
         this.others = others;
@@ -37,7 +42,12 @@
         Claim[] claims = new Claim[parts];
         for (int m = 0; m < parts; m++) {
             PartHint hint = m == n ? null : others.hint(m);
-            claims[m] = m == n ? claim(team) : hint == null ? null : hint.claims().getOrDefault(team, new Claim(0, 0));
+            claims[m] =
+                    m == n
+                            ? claim(team)
+                            : hint == null
+                                    ? null
+                                    : hint.claims().getOrDefault(team, new Claim(0, 0));
         }
         return claims;
     }
@@ -58,7 +68,10 @@
         return new Claim(urgent, other);
     }
 
-    /** The largest step in which tasks of a team use CPUs, so that shares are not cut into useless bits. */
+    /**
+     * The largest step in which tasks of a team use CPUs, so that shares are not cut into useless
+     * bits.
+     */
     double quantum(String team) {
         double most = 0;
         for (Job job : jobs.values()) {
@@ -72,7 +85,10 @@
         double room = 0;
         int idle = 0;
         for (Machine m : machines.values()) {
-            room += m.state == Machine.State.UP || m.state == Machine.State.BOOTING ? m.cpusFree() : 0;
+            room +=
+                    m.state == Machine.State.UP || m.state == Machine.State.BOOTING
+                            ? m.cpusFree()
+                            : 0;
             idle += fleet.spare(m) ? 1 : 0;
         }
         Map<String, Claim> claims = new HashMap<>();
--- a/src/main/java/org/shoreusher/core/Node.java
+++ b/src/main/java/org/shoreusher/core/Node.java
@@ -15,9 +15,9 @@
 import org.shoreusher.wire.WorkerFormat;
 
 /**
- * The one owner of all state of a process: takes batches of commands with a reading of the clocks, and
- * gives the effects that are to be carried out. It does no I/O, reads no clock and draws nothing at
- * random, so the same batches give the same effects.
+ * The one owner of all state of a process: takes batches of commands with a reading of the clocks,
+ * and gives the effects that are to be carried out. It does no I/O, reads no clock and draws
+ * nothing at random, so the same batches give the same effects.
  */
 public final class Node implements Parts.Peers {
 
@@ -31,19 +31,24 @@
     private final Parts parts;
     private final UserDesk desk;
     private final Object2ObjectOpenHashMap<String, Hint> hints = new Object2ObjectOpenHashMap<>();
-    private final Object2ObjectOpenHashMap<String, Long> hintedAt = new Object2ObjectOpenHashMap<>();
+    private final Object2ObjectOpenHashMap<String, Long> hintedAt =
+            new Object2ObjectOpenHashMap<>();
     private long nextHintMs;
     private long startedMs = -1;
+
     /** When this node last told peers that the state service does not answer it. */
     private long saidStateAwayMs;
+
     /** Workers that have come here from the part's owner, by part. */
     private final Returners[] returners;
+
     /** CPUs of jobs dealt to each part since the last hints went round. */
     private final double[] dealt;
 
     /**
      * @param owner the node's name, a slash, and a suffix that no other process has ever had
-     * @param count number of parts; the same on all nodes and for the life of the state service's contents
+     * @param count number of parts; the same on all nodes and for the life of the state service's
+     *     contents
      */
     public Node(Settings settings, String owner, int count) {
         this.settings = settings;
@@ -55,8 +60,20 @@
         arrivals = new Arrivals(settings, out, mirror);
         types = new Types(settings, out, mirror);
         formats = new Formats(settings, out, mirror);
-        parts = new Parts(count, settings, out, mirror, arrivals, index, types, formats, this, owner);
-        desk = new UserDesk(settings, out, mirror, arrivals, types, formats, owner, this::counts, this::roomiestPart);
+        parts =
+                new Parts(
+                        count, settings, out, mirror, arrivals, index, types, formats, this, owner);
+        desk =
+                new UserDesk(
+                        settings,
+                        out,
+                        mirror,
+                        arrivals,
+                        types,
+                        formats,
+                        owner,
+                        this::counts,
+                        this::roomiestPart);
     }
 
     /** Works through a batch; the effects are to be carried out in order, at once. */
@@ -105,29 +122,40 @@
     }
 
     /**
-     * Whether users should come here. A node that alone has lost the state service sends them away; when
-     * all have, staying is better, since coming back takes the load balancer seconds.
+     * Whether users should come here. A node that alone has lost the state service sends them away;
+     * when all have, staying is better, since coming back takes the load balancer seconds.
      */
     private boolean ready() {
         if (!mirror.loaded() || !types.known()) {
             return false;
         }
-        return out.stateSilenceMs() < Tuning.READY_STATE_MS || hints.values().stream().noneMatch(h -> fresh(h) && h.stateOk());
+        return out.stateSilenceMs() < Tuning.READY_STATE_MS
+                || hints.values().stream().noneMatch(h -> fresh(h) && h.stateOk());
     }
 
     /**
-     * A hint may have been held up by the network, so it counts by the sender's time as well. Whoever is not heard may
-     * well have the state service.
+     * A hint may have been held up by the network, so it counts by the sender's time as well.
+     * Whoever is not heard may well have the state service.
      */
     @Override
     public boolean stateAwayEverywhere() {
-        return settings.members().stream().map(m -> hints.get(m.host()))
-                .allMatch(h -> h != null && fresh(h) && !h.stateOk() && out.now.wallMs() - h.sentWallMs() < Tuning.HINT_STALE_MS);
+        return settings.members().stream()
+                .map(m -> hints.get(m.host()))
+                .allMatch(
+                        h ->
+                                h != null
+                                        && fresh(h)
+                                        && !h.stateOk()
+                                        && out.now.wallMs() - h.sentWallMs()
+                                                < Tuning.HINT_STALE_MS);
     }
 
     @Override
     public long saidStateAwayUntilMs() {
-        return saidStateAwayMs + Tuning.HINT_STALE_MS + 2 * settings.clockOffMs() + Tuning.LEASE_MARGIN_MS;
+        return saidStateAwayMs
+                + Tuning.HINT_STALE_MS
+                + 2 * settings.clockOffMs()
+                + Tuning.LEASE_MARGIN_MS;
     }
 
     @Override
@@ -135,7 +163,8 @@
         int workers = 0;
         for (Hint h : hints.values()) {
             // Not their sum: one that is kept waiting goes from one to the other and back.
-            workers = Math.max(workers, fresh(h) && h.stateOk() ? h.back().getOrDefault(part, 0) : 0);
+            workers =
+                    Math.max(workers, fresh(h) && h.stateOk() ? h.back().getOrDefault(part, 0) : 0);
         }
         return workers;
     }
@@ -164,32 +193,57 @@
                 out.answer(r.request(), 421, WorkerFormat.elsewhere(host));
             }
         } else {
-            boolean wait = r.report().token() >= record.term() && returners[n].came(r.report(), index.all().size(), out.now.steadyMs());
+            boolean wait =
+                    r.report().token() >= record.term()
+                            && returners[n].came(
+                                    r.report(), index.all().size(), out.now.steadyMs());
             String host = wait ? meanwhile(record.host()) : null;
-            out.answer(r.request(), 421, WorkerFormat.elsewhere(host == null ? record.host() : host));
+            out.answer(
+                    r.request(), 421, WorkerFormat.elsewhere(host == null ? record.host() : host));
         }
     }
 
-    /** Whether an owner has most likely gone: its lease is over, or it has missed a heartbeat and its hints. */
+    /**
+     * Whether an owner has most likely gone: its lease is over, or it has missed a heartbeat and
+     * its hints.
+     */
     private boolean suspect(PartRecord record) {
         long leftMs = record.expiryMs() - out.now.wallMs();
         Hint hint = hints.get(record.host());
-        boolean quiet = hint == null || out.now.steadyMs() - hintedAt.get(record.host()) > Tuning.QUIET_PEER_MS;
-        return leftMs < 0 || (quiet && leftMs < PartLease.leaseMs(settings) - PartLease.heartbeatMs(settings) - Tuning.QUIET_PEER_MS);
+        boolean quiet =
+                hint == null
+                        || out.now.steadyMs() - hintedAt.get(record.host()) > Tuning.QUIET_PEER_MS;
+        return leftMs < 0
+                || (quiet
+                        && leftMs
+                                < PartLease.leaseMs(settings)
+                                        - PartLease.heartbeatMs(settings)
+                                        - Tuning.QUIET_PEER_MS);
     }
 
     /**
-     * Where a worker should report until its part is taken. Sent back to an owner that is cut off it would hang
-     * there for its whole patience, again and again, while its lease runs out; between two nodes that are there
-     * it asks every half second, so the taker hears it at once.
+     * Where a worker should report until its part is taken. Sent back to an owner that is cut off
+     * it would hang there for its whole patience, again and again, while its lease runs out;
+     * between two nodes that are there it asks every half second, so the taker hears it at once.
      */
     private String meanwhile(String owner) {
         return hints.values().stream()
-                .filter(h -> h.stateOk() && !h.from().equals(owner) && out.now.steadyMs() - hintedAt.get(h.from()) < Tuning.QUIET_PEER_MS)
-                .map(Hint::from).sorted().findFirst().orElse(null);
+                .filter(
+                        h ->
+                                h.stateOk()
+                                        && !h.from().equals(owner)
+                                        && out.now.steadyMs() - hintedAt.get(h.from())
+                                                < Tuning.QUIET_PEER_MS)
+                .map(Hint::from)
+                .sorted()
+                .findFirst()
+                .orElse(null);
     }
 
-    /** A machine without record belongs to the part that rented it, else to the one its name falls to. */
+    /**
+     * A machine without record belongs to the part that rented it, else to the one its name falls
+     * to.
+     */
     private int unrecorded(String machine) {
         for (int n = 0; n < parts.count(); n++) {
             if (parts.owned(n) != null && parts.owned(n).machines().containsKey(machine)) {
@@ -208,7 +262,9 @@
             }
         } else if (key.startsWith(Keys.ARRIVED)) {
             arrivals.changed(key, after, this::jobChanged);
-        } else if (key.startsWith(Keys.PART) && key.indexOf('/', Keys.PART.length()) < 0 && after != null) {
+        } else if (key.startsWith(Keys.PART)
+                && key.indexOf('/', Keys.PART.length()) < 0
+                && after != null) {
             int n = Integer.parseInt(key.substring(Keys.PART.length()));
             PartRecord record = PartRecord.read(after.value());
             if (before == null || !PartRecord.read(before.value()).owner().equals(record.owner())) {
@@ -236,7 +292,8 @@
             if (part != null && n == record.part()) {
                 part.jobChanged(id, record);
             } else if (part != null) {
-                // Two nodes may have accepted it for different parts; its own record tells for which.
+                // Two nodes may have accepted it for different parts; its own record tells for
+                // which.
                 part.close(id);
             }
         }
@@ -259,7 +316,8 @@
         }
         for (Hint h : hints.values()) {
             if (h.running().containsKey(id) || h.done().containsKey(id)) {
-                return new UserDesk.Counts(h.done().getOrDefault(id, 0), h.running().getOrDefault(id, 0));
+                return new UserDesk.Counts(
+                        h.done().getOrDefault(id, 0), h.running().getOrDefault(id, 0));
             }
         }
         return new UserDesk.Counts(0, 0);
@@ -280,11 +338,24 @@
 
     @Override
     public int before(int ownedCount) {
-        // A peer that has not been heard of yet may be starting just now: one part each is left to it.
-        int before = ownedCount == 0 ? 0 : (int) settings.members().stream().filter(m -> !hints.containsKey(m.host()) || !fresh(hints.get(m.host()))).count();
+        // A peer that has not been heard of yet may be starting just now: one part each is left to
+        // it.
+        int before =
+                ownedCount == 0
+                        ? 0
+                        : (int)
+                                settings.members().stream()
+                                        .filter(
+                                                m ->
+                                                        !hints.containsKey(m.host())
+                                                                || !fresh(hints.get(m.host())))
+                                        .count();
         double up = (out.now.steadyMs() - startedMs) / 1000.0;
         for (Hint h : hints.values()) {
-            if (fresh(h) && h.stateOk() && (h.parts().size() < ownedCount || (h.parts().size() == ownedCount && h.upS() < up))) {
+            if (fresh(h)
+                    && h.stateOk()
+                    && (h.parts().size() < ownedCount
+                            || (h.parts().size() == ownedCount && h.upS() < up))) {
                 before++;
             }
         }
@@ -293,10 +364,18 @@
 
     @Override
     public boolean anyWithTwoLess(int ownedCount) {
-        return hints.values().stream().anyMatch(h -> fresh(h) && h.stateOk() && h.upS() > Tuning.DEAL_TO_UP_S && h.parts().size() <= ownedCount - 2);
+        return hints.values().stream()
+                .anyMatch(
+                        h ->
+                                fresh(h)
+                                        && h.stateOk()
+                                        && h.upS() > Tuning.DEAL_TO_UP_S
+                                        && h.parts().size() <= ownedCount - 2);
     }
 
-    /** Deals a job to the part with most room, and remembers it until the part's next hint tells. */
+    /**
+     * Deals a job to the part with most room, and remembers it until the part's next hint tells.
+     */
     private int roomiestPart(JobSpec spec) {
         int best = 0;
         double most = Double.NEGATIVE_INFINITY;
@@ -304,7 +383,12 @@
             PartHint hint = hint(n);
             Hint.Claim claim = hint == null ? null : hint.claims().get(spec.team());
             // A team's jobs are best together: then its limit is not cut up.
-            double room = (hint == null ? Tuning.UNKNOWN_ROOM : hint.room()) - dealt[n] + (claim == null ? 0 : Tuning.TOGETHER * (claim.urgent() + claim.other()));
+            double room =
+                    (hint == null ? Tuning.UNKNOWN_ROOM : hint.room())
+                            - dealt[n]
+                            + (claim == null
+                                    ? 0
+                                    : Tuning.TOGETHER * (claim.urgent() + claim.other()));
             if (room > most) {
                 most = room;
                 best = n;
@@ -340,6 +424,16 @@
         }
         boolean stateOk = out.stateSilenceMs() < Tuning.READY_STATE_MS;
         saidStateAwayMs = stateOk ? saidStateAwayMs : out.now.steadyMs();
-        out.add(new Effect.Tell(new Hint(settings.host(), out.now.wallMs(), stateOk, (out.now.steadyMs() - startedMs) / 1000.0, held, back, running, finished)));
+        out.add(
+                new Effect.Tell(
+                        new Hint(
+                                settings.host(),
+                                out.now.wallMs(),
+                                stateOk,
+                                (out.now.steadyMs() - startedMs) / 1000.0,
+                                held,
+                                back,
+                                running,
+                                finished)));
     }
 }
--- a/src/main/java/org/shoreusher/core/Outbox.java
+++ b/src/main/java/org/shoreusher/core/Outbox.java
@@ -17,8 +17,10 @@
  * that keep calls under the limits of state service and cloud.
  */
 final class Outbox {
-    private final Long2ObjectOpenHashMap<Consumer<StateReply>> stateCalls = new Long2ObjectOpenHashMap<>();
-    private final Long2ObjectOpenHashMap<Consumer<CloudReply>> cloudCalls = new Long2ObjectOpenHashMap<>();
+    private final Long2ObjectOpenHashMap<Consumer<StateReply>> stateCalls =
+            new Long2ObjectOpenHashMap<>();
+    private final Long2ObjectOpenHashMap<Consumer<CloudReply>> cloudCalls =
+            new Long2ObjectOpenHashMap<>();
     private final TokenBucket stateTokens;
     private final TokenBucket writeTokens;
     private final TokenBucket userWriteTokens;
@@ -32,21 +34,29 @@
 
     Outbox(Settings s, int parts) {
         int owners = Math.min(s.nodes(), parts);
-        // The shares of owners' and users' writes add up to a little more than the rate, since they seldom
+        // The shares of owners' and users' writes add up to a little more than the rate, since they
+        // seldom
         // come together; a 429 is then answered like any refusal, by a later try.
         double rate = s.stateRps() * Tuning.RATE_USE / s.nodes();
         double writes = s.stateWriteRps() * Tuning.RATE_USE;
         double owner = ownerWrites(s, parts);
         stateTokens = new TokenBucket(rate * (1 - Tuning.RENEWAL_SHARE), rate / 2);
-        renewalTokens = new TokenBucket(Math.max(2, rate * Tuning.RENEWAL_SHARE), Math.max(4, rate * Tuning.RENEWAL_SHARE));
+        renewalTokens =
+                new TokenBucket(
+                        Math.max(2, rate * Tuning.RENEWAL_SHARE),
+                        Math.max(4, rate * Tuning.RENEWAL_SHARE));
         writeTokens = new TokenBucket(owner, owner);
         userWriteTokens = new TokenBucket(writes / s.nodes(), writes / s.nodes());
-        cloudTokens = new TokenBucket(s.cloudRps() * Tuning.RATE_USE / owners, s.cloudRps() / owners);
+        cloudTokens =
+                new TokenBucket(s.cloudRps() * Tuning.RATE_USE / owners, s.cloudRps() / owners);
     }
 
     /** Changes a second that a part's owner plans to make at most. */
     static double ownerWrites(Settings s, int parts) {
-        return s.stateWriteRps() * Tuning.RATE_USE * Tuning.OWNER_WRITE_SHARE / Math.min(s.nodes(), parts);
+        return s.stateWriteRps()
+                * Tuning.RATE_USE
+                * Tuning.OWNER_WRITE_SHARE
+                / Math.min(s.nodes(), parts);
     }
 
     List<Effect> drain() {
@@ -71,7 +81,10 @@
         effects.add(new Effect.Answer(request, status, body, 0));
     }
 
-    /** Tells at once that the request can't be taken, and when to come back: not all at the same time. */
+    /**
+     * Tells at once that the request can't be taken, and when to come back: not all at the same
+     * time.
+     */
     void later(long request) {
         effects.add(new Effect.Answer(request, 503, Map.of(), Tuning.retryAfterS(request)));
     }
--- a/src/main/java/org/shoreusher/core/Part.java
+++ b/src/main/java/org/shoreusher/core/Part.java
@@ -12,7 +12,6 @@
 import org.shoreusher.core.Keys.JobRecord;
 import org.shoreusher.core.Keys.JobStatus;
 import org.shoreusher.core.Keys.MachineRecord;
-import org.shoreusher.core.Keys.PartRecord;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 
@@ -20,8 +19,8 @@
  * A part this node owns: its lease, jobs and machines. Exists from a successful takeover until the
  * part is lost.
  *
- * <p>Promise: every write is guarded by the part's fence, so a write that arrives after another takeover
- * changes nothing. What is promised of starts, {@link Reports} keeps.
+ * <p>Promise: every write is guarded by the part's fence, so a write that arrives after another
+ * takeover changes nothing. What is promised of starts, {@link Reports} keeps.
  */
 final class Part {
     /** What is known of the other parts, by hints. */
@@ -29,10 +28,16 @@
         /** A part's fresh hint, or null. */
         PartHint hint(int part);
 
-        /** Whether every other member has just said that the state service does not answer it either. */
+        /**
+         * Whether every other member has just said that the state service does not answer it
+         * either.
+         */
         boolean stateAwayEverywhere();
 
-        /** How many workers of this part's owner have lately come to the one of the others that most have come to. */
+        /**
+         * How many workers of this part's owner have lately come to the one of the others that most
+         * have come to.
+         */
         int cameBack(int part);
 
         /** steady ms up to which another node may have heard this one say so. */
@@ -51,8 +56,10 @@
     private final Fleet fleet;
     private final Estimates estimates = new Estimates();
     private final Urgency urgency;
-    private final Object2ObjectLinkedOpenHashMap<String, Job> jobs = new Object2ObjectLinkedOpenHashMap<>();
-    private final Object2ObjectOpenHashMap<String, Machine> machines = new Object2ObjectOpenHashMap<>();
+    private final Object2ObjectLinkedOpenHashMap<String, Job> jobs =
+            new Object2ObjectLinkedOpenHashMap<>();
+    private final Object2ObjectOpenHashMap<String, Machine> machines =
+            new Object2ObjectOpenHashMap<>();
     private final TaskBook book = new TaskBook();
     private final Arrivals arrivals;
     private final MachineIndex index;
@@ -60,18 +67,33 @@
     private final Neighbours neighbours;
     private final StartMarks marks;
     private final Reports reports;
+
     /** Jobs whose last task has finished and whose final state is not yet written. */
     private final List<Job> complete = new ArrayList<>();
+
     private boolean loaded;
     private boolean rebuilt;
+
     /** What machines that are not yet heard may hold, of any team. */
     private double unknownCpus;
+
     private double unknownGpus;
     private long nextWalkMs;
     private long nextStatusMs;
     private long nextPreemptMs;
 
-    Part(int n, int parts, Settings settings, Outbox out, Mirror mirror, Arrivals arrivals, MachineIndex index, Types types, Formats formats, Others others, Holding holding) {
+    Part(
+            int n,
+            int parts,
+            Settings settings,
+            Outbox out,
+            Mirror mirror,
+            Arrivals arrivals,
+            MachineIndex index,
+            Types types,
+            Formats formats,
+            Others others,
+            Holding holding) {
         this.n = n;
         this.parts = parts;
         this.others = others;
@@ -83,7 +105,8 @@
         this.quota = new Quota(n, parts, settings, out, mirror, holding.fence());
         this.arrivals = arrivals;
         this.index = index;
-        this.records = new MachineRecords(n, settings, out, mirror, index, formats, holding, machines);
+        this.records =
+                new MachineRecords(n, settings, out, mirror, index, formats, holding, machines);
         this.urgency = new Urgency(settings, estimates);
         this.fleet = new Fleet(this, settings, out, types);
         this.neighbours = new Neighbours(n, parts, others, jobs, machines);
@@ -130,14 +153,17 @@
         return holding.term();
     }
 
-    /** Gives the part up to another node, unless a renewal is just in flight; then it is lost from here on. */
+    /**
+     * Gives the part up to another node, unless a renewal is just in flight; then it is lost from
+     * here on.
+     */
     void release(String why) {
         holding.release(why, finished());
     }
 
     /**
-     * Whether most of its workers can't reach this node although it holds the lease: they have come to others. Kept
-     * until the network is whole again, the part would lose all that runs on them.
+     * Whether most of its workers can't reach this node although it holds the lease: they have come
+     * to others. Kept until the network is whole again, the part would lose all that runs on them.
      */
     boolean unreachable() {
         if (!loaded || !holds() || out.now.steadyMs() - holding.sinceMs() < Tuning.COMES_BACK_MS) {
@@ -180,7 +206,9 @@
 
     double gpusLeft(String team) {
         Settings.Team t = settings.teams().get(team);
-        return quota.gpus(team) - book.gpus(team) - unknown(unknownGpus, t == null ? 0 : t.gpusMax(), book.foundGpus(team));
+        return quota.gpus(team)
+                - book.gpus(team)
+                - unknown(unknownGpus, t == null ? 0 : t.gpusMax(), book.foundGpus(team));
     }
 
     private double unknownCpus(String team) {
@@ -189,8 +217,9 @@
     }
 
     /**
-     * What of a team machines not yet heard may hold. The owner before kept the team to its limit, so what was found on
-     * machines that have been heard and what is on the others is no more than that together.
+     * What of a team machines not yet heard may hold. The owner before kept the team to its limit,
+     * so what was found on machines that have been heard and what is on the others is no more than
+     * that together.
      */
     private static double unknown(double all, double limit, double found) {
         return Math.min(all, Math.max(0, limit - found));
@@ -205,7 +234,11 @@
 
     /** Whether a machine reports and may be given work. */
     boolean available(Machine m) {
-        return m.state == Machine.State.UP && m.heard && !m.yielding && !m.deaf() && Double.isNaN(m.noticeS)
+        return m.state == Machine.State.UP
+                && m.heard
+                && !m.yielding
+                && !m.deaf()
+                && Double.isNaN(m.noticeS)
                 && out.now.steadyMs() - m.reportedAtMs < quietMs();
     }
 
@@ -214,20 +247,25 @@
     }
 
     /**
-     * Whether reports may be answered. Not with a view so old that a cancellation it lacks would not come true in time: an
-     * owner may renew its lease again and again while nothing of what others write reaches it. The grace after a lapse is
-     * for an outage that all share. If the state service answers another node, that one takes the part, and every answer
-     * given here would only keep the worker from it. A taker relies on this: it need not wait for a grace that it has not agreed to.
+     * Whether reports may be answered. Not with a view so old that a cancellation it lacks would
+     * not come true in time: an owner may renew its lease again and again while nothing of what
+     * others write reaches it. The grace after a lapse is for an outage that all share. If the
+     * state service answers another node, that one takes the part, and every answer given here
+     * would only keep the worker from it. A taker relies on this: it need not wait for a grace that
+     * it has not agreed to.
      */
     boolean mayAnswer() {
-        return !lost() && loaded && mirror.ageMs() < PartLease.answerableViewMs(settings)
+        return !lost()
+                && loaded
+                && mirror.ageMs() < PartLease.answerableViewMs(settings)
                 && (holds() || (holding.keepsAlive() && others.stateAwayEverywhere()));
     }
 
     /**
-     * Whether commands that start something may be given now. During the rebuild only tasks wait that surely are on no
-     * machine, and every team is charged with all that silent machines may hold. After a lapse the view must first show
-     * all that others wrote meanwhile: a cancellation among it was confirmed while this owner could not know.
+     * Whether commands that start something may be given now. During the rebuild only tasks wait
+     * that surely are on no machine, and every team is charged with all that silent machines may
+     * hold. After a lapse the view must first show all that others wrote meanwhile: a cancellation
+     * among it was confirmed while this owner could not know.
      */
     boolean mayStart() {
         return loaded && holds() && mirror.ageMs() < Tuning.VIEW_STALE_MS && holding.viewComplete();
@@ -261,7 +299,10 @@
         if (!rebuilt) {
             rebuild();
         }
-        quota.step(team -> book.cpus(team) + unknownCpus(team), neighbours::claims, neighbours::quantum);
+        quota.step(
+                team -> book.cpus(team) + unknownCpus(team),
+                neighbours::claims,
+                neighbours::quantum);
         fleet.step();
         displace();
         preempt();
@@ -289,37 +330,61 @@
         }
         Object2IntOpenHashMap<String> waiting = new Object2IntOpenHashMap<>();
         jobs.values().forEach(j -> waiting.addTo(j.spec.jobClass(), j.waitingCount));
-        return "status: part " + n + " term " + term() + ", machines " + states[0] + " booting " + states[1] + " up " + (states[2] + states[3] + states[4]) + " leaving, CPUs "
-                + used + " of " + cpus() + ", " + jobs.size() + " jobs, waiting " + waiting + ", " + mirror.size() + " keys in memory";
+        return "status: part "
+                + n
+                + " term "
+                + term()
+                + ", machines "
+                + states[0]
+                + " booting "
+                + states[1]
+                + " up "
+                + (states[2] + states[3] + states[4])
+                + " leaving, CPUs "
+                + used
+                + " of "
+                + cpus()
+                + ", "
+                + jobs.size()
+                + " jobs, waiting "
+                + waiting
+                + ", "
+                + mirror.size()
+                + " keys in memory";
     }
 
     // ---- takeover ----------------------------------------------------------------------------
 
     private void load() {
         loaded = true;
-        mirror.under(Keys.JOB).forEach((key, entry) -> {
-            JobRecord record = JobRecord.read(entry.value());
-            if (record.part() == n && record.status() == JobStatus.OPEN) {
-                addJob(key.substring(Keys.JOB.length()), record);
-            }
-        });
-        arrivals.each((id, record) -> {
-            if (record.part() == n) {
-                addJob(id, record);
-            }
-        });
+        mirror.under(Keys.JOB)
+                .forEach(
+                        (key, entry) -> {
+                            JobRecord record = JobRecord.read(entry.value());
+                            if (record.part() == n && record.status() == JobStatus.OPEN) {
+                                addJob(key.substring(Keys.JOB.length()), record);
+                            }
+                        });
+        arrivals.each(
+                (id, record) -> {
+                    if (record.part() == n) {
+                        addJob(id, record);
+                    }
+                });
         readDone(holding.storedDone(0), 0);
         for (int c = 1; mirror.get(Keys.done(n, c)) != null; c++) {
             readDone(holding.storedDone(c), c);
         }
-        index.all().forEach((id, record) -> {
-            if (record.part() == n) {
-                Machine m = addMachine(id, record);
-                if (m != null) {
-                    m.inherited = record.used();
-                }
-            }
-        });
+        index.all()
+                .forEach(
+                        (id, record) -> {
+                            if (record.part() == n) {
+                                Machine m = addMachine(id, record);
+                                if (m != null) {
+                                    m.inherited = record.used();
+                                }
+                            }
+                        });
         marks.load();
         for (Job job : jobs.values()) {
             job.waitFrom(job.startBelow);
@@ -329,15 +394,16 @@
     }
 
     private void readDone(Map<String, Object> done, int chunk) {
-        done.forEach((id, ranges) -> {
-            Job job = jobs.get(id);
-            if (job != null) {
-                BitSet set = TaskRanges.parse((String) ranges);
-                job.done.or(set);
-                job.durable.or(set);
-                FinishedRecords.found(job, set, chunk, settings);
-            }
-        });
+        done.forEach(
+                (id, ranges) -> {
+                    Job job = jobs.get(id);
+                    if (job != null) {
+                        BitSet set = TaskRanges.parse((String) ranges);
+                        job.done.or(set);
+                        job.durable.or(set);
+                        FinishedRecords.found(job, set, chunk, settings);
+                    }
+                });
     }
 
     /** Takes on a machine whose record names this part; null if its type is unknown. */
@@ -349,9 +415,16 @@
         Machine m = new Machine(id, type, record.zone(), record.spot(), record.rentedMs());
         m.used = record.used();
         m.recordedUsed = record.used();
-        // The owner before may have kept the worker's lease alive in its grace, as long as it believed this node to be
+        // The owner before may have kept the worker's lease alive in its grace, as long as it
+        // believed this node to be
         // without state service as well.
-        m.answeredAtMs = holding.takenAtMs() + Math.max(0, Math.min(PartLease.graceMs(settings), others.saidStateAwayUntilMs() - holding.takenAtMs()));
+        m.answeredAtMs =
+                holding.takenAtMs()
+                        + Math.max(
+                                0,
+                                Math.min(
+                                        PartLease.graceMs(settings),
+                                        others.saidStateAwayUntilMs() - holding.takenAtMs()));
         m.inheritedAnswerMs = m.answeredAtMs;
         machines.put(id, m);
         return m;
@@ -391,8 +464,20 @@
             job.zonesUnknown = false;
             live += job.live.size();
         }
-        out.log("rebuilt: part " + n + " term " + term() + ", " + jobs.size() + " jobs, " + machines.size() + " machines, " + live + " tasks on them, after "
-                + (out.now.steadyMs() - holding.takenAtMs()) + " ms");
+        out.log(
+                "rebuilt: part "
+                        + n
+                        + " term "
+                        + term()
+                        + ", "
+                        + jobs.size()
+                        + " jobs, "
+                        + machines.size()
+                        + " machines, "
+                        + live
+                        + " tasks on them, after "
+                        + (out.now.steadyMs() - holding.takenAtMs())
+                        + " ms");
     }
 
     private boolean leaseEnded(Machine m) {
@@ -459,14 +544,21 @@
             if (job.finishing || record == null) {
                 continue;
             }
-            Map<String, Map<String, Object>> writes = Map.of(Keys.job(job.id), record.ended(JobStatus.DONE).write());
+            Map<String, Map<String, Object>> writes =
+                    Map.of(Keys.job(job.id), record.ended(JobStatus.DONE).write());
             // A refusal means that the user's cancellation came first; the view will show it.
-            job.finishing = out.state(new StateOp.Multi(holding.guards(Keys.job(job.id), mirror.version(Keys.job(job.id))), writes), reply -> {
-                job.finishing = false;
-                if (reply.status() == 200) {
-                    mirror.applied(reply, writes);
-                }
-            });
+            job.finishing =
+                    out.state(
+                            new StateOp.Multi(
+                                    holding.guards(
+                                            Keys.job(job.id), mirror.version(Keys.job(job.id))),
+                                    writes),
+                            reply -> {
+                                job.finishing = false;
+                                if (reply.status() == 200) {
+                                    mirror.applied(reply, writes);
+                                }
+                            });
             if (!job.finishing) {
                 return;
             }
@@ -479,7 +571,10 @@
     List<Job> ordered() {
         List<Job> list = new ArrayList<>();
         for (Job job : jobs.values()) {
-            if (job.waitingCount > 0 && !job.closed && !job.zonesUnknown && !job.paused(out.now.steadyMs())) {
+            if (job.waitingCount > 0
+                    && !job.closed
+                    && !job.zonesUnknown
+                    && !job.paused(out.now.steadyMs())) {
                 list.add(job);
             }
         }
@@ -487,9 +582,14 @@
         return list;
     }
 
-    /** Stops batch tasks where replicas of services wait for room; unlike preemption at once, and during a rebuild too. */
+    /**
+     * Stops batch tasks where replicas of services wait for room; unlike preemption at once, and
+     * during a rebuild too.
+     */
     private void displace() {
-        if (!mayStart() || jobs.values().stream().allMatch(job -> job.spec.shape().ends() || job.waitingCount == 0)) {
+        if (!mayStart()
+                || jobs.values().stream()
+                        .allMatch(job -> job.spec.shape().ends() || job.waitingCount == 0)) {
             return;
         }
         List<Job> services = ordered();
@@ -501,7 +601,8 @@
     }
 
     private void preempt() {
-        // Until all machines are heard it is what they may hold that binds, and no task that is stopped makes room for that.
+        // Until all machines are heard it is what they may hold that binds, and no task that is
+        // stopped makes room for that.
         if (out.now.steadyMs() < nextPreemptMs || !rebuilt || !mayStart()) {
             return;
         }
@@ -536,14 +637,20 @@
     }
 
     static WorkerOrder stop(Live live, double graceS) {
-        return new WorkerOrder(WorkerOrder.Kind.STOP, live.job.id, live.index, live.attempt, graceS);
+        return new WorkerOrder(
+                WorkerOrder.Kind.STOP, live.job.id, live.index, live.attempt, graceS);
     }
 
     /** Stops a task by a direct command; reports repeat it until it is gone. */
     void halt(Live live, double graceS) {
         Machine m = live.machine;
-        // A machine that is silent most likely can't be reached: its lease ends, or it is told when it reports again.
-        if (holds() && m.address != null && m.heard && out.now.steadyMs() - m.reportedAtMs < quietMs() && out.now.steadyMs() - live.haltedAtMs > Tuning.HALT_AGAIN_MS) {
+        // A machine that is silent most likely can't be reached: its lease ends, or it is told when
+        // it reports again.
+        if (holds()
+                && m.address != null
+                && m.heard
+                && out.now.steadyMs() - m.reportedAtMs < quietMs()
+                && out.now.steadyMs() - live.haltedAtMs > Tuning.HALT_AGAIN_MS) {
             live.haltedAtMs = out.now.steadyMs();
             out.add(new Effect.Orders(m.address, term(), m.session, List.of(stop(live, graceS))));
         }
@@ -554,7 +661,14 @@
     private void silentMachines() {
         for (Machine m : machines.values()) {
             if (!m.tasks.isEmpty() && leaseEnded(m)) {
-                out.log("silent: " + m.id + " of part " + n + " lost its lease with " + m.tasks.size() + " tasks");
+                out.log(
+                        "silent: "
+                                + m.id
+                                + " of part "
+                                + n
+                                + " lost its lease with "
+                                + m.tasks.size()
+                                + " tasks");
                 m.tasksNow().forEach(book::remove);
                 m.endedSession = m.session;
             }
@@ -583,7 +697,9 @@
         return index.get(id) == null && Math.floorMod(id.hashCode(), parts) == n;
     }
 
-    /** The view shows a machine's record: one that was handed to this part is expected to report. */
+    /**
+     * The view shows a machine's record: one that was handed to this part is expected to report.
+     */
     void machineChanged(String id, MachineRecord record) {
         Machine m = machines.get(id);
         // A write from before a machine's end may come into the view after it.
--- a/src/main/java/org/shoreusher/core/Parts.java
+++ b/src/main/java/org/shoreusher/core/Parts.java
@@ -14,7 +14,10 @@
 final class Parts {
     /** What is known of the other nodes, by hints. */
     interface Peers extends Part.Others {
-        /** How many peers should come first to a free part: those that hold fewer, or as many and are younger. */
+        /**
+         * How many peers should come first to a free part: those that hold fewer, or as many and
+         * are younger.
+         */
         int before(int ownedCount);
 
         /** Whether a peer that is there for some time holds at least two parts less. */
@@ -37,10 +40,25 @@
     private boolean taking;
     private long nextTakeMs;
 
-    Parts(int count, Settings settings, Outbox out, Mirror mirror, Arrivals arrivals, MachineIndex index, Types types, Formats formats, Peers peers, String owner) {
+    Parts(
+            int count,
+            Settings settings,
+            Outbox out,
+            Mirror mirror,
+            Arrivals arrivals,
+            MachineIndex index,
+            Types types,
+            Formats formats,
+            Peers peers,
+            String owner) {
         this.peers = peers;
         owned = new Part[count];
-        first = (int) settings.members().stream().filter(m -> m.host().compareTo(settings.host()) < 0).count() % count;
+        first =
+                (int)
+                                settings.members().stream()
+                                        .filter(m -> m.host().compareTo(settings.host()) < 0)
+                                        .count()
+                        % count;
         freeSinceMs = new long[count];
         this.settings = settings;
         this.out = out;
@@ -94,23 +112,34 @@
             }
         }
         dealOut();
-        if (!mirror.loaded() || taking || mirror.ageMs() > Tuning.VIEW_STALE_MS || out.now.steadyMs() < nextTakeMs) {
+        if (!mirror.loaded()
+                || taking
+                || mirror.ageMs() > Tuning.VIEW_STALE_MS
+                || out.now.steadyMs() < nextTakeMs) {
             return;
         }
         for (int i = 0; i < owned.length && !taking; i++) {
-            // Each node begins with another part, so that they do not race for the same one at a start.
+            // Each node begins with another part, so that they do not race for the same one at a
+            // start.
             int n = (first + i) % owned.length;
             PartRecord record = record(n);
-            // A takeover of this process that got no answer may have been applied: nobody acts on it.
+            // A takeover of this process that got no answer may have been applied: nobody acts on
+            // it.
             boolean ownTrace = record != null && record.owner().equals(owner);
-            if (owned[n] != null || (record != null && !ownTrace && !PartLease.free(settings, record.expiryMs(), out.now))) {
+            if (owned[n] != null
+                    || (record != null
+                            && !ownTrace
+                            && !PartLease.free(settings, record.expiryMs(), out.now))) {
                 freeSinceMs[n] = 0;
             } else if (freeSinceMs[n] == 0) {
                 freeSinceMs[n] = out.now.steadyMs();
             }
-            // Who holds fewer comes first, so that parts spread out; then who is younger, since a rolling
+            // Who holds fewer comes first, so that parts spread out; then who is younger, since a
+            // rolling
             // restart comes back to that one last.
-            if (freeSinceMs[n] > 0 && out.now.steadyMs() - freeSinceMs[n] >= peers.before(ownedCount()) * Tuning.TAKE_PAUSE_MS) {
+            if (freeSinceMs[n] > 0
+                    && out.now.steadyMs() - freeSinceMs[n]
+                            >= peers.before(ownedCount()) * Tuning.TAKE_PAUSE_MS) {
                 take(n, record);
             }
         }
@@ -133,25 +162,35 @@
         }
     }
 
-    /** The finished tasks of the part's own record that stand in none of its others, cut into records that may be written. */
+    /**
+     * The finished tasks of the part's own record that stand in none of its others, cut into
+     * records that may be written.
+     */
     private List<Map<String, Object>> uncovered(int n, PartRecord before) {
-        return FinishedRecords.split(before.done(), settings, id -> {
-            BitSet covered = new BitSet();
-            for (int c = 1; mirror.get(Keys.done(n, c)) != null; c++) {
-                if (mirror.get(Keys.done(n, c)).value().get("done") instanceof Map<?, ?> done && done.get(id) instanceof String ranges) {
-                    covered.or(TaskRanges.parse(ranges));
-                }
-            }
-            return covered;
-        });
+        return FinishedRecords.split(
+                before.done(),
+                settings,
+                id -> {
+                    BitSet covered = new BitSet();
+                    for (int c = 1; mirror.get(Keys.done(n, c)) != null; c++) {
+                        if (mirror.get(Keys.done(n, c)).value().get("done")
+                                        instanceof Map<?, ?> done
+                                && done.get(id) instanceof String ranges) {
+                            covered.or(TaskRanges.parse(ranges));
+                        }
+                    }
+                    return covered;
+                });
     }
 
     /**
-     * Copies the finished tasks in a part's record into further ones before the part is taken, if the record is longer than this
-     * version may write it again. The copies are of one version of the record, and true whoever owns the part next.
+     * Copies the finished tasks in a part's record into further ones before the part is taken, if
+     * the record is longer than this version may write it again. The copies are of one version of
+     * the record, and true whoever owns the part next.
      */
     private void spill(int n, List<Map<String, Object>> pieces) {
-        Map<String, Long> guards = new LinkedHashMap<>(Map.of(Keys.part(n), mirror.version(Keys.part(n))));
+        Map<String, Long> guards =
+                new LinkedHashMap<>(Map.of(Keys.part(n), mirror.version(Keys.part(n))));
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
         int c = 1;
         while (mirror.get(Keys.done(n, c)) != null) {
@@ -161,18 +200,24 @@
             guards.put(Keys.done(n, c + i), 0L);
             writes.put(Keys.done(n, c + i), Map.of("done", pieces.get(i)));
         }
-        taking = out.renewal(new StateOp.Multi(guards, writes), reply -> {
-            taking = false;
-            if (reply.status() == 200) {
-                mirror.applied(reply, writes);
-                nextTakeMs = out.now.steadyMs();
-            }
-        });
+        taking =
+                out.renewal(
+                        new StateOp.Multi(guards, writes),
+                        reply -> {
+                            taking = false;
+                            if (reply.status() == 200) {
+                                mirror.applied(reply, writes);
+                                nextTakeMs = out.now.steadyMs();
+                            }
+                        });
     }
 
     private void take(int n, PartRecord before) {
         nextTakeMs = out.now.steadyMs() + Tuning.TAKE_PAUSE_MS;
-        boolean tooLong = before != null && Tree.jsonLength(before.write()) > settings.valueBytes() * Tuning.RECORD_FILL;
+        boolean tooLong =
+                before != null
+                        && Tree.jsonLength(before.write())
+                                > settings.valueBytes() * Tuning.RECORD_FILL;
         List<Map<String, Object>> pieces = tooLong ? uncovered(n, before) : List.of();
         if (!pieces.isEmpty()) {
             spill(n, pieces);
@@ -181,7 +226,12 @@
         Mirror.Entry counter = mirror.get(Keys.TERM);
         long term = 1 + (counter == null ? 0 : ((Number) counter.value().get("term")).longValue());
         Reading sentAt = out.now;
-        PartRecord record = new PartRecord(owner, sentAt.wallMs() + PartLease.leaseMs(settings), term, before == null || tooLong ? Map.of() : before.done());
+        PartRecord record =
+                new PartRecord(
+                        owner,
+                        sentAt.wallMs() + PartLease.leaseMs(settings),
+                        term,
+                        before == null || tooLong ? Map.of() : before.done());
         Map<String, Long> guards = new LinkedHashMap<>();
         guards.put(Keys.part(n), mirror.version(Keys.part(n)));
         guards.put(Keys.TERM, mirror.version(Keys.TERM));
@@ -189,18 +239,43 @@
         writes.put(Keys.part(n), record.write());
         writes.put(Keys.fence(n), Map.of("owner", owner, "term", term));
         writes.put(Keys.TERM, Map.of("term", term));
-        taking = out.renewal(new StateOp.Multi(guards, writes), reply -> {
-            taking = false;
-            if (reply.status() == 200) {
-                long revision = mirror.applied(reply, writes);
-                owned[n] = new Part(n, owned.length, settings, out, mirror, arrivals, index, types, formats, peers, new Holding(n, settings, out, mirror, record, sentAt, revision));
-                nextTakeMs = out.now.steadyMs();
-                out.log("takeover: part " + n + " term " + term + (before == null ? ", new" : " from " + before.owner()));
-            } else if (reply.status() == 409) {
-                // Another took this part, or counted the term up for a different one.
-                nextTakeMs = out.now.steadyMs() + Tuning.TAKE_AGAIN_MS;
-            }
-        });
+        taking =
+                out.renewal(
+                        new StateOp.Multi(guards, writes),
+                        reply -> {
+                            taking = false;
+                            if (reply.status() == 200) {
+                                long revision = mirror.applied(reply, writes);
+                                owned[n] =
+                                        new Part(
+                                                n,
+                                                owned.length,
+                                                settings,
+                                                out,
+                                                mirror,
+                                                arrivals,
+                                                index,
+                                                types,
+                                                formats,
+                                                peers,
+                                                new Holding(
+                                                        n, settings, out, mirror, record, sentAt,
+                                                        revision));
+                                nextTakeMs = out.now.steadyMs();
+                                out.log(
+                                        "takeover: part "
+                                                + n
+                                                + " term "
+                                                + term
+                                                + (before == null
+                                                        ? ", new"
+                                                        : " from " + before.owner()));
+                            } else if (reply.status() == 409) {
+                                // Another took this part, or counted the term up for a different
+                                // one.
+                                nextTakeMs = out.now.steadyMs() + Tuning.TAKE_AGAIN_MS;
+                            }
+                        });
     }
 
     /** The view shows a new record of a part. */
--- a/src/main/java/org/shoreusher/core/Placement.java
+++ b/src/main/java/org/shoreusher/core/Placement.java
@@ -9,19 +9,24 @@
 import org.shoreusher.settings.Tuning;
 
 /**
- * Which waiting tasks go on which machine. A plan over all machines and jobs gives each machine its share; what finds
- * no room in it goes to the next machine that reports with some to spare. A plan is used again until as much time has
- * passed as its making is worth: a small deployment plans for every report, a large one a few times a second.
+ * Which waiting tasks go on which machine. A plan over all machines and jobs gives each machine its
+ * share; what finds no room in it goes to the next machine that reports with some to spare. A plan
+ * is used again until as much time has passed as its making is worth: a small deployment plans for
+ * every report, a large one a few times a second.
  */
 final class Placement {
     private final Part part;
     private final Outbox out;
     private final StartMarks marks;
-    private final Object2ObjectOpenHashMap<Machine, List<Planner.Placed>> shares = new Object2ObjectOpenHashMap<>();
+    private final Object2ObjectOpenHashMap<Machine, List<Planner.Placed>> shares =
+            new Object2ObjectOpenHashMap<>();
+
     /** Tasks that no machine had room for, by job, most pressing first. */
     private final Object2IntLinkedOpenHashMap<Job> rest = new Object2IntLinkedOpenHashMap<>();
+
     /** Machines that are kept until they have room for a job that found none. */
     private final Object2ObjectOpenHashMap<Machine, Job> kept = new Object2ObjectOpenHashMap<>();
+
     private long nextMs = Long.MIN_VALUE;
 
     Placement(Part part, Outbox out, StartMarks marks) {
@@ -39,9 +44,15 @@
         if (share == null && rest.isEmpty()) {
             return List.of();
         }
-        // What has changed since the plan, on this machine, in the team's use or in the job, is looked at again. A job
-        // is placed once, its share and its rest together: the planner does not see what it has placed itself.
-        Planner now = new Planner(new ArrayList<>(List.of(new Planner.Slot(m))), part::cpusLeft, part::gpusLeft);
+        // What has changed since the plan, on this machine, in the team's use or in the job, is
+        // looked at again. A job
+        // is placed once, its share and its rest together: the planner does not see what it has
+        // placed itself.
+        Planner now =
+                new Planner(
+                        new ArrayList<>(List.of(new Planner.Slot(m))),
+                        part::cpusLeft,
+                        part::gpusLeft);
         Set<Job> tried = new HashSet<>();
         if (share != null) {
             for (Planner.Placed p : share) {
@@ -68,7 +79,10 @@
         int before = now.placed().size();
         int left = rest.getInt(job);
         now.place(job, Math.min(share + left, job.waitingCount));
-        left -= now.placed().size() > before ? Math.max(0, now.placed().get(before).count() - share) : 0;
+        left -=
+                now.placed().size() > before
+                        ? Math.max(0, now.placed().get(before).count() - share)
+                        : 0;
         if (left <= 0 || job.waitingCount == 0) {
             rest.removeInt(job);
         } else {
@@ -93,12 +107,24 @@
             int left = planner.place(job, job.waitingCount);
             if (left > 0) {
                 rest.put(job, left);
-                List<Machine> keep = planner.keep(job.spec, (int) Math.min(left, keepable / Math.max(Tuning.EPSILON, job.spec.cpus())));
+                List<Machine> keep =
+                        planner.keep(
+                                job.spec,
+                                (int)
+                                        Math.min(
+                                                left,
+                                                keepable
+                                                        / Math.max(
+                                                                Tuning.EPSILON, job.spec.cpus())));
                 keepable -= keep.size() * job.spec.cpus();
                 keep.forEach(m -> kept.put(m, job));
             }
             // What is about to be started, and what comes next when a machine has room again.
-            int next = (int) Math.min(left, Math.ceil(ahead / Math.max(Tuning.EPSILON, job.spec.cpus())));
+            int next =
+                    (int)
+                            Math.min(
+                                    left,
+                                    Math.ceil(ahead / Math.max(Tuning.EPSILON, job.spec.cpus())));
             ahead -= next * job.spec.cpus();
             if (allowed - left + next > 0) {
                 marks.want(job, job.belowFor(allowed - left + next));
@@ -107,6 +133,9 @@
         for (Planner.Placed p : planner.placed()) {
             shares.computeIfAbsent(p.slot().machine, m -> new ArrayList<>()).add(p);
         }
-        nextMs = out.now.steadyMs() + (planner.steps() + part.machines().size() + jobs.size()) / Tuning.PLAN_STEPS_PER_MS;
+        nextMs =
+                out.now.steadyMs()
+                        + (planner.steps() + part.machines().size() + jobs.size())
+                                / Tuning.PLAN_STEPS_PER_MS;
     }
 }
--- a/src/main/java/org/shoreusher/core/Planner.java
+++ b/src/main/java/org/shoreusher/core/Planner.java
@@ -9,8 +9,9 @@
 import org.shoreusher.settings.Tuning;
 
 /**
- * Places waiting tasks on the fullest machine that fits. A plan holds for the moment it is made; {@link Placement}
- * keeps it while machines report, because starts travel only in answers to reports.
+ * Places waiting tasks on the fullest machine that fits. A plan holds for the moment it is made;
+ * {@link Placement} keeps it while machines report, because starts travel only in answers to
+ * reports.
  */
 final class Planner {
     /** A machine's room while a plan is made. */
@@ -19,11 +20,17 @@
         final MachineType type;
         final String zone;
         final boolean spot;
-        /** An ordinary machine that costs far more than a spot one: filled last, so that it runs empty first when there is less to do. */
+
+        /**
+         * An ordinary machine that costs far more than a spot one: filled last, so that it runs
+         * empty first when there is less to do.
+         */
         final boolean dear;
+
         double cpus;
         double gpus;
         double mem;
+
         /** Where it stands in the order for the job that is being placed. */
         private double rank;
 
@@ -36,7 +43,14 @@
             this(null, type, zone, spot, type.cpus(), type.gpus(), type.memGb());
         }
 
-        private Slot(Machine machine, MachineType type, String zone, boolean spot, double cpus, double gpus, double mem) {
+        private Slot(
+                Machine machine,
+                MachineType type,
+                String zone,
+                boolean spot,
+                double cpus,
+                double gpus,
+                double mem) {
             this.machine = machine;
             this.type = type;
             this.zone = zone;
@@ -68,21 +82,27 @@
     }
 
     /** So many tasks of a job on a machine. */
-    record Placed(Job job, Slot slot, int count) {
-    }
+    record Placed(Job job, Slot slot, int count) {}
 
-    private static final Comparator<Slot> ORDER = Comparator.comparingDouble((Slot s) -> s.rank).thenComparing(s -> s.machine == null ? "~" : s.machine.id);
+    private static final Comparator<Slot> ORDER =
+            Comparator.comparingDouble((Slot s) -> s.rank)
+                    .thenComparing(s -> s.machine == null ? "~" : s.machine.id);
 
     private final ToDoubleFunction<String> cpusLeft;
     private final ToDoubleFunction<String> gpusLeft;
     private final Object2DoubleOpenHashMap<String> cpusPlanned = new Object2DoubleOpenHashMap<>();
     private final Object2DoubleOpenHashMap<String> gpusPlanned = new Object2DoubleOpenHashMap<>();
+
     /** Those that still have room. */
     private final List<Slot> slots;
+
     private final List<Placed> placed = new ArrayList<>();
     private long steps;
 
-    Planner(List<Slot> slots, ToDoubleFunction<String> cpusLeft, ToDoubleFunction<String> gpusLeft) {
+    Planner(
+            List<Slot> slots,
+            ToDoubleFunction<String> cpusLeft,
+            ToDoubleFunction<String> gpusLeft) {
         this.slots = slots;
         this.cpusLeft = cpusLeft;
         this.gpusLeft = gpusLeft;
@@ -111,15 +131,32 @@
     int allowedByTeam(JobSpec job) {
         double n = Integer.MAX_VALUE;
         if (job.cpus() > 0) {
-            n = Math.min(n, Math.floor((cpusLeft.applyAsDouble(job.team()) - cpusPlanned.getDouble(job.team())) / job.cpus() + Tuning.EPSILON));
+            n =
+                    Math.min(
+                            n,
+                            Math.floor(
+                                    (cpusLeft.applyAsDouble(job.team())
+                                                            - cpusPlanned.getDouble(job.team()))
+                                                    / job.cpus()
+                                            + Tuning.EPSILON));
         }
         if (job.gpus() > 0) {
-            n = Math.min(n, Math.floor((gpusLeft.applyAsDouble(job.team()) - gpusPlanned.getDouble(job.team())) / job.gpus() + Tuning.EPSILON));
+            n =
+                    Math.min(
+                            n,
+                            Math.floor(
+                                    (gpusLeft.applyAsDouble(job.team())
+                                                            - gpusPlanned.getDouble(job.team()))
+                                                    / job.gpus()
+                                            + Tuning.EPSILON));
         }
         return (int) Math.max(0, n);
     }
 
-    /** Places up to {@code wanted} tasks of a job; returns how many found no machine although the team may run them. */
+    /**
+     * Places up to {@code wanted} tasks of a job; returns how many found no machine although the
+     * team may run them.
+     */
     int place(Job job, int wanted) {
         JobSpec spec = job.spec;
         int left = Math.min(wanted, allowedByTeam(spec));
@@ -130,10 +167,17 @@
             return left;
         }
         steps += slots.size();
-        // By the share that is free: of two sizes the small ones would else always come before large ones with some room, and these,
+        // By the share that is free: of two sizes the small ones would else always come before
+        // large ones with some room, and these,
         // cheaper by the CPU, would stand nearly empty.
-        slots.forEach(s -> s.rank = (s.cpus + fetchCost(s, spec)) / Math.max(1, s.type.cpus()) + (s.dear ? Tuning.DEAR_LAST : 0)
-                + (s.machine != null && job.failedOn.contains(s.machine.id) ? Tuning.FAILED_LAST : 0));
+        slots.forEach(
+                s ->
+                        s.rank =
+                                (s.cpus + fetchCost(s, spec)) / Math.max(1, s.type.cpus())
+                                        + (s.dear ? Tuning.DEAR_LAST : 0)
+                                        + (s.machine != null && job.failedOn.contains(s.machine.id)
+                                                ? Tuning.FAILED_LAST
+                                                : 0));
         slots.sort(ORDER);
         ZoneRule zones = new ZoneRule(job);
         boolean filled = false;
@@ -160,8 +204,9 @@
     }
 
     /**
-     * Keeps machines that are partly free for a job that found no room, the emptiest first: filled up with smaller tasks again
-     * and again they would never have room for a larger one. Returns those that are kept.
+     * Keeps machines that are partly free for a job that found no room, the emptiest first: filled
+     * up with smaller tasks again and again they would never have room for a larger one. Returns
+     * those that are kept.
      */
     List<Machine> keep(JobSpec spec, int wanted) {
         List<Machine> kept = new ArrayList<>();
@@ -172,7 +217,10 @@
         slots.sort(ORDER);
         for (int i = slots.size() - 1; i >= 0 && kept.size() < wanted; i--) {
             Slot slot = slots.get(i);
-            if (slot.machine != null && spec.allows(slot.type.name(), slot.zone, slot.spot) && slot.type.fits(spec) && slot.fits(spec) == 0) {
+            if (slot.machine != null
+                    && spec.allows(slot.type.name(), slot.zone, slot.spot)
+                    && slot.type.fits(spec)
+                    && slot.fits(spec) == 0) {
                 kept.add(slot.machine);
                 slots.remove(i);
             }
@@ -181,8 +229,9 @@
     }
 
     /**
-     * What the image's fetch costs on a machine that has not got it, in CPUs: the share of the task's time on
-     * its machine that would go into fetching. A slightly emptier machine with the image comes first.
+     * What the image's fetch costs on a machine that has not got it, in CPUs: the share of the
+     * task's time on its machine that would go into fetching. A slightly emptier machine with the
+     * image comes first.
      */
     private static double fetchCost(Slot slot, JobSpec spec) {
         if (slot.machine != null && slot.machine.images.contains(spec.image())) {
@@ -207,7 +256,8 @@
         }
 
         int room(String zone) {
-            // With tasks that may be in two zones, none is right until one of them is known to be empty.
+            // With tasks that may be in two zones, none is right until one of them is known to be
+            // empty.
             if (one && !used.isEmpty() && (used.size() > 1 || !used.containsKey(zone))) {
                 return 0;
             }
--- a/src/main/java/org/shoreusher/core/Preemption.java
+++ b/src/main/java/org/shoreusher/core/Preemption.java
@@ -7,9 +7,9 @@
 import org.shoreusher.settings.Tuning;
 
 /**
- * Chooses tasks to stop so that waiting tasks of higher priority find room: in their team's limit, or on
- * machines. Only tasks that save their progress are stopped, so that no work is lost, and none that
- * started so lately that its start would not count.
+ * Chooses tasks to stop so that waiting tasks of higher priority find room: in their team's limit,
+ * or on machines. Only tasks that save their progress are stopped, so that no work is lost, and
+ * none that started so lately that its start would not count.
  */
 final class Preemption {
     private final Object2DoubleOpenHashMap<String> teamRelief = new Object2DoubleOpenHashMap<>();
@@ -27,22 +27,32 @@
                 if (live.stopping || live.doomed) {
                     teamRelief.addTo(live.job.spec.team(), live.job.spec.cpus());
                     relief += live.job.spec.cpus();
-                } else if (live.job.spec.checkpointS() > 0 && live.state == Live.State.RUNNING && now.steadyMs() - live.sinceMs > Tuning.START_COUNTS_MS
-                        && part.available(m) && urgency.canSpare(live.job, now.wallMs())) {
+                } else if (live.job.spec.checkpointS() > 0
+                        && live.state == Live.State.RUNNING
+                        && now.steadyMs() - live.sinceMs > Tuning.START_COUNTS_MS
+                        && part.available(m)
+                        && urgency.canSpare(live.job, now.wallMs())) {
                     victims.add(live);
                 }
             }
         }
         // The one that has run shortest has the most left to run, so stopping it frees the most.
-        victims.sort(Comparator.comparing((Live l) -> l.job.spec.priority()).reversed().thenComparing(l -> -l.runningSinceMs)
-                .thenComparing(l -> l.job.id).thenComparingInt(l -> l.index));
+        victims.sort(
+                Comparator.comparing((Live l) -> l.job.spec.priority())
+                        .reversed()
+                        .thenComparing(l -> -l.runningSinceMs)
+                        .thenComparing(l -> l.job.id)
+                        .thenComparingInt(l -> l.index));
     }
 
     /** Chooses for the jobs in order; {@code planner} has the room that is free now. */
     List<Live> choose(List<Job> ordered, Planner planner) {
         for (Job job : ordered) {
             boolean high = job.spec.priority().compareTo(JobSpec.Priority.HIGH) <= 0;
-            if (job.suspect() || !(high || (job.spec.priority() == JobSpec.Priority.NORMAL && urgency.pressing(job, now.wallMs())))) {
+            if (job.suspect()
+                    || !(high
+                            || (job.spec.priority() == JobSpec.Priority.NORMAL
+                                    && urgency.pressing(job, now.wallMs())))) {
                 continue;
             }
             JobSpec spec = job.spec;
@@ -69,7 +79,8 @@
         for (int i = 0; i < victims.size() && left > 0; i++) {
             Live v = victims.get(i);
             JobSpec spec = v.job.spec;
-            if (spec.priority().compareTo(forJob.priority()) > 0 && (team == null || spec.team().equals(team))
+            if (spec.priority().compareTo(forJob.priority()) > 0
+                    && (team == null || spec.team().equals(team))
                     && forJob.allows(v.machine.type.name(), v.machine.zone, v.machine.spot)) {
                 victims.remove(i--);
                 chosen.add(v);
--- a/src/main/java/org/shoreusher/core/Quota.java
+++ b/src/main/java/org/shoreusher/core/Quota.java
@@ -13,15 +13,15 @@
 import org.shoreusher.settings.Tuning;
 
 /**
- * A part's share of each team's limit. The shares of all parts are in one record per team and never sum to
- * more than the limit. Only a part's owner lowers its share, in the write that raises another's, and it
- * keeps to the lower share from before that write is sent, so at no moment may two parts use the same CPU. What a
- * team has no limit on needs no shares: the records have 0 there, which nobody reads.
+ * A part's share of each team's limit. The shares of all parts are in one record per team and never
+ * sum to more than the limit. Only a part's owner lowers its share, in the write that raises
+ * another's, and it keeps to the lower share from before that write is sent, so at no moment may
+ * two parts use the same CPU. What a team has no limit on needs no shares: the records have 0
+ * there, which nobody reads.
  */
 final class Quota {
     /** A write that lowers this part's share, valid only upon one version of the record. */
-    private record Give(long version, QuotaRecord record) {
-    }
+    private record Give(long version, QuotaRecord record) {}
 
     private final int n;
     private final int parts;
@@ -29,11 +29,16 @@
     private final Outbox out;
     private final Mirror mirror;
     private final Map<String, Long> fence;
+
     /** Gives whose fate is open; until it is known, the part keeps to what would be left. */
     private final Object2ObjectOpenHashMap<String, Give> giving = new Object2ObjectOpenHashMap<>();
+
     private final ObjectOpenHashSet<String> inFlight = new ObjectOpenHashSet<>();
+
     /** What this part should keep to when others' claims are weighed, by team. */
-    private final Object2ObjectOpenHashMap<String, Double> target = new Object2ObjectOpenHashMap<>();
+    private final Object2ObjectOpenHashMap<String, Double> target =
+            new Object2ObjectOpenHashMap<>();
+
     private boolean creating;
     private long nextMs;
 
@@ -54,7 +59,11 @@
         }
         QuotaRecord stored = stored(team);
         Give open = giving.get(team);
-        return stored == null ? 0 : open == null ? stored.cpus()[n] : Math.min(stored.cpus()[n], open.record.cpus()[n]);
+        return stored == null
+                ? 0
+                : open == null
+                        ? stored.cpus()[n]
+                        : Math.min(stored.cpus()[n], open.record.cpus()[n]);
     }
 
     double gpus(String team) {
@@ -64,10 +73,17 @@
         }
         QuotaRecord stored = stored(team);
         Give open = giving.get(team);
-        return stored == null ? 0 : open == null ? stored.gpus()[n] : Math.min(stored.gpus()[n], open.record.gpus()[n]);
+        return stored == null
+                ? 0
+                : open == null
+                        ? stored.gpus()[n]
+                        : Math.min(stored.gpus()[n], open.record.gpus()[n]);
     }
 
-    /** CPUs up to which new tasks should be started, so that another part's more pressing ones get theirs. */
+    /**
+     * CPUs up to which new tasks should be started, so that another part's more pressing ones get
+     * theirs.
+     */
     double startCpus(String team) {
         Double t = target.get(team);
         return t == null ? cpus(team) : Math.min(cpus(team), t);
@@ -81,18 +97,27 @@
     /**
      * Creates missing records and gives away what others need more.
      *
-     * @param used   CPUs that this part's tasks of a team use or may use
+     * @param used CPUs that this part's tasks of a team use or may use
      * @param claims each part's claims, null where no fresh hint tells
      */
-    void step(Function<String, Double> used, Function<String, Claim[]> claims, Function<String, Double> quantum) {
+    void step(
+            Function<String, Double> used,
+            Function<String, Claim[]> claims,
+            Function<String, Double> quantum) {
         if (parts == 1 || out.now.steadyMs() < nextMs) {
             return;
         }
         nextMs = out.now.steadyMs() + Tuning.QUOTA_EVERY_MS;
         create();
         for (Settings.Team team : settings.teams().values()) {
-            if (!Double.isInfinite(team.cpusMax()) && stored(team.name()) != null && !inFlight.contains(team.name())) {
-                weigh(team, used.apply(team.name()), claims.apply(team.name()), Math.max(1, quantum.apply(team.name())));
+            if (!Double.isInfinite(team.cpusMax())
+                    && stored(team.name()) != null
+                    && !inFlight.contains(team.name())) {
+                weigh(
+                        team,
+                        used.apply(team.name()),
+                        claims.apply(team.name()),
+                        Math.max(1, quantum.apply(team.name())));
             }
         }
     }
@@ -103,16 +128,22 @@
         for (Settings.Team team : settings.teams().values()) {
             if (mirror.get(Keys.quota(team.name())) == null && writes.size() < settings.txnOps()) {
                 guards.put(Keys.quota(team.name()), 0L);
-                writes.put(Keys.quota(team.name()), QuotaRecord.split(shared(team.cpusMax()), shared(team.gpusMax()), parts).write());
+                writes.put(
+                        Keys.quota(team.name()),
+                        QuotaRecord.split(shared(team.cpusMax()), shared(team.gpusMax()), parts)
+                                .write());
             }
         }
         if (!writes.isEmpty() && !creating) {
-            creating = out.state(new StateOp.Multi(guards, writes), reply -> {
-                creating = false;
-                if (reply.status() == 200) {
-                    mirror.applied(reply, writes);
-                }
-            });
+            creating =
+                    out.state(
+                            new StateOp.Multi(guards, writes),
+                            reply -> {
+                                creating = false;
+                                if (reply.status() == 200) {
+                                    mirror.applied(reply, writes);
+                                }
+                            });
         }
     }
 
@@ -131,7 +162,8 @@
         giving.remove(team.name());
         double[] targets = targets(team.cpusMax(), claims, stored.cpus(), quantum);
         target.put(team.name(), targets[n]);
-        double spare = Math.floor((stored.cpus()[n] - Math.max(used, targets[n])) / quantum) * quantum;
+        double spare =
+                Math.floor((stored.cpus()[n] - Math.max(used, targets[n])) / quantum) * quantum;
         if (spare < quantum) {
             return;
         }
@@ -139,7 +171,10 @@
         double[] gpus = stored.gpus().clone();
         int to = -1;
         for (int m = 0; m < parts; m++) {
-            if (m != n && claims[m] != null && targets[m] - cpus[m] >= quantum && (to < 0 || targets[m] - cpus[m] > targets[to] - cpus[to])) {
+            if (m != n
+                    && claims[m] != null
+                    && targets[m] - cpus[m] >= quantum
+                    && (to < 0 || targets[m] - cpus[m] > targets[to] - cpus[to])) {
                 to = m;
             }
         }
@@ -162,19 +197,24 @@
         Map<String, Long> guards = new LinkedHashMap<>(fence);
         guards.put(Keys.quota(team), give.version);
         Map<String, Map<String, Object>> writes = Map.of(Keys.quota(team), give.record.write());
-        boolean sent = out.state(new StateOp.Multi(guards, writes), reply -> {
-            inFlight.remove(team);
-            if (reply.status() == 200) {
-                giving.remove(team);
-                mirror.applied(reply, writes);
-            }
-        });
+        boolean sent =
+                out.state(
+                        new StateOp.Multi(guards, writes),
+                        reply -> {
+                            inFlight.remove(team);
+                            if (reply.status() == 200) {
+                                giving.remove(team);
+                                mirror.applied(reply, writes);
+                            }
+                        });
         if (sent) {
             inFlight.add(team);
         }
     }
 
-    /** How a limit should be shared: pressing claims first, then the others, what is left evenly. */
+    /**
+     * How a limit should be shared: pressing claims first, then the others, what is left evenly.
+     */
     static double[] targets(double max, Claim[] claims, double[] shares, double quantum) {
         int parts = shares.length;
         double[] out = new double[parts];
--- a/src/main/java/org/shoreusher/core/Rentals.java
+++ b/src/main/java/org/shoreusher/core/Rentals.java
@@ -13,16 +13,15 @@
 import org.shoreusher.wire.Tree;
 
 /**
- * Asks the cloud for machines, as many requests at once as its call rate allows in a second: one at a time took ten
- * seconds to rent a thousand machines.
+ * Asks the cloud for machines, as many requests at once as its call rate allows in a second: one at
+ * a time took ten seconds to rent a thousand machines.
  *
- * <p>Promise: a request without an answer is repeated under its own name until it has one, and no name is used for
- * another request, by this owner or a later one.
+ * <p>Promise: a request without an answer is repeated under its own name until it has one, and no
+ * name is used for another request, by this owner or a later one.
  */
 final class Rentals {
     /** A kind of machine as the cloud has or lacks it. */
-    record Kind(String type, String zone, boolean spot) {
-    }
+    record Kind(String type, String zone, boolean spot) {}
 
     /** A request whose answer is still open. */
     private static final class Pending {
@@ -44,8 +43,13 @@
     private final Object2LongOpenHashMap<Kind> refusedUntil = new Object2LongOpenHashMap<>();
     private final List<Pending> pending = new ArrayList<>();
     private long nextHire = 1;
-    /** After a failure one request at a time finds out whether the cloud is back, or all of them would use up the rate. */
+
+    /**
+     * After a failure one request at a time finds out whether the cloud is back, or all of them
+     * would use up the rate.
+     */
     private boolean failing;
+
     private long againMs;
 
     Rentals(Part part, Settings settings, Outbox out, Fleet fleet) {
@@ -85,29 +89,42 @@
             counts.merge(kind, 1, Integer::sum);
             examples.putIfAbsent(kind, s);
         }
-        counts.forEach((kind, count) -> {
-            for (int left = count; left > 0 && pending.size() < atOnce; left -= Tuning.RENT_AT_ONCE) {
-                // The name contains the term, so no other owner and no restart can use it again.
-                CloudOp.Rent rent = new CloudOp.Rent("part-" + part.n + "-" + part.term() + "-" + nextHire++, kind.type, kind.zone, kind.spot,
-                        Math.min(left, Tuning.RENT_AT_ONCE));
-                pending.add(new Pending(rent, examples.get(kind)));
-            }
-        });
+        counts.forEach(
+                (kind, count) -> {
+                    for (int left = count;
+                            left > 0 && pending.size() < atOnce;
+                            left -= Tuning.RENT_AT_ONCE) {
+                        // The name contains the term, so no other owner and no restart can use it
+                        // again.
+                        CloudOp.Rent rent =
+                                new CloudOp.Rent(
+                                        "part-" + part.n + "-" + part.term() + "-" + nextHire++,
+                                        kind.type,
+                                        kind.zone,
+                                        kind.spot,
+                                        Math.min(left, Tuning.RENT_AT_ONCE));
+                        pending.add(new Pending(rent, examples.get(kind)));
+                    }
+                });
         step();
     }
 
     /** Sends what is due. */
     void step() {
-        if (out.now.steadyMs() < againMs || (failing && pending.stream().anyMatch(p -> p.inFlight))) {
+        if (out.now.steadyMs() < againMs
+                || (failing && pending.stream().anyMatch(p -> p.inFlight))) {
             return;
         }
         for (Pending p : pending) {
             if (!p.inFlight) {
                 p.askedWallMs = out.now.wallMs();
-                p.inFlight = out.cloud(p.rent, reply -> {
-                    p.inFlight = false;
-                    replied(p, reply);
-                });
+                p.inFlight =
+                        out.cloud(
+                                p.rent,
+                                reply -> {
+                                    p.inFlight = false;
+                                    replied(p, reply);
+                                });
                 if (!p.inFlight || failing) {
                     return;
                 }
@@ -118,7 +135,10 @@
     private void replied(Pending p, CloudReply reply) {
         CloudOp.Rent rent = p.rent;
         Kind kind = new Kind(rent.type(), rent.zone(), rent.spot());
-        boolean capacity = reply.status() == 503 && reply.body() != null && "no capacity".equals(reply.body().get("error"));
+        boolean capacity =
+                reply.status() == 503
+                        && reply.body() != null
+                        && "no capacity".equals(reply.body().get("error"));
         failing = reply.status() != 200 && reply.status() != 400 && !capacity;
         if (failing) {
             // Without an answer it may have been carried out: only the same name is safe to repeat.
@@ -134,15 +154,30 @@
         } else if (capacity) {
             refusedUntil.put(kind, out.now.steadyMs() + Tuning.NO_CAPACITY_MS);
         } else {
-            out.log("cloud: refused the rental of " + rent.type() + " in " + rent.zone() + " as malformed");
+            out.log(
+                    "cloud: refused the rental of "
+                            + rent.type()
+                            + " in "
+                            + rent.zone()
+                            + " as malformed");
         }
     }
 
     private void rented(CloudOp.Rent rent, Kind kind, CloudReply reply, long askedWallMs) {
         try {
             List<String> names = CloudFormat.rented(new Tree(reply.body()));
-            out.log("rented: " + names.size() + " of " + rent.count() + " " + rent.type() + " in " + rent.zone() + (rent.spot() ? ", spot" : ", ordinary")
-                    + " for part " + part.n);
+            out.log(
+                    "rented: "
+                            + names.size()
+                            + " of "
+                            + rent.count()
+                            + " "
+                            + rent.type()
+                            + " in "
+                            + rent.zone()
+                            + (rent.spot() ? ", spot" : ", ordinary")
+                            + " for part "
+                            + part.n);
             if (names.size() < rent.count()) {
                 refusedUntil.put(kind, out.now.steadyMs() + Tuning.NO_CAPACITY_MS);
             }
