--- a/src/main/java/org/shoreusher/core/Reports.java
+++ b/src/main/java/org/shoreusher/core/Reports.java
@@ -16,8 +16,8 @@
 /**
  * Reads the reports of a part's machines and answers them.
  *
- * <p>Promises: a task is started only in the answer to the newest report of its machine, only under an unexpired
- * lease, and only when no machine can have it.
+ * <p>Promises: a task is started only in the answer to the newest report of its machine, only under
+ * an unexpired lease, and only when no machine can have it.
  */
 final class Reports {
     private final Part part;
@@ -30,7 +30,15 @@
     private final Placement placement;
     private long nextAttempt = 1;
 
-    Reports(Part part, Settings settings, Outbox out, Arrivals arrivals, MachineIndex index, Types types, TaskBook book, StartMarks marks) {
+    Reports(
+            Part part,
+            Settings settings,
+            Outbox out,
+            Arrivals arrivals,
+            MachineIndex index,
+            Types types,
+            TaskBook book,
+            StartMarks marks) {
         this.part = part;
         this.settings = settings;
         this.out = out;
@@ -54,17 +62,28 @@
         if (m == null) {
             m = adopt(r);
         }
-        // A report may have been held up since before the takeover and not show what the owner before started
-        // after it. Only one made by a worker that has seen this owner's term is surely newer than all that.
-        if (m != null && m.inherited && !m.heard && r.token() < part.holding().takenTerm() && !deafSinceTakeover(m, r)) {
+        // A report may have been held up since before the takeover and not show what the owner
+        // before started
+        // after it. Only one made by a worker that has seen this owner's term is surely newer than
+        // all that.
+        if (m != null
+                && m.inherited
+                && !m.heard
+                && r.token() < part.holding().takenTerm()
+                && !deafSinceTakeover(m, r)) {
             m.answeredAtMs = Math.max(m.answeredAtMs, out.now.steadyMs());
             out.answer(request, 200, WorkerFormat.answer(part.term(), stopsOfCancelled(r)));
             return;
         }
-        // A late report's sender has given up on it, and of a copy nobody waits for the answer; the task list is as old
-        // as the report. A machine whose handover is on its way may hold the next owner's tasks already, which are not
+        // A late report's sender has given up on it, and of a copy nobody waits for the answer; the
+        // task list is as old
+        // as the report. A machine whose handover is on its way may hold the next owner's tasks
+        // already, which are not
         // this one's to judge.
-        if (m == null || m.state == Machine.State.HANDING || r.session() <= m.endedSession || (m.heard && !r.newerThan(m.session, m.seq))) {
+        if (m == null
+                || m.state == Machine.State.HANDING
+                || r.session() <= m.endedSession
+                || (m.heard && !r.newerThan(m.session, m.seq))) {
             out.later(request);
             return;
         }
@@ -73,7 +92,10 @@
         List<WorkerOrder> orders = new ArrayList<>();
         if (part.holds()) {
             settle(m, r, orders);
-            if (m.recordedUsed && (m.cpusFree() > Tuning.EPSILON || m.gpusFree() > Tuning.EPSILON) && part.mayStart() && part.available(m)) {
+            if (m.recordedUsed
+                    && (m.cpusFree() > Tuning.EPSILON || m.gpusFree() > Tuning.EPSILON)
+                    && part.mayStart()
+                    && part.available(m)) {
                 start(m, orders);
             }
         } else {
@@ -85,9 +107,10 @@
     }
 
     /**
-     * Whether nothing that the owner before started can be left on a machine that has not seen this owner's term. Each newer
-     * report shows that its worker did not hear the answer to the one before, so its lease runs from the last answer of the owner
-     * before. Without this a machine that reports and hears nothing kept a whole rebuild waiting for as long as it was deaf.
+     * Whether nothing that the owner before started can be left on a machine that has not seen this
+     * owner's term. Each newer report shows that its worker did not hear the answer to the one
+     * before, so its lease runs from the last answer of the owner before. Without this a machine
+     * that reports and hears nothing kept a whole rebuild waiting for as long as it was deaf.
      */
     private boolean deafSinceTakeover(Machine m, WorkerReport r) {
         boolean newer = r.newerThan(m.session, m.seq);
@@ -95,11 +118,13 @@
             m.session = r.session();
             m.seq = r.seq();
         }
-        return newer && out.now.steadyMs() > m.inheritedAnswerMs + PartLease.workerLeaseMs(settings);
+        return newer
+                && out.now.steadyMs() > m.inheritedAnswerMs + PartLease.workerLeaseMs(settings);
     }
 
     private Machine adopt(WorkerReport r) {
-        // A late copy must not bring back a machine that was returned, be its record still there or not.
+        // A late copy must not bring back a machine that was returned, be its record still there or
+        // not.
         if (part.fleet().list().isGone(r.machine())) {
             return null;
         }
@@ -107,7 +132,8 @@
         if (record != null) {
             return record.part() == part.n ? part.addMachine(r.machine(), record) : null;
         }
-        // Nor one that an owner before has returned: what has been answered before and has no record is taken on only
+        // Nor one that an owner before has returned: what has been answered before and has no
+        // record is taken on only
         // when the cloud says that it is there.
         if (r.token() > 0 && !part.fleet().list().isListed(r.machine())) {
             return null;
@@ -147,22 +173,28 @@
         }
         if (m.tasks.size() > shown.size()) {
             for (Live live : m.tasksNow()) {
-                // A start answered to an older report is in this one, or was dropped and never happens.
+                // A start answered to an older report is in this one, or was dropped and never
+                // happens.
                 if (!shown.contains(Machine.taskKey(live.job.id, live.index))) {
                     book.remove(live);
                 }
             }
         }
         if (!Double.isNaN(m.noticeS)) {
-            // The cloud takes the machine soon: what can save its progress does so now and goes on elsewhere.
+            // The cloud takes the machine soon: what can save its progress does so now and goes on
+            // elsewhere.
             for (Live live : m.tasks.values()) {
                 JobSpec spec = live.job.spec;
-                if (!spec.shape().ends() || (spec.checkpointS() > 0 && live.state == Live.State.RUNNING && spec.saveS() < m.noticeS)) {
+                if (!spec.shape().ends()
+                        || (spec.checkpointS() > 0
+                                && live.state == Live.State.RUNNING
+                                && spec.saveS() < m.noticeS)) {
                     live.stopping = true;
                 }
             }
         }
-        m.idleSinceMs = !m.tasks.isEmpty() ? -1 : m.idleSinceMs < 0 ? out.now.steadyMs() : m.idleSinceMs;
+        m.idleSinceMs =
+                !m.tasks.isEmpty() ? -1 : m.idleSinceMs < 0 ? out.now.steadyMs() : m.idleSinceMs;
     }
 
     private void present(Machine m, String key, TaskReport t) {
@@ -173,20 +205,35 @@
         }
         if (live == null) {
             Job job = part.jobs().get(t.job());
-            boolean wanted = job != null && t.index() >= 0 && t.index() < job.spec.tasks() && !job.done.get(t.index()) && job.live.get(t.index()) == null;
-            live = new Live(job != null ? job : unwanted(m, t.job()), t.index(), t.attempt(), m, Live.State.RUNNING, out.now.steadyMs());
+            boolean wanted =
+                    job != null
+                            && t.index() >= 0
+                            && t.index() < job.spec.tasks()
+                            && !job.done.get(t.index())
+                            && job.live.get(t.index()) == null;
+            live =
+                    new Live(
+                            job != null ? job : unwanted(m, t.job()),
+                            t.index(),
+                            t.attempt(),
+                            m,
+                            Live.State.RUNNING,
+                            out.now.steadyMs());
             live.doomed = !wanted;
             book.add(live, wanted);
         }
-        live.state = switch (t.state()) {
-            case FETCHING -> Live.State.FETCHING;
-            case SAVING -> Live.State.SAVING;
-            default -> Live.State.RUNNING;
-        };
+        live.state =
+                switch (t.state()) {
+                    case FETCHING -> Live.State.FETCHING;
+                    case SAVING -> Live.State.SAVING;
+                    default -> Live.State.RUNNING;
+                };
         if (live.state == Live.State.RUNNING && live.runningSinceMs < 0) {
             live.runningSinceMs = out.now.steadyMs();
         }
-        if (!live.job.spec.shape().ends() && live.runningSinceMs >= 0 && out.now.steadyMs() - live.runningSinceMs >= Tuning.STEADY_MS) {
+        if (!live.job.spec.shape().ends()
+                && live.runningSinceMs >= 0
+                && out.now.steadyMs() - live.runningSinceMs >= Tuning.STEADY_MS) {
             live.job.steady();
         }
     }
@@ -194,9 +241,29 @@
     /** A job that is cancelled, or unknown: then its tasks are taken to fill the machine. */
     private Job unwanted(Machine m, String id) {
         JobRecord record = arrivals.record(id);
-        JobSpec spec = record != null && record.spec() != null ? record.description()
-                : new JobSpec(id, "", "", JobSpec.Priority.LOW, Tuning.MAX_TASKS, m.type.cpus(), m.type.gpus(), m.type.memGb(), "", 0, null, null,
-                        false, false, true, 1, 0, 0, Double.NaN);
+        JobSpec spec =
+                record != null && record.spec() != null
+                        ? record.description()
+                        : new JobSpec(
+                                id,
+                                "",
+                                "",
+                                JobSpec.Priority.LOW,
+                                Tuning.MAX_TASKS,
+                                m.type.cpus(),
+                                m.type.gpus(),
+                                m.type.memGb(),
+                                "",
+                                0,
+                                null,
+                                null,
+                                false,
+                                false,
+                                true,
+                                1,
+                                0,
+                                0,
+                                Double.NaN);
         Job job = new Job(id, spec, out.now.wallMs());
         job.closed = true;
         return job;
@@ -216,12 +283,16 @@
             m.failedJobs.clear();
             if (ours && job != null && live.runningSinceMs >= 0) {
                 double ranS = (out.now.steadyMs() - live.runningSinceMs) / 1000.0;
-                if (job.observedCount() >= Tuning.PACE_TASKS && job.observedMeanS() >= Tuning.PACE_LEAST_S) {
+                if (job.observedCount() >= Tuning.PACE_TASKS
+                        && job.observedMeanS() >= Tuning.PACE_LEAST_S) {
                     m.ran(ranS / job.observedMeanS());
                 }
                 part.estimates().observed(job, ranS);
             }
-            if (job != null && t.index() >= 0 && t.index() < job.spec.tasks() && !job.done.get(t.index())) {
+            if (job != null
+                    && t.index() >= 0
+                    && t.index() < job.spec.tasks()
+                    && !job.done.get(t.index())) {
                 job.done.set(t.index());
                 job.setWaiting(t.index(), false);
                 part.finished(job);
@@ -248,10 +319,14 @@
         book.remove(live);
     }
 
-    /** A replica runs again whatever it ended of, soon if it had run for long, ever more rarely if it ends at once again and again. */
+    /**
+     * A replica runs again whatever it ended of, soon if it had run for long, ever more rarely if
+     * it ends at once again and again.
+     */
     private void replicaEnded(Machine m, Job job, Live live, Cause cause) {
         if (cause == Cause.ERROR || cause == Cause.DONE || cause == Cause.UNKNOWN) {
-            if (live.runningSinceMs >= 0 && out.now.steadyMs() - live.runningSinceMs >= Tuning.STEADY_MS) {
+            if (live.runningSinceMs >= 0
+                    && out.now.steadyMs() - live.runningSinceMs >= Tuning.STEADY_MS) {
                 job.steady();
             }
             job.failed(m.id, out.now.steadyMs());
@@ -264,11 +339,15 @@
         book.remove(live);
     }
 
-    /** Commands that settle what the report shows: forget what is durable, stop what must not run. */
+    /**
+     * Commands that settle what the report shows: forget what is durable, stop what must not run.
+     */
     private void settle(Machine m, WorkerReport r, List<WorkerOrder> orders) {
         for (TaskReport t : r.tasks()) {
             if (t.state() == TaskState.EXITED && forgettable(t)) {
-                orders.add(new WorkerOrder(WorkerOrder.Kind.FORGET, t.job(), t.index(), t.attempt(), 0));
+                orders.add(
+                        new WorkerOrder(
+                                WorkerOrder.Kind.FORGET, t.job(), t.index(), t.attempt(), 0));
             }
         }
         for (Live live : m.tasks.values()) {
@@ -281,8 +360,9 @@
     }
 
     /**
-     * Stops for tasks whose job is cancelled. A cancellation is final in the store, so they are right whoever holds the part
-     * and however old the report is: each of ten owners in two minutes may give a worker just one answer.
+     * Stops for tasks whose job is cancelled. A cancellation is final in the store, so they are
+     * right whoever holds the part and however old the report is: each of ten owners in two minutes
+     * may give a worker just one answer.
      */
     private List<WorkerOrder> stopsOfCancelled(WorkerReport r) {
         List<WorkerOrder> orders = new ArrayList<>();
@@ -290,7 +370,9 @@
             if (t.state() != TaskState.EXITED && part.jobs().get(t.job()) == null) {
                 JobRecord record = arrivals.record(t.job());
                 if (record != null && record.status() == JobStatus.CANCELLED) {
-                    orders.add(new WorkerOrder(WorkerOrder.Kind.STOP, t.job(), t.index(), t.attempt(), 0));
+                    orders.add(
+                            new WorkerOrder(
+                                    WorkerOrder.Kind.STOP, t.job(), t.index(), t.attempt(), 0));
                 }
             }
         }
@@ -312,7 +394,8 @@
     }
 
     private void start(Machine m, List<WorkerOrder> orders) {
-        // Answer and report have a bound on their size, whatever small tasks a large machine could hold.
+        // Answer and report have a bound on their size, whatever small tasks a large machine could
+        // hold.
         int room = Tuning.MOST_TASKS_ON_MACHINE - Math.max(m.tasks.size(), m.shown);
         for (Planner.Placed p : placement.forMachine(m)) {
             int index = -1;
@@ -322,10 +405,19 @@
                     // Its mark is on its way to the store; the next plan has the task again.
                     break;
                 }
-                Live live = new Live(p.job(), index, part.term() << Tuning.ATTEMPT_BITS | nextAttempt++, m, Live.State.ASKED, out.now.steadyMs());
+                Live live =
+                        new Live(
+                                p.job(),
+                                index,
+                                part.term() << Tuning.ATTEMPT_BITS | nextAttempt++,
+                                m,
+                                Live.State.ASKED,
+                                out.now.steadyMs());
                 book.add(live, true);
                 p.job().startedCount++;
-                orders.add(new WorkerOrder(WorkerOrder.Kind.START, p.job().id, index, live.attempt, 0));
+                orders.add(
+                        new WorkerOrder(
+                                WorkerOrder.Kind.START, p.job().id, index, live.attempt, 0));
             }
         }
     }
--- a/src/main/java/org/shoreusher/core/Standby.java
+++ b/src/main/java/org/shoreusher/core/Standby.java
@@ -7,16 +7,19 @@
 import org.shoreusher.settings.Tuning;
 
 /**
- * Keeps ordinary machines for replicas of services, in every zone: a service that comes must begin, and a replica that has lost
- * its machine must go on, sooner than a machine boots. Batch tasks may use them meanwhile, and give way.
+ * Keeps ordinary machines for replicas of services, in every zone: a service that comes must begin,
+ * and a replica that has lost its machine must go on, sooner than a machine boots. Batch tasks may
+ * use them meanwhile, and give way.
  */
 final class Standby {
     private final Part part;
     private final Settings settings;
     private final Types types;
     private final Rentals rentals;
+
     /** CPUs on ordinary machines that no replica holds, by zone. */
     private final Object2DoubleOpenHashMap<String> room = new Object2DoubleOpenHashMap<>();
+
     private double wanted;
 
     Standby(Part part, Settings settings, Types types, Rentals rentals) {
@@ -28,7 +31,12 @@
 
     /** Adds to what is to be rented, up to {@code most} machines in all. */
     void step(List<Planner.Slot> wanting, int most) {
-        MachineType type = types.all().stream().min(Comparator.comparingDouble(t -> t.price() / Math.max(Tuning.EPSILON, t.cpus()))).orElse(null);
+        MachineType type =
+                types.all().stream()
+                        .min(
+                                Comparator.comparingDouble(
+                                        t -> t.price() / Math.max(Tuning.EPSILON, t.cpus())))
+                        .orElse(null);
         wanted = type == null ? 0 : wanted(type);
         room.clear();
         if (wanted <= 0) {
@@ -46,7 +54,9 @@
         rentals.coming().forEach(this::add);
         wanting.forEach(this::add);
         for (String zone : type.zones()) {
-            while (room.getDouble(zone) < wanted && wanting.size() < most && !rentals.refused(new Rentals.Kind(type.name(), zone, false))) {
+            while (room.getDouble(zone) < wanted
+                    && wanting.size() < most
+                    && !rentals.refused(new Rentals.Kind(type.name(), zone, false))) {
                 Planner.Slot slot = new Planner.Slot(type, zone, false);
                 wanting.add(slot);
                 add(slot);
@@ -69,7 +79,10 @@
         return false;
     }
 
-    /** CPUs to keep in each zone: for what may come while a machine boots, halves of the largest service, and as much as one machine may lose. */
+    /**
+     * CPUs to keep in each zone: for what may come while a machine boots, halves of the largest
+     * service, and as much as one machine may lose.
+     */
     private double wanted(MachineType type) {
         double largest = 0;
         for (Job job : part.jobs().values()) {
@@ -77,8 +90,13 @@
                 largest = Math.max(largest, (job.spec.tasks() + 1) / 2 * job.spec.cpus());
             }
         }
-        // Before the first one an aim tells that work comes which must begin sooner than a machine boots.
-        boolean expected = settings.objectives().stream().anyMatch(o -> o.kind().equals("wait") && o.withinS() < type.bootS());
-        return largest > 0 ? Tuning.STANDBY_SERVICES * largest + type.cpus() : expected ? Math.max(type.cpus(), Tuning.STANDBY_FIRST_CPUS) : 0;
+        // Before the first one an aim tells that work comes which must begin sooner than a machine
+        // boots.
+        boolean expected =
+                settings.objectives().stream()
+                        .anyMatch(o -> o.kind().equals("wait") && o.withinS() < type.bootS());
+        return largest > 0
+                ? Tuning.STANDBY_SERVICES * largest + type.cpus()
+                : expected ? Math.max(type.cpus(), Tuning.STANDBY_FIRST_CPUS) : 0;
     }
 }
--- a/src/main/java/org/shoreusher/core/StartMarks.java
+++ b/src/main/java/org/shoreusher/core/StartMarks.java
@@ -14,18 +14,22 @@
 import org.shoreusher.settings.Tuning;
 
 /**
- * Notes durably how many of each job's tasks may have been started. Tasks are started in the order of their numbers,
- * and none from the mark on, so a taker knows that these are on no machine and need not wait for silent ones. The marks of
- * some hundred jobs share a record: one in each job's own took most of twenty changes a second just when machines came up.
+ * Notes durably how many of each job's tasks may have been started. Tasks are started in the order
+ * of their numbers, and none from the mark on, so a taker knows that these are on no machine and
+ * need not wait for silent ones. The marks of some hundred jobs share a record: one in each job's
+ * own took most of twenty changes a second just when machines came up.
  *
- * <p>Promise: a mark is durable before a task below it is started for the first time. The write is guarded by the part's
- * fence, so none of an owner before can come after the takeover that reads the marks. With several parts a job's own record
- * must stand as well, since two nodes may have accepted the job for different ones.
+ * <p>Promise: a mark is durable before a task below it is started for the first time. The write is
+ * guarded by the part's fence, so none of an owner before can come after the takeover that reads
+ * the marks. With several parts a job's own record must stand as well, since two nodes may have
+ * accepted the job for different ones.
  */
 final class StartMarks {
-    /** A mark on its way to the store: the record it is in, and the number below which tasks may then be started. */
-    private record Marked(Job job, int chunk, int below) {
-    }
+    /**
+     * A mark on its way to the store: the record it is in, and the number below which tasks may
+     * then be started.
+     */
+    private record Marked(Job job, int chunk, int below) {}
 
     private final int n;
     private final int parts;
@@ -40,7 +44,15 @@
     private boolean writing;
     private long nextMs;
 
-    StartMarks(int n, int parts, Settings settings, Outbox out, Mirror mirror, Arrivals arrivals, Holding holding, Map<String, Job> jobs) {
+    StartMarks(
+            int n,
+            int parts,
+            Settings settings,
+            Outbox out,
+            Mirror mirror,
+            Arrivals arrivals,
+            Holding holding,
+            Map<String, Job> jobs) {
         this.n = n;
         this.parts = parts;
         this.settings = settings;
@@ -56,13 +68,15 @@
     void load() {
         for (int c = 0; mirror.get(Keys.begun(n, c)) != null; c++) {
             int chunk = c;
-            stored(c).forEach((id, below) -> {
-                Job job = jobs.get(id);
-                if (job != null) {
-                    job.markChunk = chunk;
-                    job.startBelow = Math.max(job.startBelow, below);
-                }
-            });
+            stored(c)
+                    .forEach(
+                            (id, below) -> {
+                                Job job = jobs.get(id);
+                                if (job != null) {
+                                    job.markChunk = chunk;
+                                    job.startBelow = Math.max(job.startBelow, below);
+                                }
+                            });
         }
     }
 
@@ -73,7 +87,10 @@
         }
     }
 
-    /** Writes the marks that are wanted, as many as one transaction takes; the next plan wants the others again. */
+    /**
+     * Writes the marks that are wanted, as many as one transaction takes; the next plan wants the
+     * others again.
+     */
     void write() {
         if (writing || wanted.isEmpty() || !holding.holds() || out.now.steadyMs() < nextMs) {
             return;
@@ -96,31 +113,44 @@
                 guards.put(Keys.job(job.id), 0L);
                 writes.put(Keys.job(job.id), record.write());
             }
-            int below = Math.min(job.spec.tasks(), Math.max(next, job.startBelow * Tuning.MARK_GROWTH));
-            // A record may be longer than may now be written: what is in it stays there to be read, and the larger mark counts.
-            int chunk = job.markChunk >= 0 && length(marksOf(chunks, job.markChunk)) <= limit() ? job.markChunk : chunkWithRoom(chunks, job.id);
+            int below =
+                    Math.min(job.spec.tasks(), Math.max(next, job.startBelow * Tuning.MARK_GROWTH));
+            // A record may be longer than may now be written: what is in it stays there to be read,
+            // and the larger mark counts.
+            int chunk =
+                    job.markChunk >= 0 && length(marksOf(chunks, job.markChunk)) <= limit()
+                            ? job.markChunk
+                            : chunkWithRoom(chunks, job.id);
             chunks.computeIfAbsent(chunk, this::open).put(job.id, below);
             marked.add(new Marked(job, chunk, below));
         }
         if (marked.isEmpty()) {
             return;
         }
-        chunks.forEach((c, marks) -> {
-            guards.put(Keys.begun(n, c), mirror.version(Keys.begun(n, c)));
-            writes.put(Keys.begun(n, c), MarkRecord.write(marks));
-        });
-        writing = out.state(new StateOp.Multi(guards, writes), reply -> {
-            writing = false;
-            if (reply.status() == 200 && !holding.lost()) {
-                mirror.applied(reply, writes);
-                marked.forEach(m -> {
-                    // Only now: the room of a record is counted by what stands in it, so one assigned by a write that failed could
-                    // take the record above the value limit, where every write of it is refused for good.
-                    m.job.markChunk = m.chunk;
-                    m.job.startBelow = Math.max(m.job.startBelow, m.below);
+        chunks.forEach(
+                (c, marks) -> {
+                    guards.put(Keys.begun(n, c), mirror.version(Keys.begun(n, c)));
+                    writes.put(Keys.begun(n, c), MarkRecord.write(marks));
                 });
-            }
-        });
+        writing =
+                out.state(
+                        new StateOp.Multi(guards, writes),
+                        reply -> {
+                            writing = false;
+                            if (reply.status() == 200 && !holding.lost()) {
+                                mirror.applied(reply, writes);
+                                marked.forEach(
+                                        m -> {
+                                            // Only now: the room of a record is counted by what
+                                            // stands in it, so one assigned by a write that failed
+                                            // could
+                                            // take the record above the value limit, where every
+                                            // write of it is refused for good.
+                                            m.job.markChunk = m.chunk;
+                                            m.job.startBelow = Math.max(m.job.startBelow, m.below);
+                                        });
+                            }
+                        });
         nextMs = writing ? out.now.steadyMs() + gapMs : nextMs;
     }
 
--- a/src/main/java/org/shoreusher/core/TaskBook.java
+++ b/src/main/java/org/shoreusher/core/TaskBook.java
@@ -3,14 +3,17 @@
 import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap;
 
 /**
- * Books every task of a part that is or may be on a machine: in its machine's room, in its team's use, and in its job.
- * A task is waiting, live or finished, and only {@link #remove} lets a live one wait again.
+ * Books every task of a part that is or may be on a machine: in its machine's room, in its team's
+ * use, and in its job. A task is waiting, live or finished, and only {@link #remove} lets a live
+ * one wait again.
  */
 final class TaskBook {
     private final Object2DoubleOpenHashMap<String> teamCpus = new Object2DoubleOpenHashMap<>();
     private final Object2DoubleOpenHashMap<String> teamGpus = new Object2DoubleOpenHashMap<>();
+
     /** What was found on machines of an owner before, when each was first heard. */
     private final Object2DoubleOpenHashMap<String> foundCpus = new Object2DoubleOpenHashMap<>();
+
     private final Object2DoubleOpenHashMap<String> foundGpus = new Object2DoubleOpenHashMap<>();
 
     /** An owner before has started this task, and a report made since the takeover shows it. */
@@ -53,8 +56,9 @@
     }
 
     /**
-     * The task is surely not on its machine any more; it waits again unless it is finished. That holds during a rebuild as
-     * well: a task is or may be on one machine at most, so one that has been seen on this one is on none that is yet silent.
+     * The task is surely not on its machine any more; it waits again unless it is finished. That
+     * holds during a rebuild as well: a task is or may be on one machine at most, so one that has
+     * been seen on this one is on none that is yet silent.
      */
     void remove(Live live) {
         Machine m = live.machine;
--- a/src/main/java/org/shoreusher/core/TaskRanges.java
+++ b/src/main/java/org/shoreusher/core/TaskRanges.java
@@ -4,8 +4,7 @@
 
 /** The compact text form of a set of task numbers: ranges such as {@code 0-4,7}. */
 public final class TaskRanges {
-    private TaskRanges() {
-    }
+    private TaskRanges() {}
 
     public static String format(BitSet set) {
         StringBuilder out = new StringBuilder();
--- a/src/main/java/org/shoreusher/core/Types.java
+++ b/src/main/java/org/shoreusher/core/Types.java
@@ -13,14 +13,15 @@
 import org.shoreusher.wire.Tree;
 
 /**
- * The machine types. The first node that learns them from the cloud stores the answer, so that a node
- * that restarts while the cloud's interface is down knows them from the state service.
+ * The machine types. The first node that learns them from the cloud stores the answer, so that a
+ * node that restarts while the cloud's interface is down knows them from the state service.
  */
 final class Types {
     private final Settings settings;
     private final Outbox out;
     private final Mirror mirror;
-    private final Object2ObjectOpenHashMap<String, MachineType> types = new Object2ObjectOpenHashMap<>();
+    private final Object2ObjectOpenHashMap<String, MachineType> types =
+            new Object2ObjectOpenHashMap<>();
     private boolean busy;
     private long nextMs;
 
@@ -57,9 +58,13 @@
             return;
         }
         nextMs = out.now.steadyMs() + Tuning.FLAVORS_EVERY_MS;
-        boolean first = mirror.get(Keys.TYPES) == null && Tree.jsonLength(reply.body()) <= settings.valueBytes();
+        boolean first =
+                mirror.get(Keys.TYPES) == null
+                        && Tree.jsonLength(reply.body()) <= settings.valueBytes();
         if (read(reply.body()) && first) {
-            out.state(new StateOp.Multi(Map.of(Keys.TYPES, 0L), Map.of(Keys.TYPES, reply.body())), stored -> { });
+            out.state(
+                    new StateOp.Multi(Map.of(Keys.TYPES, 0L), Map.of(Keys.TYPES, reply.body())),
+                    stored -> {});
         }
     }
 
--- a/src/main/java/org/shoreusher/core/UserDesk.java
+++ b/src/main/java/org/shoreusher/core/UserDesk.java
@@ -29,8 +29,7 @@
  */
 final class UserDesk {
     /** Counts for display. */
-    record Counts(int done, int running) {
-    }
+    record Counts(int done, int running) {}
 
     /** Where counts for display come from. */
     interface CountSource {
@@ -38,16 +37,16 @@
     }
 
     /** A question that needs a confirmed look at a job; null: no such job. */
-    private record Question(long request, String id, Consumer<JobRecord> then) {
-    }
+    private record Question(long request, String id, Consumer<JobRecord> then) {}
 
-    /** A question about a job that has no record of its own: the view must show all arrivals up to a revision before it is answered. */
-    private record Unseen(Question question, long revision, long sinceMs) {
-    }
+    /**
+     * A question about a job that has no record of its own: the view must show all arrivals up to a
+     * revision before it is answered.
+     */
+    private record Unseen(Question question, long revision, long sinceMs) {}
 
     /** A cancelled job, and when its record leaves the view. */
-    private record Leaving(String id, long atMs) {
-    }
+    private record Leaving(String id, long atMs) {}
 
     private final Settings settings;
     private final Outbox out;
@@ -57,16 +56,30 @@
     private final CountSource counts;
     private final Arrivals arrivals;
     private final Acceptance acceptance;
+
     /** Ended jobs, dropped from the mirror; a cache because the store has them for ever. */
-    private final Cache<String, JobRecord> ended = Caffeine.newBuilder().maximumSize(Tuning.FINAL_STATES).executor(Runnable::run).build();
+    private final Cache<String, JobRecord> ended =
+            Caffeine.newBuilder().maximumSize(Tuning.FINAL_STATES).executor(Runnable::run).build();
+
     private final List<Question> questions = new ArrayList<>();
     private final List<Unseen> unseen = new ArrayList<>();
+
     /** Cancelled jobs that are yet in the view, the longest cancelled first. */
     private final ArrayDeque<Leaving> leaving = new ArrayDeque<>();
+
     private int readsInFlight;
     private int working;
 
-    UserDesk(Settings settings, Outbox out, Mirror mirror, Arrivals arrivals, Types types, Formats formats, String owner, CountSource counts, ToIntFunction<JobSpec> roomiestPart) {
+    UserDesk(
+            Settings settings,
+            Outbox out,
+            Mirror mirror,
+            Arrivals arrivals,
+            Types types,
+            Formats formats,
+            String owner,
+            CountSource counts,
+            ToIntFunction<JobSpec> roomiestPart) {
         this.settings = settings;
         this.out = out;
         this.mirror = mirror;
@@ -74,13 +87,25 @@
         this.formats = formats;
         this.counts = counts;
         this.arrivals = arrivals;
-        acceptance = new Acceptance(settings, out, mirror, owner, roomiestPart, (request, id) -> read(new Question(request, id, record -> {
-            if (record == null) {
-                out.later(request);
-            } else {
-                known(request, id, record);
-            }
-        })));
+        acceptance =
+                new Acceptance(
+                        settings,
+                        out,
+                        mirror,
+                        owner,
+                        roomiestPart,
+                        (request, id) ->
+                                read(
+                                        new Question(
+                                                request,
+                                                id,
+                                                record -> {
+                                                    if (record == null) {
+                                                        out.later(request);
+                                                    } else {
+                                                        known(request, id, record);
+                                                    }
+                                                })));
     }
 
     // ---- requests ----------------------------------------------------------------------------
@@ -90,61 +115,102 @@
             out.answer(request, 404, Map.of());
             return;
         }
-        ask(request, id, record -> {
-            if (record == null) {
-                out.answer(request, 404, Map.of());
-            } else {
-                Counts c = counts.counts(id);
-                out.answer(request, 200, switch (record.status()) {
-                    case DONE -> UserFormat.status(id, Shown.DONE, record.tasks(), 0);
-                    case CANCELLED -> UserFormat.status(id, Shown.CANCELLED, c.done(), 0);
-                    case OPEN -> UserFormat.status(id, c.running() > 0 ? Shown.RUNNING : Shown.PENDING, c.done(), c.running());
+        ask(
+                request,
+                id,
+                record -> {
+                    if (record == null) {
+                        out.answer(request, 404, Map.of());
+                    } else {
+                        Counts c = counts.counts(id);
+                        out.answer(
+                                request,
+                                200,
+                                switch (record.status()) {
+                                    case DONE ->
+                                            UserFormat.status(id, Shown.DONE, record.tasks(), 0);
+                                    case CANCELLED ->
+                                            UserFormat.status(id, Shown.CANCELLED, c.done(), 0);
+                                    case OPEN ->
+                                            UserFormat.status(
+                                                    id,
+                                                    c.running() > 0 ? Shown.RUNNING : Shown.PENDING,
+                                                    c.done(),
+                                                    c.running());
+                                });
+                    }
                 });
-            }
-        });
     }
 
     void submit(long request, String id, JobSpec spec, String problem) {
         if (!UserFormat.isId(id)) {
-            out.answer(request, 400, Map.of("error", problem == null ? "name_id must look like wk-000412" : problem));
+            out.answer(
+                    request,
+                    400,
+                    Map.of(
+                            "error",
+                            problem == null ? "name_id must look like wk-000412" : problem));
             return;
         }
         // A known job is answered with its state before anything in the body is judged.
-        if (spec != null && mirror.loaded() && arrivals.record(id) == null && ended.getIfPresent(id) == null && verdict(spec) == 0) {
+        if (spec != null
+                && mirror.loaded()
+                && arrivals.record(id) == null
+                && ended.getIfPresent(id) == null
+                && verdict(spec) == 0) {
             accept(request, spec);
             return;
         }
-        ask(request, id, record -> {
-            if (record != null) {
-                known(request, id, record);
-            } else if (spec == null) {
-                out.answer(request, 400, Map.of("error", problem));
-            } else {
-                switch (verdict(spec)) {
-                    case 0 -> accept(request, spec);
-                    case 422 -> out.answer(request, 422, Map.of("error", "can never run: unknown team, no machine type that fits, or above the team's limit"));
-                    default -> out.later(request);
-                }
-            }
-        });
+        ask(
+                request,
+                id,
+                record -> {
+                    if (record != null) {
+                        known(request, id, record);
+                    } else if (spec == null) {
+                        out.answer(request, 400, Map.of("error", problem));
+                    } else {
+                        switch (verdict(spec)) {
+                            case 0 -> accept(request, spec);
+                            case 422 ->
+                                    out.answer(
+                                            request,
+                                            422,
+                                            Map.of(
+                                                    "error",
+                                                    "can never run: unknown team, no machine type"
+                                                        + " that fits, or above the team's limit"));
+                            default -> out.later(request);
+                        }
+                    }
+                });
     }
 
     private void known(long request, String id, JobRecord record) {
-        out.answer(request, 200, UserFormat.status(id, switch (record.status()) {
-            case DONE -> Shown.DONE;
-            case CANCELLED -> Shown.CANCELLED;
-            case OPEN -> counts.counts(id).running() > 0 ? Shown.RUNNING : Shown.PENDING;
-        }));
+        out.answer(
+                request,
+                200,
+                UserFormat.status(
+                        id,
+                        switch (record.status()) {
+                            case DONE -> Shown.DONE;
+                            case CANCELLED -> Shown.CANCELLED;
+                            case OPEN ->
+                                    counts.counts(id).running() > 0 ? Shown.RUNNING : Shown.PENDING;
+                        }));
     }
 
     /** 0: can run; 422: never; 503: not known yet. */
     private int verdict(JobSpec spec) {
         Settings.Team team = settings.teams().get(spec.team());
         int atOnce = spec.atLeastAtOnce();
-        if (team == null || spec.cpus() * atOnce > team.cpusMax() || spec.gpus() * atOnce > team.gpusMax()) {
+        if (team == null
+                || spec.cpus() * atOnce > team.cpusMax()
+                || spec.gpus() * atOnce > team.gpusMax()) {
             return 422;
         }
-        // A node from before there were services would run a replica to its end, and call the job done.
+        // A node from before there were services would run a replica to its end, and call the job
+        // done.
         if (!types.known() || (!spec.shape().ends() && !formats.services())) {
             return 503;
         }
@@ -173,16 +239,25 @@
         } else if (record.status() == JobStatus.CANCELLED) {
             out.answer(request, 200, UserFormat.status(id, Shown.CANCELLED));
         } else {
-            Map<String, Map<String, Object>> writes = Map.of(Keys.job(id), record.ended(JobStatus.CANCELLED).write());
-            write(request, new StateOp.Multi(Map.of(Keys.job(id), mirror.version(Keys.job(id))), writes), Tuning.WRITE_TRIES, reply -> {
-                if (reply.status() == 200) {
-                    out.answer(request, 200, UserFormat.status(id, Shown.CANCELLED));
-                } else if (tries > 1) {
-                    read(new Question(request, id, now -> cancel(request, id, now, tries - 1)));
-                } else {
-                    out.later(request);
-                }
-            });
+            Map<String, Map<String, Object>> writes =
+                    Map.of(Keys.job(id), record.ended(JobStatus.CANCELLED).write());
+            write(
+                    request,
+                    new StateOp.Multi(Map.of(Keys.job(id), mirror.version(Keys.job(id))), writes),
+                    Tuning.WRITE_TRIES,
+                    reply -> {
+                        if (reply.status() == 200) {
+                            out.answer(request, 200, UserFormat.status(id, Shown.CANCELLED));
+                        } else if (tries > 1) {
+                            read(
+                                    new Question(
+                                            request,
+                                            id,
+                                            now -> cancel(request, id, now, tries - 1)));
+                        } else {
+                            out.later(request);
+                        }
+                    });
         }
     }
 
@@ -192,19 +267,22 @@
             return;
         }
         working++;
-        boolean sent = out.stateForUser(op, reply -> {
-            working--;
-            if (reply.status() == 200) {
-                mirror.applied(reply, op.writes());
-                then.accept(reply);
-            } else if (reply.status() == 409) {
-                then.accept(reply);
-            } else if (reply.status() == 429 && tries > 1) {
-                write(request, op, tries - 1, then);
-            } else {
-                out.later(request);
-            }
-        });
+        boolean sent =
+                out.stateForUser(
+                        op,
+                        reply -> {
+                            working--;
+                            if (reply.status() == 200) {
+                                mirror.applied(reply, op.writes());
+                                then.accept(reply);
+                            } else if (reply.status() == 409) {
+                                then.accept(reply);
+                            } else if (reply.status() == 429 && tries > 1) {
+                                write(request, op, tries - 1, then);
+                            } else {
+                                out.later(request);
+                            }
+                        });
         if (!sent) {
             working--;
             out.later(request);
@@ -212,7 +290,9 @@
     }
 
     private boolean refuse(long request) {
-        if (!mirror.loaded() || out.stateAway() || working + questions.size() + unseen.size() >= Tuning.MAX_USER_WORK) {
+        if (!mirror.loaded()
+                || out.stateAway()
+                || working + questions.size() + unseen.size() >= Tuning.MAX_USER_WORK) {
             out.later(request);
             return true;
         }
@@ -252,10 +332,13 @@
             batch.add(q);
         }
         questions.subList(0, batch.size()).clear();
-        boolean sent = out.stateForUser(new StateOp.Multi(guards, Map.of()), reply -> {
-            readsInFlight--;
-            confirmed(reply, batch, guards);
-        });
+        boolean sent =
+                out.stateForUser(
+                        new StateOp.Multi(guards, Map.of()),
+                        reply -> {
+                            readsInFlight--;
+                            confirmed(reply, batch, guards);
+                        });
         if (sent) {
             readsInFlight++;
         } else {
@@ -278,7 +361,8 @@
         for (Question q : batch) {
             boolean forgotten = guards.get(Keys.job(q.id())) > 0 && seen(q.id()) == null;
             if (changed.contains(Keys.job(q.id())) || forgotten) {
-                // Done meanwhile, and its final state already crowded out of the cache: it has a record all the same.
+                // Done meanwhile, and its final state already crowded out of the cache: it has a
+                // record all the same.
                 read(q);
             } else {
                 unlessUnseen(q, reply);
@@ -291,7 +375,10 @@
         return last != null ? last : arrivals.record(id);
     }
 
-    /** No record of the job's own is there: nobody knows it unless a shared one, as new as this answer, names it. */
+    /**
+     * No record of the job's own is there: nobody knows it unless a shared one, as new as this
+     * answer, names it.
+     */
     private void unlessUnseen(Question q, StateReply reply) {
         JobRecord seen = seen(q.id());
         if (seen != null) {
@@ -299,7 +386,9 @@
             return;
         }
         try {
-            unseen.add(new Unseen(q, StateFormat.revision(new Tree(reply.body())), out.now.steadyMs()));
+            unseen.add(
+                    new Unseen(
+                            q, StateFormat.revision(new Tree(reply.body())), out.now.steadyMs()));
         } catch (Tree.Missing e) {
             out.later(q.request());
         }
@@ -322,24 +411,27 @@
             return;
         }
         working++;
-        boolean sent = out.stateForUser(new StateOp.Get(Keys.job(q.id())), reply -> {
-            working--;
-            if (reply.status() == 404) {
-                unlessUnseen(q, reply);
-                return;
-            }
-            if (reply.status() != 200) {
-                out.later(q.request());
-                return;
-            }
-            try {
-                StateFormat.Entry e = StateFormat.entry(new Tree(reply.body()));
-                mirror.apply(e.key(), e.value(), e.version());
-                q.then().accept(JobRecord.read(e.value()));
-            } catch (Tree.Missing x) {
-                out.later(q.request());
-            }
-        });
+        boolean sent =
+                out.stateForUser(
+                        new StateOp.Get(Keys.job(q.id())),
+                        reply -> {
+                            working--;
+                            if (reply.status() == 404) {
+                                unlessUnseen(q, reply);
+                                return;
+                            }
+                            if (reply.status() != 200) {
+                                out.later(q.request());
+                                return;
+                            }
+                            try {
+                                StateFormat.Entry e = StateFormat.entry(new Tree(reply.body()));
+                                mirror.apply(e.key(), e.value(), e.version());
+                                q.then().accept(JobRecord.read(e.value()));
+                            } catch (Tree.Missing x) {
+                                out.later(q.request());
+                            }
+                        });
         if (!sent) {
             working--;
             out.later(q.request());
@@ -352,9 +444,16 @@
         mirror.evict(Keys.job(id));
     }
 
-    /** A job is cancelled: its record stays in the view as long as its tasks may be on machines, and then goes the same way. */
+    /**
+     * A job is cancelled: its record stays in the view as long as its tasks may be on machines, and
+     * then goes the same way.
+     */
     void jobCancelled(String id) {
-        leaving.add(new Leaving(id, out.now.steadyMs() + (long) (settings.cancelS() * 1000 * Tuning.CANCELLED_KEPT)));
+        leaving.add(
+                new Leaving(
+                        id,
+                        out.now.steadyMs()
+                                + (long) (settings.cancelS() * 1000 * Tuning.CANCELLED_KEPT)));
     }
 
     private void dropCancelled() {
@@ -363,7 +462,15 @@
             Mirror.Entry entry = mirror.get(Keys.job(id));
             if (entry != null) {
                 JobRecord record = JobRecord.read(entry.value());
-                ended.put(id, new JobRecord(record.part(), record.status(), record.tasks(), record.acceptedMs(), record.begun(), null));
+                ended.put(
+                        id,
+                        new JobRecord(
+                                record.part(),
+                                record.status(),
+                                record.tasks(),
+                                record.acceptedMs(),
+                                record.begun(),
+                                null));
                 mirror.evict(Keys.job(id));
             }
         }
--- a/src/main/java/org/shoreusher/core/WorkerOrder.java
+++ b/src/main/java/org/shoreusher/core/WorkerOrder.java
@@ -5,6 +5,8 @@
 
     /** What the worker is to do with the task. */
     public enum Kind {
-        START, STOP, FORGET
+        START,
+        STOP,
+        FORGET
     }
 }
--- a/src/main/java/org/shoreusher/net/HttpCaller.java
+++ b/src/main/java/org/shoreusher/net/HttpCaller.java
@@ -50,26 +50,43 @@
         this(loop, target, Tuning.POOL_IDLE);
     }
 
-    /** @param keep idle connections to keep */
+    /**
+     * @param keep idle connections to keep
+     */
     public HttpCaller(EventLoop loop, Address target, int keep) {
         this.keep = keep;
         this.target = target;
         this.loop = loop;
-        bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, Tuning.CONNECT_MS).option(ChannelOption.TCP_NODELAY, true)
-                .handler(new ChannelInitializer<SocketChannel>() {
-                    @Override
-                    protected void initChannel(SocketChannel ch) {
-                        ch.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(Tuning.MAX_STATE_BODY), new Line(ch));
-                    }
-                });
+        bootstrap =
+                new Bootstrap()
+                        .group(loop)
+                        .channel(NioSocketChannel.class)
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, Tuning.CONNECT_MS)
+                        .option(ChannelOption.TCP_NODELAY, true)
+                        .handler(
+                                new ChannelInitializer<SocketChannel>() {
+                                    @Override
+                                    protected void initChannel(SocketChannel ch) {
+                                        ch.pipeline()
+                                                .addLast(
+                                                        new HttpClientCodec(),
+                                                        new HttpObjectAggregator(
+                                                                Tuning.MAX_STATE_BODY),
+                                                        new Line(ch));
+                                    }
+                                });
     }
 
     /** Calls; a null body means GET. To be used on the event loop. */
     public void call(String path, Map<String, Object> body, long timeoutMs, Answer answer) {
-        FullHttpRequest request = body == null
-                ? new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path)
-                : new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, path, Unpooled.wrappedBuffer(Tree.toCbor(body)));
+        FullHttpRequest request =
+                body == null
+                        ? new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path)
+                        : new DefaultFullHttpRequest(
+                                HttpVersion.HTTP_1_1,
+                                HttpMethod.POST,
+                                path,
+                                Unpooled.wrappedBuffer(Tree.toCbor(body)));
         request.headers().set(HttpHeaderNames.HOST, target.toString());
         if (body != null) {
             request.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/cbor");
@@ -89,14 +106,15 @@
             }
         }
         ChannelFuture connect = bootstrap.connect(target.ip(), target.port());
-        connect.addListener(done -> {
-            if (connect.isSuccess()) {
-                connect.channel().pipeline().get(Line.class).send(call, request, timeoutMs);
-            } else {
-                request.release();
-                call.end(0, null);
-            }
-        });
+        connect.addListener(
+                done -> {
+                    if (connect.isSuccess()) {
+                        connect.channel().pipeline().get(Line.class).send(call, request, timeoutMs);
+                    } else {
+                        request.release();
+                        call.end(0, null);
+                    }
+                });
     }
 
     private final class Call {
@@ -128,10 +146,14 @@
 
         void send(Call call, FullHttpRequest request, long timeoutMs) {
             current = call;
-            timeout = loop.schedule(() -> {
-                channel.close();
-                finish(0, null);
-            }, timeoutMs, TimeUnit.MILLISECONDS);
+            timeout =
+                    loop.schedule(
+                            () -> {
+                                channel.close();
+                                finish(0, null);
+                            },
+                            timeoutMs,
+                            TimeUnit.MILLISECONDS);
             channel.writeAndFlush(request);
         }
 
--- a/src/main/java/org/shoreusher/peer/HintCodec.java
+++ b/src/main/java/org/shoreusher/peer/HintCodec.java
@@ -1,6 +1,5 @@
 package org.shoreusher.peer;
 
-import org.shoreusher.settings.Tuning;
 import com.esotericsoftware.kryo.Kryo;
 import com.esotericsoftware.kryo.KryoException;
 import com.esotericsoftware.kryo.Serializer;
@@ -11,8 +10,12 @@
 import org.shoreusher.core.Hint;
 import org.shoreusher.core.Hint.Claim;
 import org.shoreusher.core.Hint.PartHint;
+import org.shoreusher.settings.Tuning;
 
-/** Hints in Kryo's form. Only the registered classes are read, so bytes from elsewhere build nothing else. */
+/**
+ * Hints in Kryo's form. Only the registered classes are read, so bytes from elsewhere build nothing
+ * else.
+ */
 public final class HintCodec {
     private final Kryo kryo = new Kryo();
 
@@ -45,33 +48,40 @@
             out.writeBoolean(h.stateOk());
             out.writeDouble(h.upS());
             out.writeVarInt(h.parts().size(), true);
-            h.parts().forEach((n, part) -> {
-                out.writeVarInt(n, true);
-                out.writeDouble(part.room());
-                out.writeVarInt(part.idle(), true);
-                out.writeVarInt(part.lacks(), true);
-                out.writeVarInt(part.claims().size(), true);
-                part.claims().forEach((team, claim) -> {
-                    out.writeString(team);
-                    out.writeDouble(claim.urgent());
-                    out.writeDouble(claim.other());
-                });
-            });
+            h.parts()
+                    .forEach(
+                            (n, part) -> {
+                                out.writeVarInt(n, true);
+                                out.writeDouble(part.room());
+                                out.writeVarInt(part.idle(), true);
+                                out.writeVarInt(part.lacks(), true);
+                                out.writeVarInt(part.claims().size(), true);
+                                part.claims()
+                                        .forEach(
+                                                (team, claim) -> {
+                                                    out.writeString(team);
+                                                    out.writeDouble(claim.urgent());
+                                                    out.writeDouble(claim.other());
+                                                });
+                            });
             out.writeVarInt(h.back().size(), true);
-            h.back().forEach((n, workers) -> {
-                out.writeVarInt(n, true);
-                out.writeVarInt(workers, true);
-            });
+            h.back()
+                    .forEach(
+                            (n, workers) -> {
+                                out.writeVarInt(n, true);
+                                out.writeVarInt(workers, true);
+                            });
             counts(out, h.running());
             counts(out, h.done());
         }
 
         private static void counts(Output out, Map<String, Integer> counts) {
             out.writeVarInt(counts.size(), true);
-            counts.forEach((job, count) -> {
-                out.writeString(job);
-                out.writeVarInt(count, true);
-            });
+            counts.forEach(
+                    (job, count) -> {
+                        out.writeString(job);
+                        out.writeVarInt(count, true);
+                    });
         }
 
         @Override
@@ -85,7 +95,13 @@
             double upS = in.readDouble();
             Map<Integer, PartHint> parts = new HashMap<>();
             for (int i = entries(in); i > 0; i--) {
-                parts.put(in.readVarInt(true), new PartHint(in.readDouble(), in.readVarInt(true), in.readVarInt(true), claims(in)));
+                parts.put(
+                        in.readVarInt(true),
+                        new PartHint(
+                                in.readDouble(),
+                                in.readVarInt(true),
+                                in.readVarInt(true),
+                                claims(in)));
             }
             Map<Integer, Integer> back = new HashMap<>();
             for (int i = entries(in); i > 0; i--) {
--- a/src/main/java/org/shoreusher/peer/Peers.java
+++ b/src/main/java/org/shoreusher/peer/Peers.java
@@ -25,7 +25,9 @@
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 
-/** Tells the other controllers hints and hears theirs. A hint that can't be sent at once is dropped. */
+/**
+ * Tells the other controllers hints and hears theirs. A hint that can't be sent at once is dropped.
+ */
 public final class Peers {
     private final EventLoopGroup loop;
     private final Settings settings;
@@ -42,14 +44,24 @@
 
     /** Begins to listen. */
     public void listen() throws InterruptedException {
-        new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class).option(ChannelOption.SO_REUSEADDR, true)
-                .childHandler(new ChannelInitializer<SocketChannel>() {
-                    @Override
-                    protected void initChannel(SocketChannel ch) {
-                        ch.pipeline().addLast(new ReadTimeoutHandler(Tuning.IDLE_CONNECTION_S),
-                                new LengthFieldBasedFrameDecoder(Tuning.MAX_HINT, 0, 4, 0, 4), new Hearer());
-                    }
-                }).bind(settings.back().ip(), settings.back().port()).sync();
+        new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .childHandler(
+                        new ChannelInitializer<SocketChannel>() {
+                            @Override
+                            protected void initChannel(SocketChannel ch) {
+                                ch.pipeline()
+                                        .addLast(
+                                                new ReadTimeoutHandler(Tuning.IDLE_CONNECTION_S),
+                                                new LengthFieldBasedFrameDecoder(
+                                                        Tuning.MAX_HINT, 0, 4, 0, 4),
+                                                new Hearer());
+                            }
+                        })
+                .bind(settings.back().ip(), settings.back().port())
+                .sync();
     }
 
     /** Tells every peer that is connected, and connects to the others. */
@@ -72,18 +84,25 @@
         if (connecting.putIfAbsent(member.host(), true) != null) {
             return;
         }
-        new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, Tuning.CONNECT_MS)
-                .handler(new ChannelInitializer<SocketChannel>() {
-                    @Override
-                    protected void initChannel(SocketChannel ch) {
-                        ch.pipeline().addLast(new LengthFieldPrepender(4), new Closer());
-                    }
-                }).connect(member.address().ip(), member.address().port()).addListener((io.netty.channel.ChannelFuture done) -> {
-                    connecting.remove(member.host());
-                    if (done.isSuccess()) {
-                        lines.put(member.host(), done.channel());
-                    }
-                });
+        new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, Tuning.CONNECT_MS)
+                .handler(
+                        new ChannelInitializer<SocketChannel>() {
+                            @Override
+                            protected void initChannel(SocketChannel ch) {
+                                ch.pipeline().addLast(new LengthFieldPrepender(4), new Closer());
+                            }
+                        })
+                .connect(member.address().ip(), member.address().port())
+                .addListener(
+                        (io.netty.channel.ChannelFuture done) -> {
+                            connecting.remove(member.host());
+                            if (done.isSuccess()) {
+                                lines.put(member.host(), done.channel());
+                            }
+                        });
     }
 
     private final class Hearer extends SimpleChannelInboundHandler<ByteBuf> {
--- a/src/main/java/org/shoreusher/settings/Settings.java
+++ b/src/main/java/org/shoreusher/settings/Settings.java
@@ -10,16 +10,34 @@
 import org.shoreusher.wire.Tree;
 
 /**
- * The validated settings file that the platform hands over. Unknown fields are ignored. Where the file says which limits the
- * state service will have later, the stricter of both count from the start: nobody tells when the later ones come into force,
- * and what was written above them by then could not be written again.
+ * The validated settings file that the platform hands over. Unknown fields are ignored. Where the
+ * file says which limits the state service will have later, the stricter of both count from the
+ * start: nobody tells when the later ones come into force, and what was written above them by then
+ * could not be written again.
  */
-public record Settings(String host, String zone, Address front, Address back, List<Member> members,
-                       Address cloud, Address state, int nodes, List<String> zones,
-                       Map<String, Team> teams, List<Objective> objectives, double reportS,
-                       double workerLeaseS, double cancelS, double stateRps, double stateWriteRps,
-                       int valueBytes, int txnOps, double cloudRps, double listLagS, int sockets,
-                       long clockOffMs) {
+public record Settings(
+        String host,
+        String zone,
+        Address front,
+        Address back,
+        List<Member> members,
+        Address cloud,
+        Address state,
+        int nodes,
+        List<String> zones,
+        Map<String, Team> teams,
+        List<Objective> objectives,
+        double reportS,
+        double workerLeaseS,
+        double cancelS,
+        double stateRps,
+        double stateWriteRps,
+        int valueBytes,
+        int txnOps,
+        double cloudRps,
+        double listLagS,
+        int sockets,
+        long clockOffMs) {
 
     /** A numeric address. */
     public record Address(String ip, int port) {
@@ -30,16 +48,19 @@
     }
 
     /** Another controller. */
-    public record Member(String host, Address address) {
-    }
+    public record Member(String host, Address address) {}
 
-    /** A team's guarantee and limit. A limit that the file leaves out or gives as 0 is none, here infinite. */
-    public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {
-    }
+    /**
+     * A team's guarantee and limit. A limit that the file leaves out or gives as 0 is none, here
+     * infinite.
+     */
+    public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
 
-    /** An aim on starting or finishing, as the users stated it; {@code times} stretches a deadline. */
-    public record Objective(String kind, String jobClass, double withinS, double share, double times) {
-    }
+    /**
+     * An aim on starting or finishing, as the users stated it; {@code times} stretches a deadline.
+     */
+    public record Objective(
+            String kind, String jobClass, double withinS, double share, double times) {}
 
     /** Thrown with one clear sentence when the file can't be used. */
     public static final class Invalid extends Exception {
@@ -67,7 +88,9 @@
         try {
             root = Tree.json(json);
         } catch (IOException e) {
-            throw new Invalid("settings are not valid JSON: " + e.getMessage().lines().findFirst().orElse(""));
+            throw new Invalid(
+                    "settings are not valid JSON: "
+                            + e.getMessage().lines().findFirst().orElse(""));
         }
         try {
             return read(root);
@@ -85,37 +108,72 @@
         Tree d = root.map("deployment");
         Map<String, Team> teams = new LinkedHashMap<>();
         for (Tree t : d.list("teams")) {
-            Team team = new Team(t.text("name"), t.numberOr("cpus", 0), limit(t, "cpus_max"), t.numberOr("gpus", 0), limit(t, "gpus_max"));
-            require(teams.put(team.name(), team) == null, "team " + team.name() + " is there twice");
+            Team team =
+                    new Team(
+                            t.text("name"),
+                            t.numberOr("cpus", 0),
+                            limit(t, "cpus_max"),
+                            t.numberOr("gpus", 0),
+                            limit(t, "gpus_max"));
+            require(
+                    teams.put(team.name(), team) == null,
+                    "team " + team.name() + " is there twice");
         }
         List<Objective> objectives = new ArrayList<>();
         for (Tree o : d.list("objectives")) {
-            objectives.add(new Objective(o.text("kind"), o.textOr("class", ""), o.numberOr("within_s", Double.NaN), o.numberOr("share", Double.NaN), o.numberOr("times", 1)));
+            objectives.add(
+                    new Objective(
+                            o.text("kind"),
+                            o.textOr("class", ""),
+                            o.numberOr("within_s", Double.NaN),
+                            o.numberOr("share", Double.NaN),
+                            o.numberOr("times", 1)));
         }
         List<String> zones = d.texts("zones");
         Tree workers = d.map("workers");
         Tree state = d.map("state");
         Tree next = state.has("next") ? state.map("next") : new Tree(Map.of());
         Tree cloud = d.map("cloud");
-        Settings s = new Settings(root.text("host_name"), root.text("zone"), address(root.text("front"), "front"),
-                address(root.text("back"), "back"), List.copyOf(members), address(ends.text("cloud"), "endpoints.cloud"),
-                address(ends.text("state"), "endpoints.state"), (int) d.number("count"), zones, teams,
-                List.copyOf(objectives), workers.number("report_s"), workers.number("lease_s"), workers.number("cancel_s"),
-                stricter(state, next, "rps"), stricter(state, next, "write_rps"), (int) (stricter(state, next, "value_kb") * 1024),
-                (int) stricter(state, next, "txn_ops"), cloud.number("rps"), cloud.number("list_lag_s"),
-                (int) d.map("limits").numberOr("sockets", 1_000), (long) d.number("clock_off_ms"));
+        Settings s =
+                new Settings(
+                        root.text("host_name"),
+                        root.text("zone"),
+                        address(root.text("front"), "front"),
+                        address(root.text("back"), "back"),
+                        List.copyOf(members),
+                        address(ends.text("cloud"), "endpoints.cloud"),
+                        address(ends.text("state"), "endpoints.state"),
+                        (int) d.number("count"),
+                        zones,
+                        teams,
+                        List.copyOf(objectives),
+                        workers.number("report_s"),
+                        workers.number("lease_s"),
+                        workers.number("cancel_s"),
+                        stricter(state, next, "rps"),
+                        stricter(state, next, "write_rps"),
+                        (int) (stricter(state, next, "value_kb") * 1024),
+                        (int) stricter(state, next, "txn_ops"),
+                        cloud.number("rps"),
+                        cloud.number("list_lag_s"),
+                        (int) d.map("limits").numberOr("sockets", 1_000),
+                        (long) d.number("clock_off_ms"));
         s.check();
         return s;
     }
 
-    private static double stricter(Tree state, Tree next, String field) throws Tree.Missing, Invalid {
+    private static double stricter(Tree state, Tree next, String field)
+            throws Tree.Missing, Invalid {
         double now = state.number(field);
         double later = next.numberOr(field, now);
         require(later > 0 || !next.has(field), "state.next." + field + " must be above 0");
         return Math.min(now, later);
     }
 
-    /** "0 means none", of guarantees and of limits alike. Taken for no CPUs at all, it had every job of the team refused for good. */
+    /**
+     * "0 means none", of guarantees and of limits alike. Taken for no CPUs at all, it had every job
+     * of the team refused for good.
+     */
     private static double limit(Tree team, String field) throws Tree.Missing {
         double limit = team.numberOr(field, 0);
         return limit == 0 ? Double.POSITIVE_INFINITY : limit;
@@ -124,26 +182,38 @@
     private void check() throws Invalid {
         require(!host.isEmpty(), "host_name is empty");
         require(nodes >= 1, "deployment.count must be at least 1");
-        require(reportS > 0 && workerLeaseS > reportS, "workers.lease_s must be longer than workers.report_s");
+        require(
+                reportS > 0 && workerLeaseS > reportS,
+                "workers.lease_s must be longer than workers.report_s");
         require(cancelS > 0, "workers.cancel_s must be above 0");
         require(stateRps > 0, "state.rps must be above 0");
         require(stateWriteRps > 0, "state.write_rps must be above 0");
         require(cloudRps > 0, "cloud.rps must be above 0");
         require(listLagS >= 0, "cloud.list_lag_s must not be negative");
-        require(txnOps >= 4, "state.txn_ops (also in state.next) must be at least 4: a takeover changes three keys");
+        require(
+                txnOps >= 4,
+                "state.txn_ops (also in state.next) must be at least 4: a takeover changes three"
+                        + " keys");
         require(valueBytes >= 1024, "state.value_kb (also in state.next) must be at least 1");
-        require(clockOffMs >= 0 && clockOffMs * 4 < Tuning.LEASE_MS, "clock_off_ms must be far below the lease of " + Tuning.LEASE_MS + " ms");
-        require(sockets > 2 * Tuning.OWN_SOCKETS, "limits.sockets must be above " + 2 * Tuning.OWN_SOCKETS);
+        require(
+                clockOffMs >= 0 && clockOffMs * 4 < Tuning.LEASE_MS,
+                "clock_off_ms must be far below the lease of " + Tuning.LEASE_MS + " ms");
+        require(
+                sockets > 2 * Tuning.OWN_SOCKETS,
+                "limits.sockets must be above " + 2 * Tuning.OWN_SOCKETS);
         for (Team t : teams.values()) {
             check(t.name, "cpus", t.cpus, t.cpusMax);
             check(t.name, "gpus", t.gpus, t.gpusMax);
         }
     }
 
-    private static void check(String team, String field, double guarantee, double limit) throws Invalid {
+    private static void check(String team, String field, double guarantee, double limit)
+            throws Invalid {
         require(guarantee >= 0, field + " of team " + team + " must not be negative");
         require(limit >= 0, field + "_max of team " + team + " must not be negative");
-        require(guarantee <= limit, field + " of team " + team + " must not be above its " + field + "_max");
+        require(
+                guarantee <= limit,
+                field + " of team " + team + " must not be above its " + field + "_max");
     }
 
     private static void require(boolean ok, String message) throws Invalid {
@@ -162,7 +232,8 @@
         } catch (NumberFormatException e) {
             // told below, with the field's name
         }
-        throw new Invalid("settings: " + field + " is not an address like 10.0.0.1:8080: '" + text + "'");
+        throw new Invalid(
+                "settings: " + field + " is not an address like 10.0.0.1:8080: '" + text + "'");
     }
 
     /** Reads an address out of a message; null if it is none. */
--- a/src/main/java/org/shoreusher/state/StateClient.java
+++ b/src/main/java/org/shoreusher/state/StateClient.java
@@ -12,8 +12,12 @@
 /** Carries calls to the state service and brings back their answers. */
 public final class StateClient {
     private final HttpCaller caller;
-    /** Heartbeats have connections of their own, so that nothing that holds the others starves them. */
+
+    /**
+     * Heartbeats have connections of their own, so that nothing that holds the others starves them.
+     */
     private final HttpCaller renewals;
+
     private final Consumer<Command> core;
 
     public StateClient(EventLoop loop, Settings settings, Consumer<Command> core) {
@@ -26,7 +30,10 @@
         StateFormat.Request request = StateFormat.request(call.op());
         long wait = call.op() instanceof Effect.StateOp.Watch w ? w.blockMs() : 0;
         HttpCaller line = call.urgent() ? renewals : caller;
-        line.call(request.path(), request.body(), Tuning.STATE_TIMEOUT_MS + wait,
+        line.call(
+                request.path(),
+                request.body(),
+                Tuning.STATE_TIMEOUT_MS + wait,
                 (status, body) -> core.accept(new Command.StateReply(call.call(), status, body)));
     }
 }
--- a/src/main/java/org/shoreusher/user/FrontServer.java
+++ b/src/main/java/org/shoreusher/user/FrontServer.java
@@ -51,44 +51,68 @@
     private static final String HELLO = "/hello";
     private static final String CANCEL = "/cancel";
 
-    private record Waiting(ChannelHandlerContext channel, boolean keepAlive, long sinceNs, boolean user) {
-    }
+    private record Waiting(
+            ChannelHandlerContext channel, boolean keepAlive, long sinceNs, boolean user) {}
 
     private final EventLoopGroup loop;
     private final Settings settings;
     private final Predicate<Command> core;
     private final LongSupplier lagMs;
     private final Long2ObjectOpenHashMap<Waiting> waiting = new Long2ObjectOpenHashMap<>();
-    private final Histogram userLatency = new Histogram(TimeUnit.SECONDS.toMicros(Tuning.LATENCY_LINE_S), 2);
+    private final Histogram userLatency =
+            new Histogram(TimeUnit.SECONDS.toMicros(Tuning.LATENCY_LINE_S), 2);
     private long nextRequest = 1;
+
     /** Open connections, the one that has been quiet for longest first. */
     private final ObjectLinkedOpenHashSet<Channel> connections = new ObjectLinkedOpenHashSet<>();
-    /** s; a worker that has said nothing for so long reports on another connection by now, or is gone. */
+
+    /**
+     * s; a worker that has said nothing for so long reports on another connection by now, or is
+     * gone.
+     */
     private final int workerIdleS;
 
     /**
      * @param core takes a command, or refuses it when too many wait
      * @param lagMs how far this node is behind its work
      */
-    public FrontServer(EventLoopGroup loop, Settings settings, Predicate<Command> core, LongSupplier lagMs) {
+    public FrontServer(
+            EventLoopGroup loop, Settings settings, Predicate<Command> core, LongSupplier lagMs) {
         this.lagMs = lagMs;
         this.loop = loop;
         this.settings = settings;
         this.core = core;
-        workerIdleS = (int) Math.ceil(Math.max(Tuning.IDLE_WORKER_S, Tuning.IDLE_WORKER_REPORTS * settings.reportS()));
+        workerIdleS =
+                (int)
+                        Math.ceil(
+                                Math.max(
+                                        Tuning.IDLE_WORKER_S,
+                                        Tuning.IDLE_WORKER_REPORTS * settings.reportS()));
     }
 
     /** Begins to listen. */
     public void listen() throws InterruptedException {
-        new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class).option(ChannelOption.SO_REUSEADDR, true)
-                .option(ChannelOption.SO_BACKLOG, settings.sockets()).childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new ChannelInitializer<SocketChannel>() {
-                    @Override
-                    protected void initChannel(SocketChannel ch) {
-                        Pace pace = new Pace();
-                        ch.pipeline().addLast(pace, new HttpServerCodec(), new Bodies(), new Requests(pace));
-                    }
-                }).bind(settings.front().ip(), settings.front().port()).sync();
+        new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .option(ChannelOption.SO_BACKLOG, settings.sockets())
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childHandler(
+                        new ChannelInitializer<SocketChannel>() {
+                            @Override
+                            protected void initChannel(SocketChannel ch) {
+                                Pace pace = new Pace();
+                                ch.pipeline()
+                                        .addLast(
+                                                pace,
+                                                new HttpServerCodec(),
+                                                new Bodies(),
+                                                new Requests(pace));
+                            }
+                        })
+                .bind(settings.front().ip(), settings.front().port())
+                .sync();
     }
 
     /** Sends the core's answer, if the one who asked is still there. */
@@ -98,22 +122,43 @@
             return;
         }
         if (w.user) {
-            userLatency.recordValue(Math.min(userLatency.getHighestTrackableValue(), TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - w.sinceNs)));
+            userLatency.recordValue(
+                    Math.min(
+                            userLatency.getHighestTrackableValue(),
+                            TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - w.sinceNs)));
         }
         send(w.channel, w.keepAlive, answer.status(), answer.body(), answer.retryAfterS());
     }
 
     /** How long users have waited since the last call, as one line. */
     public String latency() {
-        String line = "users: " + userLatency.getTotalCount() + " answers, median " + userLatency.getValueAtPercentile(50) / 1000.0 + " ms, 99% "
-                + userLatency.getValueAtPercentile(99) / 1000.0 + " ms, most " + userLatency.getMaxValue() / 1000.0 + " ms; " + connections.size() + " connections";
+        String line =
+                "users: "
+                        + userLatency.getTotalCount()
+                        + " answers, median "
+                        + userLatency.getValueAtPercentile(50) / 1000.0
+                        + " ms, 99% "
+                        + userLatency.getValueAtPercentile(99) / 1000.0
+                        + " ms, most "
+                        + userLatency.getMaxValue() / 1000.0
+                        + " ms; "
+                        + connections.size()
+                        + " connections";
         userLatency.reset();
         return line;
     }
 
-    private static void send(ChannelHandlerContext ctx, boolean keepAlive, int status, Map<String, Object> body, int retryAfterS) {
-        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status),
-                Unpooled.wrappedBuffer(Tree.toCbor(body)));
+    private static void send(
+            ChannelHandlerContext ctx,
+            boolean keepAlive,
+            int status,
+            Map<String, Object> body,
+            int retryAfterS) {
+        FullHttpResponse response =
+                new DefaultFullHttpResponse(
+                        HttpVersion.HTTP_1_1,
+                        HttpResponseStatus.valueOf(status),
+                        Unpooled.wrappedBuffer(Tree.toCbor(body)));
         response.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/cbor");
         HttpUtil.setContentLength(response, response.content().readableBytes());
         if (retryAfterS > 0) {
@@ -122,11 +167,18 @@
         if (!keepAlive) {
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
-        ctx.writeAndFlush(response).addListener(keepAlive ? ChannelFutureListener.CLOSE_ON_FAILURE : ChannelFutureListener.CLOSE);
+        ctx.writeAndFlush(response)
+                .addListener(
+                        keepAlive
+                                ? ChannelFutureListener.CLOSE_ON_FAILURE
+                                : ChannelFutureListener.CLOSE);
         ctx.channel().config().setAutoRead(true);
     }
 
-    /** Joins a request with its body; one that is too long is malformed like any other, and says so before it has arrived whole. */
+    /**
+     * Joins a request with its body; one that is too long is malformed like any other, and says so
+     * before it has arrived whole.
+     */
     private static final class Bodies extends HttpObjectAggregator {
         Bodies() {
             super(Tuning.MAX_BODY);
@@ -134,7 +186,12 @@
 
         @Override
         protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
-            send(ctx, false, 400, Map.of("error", "the body is longer than " + Tuning.MAX_BODY + " bytes"), 0);
+            send(
+                    ctx,
+                    false,
+                    400,
+                    Map.of("error", "the body is longer than " + Tuning.MAX_BODY + " bytes"),
+                    0);
         }
     }
 
@@ -159,7 +216,8 @@
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            // With all sockets taken the one longest quiet makes room: behind a cut half of the machines leave connections
+            // With all sockets taken the one longest quiet makes room: behind a cut half of the
+            // machines leave connections
             // that look open, and refusing new ones would shut out all who can be reached.
             if (connections.size() >= settings.sockets() - Tuning.OWN_SOCKETS) {
                 connections.removeFirst().close();
@@ -209,8 +267,13 @@
             boolean user = path.startsWith(JOBS);
             current = nextRequest++;
             pace.complete(ctx, path.equals(HELLO));
-            // A node that can't keep up serves its workers first, whose leases run; then submissions and cancellations, then polls.
-            if (user && lagMs.getAsLong() > (http.method().equals(HttpMethod.GET) ? Tuning.SHED_POLLS_MS : Tuning.SHED_USERS_MS)) {
+            // A node that can't keep up serves its workers first, whose leases run; then
+            // submissions and cancellations, then polls.
+            if (user
+                    && lagMs.getAsLong()
+                            > (http.method().equals(HttpMethod.GET)
+                                    ? Tuning.SHED_POLLS_MS
+                                    : Tuning.SHED_USERS_MS)) {
                 send(ctx, keepAlive, 503, Map.of(), Tuning.retryAfterS(current));
                 return;
             }
@@ -227,7 +290,8 @@
             }
         }
 
-        private Command command(ChannelHandlerContext ctx, boolean keepAlive, FullHttpRequest http, String path) {
+        private Command command(
+                ChannelHandlerContext ctx, boolean keepAlive, FullHttpRequest http, String path) {
             boolean post = http.method().equals(HttpMethod.POST);
             boolean get = http.method().equals(HttpMethod.GET);
             if (post && path.equals(HELLO)) {
@@ -246,12 +310,19 @@
                 return new Command.Poll(current, path.substring(JOBS.length() + 1));
             }
             if (post && path.startsWith(JOBS + "/") && path.endsWith(CANCEL)) {
-                return new Command.Cancel(current, path.substring(JOBS.length() + 1, path.length() - CANCEL.length()));
+                return new Command.Cancel(
+                        current,
+                        path.substring(JOBS.length() + 1, path.length() - CANCEL.length()));
             }
             if (get && path.equals("/ready")) {
                 return new Command.Ready(current);
             }
-            send(ctx, keepAlive, path.equals(JOBS) || path.equals(HELLO) || path.equals("/ready") ? 405 : 404, Map.of("error", "no such path or method"), 0);
+            send(
+                    ctx,
+                    keepAlive,
+                    path.equals(JOBS) || path.equals(HELLO) || path.equals("/ready") ? 405 : 404,
+                    Map.of("error", "no such path or method"),
+                    0);
             return null;
         }
 
--- a/src/main/java/org/shoreusher/wire/CloudFormat.java
+++ b/src/main/java/org/shoreusher/wire/CloudFormat.java
@@ -1,6 +1,5 @@
 package org.shoreusher.wire;
 
-import org.shoreusher.settings.Tuning;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -9,11 +8,11 @@
 import org.shoreusher.core.Command.Listed;
 import org.shoreusher.core.Effect.CloudOp;
 import org.shoreusher.core.MachineType;
+import org.shoreusher.settings.Tuning;
 
 /** Requests to the cloud and their answers. */
 public final class CloudFormat {
-    private CloudFormat() {
-    }
+    private CloudFormat() {}
 
     public static StateFormat.Request request(CloudOp op) {
         if (op instanceof CloudOp.Types) {
@@ -41,8 +40,18 @@
         List<MachineType> out = new ArrayList<>();
         for (Tree m : t.list("presses")) {
             double price = m.numberOr("rate", 1);
-            out.add(new MachineType(m.text("sku"), m.number("cpus"), m.numberOr("gpus", 0), m.number("mem_gb"), m.numberOr("cache_gb", 0),
-                    m.numberOr("pull_gb_per_s", 1), price, m.numberOr("low_price", price), m.numberOr("ready_s", 60), m.texts("yards")));
+            out.add(
+                    new MachineType(
+                            m.text("sku"),
+                            m.number("cpus"),
+                            m.numberOr("gpus", 0),
+                            m.number("mem_gb"),
+                            m.numberOr("cache_gb", 0),
+                            m.numberOr("pull_gb_per_s", 1),
+                            price,
+                            m.numberOr("low_price", price),
+                            m.numberOr("ready_s", 60),
+                            m.texts("yards")));
         }
         return out;
     }
@@ -54,7 +63,14 @@
     public static ListPage machines(Tree t) throws Tree.Missing {
         List<Listed> out = new ArrayList<>();
         for (Tree m : t.list("boxes")) {
-            out.add(new Listed(m.text("name_id"), m.text("press"), m.text("yard"), m.flagOr("loaners", false), m.text("status"), m.numberOr("age_s", 0)));
+            out.add(
+                    new Listed(
+                            m.text("name_id"),
+                            m.text("press"),
+                            m.text("yard"),
+                            m.flagOr("loaners", false),
+                            m.text("status"),
+                            m.numberOr("age_s", 0)));
         }
         return new ListPage(out, t.flagOr("more", false));
     }
--- a/src/main/java/org/shoreusher/wire/StateFormat.java
+++ b/src/main/java/org/shoreusher/wire/StateFormat.java
@@ -9,16 +9,13 @@
 
 /** Requests to the state service and entries of its answers. */
 public final class StateFormat {
-    private StateFormat() {
-    }
+    private StateFormat() {}
 
     /** A request; a null body means GET. */
-    public record Request(String path, Map<String, Object> body) {
-    }
+    public record Request(String path, Map<String, Object> body) {}
 
     /** One key as read or as changed; a null value: removed. */
-    public record Entry(String key, Map<String, Object> value, long version) {
-    }
+    public record Entry(String key, Map<String, Object> value, long version) {}
 
     public static Request request(StateOp op) {
         if (op instanceof StateOp.Get get) {
@@ -29,13 +26,20 @@
             return new Request("/store?prefix=" + after + "&most=" + Tuning.PAGE, null);
         }
         if (op instanceof StateOp.Watch watch) {
-            return new Request("/watch?prefix=&after=" + watch.after() + "&block_ms=" + watch.blockMs(), null);
+            return new Request(
+                    "/watch?prefix=&after=" + watch.after() + "&block_ms=" + watch.blockMs(), null);
         }
         StateOp.Multi multi = (StateOp.Multi) op;
         List<Object> guards = new ArrayList<>();
         multi.guards().forEach((key, version) -> guards.add(map("k", key, "stamp", version)));
         List<Object> writes = new ArrayList<>();
-        multi.writes().forEach((key, value) -> writes.add(value == null ? map("remove", key) : map("write", key, "value", value)));
+        multi.writes()
+                .forEach(
+                        (key, value) ->
+                                writes.add(
+                                        value == null
+                                                ? map("remove", key)
+                                                : map("write", key, "value", value)));
         Map<String, Object> body = new LinkedHashMap<>();
         body.put("guards", guards);
         if (!writes.isEmpty()) {
@@ -79,8 +83,10 @@
     public static List<Entry> changes(Tree t) throws Tree.Missing {
         List<Entry> out = new ArrayList<>();
         for (Tree e : t.list("log")) {
-            out.add(e.has("remove") ? new Entry(e.text("remove"), null, e.whole("stamp"))
-                    : new Entry(e.text("write"), e.map("value").asMap(), e.whole("stamp")));
+            out.add(
+                    e.has("remove")
+                            ? new Entry(e.text("remove"), null, e.whole("stamp"))
+                            : new Entry(e.text("write"), e.map("value").asMap(), e.whole("stamp")));
         }
         return out;
     }
--- a/src/main/java/org/shoreusher/wire/Tree.java
+++ b/src/main/java/org/shoreusher/wire/Tree.java
@@ -1,6 +1,5 @@
 package org.shoreusher.wire;
 
-import org.shoreusher.settings.Tuning;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
@@ -13,6 +12,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import org.shoreusher.settings.Tuning;
 
 /**
  * A map of a message, read by field. Messages are plain maps, lists, text, numbers and booleans;
@@ -20,10 +20,20 @@
  * start-up.
  */
 public final class Tree {
-    private static final CBORFactory CBOR = CBORFactory.builder()
-            .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(Tuning.MAX_DEPTH).build()).build();
-    private static final JsonFactory JSON = JsonFactory.builder()
-            .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(Tuning.MAX_DEPTH).build()).build();
+    private static final CBORFactory CBOR =
+            CBORFactory.builder()
+                    .streamReadConstraints(
+                            StreamReadConstraints.builder()
+                                    .maxNestingDepth(Tuning.MAX_DEPTH)
+                                    .build())
+                    .build();
+    private static final JsonFactory JSON =
+            JsonFactory.builder()
+                    .streamReadConstraints(
+                            StreamReadConstraints.builder()
+                                    .maxNestingDepth(Tuning.MAX_DEPTH)
+                                    .build())
+                    .build();
 
     /** A field that is missing or not of its kind. */
     public static final class Missing extends Exception {
@@ -94,7 +104,9 @@
                 return p.getText();
             }
             case VALUE_NUMBER_INT -> {
-                return p.getNumberType() == JsonParser.NumberType.BIG_INTEGER ? p.getBigIntegerValue() : (Object) p.getLongValue();
+                return p.getNumberType() == JsonParser.NumberType.BIG_INTEGER
+                        ? p.getBigIntegerValue()
+                        : (Object) p.getLongValue();
             }
             case VALUE_NUMBER_FLOAT -> {
                 return p.getDoubleValue();
@@ -173,7 +185,8 @@
 
     public Tree map(String field) throws Missing {
         @SuppressWarnings("unchecked")
-        Map<String, Object> m = map.get(field) instanceof Map<?, ?> v ? (Map<String, Object>) v : null;
+        Map<String, Object> m =
+                map.get(field) instanceof Map<?, ?> v ? (Map<String, Object>) v : null;
         if (m == null) {
             throw new Missing(field + " must be a map");
         }
--- a/src/main/java/org/shoreusher/wire/UserFormat.java
+++ b/src/main/java/org/shoreusher/wire/UserFormat.java
@@ -12,11 +12,14 @@
 public final class UserFormat {
     private static final String SWEEP = "sweep";
     private static final String SERVICE = "service";
-    /** In the state service only: a service is described as a sweep with this mark, since versions from before there were services can't read another shape. */
+
+    /**
+     * In the state service only: a service is described as a sweep with this mark, since versions
+     * from before there were services can't read another shape.
+     */
     private static final String KEPT_UP = "kept_up";
 
-    private UserFormat() {
-    }
+    private UserFormat() {}
 
     /** Whether this has the form of a job id. */
     public static boolean isId(String id) {
@@ -48,21 +51,42 @@
         String id = t.text("name_id");
         need(isId(id), "name_id must look like wk-000412");
         long tasks = t.whole("sheets");
-        need(tasks >= 1 && tasks <= Tuning.MAX_TASKS, "sheets must be between 1 and " + Tuning.MAX_TASKS);
+        need(
+                tasks >= 1 && tasks <= Tuning.MAX_TASKS,
+                "sheets must be between 1 and " + Tuning.MAX_TASKS);
         double cpus = amount(t, "cpus");
         double gpus = amount(t, "gpus");
         double mem = amount(t, "mem_gb");
         List<String> types = t.has("presses") ? t.texts("presses") : null;
         double deadline = t.has("due_s") ? amount(t, "due_s") : Double.NaN;
-        return new JobSpec(id, t.text("queue"), t.text("crew"), shape, priority(t.text("urgency")), (int) tasks, cpus, gpus, mem,
-                t.text("plate"), amount(t, "size_gb"), types, t.textOr("yard", null), t.flag("one_zone"),
-                t.flag("scatter"), t.flag("loaners"), amount(t, "runtime_s"),
-                amount(t, "proof_interval_s"), amount(t, "proof_s"), deadline);
+        return new JobSpec(
+                id,
+                t.text("queue"),
+                t.text("crew"),
+                shape,
+                priority(t.text("urgency")),
+                (int) tasks,
+                cpus,
+                gpus,
+                mem,
+                t.text("plate"),
+                amount(t, "size_gb"),
+                types,
+                t.textOr("yard", null),
+                t.flag("one_zone"),
+                t.flag("scatter"),
+                t.flag("loaners"),
+                amount(t, "runtime_s"),
+                amount(t, "proof_interval_s"),
+                amount(t, "proof_s"),
+                deadline);
     }
 
     private static double amount(Tree t, String field) throws Tree.Missing {
         double v = t.number(field);
-        need(v >= 0 && v < Double.POSITIVE_INFINITY, field + " must be a number that is not negative");
+        need(
+                v >= 0 && v < Double.POSITIVE_INFINITY,
+                field + " must be a number that is not negative");
         return v;
     }
 
@@ -137,7 +161,10 @@
 
     /** States as users see them. */
     public enum Shown {
-        PENDING("pending"), RUNNING("running"), DONE("done"), CANCELLED("aborted");
+        PENDING("pending"),
+        RUNNING("running"),
+        DONE("done"),
+        CANCELLED("aborted");
 
         private final String text;
 
--- a/src/main/java/org/shoreusher/wire/WorkerFormat.java
+++ b/src/main/java/org/shoreusher/wire/WorkerFormat.java
@@ -12,8 +12,7 @@
 
 /** Reports and commands on the wire. */
 public final class WorkerFormat {
-    private WorkerFormat() {
-    }
+    private WorkerFormat() {}
 
     /** Reads a report. */
     public static WorkerReport report(Tree t) throws Tree.Missing {
@@ -31,11 +30,25 @@
                 throw new Tree.Missing("sheet must look like wk-000412/3");
             }
             TaskState state = state(s.text("status"));
-            tasks.add(new TaskReport(name.substring(0, slash), index, s.whole("try"), state,
-                    state == TaskState.EXITED ? cause(s.textOr("cause", "")) : Cause.NONE));
+            tasks.add(
+                    new TaskReport(
+                            name.substring(0, slash),
+                            index,
+                            s.whole("try"),
+                            state,
+                            state == TaskState.EXITED ? cause(s.textOr("cause", "")) : Cause.NONE));
         }
-        return new WorkerReport(t.text("box"), t.textOr("addr", ""), t.text("press"), t.text("yard"), t.flagOr("loaners", false),
-                t.whole("shift"), t.whole("tally"), t.wholeOr("baton", 0), t.numberOr("warning_s", Double.NaN), tasks);
+        return new WorkerReport(
+                t.text("box"),
+                t.textOr("addr", ""),
+                t.text("press"),
+                t.text("yard"),
+                t.flagOr("loaners", false),
+                t.whole("shift"),
+                t.whole("tally"),
+                t.wholeOr("baton", 0),
+                t.numberOr("warning_s", Double.NaN),
+                tasks);
     }
 
     private static TaskState state(String text) {
@@ -64,11 +77,13 @@
         List<Object> out = new ArrayList<>(orders.size());
         for (WorkerOrder o : orders) {
             Map<String, Object> m = new LinkedHashMap<>();
-            m.put("verb", switch (o.kind()) {
-                case START -> "run";
-                case STOP -> "halt";
-                case FORGET -> "forget";
-            });
+            m.put(
+                    "verb",
+                    switch (o.kind()) {
+                        case START -> "run";
+                        case STOP -> "halt";
+                        case FORGET -> "forget";
+                    });
             m.put("sheet", o.job() + "/" + o.index());
             m.put("try", o.attempt());
             if (o.kind() == WorkerOrder.Kind.STOP) {
--- a/src/main/java/org/shoreusher/worker/WorkerClient.java
+++ b/src/main/java/org/shoreusher/worker/WorkerClient.java
@@ -8,8 +8,9 @@
 import org.shoreusher.wire.WorkerFormat;
 
 /**
- * Sends direct commands to workers. What came of them, the workers' next reports show. Commands are rare and machines
- * many, so no connection is kept: those kept to hundreds of workers once took every socket of a node.
+ * Sends direct commands to workers. What came of them, the workers' next reports show. Commands are
+ * rare and machines many, so no connection is kept: those kept to hundreds of workers once took
+ * every socket of a node.
  */
 public final class WorkerClient {
     private final EventLoop loop;
@@ -19,14 +20,21 @@
         this.loop = loop;
     }
 
-    /** Sends commands; beyond a bound on those in flight they are left to the answer of the worker's next report. */
+    /**
+     * Sends commands; beyond a bound on those in flight they are left to the answer of the worker's
+     * next report.
+     */
     public void send(Effect.Orders orders) {
         Settings.Address address = Settings.addressOrNull(orders.address());
         if (address == null || inFlight >= Tuning.ORDERS_AT_ONCE) {
             return;
         }
         inFlight++;
-        new HttpCaller(loop, address, 0).call("/orders", WorkerFormat.direct(orders.token(), orders.session(), orders.orders()),
-                Tuning.ORDERS_TIMEOUT_MS, (status, body) -> inFlight--);
+        new HttpCaller(loop, address, 0)
+                .call(
+                        "/orders",
+                        WorkerFormat.direct(orders.token(), orders.session(), orders.orders()),
+                        Tuning.ORDERS_TIMEOUT_MS,
+                        (status, body) -> inFlight--);
     }
 }
--- a/src/test/java/org/shoreusher/core/ArrivalsTest.java
+++ b/src/test/java/org/shoreusher/core/ArrivalsTest.java
@@ -12,28 +12,84 @@
 /** Records of jobs that were accepted together, beside what became of the jobs. */
 class ArrivalsTest {
     private static final Settings.Address NOWHERE = new Settings.Address("127.0.0.1", 1);
-    private static final Settings SETTINGS = new Settings("n", "a", NOWHERE, NOWHERE, List.of(), NOWHERE, NOWHERE, 3, List.of("a"), Map.of(), List.of(), 1, 10, 40, 1000,
-            1000, 8192, 12, 5, 3, 1000, 25);
+    private static final Settings SETTINGS =
+            new Settings(
+                    "n",
+                    "a",
+                    NOWHERE,
+                    NOWHERE,
+                    List.of(),
+                    NOWHERE,
+                    NOWHERE,
+                    3,
+                    List.of("a"),
+                    Map.of(),
+                    List.of(),
+                    1,
+                    10,
+                    40,
+                    1000,
+                    1000,
+                    8192,
+                    12,
+                    5,
+                    3,
+                    1000,
+                    25);
 
-    /** The news of a shared record may come into the view after that of a job's end, which has left it: the job must not be begun again. */
+    /**
+     * The news of a shared record may come into the view after that of a job's end, which has left
+     * it: the job must not be begun again.
+     */
     @Example
     void newsOfAnArrivalAfterThatOfItsEndBeginsNothing() {
-        JobSpec spec = new JobSpec("wk-1", "c", "team", JobSpec.Priority.HIGH, 3, 1, 0, 1, "i", 1, null, null, false, false, true, 1, 0, 0, Double.NaN);
+        JobSpec spec =
+                new JobSpec(
+                        "wk-1",
+                        "c",
+                        "team",
+                        JobSpec.Priority.HIGH,
+                        3,
+                        1,
+                        0,
+                        1,
+                        "i",
+                        1,
+                        null,
+                        null,
+                        false,
+                        false,
+                        true,
+                        1,
+                        0,
+                        0,
+                        Double.NaN);
         for (boolean ended : new boolean[] {false, true}) {
             Outbox out = new Outbox(SETTINGS, 1);
             Arrivals[] arrivals = new Arrivals[1];
             List<String> told = new ArrayList<>();
-            Mirror mirror = new Mirror(out, SETTINGS, (key, before, after) -> {
-                if (key.startsWith(Keys.ARRIVED)) {
-                    arrivals[0].changed(key, after, (id, record) -> told.add(id));
-                }
-            });
+            Mirror mirror =
+                    new Mirror(
+                            out,
+                            SETTINGS,
+                            (key, before, after) -> {
+                                if (key.startsWith(Keys.ARRIVED)) {
+                                    arrivals[0].changed(key, after, (id, record) -> told.add(id));
+                                }
+                            });
             arrivals[0] = new Arrivals(SETTINGS, out, mirror);
             if (ended) {
-                mirror.apply(Keys.job("wk-1"), Keys.JobRecord.open(0, spec, 0).ended(Keys.JobStatus.DONE).write(), 9);
+                mirror.apply(
+                        Keys.job("wk-1"),
+                        Keys.JobRecord.open(0, spec, 0).ended(Keys.JobStatus.DONE).write(),
+                        9);
                 mirror.evict(Keys.job("wk-1"));
             }
-            mirror.apply(Keys.arrived("n/1", 1), Keys.ArrivalRecord.write(Map.of("wk-1", Keys.JobRecord.open(0, spec, 0).write())), 6);
+            mirror.apply(
+                    Keys.arrived("n/1", 1),
+                    Keys.ArrivalRecord.write(
+                            Map.of("wk-1", Keys.JobRecord.open(0, spec, 0).write())),
+                    6);
             assertEquals(ended ? List.of() : List.of("wk-1"), told);
             if (ended) {
                 assertNull(arrivals[0].record("wk-1"));
--- a/src/test/java/org/shoreusher/core/FinishedRecordsTest.java
+++ b/src/test/java/org/shoreusher/core/FinishedRecordsTest.java
@@ -16,33 +16,82 @@
 import org.shoreusher.settings.Settings;
 import org.shoreusher.wire.Tree;
 
-/** Records of finished tasks: below the limit whatever is finished, and what is durable stays so, from whichever version it comes. */
+/**
+ * Records of finished tasks: below the limit whatever is finished, and what is durable stays so,
+ * from whichever version it comes.
+ */
 class FinishedRecordsTest {
     private static final Settings.Address NOWHERE = new Settings.Address("127.0.0.1", 1);
 
     private static Settings settings(int valueBytes) {
-        return new Settings("n", "a", NOWHERE, NOWHERE, List.of(), NOWHERE, NOWHERE, 3, List.of("a"), Map.of(), List.of(), 1, 10, 40, 100, 100, valueBytes, 4, 5, 3,
-                1000, 25);
+        return new Settings(
+                "n",
+                "a",
+                NOWHERE,
+                NOWHERE,
+                List.of(),
+                NOWHERE,
+                NOWHERE,
+                3,
+                List.of("a"),
+                Map.of(),
+                List.of(),
+                1,
+                10,
+                40,
+                100,
+                100,
+                valueBytes,
+                4,
+                5,
+                3,
+                1000,
+                25);
     }
 
     private static Job job(int number, int tasks) {
         String id = String.format("wk-%06d", number);
-        return new Job(id, new JobSpec(id, "c", "team", JobSpec.Priority.NORMAL, tasks, 1, 0, 1, "i", 1, null, null, false, false, true, 10, 0, 0, Double.NaN), 0);
+        return new Job(
+                id,
+                new JobSpec(
+                        id,
+                        "c",
+                        "team",
+                        JobSpec.Priority.NORMAL,
+                        tasks,
+                        1,
+                        0,
+                        1,
+                        "i",
+                        1,
+                        null,
+                        null,
+                        false,
+                        false,
+                        true,
+                        10,
+                        0,
+                        0,
+                        Double.NaN),
+                0);
     }
 
     private static BitSet of(Map<Integer, Map<String, Object>> store, String id) {
         BitSet all = new BitSet();
-        store.values().forEach(record -> {
-            if (record.get(id) instanceof String ranges) {
-                all.or(TaskRanges.parse(ranges));
-            }
-        });
+        store.values()
+                .forEach(
+                        record -> {
+                            if (record.get(id) instanceof String ranges) {
+                                all.or(TaskRanges.parse(ranges));
+                            }
+                        });
         return all;
     }
 
     /**
-     * A store that an owner before has filled, perhaps under a larger limit and with whole jobs in one record, some of them in two; then
-     * heartbeats of an owner, of which some fail. After each write everything that was durable is, and at last all that is finished.
+     * A store that an owner before has filled, perhaps under a larger limit and with whole jobs in
+     * one record, some of them in two; then heartbeats of an owner, of which some fail. After each
+     * write everything that was durable is, and at last all that is finished.
      */
     @Property(tries = 150, seed = "12", shrinking = ShrinkingMode.OFF)
     void whatIsDurableStaysSo(@ForAll @LongRange(min = 0) long seed) {
@@ -69,20 +118,22 @@
                 Map<String, Object> record = store.get(c);
                 record.put(job.id, TaskRanges.format(set));
                 // Its taker leaves no part's own record that it may not write again.
-                if (Tree.jsonLength(record) > (c == 0 ? Math.min(former, s.valueBytes()) : former) * 0.75) {
+                if (Tree.jsonLength(record)
+                        > (c == 0 ? Math.min(former, s.valueBytes()) : former) * 0.75) {
                     record.remove(job.id);
                 }
             }
         }
         for (Job job : jobs) {
-            store.forEach((c, record) -> {
-                if (record.get(job.id) instanceof String ranges) {
-                    BitSet set = TaskRanges.parse(ranges);
-                    job.done.or(set);
-                    job.durable.or(set);
-                    FinishedRecords.found(job, set, c, s);
-                }
-            });
+            store.forEach(
+                    (c, record) -> {
+                        if (record.get(job.id) instanceof String ranges) {
+                            BitSet set = TaskRanges.parse(ranges);
+                            job.done.or(set);
+                            job.durable.or(set);
+                            FinishedRecords.found(job, set, c, s);
+                        }
+                    });
         }
         for (int beat = 0; beat < 60; beat++) {
             for (Job job : jobs) {
@@ -92,7 +143,8 @@
                     }
                 }
             }
-            FinishedRecords laid = FinishedRecords.of(jobs, s, c -> store.getOrDefault(c, Map.of()));
+            FinishedRecords laid =
+                    FinishedRecords.of(jobs, s, c -> store.getOrDefault(c, Map.of()));
             Map<Integer, Map<String, Object>> writes = new LinkedHashMap<>();
             writes.put(0, laid.chunk(0));
             for (int c = 1; c < laid.chunks() && writes.size() < s.txnOps(); c++) {
@@ -101,7 +153,11 @@
                     writes.put(c, wanted);
                 }
             }
-            writes.forEach((c, record) -> assertTrue(Tree.jsonLength(record) <= s.valueBytes(), "record " + c + " of " + Tree.jsonLength(record)));
+            writes.forEach(
+                    (c, record) ->
+                            assertTrue(
+                                    Tree.jsonLength(record) <= s.valueBytes(),
+                                    "record " + c + " of " + Tree.jsonLength(record)));
             if (r.nextInt(4) > 0 || beat > 40) {
                 store.putAll(writes);
                 laid.markDurable();
@@ -118,7 +174,10 @@
         jobs.forEach(job -> assertEquals(job.done, job.durable, job.id));
     }
 
-    /** What a part's own record holds is cut into records that may be written, and nothing is lost or told twice. */
+    /**
+     * What a part's own record holds is cut into records that may be written, and nothing is lost
+     * or told twice.
+     */
     @Property(tries = 150, seed = "13", shrinking = ShrinkingMode.OFF)
     void aRecordThatIsTooLongIsCutUp(@ForAll @LongRange(min = 0) long seed) {
         Random r = new Random(seed);
@@ -142,20 +201,25 @@
         Map<String, BitSet> found = new LinkedHashMap<>(covered);
         for (Map<String, Object> piece : FinishedRecords.split(done, s, covered::get)) {
             assertTrue(Tree.jsonLength(piece) <= s.valueBytes());
-            piece.forEach((id, ranges) -> {
-                BitSet set = TaskRanges.parse((String) ranges);
-                assertTrue(!set.intersects(found.get(id)), "told twice: " + id);
-                found.merge(id, set, (a, b) -> {
-                    BitSet both = (BitSet) a.clone();
-                    both.or(b);
-                    return both;
-                });
-            });
+            piece.forEach(
+                    (id, ranges) -> {
+                        BitSet set = TaskRanges.parse((String) ranges);
+                        assertTrue(!set.intersects(found.get(id)), "told twice: " + id);
+                        found.merge(
+                                id,
+                                set,
+                                (a, b) -> {
+                                    BitSet both = (BitSet) a.clone();
+                                    both.or(b);
+                                    return both;
+                                });
+                    });
         }
-        all.forEach((id, set) -> {
-            BitSet left = (BitSet) set.clone();
-            left.andNot(found.get(id));
-            assertTrue(left.isEmpty(), id);
-        });
+        all.forEach(
+                (id, set) -> {
+                    BitSet left = (BitSet) set.clone();
+                    left.andNot(found.get(id));
+                    assertTrue(left.isEmpty(), id);
+                });
     }
 }
--- a/src/test/java/org/shoreusher/core/MachineTest.java
+++ b/src/test/java/org/shoreusher/core/MachineTest.java
@@ -11,20 +11,53 @@
 /** What an owner concludes from the times of a machine's reports. */
 class MachineTest {
     private static final Settings.Address NOWHERE = new Settings.Address("127.0.0.1", 1);
-    private static final Settings SETTINGS = new Settings("n", "a", NOWHERE, NOWHERE, List.of(), NOWHERE, NOWHERE, 3, List.of("a"), Map.of(), List.of(),
-            5, 26.5, 46.5, 400, 50, 8192, 20, 7, 5, 2600, 25);
-    private final Machine machine = new Machine("host-1", new MachineType("t", 4, 0, 8, 10, 1, 1, 0.4, 10, List.of("a")), "a", true, 0);
+    private static final Settings SETTINGS =
+            new Settings(
+                    "n",
+                    "a",
+                    NOWHERE,
+                    NOWHERE,
+                    List.of(),
+                    NOWHERE,
+                    NOWHERE,
+                    3,
+                    List.of("a"),
+                    Map.of(),
+                    List.of(),
+                    5,
+                    26.5,
+                    46.5,
+                    400,
+                    50,
+                    8192,
+                    20,
+                    7,
+                    5,
+                    2600,
+                    25);
+    private final Machine machine =
+            new Machine(
+                    "host-1",
+                    new MachineType("t", 4, 0, 8, 10, 1, 1, 0.4, 10, List.of("a")),
+                    "a",
+                    true,
+                    0);
 
     private void report(long session, long seq, long atMs) {
-        machine.reported(new WorkerReport("host-1", "", "t", "a", true, session, seq, 1, Double.NaN, List.of()), atMs, SETTINGS);
+        machine.reported(
+                new WorkerReport(
+                        "host-1", "", "t", "a", true, session, seq, 1, Double.NaN, List.of()),
+                atMs,
+                SETTINGS);
         machine.session = session;
         machine.seq = seq;
         machine.repliedAtMs = atMs;
     }
 
     /**
-     * When a cut of longer than a lease ends, the reports that it held up come one after the other, the later ones of the next
-     * session: that tells nothing of whether answers are heard. Ten good machines of 250 were returned for it.
+     * When a cut of longer than a lease ends, the reports that it held up come one after the other,
+     * the later ones of the next session: that tells nothing of whether answers are heard. Ten good
+     * machines of 250 were returned for it.
      */
     @Example
     void reportsHeldUpByACutMakeNoMachineDeaf() {
@@ -39,7 +72,10 @@
         assertFalse(machine.deaf());
     }
 
-    /** A session that ends although it was answered in time, at a worker that has waited out its patience, is one of a deaf machine. */
+    /**
+     * A session that ends although it was answered in time, at a worker that has waited out its
+     * patience, is one of a deaf machine.
+     */
     @Example
     void aSessionThatEndsInSpiteOfAnswersIsADeafMachines() {
         report(1, 10, 100_000);
--- a/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
+++ b/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
@@ -24,12 +24,46 @@
 class OwnerPiecesTest {
     private static Settings settings(List<Settings.Objective> objectives) {
         Settings.Address nowhere = new Settings.Address("127.0.0.1", 1);
-        return new Settings("n", "a", nowhere, nowhere, List.of(), nowhere, nowhere, 3, List.of("a"), Map.of("team", new Settings.Team("team", 8, 16, 0, 0)),
-                objectives, 1, 10, 40, 1000, 1000, 1024, 12, 5, 3, 1000, 25);
+        return new Settings(
+                "n",
+                "a",
+                nowhere,
+                nowhere,
+                List.of(),
+                nowhere,
+                nowhere,
+                3,
+                List.of("a"),
+                Map.of("team", new Settings.Team("team", 8, 16, 0, 0)),
+                objectives,
+                1,
+                10,
+                40,
+                1000,
+                1000,
+                1024,
+                12,
+                5,
+                3,
+                1000,
+                25);
     }
 
-    private static Job job(String id, String jobClass, JobSpec.Priority priority, int tasks, double estimate, double deadline, long acceptedMs) {
-        Job job = new Job(id, new JobSpec(id, jobClass, "team", priority, tasks, 2, 0, 1, "i", 1, null, null, false, false, true, estimate, 0, 0, deadline), acceptedMs);
+    private static Job job(
+            String id,
+            String jobClass,
+            JobSpec.Priority priority,
+            int tasks,
+            double estimate,
+            double deadline,
+            long acceptedMs) {
+        Job job =
+                new Job(
+                        id,
+                        new JobSpec(
+                                id, jobClass, "team", priority, tasks, 2, 0, 1, "i", 1, null, null,
+                                false, false, true, estimate, 0, 0, deadline),
+                        acceptedMs);
         for (int i = 0; i < tasks; i++) {
             job.setWaiting(i, true);
         }
@@ -40,12 +74,16 @@
 
     /** Reads what the mirror asks for, and answers it. */
     private static StateOp asked(Outbox out) {
-        return out.drain().stream().filter(e -> e instanceof Effect.StateCall).map(e -> ((Effect.StateCall) e).op()).findFirst().orElse(null);
+        return out.drain().stream()
+                .filter(e -> e instanceof Effect.StateCall)
+                .map(e -> ((Effect.StateCall) e).op())
+                .findFirst()
+                .orElse(null);
     }
 
     /**
-     * A done job is dropped from the view by this node's own write; a watch answer from before that write must
-     * not bring it back as open, or its tasks would start again.
+     * A done job is dropped from the view by this node's own write; a watch answer from before that
+     * write must not bring it back as open, or its tasks would start again.
      */
     @Example
     void oldNewsDoesNotBringADoneJobBack() {
@@ -55,26 +93,46 @@
         out.now = new Reading(1_000, 1_000);
         mirror.step();
         assertTrue(asked(out) instanceof StateOp.Page);
-        out.replied(new StateReply(1, 200, Map.of("entries", List.of(), "more", false, "ledger", 5L)));
+        out.replied(
+                new StateReply(1, 200, Map.of("entries", List.of(), "more", false, "ledger", 5L)));
         mirror.apply("job/wk-1", Map.of("status", "DONE"), 9);
         mirror.evict("job/wk-1");
         mirror.step();
         assertEquals(new StateOp.Watch(5, 0), asked(out));
-        out.replied(new StateReply(2, 200, Map.of("ledger", 7L, "log", List.of(Map.of("write", "job/wk-1", "value", Map.of("status", "OPEN"), "stamp", 6L)))));
+        out.replied(
+                new StateReply(
+                        2,
+                        200,
+                        Map.of(
+                                "ledger",
+                                7L,
+                                "log",
+                                List.of(
+                                        Map.of(
+                                                "write",
+                                                "job/wk-1",
+                                                "value",
+                                                Map.of("status", "OPEN"),
+                                                "stamp",
+                                                6L)))));
         assertNull(mirror.get("job/wk-1"));
         assertEquals(List.of("job/wk-1"), seen);
         assertTrue(mirror.loaded());
     }
 
-    /** A watch answer that is too long fails each time it is asked for; a view that stays too old is read in pages instead. */
+    /**
+     * A watch answer that is too long fails each time it is asked for; a view that stays too old is
+     * read in pages instead.
+     */
     @Example
     void aViewWhoseWatchKeepsFailingIsReadInPages() {
         Outbox out = new Outbox(settings(List.of()), 1);
-        Mirror mirror = new Mirror(out, settings(List.of()), (key, before, after) -> { });
+        Mirror mirror = new Mirror(out, settings(List.of()), (key, before, after) -> {});
         out.now = new Reading(1_000, 1_000);
         mirror.step();
         asked(out);
-        out.replied(new StateReply(1, 200, Map.of("entries", List.of(), "more", false, "ledger", 5L)));
+        out.replied(
+                new StateReply(1, 200, Map.of("entries", List.of(), "more", false, "ledger", 5L)));
         mirror.step();
         asked(out);
         out.replied(new StateReply(2, 200, Map.of("ledger", 5L, "log", List.of())));
@@ -83,7 +141,9 @@
             out.now = new Reading(out.now.steadyMs() + 500, out.now.wallMs() + 500);
             mirror.step();
             last = asked(out);
-            assertTrue(last instanceof StateOp.Page == out.now.steadyMs() > 21_000 + 500, "at " + out.now.steadyMs() + " asked for " + last);
+            assertTrue(
+                    last instanceof StateOp.Page == out.now.steadyMs() > 21_000 + 500,
+                    "at " + out.now.steadyMs() + " asked for " + last);
             out.replied(new StateReply(call, 0, null));
         }
         assertTrue(last instanceof StateOp.Page);
@@ -92,7 +152,8 @@
     // ---- shares of limits ----------------------------------------------------------------------
 
     @Property(tries = 300, seed = "21")
-    void sharesSumToTheLimit(@ForAll @IntRange(max = 500) int limit, @ForAll @IntRange(min = 1, max = 5) int parts) {
+    void sharesSumToTheLimit(
+            @ForAll @IntRange(max = 500) int limit, @ForAll @IntRange(min = 1, max = 5) int parts) {
         QuotaRecord record = QuotaRecord.split(limit, 0, parts);
         assertEquals(limit, Arrays.stream(record.cpus()).sum(), 1e-9);
         assertTrue(Arrays.stream(record.cpus()).allMatch(c -> c >= 0));
@@ -115,14 +176,18 @@
         }
         double max = Arrays.stream(shares).sum();
         double[] targets = Quota.targets(max, claims, shares, 1);
-        double urgent = Arrays.stream(claims).filter(c -> c != null).mapToDouble(Claim::urgent).sum();
+        double urgent =
+                Arrays.stream(claims).filter(c -> c != null).mapToDouble(Claim::urgent).sum();
         double silent = 0;
         for (int m = 0; m < parts; m++) {
             silent += claims[m] == null ? shares[m] : 0;
         }
         for (int m = 0; m < parts; m++) {
             assertTrue(claims[m] != null || targets[m] == shares[m]);
-            assertTrue(claims[m] == null || urgent > max - silent || targets[m] >= claims[m].urgent() - 0.5);
+            assertTrue(
+                    claims[m] == null
+                            || urgent > max - silent
+                            || targets[m] >= claims[m].urgent() - 0.5);
         }
         assertTrue(Arrays.stream(targets).sum() <= max + parts);
     }
@@ -131,7 +196,11 @@
 
     @Example
     void whatCanStillMeetItsAimComesBeforeWhatCannot() {
-        Settings s = settings(List.of(new Settings.Objective("deadline", "rush", Double.NaN, 0.9, 1), new Settings.Objective("finished", "slow", 200, 0.8, 1)));
+        Settings s =
+                settings(
+                        List.of(
+                                new Settings.Objective("deadline", "rush", Double.NaN, 0.9, 1),
+                                new Settings.Objective("finished", "slow", 200, 0.8, 1)));
         Urgency urgency = new Urgency(s, new Estimates());
         Job late = job("wk-1", "rush", JobSpec.Priority.NORMAL, 1, 30, 40, 0);
         Job soon = job("wk-2", "rush", JobSpec.Priority.NORMAL, 1, 30, 100, 0);
@@ -139,32 +208,47 @@
         Job high = job("wk-4", "other", JobSpec.Priority.HIGH, 1, 30, Double.NaN, 0);
         List<Job> jobs = new ArrayList<>(List.of(late, relaxed, soon, high));
         urgency.sort(jobs, 30_000);
-        assertEquals(List.of("wk-4", "wk-2", "wk-3", "wk-1"), jobs.stream().map(j -> j.id).toList());
+        assertEquals(
+                List.of("wk-4", "wk-2", "wk-3", "wk-1"), jobs.stream().map(j -> j.id).toList());
     }
 
     /**
-     * With more work than machines, jobs that each got their turn just in time were all late by a little. Of those that can wait
-     * the one with least left goes first; one whose last chance is near does not wait.
+     * With more work than machines, jobs that each got their turn just in time were all late by a
+     * little. Of those that can wait the one with least left goes first; one whose last chance is
+     * near does not wait.
      */
     @Example
     void theLeastWorkComesFirstAmongJobsThatCanWait() {
-        Urgency urgency = new Urgency(settings(List.of(new Settings.Objective("finished", "rolls", 200, 0.8, 1))), new Estimates());
+        Urgency urgency =
+                new Urgency(
+                        settings(List.of(new Settings.Objective("finished", "rolls", 200, 0.8, 1))),
+                        new Estimates());
         Job large = job("wk-1", "rolls", JobSpec.Priority.NORMAL, 500, 40, Double.NaN, 0);
         Job small = job("wk-2", "rolls", JobSpec.Priority.NORMAL, 20, 40, Double.NaN, 30_000);
         List<Job> jobs = new ArrayList<>(List.of(large, small));
         urgency.sort(jobs, 40_000);
         assertEquals("wk-2", jobs.get(0).id);
-        // Without a team's limit all its tasks may run at once: 40 s, so its last chance is at 158 s.
+        // Without a team's limit all its tasks may run at once: 40 s, so its last chance is at 158
+        // s.
         Job unlimited = job("wk-3", "rolls", JobSpec.Priority.NORMAL, 8, 40, Double.NaN, 0);
         jobs = new ArrayList<>(List.of(small, unlimited));
         urgency.sort(jobs, 145_000);
         assertEquals("wk-3", jobs.get(0).id);
     }
 
-    /** A job whose team's guarantee says that it should have begun by now does not wait behind smaller ones; later it does again. */
+    /**
+     * A job whose team's guarantee says that it should have begun by now does not wait behind
+     * smaller ones; later it does again.
+     */
     @Example
     void aGuaranteeAboutToBeMissedDoesNotWaitForSmallerJobs() {
-        Urgency urgency = new Urgency(settings(List.of(new Settings.Objective("guarantee", "", 90, 0.9, 1), new Settings.Objective("finished", "rolls", 400, 0.8, 1))), new Estimates());
+        Urgency urgency =
+                new Urgency(
+                        settings(
+                                List.of(
+                                        new Settings.Objective("guarantee", "", 90, 0.9, 1),
+                                        new Settings.Objective("finished", "rolls", 400, 0.8, 1))),
+                        new Estimates());
         Job large = job("wk-1", "rolls", JobSpec.Priority.NORMAL, 500, 1, Double.NaN, 0);
         Job small = job("wk-2", "rolls", JobSpec.Priority.NORMAL, 5, 1, Double.NaN, 60_000);
         for (long now : new long[] {65_000, 80_000, 100_000}) {
@@ -175,8 +259,9 @@
     }
 
     /**
-     * Two nodes have accepted the same job for different parts. Whichever record a node sees first, the older one counts: else each owner
-     * might take the job for the other's, and nobody would begin it. Its own record counts before both.
+     * Two nodes have accepted the same job for different parts. Whichever record a node sees first,
+     * the older one counts: else each owner might take the job for the other's, and nobody would
+     * begin it. Its own record counts before both.
      */
     @Example
     void theOlderOfTwoRecordsOfAnArrivalCounts() {
@@ -186,14 +271,23 @@
             Outbox out = new Outbox(s, 2);
             Arrivals[] arrivals = new Arrivals[1];
             List<Integer> told = new ArrayList<>();
-            Mirror mirror = new Mirror(out, s, (key, before, after) -> {
-                if (key.startsWith(Keys.ARRIVED)) {
-                    arrivals[0].changed(key, after, (id, record) -> told.add(record.part()));
-                }
-            });
+            Mirror mirror =
+                    new Mirror(
+                            out,
+                            s,
+                            (key, before, after) -> {
+                                if (key.startsWith(Keys.ARRIVED)) {
+                                    arrivals[0].changed(
+                                            key, after, (id, record) -> told.add(record.part()));
+                                }
+                            });
             arrivals[0] = new Arrivals(s, out, mirror);
             for (int part : olderFirst ? new int[] {1, 0} : new int[] {0, 1}) {
-                mirror.apply(Keys.arrived("n/" + part, 1), Keys.ArrivalRecord.write(Map.of("wk-1", Keys.JobRecord.open(part, spec, 0).write())), part == 1 ? 5 : 6);
+                mirror.apply(
+                        Keys.arrived("n/" + part, 1),
+                        Keys.ArrivalRecord.write(
+                                Map.of("wk-1", Keys.JobRecord.open(part, spec, 0).write())),
+                        part == 1 ? 5 : 6);
             }
             assertEquals(1, arrivals[0].record("wk-1").part());
             assertEquals(1, told.get(told.size() - 1));
@@ -202,44 +296,88 @@
         }
     }
 
-    /** Marks of any number of jobs stand in records below the value limit, and a taker finds each where it was put. */
+    /**
+     * Marks of any number of jobs stand in records below the value limit, and a taker finds each
+     * where it was put.
+     */
     @Property(tries = 30, seed = "11")
-    void marksStayBelowTheValueLimit(@ForAll @IntRange(min = 1, max = 400) int count, @ForAll @LongRange(min = 0) long seed) {
+    void marksStayBelowTheValueLimit(
+            @ForAll @IntRange(min = 1, max = 400) int count,
+            @ForAll @LongRange(min = 0) long seed) {
         Random random = new Random(seed);
         Settings s = settings(List.of());
         Outbox out = new Outbox(s, 1);
         out.now = new Reading(1_000, 1_000);
-        Mirror mirror = new Mirror(out, s, (key, before, after) -> { });
+        Mirror mirror = new Mirror(out, s, (key, before, after) -> {});
         Arrivals arrivals = new Arrivals(s, out, mirror);
-        Holding holding = new Holding(0, s, out, mirror, new Keys.PartRecord("n/1", 60_000, 1, Map.of()), out.now, 1);
+        Holding holding =
+                new Holding(
+                        0,
+                        s,
+                        out,
+                        mirror,
+                        new Keys.PartRecord("n/1", 60_000, 1, Map.of()),
+                        out.now,
+                        1);
         Map<String, Job> jobs = new java.util.LinkedHashMap<>();
         for (int i = 0; i < count; i++) {
-            Job job = job("wk-" + (1_000_000 + i), "c", JobSpec.Priority.HIGH, 1 + random.nextInt(100_000), 1, Double.NaN, 0);
+            Job job =
+                    job(
+                            "wk-" + (1_000_000 + i),
+                            "c",
+                            JobSpec.Priority.HIGH,
+                            1 + random.nextInt(100_000),
+                            1,
+                            Double.NaN,
+                            0);
             jobs.put(job.id, job);
             mirror.apply(Keys.job(job.id), Keys.JobRecord.open(0, job.spec, 0).write(), 1);
         }
         StartMarks marks = new StartMarks(0, 1, s, out, mirror, arrivals, holding, jobs);
         long revision = 1;
-        for (int round = 0; round < 200 && jobs.values().stream().anyMatch(j -> j.startBelow == 0); round++) {
+        for (int round = 0;
+                round < 200 && jobs.values().stream().anyMatch(j -> j.startBelow == 0);
+                round++) {
             jobs.values().forEach(j -> marks.want(j, j.startBelow == 0 ? 1 : 0));
             out.now = new Reading(out.now.steadyMs() + 300, out.now.wallMs() + 10);
             marks.write();
             for (Effect e : out.drain()) {
                 Effect.StateCall call = (Effect.StateCall) e;
-                ((StateOp.Multi) call.op()).writes().forEach((key, value) -> assertTrue(org.shoreusher.wire.Tree.jsonLength(value) <= s.valueBytes(), key));
+                ((StateOp.Multi) call.op())
+                        .writes()
+                        .forEach(
+                                (key, value) ->
+                                        assertTrue(
+                                                org.shoreusher.wire.Tree.jsonLength(value)
+                                                        <= s.valueBytes(),
+                                                key));
                 out.replied(new StateReply(call.call(), 200, Map.of("ledger", ++revision)));
             }
         }
         Map<String, Job> taken = new java.util.LinkedHashMap<>();
         jobs.values().forEach(j -> taken.put(j.id, new Job(j.id, j.spec, 0)));
         new StartMarks(0, 1, s, out, mirror, arrivals, holding, taken).load();
-        jobs.values().forEach(j -> assertEquals(Math.max(1, j.startBelow), taken.get(j.id).startBelow, j.id));
+        jobs.values()
+                .forEach(
+                        j ->
+                                assertEquals(
+                                        Math.max(1, j.startBelow),
+                                        taken.get(j.id).startBelow,
+                                        j.id));
     }
 
-    /** Only a job whose last chance is near and not yet gone is worth stopping another's tasks for. */
+    /**
+     * Only a job whose last chance is near and not yet gone is worth stopping another's tasks for.
+     */
     @Example
     void aJobPressesShortlyBeforeItsLastChance() {
-        Urgency urgency = new Urgency(settings(List.of(new Settings.Objective("deadline", "rush", Double.NaN, 0.9, 1))), new Estimates());
+        Urgency urgency =
+                new Urgency(
+                        settings(
+                                List.of(
+                                        new Settings.Objective(
+                                                "deadline", "rush", Double.NaN, 0.9, 1))),
+                        new Estimates());
         Job job = job("wk-1", "rush", JobSpec.Priority.NORMAL, 1, 30, 100, 0);
         // It takes 30 s and a start of 2 s, so the last chance is at 68 s.
         assertFalse(urgency.pressing(job, 40_000));
@@ -248,7 +386,10 @@
         assertFalse(urgency.pressing(job, 70_000));
     }
 
-    /** Urgent work that keeps coming must not keep a job, however large or low, from beginning within four minutes. */
+    /**
+     * Urgent work that keeps coming must not keep a job, however large or low, from beginning
+     * within four minutes.
+     */
     @Example
     void whatHasNotBegunForLongComesFirst() {
         Urgency urgency = new Urgency(settings(List.of()), new Estimates());
@@ -256,7 +397,15 @@
         Job begun = job("wk-2", "large", JobSpec.Priority.LOW, 500, 30, Double.NaN, 0);
         begun.startedCount = 1;
         for (long now : new long[] {100_000, 200_000}) {
-            Job urgent = job("wk-3", "rush", JobSpec.Priority.PRODUCTION, 10, 10, Double.NaN, now - 1_000);
+            Job urgent =
+                    job(
+                            "wk-3",
+                            "rush",
+                            JobSpec.Priority.PRODUCTION,
+                            10,
+                            10,
+                            Double.NaN,
+                            now - 1_000);
             List<Job> jobs = new ArrayList<>(List.of(begun, large, urgent));
             urgency.sort(jobs, now);
             assertEquals(now < 150_000 ? "wk-3" : "wk-1", jobs.get(0).id);
@@ -271,8 +420,14 @@
             estimates.observed(first, 20);
         }
         assertEquals(20, estimates.runS(first), 1e-9);
-        assertEquals(20, estimates.runS(job("wk-2", "c", JobSpec.Priority.LOW, 5, 10, Double.NaN, 0)), 0.2);
-        assertEquals(10, estimates.runS(job("wk-3", "d", JobSpec.Priority.LOW, 5, 10, Double.NaN, 0)), 1e-9);
+        assertEquals(
+                20,
+                estimates.runS(job("wk-2", "c", JobSpec.Priority.LOW, 5, 10, Double.NaN, 0)),
+                0.2);
+        assertEquals(
+                10,
+                estimates.runS(job("wk-3", "d", JobSpec.Priority.LOW, 5, 10, Double.NaN, 0)),
+                1e-9);
     }
 
     /** A job whose tasks fail on every machine is told apart from a faulty machine. */
@@ -287,7 +442,10 @@
         assertTrue(!job.suspect());
     }
 
-    /** One slow task is chance; several in a row, far beyond what machines of a type differ by, are the machine. */
+    /**
+     * One slow task is chance; several in a row, far beyond what machines of a type differ by, are
+     * the machine.
+     */
     @Example
     void aSlowMachineIsToldFromASlowTask() {
         MachineType type = new MachineType("t", 8, 0, 16, 10, 1, 1, 0.4, 10, List.of("a"));
--- a/src/test/java/org/shoreusher/core/PiecesTest.java
+++ b/src/test/java/org/shoreusher/core/PiecesTest.java
@@ -19,16 +19,64 @@
 import org.shoreusher.settings.Settings;
 
 class PiecesTest {
-    private static final MachineType TYPE = new MachineType("t", 8, 2, 16, 10, 1, 1, 0.4, 10, List.of("a", "b"));
+    private static final MachineType TYPE =
+            new MachineType("t", 8, 2, 16, 10, 1, 1, 0.4, 10, List.of("a", "b"));
 
     private static Settings settings(double clockOff, double workerLease, double cancel) {
         Settings.Address nowhere = new Settings.Address("127.0.0.1", 1);
-        return new Settings("n", "a", nowhere, nowhere, List.of(), nowhere, nowhere, 3, List.of("a"), Map.of(), List.of(), 1, workerLease, cancel, 100,
-                100, 1024, 12, 5, 3, 1000, (long) clockOff);
+        return new Settings(
+                "n",
+                "a",
+                nowhere,
+                nowhere,
+                List.of(),
+                nowhere,
+                nowhere,
+                3,
+                List.of("a"),
+                Map.of(),
+                List.of(),
+                1,
+                workerLease,
+                cancel,
+                100,
+                100,
+                1024,
+                12,
+                5,
+                3,
+                1000,
+                (long) clockOff);
     }
 
-    private static JobSpec spec(String id, int tasks, double cpus, String zone, boolean one, boolean spread, boolean spot) {
-        return new JobSpec(id, "c", "team", JobSpec.Priority.NORMAL, tasks, cpus, 0, 1, "i", 1, null, zone, one, spread, spot, 10, 0, 0, Double.NaN);
+    private static JobSpec spec(
+            String id,
+            int tasks,
+            double cpus,
+            String zone,
+            boolean one,
+            boolean spread,
+            boolean spot) {
+        return new JobSpec(
+                id,
+                "c",
+                "team",
+                JobSpec.Priority.NORMAL,
+                tasks,
+                cpus,
+                0,
+                1,
+                "i",
+                1,
+                null,
+                zone,
+                one,
+                spread,
+                spot,
+                10,
+                0,
+                0,
+                Double.NaN);
     }
 
     @Property(tries = 300, seed = "7")
@@ -40,7 +88,9 @@
 
     /** Whatever is asked when, no second sees more than the burst and its rate. */
     @Property(tries = 200, seed = "8")
-    void tokensNeverExceedTheRate(@ForAll @IntRange(min = 1, max = 50) int rate, @ForAll List<@IntRange(max = 400) Integer> pauses) {
+    void tokensNeverExceedTheRate(
+            @ForAll @IntRange(min = 1, max = 50) int rate,
+            @ForAll List<@IntRange(max = 400) Integer> pauses) {
         TokenBucket bucket = new TokenBucket(rate, rate);
         long now = 5;
         List<Long> taken = new ArrayList<>();
@@ -66,25 +116,35 @@
         PartLease lease = new PartLease(s);
         long written = 1_000_000;
         long ownerOff = r.nextInt(2 * off + 1) - off;
-        lease.confirmed(written + ownerOff + PartLease.leaseMs(s), new Reading(0, written + ownerOff));
+        lease.confirmed(
+                written + ownerOff + PartLease.leaseMs(s), new Reading(0, written + ownerOff));
         for (long t = 0; t < PartLease.leaseMs(s) + 4_000; t += 13) {
             // The time of day wanders inside its bound; the steady clock may be up to 0.05% fast.
             long ownerWall = written + t + r.nextInt(2 * off + 1) - off;
             long takerWall = written + t + r.nextInt(2 * off + 1) - off;
             boolean acts = lease.holds(new Reading((long) (t * 1.0005), ownerWall));
-            boolean taken = PartLease.free(s, written + ownerOff + PartLease.leaseMs(s), new Reading(0, takerWall));
+            boolean taken =
+                    PartLease.free(
+                            s,
+                            written + ownerOff + PartLease.leaseMs(s),
+                            new Reading(0, takerWall));
             assertFalse(acts && taken, "both at " + t);
         }
     }
 
     /** A cancellation that the owner can't see comes true in time all the same. */
     @Property(tries = 200, seed = "10")
-    void graceLeavesTimeForCancellations(@ForAll @IntRange(min = 2, max = 60) int workerLease, @ForAll @IntRange(min = 1, max = 120) int cancel,
+    void graceLeavesTimeForCancellations(
+            @ForAll @IntRange(min = 2, max = 60) int workerLease,
+            @ForAll @IntRange(min = 1, max = 120) int cancel,
             @ForAll @IntRange(max = 500) int off) {
         Settings s = settings(off, workerLease, cancel);
         long grace = PartLease.graceMs(s);
         assertTrue(grace >= 0);
-        assertTrue(grace == 0 || PartLease.leaseMs(s) + grace + PartLease.workerLeaseMs(s) + 2 * off <= cancel * 1000L);
+        assertTrue(
+                grace == 0
+                        || PartLease.leaseMs(s) + grace + PartLease.workerLeaseMs(s) + 2 * off
+                                <= cancel * 1000L);
     }
 
     /** Plans exceed no machine and no team limit, and respect zones and kinds. */
@@ -102,7 +162,18 @@
         List<Job> jobs = new ArrayList<>();
         for (int i = 0; i < 1 + r.nextInt(4); i++) {
             boolean one = r.nextInt(3) == 0;
-            Job job = new Job("j" + i, spec("wk-" + i, 1 + r.nextInt(9), 1 + r.nextInt(4), r.nextInt(4) == 0 ? "a" : null, one, !one && r.nextBoolean(), r.nextBoolean()), 0);
+            Job job =
+                    new Job(
+                            "j" + i,
+                            spec(
+                                    "wk-" + i,
+                                    1 + r.nextInt(9),
+                                    1 + r.nextInt(4),
+                                    r.nextInt(4) == 0 ? "a" : null,
+                                    one,
+                                    !one && r.nextBoolean(),
+                                    r.nextBoolean()),
+                            0);
             jobs.add(job);
             planner.place(job, job.spec.tasks());
         }
@@ -136,15 +207,26 @@
         Machine full = new Machine("m-full", TYPE, "a", true, 0);
         half.cpusUsed = 4;
         full.cpusUsed = 7;
-        Planner planner = new Planner(new ArrayList<>(List.of(new Planner.Slot(empty), new Planner.Slot(half), new Planner.Slot(full))), t -> 100, t -> 0);
+        Planner planner =
+                new Planner(
+                        new ArrayList<>(
+                                List.of(
+                                        new Planner.Slot(empty),
+                                        new Planner.Slot(half),
+                                        new Planner.Slot(full))),
+                        t -> 100,
+                        t -> 0);
         planner.place(new Job("wk-1", spec("wk-1", 3, 2, null, false, false, true), 0), 3);
-        assertEquals(List.of("m-half", "m-empty"), planner.placed().stream().map(p -> p.slot().machine.id).toList());
+        assertEquals(
+                List.of("m-half", "m-empty"),
+                planner.placed().stream().map(p -> p.slot().machine.id).toList());
         assertEquals(2, planner.placed().get(0).count());
     }
 
     /**
-     * A job that needs a whole machine waits behind smaller tasks that fill each half that comes free. The emptiest machine is
-     * kept for it, and no other job of the plan gets it; a machine that could never have room is not.
+     * A job that needs a whole machine waits behind smaller tasks that fill each half that comes
+     * free. The emptiest machine is kept for it, and no other job of the plan gets it; a machine
+     * that could never have room is not.
      */
     @Example
     void aMachineIsKeptForALargerTask() {
@@ -152,11 +234,24 @@
         Machine full = new Machine("m-full", TYPE, "a", true, 0);
         half.cpusUsed = 4;
         full.cpusUsed = 7;
-        Planner planner = new Planner(new ArrayList<>(List.of(new Planner.Slot(half), new Planner.Slot(full))), t -> 100, t -> 0);
-        assertEquals(1, planner.place(new Job("wk-1", spec("wk-1", 1, 8, null, false, false, true), 0), 1));
+        Planner planner =
+                new Planner(
+                        new ArrayList<>(List.of(new Planner.Slot(half), new Planner.Slot(full))),
+                        t -> 100,
+                        t -> 0);
+        assertEquals(
+                1,
+                planner.place(new Job("wk-1", spec("wk-1", 1, 8, null, false, false, true), 0), 1));
         assertEquals(List.of(half), planner.keep(spec("wk-1", 1, 8, null, false, false, true), 1));
-        assertEquals(2, planner.place(new Job("wk-2", spec("wk-2", 3, 1, null, false, false, true), 0), 3));
-        assertEquals(List.of("m-full"), planner.placed().stream().map(p -> p.slot().machine.id).toList());
-        assertEquals(List.of(), planner.keep(spec("wk-3", 1, 9, null, false, false, true), 1), "no machine of this type ever has 9 CPUs");
+        assertEquals(
+                2,
+                planner.place(new Job("wk-2", spec("wk-2", 3, 1, null, false, false, true), 0), 3));
+        assertEquals(
+                List.of("m-full"),
+                planner.placed().stream().map(p -> p.slot().machine.id).toList());
+        assertEquals(
+                List.of(),
+                planner.keep(spec("wk-3", 1, 9, null, false, false, true), 1),
+                "no machine of this type ever has 9 CPUs");
     }
 }
--- a/src/test/java/org/shoreusher/core/StartMarksTest.java
+++ b/src/test/java/org/shoreusher/core/StartMarksTest.java
@@ -16,43 +16,123 @@
 import org.shoreusher.settings.Settings;
 import org.shoreusher.wire.Tree;
 
-/** Marks of how far jobs have been begun, when their writes fail, get no answer, or are carried out late. */
+/**
+ * Marks of how far jobs have been begun, when their writes fail, get no answer, or are carried out
+ * late.
+ */
 class StartMarksTest {
     private static final Settings.Address NOWHERE = new Settings.Address("127.0.0.1", 1);
-    private static final Settings SETTINGS = new Settings("n", "a", NOWHERE, NOWHERE, List.of(), NOWHERE, NOWHERE, 3, List.of("a"),
-            Map.of("team", new Settings.Team("team", 8, 16, 0, 0)), List.of(), 1, 10, 40, 1000, 1000, 1024, 12, 5, 3, 1000, 25);
+    private static final Settings SETTINGS =
+            new Settings(
+                    "n",
+                    "a",
+                    NOWHERE,
+                    NOWHERE,
+                    List.of(),
+                    NOWHERE,
+                    NOWHERE,
+                    3,
+                    List.of("a"),
+                    Map.of("team", new Settings.Team("team", 8, 16, 0, 0)),
+                    List.of(),
+                    1,
+                    10,
+                    40,
+                    1000,
+                    1000,
+                    1024,
+                    12,
+                    5,
+                    3,
+                    1000,
+                    25);
 
     /**
-     * A record was assigned to a job when the write was made: after writes that failed others were assigned the same room, and
-     * a record above the value limit is refused for good, so that none of its jobs ever begins.
+     * A record was assigned to a job when the write was made: after writes that failed others were
+     * assigned the same room, and a record above the value limit is refused for good, so that none
+     * of its jobs ever begins.
      */
     @Property(tries = 100, seed = "431")
-    void recordsStayBelowTheValueLimitAlthoughWritesFail(@ForAll @IntRange(min = 1, max = 300) int count, @ForAll @LongRange(min = 0) long seed) {
+    void recordsStayBelowTheValueLimitAlthoughWritesFail(
+            @ForAll @IntRange(min = 1, max = 300) int count,
+            @ForAll @LongRange(min = 0) long seed) {
         Random random = new Random(seed);
         Outbox out = new Outbox(SETTINGS, 1);
         out.now = new Reading(1_000, 1_000);
-        Mirror mirror = new Mirror(out, SETTINGS, (key, before, after) -> { });
-        Holding holding = new Holding(0, SETTINGS, out, mirror, new Keys.PartRecord("n/1", 60_000, 1, Map.of()), out.now, 1);
+        Mirror mirror = new Mirror(out, SETTINGS, (key, before, after) -> {});
+        Holding holding =
+                new Holding(
+                        0,
+                        SETTINGS,
+                        out,
+                        mirror,
+                        new Keys.PartRecord("n/1", 60_000, 1, Map.of()),
+                        out.now,
+                        1);
         Map<String, Job> jobs = new LinkedHashMap<>();
         for (int i = 0; i < count; i++) {
-            JobSpec spec = new JobSpec("wk-" + (1_000_000 + i), "c", "team", JobSpec.Priority.HIGH, 1 + random.nextInt(1_000), 2, 0, 1, "i", 1, null, null,
-                    false, false, true, 1, 0, 0, Double.NaN);
+            JobSpec spec =
+                    new JobSpec(
+                            "wk-" + (1_000_000 + i),
+                            "c",
+                            "team",
+                            JobSpec.Priority.HIGH,
+                            1 + random.nextInt(1_000),
+                            2,
+                            0,
+                            1,
+                            "i",
+                            1,
+                            null,
+                            null,
+                            false,
+                            false,
+                            true,
+                            1,
+                            0,
+                            0,
+                            Double.NaN);
             jobs.put(spec.id(), new Job(spec.id(), spec, 0));
             mirror.apply(Keys.job(spec.id()), Keys.JobRecord.open(0, spec, 0).write(), 1);
         }
-        StartMarks marks = new StartMarks(0, 1, SETTINGS, out, mirror, new Arrivals(SETTINGS, out, mirror), holding, jobs);
+        StartMarks marks =
+                new StartMarks(
+                        0,
+                        1,
+                        SETTINGS,
+                        out,
+                        mirror,
+                        new Arrivals(SETTINGS, out, mirror),
+                        holding,
+                        jobs);
         long revision = 1;
-        for (int round = 0; round < 300 && jobs.values().stream().anyMatch(j -> j.startBelow == 0); round++) {
-            jobs.values().stream().filter(j -> j.startBelow == 0 && random.nextInt(3) == 0).forEach(j -> marks.want(j, 1));
+        for (int round = 0;
+                round < 300 && jobs.values().stream().anyMatch(j -> j.startBelow == 0);
+                round++) {
+            jobs.values().stream()
+                    .filter(j -> j.startBelow == 0 && random.nextInt(3) == 0)
+                    .forEach(j -> marks.want(j, 1));
             out.now = new Reading(out.now.steadyMs() + 300, out.now.wallMs() + 10);
             marks.write();
             for (Effect e : out.drain()) {
                 Effect.StateCall call = (Effect.StateCall) e;
-                ((StateOp.Multi) call.op()).writes().forEach((key, value) -> assertTrue(Tree.jsonLength(value) <= SETTINGS.valueBytes(), key));
+                ((StateOp.Multi) call.op())
+                        .writes()
+                        .forEach(
+                                (key, value) ->
+                                        assertTrue(
+                                                Tree.jsonLength(value) <= SETTINGS.valueBytes(),
+                                                key));
                 boolean fails = round < 20 || (round < 100 && random.nextInt(3) > 0);
-                out.replied(new StateReply(call.call(), fails ? new int[] {0, 503, 429}[random.nextInt(3)] : 200, fails ? null : Map.of("ledger", ++revision)));
+                out.replied(
+                        new StateReply(
+                                call.call(),
+                                fails ? new int[] {0, 503, 429}[random.nextInt(3)] : 200,
+                                fails ? null : Map.of("ledger", ++revision)));
             }
         }
-        jobs.values().forEach(j -> assertEquals(1, Math.min(1, j.startBelow), j.id + " may never begin"));
+        jobs.values()
+                .forEach(
+                        j -> assertEquals(1, Math.min(1, j.startBelow), j.id + " may never begin"));
     }
 }
--- a/src/test/java/org/shoreusher/model/CancellationGapTest.java
+++ b/src/test/java/org/shoreusher/model/CancellationGapTest.java
@@ -15,7 +15,10 @@
 import org.shoreusher.model.World.Sabotage;
 import org.shoreusher.model.World.Trouble;
 
-/** Cancellations that an owner can't see, confirmed by another node: the tasks are gone in time all the same. */
+/**
+ * Cancellations that an owner can't see, confirmed by another node: the tasks are gone in time all
+ * the same.
+ */
 class CancellationGapTest {
     private static final long GAP_MS = 60_000;
 
@@ -23,8 +26,31 @@
     private static World world(long seed, List<Trouble> troubles) {
         World w = new World(seed, ClusterModelTest.settings(), 1, Sabotage.NONE);
         for (int i = 0; i < 16; i++) {
-            w.users.submit(new UserModel.Wish(new JobSpec(String.format("wk-%06d", i), "class", "team-" + i % 2, JobSpec.Priority.HIGH, 1 + i % 4, 1, 0, 1,
-                    "img-" + i % 3, 1, null, null, false, false, true, 90, 0, 0, Double.NaN), false, 120_000), 1_000 + i * 500L);
+            w.users.submit(
+                    new UserModel.Wish(
+                            new JobSpec(
+                                    String.format("wk-%06d", i),
+                                    "class",
+                                    "team-" + i % 2,
+                                    JobSpec.Priority.HIGH,
+                                    1 + i % 4,
+                                    1,
+                                    0,
+                                    1,
+                                    "img-" + i % 3,
+                                    1,
+                                    null,
+                                    null,
+                                    false,
+                                    false,
+                                    true,
+                                    90,
+                                    0,
+                                    0,
+                                    Double.NaN),
+                            false,
+                            120_000),
+                    1_000 + i * 500L);
         }
         w.run(220_000, troubles);
         w.rules.end();
@@ -33,8 +59,22 @@
 
     /** Most of the jobs are called off within two seconds. */
     private static Trouble cancelled(long at) {
-        return new Trouble(at, w -> w.users.wishes.values().stream().filter(x -> x.accepted && !x.doneTold && !x.cancelAsked && w.random.nextInt(5) > 0).toList()
-                .forEach(x -> w.in(w.random.nextInt(1_500), () -> w.users.cancel(x))));
+        return new Trouble(
+                at,
+                w ->
+                        w.users.wishes.values().stream()
+                                .filter(
+                                        x ->
+                                                x.accepted
+                                                        && !x.doneTold
+                                                        && !x.cancelAsked
+                                                        && w.random.nextInt(5) > 0)
+                                .toList()
+                                .forEach(
+                                        x ->
+                                                w.in(
+                                                        w.random.nextInt(1_500),
+                                                        () -> w.users.cancel(x))));
     }
 
     private static long cancelledJobs(World w) {
@@ -42,34 +82,60 @@
     }
 
     /**
-     * The state service refuses the owner alone, other nodes confirm cancellations, and then it is away for all: for a part's
-     * lease, for lease and grace, or for longer than cancellations have.
+     * The state service refuses the owner alone, other nodes confirm cancellations, and then it is
+     * away for all: for a part's lease, for lease and grace, or for longer than cancellations have.
      */
     @Property(tries = 40, seed = "60", shrinking = ShrinkingMode.OFF)
-    void tasksAreGoneInTimeThoughTheirOwnerNeverHears(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
+    void tasksAreGoneInTimeThoughTheirOwnerNeverHears(
+            @ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
         Random r = new Random(seed);
         long before = 1_000 + r.nextInt(19_000);
-        long outage = new long[] {5_200, 14_500, 31_000, 60_000}[r.nextInt(4)] + r.nextInt(4_000) - 2_000;
+        long outage =
+                new long[] {5_200, 14_500, 31_000, 60_000}[r.nextInt(4)] + r.nextInt(4_000) - 2_000;
         List<Trouble> troubles = new ArrayList<>();
-        troubles.add(new Trouble(GAP_MS, w -> ClusterModelTest.owners(w).forEach(p -> w.state.refuse(p.host, before + 14_000))));
+        troubles.add(
+                new Trouble(
+                        GAP_MS,
+                        w ->
+                                ClusterModelTest.owners(w)
+                                        .forEach(p -> w.state.refuse(p.host, before + 14_000))));
         troubles.add(cancelled(GAP_MS + r.nextInt(2_000)));
         troubles.add(new Trouble(GAP_MS + before, w -> w.state.outage(outage)));
         if (r.nextInt(3) == 0) {
-            troubles.add(new Trouble(GAP_MS + before, w -> w.cloud.machines().forEach(m -> m.hang(r.nextInt(8_000)))));
+            troubles.add(
+                    new Trouble(
+                            GAP_MS + before,
+                            w -> w.cloud.machines().forEach(m -> m.hang(r.nextInt(8_000)))));
         }
         World w = world(seed, troubles);
-        assertEquals(List.of(), w.rules.violations, () -> "seed " + seed + "\n" + String.join("\n", w.log));
+        assertEquals(
+                List.of(),
+                w.rules.violations,
+                () -> "seed " + seed + "\n" + String.join("\n", w.log));
         assertTrue(cancelledJobs(w) > 3, "hardly any cancellation");
     }
 
     /**
-     * What others write does not reach the owner although its renewals do reach the state service: it must not go on answering
-     * its workers for ever. A renewal shows no cancellation.
+     * What others write does not reach the owner although its renewals do reach the state service:
+     * it must not go on answering its workers for ever. A renewal shows no cancellation.
      */
     @Example
     void anOwnerThatSeesNothingLetsItsWorkersGo() {
         for (long seed = 0; seed < 6; seed++) {
-            World w = world(seed, List.of(new Trouble(GAP_MS, x -> ClusterModelTest.owners(x).forEach(p -> x.state.stallViews(p.host, 100_000))), cancelled(GAP_MS + 2_500)));
+            World w =
+                    world(
+                            seed,
+                            List.of(
+                                    new Trouble(
+                                            GAP_MS,
+                                            x ->
+                                                    ClusterModelTest.owners(x)
+                                                            .forEach(
+                                                                    p ->
+                                                                            x.state.stallViews(
+                                                                                    p.host,
+                                                                                    100_000))),
+                                    cancelled(GAP_MS + 2_500)));
             assertEquals(List.of(), w.rules.violations, () -> String.join("\n", w.log));
             assertTrue(cancelledJobs(w) > 3, "hardly any cancellation");
         }
--- a/src/test/java/org/shoreusher/model/CancellationTest.java
+++ b/src/test/java/org/shoreusher/model/CancellationTest.java
@@ -14,12 +14,14 @@
 
 /** What an owner does about cancellations that other nodes have confirmed. */
 class CancellationTest {
-    private static final TaskReport RUNNING = new TaskReport("wk-1", 0, 1, TaskState.RUNNING, Cause.NONE);
+    private static final TaskReport RUNNING =
+            new TaskReport("wk-1", 0, 1, TaskState.RUNNING, Cause.NONE);
     private final SingleNode node = new SingleNode();
 
     /**
-     * The first answer of a takeover gives no other command, since the report may be old. A cancelled task it stops all the
-     * same: of ten owners in two minutes each may give a worker just one answer, and each answer renews its lease.
+     * The first answer of a takeover gives no other command, since the report may be old. A
+     * cancelled task it stops all the same: of ten owners in two minutes each may give a worker
+     * just one answer, and each answer renews its lease.
      */
     @Example
     void theFirstAnswerOfATakeoverStopsCancelledTasks() {
@@ -31,7 +33,10 @@
         assertEquals(List.of("halt"), node.report("host-1", 1, 5, RUNNING, other));
     }
 
-    /** In the grace after a lapse an owner starts nothing, but it stops what it knows to be cancelled. */
+    /**
+     * In the grace after a lapse an owner starts nothing, but it stops what it knows to be
+     * cancelled.
+     */
     @Example
     void theGraceStopsCancelledTasks() {
         node.openJob("wk-1", 1);
@@ -44,13 +49,15 @@
         node.steps(3);
         node.state().outage(60_000);
         node.steps(110);
-        assertTrue(node.log.stream().anyMatch(l -> l.startsWith("lapse")), () -> String.join("\n", node.log));
+        assertTrue(
+                node.log.stream().anyMatch(l -> l.startsWith("lapse")),
+                () -> String.join("\n", node.log));
         assertEquals(List.of("halt"), node.report("host-1", 3, 6, RUNNING));
     }
 
     /**
-     * A lease that lapsed is renewed, as nobody has taken the part; but the view does not yet show what was confirmed meanwhile.
-     * Nothing starts until it does.
+     * A lease that lapsed is renewed, as nobody has taken the part; but the view does not yet show
+     * what was confirmed meanwhile. Nothing starts until it does.
      */
     @Example
     void afterALapseNothingStartsBeforeTheViewIsComplete() {
@@ -64,7 +71,9 @@
         node.steps(40);
         node.cancelled("wk-1", 1);
         node.steps(52);
-        assertTrue(node.log.stream().anyMatch(l -> l.startsWith("lapse")), () -> String.join("\n", node.log));
+        assertTrue(
+                node.log.stream().anyMatch(l -> l.startsWith("lapse")),
+                () -> String.join("\n", node.log));
         node.state().stallViews("node-0", 2_000);
         while (node.log.stream().noneMatch(l -> l.startsWith("renewed"))) {
             node.steps(1);
@@ -82,7 +91,10 @@
         assertFalse(started.contains("wk-1/0"), () -> "cancelled: " + started);
     }
 
-    /** A cancelled job's record leaves the memory once none of its tasks can be left, and its state is known all the same. */
+    /**
+     * A cancelled job's record leaves the memory once none of its tasks can be left, and its state
+     * is known all the same.
+     */
     @Example
     void cancelledJobsLeaveTheMemory() {
         node.left();
@@ -99,7 +111,11 @@
     }
 
     private int keys() {
-        String last = node.log.stream().filter(l -> l.startsWith("status")).reduce((a, b) -> b).orElseThrow();
+        String last =
+                node.log.stream()
+                        .filter(l -> l.startsWith("status"))
+                        .reduce((a, b) -> b)
+                        .orElseThrow();
         return Integer.parseInt(last.replaceAll(".* (\\d+) keys in memory.*", "$1"));
     }
 }
--- a/src/test/java/org/shoreusher/model/CloudModel.java
+++ b/src/test/java/org/shoreusher/model/CloudModel.java
@@ -9,8 +9,9 @@
 import org.shoreusher.core.Effect.CloudOp;
 
 /**
- * A stand-in of the cloud with lists that lag and machines that never boot. It has one type of machine; where there are more than
- * two zones also a large one, cheaper by the CPU, few in number, and alone in the last zone.
+ * A stand-in of the cloud with lists that lag and machines that never boot. It has one type of
+ * machine; where there are more than two zones also a large one, cheaper by the CPU, few in number,
+ * and alone in the last zone.
  */
 final class CloudModel {
     static final String TYPE = "box";
@@ -25,6 +26,7 @@
     private final Map<String, Map<String, Object>> hires = new HashMap<>();
     private long outageUntil;
     private int named;
+
     /** Whether machines are up within two seconds. */
     boolean quickBoots;
 
@@ -47,7 +49,10 @@
     }
 
     WorkerModel byAddress(String address) {
-        return machines.values().stream().filter(w -> w.address().equals(address)).findFirst().orElse(null);
+        return machines.values().stream()
+                .filter(w -> w.address().equals(address))
+                .findFirst()
+                .orElse(null);
     }
 
     void take(WorkerModel w) {
@@ -96,9 +101,39 @@
     private List<Object> types() {
         List<String> zones = world.settings.zones();
         List<Object> types = new ArrayList<>();
-        types.add(Map.of("sku", TYPE, "cpus", CPUS, "mem_gb", 32.0, "rate", 1.0, "low_price", 0.4, "ready_s", 5.0, "yards", zones.subList(0, Math.max(2, zones.size() - 1))));
+        types.add(
+                Map.of(
+                        "sku",
+                        TYPE,
+                        "cpus",
+                        CPUS,
+                        "mem_gb",
+                        32.0,
+                        "rate",
+                        1.0,
+                        "low_price",
+                        0.4,
+                        "ready_s",
+                        5.0,
+                        "yards",
+                        zones.subList(0, Math.max(2, zones.size() - 1))));
         if (zones.size() > 2) {
-            types.add(Map.of("sku", LARGE, "cpus", LARGE_CPUS, "mem_gb", 64.0, "rate", 3.0, "low_price", 1.0, "ready_s", 6.0, "yards", zones));
+            types.add(
+                    Map.of(
+                            "sku",
+                            LARGE,
+                            "cpus",
+                            LARGE_CPUS,
+                            "mem_gb",
+                            64.0,
+                            "rate",
+                            3.0,
+                            "low_price",
+                            1.0,
+                            "ready_s",
+                            6.0,
+                            "yards",
+                            zones));
         }
         return types;
     }
@@ -109,8 +144,19 @@
             reply.answer(200, before);
             return;
         }
-        long used = machines.values().stream().filter(w -> w.zone.equals(rent.zone()) && w.type.equals(rent.type()) && w.spot == rent.spot()).count();
-        int count = (int) Math.min(rent.count(), (rent.type().equals(LARGE) ? 1 + capacity / 8 : capacity) - used);
+        long used =
+                machines.values().stream()
+                        .filter(
+                                w ->
+                                        w.zone.equals(rent.zone())
+                                                && w.type.equals(rent.type())
+                                                && w.spot == rent.spot())
+                        .count();
+        int count =
+                (int)
+                        Math.min(
+                                rent.count(),
+                                (rent.type().equals(LARGE) ? 1 + capacity / 8 : capacity) - used);
         if (count <= 0) {
             reply.answer(503, Map.of("error", "no capacity"));
             return;
@@ -118,11 +164,16 @@
         List<Object> names = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             String id = String.format("host-%06d", named++);
-            WorkerModel w = new WorkerModel(world, id, rent.type(), rent.zone(), rent.spot(), named);
+            WorkerModel w =
+                    new WorkerModel(world, id, rent.type(), rent.zone(), rent.spot(), named);
             machines.put(id, w);
             names.add(id);
             if (world.random.nextInt(12) > 0) {
-                world.in(quickBoots ? 100 + world.random.nextInt(1_800) : 500 + world.random.nextInt(8_000), w::boot);
+                world.in(
+                        quickBoots
+                                ? 100 + world.random.nextInt(1_800)
+                                : 500 + world.random.nextInt(8_000),
+                        w::boot);
             }
         }
         Map<String, Object> answer = Map.of("boxes", names);
--- a/src/test/java/org/shoreusher/model/FormerFormatsTest.java
+++ b/src/test/java/org/shoreusher/model/FormerFormatsTest.java
@@ -20,14 +20,17 @@
 import org.shoreusher.wire.UserFormat;
 
 /**
- * What the version before services left in the store (values that it wrote itself, in the resource), read and carried on by this one under
- * any limits; and what this one writes, held against what that version can read.
+ * What the version before services left in the store (values that it wrote itself, in the
+ * resource), read and carried on by this one under any limits; and what this one writes, held
+ * against what that version can read.
  */
 class FormerFormatsTest {
-    private static final String HINT = "6e6f64652db10068e5cf8b010000010000000000605340010000000000000029400304017465616d2db00000000000002040000000000000304001000301776b2d3030303030b10201776b2d3030303030b105";
+    private static final String HINT =
+            "6e6f64652db10068e5cf8b010000010000000000605340010000000000000029400304017465616d2db00000000000002040000000000000304001000301776b2d3030303030b10201776b2d3030303030b105";
 
     private static Map<String, Object> former() {
-        try (InputStream in = FormerFormatsTest.class.getResourceAsStream("/formats-before-services.json")) {
+        try (InputStream in =
+                FormerFormatsTest.class.getResourceAsStream("/formats-before-services.json")) {
             return Tree.json(in.readAllBytes()).asMap();
         } catch (java.io.IOException e) {
             throw new AssertionError(e);
@@ -35,7 +38,8 @@
     }
 
     private static Settings limits(int valueBytes, int txnOps) {
-        return ClusterModelTest.limits(ClusterModelTest.settings().stateWriteRps(), valueBytes, txnOps);
+        return ClusterModelTest.limits(
+                ClusterModelTest.settings().stateWriteRps(), valueBytes, txnOps);
     }
 
     @SuppressWarnings("unchecked")
@@ -55,35 +59,54 @@
         return set;
     }
 
-    /** Finished tasks of all records, as the version before reads them: the part's own and the others without a gap. */
+    /**
+     * Finished tasks of all records, as the version before reads them: the part's own and the
+     * others without a gap.
+     */
     private static Map<String, BitSet> finished(StateModel state) {
         Map<String, BitSet> all = new HashMap<>();
         for (int c = 0; c == 0 || state.value("part/0/done/" + c) != null; c++) {
-            Map<?, ?> done = (Map<?, ?>) state.value(c == 0 ? "part/0" : "part/0/done/" + c).get("done");
-            done.forEach((id, text) -> all.computeIfAbsent((String) id, i -> new BitSet()).or(ranges(text)));
+            Map<?, ?> done =
+                    (Map<?, ?>) state.value(c == 0 ? "part/0" : "part/0/done/" + c).get("done");
+            done.forEach(
+                    (id, text) ->
+                            all.computeIfAbsent((String) id, i -> new BitSet()).or(ranges(text)));
         }
         return all;
     }
 
-    /** Whatever the limits: nothing that was finished, started, accepted, ended or recorded is lost, and nothing is written above them. */
+    /**
+     * Whatever the limits: nothing that was finished, started, accepted, ended or recorded is lost,
+     * and nothing is written above them.
+     */
     @Example
     void whatTheFormerVersionLeftIsCarriedOn() {
         Map<String, BitSet> before = new HashMap<>();
         for (String key : List.of("part/0", "part/0/done/1")) {
-            ((Map<?, ?>) ((Map<?, ?>) former().get(key)).get("done")).forEach((id, text) -> before.put((String) id, ranges(text)));
+            ((Map<?, ?>) ((Map<?, ?>) former().get(key)).get("done"))
+                    .forEach((id, text) -> before.put((String) id, ranges(text)));
         }
         assertEquals(5, before.size());
         for (int valueBytes : new int[] {1_024, 2_048, 8_192}) {
             for (int txnOps : new int[] {4, 6, 12}) {
                 SingleNode node = after(valueBytes, txnOps, 300);
-                String limits = valueBytes + " bytes, " + txnOps + " operations\n" + String.join("\n", node.log);
+                String limits =
+                        valueBytes
+                                + " bytes, "
+                                + txnOps
+                                + " operations\n"
+                                + String.join("\n", node.log);
                 assertTrue(node.log.stream().anyMatch(l -> l.startsWith("takeover")), limits);
-                before.forEach((id, set) -> {
-                    BitSet lost = (BitSet) set.clone();
-                    lost.andNot(finished(node.state()).getOrDefault(id, new BitSet()));
-                    assertTrue(lost.isEmpty(), () -> id + " lost " + lost + ", " + limits);
-                    assertEquals((long) set.cardinality(), node.answerAbout(id).body().get("done"), limits);
-                });
+                before.forEach(
+                        (id, set) -> {
+                            BitSet lost = (BitSet) set.clone();
+                            lost.andNot(finished(node.state()).getOrDefault(id, new BitSet()));
+                            assertTrue(lost.isEmpty(), () -> id + " lost " + lost + ", " + limits);
+                            assertEquals(
+                                    (long) set.cardinality(),
+                                    node.answerAbout(id).body().get("done"),
+                                    limits);
+                        });
                 assertEquals("pending", node.ask("wk-000006"), limits);
                 assertEquals("pending", node.ask("wk-000007"), limits);
                 assertEquals("aborted", node.ask("wk-000008"), limits);
@@ -94,79 +117,229 @@
                 assertEquals(List.of(), node.report("host-000265", 1, 6));
                 for (int step = 0; step < 300; step++) {
                     node.steps(1);
-                    assertEquals(70, node.state().all("machine/").entrySet().stream().flatMap(g -> ((Map<?, ?>) g.getValue().get("machines")).keySet().stream()
-                            .map(sign -> g.getKey() + sign)).distinct().count(), () -> "a machine stood in no group for a while, " + limits);
+                    assertEquals(
+                            70,
+                            node.state().all("machine/").entrySet().stream()
+                                    .flatMap(
+                                            g ->
+                                                    ((Map<?, ?>) g.getValue().get("machines"))
+                                                            .keySet().stream()
+                                                                    .map(sign -> g.getKey() + sign))
+                                    .distinct()
+                                    .count(),
+                            () -> "a machine stood in no group for a while, " + limits);
                 }
                 Map<String, Map<String, Object>> machines = node.state().all("machine/");
-                assertEquals(valueBytes < 6_000, machines.size() > 1 && !machines.containsKey("machine/host-0002"), () -> machines.keySet() + limits);
-                assertEquals(70, machines.values().stream().mapToInt(g -> ((Map<?, ?>) g.get("machines")).size()).sum(), limits);
+                assertEquals(
+                        valueBytes < 6_000,
+                        machines.size() > 1 && !machines.containsKey("machine/host-0002"),
+                        () -> machines.keySet() + limits);
+                assertEquals(
+                        70,
+                        machines.values().stream()
+                                .mapToInt(g -> ((Map<?, ?>) g.get("machines")).size())
+                                .sum(),
+                        limits);
             }
         }
     }
 
-    /** Each value that this version writes has what the version before needs to read it, also for a service. */
+    /**
+     * Each value that this version writes has what the version before needs to read it, also for a
+     * service.
+     */
     @Example
     void theFormerVersionReadsWhatThisOneWrites() {
         SingleNode node = after(2_048, 6, 300);
         node.report("host-000265", 1, 6);
-        JobSpec service = new JobSpec("wk-000020", "gate", "team-0", JobSpec.Shape.SERVICE, JobSpec.Priority.PRODUCTION, 3, 1, 0, 1, "img", 1, null, null, false, true,
-                false, 0, 0, 0, Double.NaN);
+        JobSpec service =
+                new JobSpec(
+                        "wk-000020",
+                        "gate",
+                        "team-0",
+                        JobSpec.Shape.SERVICE,
+                        JobSpec.Priority.PRODUCTION,
+                        3,
+                        1,
+                        0,
+                        1,
+                        "img",
+                        1,
+                        null,
+                        null,
+                        false,
+                        true,
+                        false,
+                        0,
+                        0,
+                        0,
+                        Double.NaN);
         assertEquals(201, node.submit(service));
         node.steps(300);
-        assertTrue(node.state().count("node/") > 0, "notes of formats, which that version skips like all keys it does not know");
-        node.state().all("").forEach((key, value) -> {
-            if (key.startsWith("job/")) {
-                assertTrue(value.get("part") instanceof Number && value.get("tasks") instanceof Number && value.get("accepted") instanceof Number
-                        && List.of("OPEN", "DONE", "CANCELLED").contains(value.get("status")), key);
-                if (value.get("spec") instanceof Map<?, ?> spec) {
-                    assertEquals("sweep", spec.get("shape"), key + ": any other shape would end that version's process");
-                    for (String field : List.of("name_id", "queue", "crew", "urgency", "sheets", "cpus", "gpus", "mem_gb", "plate", "size_gb", "runtime_s")) {
-                        assertNotNull(spec.get(field), key + " " + field);
-                    }
-                }
-            } else if (key.startsWith("machine/")) {
-                List<?> names = (List<?>) value.get("names");
-                ((Map<?, ?>) value.get("machines")).forEach((id, fields) -> {
-                    List<?> f = (List<?>) fields;
-                    assertEquals(6, f.size());
-                    assertTrue(((Number) f.get(1)).intValue() < names.size() && ((Number) f.get(2)).intValue() < names.size(), key);
-                });
-            } else if (key.equals("part/0")) {
-                assertTrue(value.get("owner") instanceof String && value.get("expiry") instanceof Number && value.get("term") instanceof Number && value.get("done") instanceof Map, key);
-            } else if (key.startsWith("part/0/begun/")) {
-                ((Map<?, ?>) value.get("begun")).values().forEach(below -> assertTrue(below instanceof Number, key));
-            }
-        });
+        assertTrue(
+                node.state().count("node/") > 0,
+                "notes of formats, which that version skips like all keys it does not know");
+        node.state()
+                .all("")
+                .forEach(
+                        (key, value) -> {
+                            if (key.startsWith("job/")) {
+                                assertTrue(
+                                        value.get("part") instanceof Number
+                                                && value.get("tasks") instanceof Number
+                                                && value.get("accepted") instanceof Number
+                                                && List.of("OPEN", "DONE", "CANCELLED")
+                                                        .contains(value.get("status")),
+                                        key);
+                                if (value.get("spec") instanceof Map<?, ?> spec) {
+                                    assertEquals(
+                                            "sweep",
+                                            spec.get("shape"),
+                                            key
+                                                    + ": any other shape would end that version's"
+                                                    + " process");
+                                    for (String field :
+                                            List.of(
+                                                    "name_id",
+                                                    "queue",
+                                                    "crew",
+                                                    "urgency",
+                                                    "sheets",
+                                                    "cpus",
+                                                    "gpus",
+                                                    "mem_gb",
+                                                    "plate",
+                                                    "size_gb",
+                                                    "runtime_s")) {
+                                        assertNotNull(spec.get(field), key + " " + field);
+                                    }
+                                }
+                            } else if (key.startsWith("machine/")) {
+                                List<?> names = (List<?>) value.get("names");
+                                ((Map<?, ?>) value.get("machines"))
+                                        .forEach(
+                                                (id, fields) -> {
+                                                    List<?> f = (List<?>) fields;
+                                                    assertEquals(6, f.size());
+                                                    assertTrue(
+                                                            ((Number) f.get(1)).intValue()
+                                                                            < names.size()
+                                                                    && ((Number) f.get(2))
+                                                                                    .intValue()
+                                                                            < names.size(),
+                                                            key);
+                                                });
+                            } else if (key.equals("part/0")) {
+                                assertTrue(
+                                        value.get("owner") instanceof String
+                                                && value.get("expiry") instanceof Number
+                                                && value.get("term") instanceof Number
+                                                && value.get("done") instanceof Map,
+                                        key);
+                            } else if (key.startsWith("part/0/begun/")) {
+                                ((Map<?, ?>) value.get("begun"))
+                                        .values()
+                                        .forEach(below -> assertTrue(below instanceof Number, key));
+                            }
+                        });
         assertEquals(service, describedAgain(node, service.id()));
     }
 
     @SuppressWarnings("unchecked")
     private static JobSpec describedAgain(SingleNode node, String id) {
         try {
-            return UserFormat.described(new Tree((Map<String, Object>) node.state().value("job/" + id).get("spec")));
+            return UserFormat.described(
+                    new Tree((Map<String, Object>) node.state().value("job/" + id).get("spec")));
         } catch (Tree.Missing e) {
             throw new AssertionError(e);
         }
     }
 
-    /** A node can't take a service as long as one of the others may be of the version before, whatever hints say. */
+    /**
+     * A node can't take a service as long as one of the others may be of the version before,
+     * whatever hints say.
+     */
     @Example
     void noServiceBeforeEveryNodeIsKnownToUnderstandIt() {
         Settings s = limits(2_048, 6);
-        Settings of = new Settings("node-0", s.zone(), s.front(), s.back(), List.of(new Settings.Member("node-1", s.back())), s.cloud(), s.state(), 2, s.zones(), s.teams(),
-                s.objectives(), s.reportS(), s.workerLeaseS(), s.cancelS(), s.stateRps(), s.stateWriteRps(), s.valueBytes(), s.txnOps(), s.cloudRps(), s.listLagS(),
-                s.sockets(), s.clockOffMs());
+        Settings of =
+                new Settings(
+                        "node-0",
+                        s.zone(),
+                        s.front(),
+                        s.back(),
+                        List.of(new Settings.Member("node-1", s.back())),
+                        s.cloud(),
+                        s.state(),
+                        2,
+                        s.zones(),
+                        s.teams(),
+                        s.objectives(),
+                        s.reportS(),
+                        s.workerLeaseS(),
+                        s.cancelS(),
+                        s.stateRps(),
+                        s.stateWriteRps(),
+                        s.valueBytes(),
+                        s.txnOps(),
+                        s.cloudRps(),
+                        s.listLagS(),
+                        s.sockets(),
+                        s.clockOffMs());
         SingleNode node = new SingleNode(of);
         node.left();
         node.steps(40);
-        JobSpec service = new JobSpec("wk-000020", "gate", "team-0", JobSpec.Shape.SERVICE, JobSpec.Priority.PRODUCTION, 3, 1, 0, 1, "img", 1, null, null, false, true,
-                false, 0, 0, 0, Double.NaN);
+        JobSpec service =
+                new JobSpec(
+                        "wk-000020",
+                        "gate",
+                        "team-0",
+                        JobSpec.Shape.SERVICE,
+                        JobSpec.Priority.PRODUCTION,
+                        3,
+                        1,
+                        0,
+                        1,
+                        "img",
+                        1,
+                        null,
+                        null,
+                        false,
+                        true,
+                        false,
+                        0,
+                        0,
+                        0,
+                        Double.NaN);
         assertEquals(503, node.submit(service));
         node.stored("node/node-1", Map.of("formats", 2L));
         node.steps(5);
         assertEquals(201, node.submit(service));
-        assertEquals(422, node.submit(new JobSpec("wk-000021", "gate", "team-0", JobSpec.Shape.SERVICE, JobSpec.Priority.PRODUCTION, 25, 1, 0, 1, "img", 1, null, null, false,
-                true, false, 0, 0, 0, Double.NaN)), "all replicas together are above the team's limit");
+        assertEquals(
+                422,
+                node.submit(
+                        new JobSpec(
+                                "wk-000021",
+                                "gate",
+                                "team-0",
+                                JobSpec.Shape.SERVICE,
+                                JobSpec.Priority.PRODUCTION,
+                                25,
+                                1,
+                                0,
+                                1,
+                                "img",
+                                1,
+                                null,
+                                null,
+                                false,
+                                true,
+                                false,
+                                0,
+                                0,
+                                0,
+                                Double.NaN)),
+                "all replicas together are above the team's limit");
         assertEquals("pending", node.ask("wk-000020"));
     }
 
@@ -176,7 +349,9 @@
         Hint hint = new HintCodec().read(HexFormat.of().parseHex(HINT));
         assertNotNull(hint);
         assertEquals("node-1", hint.from());
-        assertEquals(new Hint.PartHint(12.5, 3, 4, Map.of("team-0", new Hint.Claim(8, 16))), hint.parts().get(0));
+        assertEquals(
+                new Hint.PartHint(12.5, 3, 4, Map.of("team-0", new Hint.Claim(8, 16))),
+                hint.parts().get(0));
         assertEquals(Map.of("wk-000001", 5), hint.done());
         assertEquals(HINT, HexFormat.of().formatHex(new HintCodec().write(hint)));
         assertNull(new HintCodec().read(new byte[] {1, 2, 3}));
