--- a/src/test/java/org/shoreusher/model/MeetingsTest.java
+++ b/src/test/java/org/shoreusher/model/MeetingsTest.java
@@ -31,8 +31,18 @@
     }
 
     private static void cancelRunning(World w, int count, long hangMs) {
-        List<UserModel.Wish> running = w.users.wishes.values().stream().filter(x -> x.accepted && !x.doneTold && !x.cancelAsked && w.rules.began.containsKey(x.spec.id())).toList();
-        running.stream().limit(count).forEach(x -> w.in(w.random.nextInt(200), () -> w.users.cancel(x)));
+        List<UserModel.Wish> running =
+                w.users.wishes.values().stream()
+                        .filter(
+                                x ->
+                                        x.accepted
+                                                && !x.doneTold
+                                                && !x.cancelAsked
+                                                && w.rules.began.containsKey(x.spec.id()))
+                        .toList();
+        running.stream()
+                .limit(count)
+                .forEach(x -> w.in(w.random.nextInt(200), () -> w.users.cancel(x)));
         if (hangMs > 0) {
             some(w, m -> m.hang(hangMs));
         }
@@ -44,10 +54,11 @@
         return switch (kind) {
             case 0 -> w -> w.state.loseAnswers(5, true, length);
             case 1 -> w -> w.state.loseAnswers(4, false, length);
-            case 2 -> w -> {
-                w.keepReports = true;
-                w.in(length, () -> w.keepReports = false);
-            };
+            case 2 ->
+                    w -> {
+                        w.keepReports = true;
+                        w.in(length, () -> w.keepReports = false);
+                    };
             case 3 -> w -> ClusterModelTest.owners(w).forEach(p -> p.kill(50 + length / 4));
             case 4 -> w -> ClusterModelTest.owners(w).forEach(p -> w.state.refuse(p.host, length));
             case 5 -> w -> w.state.outage(length);
@@ -55,24 +66,48 @@
             case 7 -> w -> some(w, m -> m.mute(length));
             case 8 -> w -> cancelRunning(w, 8, length / 3);
             case 9 -> w -> w.state.slow(900, length);
-            case 10 -> w -> {
-                w.cut(host, "state", length);
-                w.processes.forEach(p -> w.cut(host, p.host, length));
-            };
+            case 10 ->
+                    w -> {
+                        w.cut(host, "state", length);
+                        w.processes.forEach(p -> w.cut(host, p.host, length));
+                    };
             case 11 -> w -> w.cutZone("b", host, length);
-            case 12 -> w -> {
-                // Leaders change ten times.
-                for (int i = 0; i < 10; i++) {
-                    w.in(i * 8_000L, () -> ClusterModelTest.owners(w).forEach(p -> p.kill(100 + w.random.nextInt(6_000))));
-                }
-            };
-            case 13 -> w -> {
-                w.cloud.quickBoots = true;
-                some(w, w.cloud::take);
-            };
+            case 12 ->
+                    w -> {
+                        // Leaders change ten times.
+                        for (int i = 0; i < 10; i++) {
+                            w.in(
+                                    i * 8_000L,
+                                    () ->
+                                            ClusterModelTest.owners(w)
+                                                    .forEach(
+                                                            p ->
+                                                                    p.kill(
+                                                                            100
+                                                                                    + w.random
+                                                                                            .nextInt(
+                                                                                                    6_000))));
+                        }
+                    };
+            case 13 ->
+                    w -> {
+                        w.cloud.quickBoots = true;
+                        some(w, w.cloud::take);
+                    };
             case 14 -> w -> w.processes.forEach(p -> p.kill(9_000 + w.random.nextInt(3_000)));
             case 15 -> w -> some(w, m -> m.hang(length));
-            default -> w -> ClusterModelTest.owners(w).forEach(p -> w.cloud.machines().forEach(m -> w.cut(p.host, m.id, length)));
+            default ->
+                    w ->
+                            ClusterModelTest.owners(w)
+                                    .forEach(
+                                            p ->
+                                                    w.cloud
+                                                            .machines()
+                                                            .forEach(
+                                                                    m ->
+                                                                            w.cut(
+                                                                                    p.host, m.id,
+                                                                                    length)));
         };
     }
 
@@ -81,7 +116,13 @@
         List<Trouble> list = new ArrayList<>();
         for (long at = 25_000; at < 130_000; at += 25_000 + r.nextInt(20_000)) {
             for (int i = 2 + r.nextInt(2); i > 0; i--) {
-                list.add(new Trouble(at + r.nextInt(3_000), trouble(r.nextInt(KINDS), 1_000 + r.nextInt(30_000), r.nextInt(3))));
+                list.add(
+                        new Trouble(
+                                at + r.nextInt(3_000),
+                                trouble(
+                                        r.nextInt(KINDS),
+                                        1_000 + r.nextInt(30_000),
+                                        r.nextInt(3))));
             }
         }
         return list;
@@ -115,19 +156,31 @@
     @Property(tries = 80, seed = "25", shrinking = ShrinkingMode.OFF)
     void keepsTheRulesWhenTroublesMeet(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
         World w = world(seed, meetings(seed));
-        assertEquals(List.of(), w.rules.violations, () -> "seed " + seed + "\n" + String.join("\n", w.log));
+        assertEquals(
+                List.of(),
+                w.rules.violations,
+                () -> "seed " + seed + "\n" + String.join("\n", w.log));
         assertTrue(w.rules.starts > 100, "hardly anything ran: " + w.rules.starts);
         assertTrue(w.state.sharedArrivals > 0, "no submissions shared a write");
-        List<String> open = w.users.wishes.values().stream().filter(x -> !x.doneTold && !x.cancelTold).map(x -> x.spec.id()).toList();
+        List<String> open =
+                w.users.wishes.values().stream()
+                        .filter(x -> !x.doneTold && !x.cancelTold)
+                        .map(x -> x.spec.id())
+                        .toList();
         assertEquals(List.of(), open, () -> "seed " + seed + "\n" + String.join("\n", w.log));
     }
 
-    /** Submissions that can't run, of an unknown team, above a limit or lacking a field are refused for good, and nothing else is. */
+    /**
+     * Submissions that can't run, of an unknown team, above a limit or lacking a field are refused
+     * for good, and nothing else is.
+     */
     @Example
     void badSubmissionsAreRefusedForGood() {
         World w = world(1, List.of());
         assertEquals(List.of(), w.rules.violations);
-        assertTrue(w.users.badRefused > 6, () -> "refused " + w.users.badRefused + " of " + w.users.badAsked);
+        assertTrue(
+                w.users.badRefused > 6,
+                () -> "refused " + w.users.badRefused + " of " + w.users.badAsked);
     }
 
     /** Jobs of one task come four a second, a quarter of them cancelled, while the owner ends. */
@@ -136,15 +189,45 @@
         World w = new World(7, ClusterModelTest.settings(), 1, Sabotage.NONE);
         w.users.closeLooks = false;
         for (int i = 0; i < 400; i++) {
-            w.users.submit(new UserModel.Wish(new JobSpec(String.format("wk-%06d", i), "class", "team-" + i % 2, JobSpec.Priority.values()[i % 4], 1, 1, 0, 1,
-                    "img-" + i % 3, 1, null, null, false, false, true, 3, 0, 0, Double.NaN), i % 4 == 0, 3_000), 10_000 + i * 250L);
+            w.users.submit(
+                    new UserModel.Wish(
+                            new JobSpec(
+                                    String.format("wk-%06d", i),
+                                    "class",
+                                    "team-" + i % 2,
+                                    JobSpec.Priority.values()[i % 4],
+                                    1,
+                                    1,
+                                    0,
+                                    1,
+                                    "img-" + i % 3,
+                                    1,
+                                    null,
+                                    null,
+                                    false,
+                                    false,
+                                    true,
+                                    3,
+                                    0,
+                                    0,
+                                    Double.NaN),
+                            i % 4 == 0,
+                            3_000),
+                    10_000 + i * 250L);
         }
         w.quietFrom = 150_000;
         w.at(150_000, w.rules::watchWaiting);
-        w.run(260_000, List.of(new Trouble(60_000, x -> ClusterModelTest.owners(x).forEach(p -> p.kill(500)))));
+        w.run(
+                260_000,
+                List.of(
+                        new Trouble(
+                                60_000,
+                                x -> ClusterModelTest.owners(x).forEach(p -> p.kill(500)))));
         w.rules.end();
         w.rules.servedByHalf();
         assertEquals(List.of(), w.rules.violations, () -> String.join("\n", w.log));
-        assertEquals(0, w.users.wishes.values().stream().filter(x -> !x.doneTold && !x.cancelTold).count());
+        assertEquals(
+                0,
+                w.users.wishes.values().stream().filter(x -> !x.doneTold && !x.cancelTold).count());
     }
 }
--- a/src/test/java/org/shoreusher/model/ReplicaTest.java
+++ b/src/test/java/org/shoreusher/model/ReplicaTest.java
@@ -18,8 +18,27 @@
     private int seq = 1;
 
     private static JobSpec service(String id, int replicas, double cpus) {
-        return new JobSpec(id, "gate", "team-0", JobSpec.Shape.SERVICE, JobSpec.Priority.PRODUCTION, replicas, cpus, 0, 1, "img", 1, null, null, false, false, true,
-                0, 0, 0, Double.NaN);
+        return new JobSpec(
+                id,
+                "gate",
+                "team-0",
+                JobSpec.Shape.SERVICE,
+                JobSpec.Priority.PRODUCTION,
+                replicas,
+                cpus,
+                0,
+                1,
+                "img",
+                1,
+                null,
+                null,
+                false,
+                false,
+                true,
+                0,
+                0,
+                0,
+                Double.NaN);
     }
 
     private void machine() {
@@ -41,7 +60,10 @@
         return new TaskReport("wk-1", n, (6L << 24) + attempt, state, cause);
     }
 
-    /** A replica that ends, even with done, runs again under a new attempt; the job is never done, and its worker may forget it at once. */
+    /**
+     * A replica that ends, even with done, runs again under a new attempt; the job is never done,
+     * and its worker may forget it at once.
+     */
     @Example
     void aReplicaThatEndsRunsAgain() {
         machine();
@@ -57,9 +79,11 @@
             node.steps(20);
             assertEquals(List.of(), started(replica(0, 1, TaskState.RUNNING, Cause.NONE)));
         }
-        List<String> orders = node.report("host-1", seq++, 6, replica(0, 1, TaskState.EXITED, Cause.DONE));
+        List<String> orders =
+                node.report("host-1", seq++, 6, replica(0, 1, TaskState.EXITED, Cause.DONE));
         assertTrue(orders.contains("forget"), () -> "orders " + orders);
-        List<String> again = new ArrayList<>(orders.contains("run") ? List.of("wk-1/0") : List.of());
+        List<String> again =
+                new ArrayList<>(orders.contains("run") ? List.of("wk-1/0") : List.of());
         for (int i = 0; again.isEmpty() && i < 30; i++) {
             again.addAll(started());
         }
@@ -76,7 +100,8 @@
         long attempt = 0;
         boolean there = false;
         for (int i = 0; i < 400; i++) {
-            List<String> started = there ? started(replica(0, attempt, TaskState.EXITED, Cause.ERROR)) : started();
+            List<String> started =
+                    there ? started(replica(0, attempt, TaskState.EXITED, Cause.ERROR)) : started();
             there = !started.isEmpty();
             attempt += started.size();
             starts += started.size();
@@ -86,7 +111,10 @@
         assertTrue(all >= 4 && all <= 12, () -> "starts " + all);
     }
 
-    /** Batch tasks of lower priority give way at once when a replica finds no room; the replica takes the place as soon as it is free. */
+    /**
+     * Batch tasks of lower priority give way at once when a replica finds no room; the replica
+     * takes the place as soon as it is free.
+     */
     @Example
     void batchWorkGivesWayToReplicas() {
         machine();
@@ -98,13 +126,17 @@
         assertEquals(4, batch.size());
         TaskReport[] running = new TaskReport[4];
         for (int i = 0; i < 4; i++) {
-            running[i] = new TaskReport("wk-2", i, (6L << 24) + 1 + i, TaskState.RUNNING, Cause.NONE);
+            running[i] =
+                    new TaskReport("wk-2", i, (6L << 24) + 1 + i, TaskState.RUNNING, Cause.NONE);
         }
         assertFalse(node.report("host-1", seq++, 6, running).contains("halt"));
         assertEquals(201, node.submit(service("wk-1", 1, 2)));
         node.steps(4);
         List<String> orders = node.report("host-1", seq++, 6, running);
-        assertEquals(1, orders.stream().filter(v -> v.equals("halt")).count(), () -> "one of them is enough: " + orders);
+        assertEquals(
+                1,
+                orders.stream().filter(v -> v.equals("halt")).count(),
+                () -> "one of them is enough: " + orders);
         node.steps(3);
         running[0] = new TaskReport("wk-2", 0, (6L << 24) + 1, TaskState.EXITED, Cause.STOPPED);
         TaskReport[] all = running;
@@ -112,7 +144,13 @@
         for (int stopped = 0; stopped < 4; stopped++) {
             TaskReport[] seen = all.clone();
             for (int i = 0; i < 4; i++) {
-                seen[i] = new TaskReport("wk-2", i, (6L << 24) + 1 + i, i == stopped ? TaskState.EXITED : TaskState.RUNNING, i == stopped ? Cause.STOPPED : Cause.NONE);
+                seen[i] =
+                        new TaskReport(
+                                "wk-2",
+                                i,
+                                (6L << 24) + 1 + i,
+                                i == stopped ? TaskState.EXITED : TaskState.RUNNING,
+                                i == stopped ? Cause.STOPPED : Cause.NONE);
             }
             if (next.isEmpty()) {
                 next.addAll(started(seen));
--- a/src/test/java/org/shoreusher/model/ReportsTest.java
+++ b/src/test/java/org/shoreusher/model/ReportsTest.java
@@ -23,44 +23,71 @@
     private final SingleNode node = new SingleNode();
 
     /**
-     * A report that the network held up since before a takeover does not show what the former owner started after
-     * it was made. Taken as fresh, it would let the new owner start a task that is on a machine already.
+     * A report that the network held up since before a takeover does not show what the former owner
+     * started after it was made. Taken as fresh, it would let the new owner start a task that is on
+     * a machine already.
      */
     @Example
     void aReportFromBeforeTheTakeoverDoesNotCountAsHeard() {
         node.openJob("wk-1", 1);
         node.left("host-2", "host-1");
         node.steps(20);
-        assertEquals(List.of(), node.report("host-2", 10, 5), "held since before the takeover: answered, but nothing may start");
+        assertEquals(
+                List.of(),
+                node.report("host-2", 10, 5),
+                "held since before the takeover: answered, but nothing may start");
         assertEquals(List.of(), node.report("host-1", 20, 5));
         assertEquals(List.of(), node.report("host-1", 21, 6), "host-2 has not been heard yet");
         node.steps(3);
         assertEquals(List.of(), node.report("host-1", 22, 6));
-        assertEquals(List.of(), node.report("host-2", 12, 6, new TaskReport("wk-1", 0, 1, TaskState.RUNNING, Cause.NONE)));
+        assertEquals(
+                List.of(),
+                node.report(
+                        "host-2",
+                        12,
+                        6,
+                        new TaskReport("wk-1", 0, 1, TaskState.RUNNING, Cause.NONE)));
         node.steps(3);
         assertEquals(List.of(), node.report("host-1", 23, 6), "the task is on host-2");
-        assertEquals(List.of(), node.report("host-2", 13, 6, new TaskReport("wk-1", 0, 1, TaskState.EXITED, Cause.STOPPED)).stream().filter(v -> v.equals("halt")).toList());
+        assertEquals(
+                List.of(),
+                node
+                        .report(
+                                "host-2",
+                                13,
+                                6,
+                                new TaskReport("wk-1", 0, 1, TaskState.EXITED, Cause.STOPPED))
+                        .stream()
+                        .filter(v -> v.equals("halt"))
+                        .toList());
         node.steps(3);
         List<String> later = new ArrayList<>(node.report("host-1", 24, 6));
         later.addAll(node.report("host-2", 14, 6));
         assertTrue(later.contains("run"), "once it has stopped there, it starts again: " + later);
     }
 
-    /** Returned machines stay gone, whatever copies of their reports come, also for the owner that did not return them. */
+    /**
+     * Returned machines stay gone, whatever copies of their reports come, also for the owner that
+     * did not return them.
+     */
     @Example
     void lateCopiesBringNoMachineBack() {
         node.left();
         node.steps(20);
-        assertNull(node.report("host-7", 10, 6), "no record and no list shows it, and it has been answered before");
+        assertNull(
+                node.report("host-7", 10, 6),
+                "no record and no list shows it, and it has been answered before");
         assertEquals(List.of(), node.report("host-8", 1, 0), "a new machine is taken on");
         node.steps(10);
         List<String> returned = new ArrayList<>();
-        node.cloud = op -> {
-            if (op instanceof CloudOp.Return back) {
-                returned.addAll(back.machines());
-            }
-            return new Command.CloudReply(0, op instanceof CloudOp.Return ? 200 : 0, Map.of());
-        };
+        node.cloud =
+                op -> {
+                    if (op instanceof CloudOp.Return back) {
+                        returned.addAll(back.machines());
+                    }
+                    return new Command.CloudReply(
+                            0, op instanceof CloudOp.Return ? 200 : 0, Map.of());
+                };
         for (int i = 1; returned.isEmpty() && i < 600; i++) {
             node.steps(1);
             if (i % 15 == 0 && returned.isEmpty()) {
@@ -68,23 +95,29 @@
             }
         }
         assertEquals(List.of("host-8"), returned, "idle for long");
-        assertNull(node.report("host-8", 1_000, 6), "a copy that comes while its record is still there");
+        assertNull(
+                node.report("host-8", 1_000, 6),
+                "a copy that comes while its record is still there");
         node.steps(3);
         assertNull(node.report("host-8", 1, 0), "a copy of its first report");
         assertNull(node.report("host-8", 30, 6), "a copy of a later one");
     }
 
-    /** An idle machine whose return was refused works again; one whose return may yet be carried out does not. */
+    /**
+     * An idle machine whose return was refused works again; one whose return may yet be carried out
+     * does not.
+     */
     @Example
     void aMachineWhoseReturnWasRefusedTakesWork() {
         for (int status : new int[] {503, 0}) {
             SingleNode owner = new SingleNode();
             owner.left("host-1");
             boolean[] asked = {false};
-            owner.cloud = op -> {
-                asked[0] |= op instanceof CloudOp.Return;
-                return new Command.CloudReply(0, status, Map.of("error", "trouble"));
-            };
+            owner.cloud =
+                    op -> {
+                        asked[0] |= op instanceof CloudOp.Return;
+                        return new Command.CloudReply(0, status, Map.of("error", "trouble"));
+                    };
             owner.steps(20);
             int seq = 1;
             while (!asked[0] && seq < 80) {
@@ -104,8 +137,9 @@
     }
 
     /**
-     * While a machine is silent, tasks that no owner has ever started begin all the same, in what the team's limit surely
-     * leaves: 24 CPUs less 8 that the silent machine may hold. A task that may be on the silent machine waits.
+     * While a machine is silent, tasks that no owner has ever started begin all the same, in what
+     * the team's limit surely leaves: 24 CPUs less 8 that the silent machine may hold. A task that
+     * may be on the silent machine waits.
      */
     @Example
     void whatWasNeverStartedNeedNotWaitForSilentMachines() {
@@ -121,7 +155,10 @@
         assertEquals(Set.of("wk-1/1"), Set.copyOf(started));
     }
 
-    /** A job whose tasks must be in one zone waits: the one that may be on the silent machine is in some zone, and nobody knows in which. */
+    /**
+     * A job whose tasks must be in one zone waits: the one that may be on the silent machine is in
+     * some zone, and nobody knows in which.
+     */
     @Example
     void aJobOfOneZoneWaitsForSilentMachines() {
         node.begunJob("wk-1", true);
@@ -134,9 +171,10 @@
     }
 
     /**
-     * The owner before kept a team to its limit, so what a silent machine may hold is no more than the limit leaves beside
-     * what was found: 24 CPUs with 16 found on machines that were heard leave 8 for three silent ones, not 24. When one of the
-     * found tasks has ended, another may begin.
+     * The owner before kept a team to its limit, so what a silent machine may hold is no more than
+     * the limit leaves beside what was found: 24 CPUs with 16 found on machines that were heard
+     * leave 8 for three silent ones, not 24. When one of the found tasks has ended, another may
+     * begin.
      */
     @Example
     void silentMachinesHoldNoMoreThanTheLimitLeaves() {
@@ -155,14 +193,20 @@
         List<String> started = new ArrayList<>();
         for (int seq = 3; seq < 8; seq++) {
             node.steps(3);
-            started.addAll(node.startsOf("host-1", seq, 6, new TaskReport("wk-2", 0, 1, TaskState.EXITED, Cause.DONE)));
+            started.addAll(
+                    node.startsOf(
+                            "host-1",
+                            seq,
+                            6,
+                            new TaskReport("wk-2", 0, 1, TaskState.EXITED, Cause.DONE)));
         }
         assertEquals(Set.of("wk-1/1"), Set.copyOf(started));
     }
 
     /**
-     * A machine that has been deaf since before a takeover reports on and on, and never sees the new term. Once its lease from the
-     * owner before has surely ended, what that one started there is gone and runs elsewhere; copies of one report prove nothing.
+     * A machine that has been deaf since before a takeover reports on and on, and never sees the
+     * new term. Once its lease from the owner before has surely ended, what that one started there
+     * is gone and runs elsewhere; copies of one report prove nothing.
      */
     @Example
     void aMachineThatNeverHearsTheNewOwnerHoldsNothingUp() {
@@ -176,16 +220,22 @@
             long ranAt = 0;
             for (int seq = 2; ranAt == 0 && seq < 60; seq++) {
                 owner.steps(12);
-                if (newer && owner.now - from > 1_000 * ClusterModelTest.settings().workerLeaseS()) {
+                if (newer
+                        && owner.now - from > 1_000 * ClusterModelTest.settings().workerLeaseS()) {
                     owner.reportOf("host-2", 2, seq, 5);
                 } else {
-                    owner.report("host-2", newer ? seq : 1, 5, new TaskReport("wk-1", 0, 1, TaskState.RUNNING, Cause.NONE));
+                    owner.report(
+                            "host-2",
+                            newer ? seq : 1,
+                            5,
+                            new TaskReport("wk-1", 0, 1, TaskState.RUNNING, Cause.NONE));
                 }
                 owner.steps(3);
                 if (owner.report("host-1", seq, 6).contains("run")) {
                     ranAt = owner.now - from;
                 }
-                // The copies come for a while only; each may have been the answer to the report that its worker waits for.
+                // The copies come for a while only; each may have been the answer to the report
+                // that its worker waits for.
                 if (!newer && seq == 30) {
                     break;
                 }
@@ -197,8 +247,8 @@
     }
 
     /**
-     * A new machine that reports at once gets nothing before its record is durable: the next owner, which reads the records, would
-     * not wait for it and start the same tasks elsewhere.
+     * A new machine that reports at once gets nothing before its record is durable: the next owner,
+     * which reads the records, would not wait for it and start the same tasks elsewhere.
      */
     @Example
     void aNewMachineGetsNothingBeforeItsRecordIsDurable() {
@@ -237,13 +287,22 @@
         orders.addAll(node.report("host-2", 3, 6));
         assertTrue(orders.contains("run"), "the session has ended and the task with it: " + orders);
         assertNull(node.report("host-1", 10, 6, running), "a copy of the former session's report");
-        assertNull(node.report("host-1", 12, 6, new TaskReport("wk-1", 0, 1, TaskState.EXITED, Cause.STOPPED)), "and one that was never seen");
+        assertNull(
+                node.report(
+                        "host-1",
+                        12,
+                        6,
+                        new TaskReport("wk-1", 0, 1, TaskState.EXITED, Cause.STOPPED)),
+                "and one that was never seen");
         node.steps(3);
         List<String> later = node.report("host-2", 4, 6, running("wk-1", first));
         assertFalse(later.contains("run"), "the task is not started again: " + later);
     }
 
-    /** The largest job of tiny tasks: what a machine is told at once, and so what it can report, stays below 64 KiB. */
+    /**
+     * The largest job of tiny tasks: what a machine is told at once, and so what it can report,
+     * stays below 64 KiB.
+     */
     @Example
     void ordersAndReportsStayBelowTheirBound() {
         node.openJob("wk-1", Tuning.MAX_TASKS, 0.001);
@@ -259,8 +318,9 @@
     }
 
     /**
-     * A taker waits for a silent machine as long as the owner before may have kept it alive: through the time in which
-     * that one may have heard this node say that the state service is away, here up to its start, and no longer.
+     * A taker waits for a silent machine as long as the owner before may have kept it alive:
+     * through the time in which that one may have heard this node say that the state service is
+     * away, here up to its start, and no longer.
      */
     @Example
     void aTakerWaitsForAGraceItMayHaveAgreedTo() {
@@ -276,60 +336,80 @@
                 ranAt = node.now - startedAt;
             }
         }
-        long agreed = Tuning.HINT_STALE_MS + (long) (ClusterModelTest.settings().workerLeaseS() * 1000);
+        long agreed =
+                Tuning.HINT_STALE_MS + (long) (ClusterModelTest.settings().workerLeaseS() * 1000);
         assertTrue(ranAt > agreed, "too early: " + ranAt);
         assertTrue(ranAt < agreed + 2_500, "too late: " + ranAt);
     }
 
     /**
-     * Rentals go out side by side; one without an answer may have been carried out, so it is repeated under its own name, one at a
-     * time while they fail, and no name is asked for again once it is answered.
+     * Rentals go out side by side; one without an answer may have been carried out, so it is
+     * repeated under its own name, one at a time while they fail, and no name is asked for again
+     * once it is answered.
      */
     @Example
     void rentalsKeepTheirNamesUntilAnswered() {
         List<CloudOp.Rent> asked = new ArrayList<>();
         Map<String, CloudOp.Rent> open = new HashMap<>();
-        node.cloud = op -> {
-            if (!(op instanceof CloudOp.Rent rent)) {
-                return new Command.CloudReply(0, 0, null);
-            }
-            asked.add(rent);
-            assertTrue(asked.size() <= 2 || open.containsKey(rent.name()), "asked again after its answer, or more than is wanted: " + rent);
-            assertTrue(!open.containsKey(rent.name()) || open.get(rent.name()).equals(rent), "another request under the name of " + rent);
-            open.put(rent.name(), rent);
-            if (asked.size() < 6) {
-                return new Command.CloudReply(0, 0, null);
-            }
-            open.remove(rent.name());
-            return new Command.CloudReply(0, 200, Map.of("boxes", List.of("host-" + asked.size())));
-        };
+        node.cloud =
+                op -> {
+                    if (!(op instanceof CloudOp.Rent rent)) {
+                        return new Command.CloudReply(0, 0, null);
+                    }
+                    asked.add(rent);
+                    assertTrue(
+                            asked.size() <= 2 || open.containsKey(rent.name()),
+                            "asked again after its answer, or more than is wanted: " + rent);
+                    assertTrue(
+                            !open.containsKey(rent.name()) || open.get(rent.name()).equals(rent),
+                            "another request under the name of " + rent);
+                    open.put(rent.name(), rent);
+                    if (asked.size() < 6) {
+                        return new Command.CloudReply(0, 0, null);
+                    }
+                    open.remove(rent.name());
+                    return new Command.CloudReply(
+                            0, 200, Map.of("boxes", List.of("host-" + asked.size())));
+                };
         node.left();
         node.steps(20);
         // A twelfth of its tasks at once, so two machines, in two zones.
         node.openJob("wk-1", 24, 8);
         node.steps(200);
-        assertEquals(2, asked.stream().map(CloudOp.Rent::name).distinct().count(), "one request a zone: " + asked);
+        assertEquals(
+                2,
+                asked.stream().map(CloudOp.Rent::name).distinct().count(),
+                "one request a zone: " + asked);
         assertTrue(open.isEmpty(), "all are answered in the end");
         assertTrue(asked.size() > 6, "repeated: " + asked);
     }
 
     /**
-     * The type that is cheapest for a task is rented first, and when the cloud has none of it the next one: with the cheapest
-     * alone, work waited beside hundreds of small machines that nobody rented.
+     * The type that is cheapest for a task is rented first, and when the cloud has none of it the
+     * next one: with the cheapest alone, work waited beside hundreds of small machines that nobody
+     * rented.
      */
     @Example
     void whenTheCheapestTypeIsGoneTheNextIsRented() {
         List<String> asked = new ArrayList<>();
-        node.cloud = op -> {
-            if (op instanceof CloudOp.Types) {
-                return new Command.CloudReply(0, 200, Map.of("presses", List.of(type("small", 4, 0.2, 0.08), type("large", 32, 1.16, 0.43))));
-            }
-            if (!(op instanceof CloudOp.Rent rent)) {
-                return new Command.CloudReply(0, 0, null);
-            }
-            asked.add(rent.type() + (rent.spot() ? "" : " ordinary"));
-            return new Command.CloudReply(0, 503, Map.of("error", "no capacity"));
-        };
+        node.cloud =
+                op -> {
+                    if (op instanceof CloudOp.Types) {
+                        return new Command.CloudReply(
+                                0,
+                                200,
+                                Map.of(
+                                        "presses",
+                                        List.of(
+                                                type("small", 4, 0.2, 0.08),
+                                                type("large", 32, 1.16, 0.43))));
+                    }
+                    if (!(op instanceof CloudOp.Rent rent)) {
+                        return new Command.CloudReply(0, 0, null);
+                    }
+                    asked.add(rent.type() + (rent.spot() ? "" : " ordinary"));
+                    return new Command.CloudReply(0, 503, Map.of("error", "no capacity"));
+                };
         node.steps(30);
         node.openJob("wk-1", 100, 1);
         node.steps(300);
@@ -337,22 +417,42 @@
         assertEquals(List.of("large", "small", "large ordinary", "small ordinary"), order);
     }
 
-    private static Map<String, Object> type(String name, double cpus, double price, double spotPrice) {
-        return Map.of("sku", name, "cpus", cpus, "mem_gb", 64.0, "rate", price, "low_price", spotPrice, "ready_s", 5.0, "yards", List.of("a", "b"));
+    private static Map<String, Object> type(
+            String name, double cpus, double price, double spotPrice) {
+        return Map.of(
+                "sku",
+                name,
+                "cpus",
+                cpus,
+                "mem_gb",
+                64.0,
+                "rate",
+                price,
+                "low_price",
+                spotPrice,
+                "ready_s",
+                5.0,
+                "yards",
+                List.of("a", "b"));
     }
 
-    /** A machine that was used came up once: a taker that can't hear it does not take it for dead in its boot, and keeps it for a while. */
+    /**
+     * A machine that was used came up once: a taker that can't hear it does not take it for dead in
+     * its boot, and keeps it for a while.
+     */
     @Example
     void aTakerKeepsUsedMachinesThatAreSilent() {
         List<String> returned = new ArrayList<>();
         long[] at = {0};
-        node.cloud = op -> {
-            if (op instanceof CloudOp.Return back) {
-                returned.addAll(back.machines());
-                at[0] = node.now;
-            }
-            return new Command.CloudReply(0, op instanceof CloudOp.Return ? 200 : 0, Map.of());
-        };
+        node.cloud =
+                op -> {
+                    if (op instanceof CloudOp.Return back) {
+                        returned.addAll(back.machines());
+                        at[0] = node.now;
+                    }
+                    return new Command.CloudReply(
+                            0, op instanceof CloudOp.Return ? 200 : 0, Map.of());
+                };
         node.now += 600_000;
         node.left("host-1");
         long from = node.now;
@@ -362,10 +462,16 @@
         }
         assertEquals(List.of("host-1"), returned);
         // Its lease of 8 s, and a minute.
-        assertTrue(at[0] - from - 600_000 > 60_000, () -> "returned after " + (at[0] - from - 600_000));
+        assertTrue(
+                at[0] - from - 600_000 > 60_000,
+                () -> "returned after " + (at[0] - from - 600_000));
     }
 
     private static TaskReport[] running(String job, List<String> startedElsewhere) {
-        return startedElsewhere.contains("run") ? new TaskReport[0] : new TaskReport[] {new TaskReport(job, 0, (6L << 24) + 1, TaskState.RUNNING, Cause.NONE)};
+        return startedElsewhere.contains("run")
+                ? new TaskReport[0]
+                : new TaskReport[] {
+                    new TaskReport(job, 0, (6L << 24) + 1, TaskState.RUNNING, Cause.NONE)
+                };
     }
 }
--- a/src/test/java/org/shoreusher/model/Rules.java
+++ b/src/test/java/org/shoreusher/model/Rules.java
@@ -18,11 +18,15 @@
     private final Map<String, WorkerModel> on = new HashMap<>();
     private final Set<String> completed = new HashSet<>();
     final List<String> violations = new ArrayList<>();
+
     /** When the first task of a job was on a machine. */
     final Map<String, Long> began = new HashMap<>();
+
     int starts;
+
     /** Tasks that began after their user had been told that the job is cancelled. */
     int startsAfterCancel;
+
     private final Map<String, Long> waitsSince = new HashMap<>();
 
     Rules(World world) {
@@ -54,7 +58,8 @@
         int inZone = 0;
         int ofJob = 0;
         for (Map.Entry<String, WorkerModel> e : on.entrySet()) {
-            UserModel.Wish o = world.users.wishes.get(e.getKey().substring(0, e.getKey().indexOf('/')));
+            UserModel.Wish o =
+                    world.users.wishes.get(e.getKey().substring(0, e.getKey().indexOf('/')));
             used += o.spec.team().equals(spec.team()) ? o.spec.cpus() : 0;
             usedGpus += o.spec.team().equals(spec.team()) ? o.spec.gpus() : 0;
             if (o == w) {
@@ -62,10 +67,12 @@
                 inZone += e.getValue().zone.equals(machine.zone) ? 1 : 0;
             }
         }
-        if (used > world.settings.teams().get(spec.team()).cpusMax() || usedGpus > world.settings.teams().get(spec.team()).gpusMax()) {
+        if (used > world.settings.teams().get(spec.team()).cpusMax()
+                || usedGpus > world.settings.teams().get(spec.team()).gpusMax()) {
             broken("quota", spec.team() + " uses " + used + " CPUs, " + usedGpus + " GPUs");
         }
-        if (!spec.allows(machine.type, machine.zone, machine.spot) || (spec.oneZone() && inZone != ofJob)
+        if (!spec.allows(machine.type, machine.zone, machine.spot)
+                || (spec.oneZone() && inZone != ofJob)
                 || (spec.spread() && inZone > (spec.tasks() + 1) / 2)) {
             broken("wrong_place", task + " in " + machine.zone);
         }
@@ -106,13 +113,18 @@
         return true;
     }
 
-    /** Once all troubles are over: no job waits for 90 s while a machine that fits has room and its team is under its limit. */
+    /**
+     * Once all troubles are over: no job waits for 90 s while a machine that fits has room and its
+     * team is under its limit.
+     */
     void watchWaiting() {
         for (UserModel.Wish w : world.users.wishes.values()) {
             if (w.accepted && !w.doneTold && !w.cancelAsked && canGoOn(w)) {
                 long since = waitsSince.computeIfAbsent(w.spec.id(), id -> world.now);
                 if (world.now - since > WAITING_MS) {
-                    broken("waiting", w.spec.id() + " waits since " + since + " beside a machine with room");
+                    broken(
+                            "waiting",
+                            w.spec.id() + " waits since " + since + " beside a machine with room");
                     waitsSince.put(w.spec.id(), world.now);
                 }
             } else {
@@ -134,7 +146,8 @@
         Map<WorkerModel, Double> used = new HashMap<>();
         double team = 0;
         for (Map.Entry<String, WorkerModel> e : on.entrySet()) {
-            JobSpec o = world.users.wishes.get(e.getKey().substring(0, e.getKey().indexOf('/'))).spec;
+            JobSpec o =
+                    world.users.wishes.get(e.getKey().substring(0, e.getKey().indexOf('/'))).spec;
             used.merge(e.getValue(), o.cpus(), Double::sum);
             team += o.team().equals(spec.team()) ? o.cpus() : 0;
         }
@@ -142,7 +155,9 @@
             return false;
         }
         for (WorkerModel m : world.cloud.machines()) {
-            if (m.well() && spec.allows(m.type, m.zone, m.spot) && used.getOrDefault(m, 0.0) + spec.cpus() <= CloudModel.cpus(m.type)) {
+            if (m.well()
+                    && spec.allows(m.type, m.zone, m.spot)
+                    && used.getOrDefault(m, 0.0) + spec.cpus() <= CloudModel.cpus(m.type)) {
                 return true;
             }
         }
@@ -157,7 +172,10 @@
         }
     }
 
-    /** What a user hears about a job; only what was told before the question was asked binds the answer. */
+    /**
+     * What a user hears about a job; only what was told before the question was asked binds the
+     * answer.
+     */
     void told(UserModel.Wish w, Effect.Answer answer, long askedAt) {
         String id = w.spec.id();
         checkAnswered(w);
@@ -176,7 +194,9 @@
                 }
             }
         }
-        if ((w.doneTold && w.doneToldAt < askedAt && !done) || (w.cancelTold && w.cancelToldAt < askedAt && !cancelled) || (cancelled && !w.cancelAsked)) {
+        if ((w.doneTold && w.doneToldAt < askedAt && !done)
+                || (w.cancelTold && w.cancelToldAt < askedAt && !cancelled)
+                || (cancelled && !w.cancelAsked)) {
             broken("went_back", id + " is now " + status);
         }
         if (cancelled && !w.cancelTold) {
@@ -192,12 +212,17 @@
     /** At the end: less than half of a team's jobs, or of its largest ones, served. */
     void servedByHalf() {
         Map<String, List<UserModel.Wish>> teams = new HashMap<>();
-        world.users.wishes.values().stream().filter(w -> w.accepted && !w.cancelAsked && w.spec.shape().ends()).forEach(w -> teams.computeIfAbsent(w.spec.team(), t -> new ArrayList<>()).add(w));
-        teams.forEach((team, jobs) -> {
-            int largest = jobs.stream().mapToInt(w -> w.spec.tasks()).max().orElse(0);
-            half(team, jobs);
-            half("the largest of " + team, jobs.stream().filter(w -> w.spec.tasks() == largest).toList());
-        });
+        world.users.wishes.values().stream()
+                .filter(w -> w.accepted && !w.cancelAsked && w.spec.shape().ends())
+                .forEach(w -> teams.computeIfAbsent(w.spec.team(), t -> new ArrayList<>()).add(w));
+        teams.forEach(
+                (team, jobs) -> {
+                    int largest = jobs.stream().mapToInt(w -> w.spec.tasks()).max().orElse(0);
+                    half(team, jobs);
+                    half(
+                            "the largest of " + team,
+                            jobs.stream().filter(w -> w.spec.tasks() == largest).toList());
+                });
     }
 
     private void half(String of, List<UserModel.Wish> jobs) {
@@ -210,6 +235,10 @@
     /** At the end: what is still on a machine though cancelled, and who waits for an answer. */
     void end() {
         world.users.wishes.values().forEach(this::checkAnswered);
-        on.forEach((task, machine) -> checkCancelled(task, world.users.wishes.get(task.substring(0, task.indexOf('/')))));
+        on.forEach(
+                (task, machine) ->
+                        checkCancelled(
+                                task,
+                                world.users.wishes.get(task.substring(0, task.indexOf('/')))));
     }
 }
--- a/src/test/java/org/shoreusher/model/ServicesTest.java
+++ b/src/test/java/org/shoreusher/model/ServicesTest.java
@@ -15,7 +15,10 @@
 import org.shoreusher.model.World.Trouble;
 import org.shoreusher.settings.Settings;
 
-/** Services: replicas that run until they are called off, beside batch work and through troubles; and the upgrade to the version that has them. */
+/**
+ * Services: replicas that run until they are called off, beside batch work and through troubles;
+ * and the upgrade to the version that has them.
+ */
 class ServicesTest {
     private static final long QUIET_MS = 220_000;
     private static final long END_MS = 400_000;
@@ -25,15 +28,24 @@
             w.users.submit(i, 1_000 + w.random.nextInt(120_000));
         }
         for (int i = 40; i < 46; i++) {
-            w.users.submitService(i, from + w.random.nextInt(60_000), 1 + w.random.nextInt(3), i % 3 == 0);
+            w.users.submitService(
+                    i, from + w.random.nextInt(60_000), 1 + w.random.nextInt(3), i % 3 == 0);
         }
     }
 
     private static void check(World w, long seed) {
         w.rules.end();
-        assertEquals(List.of(), w.rules.violations, () -> "seed " + seed + "\n" + String.join("\n", w.log));
+        assertEquals(
+                List.of(),
+                w.rules.violations,
+                () -> "seed " + seed + "\n" + String.join("\n", w.log));
         assertTrue(w.rules.starts > 80, "hardly anything ran: " + w.rules.starts);
-        assertEquals(List.of(), w.users.wishes.values().stream().filter(x -> x.spec.shape().ends() && !x.doneTold && !x.cancelTold).map(x -> x.spec.id()).toList(),
+        assertEquals(
+                List.of(),
+                w.users.wishes.values().stream()
+                        .filter(x -> x.spec.shape().ends() && !x.doneTold && !x.cancelTold)
+                        .map(x -> x.spec.id())
+                        .toList(),
                 () -> "seed " + seed + "\n" + String.join("\n", w.log));
     }
 
@@ -42,25 +54,41 @@
         World w = new World(seed, ClusterModelTest.settings(), 1 + (int) (seed % 2), Sabotage.NONE);
         submit(w, 1_000);
         int[] down = {0};
-        // A replica may just have ended; one that is down at three moments in a row is not coming back.
+        // A replica may just have ended; one that is down at three moments in a row is not coming
+        // back.
         for (int i = 0; i < 3; i++) {
-            w.at(END_MS - 60_000 + i * 20_000, () -> down[0] += w.users.servicesDown().isEmpty() ? 0 : 1);
+            w.at(
+                    END_MS - 60_000 + i * 20_000,
+                    () -> down[0] += w.users.servicesDown().isEmpty() ? 0 : 1);
         }
         w.quietFrom = QUIET_MS;
         w.at(QUIET_MS, w.rules::watchWaiting);
-        w.run(END_MS, seed % 2 == 0 ? ClusterModelTest.troubles(seed, 3) : MeetingsTest.meetings(seed));
+        w.run(
+                END_MS,
+                seed % 2 == 0 ? ClusterModelTest.troubles(seed, 3) : MeetingsTest.meetings(seed));
         check(w, seed);
-        assertTrue(down[0] < 3, () -> "down: " + w.users.servicesDown() + "\n" + String.join("\n", w.log));
+        assertTrue(
+                down[0] < 3,
+                () -> "down: " + w.users.servicesDown() + "\n" + String.join("\n", w.log));
     }
 
     /**
-     * Processes start under larger limits and write what those allow, are killed one after the other and come back with smaller ones, some
-     * end before their turn and come back as they were, and at some moment the smaller limits come into force for all.
+     * Processes start under larger limits and write what those allow, are killed one after the
+     * other and come back with smaller ones, some end before their turn and come back as they were,
+     * and at some moment the smaller limits come into force for all.
      */
     @Property(tries = 40, seed = "77", shrinking = ShrinkingMode.OFF)
-    void anUpgradeToSmallerLimitsKeepsTheRules(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
+    void anUpgradeToSmallerLimitsKeepsTheRules(
+            @ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
         int ops = seed % 2 == 0 ? 4 : 6;
-        World w = new World(seed, ClusterModelTest.limits(60, seed % 3 == 0 ? 1_024 : 2_048, ops), ClusterModelTest.limits(100, 8_192, 12), 1, Sabotage.NONE, 8);
+        World w =
+                new World(
+                        seed,
+                        ClusterModelTest.limits(60, seed % 3 == 0 ? 1_024 : 2_048, ops),
+                        ClusterModelTest.limits(100, 8_192, 12),
+                        1,
+                        Sabotage.NONE,
+                        8);
         submit(w, 90_000);
         long from = 20_000 + w.random.nextInt(20_000);
         int first = w.random.nextInt(3);
@@ -81,21 +109,90 @@
     }
 
     /**
-     * Nodes and machines by the hundred, and large jobs, so that the former version's records are far above the limits to come: a
-     * taker cuts them up before it takes the part, and what had been finished does not run again.
+     * Nodes and machines by the hundred, and large jobs, so that the former version's records are
+     * far above the limits to come: a taker cuts them up before it takes the part, and what had
+     * been finished does not run again.
      */
     @Example
     void aTakerCutsUpRecordsThatAreTooLong() {
-        Map<String, Settings.Team> teams = Map.of("team-0", new Settings.Team("team-0", 1_000, 2_000, 0, 0));
+        Map<String, Settings.Team> teams =
+                Map.of("team-0", new Settings.Team("team-0", 1_000, 2_000, 0, 0));
         Settings s = ClusterModelTest.limits(40, 2_048, 4);
-        Settings strict = new Settings(s.host(), s.zone(), s.front(), s.back(), s.members(), s.cloud(), s.state(), s.nodes(), s.zones(), teams, s.objectives(), 2, 12, 40,
-                s.stateRps(), s.stateWriteRps(), s.valueBytes(), s.txnOps(), s.cloudRps(), s.listLagS(), s.sockets(), s.clockOffMs());
-        Settings former = new Settings(s.host(), s.zone(), s.front(), s.back(), s.members(), s.cloud(), s.state(), s.nodes(), s.zones(), teams, s.objectives(), 2, 12, 40,
-                s.stateRps(), 100, 8_192, 12, s.cloudRps(), s.listLagS(), s.sockets(), s.clockOffMs());
+        Settings strict =
+                new Settings(
+                        s.host(),
+                        s.zone(),
+                        s.front(),
+                        s.back(),
+                        s.members(),
+                        s.cloud(),
+                        s.state(),
+                        s.nodes(),
+                        s.zones(),
+                        teams,
+                        s.objectives(),
+                        2,
+                        12,
+                        40,
+                        s.stateRps(),
+                        s.stateWriteRps(),
+                        s.valueBytes(),
+                        s.txnOps(),
+                        s.cloudRps(),
+                        s.listLagS(),
+                        s.sockets(),
+                        s.clockOffMs());
+        Settings former =
+                new Settings(
+                        s.host(),
+                        s.zone(),
+                        s.front(),
+                        s.back(),
+                        s.members(),
+                        s.cloud(),
+                        s.state(),
+                        s.nodes(),
+                        s.zones(),
+                        teams,
+                        s.objectives(),
+                        2,
+                        12,
+                        40,
+                        s.stateRps(),
+                        100,
+                        8_192,
+                        12,
+                        s.cloudRps(),
+                        s.listLagS(),
+                        s.sockets(),
+                        s.clockOffMs());
         World w = new World(4, strict, former, 1, Sabotage.NONE, 40);
         for (int i = 0; i < 8; i++) {
-            w.users.submit(new UserModel.Wish(new JobSpec(String.format("wk-%06d", i), "class", "team-0", JobSpec.Priority.NORMAL, 1_000, 1, 0, 0, "img-0", 1, null, null,
-                    false, false, true, 5, 0, 0, Double.NaN), false, 6_000), 1_000);
+            w.users.submit(
+                    new UserModel.Wish(
+                            new JobSpec(
+                                    String.format("wk-%06d", i),
+                                    "class",
+                                    "team-0",
+                                    JobSpec.Priority.NORMAL,
+                                    1_000,
+                                    1,
+                                    0,
+                                    0,
+                                    "img-0",
+                                    1,
+                                    null,
+                                    null,
+                                    false,
+                                    false,
+                                    true,
+                                    5,
+                                    0,
+                                    0,
+                                    Double.NaN),
+                            false,
+                            6_000),
+                    1_000);
         }
         int[] longest = {0};
         w.at(59_000, () -> longest[0] = w.state.longest());
@@ -104,11 +201,21 @@
             w.at(60_000 + i * 15_000L, () -> p.upgrade(1_000));
         }
         w.at(110_000, w.state::lowerLimits);
-        w.run(400_000, List.of(new Trouble(130_000, x -> ClusterModelTest.owners(x).forEach(p -> p.kill(500)))));
+        w.run(
+                400_000,
+                List.of(
+                        new Trouble(
+                                130_000,
+                                x -> ClusterModelTest.owners(x).forEach(p -> p.kill(500)))));
         w.rules.end();
         assertEquals(List.of(), w.rules.violations, () -> String.join("\n", w.log));
-        assertTrue(longest[0] > strict.valueBytes(), () -> "the former version wrote nothing long: " + longest[0]);
-        assertEquals(0, w.users.wishes.values().stream().filter(x -> !x.doneTold).count(), () -> String.join("\n", w.log));
+        assertTrue(
+                longest[0] > strict.valueBytes(),
+                () -> "the former version wrote nothing long: " + longest[0]);
+        assertEquals(
+                0,
+                w.users.wishes.values().stream().filter(x -> !x.doneTold).count(),
+                () -> String.join("\n", w.log));
         // A tenth would run again at most for what was finished between two renewals.
         assertTrue(w.rules.starts < 8_000 * 1.15, () -> "starts " + w.rules.starts);
     }
--- a/src/test/java/org/shoreusher/model/SingleNode.java
+++ b/src/test/java/org/shoreusher/model/SingleNode.java
@@ -24,6 +24,7 @@
 final class SingleNode {
     /** What the cloud answers; status 0 by itself. */
     Function<CloudOp, Command.CloudReply> cloud = op -> new Command.CloudReply(0, 0, null);
+
     private final World world;
     private final Node node;
     private final List<Command> commands = new ArrayList<>();
@@ -48,7 +49,13 @@
             commands.clear();
             for (Effect e : node.step(new Reading(now, now), batch)) {
                 if (e instanceof Effect.StateCall c) {
-                    world.state.handle("node-0", c.op(), (status, body) -> commands.add(new Command.StateReply(c.call(), status, World.copy(body))));
+                    world.state.handle(
+                            "node-0",
+                            c.op(),
+                            (status, body) ->
+                                    commands.add(
+                                            new Command.StateReply(
+                                                    c.call(), status, World.copy(body))));
                 } else if (e instanceof Effect.CloudCall c) {
                     Command.CloudReply reply = cloud.apply(c.op());
                     commands.add(new Command.CloudReply(c.call(), reply.status(), reply.body()));
@@ -64,11 +71,18 @@
     /** Reports in the first session, and returns the tasks that the answer starts. */
     List<String> startsOf(String machine, long seq, long token, TaskReport... tasks) {
         report(machine, seq, token, tasks);
-        return ((List<?>) answers.get(requests).body().get("orders")).stream().map(o -> (Map<?, ?>) o).filter(o -> o.get("verb").equals("run"))
-                .map(o -> (String) o.get("sheet")).toList();
+        return ((List<?>) answers.get(requests).body().get("orders"))
+                .stream()
+                        .map(o -> (Map<?, ?>) o)
+                        .filter(o -> o.get("verb").equals("run"))
+                        .map(o -> (String) o.get("sheet"))
+                        .toList();
     }
 
-    /** Reports in the first session, and returns the verbs of the answer's orders; null if it was refused. */
+    /**
+     * Reports in the first session, and returns the verbs of the answer's orders; null if it was
+     * refused.
+     */
     List<String> report(String machine, long seq, long token, TaskReport... tasks) {
         return reportOf(machine, 1, seq, token, tasks);
     }
@@ -76,17 +90,34 @@
     /** The same in any session. */
     List<String> reportOf(String machine, long session, long seq, long token, TaskReport... tasks) {
         long request = ++requests;
-        commands.add(new Command.Report(request, new WorkerReport(machine, "10.0.0.1:9000", CloudModel.TYPE, "a", true, session, seq, token, Double.NaN, List.of(tasks))));
+        commands.add(
+                new Command.Report(
+                        request,
+                        new WorkerReport(
+                                machine,
+                                "10.0.0.1:9000",
+                                CloudModel.TYPE,
+                                "a",
+                                true,
+                                session,
+                                seq,
+                                token,
+                                Double.NaN,
+                                List.of(tasks))));
         steps(1);
         Effect.Answer answer = answers.get(request);
         if (answer.status() != 200) {
             return null;
         }
-        return ((List<?>) answer.body().get("orders")).stream().map(o -> (String) ((Map<?, ?>) o).get("verb")).toList();
+        return ((List<?>) answer.body().get("orders"))
+                .stream().map(o -> (String) ((Map<?, ?>) o).get("verb")).toList();
     }
 
     void stored(String key, Map<String, Object> value) {
-        world.state.handle("node-9", new StateOp.Multi(Map.of(), Map.of(key, value)), (status, body) -> assertEquals(200, status));
+        world.state.handle(
+                "node-9",
+                new StateOp.Multi(Map.of(), Map.of(key, value)),
+                (status, body) -> assertEquals(200, status));
     }
 
     /** A part that an owner with term 5 has left, with machines that may have had tasks. */
@@ -96,7 +127,20 @@
             lines.put(machine.substring("host-".length()), List.of(0L, 0L, 1L, 1L, now, 1L));
         }
         stored("machine/host-", Map.of("names", List.of(CloudModel.TYPE, "a"), "machines", lines));
-        stored("types", Map.of("presses", List.of(Map.of("sku", CloudModel.TYPE, "cpus", 8.0, "mem_gb", 32.0, "yards", List.of("a", "b")))));
+        stored(
+                "types",
+                Map.of(
+                        "presses",
+                        List.of(
+                                Map.of(
+                                        "sku",
+                                        CloudModel.TYPE,
+                                        "cpus",
+                                        8.0,
+                                        "mem_gb",
+                                        32.0,
+                                        "yards",
+                                        List.of("a", "b")))));
         stored("term", Map.of("term", 5L));
         stored("part/0", Map.of("owner", "node-1/x", "expiry", 0L, "term", 5L, "done", Map.of()));
     }
@@ -110,7 +154,21 @@
 
     /** A user cancels through another node. */
     void cancelled(String id, int tasks) {
-        stored("job/" + id, Map.of("part", 0L, "status", "CANCELLED", "tasks", (long) tasks, "accepted", now, "begun", 0L, "spec", UserFormat.map(spec(id, tasks, 2, false))));
+        stored(
+                "job/" + id,
+                Map.of(
+                        "part",
+                        0L,
+                        "status",
+                        "CANCELLED",
+                        "tasks",
+                        (long) tasks,
+                        "accepted",
+                        now,
+                        "begun",
+                        0L,
+                        "spec",
+                        UserFormat.map(spec(id, tasks, 2, false))));
     }
 
     /** A user asks; the answer's status. */
@@ -136,7 +194,21 @@
 
     /** An open job of two tasks in the store, the first of which may have been started. */
     void begunJob(String id, boolean oneZone) {
-        stored("job/" + id, Map.of("part", 0L, "status", "OPEN", "tasks", 2L, "accepted", now, "begun", 1L, "spec", UserFormat.map(spec(id, 2, 2, oneZone))));
+        stored(
+                "job/" + id,
+                Map.of(
+                        "part",
+                        0L,
+                        "status",
+                        "OPEN",
+                        "tasks",
+                        2L,
+                        "accepted",
+                        now,
+                        "begun",
+                        1L,
+                        "spec",
+                        UserFormat.map(spec(id, 2, 2, oneZone))));
     }
 
     /** An open job of so many tasks in the store, any of which may have been started. */
@@ -145,10 +217,41 @@
     }
 
     void openJob(String id, int tasks, double cpus) {
-        stored("job/" + id, Map.of("part", 0L, "status", "OPEN", "tasks", (long) tasks, "accepted", now, "spec", UserFormat.map(spec(id, tasks, cpus, false))));
+        stored(
+                "job/" + id,
+                Map.of(
+                        "part",
+                        0L,
+                        "status",
+                        "OPEN",
+                        "tasks",
+                        (long) tasks,
+                        "accepted",
+                        now,
+                        "spec",
+                        UserFormat.map(spec(id, tasks, cpus, false))));
     }
 
     private static JobSpec spec(String id, int tasks, double cpus, boolean oneZone) {
-        return new JobSpec(id, "class", "team-0", JobSpec.Priority.HIGH, tasks, cpus, 0, 0, "i", 1, null, null, oneZone, false, true, 5, 0, 0, Double.NaN);
+        return new JobSpec(
+                id,
+                "class",
+                "team-0",
+                JobSpec.Priority.HIGH,
+                tasks,
+                cpus,
+                0,
+                0,
+                "i",
+                1,
+                null,
+                null,
+                oneZone,
+                false,
+                true,
+                5,
+                0,
+                0,
+                Double.NaN);
     }
 }
--- a/src/test/java/org/shoreusher/model/StateModel.java
+++ b/src/test/java/org/shoreusher/model/StateModel.java
@@ -12,18 +12,18 @@
 import org.shoreusher.settings.Tuning;
 import org.shoreusher.wire.Tree;
 
-/** A stand-in of the state service, as the protocol describes it; it keeps few changes, so that 410 comes up. */
+/**
+ * A stand-in of the state service, as the protocol describes it; it keeps few changes, so that 410
+ * comes up.
+ */
 final class StateModel {
     private static final int LOG = 300;
 
-    private record Item(Map<String, Object> value, long version) {
-    }
+    private record Item(Map<String, Object> value, long version) {}
 
-    private record Change(long revision, String key, Map<String, Object> value) {
-    }
+    private record Change(long revision, String key, Map<String, Object> value) {}
 
-    private record Waiter(StateOp.Watch watch, String host, long until, World.Reply reply) {
-    }
+    private record Waiter(StateOp.Watch watch, String host, long until, World.Reply reply) {}
 
     private final World world;
     private final TreeMap<String, Item> items = new TreeMap<>();
@@ -39,13 +39,17 @@
     private boolean lostAtOnce;
     private long slowUntil;
     private int slowMs;
+
     /** Transactions that got no answer: executed at once, or late. */
     int answersLost;
+
     private Settings inForce;
     private final TokenBucket requests;
     private TokenBucket writes;
+
     /** Requests refused for the limits on rates. */
     int refused;
+
     /** Records written that hold jobs accepted together. */
     int sharedArrivals;
 
@@ -66,11 +70,17 @@
         writes = new TokenBucket(inForce.stateWriteRps(), inForce.stateWriteRps());
     }
 
-    /** Whether a transaction keeps to the limits. Today's version keeps to today's from its first write, whatever is in force. */
+    /**
+     * Whether a transaction keeps to the limits. Today's version keeps to today's from its first
+     * write, whatever is in force.
+     */
     private boolean within(String host, StateOp.Multi op) {
         Settings s = world.old(host) ? inForce : world.settings;
-        boolean ok = op.writes().size() <= s.txnOps() && op.guards().size() <= 4 * s.txnOps()
-                && op.writes().values().stream().allMatch(v -> v == null || Tree.jsonLength(v) <= s.valueBytes());
+        boolean ok =
+                op.writes().size() <= s.txnOps()
+                        && op.guards().size() <= 4 * s.txnOps()
+                        && op.writes().values().stream()
+                                .allMatch(v -> v == null || Tree.jsonLength(v) <= s.valueBytes());
         if (!ok && !world.old(host)) {
             throw new AssertionError("transaction of " + host + " above its limits: " + op);
         }
@@ -82,7 +92,10 @@
         refusedUntil.put(host, world.now + forMs);
     }
 
-    /** So many transactions of ten get no answer for a while: carried out at once, or 2 to 12 s later, after newer ones. */
+    /**
+     * So many transactions of ten get no answer for a while: carried out at once, or 2 to 12 s
+     * later, after newer ones.
+     */
     void loseAnswers(int ofTen, boolean atOnce, long forMs) {
         answersLostOfTen = ofTen;
         lostAtOnce = atOnce;
@@ -118,7 +131,8 @@
     /** All keys that begin so, with their values. */
     Map<String, Map<String, Object>> all(String prefix) {
         Map<String, Map<String, Object>> all = new TreeMap<>();
-        items.subMap(prefix, prefix + Character.MAX_VALUE).forEach((key, item) -> all.put(key, item.value));
+        items.subMap(prefix, prefix + Character.MAX_VALUE)
+                .forEach((key, item) -> all.put(key, item.value));
         return all;
     }
 
@@ -140,7 +154,10 @@
     void handle(String host, StateOp op, World.Reply reply) {
         if (world.now < slowUntil) {
             World.Reply quick = reply;
-            reply = (status, body) -> world.in(world.random.nextInt(slowMs), () -> quick.answer(status, body));
+            reply =
+                    (status, body) ->
+                            world.in(
+                                    world.random.nextInt(slowMs), () -> quick.answer(status, body));
         }
         answer(host, op, reply);
     }
@@ -152,11 +169,17 @@
             reply.answer(400, null);
         } else if (op instanceof StateOp.Page && viewStalled(host)) {
             return;
-        } else if (op instanceof StateOp.Multi m && !m.writes().isEmpty() && world.now < answersLostUntil && world.random.nextInt(10) < answersLostOfTen) {
+        } else if (op instanceof StateOp.Multi m
+                && !m.writes().isEmpty()
+                && world.now < answersLostUntil
+                && world.random.nextInt(10) < answersLostOfTen) {
             answersLost++;
             // Whatever the limits on rates: carried out is what may do harm.
-            world.in(lostAtOnce ? 0 : 2_000 + world.random.nextInt(10_000), () -> multi(m, (status, body) -> { }));
-        } else if (!requests.take(1, world.now) || (op instanceof StateOp.Multi m && !writes.take(m.writes().size(), world.now))) {
+            world.in(
+                    lostAtOnce ? 0 : 2_000 + world.random.nextInt(10_000),
+                    () -> multi(m, (status, body) -> {}));
+        } else if (!requests.take(1, world.now)
+                || (op instanceof StateOp.Multi m && !writes.take(m.writes().size(), world.now))) {
             refused++;
             reply.answer(429, null);
         } else if (op instanceof StateOp.Get get) {
@@ -191,7 +214,10 @@
         List<Object> entries = new ArrayList<>();
         boolean more = false;
         // Pages of 20 keys, so that every reading takes several and other writes come between.
-        for (Map.Entry<String, Item> e : page.after() == null ? items.entrySet() : items.tailMap(page.after(), false).entrySet()) {
+        for (Map.Entry<String, Item> e :
+                page.after() == null
+                        ? items.entrySet()
+                        : items.tailMap(page.after(), false).entrySet()) {
             if (entries.size() == 20) {
                 more = true;
                 break;
@@ -203,28 +229,33 @@
 
     private void multi(StateOp.Multi op, World.Reply reply) {
         List<Object> failed = new ArrayList<>();
-        op.guards().forEach((key, version) -> {
-            Item i = items.get(key);
-            if ((i == null ? 0 : i.version) != version) {
-                failed.add(key);
-            }
-        });
+        op.guards()
+                .forEach(
+                        (key, version) -> {
+                            Item i = items.get(key);
+                            if ((i == null ? 0 : i.version) != version) {
+                                failed.add(key);
+                            }
+                        });
         if (!failed.isEmpty() && world.sabotage != World.Sabotage.GUARDS_IGNORED) {
             reply.answer(409, Map.of("failed", failed, "ledger", revision));
             return;
         }
         if (!op.writes().isEmpty()) {
             revision++;
-            op.writes().forEach((key, value) -> {
-                sharedArrivals += key.startsWith("arrived/") && value != null ? 1 : 0;
-                Map<String, Object> copy = World.copy(value);
-                if (copy == null) {
-                    items.remove(key);
-                } else {
-                    items.put(key, new Item(copy, revision));
-                }
-                changes.add(new Change(revision, key, copy));
-            });
+            op.writes()
+                    .forEach(
+                            (key, value) -> {
+                                sharedArrivals +=
+                                        key.startsWith("arrived/") && value != null ? 1 : 0;
+                                Map<String, Object> copy = World.copy(value);
+                                if (copy == null) {
+                                    items.remove(key);
+                                } else {
+                                    items.put(key, new Item(copy, revision));
+                                }
+                                changes.add(new Change(revision, key, copy));
+                            });
             while (changes.size() > LOG) {
                 forgotten = changes.remove(0).revision;
             }
--- a/src/test/java/org/shoreusher/model/UserModel.java
+++ b/src/test/java/org/shoreusher/model/UserModel.java
@@ -10,7 +10,10 @@
 import org.shoreusher.core.Effect;
 import org.shoreusher.core.JobSpec;
 
-/** Users: they submit, poll and cancel at any node, and try again when they are refused or hear nothing. */
+/**
+ * Users: they submit, poll and cancel at any node, and try again when they are refused or hear
+ * nothing.
+ */
 final class UserModel {
     /** A job as its user knows it. */
     static final class Wish {
@@ -33,14 +36,25 @@
     }
 
     private final World world;
-    /** How many users of ten send each submission to two nodes at the same time, as a retry does whose first try is on its way. */
+
+    /**
+     * How many users of ten send each submission to two nodes at the same time, as a retry does
+     * whose first try is on its way.
+     */
     int impatient;
-    /** Whether users ask at all nodes at once, and submit again, right after a job was accepted, ended or confirmed as cancelled; some cancel at once. */
+
+    /**
+     * Whether users ask at all nodes at once, and submit again, right after a job was accepted,
+     * ended or confirmed as cancelled; some cancel at once.
+     */
     boolean closeLooks;
+
     /** How many of ten jobs that end are called off at the moment of the end of their last task. */
     int cancelAtEnd;
+
     /** Submissions that can't run or lack a field, and how many of them were refused for good. */
     int badAsked;
+
     int badRefused;
     final Map<String, Wish> wishes = new LinkedHashMap<>();
 
@@ -56,8 +70,28 @@
 
     /** A service of some replicas, which its user may call off after a while. */
     void submitService(int number, long at, int replicas, boolean cancels) {
-        JobSpec spec = new JobSpec(String.format("wk-%06d", number), "gate", "team-" + number % world.settings.teams().size(), JobSpec.Shape.SERVICE,
-                JobSpec.Priority.PRODUCTION, replicas, 1, 0, 1, "img-0", 1, null, null, false, true, false, 0, 0, 0, Double.NaN);
+        JobSpec spec =
+                new JobSpec(
+                        String.format("wk-%06d", number),
+                        "gate",
+                        "team-" + number % world.settings.teams().size(),
+                        JobSpec.Shape.SERVICE,
+                        JobSpec.Priority.PRODUCTION,
+                        replicas,
+                        1,
+                        0,
+                        1,
+                        "img-0",
+                        1,
+                        null,
+                        null,
+                        false,
+                        true,
+                        false,
+                        0,
+                        0,
+                        0,
+                        Double.NaN);
         submit(new Wish(spec, cancels, 1_000), at);
     }
 
@@ -86,81 +120,141 @@
         String id = String.format("wk-%06d", number);
         var r = world.random;
         boolean oneZone = r.nextInt(4) == 0;
-        JobSpec spec = new JobSpec(id, "class", "team-" + r.nextInt(world.settings.teams().size()), JobSpec.Priority.values()[r.nextInt(4)], 1 + r.nextInt(12), 1 + r.nextInt(3),
-                0, 1, "img-" + r.nextInt(3), 1, null, r.nextInt(5) == 0 ? "a" : null, oneZone, !oneZone && r.nextInt(4) == 0, r.nextInt(3) > 0,
-                5, 0, 0, Double.NaN);
+        JobSpec spec =
+                new JobSpec(
+                        id,
+                        "class",
+                        "team-" + r.nextInt(world.settings.teams().size()),
+                        JobSpec.Priority.values()[r.nextInt(4)],
+                        1 + r.nextInt(12),
+                        1 + r.nextInt(3),
+                        0,
+                        1,
+                        "img-" + r.nextInt(3),
+                        1,
+                        null,
+                        r.nextInt(5) == 0 ? "a" : null,
+                        oneZone,
+                        !oneZone && r.nextInt(4) == 0,
+                        r.nextInt(3) > 0,
+                        5,
+                        0,
+                        0,
+                        Double.NaN);
         submit(new Wish(spec, r.nextInt(5) == 0, 2_000 + r.nextInt(12_000)), at);
     }
 
     void submit(Wish w, long at) {
-        world.at(at, () -> {
-            wishes.put(w.spec.id(), w);
-            trySubmit(w);
-            if (world.random.nextInt(10) < impatient) {
-                trySubmit(w);
-            }
-        });
+        world.at(
+                at,
+                () -> {
+                    wishes.put(w.spec.id(), w);
+                    trySubmit(w);
+                    if (world.random.nextInt(10) < impatient) {
+                        trySubmit(w);
+                    }
+                });
     }
 
-    private void ask(LongFunction<Command> command, BiConsumer<Effect.Answer, Long> then, Runnable again) {
-        ask(world.processes.get(world.random.nextInt(world.processes.size())), command, then, again);
+    private void ask(
+            LongFunction<Command> command, BiConsumer<Effect.Answer, Long> then, Runnable again) {
+        ask(
+                world.processes.get(world.random.nextInt(world.processes.size())),
+                command,
+                then,
+                again);
     }
 
-    private void ask(World.Process node, LongFunction<Command> command, BiConsumer<Effect.Answer, Long> then, Runnable again) {
+    private void ask(
+            World.Process node,
+            LongFunction<Command> command,
+            BiConsumer<Effect.Answer, Long> then,
+            Runnable again) {
         long askedAt = world.now;
         boolean[] ended = {false};
-        world.in(5_000, () -> {
-            if (!ended[0]) {
-                ended[0] = true;
-                again.run();
-            }
-        });
-        world.send("user", node.host, () -> node.request(command, answer -> world.send(node.host, "user", () -> {
-            if (ended[0]) {
-                return;
-            }
-            ended[0] = true;
-            if (answer.status() == 503) {
-                if (answer.retryAfterS() <= 0) {
-                    world.rules.broken("refused", "without Retry-After");
-                }
-                world.in(1_000L * answer.retryAfterS(), again);
-            } else {
-                then.accept(answer, askedAt);
-            }
-        })));
+        world.in(
+                5_000,
+                () -> {
+                    if (!ended[0]) {
+                        ended[0] = true;
+                        again.run();
+                    }
+                });
+        world.send(
+                "user",
+                node.host,
+                () ->
+                        node.request(
+                                command,
+                                answer ->
+                                        world.send(
+                                                node.host,
+                                                "user",
+                                                () -> {
+                                                    if (ended[0]) {
+                                                        return;
+                                                    }
+                                                    ended[0] = true;
+                                                    if (answer.status() == 503) {
+                                                        if (answer.retryAfterS() <= 0) {
+                                                            world.rules.broken(
+                                                                    "refused",
+                                                                    "without Retry-After");
+                                                        }
+                                                        world.in(
+                                                                1_000L * answer.retryAfterS(),
+                                                                again);
+                                                    } else {
+                                                        then.accept(answer, askedAt);
+                                                    }
+                                                })));
     }
 
     private void trySubmit(Wish w) {
-        ask(n -> new Command.Submit(n, w.spec.id(), w.spec, null), (answer, askedAt) -> {
-            if (answer.status() != 200 && answer.status() != 201) {
-                world.rules.broken("forgotten", "submission of " + w.spec.id() + " got " + answer.status());
-            }
-            told(w, answer, askedAt);
-            if (!w.accepted) {
-                w.accepted = true;
-                lookClosely(w);
-            }
-            world.in(3_000, () -> poll(w));
-            if (w.cancels) {
-                world.in(closeLooks && world.random.nextBoolean() ? 0 : world.random.nextInt(15_000), () -> cancel(w));
-            }
-        }, () -> trySubmit(w));
+        ask(
+                n -> new Command.Submit(n, w.spec.id(), w.spec, null),
+                (answer, askedAt) -> {
+                    if (answer.status() != 200 && answer.status() != 201) {
+                        world.rules.broken(
+                                "forgotten",
+                                "submission of " + w.spec.id() + " got " + answer.status());
+                    }
+                    told(w, answer, askedAt);
+                    if (!w.accepted) {
+                        w.accepted = true;
+                        lookClosely(w);
+                    }
+                    world.in(3_000, () -> poll(w));
+                    if (w.cancels) {
+                        world.in(
+                                closeLooks && world.random.nextBoolean()
+                                        ? 0
+                                        : world.random.nextInt(15_000),
+                                () -> cancel(w));
+                    }
+                },
+                () -> trySubmit(w));
     }
 
     private void poll(Wish w) {
         if (w.doneTold && world.random.nextInt(4) > 0) {
             return;
         }
-        ask(n -> new Command.Poll(n, w.spec.id()), (answer, askedAt) -> {
-            told(w, answer, askedAt);
-            world.in(5_000, () -> poll(w));
-        }, () -> poll(w));
+        ask(
+                n -> new Command.Poll(n, w.spec.id()),
+                (answer, askedAt) -> {
+                    told(w, answer, askedAt);
+                    world.in(5_000, () -> poll(w));
+                },
+                () -> poll(w));
     }
 
     void cancel(Wish w) {
         w.cancelAsked = true;
-        ask(n -> new Command.Cancel(n, w.spec.id()), (answer, askedAt) -> told(w, answer, askedAt), () -> cancel(w));
+        ask(
+                n -> new Command.Cancel(n, w.spec.id()),
+                (answer, askedAt) -> told(w, answer, askedAt),
+                () -> cancel(w));
     }
 
     private void told(Wish w, Effect.Answer answer, long askedAt) {
@@ -177,21 +271,45 @@
             return;
         }
         for (World.Process node : world.processes) {
-            world.in(1 + world.random.nextInt(4), () -> {
-                ask(node, n -> new Command.Poll(n, w.spec.id()), (answer, askedAt) -> world.rules.told(w, answer, askedAt), () -> { });
-                ask(node, n -> new Command.Submit(n, w.spec.id(), w.spec, null), (answer, askedAt) -> {
-                    if (answer.status() != 200 && answer.status() != 201) {
-                        world.rules.broken("forgotten", "repeated submission of " + w.spec.id() + " got " + answer.status());
-                    }
-                    world.rules.told(w, answer, askedAt);
-                }, () -> { });
-                // A body that can't be used makes no difference to a job that is known.
-                ask(node, n -> new Command.Submit(n, w.spec.id(), null, "sheets is missing"), (answer, askedAt) -> {
-                    if (answer.status() != 200) {
-                        world.rules.broken("forgotten", "repeated submission of " + w.spec.id() + " got " + answer.status());
-                    }
-                }, () -> { });
-            });
+            world.in(
+                    1 + world.random.nextInt(4),
+                    () -> {
+                        ask(
+                                node,
+                                n -> new Command.Poll(n, w.spec.id()),
+                                (answer, askedAt) -> world.rules.told(w, answer, askedAt),
+                                () -> {});
+                        ask(
+                                node,
+                                n -> new Command.Submit(n, w.spec.id(), w.spec, null),
+                                (answer, askedAt) -> {
+                                    if (answer.status() != 200 && answer.status() != 201) {
+                                        world.rules.broken(
+                                                "forgotten",
+                                                "repeated submission of "
+                                                        + w.spec.id()
+                                                        + " got "
+                                                        + answer.status());
+                                    }
+                                    world.rules.told(w, answer, askedAt);
+                                },
+                                () -> {});
+                        // A body that can't be used makes no difference to a job that is known.
+                        ask(
+                                node,
+                                n -> new Command.Submit(n, w.spec.id(), null, "sheets is missing"),
+                                (answer, askedAt) -> {
+                                    if (answer.status() != 200) {
+                                        world.rules.broken(
+                                                "forgotten",
+                                                "repeated submission of "
+                                                        + w.spec.id()
+                                                        + " got "
+                                                        + answer.status());
+                                    }
+                                },
+                                () -> {});
+                    });
         }
     }
 
@@ -203,35 +321,66 @@
         }
     }
 
-    /** A submission that fits no machine, of a team that nobody knows, above its team's limit, or without a field; it must be refused for good. */
+    /**
+     * A submission that fits no machine, of a team that nobody knows, above its team's limit, or
+     * without a field; it must be refused for good.
+     */
     void submitBad(int number) {
         badAsked++;
         String id = String.format("wk-%06d", 900_000 + number);
-        JobSpec spec = switch (number % 4) {
-            case 0 -> bad(id, "team-0", 1_000, null);
-            case 1 -> bad(id, "nobody", 1, null);
-            case 2 -> bad(id, "team-0", 1, "nowhere");
-            default -> null;
-        };
+        JobSpec spec =
+                switch (number % 4) {
+                    case 0 -> bad(id, "team-0", 1_000, null);
+                    case 1 -> bad(id, "nobody", 1, null);
+                    case 2 -> bad(id, "team-0", 1, "nowhere");
+                    default -> null;
+                };
         int expected = spec == null ? 400 : 422;
-        ask(n -> new Command.Submit(n, id, spec, spec == null ? "sheets is missing" : null), (answer, askedAt) -> {
-            badRefused++;
-            if (answer.status() != expected) {
-                world.rules.broken("accepted_bad", id + " got " + answer.status() + " instead of " + expected);
-            }
-        }, () -> { });
+        ask(
+                n -> new Command.Submit(n, id, spec, spec == null ? "sheets is missing" : null),
+                (answer, askedAt) -> {
+                    badRefused++;
+                    if (answer.status() != expected) {
+                        world.rules.broken(
+                                "accepted_bad",
+                                id + " got " + answer.status() + " instead of " + expected);
+                    }
+                },
+                () -> {});
     }
 
     private static JobSpec bad(String id, String team, double cpus, String zone) {
-        return new JobSpec(id, "class", team, JobSpec.Priority.NORMAL, 1, cpus, 0, 1, "img-0", 1, null, zone, false, false, true, 5, 0, 0, Double.NaN);
+        return new JobSpec(
+                id,
+                "class",
+                team,
+                JobSpec.Priority.NORMAL,
+                1,
+                cpus,
+                0,
+                1,
+                "img-0",
+                1,
+                null,
+                zone,
+                false,
+                false,
+                true,
+                5,
+                0,
+                0,
+                Double.NaN);
     }
 
     /** A question about a job that nobody submitted. */
     void askUnknown() {
-        ask(n -> new Command.Poll(n, "wk-999999"), (answer, askedAt) -> {
-            if (answer.status() != 404) {
-                world.rules.broken("invented", "got " + answer.status());
-            }
-        }, () -> { });
+        ask(
+                n -> new Command.Poll(n, "wk-999999"),
+                (answer, askedAt) -> {
+                    if (answer.status() != 404) {
+                        world.rules.broken("invented", "got " + answer.status());
+                    }
+                },
+                () -> {});
     }
 }
--- a/src/test/java/org/shoreusher/model/WorkerModel.java
+++ b/src/test/java/org/shoreusher/model/WorkerModel.java
@@ -17,6 +17,7 @@
 final class WorkerModel {
     private static final long PATIENCE_MS = 4_000;
     private static final long RESULT_KEPT = -1;
+
     /** One report in so many has a late copy. */
     private static final int COPIED = 12;
 
@@ -109,7 +110,11 @@
 
     /** Whether it is up and nothing is wrong with it. */
     boolean well() {
-        return up && !gone && world.now >= hangingUntil && world.now >= deafUntil && world.now >= muteUntil;
+        return up
+                && !gone
+                && world.now >= hangingUntil
+                && world.now >= deafUntil
+                && world.now >= muteUntil;
     }
 
     boolean hasTasks() {
@@ -133,11 +138,12 @@
     private void lease() {
         double extra = world.sabotage == World.Sabotage.WORKERS_OUTLIVE_LEASES ? 3 : 1;
         if (world.now - leaseFrom > world.settings.workerLeaseS() * 1000 * extra) {
-            tasks.forEach((k, t) -> {
-                if (t.state != TaskState.EXITED) {
-                    world.rules.off(this, k);
-                }
-            });
+            tasks.forEach(
+                    (k, t) -> {
+                        if (t.state != TaskState.EXITED) {
+                            world.rules.off(this, k);
+                        }
+                    });
             tasks.clear();
             session++;
             leaseFrom = world.now;
@@ -151,31 +157,46 @@
 
     private WorkerReport snapshot() {
         List<TaskReport> list = new ArrayList<>();
-        tasks.values().forEach(t -> list.add(new TaskReport(t.job, t.index, t.attempt, t.state, t.cause)));
-        return new WorkerReport(id, address(), type, zone, spot, session, ++seq, token, Double.NaN, list);
+        tasks.values()
+                .forEach(
+                        t -> list.add(new TaskReport(t.job, t.index, t.attempt, t.state, t.cause)));
+        return new WorkerReport(
+                id, address(), type, zone, spot, session, ++seq, token, Double.NaN, list);
     }
 
     private void report() {
         inFlight = true;
         lastReportAt = world.now;
-        nextReportAt = world.now + (long) (world.settings.reportS() * 1000 * (0.75 + world.random.nextDouble() / 2));
+        nextReportAt =
+                world.now
+                        + (long)
+                                (world.settings.reportS()
+                                        * 1000
+                                        * (0.75 + world.random.nextDouble() / 2));
         long sentAt = world.now;
         long ofSession = session;
         long ofFlight = ++flight;
         WorkerReport report = snapshot();
         World.Process node = world.processes.get(target);
-        world.in(PATIENCE_MS, () -> {
-            if (flight == ofFlight && inFlight) {
-                inFlight = false;
-                next(1_000);
-            }
-        });
+        world.in(
+                PATIENCE_MS,
+                () -> {
+                    if (flight == ofFlight && inFlight) {
+                        inFlight = false;
+                        next(1_000);
+                    }
+                });
         if (world.random.nextInt(COPIED) == 0) {
-            // A copy comes late, from seconds to well over a lease, perhaps when the machine is long gone; nobody hears its answer.
-            world.in(1_000 + world.random.nextInt(40_000), () -> {
-                world.copies++;
-                world.processes.get(world.random.nextInt(world.processes.size())).request(n -> new Command.Report(n, report), answer -> { });
-            });
+            // A copy comes late, from seconds to well over a lease, perhaps when the machine is
+            // long gone; nobody hears its answer.
+            world.in(
+                    1_000 + world.random.nextInt(40_000),
+                    () -> {
+                        world.copies++;
+                        world.processes
+                                .get(world.random.nextInt(world.processes.size()))
+                                .request(n -> new Command.Report(n, report), answer -> {});
+                    });
         }
         if (world.keepReports && world.random.nextInt(4) == 0) {
             world.kept.add(report);
@@ -183,22 +204,43 @@
         if (world.now < muteUntil) {
             return;
         }
-        world.send(id, node.host, () -> {
-            if (!node.alive()) {
-                return;
-            }
-            node.request(n -> new Command.Report(n, report), answer -> world.send(node.host, id, () -> {
-                if (world.now < deafUntil) {
-                    return;
-                }
-                if (world.sabotage == World.Sabotage.LATE_ANSWERS_EXECUTED && !gone && answer.status() == 200) {
-                    orders(answer.body());
-                } else if (flight == ofFlight && inFlight && !gone) {
-                    long wait = Math.max(0, hangingUntil - world.now);
-                    world.in(wait, () -> answered(answer, sentAt, ofSession, ofFlight));
-                }
-            }));
-        });
+        world.send(
+                id,
+                node.host,
+                () -> {
+                    if (!node.alive()) {
+                        return;
+                    }
+                    node.request(
+                            n -> new Command.Report(n, report),
+                            answer ->
+                                    world.send(
+                                            node.host,
+                                            id,
+                                            () -> {
+                                                if (world.now < deafUntil) {
+                                                    return;
+                                                }
+                                                if (world.sabotage
+                                                                == World.Sabotage
+                                                                        .LATE_ANSWERS_EXECUTED
+                                                        && !gone
+                                                        && answer.status() == 200) {
+                                                    orders(answer.body());
+                                                } else if (flight == ofFlight
+                                                        && inFlight
+                                                        && !gone) {
+                                                    long wait =
+                                                            Math.max(0, hangingUntil - world.now);
+                                                    world.in(
+                                                            wait,
+                                                            () ->
+                                                                    answered(
+                                                                            answer, sentAt,
+                                                                            ofSession, ofFlight));
+                                                }
+                                            }));
+                });
     }
 
     private void answered(Effect.Answer answer, long sentAt, long ofSession, long ofFlight) {
@@ -282,7 +324,11 @@
             }
             return;
         }
-        Task t = new Task(name.substring(0, name.indexOf('/')), Integer.parseInt(name.substring(name.indexOf('/') + 1)), attempt);
+        Task t =
+                new Task(
+                        name.substring(0, name.indexOf('/')),
+                        Integer.parseInt(name.substring(name.indexOf('/') + 1)),
+                        attempt);
         tasks.put(name, t);
         change();
         world.in(200 + world.random.nextInt(800), () -> progress(name, t, () -> run(name, t)));
@@ -310,20 +356,38 @@
         if (!world.users.ends(t.job)) {
             // A replica; a few end all the same, failed or not.
             if (world.random.nextInt(6) == 0) {
-                world.in(world.random.nextInt(40_000), () -> progress(name, t, () -> exit(name, t, world.random.nextBoolean() ? Cause.ERROR : Cause.DONE)));
+                world.in(
+                        world.random.nextInt(40_000),
+                        () ->
+                                progress(
+                                        name,
+                                        t,
+                                        () ->
+                                                exit(
+                                                        name,
+                                                        t,
+                                                        world.random.nextBoolean()
+                                                                ? Cause.ERROR
+                                                                : Cause.DONE)));
             }
             return;
         }
         long duration = results.containsKey(name) ? 1 : world.users.runMs(t.job);
-        world.in(duration, () -> progress(name, t, () -> {
-            if (world.random.nextInt(60) == 0) {
-                exit(name, t, Cause.ERROR);
-            } else {
-                results.put(name, RESULT_KEPT);
-                world.rules.completed(name);
-                exit(name, t, Cause.DONE);
-            }
-        }));
+        world.in(
+                duration,
+                () ->
+                        progress(
+                                name,
+                                t,
+                                () -> {
+                                    if (world.random.nextInt(60) == 0) {
+                                        exit(name, t, Cause.ERROR);
+                                    } else {
+                                        results.put(name, RESULT_KEPT);
+                                        world.rules.completed(name);
+                                        exit(name, t, Cause.DONE);
+                                    }
+                                }));
     }
 
     private void exit(String name, Task t, Cause cause) {
--- a/src/test/java/org/shoreusher/model/World.java
+++ b/src/test/java/org/shoreusher/model/World.java
@@ -19,28 +19,36 @@
 import org.shoreusher.wire.Tree;
 
 /**
- * A small deterministic world: several cores, a state service, a cloud, workers and users, joined by a
- * network that delays, holds and loses messages. Time is counted, nothing sleeps, and one seed decides
- * everything.
+ * A small deterministic world: several cores, a state service, a cloud, workers and users, joined
+ * by a network that delays, holds and loses messages. Time is counted, nothing sleeps, and one seed
+ * decides everything.
  */
 final class World {
     /** What a test takes away to see whether the checks notice. */
     enum Sabotage {
-        NONE, GUARDS_IGNORED, WORKERS_OUTLIVE_LEASES, LATE_ANSWERS_EXECUTED
+        NONE,
+        GUARDS_IGNORED,
+        WORKERS_OUTLIVE_LEASES,
+        LATE_ANSWERS_EXECUTED
     }
 
     /** Times at which troubles come, in ms, with what they do. */
-    record Trouble(long at, Consumer<World> what) {
-    }
+    record Trouble(long at, Consumer<World> what) {}
 
-    private record Event(long at, long order, Runnable what) {
-    }
+    private record Event(long at, long order, Runnable what) {}
 
-    private final PriorityQueue<Event> events = new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>(
+                    Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
     final Random random;
     final Settings settings;
-    /** The limits under which processes start until their upgrade; null: all are of the same version from the start. */
+
+    /**
+     * The limits under which processes start until their upgrade; null: all are of the same version
+     * from the start.
+     */
     final Settings former;
+
     private final int parts;
     final Sabotage sabotage;
     final StateModel state;
@@ -49,32 +57,51 @@
     final Rules rules;
     final List<Process> processes = new ArrayList<>();
     final List<String> log = new ArrayList<>();
+
     /** Pairs of hosts that a cut separates, with its end. */
     private final Map<String, Long> cuts = new HashMap<>();
+
     private long orders;
     long now;
+
     /** Late copies of reports that have come, and repeats of messages of any kind. */
     int copies;
+
     int repeats;
+
     /** Whether copies of reports are kept until a new owner begins, and then come to every node. */
     boolean keepReports;
+
     final List<WorkerReport> kept = new ArrayList<>();
+
     /** From here on no trouble goes on, and every question must find its answer. */
     long quietFrom = Long.MAX_VALUE;
+
     /** Told of every takeover, with the process that took the part. */
-    Consumer<Process> onTakeover = p -> { };
+    Consumer<Process> onTakeover = p -> {};
 
     World(long seed, Settings settings, int parts, Sabotage sabotage) {
         this(seed, settings, parts, sabotage, 8);
     }
 
-    /** @param capacity machines of each kind that the cloud has, of which there are four */
+    /**
+     * @param capacity machines of each kind that the cloud has, of which there are four
+     */
     World(long seed, Settings settings, int parts, Sabotage sabotage, int capacity) {
         this(seed, settings, null, parts, sabotage, capacity);
     }
 
-    /** A world in which processes start with the limits of a former version, and come back with today's when they are upgraded. */
-    World(long seed, Settings settings, Settings former, int parts, Sabotage sabotage, int capacity) {
+    /**
+     * A world in which processes start with the limits of a former version, and come back with
+     * today's when they are upgraded.
+     */
+    World(
+            long seed,
+            Settings settings,
+            Settings former,
+            int parts,
+            Sabotage sabotage,
+            int capacity) {
         this.parts = parts;
         this.former = former;
         random = new Random(seed);
@@ -123,9 +150,9 @@
     }
 
     /**
-     * Delivers a message after some ms; held by a cut, it comes after it. One in 500 comes twice as late as a timeout, and one
-     * in 80 comes once more, up to 40 s later: submissions, cancellations, transactions, rentals, returns, direct commands,
-     * hints, and all their answers.
+     * Delivers a message after some ms; held by a cut, it comes after it. One in 500 comes twice as
+     * late as a timeout, and one in 80 comes once more, up to 40 s later: submissions,
+     * cancellations, transactions, rentals, returns, direct commands, hints, and all their answers.
      */
     void send(String from, String to, Runnable arrive) {
         long delay = 1 + random.nextInt(8);
@@ -136,10 +163,15 @@
         long until = cuts.getOrDefault(pair(from, to), 0L);
         at(Math.max(now, until) + delay, arrive);
         if (random.nextInt(80) == 0) {
-            at(Math.max(now, until) + delay + 1 + random.nextInt(random.nextBoolean() ? 200 : 40_000), () -> {
-                repeats++;
-                arrive.run();
-            });
+            at(
+                    Math.max(now, until)
+                            + delay
+                            + 1
+                            + random.nextInt(random.nextBoolean() ? 200 : 40_000),
+                    () -> {
+                        repeats++;
+                        arrive.run();
+                    });
         }
     }
 
@@ -147,12 +179,19 @@
     private void deliverKept() {
         for (WorkerReport r : List.copyOf(kept)) {
             copies++;
-            processes.forEach(p -> in(random.nextInt(300), () -> p.request(n -> new Command.Report(n, r), answer -> { })));
+            processes.forEach(
+                    p ->
+                            in(
+                                    random.nextInt(300),
+                                    () -> p.request(n -> new Command.Report(n, r), answer -> {})));
         }
         kept.clear();
     }
 
-    /** Cuts a zone off from everything: its machines and the node that is in it still reach each other. */
+    /**
+     * Cuts a zone off from everything: its machines and the node that is in it still reach each
+     * other.
+     */
     void cutZone(String zone, String nodeInIt, long forMs) {
         cut(nodeInIt, "state", forMs);
         cut(nodeInIt, "cloud", forMs);
@@ -209,10 +248,34 @@
 
         private Settings ownSettings() {
             Settings s = old() ? former : settings;
-            List<Settings.Member> members = processes.stream().filter(p -> p != this).map(p -> new Settings.Member(p.host, s.back())).toList();
-            return new Settings(host, s.zone(), s.front(), s.back(), members, s.cloud(), s.state(), s.nodes(), s.zones(), s.teams(), s.objectives(),
-                    s.reportS(), s.workerLeaseS(), s.cancelS(), s.stateRps(), s.stateWriteRps(), s.valueBytes(), s.txnOps(), s.cloudRps(), s.listLagS(),
-                    s.sockets(), s.clockOffMs());
+            List<Settings.Member> members =
+                    processes.stream()
+                            .filter(p -> p != this)
+                            .map(p -> new Settings.Member(p.host, s.back()))
+                            .toList();
+            return new Settings(
+                    host,
+                    s.zone(),
+                    s.front(),
+                    s.back(),
+                    members,
+                    s.cloud(),
+                    s.state(),
+                    s.nodes(),
+                    s.zones(),
+                    s.teams(),
+                    s.objectives(),
+                    s.reportS(),
+                    s.workerLeaseS(),
+                    s.cancelS(),
+                    s.stateRps(),
+                    s.stateWriteRps(),
+                    s.valueBytes(),
+                    s.txnOps(),
+                    s.cloudRps(),
+                    s.listLagS(),
+                    s.sockets(),
+                    s.clockOffMs());
         }
 
         void kill(long backAfterMs) {
@@ -227,7 +290,9 @@
             return former != null && !upgraded;
         }
 
-        /** Killed, and back with today's limits; one that ends before its turn comes back as it was. */
+        /**
+         * Killed, and back with today's limits; one that ends before its turn comes back as it was.
+         */
         void upgrade(long backAfterMs) {
             upgraded = true;
             kill(backAfterMs);
@@ -270,14 +335,18 @@
             }
             List<Command> batch = new ArrayList<>(queue);
             queue.clear();
-            Reading reading = new Reading(1_000_000L * (index + 1) + (long) (now * (1 + drift)), 1_700_000_000_000L + now + wallOff);
+            Reading reading =
+                    new Reading(
+                            1_000_000L * (index + 1) + (long) (now * (1 + drift)),
+                            1_700_000_000_000L + now + wallOff);
             for (Effect e : node.step(reading, batch)) {
                 carryOut(e);
             }
         }
 
         /** A request comes in; the consumer gets the answer, unless the process dies first. */
-        void request(java.util.function.LongFunction<Command> command, Consumer<Effect.Answer> answer) {
+        void request(
+                java.util.function.LongFunction<Command> command, Consumer<Effect.Answer> answer) {
             if (node == null) {
                 return;
             }
@@ -294,11 +363,21 @@
                     to.accept(a);
                 }
             } else if (effect instanceof Effect.StateCall c) {
-                long timeout = Tuning.STATE_TIMEOUT_MS + (c.op() instanceof Effect.StateOp.Watch w ? w.blockMs() : 0);
-                call(ofLife, "state", timeout, (status, body) -> take(new Command.StateReply(c.call(), status, body)),
+                long timeout =
+                        Tuning.STATE_TIMEOUT_MS
+                                + (c.op() instanceof Effect.StateOp.Watch w ? w.blockMs() : 0);
+                call(
+                        ofLife,
+                        "state",
+                        timeout,
+                        (status, body) -> take(new Command.StateReply(c.call(), status, body)),
                         reply -> state.handle(host, c.op(), reply));
             } else if (effect instanceof Effect.CloudCall c) {
-                call(ofLife, "cloud", Tuning.CLOUD_TIMEOUT_MS, (status, body) -> take(new Command.CloudReply(c.call(), status, body)),
+                call(
+                        ofLife,
+                        "cloud",
+                        Tuning.CLOUD_TIMEOUT_MS,
+                        (status, body) -> take(new Command.CloudReply(c.call(), status, body)),
                         reply -> cloud.handle(c.op(), reply));
             } else if (effect instanceof Effect.Orders o) {
                 WorkerModel w = cloud.byAddress(o.address());
@@ -321,23 +400,34 @@
         }
 
         /** A call: it may be executed after its caller has given up, and the answer may be lost. */
-        private void call(int ofLife, String to, long timeout, Reply back, Consumer<Reply> execute) {
+        private void call(
+                int ofLife, String to, long timeout, Reply back, Consumer<Reply> execute) {
             boolean[] ended = {false};
-            in(timeout, () -> {
-                if (!ended[0] && life == ofLife) {
-                    ended[0] = true;
-                    back.answer(0, null);
-                }
-            });
-            send(host, to, () -> execute.accept((status, body) -> {
-                Map<String, Object> copied = copy(body);
-                send(to, host, () -> {
-                    if (!ended[0] && life == ofLife) {
-                        ended[0] = true;
-                        back.answer(status, copied);
-                    }
-                });
-            }));
+            in(
+                    timeout,
+                    () -> {
+                        if (!ended[0] && life == ofLife) {
+                            ended[0] = true;
+                            back.answer(0, null);
+                        }
+                    });
+            send(
+                    host,
+                    to,
+                    () ->
+                            execute.accept(
+                                    (status, body) -> {
+                                        Map<String, Object> copied = copy(body);
+                                        send(
+                                                to,
+                                                host,
+                                                () -> {
+                                                    if (!ended[0] && life == ofLife) {
+                                                        ended[0] = true;
+                                                        back.answer(status, copied);
+                                                    }
+                                                });
+                                    }));
         }
     }
 
--- a/src/test/java/org/shoreusher/net/ConnectionsTest.java
+++ b/src/test/java/org/shoreusher/net/ConnectionsTest.java
@@ -20,25 +20,48 @@
 import org.shoreusher.user.FrontServer;
 import org.shoreusher.worker.WorkerClient;
 
-/** Connections to workers: on loopback, with a stand-in that answers and waits for the other side to hang up. */
+/**
+ * Connections to workers: on loopback, with a stand-in that answers and waits for the other side to
+ * hang up.
+ */
 class ConnectionsTest {
-    /** Kept connections to hundreds of workers took every socket of a node, and users were turned away. */
+    /**
+     * Kept connections to hundreds of workers took every socket of a node, and users were turned
+     * away.
+     */
     @Example
     void directCommandsLeaveNoConnectionOpen() throws Exception {
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         try (ServerSocket server = new ServerSocket(0, 10, InetAddress.getLoopbackAddress())) {
             server.setSoTimeout(20_000);
             WorkerClient client = new WorkerClient(group.next());
-            group.next().execute(() -> client.send(new Effect.Orders("127.0.0.1:" + server.getLocalPort(), 1, 1,
-                    List.of(new WorkerOrder(WorkerOrder.Kind.STOP, "wk-1", 0, 1, 0)))));
+            group.next()
+                    .execute(
+                            () ->
+                                    client.send(
+                                            new Effect.Orders(
+                                                    "127.0.0.1:" + server.getLocalPort(),
+                                                    1,
+                                                    1,
+                                                    List.of(
+                                                            new WorkerOrder(
+                                                                    WorkerOrder.Kind.STOP,
+                                                                    "wk-1",
+                                                                    0,
+                                                                    1,
+                                                                    0)))));
             try (Socket socket = server.accept()) {
                 socket.setSoTimeout(20_000);
                 InputStream in = socket.getInputStream();
                 assertTrue(in.read(new byte[4_096]) > 0);
-                socket.getOutputStream().write("HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+                socket.getOutputStream()
+                        .write(
+                                "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n"
+                                        .getBytes(StandardCharsets.US_ASCII));
                 int read = 0;
                 while (read >= 0) {
-                    // The rest of the request, then the end: the caller has hung up, though the answer would keep the line.
+                    // The rest of the request, then the end: the caller has hung up, though the
+                    // answer would keep the line.
                     read = in.read(new byte[4_096]);
                 }
                 assertEquals(-1, read);
@@ -49,16 +72,20 @@
     }
 
     /**
-     * Behind a cut half of the machines leave connections that look open. The one longest quiet makes room when the sockets
-     * are taken; new ones were once refused, so that nobody could be served.
+     * Behind a cut half of the machines leave connections that look open. The one longest quiet
+     * makes room when the sockets are taken; new ones were once refused, so that nobody could be
+     * served.
      */
     @Example
     void theConnectionLongestQuietMakesRoom() throws Exception {
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         int port = freePort();
-        FrontServer front = new FrontServer(group, settings(port, Tuning.OWN_SOCKETS + 2), command -> true, () -> 0L);
+        FrontServer front =
+                new FrontServer(
+                        group, settings(port, Tuning.OWN_SOCKETS + 2), command -> true, () -> 0L);
         front.listen();
-        try (Socket first = new Socket(InetAddress.getLoopbackAddress(), port); Socket second = new Socket(InetAddress.getLoopbackAddress(), port)) {
+        try (Socket first = new Socket(InetAddress.getLoopbackAddress(), port);
+                Socket second = new Socket(InetAddress.getLoopbackAddress(), port)) {
             assertEquals(404, ask(first));
             assertEquals(404, ask(second));
             assertEquals(404, ask(first));
@@ -78,13 +105,21 @@
     void aBodyThatIsTooLongIsMalformed() throws Exception {
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         int port = freePort();
-        new FrontServer(group, settings(port, Tuning.OWN_SOCKETS + 2), command -> true, () -> 0L).listen();
+        new FrontServer(group, settings(port, Tuning.OWN_SOCKETS + 2), command -> true, () -> 0L)
+                .listen();
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(20_000);
-            socket.getOutputStream().write(("POST /v2/runs HTTP/1.1\r\nhost: x\r\ncontent-length: " + (Tuning.MAX_BODY + 1) + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+            socket.getOutputStream()
+                    .write(
+                            ("POST /v2/runs HTTP/1.1\r\nhost: x\r\ncontent-length: "
+                                            + (Tuning.MAX_BODY + 1)
+                                            + "\r\n\r\n")
+                                    .getBytes(StandardCharsets.US_ASCII));
             byte[] bytes = new byte[4_096];
             int read = socket.getInputStream().read(bytes);
-            assertEquals("HTTP/1.1 400", new String(bytes, 0, read, StandardCharsets.ISO_8859_1).substring(0, 12));
+            assertEquals(
+                    "HTTP/1.1 400",
+                    new String(bytes, 0, read, StandardCharsets.ISO_8859_1).substring(0, 12));
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         }
@@ -98,10 +133,14 @@
 
     private static int ask(Socket socket) throws Exception {
         socket.setSoTimeout(20_000);
-        socket.getOutputStream().write("GET /nothing HTTP/1.1\r\nhost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+        socket.getOutputStream()
+                .write(
+                        "GET /nothing HTTP/1.1\r\nhost: x\r\n\r\n"
+                                .getBytes(StandardCharsets.US_ASCII));
         byte[] bytes = new byte[4_096];
         StringBuilder answer = new StringBuilder();
-        // The body ends with the message it holds, so that nothing of it is left for the next answer.
+        // The body ends with the message it holds, so that nothing of it is left for the next
+        // answer.
         while (!answer.toString().endsWith("no such path or method")) {
             int read = socket.getInputStream().read(bytes);
             assertTrue(read > 0, "hung up after: " + answer);
@@ -112,7 +151,28 @@
 
     private static Settings settings(int port, int sockets) {
         Settings.Address front = new Settings.Address("127.0.0.1", port);
-        return new Settings("node", "a", front, front, List.of(), front, front, 3, List.of("a"), Map.of(), List.of(), 1.5, 8, 30, 400, 100, 4096, 12, 10, 3,
-                sockets, 80);
+        return new Settings(
+                "node",
+                "a",
+                front,
+                front,
+                List.of(),
+                front,
+                front,
+                3,
+                List.of("a"),
+                Map.of(),
+                List.of(),
+                1.5,
+                8,
+                30,
+                400,
+                100,
+                4096,
+                12,
+                10,
+                3,
+                sockets,
+                80);
     }
 }
--- a/src/test/java/org/shoreusher/peer/HintCodecTest.java
+++ b/src/test/java/org/shoreusher/peer/HintCodecTest.java
@@ -14,9 +14,25 @@
     private final HintCodec codec = new HintCodec();
 
     @Property(tries = 200, seed = "5")
-    void hintsComeBack(@ForAll String from, @ForAll boolean ok, @ForAll @IntRange(max = 100) int part, @ForAll double room,
+    void hintsComeBack(
+            @ForAll String from,
+            @ForAll boolean ok,
+            @ForAll @IntRange(max = 100) int part,
+            @ForAll double room,
             @ForAll @Size(max = 5) Map<String, @IntRange(max = 100_000) Integer> counts) {
-        Hint hint = new Hint(from, 7_000_000_000L, ok, 1.5, Map.of(part, new Hint.PartHint(room, 1, 2, Map.of("team", new Hint.Claim(room, 4)))), Map.of(part, 700), counts, Map.of());
+        Hint hint =
+                new Hint(
+                        from,
+                        7_000_000_000L,
+                        ok,
+                        1.5,
+                        Map.of(
+                                part,
+                                new Hint.PartHint(
+                                        room, 1, 2, Map.of("team", new Hint.Claim(room, 4)))),
+                        Map.of(part, 700),
+                        counts,
+                        Map.of());
         assertEquals(hint, codec.read(codec.write(hint)));
     }
 
--- a/src/test/java/org/shoreusher/settings/SettingsTest.java
+++ b/src/test/java/org/shoreusher/settings/SettingsTest.java
@@ -9,14 +9,16 @@
 import net.jqwik.api.Example;
 
 class SettingsTest {
-    private static final String GOOD = """
+    private static final String GOOD =
+            """
             {"host_name":"n-0","zone":"a","front":"127.0.0.1:8080","back":"127.0.0.1:8081","new":{"x":1},
              "members":[{"host_name":"n-1","zone":"b","peer_addr":"127.0.0.2:8081"}],
              "endpoints":{"cloud":"127.0.0.3:1","state":"127.0.0.3:2"},
              "deployment":{"count":2,"zones":["a","b"],"teams":[{"name":"t","cpus":1.0,"cpus_max":2,"gpus":0.0,"gpus_max":0.0}],
               "objectives":[{"kind":"guarantee","within_s":15.0,"share":0.8}],
               "workers":{"report_s":2.5,"lease_s":16.0,"cancel_s":36.0},"state":{"rps":200.0,"write_rps":25.0,"value_kb":8.0,"txn_ops":20},
-              "cloud":{"rps":5.0,"list_lag_s":5.0},"limits":{"cpu_share":0.17,"ram_mb":176.0,"sockets":1500},"clock_off_ms":25.0}}""";
+              "cloud":{"rps":5.0,"list_lag_s":5.0},"limits":{"cpu_share":0.17,"ram_mb":176.0,"sockets":1500},"clock_off_ms":25.0}}\
+            """;
 
     private static Settings parse(String text) throws Settings.Invalid {
         return Settings.parse(text.getBytes(StandardCharsets.UTF_8));
@@ -30,12 +32,20 @@
         assertEquals(2, s.teams().get("t").cpusMax());
     }
 
-    /** A deployment stated its only team with 0 throughout; taken for no CPUs at all, every job was refused for good. */
+    /**
+     * A deployment stated its only team with 0 throughout; taken for no CPUs at all, every job was
+     * refused for good.
+     */
     @Example
     void aLimitOfZeroOrNoneIsNoLimit() throws Settings.Invalid {
         String given = "\"cpus\":1.0,\"cpus_max\":2,\"gpus\":0.0,\"gpus_max\":0.0";
-        for (String none : new String[] {"\"cpus\":0.0,\"cpus_max\":0.0,\"gpus\":0.0,\"gpus_max\":0.0", "\"cpus\":null,\"cpus_max\":null,\"gpus\":null,\"gpus_max\":null",
-            "\"x\":1", "\"cpus\":5,\"cpus_max\":0"}) {
+        for (String none :
+                new String[] {
+                    "\"cpus\":0.0,\"cpus_max\":0.0,\"gpus\":0.0,\"gpus_max\":0.0",
+                    "\"cpus\":null,\"cpus_max\":null,\"gpus\":null,\"gpus_max\":null",
+                    "\"x\":1",
+                    "\"cpus\":5,\"cpus_max\":0"
+                }) {
             Settings.Team team = parse(GOOD.replace(given, none)).teams().get("t");
             assertEquals(Double.POSITIVE_INFINITY, team.cpusMax(), none);
             assertEquals(Double.POSITIVE_INFINITY, team.gpusMax(), none);
@@ -44,31 +54,65 @@
 
     @Example
     void saysWhatIsWrong() {
-        String[][] cases = {{"\"zone\":\"a\",", "\"zone\":1,", "zone"}, {"127.0.0.1:8080", "here", "front"}, {"\"lease_s\":16.0", "\"lease_s\":1.0", "lease_s"},
-            {"\"txn_ops\":20", "\"txn_ops\":2", "txn_ops"}, {"{\"host_name\":\"n-0\"", "{\"host_name\":", "JSON"}, {"\"clock_off_ms\":25.0", "\"clock_off_ms\":5000", "clock_off_ms"},
-            {"\"rps\":200.0", "\"rps\":0", "state.rps"}, {"\"cpus_max\":2", "\"cpus_max\":-2", "cpus_max"}, {"\"cpus_max\":2", "\"cpus_max\":0.5", "cpus of team t"},
-            {"\"cpus_max\":2", "\"cpus_max\":\"2\"", "cpus_max"}, {"\"cpus\":1.0", "\"cpus\":-1.0", "cpus of team t"}, {"\"write_rps\":25.0,", "", "write_rps"},
-            {"\"list_lag_s\":5.0", "\"list_lag_s\":-5.0", "list_lag_s"}, {"\"count\":2", "\"count\":0", "count"}};
+        String[][] cases = {
+            {"\"zone\":\"a\",", "\"zone\":1,", "zone"},
+            {"127.0.0.1:8080", "here", "front"},
+            {"\"lease_s\":16.0", "\"lease_s\":1.0", "lease_s"},
+            {"\"txn_ops\":20", "\"txn_ops\":2", "txn_ops"},
+            {"{\"host_name\":\"n-0\"", "{\"host_name\":", "JSON"},
+            {"\"clock_off_ms\":25.0", "\"clock_off_ms\":5000", "clock_off_ms"},
+            {"\"rps\":200.0", "\"rps\":0", "state.rps"},
+            {"\"cpus_max\":2", "\"cpus_max\":-2", "cpus_max"},
+            {"\"cpus_max\":2", "\"cpus_max\":0.5", "cpus of team t"},
+            {"\"cpus_max\":2", "\"cpus_max\":\"2\"", "cpus_max"},
+            {"\"cpus\":1.0", "\"cpus\":-1.0", "cpus of team t"},
+            {"\"write_rps\":25.0,", "", "write_rps"},
+            {"\"list_lag_s\":5.0", "\"list_lag_s\":-5.0", "list_lag_s"},
+            {"\"count\":2", "\"count\":0", "count"}
+        };
         for (String[] c : cases) {
-            Settings.Invalid e = assertThrows(Settings.Invalid.class, () -> parse(GOOD.replace(c[0], c[1])));
+            Settings.Invalid e =
+                    assertThrows(Settings.Invalid.class, () -> parse(GOOD.replace(c[0], c[1])));
             assertTrue(e.getMessage().contains(c[2]), e.getMessage());
         }
     }
 
-    /** Limits to come count from the start where they are stricter, and only there; absent or null they change nothing. */
+    /**
+     * Limits to come count from the start where they are stricter, and only there; absent or null
+     * they change nothing.
+     */
     @Example
     void limitsToComeCountFromTheStart() throws Settings.Invalid {
         String ops = "\"txn_ops\":20";
-        Settings s = parse(GOOD.replace(ops, ops + ",\"next\":{\"write_rps\":18.0,\"value_kb\":2.0,\"txn_ops\":6}"));
+        Settings s =
+                parse(
+                        GOOD.replace(
+                                ops,
+                                ops
+                                        + ",\"next\":{\"write_rps\":18.0,\"value_kb\":2.0,\"txn_ops\":6}"));
         assertEquals(List.of(18.0, 200.0), List.of(s.stateWriteRps(), s.stateRps()));
         assertEquals(List.of(2048, 6), List.of(s.valueBytes(), s.txnOps()));
-        Settings wider = parse(GOOD.replace(ops, ops + ",\"next\":{\"write_rps\":180.0,\"value_kb\":64,\"txn_ops\":60,\"new\":1}"));
+        Settings wider =
+                parse(
+                        GOOD.replace(
+                                ops,
+                                ops
+                                        + ",\"next\":{\"write_rps\":180.0,\"value_kb\":64,\"txn_ops\":60,\"new\":1}"));
         assertEquals(parse(GOOD), wider);
         assertEquals(parse(GOOD), parse(GOOD.replace(ops, ops + ",\"next\":null")));
-        String[][] wrong = {{"{\"write_rps\":0}", "state.next.write_rps"}, {"{\"value_kb\":-2}", "state.next.value_kb"}, {"{\"value_kb\":0.5}", "state.next"},
-            {"{\"txn_ops\":3}", "state.next"}, {"{\"txn_ops\":\"6\"}", "txn_ops"}, {"7", "next"}};
+        String[][] wrong = {
+            {"{\"write_rps\":0}", "state.next.write_rps"},
+            {"{\"value_kb\":-2}", "state.next.value_kb"},
+            {"{\"value_kb\":0.5}", "state.next"},
+            {"{\"txn_ops\":3}", "state.next"},
+            {"{\"txn_ops\":\"6\"}", "txn_ops"},
+            {"7", "next"}
+        };
         for (String[] w : wrong) {
-            Settings.Invalid e = assertThrows(Settings.Invalid.class, () -> parse(GOOD.replace(ops, ops + ",\"next\":" + w[0])));
+            Settings.Invalid e =
+                    assertThrows(
+                            Settings.Invalid.class,
+                            () -> parse(GOOD.replace(ops, ops + ",\"next\":" + w[0])));
             assertTrue(e.getMessage().contains(w[1]), e.getMessage());
         }
     }
--- a/src/test/java/org/shoreusher/wire/FormatsTest.java
+++ b/src/test/java/org/shoreusher/wire/FormatsTest.java
@@ -24,10 +24,20 @@
 class FormatsTest {
     @Provide
     Arbitrary<Map<String, Object>> maps() {
-        Arbitrary<Object> leaf = Arbitraries.oneOf(Arbitraries.longs().map(x -> x), Arbitraries.doubles().map(x -> x),
-                Arbitraries.strings().ofMaxLength(20).map(x -> x), Arbitraries.of(true, false).map(x -> x), Arbitraries.just(null));
-        Arbitrary<Object> inner = Arbitraries.oneOf(leaf, leaf.list().ofMaxSize(4).map(x -> x),
-                Arbitraries.maps(Arbitraries.strings().ofMaxLength(8), leaf).ofMaxSize(4).map(x -> x));
+        Arbitrary<Object> leaf =
+                Arbitraries.oneOf(
+                        Arbitraries.longs().map(x -> x),
+                        Arbitraries.doubles().map(x -> x),
+                        Arbitraries.strings().ofMaxLength(20).map(x -> x),
+                        Arbitraries.of(true, false).map(x -> x),
+                        Arbitraries.just(null));
+        Arbitrary<Object> inner =
+                Arbitraries.oneOf(
+                        leaf,
+                        leaf.list().ofMaxSize(4).map(x -> x),
+                        Arbitraries.maps(Arbitraries.strings().ofMaxLength(8), leaf)
+                                .ofMaxSize(4)
+                                .map(x -> x));
         return Arbitraries.maps(Arbitraries.strings().ofMaxLength(8), inner).ofMaxSize(6);
     }
 
@@ -46,9 +56,12 @@
         }
     }
 
-    /** A message with one byte changed is read or refused, too, and never brings the reader down. */
+    /**
+     * A message with one byte changed is read or refused, too, and never brings the reader down.
+     */
     @Property(tries = 500, seed = "3")
-    void aSpoiledJobIsReadOrRefused(@ForAll("jobs") JobSpec job, @ForAll int at, @ForAll byte value) {
+    void aSpoiledJobIsReadOrRefused(
+            @ForAll("jobs") JobSpec job, @ForAll int at, @ForAll byte value) {
         byte[] bytes = Tree.toCbor(UserFormat.map(job));
         bytes[Math.floorMod(at, bytes.length)] = value;
         try {
@@ -61,11 +74,37 @@
     @Provide
     Arbitrary<JobSpec> jobs() {
         Arbitrary<Double> amount = Arbitraries.doubles().between(0, 1000);
-        return Combinators.combine(Arbitraries.integers().between(1, 999_999), Arbitraries.integers().between(1, 100_000), amount,
-                Arbitraries.of(JobSpec.Priority.values()), Arbitraries.of("a", "b").list().ofMaxSize(2).injectNull(0.5),
-                Arbitraries.of("a", "b").injectNull(0.5), Arbitraries.of(true, false), amount.injectNull(0.5).map(d -> d == null ? Double.NaN : d))
-                .as((id, tasks, a, priority, types, zone, flag, deadline) -> new JobSpec("wk-" + id, "class", "team", priority, tasks, a, a / 2, a / 3,
-                        "image", a, types, zone, flag, !flag, flag, a, a, a, deadline));
+        return Combinators.combine(
+                        Arbitraries.integers().between(1, 999_999),
+                        Arbitraries.integers().between(1, 100_000),
+                        amount,
+                        Arbitraries.of(JobSpec.Priority.values()),
+                        Arbitraries.of("a", "b").list().ofMaxSize(2).injectNull(0.5),
+                        Arbitraries.of("a", "b").injectNull(0.5),
+                        Arbitraries.of(true, false),
+                        amount.injectNull(0.5).map(d -> d == null ? Double.NaN : d))
+                .as(
+                        (id, tasks, a, priority, types, zone, flag, deadline) ->
+                                new JobSpec(
+                                        "wk-" + id,
+                                        "class",
+                                        "team",
+                                        priority,
+                                        tasks,
+                                        a,
+                                        a / 2,
+                                        a / 3,
+                                        "image",
+                                        a,
+                                        types,
+                                        zone,
+                                        flag,
+                                        !flag,
+                                        flag,
+                                        a,
+                                        a,
+                                        a,
+                                        deadline));
     }
 
     @Property(tries = 300, seed = "4")
@@ -76,28 +115,74 @@
     @Example
     void wrongFieldsAreNamed() {
         JobSpec job = jobs().sample();
-        Map<String, Object> wrong = Map.of("sheets", 0L, "cpus", "many", "shape", "gang", "urgency", "whenever", "name_id", "wk-", "loaners", 1L, "due_s", -1.0);
-        wrong.forEach((field, value) -> {
-            Map<String, Object> map = new LinkedHashMap<>(UserFormat.map(job));
-            map.put(field, value);
-            Tree.Missing e = assertThrows(Tree.Missing.class, () -> UserFormat.job(new Tree(map)));
-            assertTrue(e.getMessage().contains(field), e.getMessage());
-        });
+        Map<String, Object> wrong =
+                Map.of(
+                        "sheets",
+                        0L,
+                        "cpus",
+                        "many",
+                        "shape",
+                        "gang",
+                        "urgency",
+                        "whenever",
+                        "name_id",
+                        "wk-",
+                        "loaners",
+                        1L,
+                        "due_s",
+                        -1.0);
+        wrong.forEach(
+                (field, value) -> {
+                    Map<String, Object> map = new LinkedHashMap<>(UserFormat.map(job));
+                    map.put(field, value);
+                    Tree.Missing e =
+                            assertThrows(Tree.Missing.class, () -> UserFormat.job(new Tree(map)));
+                    assertTrue(e.getMessage().contains(field), e.getMessage());
+                });
     }
 
-    /** Only what may be null may be left out; a job that lacks anything else, or holds no number where one belongs, is refused. */
+    /**
+     * Only what may be null may be left out; a job that lacks anything else, or holds no number
+     * where one belongs, is refused.
+     */
     @Example
     void everyFieldThatMayNotBeNullIsNeeded() {
-        Map<String, Object> whole = UserFormat.map(new JobSpec("wk-1", "class", "team", JobSpec.Priority.LOW, 3, 1, 0, 1, "image", 1, List.of("a"), "a",
-                true, false, true, 5, 30, 4, 60));
+        Map<String, Object> whole =
+                UserFormat.map(
+                        new JobSpec(
+                                "wk-1",
+                                "class",
+                                "team",
+                                JobSpec.Priority.LOW,
+                                3,
+                                1,
+                                0,
+                                1,
+                                "image",
+                                1,
+                                List.of("a"),
+                                "a",
+                                true,
+                                false,
+                                true,
+                                5,
+                                30,
+                                4,
+                                60));
         for (String field : whole.keySet()) {
-            for (Object value : new Object[] {null, Double.NaN, Double.POSITIVE_INFINITY, -1.0, List.of(Map.of())}) {
+            for (Object value :
+                    new Object[] {
+                        null, Double.NaN, Double.POSITIVE_INFINITY, -1.0, List.of(Map.of())
+                    }) {
                 Map<String, Object> map = new LinkedHashMap<>(whole);
                 map.put(field, value);
                 if (value == null && List.of("presses", "yard", "due_s").contains(field)) {
                     assertDoesNotThrow(() -> UserFormat.job(new Tree(map)), field);
                 } else {
-                    assertThrows(Tree.Missing.class, () -> UserFormat.job(new Tree(map)), field + " " + value);
+                    assertThrows(
+                            Tree.Missing.class,
+                            () -> UserFormat.job(new Tree(map)),
+                            field + " " + value);
                 }
             }
         }
@@ -105,23 +190,89 @@
 
     @Example
     void readsAReportWithFieldsItDoesNotKnow() throws Tree.Missing {
-        Map<String, Object> report = new LinkedHashMap<>(Map.of("box", "host-1", "addr", "10.0.0.1:9", "press", "t", "yard", "a", "loaners", true,
-                "shift", 2L, "tally", 9L, "baton", 4L, "new_field", List.of(1L)));
+        Map<String, Object> report =
+                new LinkedHashMap<>(
+                        Map.of(
+                                "box",
+                                "host-1",
+                                "addr",
+                                "10.0.0.1:9",
+                                "press",
+                                "t",
+                                "yard",
+                                "a",
+                                "loaners",
+                                true,
+                                "shift",
+                                2L,
+                                "tally",
+                                9L,
+                                "baton",
+                                4L,
+                                "new_field",
+                                List.of(1L)));
         report.put("warning_s", null);
-        report.put("sheets", List.of(Map.of("sheet", "wk-000412/3", "try", 7L, "status", "exited", "cause", "halted", "stored", true),
-                Map.of("sheet", "wk-000412/4", "try", 8L, "status", "flushing")));
+        report.put(
+                "sheets",
+                List.of(
+                        Map.of(
+                                "sheet",
+                                "wk-000412/3",
+                                "try",
+                                7L,
+                                "status",
+                                "exited",
+                                "cause",
+                                "halted",
+                                "stored",
+                                true),
+                        Map.of("sheet", "wk-000412/4", "try", 8L, "status", "flushing")));
         WorkerReport r = WorkerFormat.report(new Tree(report));
         assertTrue(Double.isNaN(r.noticeS()));
-        assertEquals(List.of(new WorkerReport.TaskReport("wk-000412", 3, 7, WorkerReport.TaskState.EXITED, WorkerReport.Cause.STOPPED),
-                new WorkerReport.TaskReport("wk-000412", 4, 8, WorkerReport.TaskState.SAVING, WorkerReport.Cause.NONE)), r.tasks());
+        assertEquals(
+                List.of(
+                        new WorkerReport.TaskReport(
+                                "wk-000412",
+                                3,
+                                7,
+                                WorkerReport.TaskState.EXITED,
+                                WorkerReport.Cause.STOPPED),
+                        new WorkerReport.TaskReport(
+                                "wk-000412",
+                                4,
+                                8,
+                                WorkerReport.TaskState.SAVING,
+                                WorkerReport.Cause.NONE)),
+                r.tasks());
     }
 
     @Example
     void writesOrdersAsWorkersReadThem() {
-        List<WorkerOrder> orders = new ArrayList<>(List.of(new WorkerOrder(WorkerOrder.Kind.START, "wk-1", 4, 2, 0),
-                new WorkerOrder(WorkerOrder.Kind.STOP, "wk-2", 1, 1, 10), new WorkerOrder(WorkerOrder.Kind.FORGET, "wk-3", 0, 1, 0)));
-        assertEquals(Map.of("baton", 41L, "shift", 1L, "orders", List.of(Map.of("verb", "run", "sheet", "wk-1/4", "try", 2L),
-                Map.of("verb", "halt", "sheet", "wk-2/1", "try", 1L, "wind_down_s", 10.0), Map.of("verb", "forget", "sheet", "wk-3/0", "try", 1L))),
+        List<WorkerOrder> orders =
+                new ArrayList<>(
+                        List.of(
+                                new WorkerOrder(WorkerOrder.Kind.START, "wk-1", 4, 2, 0),
+                                new WorkerOrder(WorkerOrder.Kind.STOP, "wk-2", 1, 1, 10),
+                                new WorkerOrder(WorkerOrder.Kind.FORGET, "wk-3", 0, 1, 0)));
+        assertEquals(
+                Map.of(
+                        "baton",
+                        41L,
+                        "shift",
+                        1L,
+                        "orders",
+                        List.of(
+                                Map.of("verb", "run", "sheet", "wk-1/4", "try", 2L),
+                                Map.of(
+                                        "verb",
+                                        "halt",
+                                        "sheet",
+                                        "wk-2/1",
+                                        "try",
+                                        1L,
+                                        "wind_down_s",
+                                        10.0),
+                                Map.of("verb", "forget", "sheet", "wk-3/0", "try", 1L))),
                 WorkerFormat.direct(41, 1, orders));
     }
 }
