--- a/src/main/java/org/shoreusher/cli/Main.java
+++ b/src/main/java/org/shoreusher/cli/Main.java
@@ -25,6 +25,7 @@
 
     private Main() {}
 
+    /** Runs the program and exits with its code. */
     public static void main(String[] args) {
         System.exit(run(args));
     }
--- a/src/main/java/org/shoreusher/cli/Rehearsal.java
+++ b/src/main/java/org/shoreusher/cli/Rehearsal.java
@@ -28,11 +28,16 @@
 final class Rehearsal {
     private static final String SETTINGS =
             """
-            {"host_name":"rehearsal","zone":"z","front":"127.0.0.1:%d","back":"127.0.0.1:%d","members":[],
+            {"host_name":"rehearsal","zone":"z","front":"127.0.0.1:%d","back":"127.0.0.1:%d",
+             "members":[],
              "endpoints":{"cloud":"127.0.0.1:%d","state":"127.0.0.1:%d"},
-             "deployment":{"count":1,"zones":["z"],"teams":[{"name":"t","cpus":1.0,"cpus_max":1.0,"gpus":0.0,"gpus_max":0.0}],"objectives":[],
-              "workers":{"report_s":1.0,"lease_s":10.0,"cancel_s":30.0},"state":{"rps":100.0,"write_rps":50.0,"value_kb":8.0,"txn_ops":12},
-              "cloud":{"rps":5.0,"list_lag_s":5.0},"limits":{"sockets":1000},"clock_off_ms":25.0}}\
+             "deployment":{"count":1,"zones":["z"],
+              "teams":[{"name":"t","cpus":1.0,"cpus_max":1.0,"gpus":0.0,"gpus_max":0.0}],
+              "objectives":[],
+              "workers":{"report_s":1.0,"lease_s":10.0,"cancel_s":30.0},
+              "state":{"rps":100.0,"write_rps":50.0,"value_kb":8.0,"txn_ops":12},
+              "cloud":{"rps":5.0,"list_lag_s":5.0},"limits":{"sockets":1000},
+              "clock_off_ms":25.0}}\
             """;
 
     /** How often the requests are made. */
--- a/src/main/java/org/shoreusher/cli/Service.java
+++ b/src/main/java/org/shoreusher/cli/Service.java
@@ -43,6 +43,7 @@
     private long tickedAtMs;
     private long lateMs;
 
+    /** Connects the core to its adapters; nothing is sent before the loop runs. */
     public Service(Settings settings, String owner) {
         this.settings = settings;
         node = new Node(settings, owner, Tuning.PARTS);
--- a/src/main/java/org/shoreusher/cloud/CloudClient.java
+++ b/src/main/java/org/shoreusher/cloud/CloudClient.java
@@ -15,11 +15,13 @@
     private final HttpCaller caller;
     private final Consumer<Command> core;
 
+    /** A client whose replies go to the core as commands. */
     public CloudClient(EventLoop loop, Settings settings, Consumer<Command> core) {
         caller = new HttpCaller(loop, settings.cloud());
         this.core = core;
     }
 
+    /** Sends a call; the reply, or a status of 0 without one, goes to the core. */
     public void call(Effect.CloudCall call) {
         StateFormat.Request request = CloudFormat.request(call.op());
         caller.call(
--- a/src/main/java/org/shoreusher/core/Preemption.java
+++ b/src/main/java/org/shoreusher/core/Preemption.java
@@ -60,15 +60,15 @@
             int noMachine = planner.place(job, job.waitingCount);
             if (overLimit > 0) {
                 double before = teamRelief.getDouble(spec.team());
-                double short_ = overLimit * spec.cpus() - before;
-                teamRelief.put(spec.team(), Math.max(0, -short_));
-                take(spec, short_, spec.team());
+                double missingCpus = overLimit * spec.cpus() - before;
+                teamRelief.put(spec.team(), Math.max(0, -missingCpus));
+                take(spec, missingCpus, spec.team());
             }
             // Replicas of services have room made for them by Displacement.
             if (noMachine > 0 && spec.shape().ends()) {
-                double short_ = noMachine * spec.cpus() - relief;
-                relief = Math.max(0, -short_);
-                take(spec, short_, null);
+                double missingCpus = noMachine * spec.cpus() - relief;
+                relief = Math.max(0, -missingCpus);
+                take(spec, missingCpus, null);
             }
         }
         return chosen;
--- a/src/main/java/org/shoreusher/core/Returners.java
+++ b/src/main/java/org/shoreusher/core/Returners.java
@@ -9,6 +9,7 @@
  * their leases run out while it holds on to its own.
  */
 final class Returners {
+    /** The reports of one worker that have come here. */
     private static final class Visit {
         long firstMs;
         long lastMs;
--- a/src/main/java/org/shoreusher/core/TaskRanges.java
+++ b/src/main/java/org/shoreusher/core/TaskRanges.java
@@ -6,6 +6,7 @@
 public final class TaskRanges {
     private TaskRanges() {}
 
+    /** The numbers as ranges, such as 0-4,7. */
     public static String format(BitSet set) {
         StringBuilder out = new StringBuilder();
         for (int from = set.nextSetBit(0); from >= 0; ) {
@@ -22,6 +23,7 @@
         return out.toString();
     }
 
+    /** The numbers of a text that {@link #format} has made. */
     public static BitSet parse(String text) {
         BitSet set = new BitSet();
         if (text.isEmpty()) {
--- a/src/main/java/org/shoreusher/core/TokenBucket.java
+++ b/src/main/java/org/shoreusher/core/TokenBucket.java
@@ -7,6 +7,7 @@
     private double tokens;
     private long at = Long.MIN_VALUE;
 
+    /** A full bucket that gains tokens at a rate, up to a burst of at least one. */
     public TokenBucket(double perSecond, double burst) {
         this.perMs = perSecond / 1000;
         this.burst = Math.max(1, burst);
--- a/src/main/java/org/shoreusher/net/HttpCaller.java
+++ b/src/main/java/org/shoreusher/net/HttpCaller.java
@@ -36,6 +36,7 @@
 public final class HttpCaller {
     /** Takes the answer. {@code body} is null unless it is a map. */
     public interface Answer {
+        /** Takes the status, 0 if there was no answer, and the body. */
         void answered(int status, Map<String, Object> body);
     }
 
@@ -46,6 +47,7 @@
     private final ArrayDeque<Line> idle = new ArrayDeque<>();
     private int busy;
 
+    /** A caller that keeps the usual number of idle connections. */
     public HttpCaller(EventLoop loop, Address target) {
         this(loop, target, Tuning.POOL_IDLE);
     }
@@ -117,6 +119,7 @@
                 });
     }
 
+    /** A call in flight, ended once: by its answer, a failure or its timeout. */
     private final class Call {
         private final Answer answer;
         private boolean ended;
--- a/src/main/java/org/shoreusher/peer/HintCodec.java
+++ b/src/main/java/org/shoreusher/peer/HintCodec.java
@@ -19,12 +19,14 @@
 public final class HintCodec {
     private final Kryo kryo = new Kryo();
 
+    /** A codec; it is not safe for use by several threads. */
     public HintCodec() {
         kryo.setRegistrationRequired(true);
         kryo.setReferences(false);
         kryo.register(Hint.class, new HintSerializer());
     }
 
+    /** Encodes a hint. */
     public byte[] write(Hint hint) {
         Output out = new Output(Tuning.HINT_BUFFER, Tuning.MAX_HINT);
         kryo.writeObject(out, hint);
@@ -40,6 +42,7 @@
         }
     }
 
+    /** The fields of a hint in a fixed order, which all versions share. */
     private static final class HintSerializer extends Serializer<Hint> {
         @Override
         public void write(Kryo kryo, Output out, Hint h) {
--- a/src/main/java/org/shoreusher/peer/Peers.java
+++ b/src/main/java/org/shoreusher/peer/Peers.java
@@ -36,6 +36,7 @@
     private final Map<String, Channel> lines = new HashMap<>();
     private final Map<String, Boolean> connecting = new HashMap<>();
 
+    /** An adapter that gives the hints it receives to the core. */
     public Peers(EventLoopGroup loop, Settings settings, Consumer<Command> core) {
         this.loop = loop;
         this.settings = settings;
@@ -105,6 +106,7 @@
                         });
     }
 
+    /** Decodes the frames of a connection and closes it on one that is no hint. */
     private final class Hearer extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
--- a/src/main/java/org/shoreusher/state/StateClient.java
+++ b/src/main/java/org/shoreusher/state/StateClient.java
@@ -20,12 +20,14 @@
 
     private final Consumer<Command> core;
 
+    /** A client whose replies go to the core as commands. */
     public StateClient(EventLoop loop, Settings settings, Consumer<Command> core) {
         caller = new HttpCaller(loop, settings.state());
         renewals = new HttpCaller(loop, settings.state());
         this.core = core;
     }
 
+    /** Sends a call; the reply, or a status of 0 without one, goes to the core. */
     public void call(Effect.StateCall call) {
         StateFormat.Request request = StateFormat.request(call.op());
         long wait = call.op() instanceof Effect.StateOp.Watch w ? w.blockMs() : 0;
--- a/src/main/java/org/shoreusher/user/FrontServer.java
+++ b/src/main/java/org/shoreusher/user/FrontServer.java
@@ -51,6 +51,7 @@
     private static final String HELLO = "/hello";
     private static final String CANCEL = "/cancel";
 
+    /** A request that the core has not answered yet. */
     private record Waiting(
             ChannelHandlerContext channel, boolean keepAlive, long sinceNs, boolean user) {}
 
--- a/src/main/java/org/shoreusher/wire/CloudFormat.java
+++ b/src/main/java/org/shoreusher/wire/CloudFormat.java
@@ -14,6 +14,7 @@
 public final class CloudFormat {
     private CloudFormat() {}
 
+    /** The HTTP request of a call. */
     public static StateFormat.Request request(CloudOp op) {
         if (op instanceof CloudOp.Types) {
             return new StateFormat.Request("/flavors", null);
@@ -36,6 +37,7 @@
         return new StateFormat.Request("/rentals", body);
     }
 
+    /** The machine types of an answer. */
     public static List<MachineType> types(Tree t) throws Tree.Missing {
         List<MachineType> out = new ArrayList<>();
         for (Tree m : t.list("presses")) {
@@ -56,10 +58,12 @@
         return out;
     }
 
+    /** The names of the machines that a rental has brought. */
     public static List<String> rented(Tree t) throws Tree.Missing {
         return t.texts("boxes");
     }
 
+    /** A page of the list of machines. */
     public static ListPage machines(Tree t) throws Tree.Missing {
         List<Listed> out = new ArrayList<>();
         for (Tree m : t.list("boxes")) {
--- a/src/main/java/org/shoreusher/wire/StateFormat.java
+++ b/src/main/java/org/shoreusher/wire/StateFormat.java
@@ -17,6 +17,7 @@
     /** One key as read or as changed; a null value: removed. */
     public record Entry(String key, Map<String, Object> value, long version) {}
 
+    /** The HTTP request of a call. */
     public static Request request(StateOp op) {
         if (op instanceof StateOp.Get get) {
             return new Request("/store/" + get.key(), null);
@@ -70,6 +71,7 @@
         return out;
     }
 
+    /** Whether further pages follow. */
     public static boolean more(Tree t) throws Tree.Missing {
         return t.flagOr("more", false);
     }
--- a/src/main/java/org/shoreusher/wire/Tree.java
+++ b/src/main/java/org/shoreusher/wire/Tree.java
@@ -39,6 +39,9 @@
     public static final class Missing extends Exception {
         private static final long serialVersionUID = 1L;
 
+        /**
+         * A failure that names the field; without a stack trace, since bad input may come often.
+         */
         public Missing(String message) {
             super(message, null, false, false);
         }
@@ -46,6 +49,7 @@
 
     private final Map<String, Object> map;
 
+    /** Reads from a map. */
     public Tree(Map<String, Object> map) {
         this.map = map;
     }
@@ -175,14 +179,17 @@
         }
     }
 
+    /** The map itself. */
     public Map<String, Object> asMap() {
         return map;
     }
 
+    /** Whether a field is there and not null. */
     public boolean has(String field) {
         return map.get(field) != null;
     }
 
+    /** A field that must be a map. */
     public Tree map(String field) throws Missing {
         @SuppressWarnings("unchecked")
         Map<String, Object> m =
@@ -230,6 +237,7 @@
         throw new Missing(field + " must be a list");
     }
 
+    /** A field that must be text. */
     public String text(String field) throws Missing {
         if (map.get(field) instanceof String s) {
             return s;
@@ -237,10 +245,12 @@
         throw new Missing(field + " must be text");
     }
 
+    /** A field that must be text if it is there. */
     public String textOr(String field, String other) throws Missing {
         return has(field) ? text(field) : other;
     }
 
+    /** A field that must be a finite number. */
     public double number(String field) throws Missing {
         if (map.get(field) instanceof Number n && Double.isFinite(n.doubleValue())) {
             return n.doubleValue();
@@ -248,10 +258,12 @@
         throw new Missing(field + " must be a number");
     }
 
+    /** A field that must be a finite number if it is there. */
     public double numberOr(String field, double other) throws Missing {
         return has(field) ? number(field) : other;
     }
 
+    /** A field that must be an integer. */
     public long whole(String field) throws Missing {
         Object v = map.get(field);
         if (v instanceof Long || v instanceof Integer) {
@@ -260,10 +272,12 @@
         throw new Missing(field + " must be a whole number");
     }
 
+    /** A field that must be an integer if it is there. */
     public long wholeOr(String field, long other) throws Missing {
         return has(field) ? whole(field) : other;
     }
 
+    /** A field that must be a boolean. */
     public boolean flag(String field) throws Missing {
         if (map.get(field) instanceof Boolean b) {
             return b;
@@ -271,6 +285,7 @@
         throw new Missing(field + " must be true or false");
     }
 
+    /** A field that must be a boolean if it is there. */
     public boolean flagOr(String field, boolean other) throws Missing {
         return has(field) ? flag(field) : other;
     }
--- a/src/main/java/org/shoreusher/worker/WorkerClient.java
+++ b/src/main/java/org/shoreusher/worker/WorkerClient.java
@@ -16,6 +16,7 @@
     private final EventLoop loop;
     private int inFlight;
 
+    /** A client on an event loop. */
     public WorkerClient(EventLoop loop) {
         this.loop = loop;
     }
--- a/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
+++ b/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
@@ -21,6 +21,7 @@
 import org.shoreusher.core.Keys.QuotaRecord;
 import org.shoreusher.settings.Settings;
 
+/** Tests of the classes by which an owner acts. */
 class OwnerPiecesTest {
     private static Settings settings(List<Settings.Objective> objectives) {
         Settings.Address nowhere = new Settings.Address("127.0.0.1", 1);
--- a/src/test/java/org/shoreusher/core/PiecesTest.java
+++ b/src/test/java/org/shoreusher/core/PiecesTest.java
@@ -18,6 +18,7 @@
 import net.jqwik.api.constraints.LongRange;
 import org.shoreusher.settings.Settings;
 
+/** Tests of small classes of the core. */
 class PiecesTest {
     private static final MachineType TYPE =
             new MachineType("t", 8, 2, 16, 10, 1, 1, 0.4, 10, List.of("a", "b"));
--- a/src/test/java/org/shoreusher/model/ClusterModelTest.java
+++ b/src/test/java/org/shoreusher/model/ClusterModelTest.java
@@ -278,20 +278,7 @@
                                         };
                                 case 15 ->
                                         w -> {
-                                            // The next taker ends in the middle of it and is back
-                                            // at once.
-                                            w.onTakeover =
-                                                    p -> {
-                                                        w.onTakeover = q -> {};
-                                                        w.in(
-                                                                w.random.nextInt(40),
-                                                                () ->
-                                                                        p.kill(
-                                                                                30
-                                                                                        + w.random
-                                                                                                .nextInt(
-                                                                                                        300)));
-                                                    };
+                                            endNextTakers(w, 1);
                                             w.processes.get(node).kill(100 + length / 4);
                                         };
                                 case 16 -> w -> w.cutZone("b", host, length);
@@ -466,24 +453,10 @@
                                                     owners(x)
                                                             .forEach(
                                                                     p -> {
-                                                                        x.cut(
-                                                                                p.host, "state",
-                                                                                60_000);
-                                                                        x.processes.forEach(
-                                                                                other ->
-                                                                                        x.cut(
-                                                                                                p.host,
-                                                                                                other.host,
-                                                                                                60_000));
-                                                                        x.cloud
-                                                                                .machines()
-                                                                                .forEach(
-                                                                                        m ->
-                                                                                                x
-                                                                                                        .cut(
-                                                                                                                p.host,
-                                                                                                                m.id,
-                                                                                                                60_000));
+                                                                        cutFromStateAndPeers(
+                                                                                x, p, 60_000);
+                                                                        cutFromWorkers(
+                                                                                x, p, 60_000);
                                                                     }))));
             assertEquals(List.of(), w.rules.violations);
             rebuilt.add(rebuiltAfter(w, 60_000));
@@ -504,11 +477,36 @@
         return w.processes.stream().filter(p -> last.containsValue(p.host)).toList();
     }
 
+    /** The next takers each end in the middle of it, and are back at once. */
+    private static void endNextTakers(World w, int takers) {
+        int[] left = {takers};
+        w.onTakeover =
+                taker -> {
+                    if (left[0]-- > 0) {
+                        w.in(w.random.nextInt(40), () -> taker.kill(30 + w.random.nextInt(300)));
+                    }
+                };
+    }
+
+    static void cutFromStateAndPeers(World w, World.Process process, long forMs) {
+        w.cut(process.host, "state", forMs);
+        w.processes.forEach(other -> w.cut(process.host, other.host, forMs));
+    }
+
+    static void cutFromWorkers(World w, World.Process process, long forMs) {
+        w.cloud.machines().forEach(machine -> w.cut(process.host, machine.id, forMs));
+    }
+
+    /** The time at the start of a line of the world's log. */
+    private static long timeOf(String line) {
+        return Long.parseLong(line.substring(0, line.indexOf(' ')));
+    }
+
     /** When a part was first rebuilt after a moment. */
     private static long rebuiltAfter(World w, long ms) {
         return w.log.stream()
                 .filter(l -> l.contains("rebuilt"))
-                .mapToLong(l -> Long.parseLong(l.substring(0, l.indexOf(' '))))
+                .mapToLong(ClusterModelTest::timeOf)
                 .filter(t -> t > ms)
                 .findFirst()
                 .orElseThrow();
@@ -532,17 +530,10 @@
                                             x ->
                                                     owners(x)
                                                             .forEach(
-                                                                    p -> {
-                                                                        x.cut(
-                                                                                p.host, "state",
-                                                                                60_000);
-                                                                        x.processes.forEach(
-                                                                                other ->
-                                                                                        x.cut(
-                                                                                                p.host,
-                                                                                                other.host,
-                                                                                                60_000));
-                                                                    }))));
+                                                                    p ->
+                                                                            cutFromStateAndPeers(
+                                                                                    x, p,
+                                                                                    60_000)))));
             assertEquals(List.of(), w.rules.violations);
             rebuilt.add(rebuiltAfter(w, 60_000));
         }
@@ -571,15 +562,9 @@
                                                     owners(x)
                                                             .forEach(
                                                                     p ->
-                                                                            x.cloud
-                                                                                    .machines()
-                                                                                    .forEach(
-                                                                                            m ->
-                                                                                                    x
-                                                                                                            .cut(
-                                                                                                                    p.host,
-                                                                                                                    m.id,
-                                                                                                                    40_000))))));
+                                                                            cutFromWorkers(
+                                                                                    x, p,
+                                                                                    40_000)))));
             assertEquals(List.of(), w.rules.violations);
             rebuilt.add(
                     w.log.stream().anyMatch(l -> l.contains("released: most"))
@@ -710,21 +695,7 @@
                                     new Trouble(
                                             60_000,
                                             x -> {
-                                                int[] left = {3};
-                                                x.onTakeover =
-                                                        p -> {
-                                                            if (left[0]-- > 0) {
-                                                                x.in(
-                                                                        x.random.nextInt(40),
-                                                                        () ->
-                                                                                p.kill(
-                                                                                        30
-                                                                                                + x
-                                                                                                        .random
-                                                                                                        .nextInt(
-                                                                                                                300)));
-                                                            }
-                                                        };
+                                                endNextTakers(x, 3);
                                                 owners(x).forEach(p -> p.kill(100));
                                             })));
             assertEquals(List.of(), w.rules.violations);
@@ -770,9 +741,7 @@
                                     l ->
                                             l.contains("gone: " + id)
                                                     && l.contains("returned")
-                                                    && Long.parseLong(
-                                                                    l.substring(0, l.indexOf(' ')))
-                                                            < 100_000),
+                                                    && timeOf(l) < 100_000),
                     () -> String.join("\n", w.log));
             assertEquals(
                     0,
--- a/src/test/java/org/shoreusher/model/MeetingsTest.java
+++ b/src/test/java/org/shoreusher/model/MeetingsTest.java
@@ -68,25 +68,14 @@
             case 9 -> w -> w.state.slow(900, length);
             case 10 ->
                     w -> {
-                        w.cut(host, "state", length);
-                        w.processes.forEach(p -> w.cut(host, p.host, length));
+                        ClusterModelTest.cutFromStateAndPeers(w, w.processes.get(node), length);
                     };
             case 11 -> w -> w.cutZone("b", host, length);
             case 12 ->
                     w -> {
                         // Leaders change ten times.
                         for (int i = 0; i < 10; i++) {
-                            w.in(
-                                    i * 8_000L,
-                                    () ->
-                                            ClusterModelTest.owners(w)
-                                                    .forEach(
-                                                            p ->
-                                                                    p.kill(
-                                                                            100
-                                                                                    + w.random
-                                                                                            .nextInt(
-                                                                                                    6_000))));
+                            w.in(i * 8_000L, () -> endOwners(w));
                         }
                     };
             case 13 ->
@@ -99,18 +88,14 @@
             default ->
                     w ->
                             ClusterModelTest.owners(w)
-                                    .forEach(
-                                            p ->
-                                                    w.cloud
-                                                            .machines()
-                                                            .forEach(
-                                                                    m ->
-                                                                            w.cut(
-                                                                                    p.host, m.id,
-                                                                                    length)));
+                                    .forEach(p -> ClusterModelTest.cutFromWorkers(w, p, length));
         };
     }
 
+    private static void endOwners(World w) {
+        ClusterModelTest.owners(w).forEach(p -> p.kill(100 + w.random.nextInt(6_000)));
+    }
+
     static List<Trouble> meetings(long seed) {
         Random r = new Random(seed * 131 + 5);
         List<Trouble> list = new ArrayList<>();
--- a/src/test/java/org/shoreusher/model/StateModel.java
+++ b/src/test/java/org/shoreusher/model/StateModel.java
@@ -19,10 +19,13 @@
 final class StateModel {
     private static final int LOG = 300;
 
+    /** A stored value with its version. */
     private record Item(Map<String, Object> value, long version) {}
 
+    /** A change in the log; a null value: the key was removed. */
     private record Change(long revision, String key, Map<String, Object> value) {}
 
+    /** An open watch. */
     private record Waiter(StateOp.Watch watch, String host, long until, World.Reply reply) {}
 
     private final World world;
--- a/src/test/java/org/shoreusher/model/World.java
+++ b/src/test/java/org/shoreusher/model/World.java
@@ -35,6 +35,7 @@
     /** Times at which troubles come, in ms, with what they do. */
     record Trouble(long at, Consumer<World> what) {}
 
+    /** Something that happens at a time; events of the same time keep their order. */
     private record Event(long at, long order, Runnable what) {}
 
     private final PriorityQueue<Event> events =
--- a/src/test/java/org/shoreusher/peer/HintCodecTest.java
+++ b/src/test/java/org/shoreusher/peer/HintCodecTest.java
@@ -10,6 +10,7 @@
 import net.jqwik.api.constraints.Size;
 import org.shoreusher.core.Hint;
 
+/** Tests of the encoding of hints. */
 class HintCodecTest {
     private final HintCodec codec = new HintCodec();
 
--- a/src/test/java/org/shoreusher/settings/SettingsTest.java
+++ b/src/test/java/org/shoreusher/settings/SettingsTest.java
@@ -8,16 +8,22 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
+/** Tests of the settings file. */
 class SettingsTest {
     private static final String GOOD =
             """
-            {"host_name":"n-0","zone":"a","front":"127.0.0.1:8080","back":"127.0.0.1:8081","new":{"x":1},
+            {"host_name":"n-0","zone":"a","front":"127.0.0.1:8080",
+             "back":"127.0.0.1:8081","new":{"x":1},
              "members":[{"host_name":"n-1","zone":"b","peer_addr":"127.0.0.2:8081"}],
              "endpoints":{"cloud":"127.0.0.3:1","state":"127.0.0.3:2"},
-             "deployment":{"count":2,"zones":["a","b"],"teams":[{"name":"t","cpus":1.0,"cpus_max":2,"gpus":0.0,"gpus_max":0.0}],
+             "deployment":{"count":2,"zones":["a","b"],
+              "teams":[{"name":"t","cpus":1.0,"cpus_max":2,"gpus":0.0,"gpus_max":0.0}],
               "objectives":[{"kind":"guarantee","within_s":15.0,"share":0.8}],
-              "workers":{"report_s":2.5,"lease_s":16.0,"cancel_s":36.0},"state":{"rps":200.0,"write_rps":25.0,"value_kb":8.0,"txn_ops":20},
-              "cloud":{"rps":5.0,"list_lag_s":5.0},"limits":{"cpu_share":0.17,"ram_mb":176.0,"sockets":1500},"clock_off_ms":25.0}}\
+              "workers":{"report_s":2.5,"lease_s":16.0,"cancel_s":36.0},
+              "state":{"rps":200.0,"write_rps":25.0,"value_kb":8.0,"txn_ops":20},
+              "cloud":{"rps":5.0,"list_lag_s":5.0},
+              "limits":{"cpu_share":0.17,"ram_mb":176.0,"sockets":1500},
+              "clock_off_ms":25.0}}\
             """;
 
     private static Settings parse(String text) throws Settings.Invalid {
@@ -89,7 +95,8 @@
                         GOOD.replace(
                                 ops,
                                 ops
-                                        + ",\"next\":{\"write_rps\":18.0,\"value_kb\":2.0,\"txn_ops\":6}"));
+                                        + ",\"next\":{\"write_rps\":18.0,"
+                                        + "\"value_kb\":2.0,\"txn_ops\":6}"));
         assertEquals(List.of(18.0, 200.0), List.of(s.stateWriteRps(), s.stateRps()));
         assertEquals(List.of(2048, 6), List.of(s.valueBytes(), s.txnOps()));
         Settings wider =
@@ -97,7 +104,8 @@
                         GOOD.replace(
                                 ops,
                                 ops
-                                        + ",\"next\":{\"write_rps\":180.0,\"value_kb\":64,\"txn_ops\":60,\"new\":1}"));
+                                        + ",\"next\":{\"write_rps\":180.0,"
+                                        + "\"value_kb\":64,\"txn_ops\":60,\"new\":1}"));
         assertEquals(parse(GOOD), wider);
         assertEquals(parse(GOOD), parse(GOOD.replace(ops, ops + ",\"next\":null")));
         String[][] wrong = {
--- a/src/test/java/org/shoreusher/wire/FormatsTest.java
+++ b/src/test/java/org/shoreusher/wire/FormatsTest.java
@@ -21,6 +21,7 @@
 import org.shoreusher.core.WorkerOrder;
 import org.shoreusher.core.WorkerReport;
 
+/** Tests of the formats of users, workers, cloud and state service. */
 class FormatsTest {
     @Provide
     Arbitrary<Map<String, Object>> maps() {
