--- a/src/main/java/org/shoreusher/core/Acceptance.java
+++ b/src/main/java/org/shoreusher/core/Acceptance.java
@@ -43,6 +43,9 @@
     /** Told of a job that another try of its submission has made known first. */
     private final BiConsumer<Long, String> alreadyKnown;
 
+    /** Told of a submission whose description is longer than a record may be. */
+    private final BiConsumer<Long, String> tooLong;
+
     private final Map<String, Arriving> queue = new LinkedHashMap<>();
     private int writing;
     private long nextRecord = 1;
@@ -53,13 +56,15 @@
             Mirror mirror,
             String owner,
             ToIntFunction<JobSpec> roomiestPart,
-            BiConsumer<Long, String> alreadyKnown) {
+            BiConsumer<Long, String> alreadyKnown,
+            BiConsumer<Long, String> tooLong) {
         this.settings = settings;
         this.out = out;
         this.mirror = mirror;
         this.owner = owner;
         this.roomiestPart = roomiestPart;
         this.alreadyKnown = alreadyKnown;
+        this.tooLong = tooLong;
     }
 
     /** Takes a job that is not known and can run. */
@@ -77,10 +82,7 @@
                 JobRecord.open(roomiestPart.applyAsInt(spec), spec, out.now.wallMs()).write();
         int bytes = Tree.jsonLength(record);
         if (bytes > settings.valueBytes()) {
-            out.answer(
-                    request,
-                    400,
-                    Map.of("error", "the description is longer than a record may be"));
+            tooLong.accept(request, spec.id());
             return;
         }
         queue.put(
--- a/src/main/java/org/shoreusher/core/Keys.java
+++ b/src/main/java/org/shoreusher/core/Keys.java
@@ -156,9 +156,23 @@
                     UserFormat.description(spec));
         }
 
-        JobRecord ended(JobStatus status) {
-            return new JobRecord(
-                    part, status, tasks, acceptedMs, begun, status == JobStatus.DONE ? null : spec);
+        JobRecord done() {
+            return new JobRecord(part, JobStatus.DONE, tasks, acceptedMs, begun, null);
+        }
+
+        /**
+         * The record of the cancelled job, no longer than a value may be. One that was accepted
+         * under larger limits loses those parts of its description by which tasks are started:
+         * written in full it would be refused each time, and the job could never be cancelled.
+         */
+        JobRecord cancelled(int valueBytes) {
+            JobRecord full =
+                    new JobRecord(part, JobStatus.CANCELLED, tasks, acceptedMs, begun, spec);
+            if (spec == null || Tree.jsonLength(full.write()) <= valueBytes) {
+                return full;
+            }
+            Map<String, Object> resources = UserFormat.resourcesOnly(spec);
+            return new JobRecord(part, JobStatus.CANCELLED, tasks, acceptedMs, begun, resources);
         }
 
         JobSpec description() {
--- a/src/main/java/org/shoreusher/core/Part.java
+++ b/src/main/java/org/shoreusher/core/Part.java
@@ -545,7 +545,7 @@
                 continue;
             }
             Map<String, Map<String, Object>> writes =
-                    Map.of(Keys.job(job.id), record.ended(JobStatus.DONE).write());
+                    Map.of(Keys.job(job.id), record.done().write());
             // A refusal means that the user's cancellation came first; the view will show it.
             job.finishing =
                     out.state(
--- a/src/main/java/org/shoreusher/core/StartMarks.java
+++ b/src/main/java/org/shoreusher/core/StartMarks.java
@@ -12,6 +12,7 @@
 import org.shoreusher.core.Keys.MarkRecord;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
+import org.shoreusher.wire.Tree;
 
 /**
  * Notes durably how many of each job's tasks may have been started. Tasks are started in the order
@@ -109,6 +110,11 @@
             if (job.closed || record == null || next <= job.startBelow) {
                 continue;
             }
+            if (parts > 1 && !writable(record)) {
+                // Accepted under larger limits together with others, it can't get a record of its
+                // own any more; in the same transaction it would hold up all other marks for good.
+                continue;
+            }
             if (parts > 1 && mirror.get(Keys.job(job.id)) == null) {
                 guards.put(Keys.job(job.id), 0L);
                 writes.put(Keys.job(job.id), record.write());
@@ -154,6 +160,10 @@
         nextMs = writing ? out.now.steadyMs() + gapMs : nextMs;
     }
 
+    private boolean writable(JobRecord record) {
+        return Tree.jsonLength(record.write()) <= settings.valueBytes();
+    }
+
     private Map<String, Integer> stored(int chunk) {
         Mirror.Entry entry = mirror.get(Keys.begun(n, chunk));
         return entry == null ? Map.of() : MarkRecord.read(entry.value()).below();
--- a/src/main/java/org/shoreusher/core/UserDesk.java
+++ b/src/main/java/org/shoreusher/core/UserDesk.java
@@ -94,18 +94,8 @@
                         mirror,
                         owner,
                         roomiestPart,
-                        (request, id) ->
-                                read(
-                                        new Question(
-                                                request,
-                                                id,
-                                                record -> {
-                                                    if (record == null) {
-                                                        out.later(request);
-                                                    } else {
-                                                        known(request, id, record);
-                                                    }
-                                                })));
+                        (request, id) -> answerIfKnown(request, id, () -> out.later(request)),
+                        (request, id) -> answerIfKnown(request, id, () -> refuseLong(request)));
     }
 
     // ---- requests ----------------------------------------------------------------------------
@@ -186,6 +176,29 @@
                 });
     }
 
+    /** Answers with the state of a job that the state service has; it is read anew. */
+    private void answerIfKnown(long request, String id, Runnable otherwise) {
+        read(
+                new Question(
+                        request,
+                        id,
+                        record -> {
+                            if (record == null) {
+                                otherwise.run();
+                            } else {
+                                known(request, id, record);
+                            }
+                        }));
+    }
+
+    /**
+     * Only after the state service was asked: a job that was accepted under larger limits is known
+     * whatever its description's length, also to a node whose view lags.
+     */
+    private void refuseLong(long request) {
+        out.answer(request, 400, Map.of("error", "the description is longer than a record may be"));
+    }
+
     private void known(long request, String id, JobRecord record) {
         out.answer(
                 request,
@@ -240,7 +253,7 @@
             out.answer(request, 200, UserFormat.status(id, Shown.CANCELLED));
         } else {
             Map<String, Map<String, Object>> writes =
-                    Map.of(Keys.job(id), record.ended(JobStatus.CANCELLED).write());
+                    Map.of(Keys.job(id), record.cancelled(settings.valueBytes()).write());
             write(
                     request,
                     new StateOp.Multi(Map.of(Keys.job(id), mirror.version(Keys.job(id))), writes),
--- a/src/main/java/org/shoreusher/wire/UserFormat.java
+++ b/src/main/java/org/shoreusher/wire/UserFormat.java
@@ -3,6 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import org.shoreusher.core.JobSpec;
 import org.shoreusher.core.JobSpec.Priority;
 import org.shoreusher.core.JobSpec.Shape;
@@ -19,6 +20,28 @@
      */
     private static final String KEPT_UP = "kept_up";
 
+    /** The fields without which a description can't be read. */
+    private static final Set<String> REQUIRED_FIELDS =
+            Set.of(
+                    "name_id",
+                    "queue",
+                    "crew",
+                    "shape",
+                    KEPT_UP,
+                    "urgency",
+                    "sheets",
+                    "cpus",
+                    "gpus",
+                    "mem_gb",
+                    "plate",
+                    "size_gb",
+                    "one_zone",
+                    "scatter",
+                    "loaners",
+                    "runtime_s",
+                    "proof_interval_s",
+                    "proof_s");
+
     private UserFormat() {}
 
     /** Whether this has the form of a job id. */
@@ -159,6 +182,18 @@
         return m;
     }
 
+    /**
+     * A description in the state service without what only starts need, such that {@link
+     * #described} still reads it: team and resources of the tasks are those of the job.
+     */
+    public static Map<String, Object> resourcesOnly(Map<String, Object> description) {
+        Map<String, Object> shorter = new LinkedHashMap<>(description);
+        shorter.keySet().retainAll(REQUIRED_FIELDS);
+        shorter.put("queue", "");
+        shorter.put("plate", "");
+        return shorter;
+    }
+
     /** States as users see them. */
     public enum Shown {
         PENDING("pending"),
--- a/src/test/java/org/shoreusher/core/ArrivalsTest.java
+++ b/src/test/java/org/shoreusher/core/ArrivalsTest.java
@@ -79,10 +79,7 @@
                             });
             arrivals[0] = new Arrivals(SETTINGS, out, mirror);
             if (ended) {
-                mirror.apply(
-                        Keys.job("wk-1"),
-                        Keys.JobRecord.open(0, spec, 0).ended(Keys.JobStatus.DONE).write(),
-                        9);
+                mirror.apply(Keys.job("wk-1"), Keys.JobRecord.open(0, spec, 0).done().write(), 9);
                 mirror.evict(Keys.job("wk-1"));
             }
             mirror.apply(
--- /dev/null
+++ b/src/test/java/org/shoreusher/model/LargerRecordsTest.java
@@ -0,0 +1,98 @@
+package org.shoreusher.model;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.Collections;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import net.jqwik.api.Example;
+import org.shoreusher.core.JobSpec;
+import org.shoreusher.settings.Settings;
+import org.shoreusher.wire.Tree;
+import org.shoreusher.wire.UserFormat;
+
+/** Jobs that were accepted when values could be longer than they may be now. */
+class LargerRecordsTest {
+    private static final int VALUE_BYTES = 2_048;
+    private static final String ID = "wk-000030";
+
+    private final SingleNode node = new SingleNode(limits());
+
+    private static Settings limits() {
+        Settings usual = ClusterModelTest.settings();
+        return ClusterModelTest.limits(usual.stateWriteRps(), VALUE_BYTES, usual.txnOps());
+    }
+
+    /** A job whose list of machine types alone is longer than a value may be. */
+    private static JobSpec longJob() {
+        return new JobSpec(
+                ID,
+                "class",
+                "team-0",
+                JobSpec.Priority.HIGH,
+                2,
+                2,
+                0,
+                1,
+                "img",
+                1,
+                Collections.nCopies(VALUE_BYTES / 4, CloudModel.TYPE),
+                null,
+                false,
+                false,
+                true,
+                5,
+                0,
+                0,
+                Double.NaN);
+    }
+
+    private void acceptedBefore() {
+        Map<String, Object> record = new LinkedHashMap<>();
+        record.put("part", 0L);
+        record.put("status", "OPEN");
+        record.put("tasks", 2L);
+        record.put("accepted", node.now);
+        record.put("begun", 0L);
+        record.put("spec", UserFormat.description(longJob()));
+        assertTrue(Tree.jsonLength(record) > VALUE_BYTES);
+        node.state().put("job/" + ID, record);
+    }
+
+    /** 400 would tell its user that the job does not exist, and break the rule "forgotten". */
+    @Example
+    void aRepeatedSubmissionIsAnsweredWithTheStateAlsoByANodeThatLags() {
+        node.left();
+        node.steps(40);
+        node.state().stallViews("node-0", 1_000_000);
+        acceptedBefore();
+        assertEquals(200, node.submit(longJob()));
+    }
+
+    @Example
+    void aSubmissionThatIsTooLongIsMalformedOnlyIfNobodyKnowsTheJob() {
+        node.left();
+        node.steps(40);
+        assertEquals(400, node.submit(longJob()));
+        acceptedBefore();
+        node.steps(40);
+        assertEquals(200, node.submit(longJob()));
+    }
+
+    /** Written in full, the cancelled job's record would be refused each time. */
+    @Example
+    void aLongJobIsCancelled() throws Tree.Missing {
+        node.left();
+        acceptedBefore();
+        node.steps(40);
+        assertEquals("pending", node.ask(ID));
+        assertEquals(200, node.cancel(ID));
+        assertEquals("aborted", node.ask(ID));
+        Map<String, Object> record = node.state().value("job/" + ID);
+        assertTrue(Tree.jsonLength(record) <= VALUE_BYTES);
+        JobSpec left = UserFormat.described(new Tree(record).map("spec"));
+        assertEquals("team-0", left.team());
+        assertEquals(2.0, left.cpus());
+    }
+}
--- a/src/test/java/org/shoreusher/model/SingleNode.java
+++ b/src/test/java/org/shoreusher/model/SingleNode.java
@@ -192,6 +192,14 @@
         return answers.containsKey(request) ? answers.get(request).status() : null;
     }
 
+    /** A user cancels; the answer's status. */
+    Integer cancel(String id) {
+        long request = ++requests;
+        commands.add(new Command.Cancel(request, id));
+        steps(4);
+        return answers.containsKey(request) ? answers.get(request).status() : null;
+    }
+
     /** An open job of two tasks in the store, the first of which may have been started. */
     void begunJob(String id, boolean oneZone) {
         stored(
