--- a/src/main/java/org/shoreusher/core/Formats.java
+++ b/src/main/java/org/shoreusher/core/Formats.java
@@ -1,15 +1,19 @@
 package org.shoreusher.core;
 
+import java.util.List;
 import java.util.Map;
 import org.shoreusher.core.Effect.StateOp;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 
 /**
- * Which formats of the store every node understands. Each node notes its own under a key, once,
- * before anything that an older one would not read rightly is written; versions from before there
- * were such notes have none. During an upgrade both serve, and a process that ends before its turn
- * comes back old, but none that is new becomes old again.
+ * Which stored formats every member understands. Each process of this version notes under a key of
+ * its host which formats it understands, and its own name; versions from before there were such
+ * notes write none. During an upgrade both kinds serve, and a process that ends before its turn
+ * comes back old.
+ *
+ * <p>A member that goes back to the old version after its note can't be told by the note alone. It
+ * shows when it takes a part: the fence then names a process of that host that has written no note.
  */
 final class Formats {
     /**
@@ -18,29 +22,52 @@
      */
     static final long SERVICES = 2;
 
+    private static final String FORMATS = "formats";
+    private static final String PROCESS = "process";
+
     private final Settings settings;
     private final Outbox out;
     private final Mirror mirror;
+    private final String process;
+    private final int parts;
     private boolean writing;
     private long nextMs;
 
-    Formats(Settings settings, Outbox out, Mirror mirror) {
+    /** The members that the last log line named as old; null before the first line. */
+    private List<String> loggedOld;
+
+    /**
+     * @param process the name of this process, which no other has ever had
+     */
+    Formats(Settings settings, Outbox out, Mirror mirror, String process, int parts) {
         this.settings = settings;
         this.out = out;
         this.mirror = mirror;
+        this.process = process;
+        this.parts = parts;
     }
 
-    /** Notes what this node understands. */
+    /** Notes what this node understands, and logs when services become enabled or disabled. */
     void step() {
-        if (!mirror.loaded()
-                || writing
-                || out.now.steadyMs() < nextMs
-                || understood(settings.host()) >= SERVICES) {
+        if (!mirror.loaded()) {
             return;
         }
+        logChange();
+        if (!writing && out.now.steadyMs() >= nextMs && !noted()) {
+            note();
+        }
+    }
+
+    private boolean noted() {
+        Mirror.Entry note = mirror.get(Keys.node(settings.host()));
+        return note != null && process.equals(note.value().get(PROCESS));
+    }
+
+    private void note() {
         nextMs = out.now.steadyMs() + Tuning.STATE_RETRY_MS;
         String key = Keys.node(settings.host());
-        Map<String, Map<String, Object>> writes = Map.of(key, Map.of("formats", SERVICES));
+        Map<String, Map<String, Object>> writes =
+                Map.of(key, Map.of(FORMATS, SERVICES, PROCESS, process));
         writing =
                 out.state(
                         new StateOp.Multi(Map.of(key, mirror.version(key)), writes),
@@ -54,14 +81,55 @@
 
     /** Whether every node is known, by the store and not by hints, to understand services. */
     boolean services() {
-        return understood(settings.host()) >= SERVICES
-                && settings.members().stream().allMatch(m -> understood(m.host()) >= SERVICES);
+        return oldMembers().isEmpty();
+    }
+
+    /** The members that are not known to understand services, this one included. */
+    private List<String> oldMembers() {
+        return settings.hosts().filter(host -> understood(host) < SERVICES).sorted().toList();
     }
 
     private long understood(String host) {
         Mirror.Entry note = mirror.get(Keys.node(host));
-        return note == null || !(note.value().get("formats") instanceof Number n)
-                ? 1
-                : n.longValue();
+        if (note == null || !(note.value().get(FORMATS) instanceof Number formats)) {
+            return 1;
+        }
+        return wentBack(host, note) ? 1 : formats.longValue();
+    }
+
+    /**
+     * Whether a process of the host that has not noted itself took a part after the last note. Each
+     * new process writes its note at its start, so a later owner without one is of an old version.
+     */
+    private boolean wentBack(String host, Mirror.Entry note) {
+        Object noted = note.value().get(PROCESS);
+        for (int n = 0; n < parts && noted != null; n++) {
+            Mirror.Entry fence = mirror.get(Keys.fence(n));
+            if (fence != null
+                    && fence.version() > note.version()
+                    && fence.value().get("owner") instanceof String owner
+                    && owner.startsWith(host + "/")
+                    && !owner.equals(noted)) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** Logs which members are still old, each time that changes, once this one is noted. */
+    private void logChange() {
+        if (!noted()) {
+            return;
+        }
+        List<String> old = oldMembers();
+        if (old.equals(loggedOld)) {
+            return;
+        }
+        loggedOld = old;
+        if (old.isEmpty()) {
+            out.log("upgrade: all members understand services, which are accepted from now on");
+        } else {
+            out.log("upgrade: services are refused until the members " + old + " run this version");
+        }
     }
 }
--- a/src/main/java/org/shoreusher/core/Node.java
+++ b/src/main/java/org/shoreusher/core/Node.java
@@ -59,7 +59,7 @@
         mirror = new Mirror(out, settings, this::changed);
         arrivals = new Arrivals(settings, out, mirror);
         types = new Types(settings, out, mirror);
-        formats = new Formats(settings, out, mirror);
+        formats = new Formats(settings, out, mirror, owner, count);
         parts =
                 new Parts(
                         count, settings, out, mirror, arrivals, index, types, formats, this, owner);
--- a/src/main/java/org/shoreusher/core/Part.java
+++ b/src/main/java/org/shoreusher/core/Part.java
@@ -397,7 +397,8 @@
         done.forEach(
                 (id, ranges) -> {
                     Job job = jobs.get(id);
-                    if (job != null) {
+                    // An owner of a version before services may have noted a replica as finished.
+                    if (job != null && job.spec.shape().ends()) {
                         BitSet set = TaskRanges.parse((String) ranges);
                         job.done.or(set);
                         job.durable.or(set);
--- a/src/main/java/org/shoreusher/settings/Settings.java
+++ b/src/main/java/org/shoreusher/settings/Settings.java
@@ -7,6 +7,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.stream.Stream;
 import org.shoreusher.wire.Tree;
 
 /**
@@ -71,6 +72,11 @@
         }
     }
 
+    /** The names of all controllers, this one included. */
+    public Stream<String> hosts() {
+        return Stream.concat(Stream.of(host), members.stream().map(Member::host)).distinct();
+    }
+
     /** Reads and checks a settings file. */
     public static Settings load(Path file) throws Invalid {
         byte[] bytes;
--- a/src/test/java/org/shoreusher/model/FormerFormatsTest.java
+++ b/src/test/java/org/shoreusher/model/FormerFormatsTest.java
@@ -154,28 +154,7 @@
     void theFormerVersionReadsWhatThisOneWrites() {
         SingleNode node = after(2_048, 6, 300);
         node.report("host-000265", 1, 6);
-        JobSpec service =
-                new JobSpec(
-                        "wk-000020",
-                        "gate",
-                        "team-0",
-                        JobSpec.Shape.SERVICE,
-                        JobSpec.Priority.PRODUCTION,
-                        3,
-                        1,
-                        0,
-                        1,
-                        "img",
-                        1,
-                        null,
-                        null,
-                        false,
-                        true,
-                        false,
-                        0,
-                        0,
-                        0,
-                        Double.NaN);
+        JobSpec service = service("wk-000020", 3);
         assertEquals(201, node.submit(service));
         node.steps(300);
         assertTrue(
@@ -257,12 +236,8 @@
         }
     }
 
-    /**
-     * A node can't take a service as long as one of the others may be of the version before,
-     * whatever hints say.
-     */
-    @Example
-    void noServiceBeforeEveryNodeIsKnownToUnderstandIt() {
+    /** A cluster of two, of which the other member is not played. */
+    private static SingleNode nodeOfTwo() {
         Settings s = limits(2_048, 6);
         Settings of =
                 new Settings(
@@ -291,58 +266,161 @@
         SingleNode node = new SingleNode(of);
         node.left();
         node.steps(40);
-        JobSpec service =
-                new JobSpec(
-                        "wk-000020",
-                        "gate",
-                        "team-0",
-                        JobSpec.Shape.SERVICE,
-                        JobSpec.Priority.PRODUCTION,
-                        3,
-                        1,
-                        0,
-                        1,
-                        "img",
-                        1,
-                        null,
-                        null,
-                        false,
-                        true,
-                        false,
-                        0,
-                        0,
-                        0,
-                        Double.NaN);
-        assertEquals(503, node.submit(service));
+        return node;
+    }
+
+    private static JobSpec service(String id, int replicas) {
+        return new JobSpec(
+                id,
+                "gate",
+                "team-0",
+                JobSpec.Shape.SERVICE,
+                JobSpec.Priority.PRODUCTION,
+                replicas,
+                1,
+                0,
+                1,
+                "img",
+                1,
+                null,
+                null,
+                false,
+                true,
+                false,
+                0,
+                0,
+                0,
+                Double.NaN);
+    }
+
+    private static long upgradeLines(SingleNode node, String with) {
+        return node.log.stream()
+                .filter(line -> line.startsWith("upgrade: ") && line.contains(with))
+                .count();
+    }
+
+    /**
+     * A node can't take a service as long as one of the others may be of the version before,
+     * whatever hints say.
+     */
+    @Example
+    void noServiceBeforeEveryNodeIsKnownToUnderstandIt() {
+        SingleNode node = nodeOfTwo();
+        assertEquals(503, node.submit(service("wk-000020", 3)));
+        assertEquals(1, upgradeLines(node, "refused until the members [node-1]"));
+        assertEquals(0, upgradeLines(node, "all members"));
         node.stored("node/node-1", Map.of("formats", 2L));
         node.steps(5);
-        assertEquals(201, node.submit(service));
+        assertEquals(201, node.submit(service("wk-000020", 3)));
         assertEquals(
                 422,
-                node.submit(
-                        new JobSpec(
-                                "wk-000021",
-                                "gate",
-                                "team-0",
-                                JobSpec.Shape.SERVICE,
-                                JobSpec.Priority.PRODUCTION,
-                                25,
-                                1,
-                                0,
-                                1,
-                                "img",
-                                1,
-                                null,
-                                null,
-                                false,
-                                true,
-                                false,
-                                0,
-                                0,
-                                0,
-                                Double.NaN)),
+                node.submit(service("wk-000021", 25)),
                 "all replicas together are above the team's limit");
         assertEquals("pending", node.ask("wk-000020"));
+        node.steps(100);
+        assertEquals(1, upgradeLines(node, "all members"), "once");
+    }
+
+    /**
+     * A member that goes back to the version before shows when it takes the part: new services are
+     * refused until it is new again, those that are known are answered, and its new process enables
+     * them by its note.
+     */
+    @Example
+    void aMemberThatGoesBackStopsNewServices() {
+        SingleNode node = nodeOfTwo();
+        node.stored("node/node-1", Map.of("formats", 2L, "process", "node-1/new"));
+        node.steps(5);
+        assertEquals(201, node.submit(service("wk-000020", 3)));
+        long expiry = node.now + 1_000_000;
+        node.stored("part/0/fence", Map.of("owner", "node-1/old", "term", 9L));
+        node.stored(
+                "part/0",
+                Map.of("owner", "node-1/old", "expiry", expiry, "term", 9L, "done", Map.of()));
+        node.steps(5);
+        assertEquals(503, node.submit(service("wk-000022", 3)));
+        assertEquals(2, upgradeLines(node, "refused until the members [node-1]"));
+        assertEquals(200, node.submit(service("wk-000020", 3)));
+        node.stored("node/node-1", Map.of("formats", 2L, "process", "node-1/newer"));
+        node.steps(5);
+        assertEquals(201, node.submit(service("wk-000022", 3)));
+        assertEquals(2, upgradeLines(node, "all members"));
+    }
+
+    /** Each process notes itself, so that a former one of its host does not count for it. */
+    @Example
+    void everyProcessNotesItself() {
+        SingleNode node = nodeOfTwo();
+        assertEquals(
+                Map.of("formats", 2L, "process", "node-0/1"), node.state().value("node/node-0"));
+    }
+
+    /** An old owner notes a replica that ends with done as finished; it runs again all the same. */
+    @Example
+    void aReplicaThatAFormerOwnerCalledFinishedRunsAgain() {
+        SingleNode node = new SingleNode(limits(8_192, 12));
+        node.left("host-1");
+        node.stored(
+                "job/wk-000020",
+                Map.of(
+                        "part",
+                        0L,
+                        "status",
+                        "OPEN",
+                        "tasks",
+                        1L,
+                        "accepted",
+                        node.now,
+                        "begun",
+                        0L,
+                        "spec",
+                        UserFormat.description(anywhere("wk-000020"))));
+        node.stored(
+                "part/0",
+                Map.of(
+                        "owner",
+                        "node-1/old",
+                        "expiry",
+                        0L,
+                        "term",
+                        5L,
+                        "done",
+                        Map.of("wk-000020", "0")));
+        node.steps(40);
+        long seq = 1;
+        node.report("host-1", seq++, 5);
+        for (int i = 0; i < 30; i++) {
+            node.steps(3);
+            if (node.startsOf("host-1", seq++, 6).equals(List.of("wk-000020/0"))) {
+                return;
+            }
+        }
+        throw new AssertionError("it never ran again\n" + String.join("\n", node.log));
+    }
+
+    /** A service that may use any machine. */
+    private static JobSpec anywhere(String id) {
+        return new JobSpec(
+                id,
+                "gate",
+                "team-0",
+                JobSpec.Shape.SERVICE,
+                JobSpec.Priority.PRODUCTION,
+                1,
+                1,
+                0,
+                1,
+                "img",
+                1,
+                null,
+                null,
+                false,
+                false,
+                true,
+                0,
+                0,
+                0,
+                Double.NaN);
     }
 
     /** The form of hints is the same in both versions. */
