--- a/src/main/java/org/shoreusher/core/StartMarks.java
+++ b/src/main/java/org/shoreusher/core/StartMarks.java
@@ -127,8 +127,9 @@
                     job.markChunk >= 0 && length(marksOf(chunks, job.markChunk)) <= limit()
                             ? job.markChunk
                             : chunkWithRoom(chunks, job.id);
-            chunks.computeIfAbsent(chunk, this::open).put(job.id, below);
-            marked.add(new Marked(job, chunk, below));
+            // The larger one stands already if its write was carried out and only the answer lost.
+            int mark = chunks.computeIfAbsent(chunk, this::open).merge(job.id, below, Math::max);
+            marked.add(new Marked(job, chunk, mark));
         }
         if (marked.isEmpty()) {
             return;
--- a/src/test/java/org/shoreusher/model/FormerFormatsTest.java
+++ b/src/test/java/org/shoreusher/model/FormerFormatsTest.java
@@ -52,31 +52,6 @@
         return node;
     }
 
-    private static BitSet ranges(Object text) {
-        BitSet set = new BitSet();
-        for (String range : ((String) text).split(",")) {
-            String[] ends = range.split("-");
-            set.set(Integer.parseInt(ends[0]), Integer.parseInt(ends[ends.length - 1]) + 1);
-        }
-        return set;
-    }
-
-    /**
-     * Finished tasks of all records, as the version before reads them: the part's own and the
-     * others without a gap.
-     */
-    private static Map<String, BitSet> finished(StateModel state) {
-        Map<String, BitSet> all = new HashMap<>();
-        for (int c = 0; c == 0 || state.value("part/0/done/" + c) != null; c++) {
-            Map<?, ?> done =
-                    (Map<?, ?>) state.value(c == 0 ? "part/0" : "part/0/done/" + c).get("done");
-            done.forEach(
-                    (id, text) ->
-                            all.computeIfAbsent((String) id, i -> new BitSet()).or(ranges(text)));
-        }
-        return all;
-    }
-
     /**
      * Whatever the limits: nothing that was finished, started, accepted, ended or recorded is lost,
      * and nothing is written above them.
@@ -86,7 +61,7 @@
         Map<String, BitSet> before = new HashMap<>();
         for (String key : List.of("part/0", "part/0/done/1")) {
             ((Map<?, ?>) ((Map<?, ?>) former().get(key)).get("done"))
-                    .forEach((id, text) -> before.put((String) id, ranges(text)));
+                    .forEach((id, text) -> before.put((String) id, FormerStore.ranges(text)));
         }
         assertEquals(5, before.size());
         for (int valueBytes : new int[] {1_024, 2_048, 8_192}) {
@@ -102,7 +77,10 @@
                 before.forEach(
                         (id, set) -> {
                             BitSet lost = (BitSet) set.clone();
-                            lost.andNot(finished(node.state()).getOrDefault(id, new BitSet()));
+                            lost.andNot(
+                                    new FormerStore(node.state())
+                                            .finished()
+                                            .getOrDefault(id, new BitSet()));
                             assertTrue(lost.isEmpty(), () -> id + " lost " + lost + ", " + limits);
                             assertEquals(
                                     (long) set.cardinality(),
--- /dev/null
+++ b/src/test/java/org/shoreusher/model/FormerVersionTest.java
@@ -0,0 +1,154 @@
+package org.shoreusher.model;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.BitSet;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import net.jqwik.api.ShrinkingMode;
+import net.jqwik.api.constraints.LongRange;
+import org.shoreusher.model.FormerStore.KnownJob;
+import org.shoreusher.model.World.Sabotage;
+
+/**
+ * A node of this version and one of the version before services take the part from each other, end
+ * in the middle of it, and go on with what the other has written; the limits drop at any moment.
+ */
+class FormerVersionTest {
+    private static final long UPGRADE_MS = 160_000;
+    private static final long QUIET_MS = 220_000;
+    private static final long END_MS = 400_000;
+
+    /** What the former version reads must not be lost by a write of this one. */
+    private static final class Durable {
+        private final World world;
+        private final FormerStore store;
+        private final Map<String, BitSet> finished = new HashMap<>();
+        private final Map<String, Integer> marks = new HashMap<>();
+        private final Map<String, Boolean> machines = new HashMap<>();
+
+        /** Transactions of the former version that changed something. */
+        private int formerWrites;
+
+        Durable(World world) {
+            this.world = world;
+            store = new FormerStore(world.state);
+        }
+
+        /** What the former version itself has written is as it is. */
+        void take() {
+            if (world.state.value("part/0") == null) {
+                return;
+            }
+            finished.clear();
+            finished.putAll(store.finished());
+            marks.clear();
+            marks.putAll(store.marks());
+            machines.clear();
+            machines.putAll(store.machines());
+        }
+
+        void check() {
+            if (world.state.value("part/0") == null) {
+                return;
+            }
+            Map<String, KnownJob> jobs = store.jobs();
+            Map<String, BitSet> finishedNow = store.finished();
+            Map<String, Integer> marksNow = store.marks();
+            jobs.forEach(
+                    (id, job) -> {
+                        if (job.open()) {
+                            BitSet lost = (BitSet) finished.getOrDefault(id, new BitSet()).clone();
+                            lost.andNot(finishedNow.getOrDefault(id, new BitSet()));
+                            if (!lost.isEmpty()) {
+                                world.rules.broken("lost", "finished tasks " + lost + " of " + id);
+                            }
+                            if (marksNow.getOrDefault(id, 0) < marks.getOrDefault(id, 0)) {
+                                world.rules.broken("lost", "mark of " + id);
+                            }
+                        }
+                    });
+            Map<String, Boolean> machinesNow = store.machines();
+            machines.forEach(
+                    (id, used) -> {
+                        if (used && !machinesNow.getOrDefault(id, true)) {
+                            world.rules.broken("lost", id + " reads as never used");
+                        }
+                    });
+            take();
+        }
+
+        void written(String host) {
+            if (world.old(host)) {
+                formerWrites++;
+                take();
+            } else {
+                check();
+            }
+        }
+    }
+
+    @Property(tries = 40, seed = "2024", shrinking = ShrinkingMode.OFF)
+    void bothVersionsGoOnWithWhatTheOtherHasWritten(
+            @ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
+        World w =
+                new World(
+                        seed,
+                        ClusterModelTest.limits(
+                                60, seed % 3 == 0 ? 1_024 : 2_048, seed % 2 == 0 ? 4 : 6),
+                        ClusterModelTest.limits(100, 8_192, 12),
+                        1,
+                        Sabotage.NONE,
+                        8);
+        w.processes.get(0).startUpgraded();
+        w.processes.get(1).absent = true;
+        w.processes.get(2).absent = true;
+        FormerOwner former = new FormerOwner(w, "node-1", 8_192, 12);
+        Durable durable = new Durable(w);
+        w.state.onWrite = durable::written;
+        for (int i = 0; i < 16; i++) {
+            w.users.submit(i, 1_000 + w.random.nextInt(100_000));
+        }
+        World.Process today = w.processes.get(0);
+        for (int i = 0; i < 4; i++) {
+            // Until the other one's lease is over, today's node is away; or both try at once.
+            long at = 10_000 + i * 35_000L + w.random.nextInt(10_000);
+            w.at(at, () -> today.kill(1_000 + w.random.nextInt(14_000)));
+            w.at(at + w.random.nextInt(500), () -> former.reign(8_000 + w.random.nextInt(9_000)));
+        }
+        if (seed % 5 == 0) {
+            w.at(20_000, () -> w.state.loseAnswers(4, seed % 2 == 0, 60_000));
+        }
+        w.at(30_000 + w.random.nextInt(110_000), w.state::lowerLimits);
+        w.at(UPGRADE_MS, () -> w.processes.get(1).upgrade(500));
+        w.at(UPGRADE_MS, () -> w.processes.get(2).upgrade(900));
+        w.users.submitService(40, UPGRADE_MS + 20_000, 2, false);
+        w.quietFrom = QUIET_MS;
+        w.at(QUIET_MS, w.rules::watchWaiting);
+        w.run(END_MS, List.of());
+        w.rules.end();
+        String log = "seed " + seed + "\n" + String.join("\n", w.log);
+        assertEquals(List.of(), w.rules.violations, log);
+        assertTrue(former.takeovers > 0, () -> "the former version never took the part\n" + log);
+        assertTrue(
+                durable.formerWrites > 5,
+                () -> "it hardly wrote anything: " + durable.formerWrites);
+        assertEquals(
+                List.of(),
+                w.users.wishes.values().stream()
+                        .filter(
+                                x ->
+                                        x.accepted
+                                                && x.spec.shape().ends()
+                                                && !x.doneTold
+                                                && !x.cancelTold)
+                        .map(x -> x.spec.id())
+                        .toList(),
+                log);
+        assertEquals(List.of(), w.users.servicesDown(), log);
+    }
+}
--- a/src/test/java/org/shoreusher/model/StateModel.java
+++ b/src/test/java/org/shoreusher/model/StateModel.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.function.Consumer;
 import org.shoreusher.core.Effect.StateOp;
 import org.shoreusher.core.TokenBucket;
 import org.shoreusher.settings.Settings;
@@ -43,6 +44,9 @@
     private long slowUntil;
     private int slowMs;
 
+    /** Told of every transaction that has changed something, with the host it came from. */
+    Consumer<String> onWrite = host -> {};
+
     /** Transactions that got no answer: executed at once, or late. */
     int answersLost;
 
@@ -149,6 +153,12 @@
         return items.subMap(prefix, prefix + Character.MAX_VALUE).size();
     }
 
+    /** The version of a key; 0 if there is none. */
+    long version(String key) {
+        Item i = items.get(key);
+        return i == null ? 0 : i.version;
+    }
+
     Map<String, Object> value(String key) {
         Item i = items.get(key);
         return i == null ? null : i.value;
@@ -180,7 +190,7 @@
             // Whatever the limits on rates: carried out is what may do harm.
             world.in(
                     lostAtOnce ? 0 : 2_000 + world.random.nextInt(10_000),
-                    () -> multi(m, (status, body) -> {}));
+                    () -> multi(host, m, (status, body) -> {}));
         } else if (!requests.take(1, world.now)
                 || (op instanceof StateOp.Multi m && !writes.take(m.writes().size(), world.now))) {
             refused++;
@@ -201,7 +211,7 @@
                 world.in(watch.blockMs(), () -> expire(w));
             }
         } else {
-            multi((StateOp.Multi) op, reply);
+            multi(host, (StateOp.Multi) op, reply);
         }
     }
 
@@ -230,7 +240,7 @@
         reply.answer(200, Map.of("entries", entries, "more", more, "ledger", revision));
     }
 
-    private void multi(StateOp.Multi op, World.Reply reply) {
+    private void multi(String host, StateOp.Multi op, World.Reply reply) {
         List<Object> failed = new ArrayList<>();
         op.guards()
                 .forEach(
@@ -259,6 +269,7 @@
                                 }
                                 changes.add(new Change(revision, key, copy));
                             });
+            onWrite.accept(host);
             while (changes.size() > LOG) {
                 forgotten = changes.remove(0).revision;
             }
--- a/src/test/java/org/shoreusher/model/UserModel.java
+++ b/src/test/java/org/shoreusher/model/UserModel.java
@@ -156,6 +156,12 @@
                 });
     }
 
+    /** The user of a job that was accepted by a node that a test acts for. */
+    void acceptedElsewhere(Wish w) {
+        w.accepted = true;
+        world.in(3_000, () -> poll(w));
+    }
+
     private void ask(
             LongFunction<Command> command, BiConsumer<Effect.Answer, Long> then, Runnable again) {
         ask(
--- a/src/test/java/org/shoreusher/model/World.java
+++ b/src/test/java/org/shoreusher/model/World.java
@@ -119,7 +119,7 @@
 
     void run(long untilMs, List<Trouble> troubles) {
         troubles.forEach(t -> at(t.at(), () -> t.what().accept(this)));
-        processes.forEach(Process::start);
+        processes.stream().filter(p -> !p.absent).forEach(Process::start);
         while (!events.isEmpty() && events.peek().at <= untilMs) {
             Event e = events.poll();
             now = e.at;
@@ -232,6 +232,9 @@
         private long wallOff;
         private boolean upgraded;
 
+        /** Not started with the others, but by its upgrade only; a test acts for it until then. */
+        boolean absent;
+
         Process(String host, int index) {
             this.host = host;
             this.index = index;
@@ -291,6 +294,11 @@
             return former != null && !upgraded;
         }
 
+        /** Runs today's version from its first start on. */
+        void startUpgraded() {
+            upgraded = true;
+        }
+
         /**
          * Killed, and back with today's limits; one that ends before its turn comes back as it was.
          */
