--- a/src/main/java/org/shoreusher/settings/Settings.java
+++ b/src/main/java/org/shoreusher/settings/Settings.java
@@ -159,7 +159,7 @@
                         stricter(state, next, "rps"),
                         stricter(state, next, "write_rps"),
                         (int) (stricter(state, next, "value_kb") * 1024),
-                        (int) stricter(state, next, "txn_ops"),
+                        txnOps(state, next),
                         cloud.number("rps"),
                         cloud.number("list_lag_s"),
                         (int) d.map("limits").numberOr("sockets", 1_000),
@@ -168,6 +168,16 @@
         return s;
     }
 
+    /**
+     * Changes in one transaction: not more than the state service's burst of one second takes,
+     * since a larger one would be refused with 429 each time.
+     */
+    private static int txnOps(Tree state, Tree next) throws Tree.Missing, Invalid {
+        int limit = (int) stricter(state, next, "txn_ops");
+        int burst = Math.max(Tuning.LEAST_TXN_OPS, (int) stricter(state, next, "write_rps"));
+        return Math.min(limit, burst);
+    }
+
     private static double stricter(Tree state, Tree next, String field)
             throws Tree.Missing, Invalid {
         double now = state.number(field);
@@ -197,7 +207,7 @@
         require(cloudRps > 0, "cloud.rps must be above 0");
         require(listLagS >= 0, "cloud.list_lag_s must not be negative");
         require(
-                txnOps >= 4,
+                txnOps >= Tuning.LEAST_TXN_OPS,
                 "state.txn_ops (also in state.next) must be at least 4: a takeover changes three"
                         + " keys");
         require(valueBytes >= 1024, "state.value_kb (also in state.next) must be at least 1");
--- a/src/main/java/org/shoreusher/settings/Tuning.java
+++ b/src/main/java/org/shoreusher/settings/Tuning.java
@@ -175,6 +175,9 @@
      */
     public static final long RECORDS_EVERY_MS = 150;
 
+    /** changes in a transaction that the state service must allow: a takeover makes three. */
+    public static final int LEAST_TXN_OPS = 4;
+
     /**
      * bytes; below this value limit ten machines share a record, else a hundred, which take up to
      * 4,000.
