--- a/src/main/java/org/shoreusher/cli/Service.java
+++ b/src/main/java/org/shoreusher/cli/Service.java
@@ -76,6 +76,11 @@
         group.terminationFuture().sync();
     }
 
+    /** Ends the work; {@link #run} then returns. */
+    void stop() {
+        group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
+    }
+
     private void tick() {
         long now = steadyMs();
         lateMs = Math.max(0, now - tickedAtMs - Tuning.TICK_MS);
--- /dev/null
+++ b/src/main/java/org/shoreusher/cli/ServiceRehearsal.java
@@ -0,0 +1,161 @@
+package org.shoreusher.cli;
+
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.BooleanSupplier;
+
+/**
+ * What a new user would try: a batch job runs to its end, a service is submitted, its machine is
+ * lost, its replica comes back on another one, and it is cancelled. Runs against a controller on
+ * loopback, with stand-ins of state service, cloud and workers; throws at the first step that does
+ * not come true.
+ */
+final class ServiceRehearsal implements AutoCloseable {
+    /** The id of the service. */
+    static final String SERVICE = "wk-000900";
+
+    private static final String REPLICA = SERVICE + "/0";
+    private static final long STEP_MS = 20_000;
+    private static final long POLL_MS = 50;
+    private static final int BATCH_JOBS = 5;
+
+    private static final String SETTINGS =
+            """
+            {"host_name":"rehearsal","zone":"z","front":"127.0.0.1:%d","back":"127.0.0.1:%d",
+             "members":[],
+             "endpoints":{"cloud":"127.0.0.1:%d","state":"127.0.0.1:%d"},
+             "deployment":{"count":1,"zones":["z"],
+              "teams":[{"name":"t","cpus":8.0,"cpus_max":8.0,"gpus":0.0,"gpus_max":0.0}],
+              "objectives":[],
+              "workers":{"report_s":0.3,"lease_s":2.0,"cancel_s":30.0},
+              "state":{"rps":400.0,"write_rps":200.0,"value_kb":8.0,"txn_ops":12},
+              "cloud":{"rps":20.0,"list_lag_s":0.5},"limits":{"sockets":1000},
+              "clock_off_ms":25.0}}\
+            """;
+
+    private final int front = freePort();
+    private final int back = freePort();
+    private final ControllerClient controller = new ControllerClient(front);
+    private final CloudStandIn machines =
+            new CloudStandIn(identity -> new WorkerStandIn(identity, controller));
+    private final StandInServer cloud = new StandInServer(machines::handle);
+    private final StateStandIn store = new StateStandIn();
+    private final StandInServer state = new StandInServer(store::handle);
+
+    ServiceRehearsal() throws IOException {}
+
+    /** The settings of the controller that the story is played with. */
+    String settings() {
+        return SETTINGS.formatted(front, back, cloud.port(), state.port());
+    }
+
+    private static int freePort() throws IOException {
+        try (ServerSocket socket = new ServerSocket(0, 0, InetAddress.getLoopbackAddress())) {
+            return socket.getLocalPort();
+        }
+    }
+
+    /** Plays the story; the controller has been started or is just starting. */
+    void play() throws InterruptedException {
+        await("the controller is ready", () -> status("/ready", null) == 200);
+        for (int i = 1; i <= BATCH_JOBS; i++) {
+            submit(job("wk-00000" + i, "sweep", 5));
+        }
+        for (int i = 1; i <= BATCH_JOBS; i++) {
+            String id = "wk-00000" + i;
+            await(id + " is done", () -> "done".equals(shown(id)));
+        }
+        submit(job(SERVICE, "service", 0));
+        await("the replica runs", () -> machines.machineOf(REPLICA) != null);
+        await("the service is shown as running", () -> "running".equals(shown(SERVICE)));
+        String lost = machines.machineOf(REPLICA);
+        machines.take(lost);
+        System.out.println("taken away: " + lost);
+        await("the replica is back on another machine", () -> machines.machineOf(REPLICA) != null);
+        cancel();
+        await("the replica is gone", () -> machines.machineOf(REPLICA) == null);
+        require("the service is shown as cancelled", "aborted".equals(shown(SERVICE)));
+    }
+
+    private void submit(Map<String, Object> job) throws InterruptedException {
+        String id = (String) job.get("name_id");
+        await(id + " is accepted", () -> List.of(200, 201).contains(status("/v2/runs", job)));
+    }
+
+    private void cancel() throws InterruptedException {
+        String path = "/v2/runs/" + SERVICE + "/cancel";
+        await("the cancellation is confirmed", () -> status(path, Map.of()) == 200);
+    }
+
+    private int status(String path, Map<String, Object> body) {
+        return call(path, body).status();
+    }
+
+    private String shown(String id) {
+        Map<String, Object> body = call("/v2/runs/" + id, null).body();
+        return body == null ? null : (String) body.get("status");
+    }
+
+    private ControllerClient.Reply call(String path, Map<String, Object> body) {
+        try {
+            return controller.call(path, body);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+            return new ControllerClient.Reply(0, null);
+        }
+    }
+
+    private static void await(String step, BooleanSupplier condition) throws InterruptedException {
+        long end = System.nanoTime() + STEP_MS * 1_000_000;
+        while (!condition.getAsBoolean()) {
+            require(step, System.nanoTime() < end);
+            Thread.sleep(POLL_MS);
+        }
+        System.out.println("seen: " + step);
+    }
+
+    private static void require(String step, boolean seen) {
+        if (!seen) {
+            throw new IllegalStateException("not seen within " + STEP_MS + " ms: " + step);
+        }
+    }
+
+    private static Map<String, Object> job(String id, String shape, double runtimeS) {
+        Map<String, Object> job =
+                new HashMap<>(
+                        Map.of(
+                                "name_id", id, "queue", "c", "crew", "t", "shape", shape, "urgency",
+                                "high", "sheets", 1L, "cpus", 1.0, "gpus", 0.0, "mem_gb", 1.0));
+        job.putAll(
+                Map.of(
+                        "plate",
+                        "i",
+                        "size_gb",
+                        1.0,
+                        "one_zone",
+                        false,
+                        "scatter",
+                        false,
+                        "loaners",
+                        true,
+                        "runtime_s",
+                        runtimeS,
+                        "proof_interval_s",
+                        0.0,
+                        "proof_s",
+                        0.0));
+        return job;
+    }
+
+    @Override
+    public void close() {
+        machines.stop();
+        controller.close();
+        cloud.close();
+        state.close();
+    }
+}
--- /dev/null
+++ b/src/main/java/org/shoreusher/cli/StandInServer.java
@@ -0,0 +1,84 @@
+package org.shoreusher.cli;
+
+import com.sun.net.httpserver.HttpExchange;
+import com.sun.net.httpserver.HttpServer;
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.concurrent.ExecutorService;
+import java.util.concurrent.Executors;
+import org.shoreusher.wire.Tree;
+
+/** An HTTP server on loopback for the stand-ins of a rehearsal; each request has a thread. */
+final class StandInServer implements AutoCloseable {
+    /** A request; the body is empty where there is none. */
+    record Request(String method, String path, Map<String, String> query, Tree body) {
+        /** Method and path, such as "POST /multi". */
+        String line() {
+            return method + " " + path;
+        }
+    }
+
+    /** An answer. */
+    record Response(int status, Map<String, Object> body) {
+        static Response ok(Map<String, Object> body) {
+            return new Response(200, body);
+        }
+    }
+
+    /** Answers requests, from several threads at once. */
+    interface Handler {
+        Response handle(Request request) throws Tree.Missing, InterruptedException;
+    }
+
+    private final HttpServer server;
+    private final ExecutorService threads = Executors.newCachedThreadPool();
+
+    StandInServer(Handler handler) throws IOException {
+        server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
+        server.createContext("/", exchange -> answer(handler, exchange));
+        server.setExecutor(threads);
+        server.start();
+    }
+
+    int port() {
+        return server.getAddress().getPort();
+    }
+
+    private static void answer(Handler handler, HttpExchange exchange) throws IOException {
+        Response response;
+        try {
+            response = handler.handle(request(exchange));
+        } catch (Tree.Missing e) {
+            response = new Response(400, Map.of("error", e.getMessage()));
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+            response = new Response(503, Map.of());
+        }
+        byte[] body = Tree.toCbor(response.body());
+        exchange.sendResponseHeaders(response.status(), body.length);
+        exchange.getResponseBody().write(body);
+        exchange.close();
+    }
+
+    private static Request request(HttpExchange exchange) throws IOException {
+        byte[] bytes = exchange.getRequestBody().readAllBytes();
+        Tree body = bytes.length == 0 ? new Tree(Map.of()) : Tree.cbor(bytes);
+        Map<String, String> query = new HashMap<>();
+        String text = exchange.getRequestURI().getRawQuery();
+        for (String pair : text == null ? new String[0] : text.split("&")) {
+            int equals = pair.indexOf('=');
+            query.put(pair.substring(0, equals), pair.substring(equals + 1));
+        }
+        return new Request(
+                exchange.getRequestMethod(), exchange.getRequestURI().getPath(), query, body);
+    }
+
+    @Override
+    public void close() {
+        server.stop(0);
+        threads.shutdownNow();
+    }
+}
--- /dev/null
+++ b/src/main/java/org/shoreusher/cli/StateStandIn.java
@@ -0,0 +1,116 @@
+package org.shoreusher.cli;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import org.shoreusher.cli.StandInServer.Request;
+import org.shoreusher.cli.StandInServer.Response;
+import org.shoreusher.wire.Tree;
+
+/** A small state service in memory: keys with versions, transactions and watches, no limits. */
+final class StateStandIn {
+    private static final String KEY_PATH = "/store/";
+
+    /** A stored value with its version. */
+    private record Entry(Map<String, Object> value, long version) {}
+
+    /** A change; a null value: the key was removed. */
+    private record Change(String key, Map<String, Object> value, long revision) {}
+
+    private final TreeMap<String, Entry> entries = new TreeMap<>();
+    private final List<Change> changes = new ArrayList<>();
+    private long revision = 1;
+
+    synchronized Response handle(Request request) throws Tree.Missing, InterruptedException {
+        if (request.line().equals("POST /multi")) {
+            return transaction(request.body());
+        }
+        if (request.path().equals("/watch")) {
+            return watch(request.query());
+        }
+        if (request.path().startsWith(KEY_PATH)) {
+            String key = request.path().substring(KEY_PATH.length());
+            Entry entry = entries.get(key);
+            return entry == null
+                    ? new Response(404, Map.of("ledger", revision))
+                    : Response.ok(item(key, entry));
+        }
+        return page(request.query().get("after"));
+    }
+
+    private Response transaction(Tree body) throws Tree.Missing {
+        List<Object> failed = new ArrayList<>();
+        for (Tree guard : body.list("guards")) {
+            Entry entry = entries.get(guard.text("k"));
+            if (guard.whole("stamp") != (entry == null ? 0 : entry.version())) {
+                failed.add(guard.text("k"));
+            }
+        }
+        if (!failed.isEmpty()) {
+            return new Response(409, Map.of("failed", failed, "ledger", revision));
+        }
+        List<Tree> writes = body.list("writes");
+        revision += writes.isEmpty() ? 0 : 1;
+        for (Tree write : writes) {
+            if (write.has("remove")) {
+                apply(write.text("remove"), null);
+            } else {
+                apply(write.text("write"), write.map("value").asMap());
+            }
+        }
+        notifyAll();
+        return Response.ok(Map.of("ledger", revision));
+    }
+
+    private void apply(String key, Map<String, Object> value) {
+        if (value == null) {
+            entries.remove(key);
+        } else {
+            entries.put(key, new Entry(value, revision));
+        }
+        changes.add(new Change(key, value, revision));
+    }
+
+    private Response watch(Map<String, String> query) throws InterruptedException {
+        long after = Long.parseLong(query.get("after"));
+        long end = System.currentTimeMillis() + Long.parseLong(query.get("block_ms"));
+        for (long left = 1; revision <= after && left > 0; ) {
+            left = end - System.currentTimeMillis();
+            if (left > 0) {
+                wait(left);
+            }
+        }
+        List<Object> log = new ArrayList<>();
+        for (Change change : changes) {
+            if (change.revision() > after) {
+                log.add(event(change));
+            }
+        }
+        return Response.ok(Map.of("ledger", revision, "log", log));
+    }
+
+    private static Map<String, Object> event(Change change) {
+        Map<String, Object> event = new LinkedHashMap<>();
+        if (change.value() == null) {
+            event.put("remove", change.key());
+        } else {
+            event.put("write", change.key());
+            event.put("value", change.value());
+        }
+        event.put("stamp", change.revision());
+        return event;
+    }
+
+    private Response page(String after) {
+        List<Object> items = new ArrayList<>();
+        (after == null ? entries : entries.tailMap(after, false))
+                .forEach((key, entry) -> items.add(item(key, entry)));
+        return Response.ok(Map.of("entries", items, "more", false, "ledger", revision));
+    }
+
+    private static Map<String, Object> item(String key, Entry entry) {
+        return Map.of("k", key, "value", entry.value(), "stamp", entry.version());
+    }
+}
--- /dev/null
+++ b/src/test/java/org/shoreusher/cli/ServiceRehearsalTest.java
@@ -0,0 +1,32 @@
+package org.shoreusher.cli;
+
+import java.nio.charset.StandardCharsets;
+import net.jqwik.api.Example;
+import org.shoreusher.settings.Settings;
+
+/** The story of the build's rehearsal, with a whole controller over loopback. */
+class ServiceRehearsalTest {
+    @Example
+    void aServiceComesBackWhenItsMachineIsLostAndEndsWhenItIsCancelled() throws Exception {
+        try (ServiceRehearsal story = new ServiceRehearsal()) {
+            byte[] file = story.settings().getBytes(StandardCharsets.UTF_8);
+            Service controller = new Service(Settings.parse(file), "rehearsal/test");
+            Thread thread = new Thread(() -> run(controller));
+            thread.start();
+            try {
+                story.play();
+            } finally {
+                controller.stop();
+                thread.join();
+            }
+        }
+    }
+
+    private static void run(Service controller) {
+        try {
+            controller.run();
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+}
--- a/src/test/java/org/shoreusher/model/FormerStore.java
+++ b/src/test/java/org/shoreusher/model/FormerStore.java
@@ -4,7 +4,9 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.TreeMap;
+import java.util.TreeSet;
 
 /**
  * Reads the state service as the version before services does. Written from the formats of that
@@ -80,6 +82,26 @@
         return machines;
     }
 
+    /** Machines of which one record says that they may have been given tasks, and another not. */
+    Set<String> contradictedMachines() {
+        Map<String, Boolean> all = machines();
+        Set<String> contradicted = new TreeSet<>();
+        state.all("machine/")
+                .forEach(
+                        (key, group) ->
+                                map(group, "machines")
+                                        .forEach(
+                                                (sign, fields) -> {
+                                                    String id =
+                                                            key.substring("machine/".length())
+                                                                    + sign;
+                                                    if (used(fields) && !all.get(id)) {
+                                                        contradicted.add(id);
+                                                    }
+                                                }));
+        return contradicted;
+    }
+
     private static boolean used(Object fields) {
         return ((Number) ((List<?>) fields).get(5)).longValue() == 1;
     }
--- a/src/test/java/org/shoreusher/model/FormerVersionTest.java
+++ b/src/test/java/org/shoreusher/model/FormerVersionTest.java
@@ -50,6 +50,9 @@
             marks.putAll(store.marks());
             machines.clear();
             machines.putAll(store.machines());
+            if (!store.contradictedMachines().isEmpty()) {
+                world.rules.broken("lost", "used or not: " + store.contradictedMachines());
+            }
         }
 
         void check() {
