--- a/src/test/java/org/shoreusher/model/ServiceTroublesTest.java
+++ b/src/test/java/org/shoreusher/model/ServiceTroublesTest.java
@@ -8,6 +8,7 @@
 import java.util.function.Consumer;
 import net.jqwik.api.Example;
 import org.shoreusher.core.Command;
+import org.shoreusher.core.Effect;
 import org.shoreusher.core.JobSpec;
 import org.shoreusher.model.World.Sabotage;
 import org.shoreusher.model.World.Trouble;
@@ -207,6 +208,10 @@
         }
     }
 
+    private static boolean saysRunning(Effect.Answer answer) {
+        return answer.status() == 200 && "running".equals(answer.body().get("status"));
+    }
+
     /** A service is polled for as long as it runs: the answers share reads of the state service. */
     @Example
     void thousandsOfPollsShareReads() {
@@ -222,16 +227,7 @@
                     () ->
                             node.request(
                                     n -> new Command.Poll(n, "wk-000000"),
-                                    answer ->
-                                            running[0] +=
-                                                    answer.status() == 200
-                                                                    && "running"
-                                                                            .equals(
-                                                                                    answer.body()
-                                                                                            .get(
-                                                                                                    "status"))
-                                                            ? 1
-                                                            : 0));
+                                    answer -> running[0] += saysRunning(answer) ? 1 : 0));
         }
         w.at(TROUBLE_MS + polls * 3L + 1_000, () -> handled[1] = w.state.handled);
         run(w, TROUBLE_MS + polls * 3L + 2_000, x -> {});
