--- a/src/main/java/org/shoreusher/core/Fleet.java
+++ b/src/main/java/org/shoreusher/core/Fleet.java
@@ -115,6 +115,9 @@
             }
         }
         standby.step(wanting, most);
+        for (Job job : jobs) {
+            job.largerHalfZone = standby.zoneForLargerHalf(job.spec);
+        }
         Set<Machine> needed = new HashSet<>();
         planner.placed().forEach(p -> needed.add(p.slot().machine));
         if (part.rebuilt()) {
--- a/src/main/java/org/shoreusher/core/Job.java
+++ b/src/main/java/org/shoreusher/core/Job.java
@@ -52,6 +52,12 @@
      */
     boolean zonesUnknown;
 
+    /**
+     * The zone for the larger half of a scattered service with an odd number of replicas; null:
+     * any.
+     */
+    String largerHalfZone;
+
     /** Tasks that have been started at least once, as far as this owner knows. */
     int startedCount;
 
--- a/src/main/java/org/shoreusher/core/Planner.java
+++ b/src/main/java/org/shoreusher/core/Planner.java
@@ -246,10 +246,14 @@
         private final Object2IntOpenHashMap<String> used = new Object2IntOpenHashMap<>();
         private final boolean one;
         private final int most;
+        private final int mostElsewhere;
+        private final String largerHalfZone;
 
         ZoneRule(Job job) {
             one = job.spec.oneZone();
             most = job.spec.spread() ? (job.spec.tasks() + 1) / 2 : Integer.MAX_VALUE;
+            mostElsewhere = job.spec.spread() ? job.spec.tasks() / 2 : Integer.MAX_VALUE;
+            largerHalfZone = job.largerHalfZone;
             if (one || job.spec.spread()) {
                 job.live.values().forEach(l -> used.addTo(l.machine.zone, 1));
             }
@@ -261,7 +265,8 @@
             if (one && !used.isEmpty() && (used.size() > 1 || !used.containsKey(zone))) {
                 return 0;
             }
-            return most - used.getInt(zone);
+            boolean largerHalf = largerHalfZone == null || largerHalfZone.equals(zone);
+            return (largerHalf ? most : mostElsewhere) - used.getInt(zone);
         }
 
         void add(String zone, int n) {
--- a/src/main/java/org/shoreusher/core/Standby.java
+++ b/src/main/java/org/shoreusher/core/Standby.java
@@ -22,6 +22,9 @@
 
     private double wanted;
 
+    /** The zone with most room while another lacks some; null if none does. */
+    private String roomiestZone;
+
     Standby(Part part, Settings settings, Types types, Rentals rentals) {
         this.part = part;
         this.settings = settings;
@@ -39,6 +42,7 @@
                         .orElse(null);
         wanted = type == null ? 0 : wanted(type);
         room.clear();
+        roomiestZone = null;
         if (wanted <= 0) {
             return;
         }
@@ -62,6 +66,18 @@
                 add(slot);
             }
         }
+        if (type.zones().stream().anyMatch(zone -> room.getDouble(zone) < wanted)) {
+            roomiestZone =
+                    type.zones().stream().max(Comparator.comparingDouble(room::getDouble)).get();
+        }
+    }
+
+    /**
+     * Where a service's replicas go that may be in any zone, since another zone has too little
+     * room: there it is kept for those that may be nowhere else. Null while every zone has enough.
+     */
+    String zoneForLargerHalf(JobSpec spec) {
+        return spec.shape().ends() || spec.zone() != null ? null : roomiestZone;
     }
 
     private void add(Planner.Slot slot) {
--- /dev/null
+++ b/src/test/java/org/shoreusher/core/ZoneRuleTest.java
@@ -0,0 +1,51 @@
+package org.shoreusher.core;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import net.jqwik.api.Example;
+
+/** Tests of the rule that at most half of a job's tasks, rounded up, are in one zone. */
+class ZoneRuleTest {
+    private static Job scattered(int replicas) {
+        JobSpec spec =
+                new JobSpec(
+                        "wk-1",
+                        "gate",
+                        "team",
+                        JobSpec.Shape.SERVICE,
+                        JobSpec.Priority.PRODUCTION,
+                        replicas,
+                        2,
+                        0,
+                        1,
+                        "img",
+                        1,
+                        null,
+                        null,
+                        false,
+                        true,
+                        false,
+                        0,
+                        0,
+                        0,
+                        Double.NaN);
+        return new Job("wk-1", spec, 0);
+    }
+
+    private static int room(int replicas, String largerHalfZone, String zone) {
+        Job job = scattered(replicas);
+        job.largerHalfZone = largerHalfZone;
+        return new Planner.ZoneRule(job).room(zone);
+    }
+
+    /** The scarce zone keeps its room for replicas that may be nowhere else. */
+    @Example
+    void theLargerHalfOfAnOddNumberGoesToTheZoneWithRoom() {
+        assertEquals(2, room(3, null, "a"));
+        assertEquals(2, room(3, null, "b"));
+        assertEquals(1, room(3, "b", "a"));
+        assertEquals(2, room(3, "b", "b"));
+        assertEquals(2, room(4, "b", "a"));
+        assertEquals(2, room(4, "b", "b"));
+    }
+}
