--- a/src/main/java/org/shoreusher/core/Node.java
+++ b/src/main/java/org/shoreusher/core/Node.java
@@ -207,9 +207,9 @@
             }
         }
         if (record.status() == JobStatus.DONE) {
-            desk.jobDone(id, record);
+            desk.ended().done(id, record);
         } else if (record.status() == JobStatus.CANCELLED) {
-            desk.jobCancelled(id);
+            desk.ended().cancelled(id);
         }
     }
 
