--- /dev/null
+++ b/src/main/java/org/shoreusher/core/FinalStates.java
@@ -0,0 +1,64 @@
+package org.shoreusher.core;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import org.shoreusher.core.Effect.StateOp;
+import org.shoreusher.core.Keys.JobRecord;
+
+/** Writes the final state of jobs whose last task has finished; users are told only after that. */
+final class FinalStates {
+    private final Outbox out;
+    private final Mirror mirror;
+    private final Arrivals arrivals;
+    private final Holding holding;
+
+    /** Jobs whose last task has finished and whose final state is not yet written. */
+    private final List<Job> complete = new ArrayList<>();
+
+    FinalStates(Outbox out, Mirror mirror, Arrivals arrivals, Holding holding) {
+        this.out = out;
+        this.mirror = mirror;
+        this.arrivals = arrivals;
+        this.holding = holding;
+    }
+
+    /** A task of the job has finished, or the job is new here: notes it if it was the last one. */
+    void finished(Job job) {
+        if (job.complete() && !complete.contains(job)) {
+            complete.add(job);
+        }
+    }
+
+    /** Writes what is due. */
+    void write() {
+        if (complete.isEmpty() || !holding.holds()) {
+            return;
+        }
+        complete.removeIf(job -> job.closed);
+        for (Job job : complete) {
+            JobRecord record = arrivals.record(job.id);
+            if (job.finishing || record == null) {
+                continue;
+            }
+            Map<String, Map<String, Object>> writes =
+                    Map.of(Keys.job(job.id), record.done().write());
+            // A refusal means that the user's cancellation came first; the view will show it.
+            job.finishing =
+                    out.state(
+                            new StateOp.Multi(
+                                    holding.guards(
+                                            Keys.job(job.id), mirror.version(Keys.job(job.id))),
+                                    writes),
+                            reply -> {
+                                job.finishing = false;
+                                if (reply.status() == 200) {
+                                    mirror.applied(reply, writes);
+                                }
+                            });
+            if (!job.finishing) {
+                return;
+            }
+        }
+    }
+}
--- a/src/main/java/org/shoreusher/core/Fleet.java
+++ b/src/main/java/org/shoreusher/core/Fleet.java
@@ -390,7 +390,7 @@
         for (Live live : m.tasks.values()) {
             if (!live.job.spec.shape().ends() && !live.doomed) {
                 live.doomed = true;
-                part.halt(live, 0);
+                part.stops().halt(live, 0);
             }
         }
     }
--- a/src/main/java/org/shoreusher/core/MachineRecords.java
+++ b/src/main/java/org/shoreusher/core/MachineRecords.java
@@ -34,21 +34,13 @@
     private boolean recording;
     private long nextMs;
 
-    MachineRecords(
-            int n,
-            Settings settings,
-            Outbox out,
-            Mirror mirror,
-            MachineIndex index,
-            Formats formats,
-            Holding holding,
-            Map<String, Machine> machines) {
+    MachineRecords(int n, NodeContext context, Holding holding, Map<String, Machine> machines) {
         this.n = n;
-        this.settings = settings;
-        this.out = out;
-        this.mirror = mirror;
-        this.index = index;
-        this.formats = formats;
+        settings = context.settings();
+        out = context.out();
+        mirror = context.mirror();
+        index = context.index();
+        formats = context.formats();
         this.holding = holding;
         this.machines = machines;
     }
--- a/src/main/java/org/shoreusher/core/Node.java
+++ b/src/main/java/org/shoreusher/core/Node.java
@@ -48,7 +48,9 @@
         peers = new PeerHints(settings, out, count, this::ownedPart);
         parts =
                 new Parts(
-                        count, settings, out, mirror, arrivals, index, types, formats, peers,
+                        count,
+                        new NodeContext(settings, out, mirror, arrivals, index, types, formats),
+                        peers,
                         owner);
         desk =
                 new UserDesk(
--- a/src/main/java/org/shoreusher/core/Part.java
+++ b/src/main/java/org/shoreusher/core/Part.java
@@ -1,13 +1,11 @@
 package org.shoreusher.core;
 
-import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 import it.unimi.dsi.fastutil.objects.Object2ObjectLinkedOpenHashMap;
 import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.List;
 import java.util.Map;
-import org.shoreusher.core.Effect.StateOp;
 import org.shoreusher.core.Hint.PartHint;
 import org.shoreusher.core.Keys.JobRecord;
 import org.shoreusher.core.Keys.JobStatus;
@@ -68,8 +66,8 @@
     private final StartMarks marks;
     private final Reports reports;
 
-    /** Jobs whose last task has finished and whose final state is not yet written. */
-    private final List<Job> complete = new ArrayList<>();
+    private final FinalStates finalStates;
+    private final TaskStops stops;
 
     private boolean loaded;
     private boolean rebuilt;
@@ -80,38 +78,27 @@
     private double unknownGpus;
     private long nextWalkMs;
     private long nextStatusMs;
-    private long nextPreemptMs;
-
-    Part(
-            int n,
-            int parts,
-            Settings settings,
-            Outbox out,
-            Mirror mirror,
-            Arrivals arrivals,
-            MachineIndex index,
-            Types types,
-            Formats formats,
-            Others others,
-            Holding holding) {
+
+    Part(int n, int parts, NodeContext context, Others others, Holding holding) {
         this.n = n;
         this.parts = parts;
         this.others = others;
-        this.settings = settings;
-        this.out = out;
-        this.mirror = mirror;
-        this.types = types;
+        this.settings = context.settings();
+        this.out = context.out();
+        this.mirror = context.mirror();
+        this.types = context.types();
+        this.arrivals = context.arrivals();
+        this.index = context.index();
         this.holding = holding;
         this.quota = new Quota(n, parts, settings, out, mirror, holding.fence());
-        this.arrivals = arrivals;
-        this.index = index;
-        this.records =
-                new MachineRecords(n, settings, out, mirror, index, formats, holding, machines);
+        this.records = new MachineRecords(n, context, holding, machines);
         this.urgency = new Urgency(settings, estimates);
         this.fleet = new Fleet(this, settings, out, types);
         this.neighbours = new Neighbours(n, parts, others, jobs, machines);
-        this.marks = new StartMarks(n, parts, settings, out, mirror, arrivals, holding, jobs);
-        this.reports = new Reports(this, settings, out, arrivals, index, types, book, marks);
+        this.marks = new StartMarks(n, parts, context, holding, jobs);
+        this.finalStates = new FinalStates(out, mirror, arrivals, holding);
+        this.stops = new TaskStops(this, out);
+        this.reports = new Reports(this, context, book, marks);
     }
 
     // ---- views for others --------------------------------------------------------------------
@@ -128,6 +115,14 @@
         return neighbours;
     }
 
+    FinalStates finalStates() {
+        return finalStates;
+    }
+
+    TaskStops stops() {
+        return stops;
+    }
+
     /** What the other parts are told of this one. */
     PartHint hint() {
         return neighbours.hint(fleet);
@@ -242,7 +237,8 @@
                 && out.now.steadyMs() - m.reportedAtMs < quietMs();
     }
 
-    private double quietMs() {
+    /** ms after which a machine without a report counts as silent. */
+    double quietMs() {
         return settings.reportS() * 1000 * Tuning.QUIET_REPORTS;
     }
 
@@ -287,7 +283,7 @@
         }
         marks.write();
         records.write();
-        finishJobs();
+        finalStates.write();
         if (holds()) {
             arrivals.sweep(holding);
         }
@@ -304,11 +300,11 @@
                 neighbours::claims,
                 neighbours::quantum);
         fleet.step();
-        displace();
-        preempt();
+        stops.displace();
+        stops.preempt();
         if (out.now.steadyMs() >= nextStatusMs) {
             nextStatusMs = out.now.steadyMs() + Tuning.STATUS_LINE_MS;
-            out.detail(status());
+            out.detail(PartStatus.line(this, mirror.size()));
         }
     }
 
@@ -321,38 +317,6 @@
         return all;
     }
 
-    private String status() {
-        int[] states = new int[Machine.State.values().length];
-        double used = 0;
-        for (Machine m : machines.values()) {
-            states[m.state.ordinal()]++;
-            used += m.cpusUsed;
-        }
-        Object2IntOpenHashMap<String> waiting = new Object2IntOpenHashMap<>();
-        jobs.values().forEach(j -> waiting.addTo(j.spec.jobClass(), j.waitingCount));
-        return "status: part "
-                + n
-                + " term "
-                + term()
-                + ", machines "
-                + states[0]
-                + " booting "
-                + states[1]
-                + " up "
-                + (states[2] + states[3] + states[4])
-                + " leaving, CPUs "
-                + used
-                + " of "
-                + cpus()
-                + ", "
-                + jobs.size()
-                + " jobs, waiting "
-                + waiting
-                + ", "
-                + mirror.size()
-                + " keys in memory";
-    }
-
     // ---- takeover ----------------------------------------------------------------------------
 
     private void load() {
@@ -389,7 +353,7 @@
         for (Job job : jobs.values()) {
             job.waitFrom(job.startBelow);
             job.zonesUnknown = job.startBelow > 0 && (job.spec.oneZone() || job.spec.spread());
-            finished(job);
+            finalStates.finished(job);
         }
     }
 
@@ -523,46 +487,7 @@
         job.waitingCount = 0;
         for (Live live : new ArrayList<>(job.live.values())) {
             live.doomed = true;
-            halt(live, 0);
-        }
-    }
-
-    /** A task of the job has finished, or the job is new here: notes it if it was the last one. */
-    void finished(Job job) {
-        if (job.complete() && !complete.contains(job)) {
-            complete.add(job);
-        }
-    }
-
-    /** Writes the final state of complete jobs; users are told only after that. */
-    private void finishJobs() {
-        if (complete.isEmpty() || !holds()) {
-            return;
-        }
-        complete.removeIf(job -> job.closed);
-        for (Job job : complete) {
-            JobRecord record = arrivals.record(job.id);
-            if (job.finishing || record == null) {
-                continue;
-            }
-            Map<String, Map<String, Object>> writes =
-                    Map.of(Keys.job(job.id), record.done().write());
-            // A refusal means that the user's cancellation came first; the view will show it.
-            job.finishing =
-                    out.state(
-                            new StateOp.Multi(
-                                    holding.guards(
-                                            Keys.job(job.id), mirror.version(Keys.job(job.id))),
-                                    writes),
-                            reply -> {
-                                job.finishing = false;
-                                if (reply.status() == 200) {
-                                    mirror.applied(reply, writes);
-                                }
-                            });
-            if (!job.finishing) {
-                return;
-            }
+            stops.halt(live, 0);
         }
     }
 
@@ -583,46 +508,6 @@
         return list;
     }
 
-    /**
-     * Stops batch tasks where replicas of services wait for room; unlike preemption at once, and
-     * during a rebuild too.
-     */
-    private void displace() {
-        if (!mayStart()
-                || jobs.values().stream()
-                        .allMatch(job -> job.spec.shape().ends() || job.waitingCount == 0)) {
-            return;
-        }
-        List<Job> services = ordered();
-        services.removeIf(job -> job.spec.shape().ends());
-        for (Live live : new Displacement(this, out.now).choose(services)) {
-            live.doomed = true;
-            halt(live, 0);
-        }
-    }
-
-    private void preempt() {
-        // Until all machines are heard it is what they may hold that binds, and no task that is
-        // stopped makes room for that.
-        if (out.now.steadyMs() < nextPreemptMs || !rebuilt || !mayStart()) {
-            return;
-        }
-        nextPreemptMs = out.now.steadyMs() + Tuning.PREEMPT_EVERY_MS;
-        List<Job> ordered = ordered();
-        if (ordered.isEmpty()) {
-            return;
-        }
-        for (Live live : new Preemption(this, urgency, out.now).choose(ordered, planner())) {
-            live.stopping = true;
-            halt(live, graceS(live));
-        }
-    }
-
-    /** Seconds that a task which is stopped gets to save. */
-    static double graceS(Live live) {
-        return live.job.spec.saveS() * Tuning.SAVE_SLACK;
-    }
-
     /** A planner over all machines that have room now. */
     Planner planner() {
         List<Planner.Slot> slots = new ArrayList<>();
@@ -637,26 +522,6 @@
         return new Planner(slots, this::cpusLeft, this::gpusLeft);
     }
 
-    static WorkerOrder stop(Live live, double graceS) {
-        return new WorkerOrder(
-                WorkerOrder.Kind.STOP, live.job.id, live.index, live.attempt, graceS);
-    }
-
-    /** Stops a task by a direct command; reports repeat it until it is gone. */
-    void halt(Live live, double graceS) {
-        Machine m = live.machine;
-        // A machine that is silent most likely can't be reached: its lease ends, or it is told when
-        // it reports again.
-        if (holds()
-                && m.address != null
-                && m.heard
-                && out.now.steadyMs() - m.reportedAtMs < quietMs()
-                && out.now.steadyMs() - live.haltedAtMs > Tuning.HALT_AGAIN_MS) {
-            live.haltedAtMs = out.now.steadyMs();
-            out.add(new Effect.Orders(m.address, term(), m.session, List.of(stop(live, graceS))));
-        }
-    }
-
     // ---- machines ----------------------------------------------------------------------------
 
     private void silentMachines() {
--- /dev/null
+++ b/src/main/java/org/shoreusher/core/PartStatus.java
@@ -0,0 +1,41 @@
+package org.shoreusher.core;
+
+import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
+
+/** Describes a part for operators. */
+final class PartStatus {
+    private PartStatus() {}
+
+    /** One line for the log. */
+    static String line(Part part, int keys) {
+        int[] states = new int[Machine.State.values().length];
+        double used = 0;
+        for (Machine m : part.machines().values()) {
+            states[m.state.ordinal()]++;
+            used += m.cpusUsed;
+        }
+        Object2IntOpenHashMap<String> waiting = new Object2IntOpenHashMap<>();
+        part.jobs().values().forEach(j -> waiting.addTo(j.spec.jobClass(), j.waitingCount));
+        return "status: part "
+                + part.n
+                + " term "
+                + part.term()
+                + ", machines "
+                + states[0]
+                + " booting "
+                + states[1]
+                + " up "
+                + (states[2] + states[3] + states[4])
+                + " leaving, CPUs "
+                + used
+                + " of "
+                + part.cpus()
+                + ", "
+                + part.jobs().size()
+                + " jobs, waiting "
+                + waiting
+                + ", "
+                + keys
+                + " keys in memory";
+    }
+}
--- a/src/main/java/org/shoreusher/core/Parts.java
+++ b/src/main/java/org/shoreusher/core/Parts.java
@@ -27,10 +27,7 @@
     private final Settings settings;
     private final Outbox out;
     private final Mirror mirror;
-    private final Arrivals arrivals;
-    private final MachineIndex index;
-    private final Types types;
-    private final Formats formats;
+    private final NodeContext context;
     private final String owner;
     private final Peers peers;
     private final Part[] owned;
@@ -40,17 +37,11 @@
     private boolean taking;
     private long nextTakeMs;
 
-    Parts(
-            int count,
-            Settings settings,
-            Outbox out,
-            Mirror mirror,
-            Arrivals arrivals,
-            MachineIndex index,
-            Types types,
-            Formats formats,
-            Peers peers,
-            String owner) {
+    Parts(int count, NodeContext context, Peers peers, String owner) {
+        settings = context.settings();
+        out = context.out();
+        mirror = context.mirror();
+        this.context = context;
         this.peers = peers;
         owned = new Part[count];
         first =
@@ -60,13 +51,6 @@
                                         .count()
                         % count;
         freeSinceMs = new long[count];
-        this.settings = settings;
-        this.out = out;
-        this.mirror = mirror;
-        this.arrivals = arrivals;
-        this.index = index;
-        this.types = types;
-        this.formats = formats;
         this.owner = owner;
     }
 
@@ -250,13 +234,7 @@
                                         new Part(
                                                 n,
                                                 owned.length,
-                                                settings,
-                                                out,
-                                                mirror,
-                                                arrivals,
-                                                index,
-                                                types,
-                                                formats,
+                                                context,
                                                 peers,
                                                 new Holding(
                                                         n, settings, out, mirror, record, sentAt,
--- a/src/main/java/org/shoreusher/core/Reports.java
+++ b/src/main/java/org/shoreusher/core/Reports.java
@@ -30,21 +30,13 @@
     private final Placement placement;
     private long nextAttempt = 1;
 
-    Reports(
-            Part part,
-            Settings settings,
-            Outbox out,
-            Arrivals arrivals,
-            MachineIndex index,
-            Types types,
-            TaskBook book,
-            StartMarks marks) {
+    Reports(Part part, NodeContext context, TaskBook book, StartMarks marks) {
         this.part = part;
-        this.settings = settings;
-        this.out = out;
-        this.arrivals = arrivals;
-        this.index = index;
-        this.types = types;
+        settings = context.settings();
+        out = context.out();
+        arrivals = context.arrivals();
+        index = context.index();
+        types = context.types();
         this.book = book;
         placement = new Placement(part, out, marks);
     }
@@ -295,11 +287,11 @@
                     && !job.done.get(t.index())) {
                 job.done.set(t.index());
                 job.setWaiting(t.index(), false);
-                part.finished(job);
+                part.finalStates().finished(job);
                 Live elsewhere = job.live.get(t.index());
                 if (elsewhere != null && elsewhere != live) {
                     elsewhere.doomed = true;
-                    part.halt(elsewhere, 0);
+                    part.stops().halt(elsewhere, 0);
                 }
             }
         }
@@ -352,9 +344,9 @@
         }
         for (Live live : m.tasks.values()) {
             if (live.doomed) {
-                orders.add(Part.stop(live, 0));
+                orders.add(TaskStops.stop(live, 0));
             } else if (live.stopping && live.state != Live.State.SAVING) {
-                orders.add(Part.stop(live, Part.graceS(live)));
+                orders.add(TaskStops.stop(live, TaskStops.graceS(live)));
             }
         }
     }
--- a/src/main/java/org/shoreusher/core/StartMarks.java
+++ b/src/main/java/org/shoreusher/core/StartMarks.java
@@ -45,21 +45,13 @@
     private boolean writing;
     private long nextMs;
 
-    StartMarks(
-            int n,
-            int parts,
-            Settings settings,
-            Outbox out,
-            Mirror mirror,
-            Arrivals arrivals,
-            Holding holding,
-            Map<String, Job> jobs) {
+    StartMarks(int n, int parts, NodeContext context, Holding holding, Map<String, Job> jobs) {
         this.n = n;
         this.parts = parts;
-        this.settings = settings;
-        this.out = out;
-        this.mirror = mirror;
-        this.arrivals = arrivals;
+        settings = context.settings();
+        out = context.out();
+        mirror = context.mirror();
+        arrivals = context.arrivals();
         this.holding = holding;
         this.jobs = jobs;
         gapMs = (long) (1000 / (Outbox.ownerWrites(settings, parts) * Tuning.MARKS_SHARE));
--- /dev/null
+++ b/src/main/java/org/shoreusher/core/TaskStops.java
@@ -0,0 +1,80 @@
+package org.shoreusher.core;
+
+import java.util.List;
+import org.shoreusher.settings.Tuning;
+
+/** Decides which tasks of a part give way to others, and stops tasks by direct commands. */
+final class TaskStops {
+    private final Part part;
+    private final Outbox out;
+    private long nextPreemptMs;
+
+    TaskStops(Part part, Outbox out) {
+        this.part = part;
+        this.out = out;
+    }
+
+    /**
+     * Stops batch tasks where replicas of services wait for room; unlike preemption at once, and
+     * during a rebuild too.
+     */
+    void displace() {
+        if (!part.mayStart()
+                || part.jobs().values().stream()
+                        .allMatch(job -> job.spec.shape().ends() || job.waitingCount == 0)) {
+            return;
+        }
+        List<Job> services = part.ordered();
+        services.removeIf(job -> job.spec.shape().ends());
+        for (Live live : new Displacement(part, out.now).choose(services)) {
+            live.doomed = true;
+            halt(live, 0);
+        }
+    }
+
+    /** Stops tasks that can be spared where work of higher priority finds no room. */
+    void preempt() {
+        // Until all machines are heard it is what they may hold that binds, and no task that is
+        // stopped makes room for that.
+        if (out.now.steadyMs() < nextPreemptMs || !part.rebuilt() || !part.mayStart()) {
+            return;
+        }
+        nextPreemptMs = out.now.steadyMs() + Tuning.PREEMPT_EVERY_MS;
+        List<Job> ordered = part.ordered();
+        if (ordered.isEmpty()) {
+            return;
+        }
+        for (Live live :
+                new Preemption(part, part.urgency(), out.now).choose(ordered, part.planner())) {
+            live.stopping = true;
+            halt(live, graceS(live));
+        }
+    }
+
+    /** Seconds that a task which is stopped gets to save. */
+    static double graceS(Live live) {
+        return live.job.spec.saveS() * Tuning.SAVE_SLACK;
+    }
+
+    static WorkerOrder stop(Live live, double graceS) {
+        return new WorkerOrder(
+                WorkerOrder.Kind.STOP, live.job.id, live.index, live.attempt, graceS);
+    }
+
+    /** Stops a task by a direct command; reports repeat it until it is gone. */
+    void halt(Live live, double graceS) {
+        Machine m = live.machine;
+        // A machine that is silent most likely can't be reached: its lease ends, or it is told when
+        // it reports again.
+        if (part.holds()
+                && m.address != null
+                && m.heard
+                && out.now.steadyMs() - m.reportedAtMs < part.quietMs()
+                && out.now.steadyMs() - live.haltedAtMs > Tuning.HALT_AGAIN_MS) {
+            live.haltedAtMs = out.now.steadyMs();
+            out.add(
+                    new Effect.Orders(
+                            m.address, part.term(), m.session, List.of(stop(live, graceS))));
+        }
+    }
+}
--- a/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
+++ b/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
@@ -334,7 +334,13 @@
             jobs.put(job.id, job);
             mirror.apply(Keys.job(job.id), Keys.JobRecord.open(0, job.spec, 0).write(), 1);
         }
-        StartMarks marks = new StartMarks(0, 1, s, out, mirror, arrivals, holding, jobs);
+        StartMarks marks =
+                new StartMarks(
+                        0,
+                        1,
+                        new NodeContext(s, out, mirror, arrivals, null, null, null),
+                        holding,
+                        jobs);
         long revision = 1;
         for (int round = 0;
                 round < 200 && jobs.values().stream().anyMatch(j -> j.startBelow == 0);
@@ -357,7 +363,13 @@
         }
         Map<String, Job> taken = new java.util.LinkedHashMap<>();
         jobs.values().forEach(j -> taken.put(j.id, new Job(j.id, j.spec, 0)));
-        new StartMarks(0, 1, s, out, mirror, arrivals, holding, taken).load();
+        new StartMarks(
+                        0,
+                        1,
+                        new NodeContext(s, out, mirror, arrivals, null, null, null),
+                        holding,
+                        taken)
+                .load();
         jobs.values()
                 .forEach(
                         j ->
--- a/src/test/java/org/shoreusher/core/StartMarksTest.java
+++ b/src/test/java/org/shoreusher/core/StartMarksTest.java
@@ -99,10 +99,14 @@
                 new StartMarks(
                         0,
                         1,
-                        SETTINGS,
-                        out,
-                        mirror,
-                        new Arrivals(SETTINGS, out, mirror),
+                        new NodeContext(
+                                SETTINGS,
+                                out,
+                                mirror,
+                                new Arrivals(SETTINGS, out, mirror),
+                                null,
+                                null,
+                                null),
                         holding,
                         jobs);
         long revision = 1;
