--- a/src/main/java/org/shoreusher/core/Fleet.java
+++ b/src/main/java/org/shoreusher/core/Fleet.java
@@ -19,6 +19,8 @@
     private final Rentals rentals;
     private final MachineList list;
     private final Standby standby;
+    private final Retirement retirement;
+    private final Returns returns;
 
     /** Machines the last plan had nothing for, and how many more it could have filled. */
     private final Set<Machine> spare = new HashSet<>();
@@ -26,8 +28,6 @@
     private int lacks;
     private double lacksCpus;
     private long nextPlanMs;
-    private boolean returning;
-    private long nextReturnMs;
 
     Fleet(Part part, Settings settings, Outbox out, Types types) {
         this.part = part;
@@ -37,6 +37,8 @@
         rentals = new Rentals(part, settings, out, this);
         list = new MachineList(part, settings, out, types);
         standby = new Standby(part, settings, types, rentals);
+        retirement = new Retirement(part, settings, out);
+        returns = new Returns(part, out);
     }
 
     void step() {
@@ -47,14 +49,14 @@
         if (out.now.steadyMs() >= nextPlanMs) {
             nextPlanMs = out.now.steadyMs() + Tuning.RENT_EVERY_MS;
             if (part.rebuilt()) {
-                retire();
+                retirement.step();
             }
             plan();
             if (part.rebuilt()) {
                 handOver();
             }
         }
-        giveBack();
+        returns.step();
         list.step();
     }
 
@@ -325,76 +327,6 @@
 
     // ---- returning ---------------------------------------------------------------------------
 
-    /** Marks machines that must not get more work: faulty, noticed, deaf, dead in their boot. */
-    private void retire() {
-        // If many seem deaf at once, it is this node that they don't hear.
-        long deaf = part.machines().values().stream().filter(Machine::deaf).count();
-        for (Machine m : part.machines().values()) {
-            long age = out.now.wallMs() - m.rentedWallMs;
-            // One that an owner before has used did come up. Taken for dead in their boot, all
-            // machines behind a cut were returned by
-            // a taker, and came back with the zone as new ones without images.
-            if (m.state == Machine.State.BOOTING
-                    && !m.used
-                    && age > Tuning.BOOT_PATIENCE * m.type.bootS() * 1000) {
-                out.log("retired: " + m.id + " did not come up in " + age / 1000 + " s");
-                m.state = Machine.State.DRAINING;
-            } else if (m.state == Machine.State.UP && m.failedJobs.size() >= Tuning.FAULTY_ERRORS) {
-                out.log(
-                        "retired: "
-                                + m.id
-                                + ", tasks of "
-                                + m.failedJobs.size()
-                                + " jobs failed on it");
-                m.state = Machine.State.DRAINING;
-            } else if (m.state == Machine.State.UP && m.slow()) {
-                out.log(
-                        "retired: "
-                                + m.id
-                                + ", its tasks take far longer than others of their jobs");
-                m.state = Machine.State.DRAINING;
-            } else if (m.state == Machine.State.UP
-                    && m.deaf()
-                    && m.tasks.isEmpty()
-                    && deaf <= Math.max(1, part.machines().size() * Tuning.DEAF_SHARE)) {
-                out.log("retired: " + m.id + " reports but hears nothing");
-                m.state = Machine.State.DRAINING;
-            } else if (m.state == Machine.State.UP
-                    && !Double.isNaN(m.noticeS)
-                    && m.tasks.isEmpty()) {
-                m.state = Machine.State.DRAINING;
-            } else if (m.used
-                    && (m.state == Machine.State.UP || m.state == Machine.State.BOOTING)
-                    && m.tasks.isEmpty()
-                    && out.now.steadyMs() - m.answeredAtMs
-                            > PartLease.workerLeaseMs(settings) + Tuning.MIN_CHARGE_MS) {
-                out.log(
-                        "retired: "
-                                + m.id
-                                + " has been silent for "
-                                + (out.now.steadyMs() - m.answeredAtMs) / 1000
-                                + " s");
-                m.state = Machine.State.DRAINING;
-            }
-            if (m.state == Machine.State.DRAINING) {
-                moveReplicas(m);
-            }
-        }
-    }
-
-    /**
-     * Replicas never end by themselves: on a machine that is to go they are stopped, and run again
-     * elsewhere.
-     */
-    private void moveReplicas(Machine m) {
-        for (Live live : m.tasks.values()) {
-            if (!live.job.spec.shape().ends() && !live.doomed) {
-                live.doomed = true;
-                part.stops().halt(live, 0);
-            }
-        }
-    }
-
     private void returnIdle(Set<Machine> needed) {
         for (Machine m : part.machines().values()) {
             if (m.state == Machine.State.UP
@@ -409,57 +341,4 @@
             }
         }
     }
-
-    private void giveBack() {
-        if (returning || out.now.steadyMs() < nextReturnMs) {
-            return;
-        }
-        List<String> ids = new ArrayList<>();
-        for (Machine m : part.machines().values()) {
-            if ((m.state == Machine.State.DRAINING || m.state == Machine.State.RETURNING)
-                    && m.tasks.isEmpty()
-                    && ids.size() < Tuning.RETURN_AT_ONCE) {
-                // From here on nothing may start on it, whatever becomes of the call.
-                m.state = Machine.State.RETURNING;
-                ids.add(m.id);
-            }
-        }
-        if (ids.isEmpty()) {
-            return;
-        }
-        returning =
-                out.cloud(
-                        new CloudOp.Return(List.copyOf(ids)),
-                        reply -> {
-                            returning = false;
-                            if (reply.status() != 200) {
-                                nextReturnMs = out.now.steadyMs() + Tuning.CLOUD_RETRY_MS;
-                                ids.forEach(
-                                        id -> stillThere(part.machines().get(id), reply.status()));
-                                return;
-                            }
-                            for (String id : ids) {
-                                Machine m = part.machines().get(id);
-                                if (m != null) {
-                                    part.gone(m, "returned");
-                                }
-                            }
-                        });
-    }
-
-    /**
-     * A return was not confirmed. If it was refused, so were all before it, and the machine was
-     * only not needed, it is as good as ever: while the cloud's interface is down for a minute,
-     * work must not wait beside machines that wait for it.
-     */
-    private void stillThere(Machine m, int status) {
-        if (m == null) {
-            return;
-        }
-        m.returnUnknown |= status != 503 && status != 429;
-        if (m.unneeded && !m.returnUnknown) {
-            m.state = Machine.State.UP;
-            m.unneeded = false;
-        }
-    }
 }
