--- a/src/main/java/org/shoreusher/core/Part.java
+++ b/src/main/java/org/shoreusher/core/Part.java
@@ -3,7 +3,6 @@
 import it.unimi.dsi.fastutil.objects.Object2ObjectLinkedOpenHashMap;
 import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap;
 import java.util.ArrayList;
-import java.util.BitSet;
 import java.util.List;
 import java.util.Map;
 import org.shoreusher.core.Hint.PartHint;
@@ -69,13 +68,7 @@
     private final FinalStates finalStates;
     private final TaskStops stops;
 
-    private boolean loaded;
-    private boolean rebuilt;
-
-    /** What machines that are not yet heard may hold, of any team. */
-    private double unknownCpus;
-
-    private double unknownGpus;
+    private final Rebuild rebuild;
     private long nextWalkMs;
     private long nextStatusMs;
 
@@ -98,6 +91,7 @@
         this.marks = new StartMarks(n, parts, context, holding, jobs);
         this.finalStates = new FinalStates(out, mirror, arrivals, holding);
         this.stops = new TaskStops(this, out);
+        this.rebuild = new Rebuild(this, context, holding, marks);
         this.reports = new Reports(this, context, book, marks);
     }
 
@@ -161,7 +155,9 @@
      * to others. Kept until the network is whole again, the part would lose all that runs on them.
      */
     boolean unreachable() {
-        if (!loaded || !holds() || out.now.steadyMs() - holding.sinceMs() < Tuning.COMES_BACK_MS) {
+        if (!rebuild.loaded()
+                || !holds()
+                || out.now.steadyMs() - holding.sinceMs() < Tuning.COMES_BACK_MS) {
             return false;
         }
         int up = 0;
@@ -192,7 +188,7 @@
     }
 
     boolean rebuilt() {
-        return rebuilt;
+        return rebuild.complete();
     }
 
     double cpusLeft(String team) {
@@ -203,12 +199,12 @@
         Settings.Team t = settings.teams().get(team);
         return quota.gpus(team)
                 - book.gpus(team)
-                - unknown(unknownGpus, t == null ? 0 : t.gpusMax(), book.foundGpus(team));
+                - unknown(rebuild.unknownGpus(), t == null ? 0 : t.gpusMax(), book.foundGpus(team));
     }
 
     private double unknownCpus(String team) {
         Settings.Team t = settings.teams().get(team);
-        return unknown(unknownCpus, t == null ? 0 : t.cpusMax(), book.foundCpus(team));
+        return unknown(rebuild.unknownCpus(), t == null ? 0 : t.cpusMax(), book.foundCpus(team));
     }
 
     /**
@@ -252,7 +248,7 @@
      */
     boolean mayAnswer() {
         return !lost()
-                && loaded
+                && rebuild.loaded()
                 && mirror.ageMs() < PartLease.answerableViewMs(settings)
                 && (holds() || (holding.keepsAlive() && others.stateAwayEverywhere()));
     }
@@ -264,7 +260,10 @@
      * among it was confirmed while this owner could not know.
      */
     boolean mayStart() {
-        return loaded && holds() && mirror.ageMs() < Tuning.VIEW_STALE_MS && holding.viewComplete();
+        return rebuild.loaded()
+                && holds()
+                && mirror.ageMs() < Tuning.VIEW_STALE_MS
+                && holding.viewComplete();
     }
 
     // ---- time --------------------------------------------------------------------------------
@@ -274,12 +273,12 @@
             return;
         }
         holding.watchLapse();
-        holding.heartbeat(() -> loaded ? finished() : null);
-        if (!loaded) {
+        holding.heartbeat(() -> rebuild.loaded() ? finished() : null);
+        if (!rebuild.loaded()) {
             if (mirror.revision() < holding.takenRevision() || !types.known()) {
                 return;
             }
-            load();
+            rebuild.load();
         }
         marks.write();
         records.write();
@@ -292,9 +291,7 @@
         }
         nextWalkMs = out.now.steadyMs() + Tuning.WALK_MS;
         silentMachines();
-        if (!rebuilt) {
-            rebuild();
-        }
+        rebuild.step();
         quota.step(
                 team -> book.cpus(team) + unknownCpus(team),
                 neighbours::claims,
@@ -319,58 +316,6 @@
 
     // ---- takeover ----------------------------------------------------------------------------
 
-    private void load() {
-        loaded = true;
-        mirror.under(Keys.JOB)
-                .forEach(
-                        (key, entry) -> {
-                            JobRecord record = JobRecord.read(entry.value());
-                            if (record.part() == n && record.status() == JobStatus.OPEN) {
-                                addJob(key.substring(Keys.JOB.length()), record);
-                            }
-                        });
-        arrivals.each(
-                (id, record) -> {
-                    if (record.part() == n) {
-                        addJob(id, record);
-                    }
-                });
-        readDone(holding.storedDone(0), 0);
-        for (int c = 1; mirror.get(Keys.done(n, c)) != null; c++) {
-            readDone(holding.storedDone(c), c);
-        }
-        index.all()
-                .forEach(
-                        (id, record) -> {
-                            if (record.part() == n) {
-                                Machine m = addMachine(id, record);
-                                if (m != null) {
-                                    m.inherited = record.used();
-                                }
-                            }
-                        });
-        marks.load();
-        for (Job job : jobs.values()) {
-            job.waitFrom(job.startBelow);
-            job.zonesUnknown = job.startBelow > 0 && (job.spec.oneZone() || job.spec.spread());
-            finalStates.finished(job);
-        }
-    }
-
-    private void readDone(Map<String, Object> done, int chunk) {
-        done.forEach(
-                (id, ranges) -> {
-                    Job job = jobs.get(id);
-                    // An owner of a version before services may have noted a replica as finished.
-                    if (job != null && job.spec.shape().ends()) {
-                        BitSet set = TaskRanges.parse((String) ranges);
-                        job.done.or(set);
-                        job.durable.or(set);
-                        FinishedRecords.found(job, set, chunk, settings);
-                    }
-                });
-    }
-
     /** Takes on a machine whose record names this part; null if its type is unknown. */
     Machine addMachine(String id, MachineRecord record) {
         MachineType type = types.get(record.type());
@@ -407,45 +352,8 @@
         return m;
     }
 
-    /** Ends the rebuild once every machine that may hold tasks has reported or lost its lease. */
-    private void rebuild() {
-        int waitingFor = 0;
-        unknownCpus = 0;
-        unknownGpus = 0;
-        for (Machine m : machines.values()) {
-            if (m.used && !m.heard && !leaseEnded(m)) {
-                waitingFor++;
-                unknownCpus += m.type.cpus();
-                unknownGpus += m.type.gpus();
-            }
-        }
-        if (waitingFor > 0) {
-            return;
-        }
-        rebuilt = true;
-        int live = 0;
-        for (Job job : jobs.values()) {
-            job.waitFrom(0);
-            job.zonesUnknown = false;
-            live += job.live.size();
-        }
-        out.log(
-                "rebuilt: part "
-                        + n
-                        + " term "
-                        + term()
-                        + ", "
-                        + jobs.size()
-                        + " jobs, "
-                        + machines.size()
-                        + " machines, "
-                        + live
-                        + " tasks on them, after "
-                        + (out.now.steadyMs() - holding.takenAtMs())
-                        + " ms");
-    }
-
-    private boolean leaseEnded(Machine m) {
+    /** Whether what an unheard machine held is surely gone. */
+    boolean leaseEnded(Machine m) {
         return out.now.steadyMs() > m.answeredAtMs + PartLease.workerLeaseMs(settings);
     }
 
@@ -453,7 +361,7 @@
 
     /** A job of this part has appeared or changed in the view. */
     void jobChanged(String id, JobRecord record) {
-        if (!loaded) {
+        if (!rebuild.loaded()) {
             return;
         }
         if (record.status() != JobStatus.OPEN) {
@@ -466,7 +374,8 @@
         }
     }
 
-    private Job addJob(String id, JobRecord record) {
+    /** Takes on a job of this part. */
+    Job addJob(String id, JobRecord record) {
         Job job = new Job(id, record.description(), record.acceptedMs());
         job.closed = record.status() != JobStatus.OPEN;
         job.startBelow = record.begun();
@@ -569,7 +478,7 @@
     void machineChanged(String id, MachineRecord record) {
         Machine m = machines.get(id);
         // A write from before a machine's end may come into the view after it.
-        if (loaded && m == null && record.part() == n && !fleet.list().isGone(id)) {
+        if (rebuild.loaded() && m == null && record.part() == n && !fleet.list().isGone(id)) {
             addMachine(id, record);
         } else if (m != null && m.tasks.isEmpty() && record.part() != n) {
             machines.remove(id);
--- /dev/null
+++ b/src/main/java/org/shoreusher/core/Rebuild.java
@@ -0,0 +1,153 @@
+package org.shoreusher.core;
+
+import java.util.BitSet;
+import java.util.Map;
+import org.shoreusher.core.Keys.JobRecord;
+import org.shoreusher.core.Keys.JobStatus;
+import org.shoreusher.settings.Settings;
+
+/**
+ * What a taker learns of a part: at once what the store has, and then from the reports of its
+ * machines which tasks they hold. Until all have reported, or surely hold nothing, only tasks start
+ * that are on none of them.
+ */
+final class Rebuild {
+    private final Part part;
+    private final Settings settings;
+    private final Outbox out;
+    private final Mirror mirror;
+    private final Arrivals arrivals;
+    private final MachineIndex index;
+    private final Holding holding;
+    private final StartMarks marks;
+    private boolean loaded;
+    private boolean complete;
+
+    /** What machines that are not yet heard may hold, of any team. */
+    private double unknownCpus;
+
+    private double unknownGpus;
+
+    Rebuild(Part part, NodeContext context, Holding holding, StartMarks marks) {
+        this.part = part;
+        settings = context.settings();
+        out = context.out();
+        mirror = context.mirror();
+        arrivals = context.arrivals();
+        index = context.index();
+        this.holding = holding;
+        this.marks = marks;
+    }
+
+    /** Whether what the store has is known. */
+    boolean loaded() {
+        return loaded;
+    }
+
+    /** Whether all machines have reported or surely hold nothing. */
+    boolean complete() {
+        return complete;
+    }
+
+    double unknownCpus() {
+        return unknownCpus;
+    }
+
+    double unknownGpus() {
+        return unknownGpus;
+    }
+
+    /** Takes on what owners before have left: jobs, their finished tasks and marks, machines. */
+    void load() {
+        loaded = true;
+        mirror.under(Keys.JOB)
+                .forEach(
+                        (key, entry) -> {
+                            JobRecord record = JobRecord.read(entry.value());
+                            if (record.part() == part.n && record.status() == JobStatus.OPEN) {
+                                part.addJob(key.substring(Keys.JOB.length()), record);
+                            }
+                        });
+        arrivals.each(
+                (id, record) -> {
+                    if (record.part() == part.n) {
+                        part.addJob(id, record);
+                    }
+                });
+        readDone(holding.storedDone(0), 0);
+        for (int c = 1; mirror.get(Keys.done(part.n, c)) != null; c++) {
+            readDone(holding.storedDone(c), c);
+        }
+        index.all()
+                .forEach(
+                        (id, record) -> {
+                            if (record.part() == part.n) {
+                                Machine m = part.addMachine(id, record);
+                                if (m != null) {
+                                    m.inherited = record.used();
+                                }
+                            }
+                        });
+        marks.load();
+        for (Job job : part.jobs().values()) {
+            job.waitFrom(job.startBelow);
+            job.zonesUnknown = job.startBelow > 0 && (job.spec.oneZone() || job.spec.spread());
+            part.finalStates().finished(job);
+        }
+    }
+
+    private void readDone(Map<String, Object> done, int chunk) {
+        done.forEach(
+                (id, ranges) -> {
+                    Job job = part.jobs().get(id);
+                    // An owner of a version before services may have noted a replica as finished.
+                    if (job != null && job.spec.shape().ends()) {
+                        BitSet set = TaskRanges.parse((String) ranges);
+                        job.done.or(set);
+                        job.durable.or(set);
+                        FinishedRecords.found(job, set, chunk, settings);
+                    }
+                });
+    }
+
+    /** Ends the rebuild once every machine that may hold tasks has reported or lost its lease. */
+    void step() {
+        if (complete) {
+            return;
+        }
+        int waitingFor = 0;
+        unknownCpus = 0;
+        unknownGpus = 0;
+        for (Machine m : part.machines().values()) {
+            if (m.used && !m.heard && !part.leaseEnded(m)) {
+                waitingFor++;
+                unknownCpus += m.type.cpus();
+                unknownGpus += m.type.gpus();
+            }
+        }
+        if (waitingFor > 0) {
+            return;
+        }
+        complete = true;
+        int live = 0;
+        for (Job job : part.jobs().values()) {
+            job.waitFrom(0);
+            job.zonesUnknown = false;
+            live += job.live.size();
+        }
+        out.log(
+                "rebuilt: part "
+                        + part.n
+                        + " term "
+                        + part.term()
+                        + ", "
+                        + part.jobs().size()
+                        + " jobs, "
+                        + part.machines().size()
+                        + " machines, "
+                        + live
+                        + " tasks on them, after "
+                        + (out.now.steadyMs() - holding.takenAtMs())
+                        + " ms");
+    }
+}
