--- a/src/main/java/org/shoreusher/core/Displacement.java
+++ b/src/main/java/org/shoreusher/core/Displacement.java
@@ -98,7 +98,10 @@
             int left =
                     Math.min(
                             job.waitingCount,
-                            new Planner(new ArrayList<>(), part::cpusLeft, part::gpusLeft)
+                            new Planner(
+                                            new ArrayList<>(),
+                                            part.teamRoom()::cpusLeft,
+                                            part.teamRoom()::gpusLeft)
                                     .allowedByTeam(spec));
             while (left-- > 0) {
                 Room best = null;
--- a/src/main/java/org/shoreusher/core/Fleet.java
+++ b/src/main/java/org/shoreusher/core/Fleet.java
@@ -81,7 +81,8 @@
     private void plan() {
         List<Planner.Slot> room = slots();
         room.addAll(rentals.coming());
-        Planner planner = new Planner(room, part::cpusRentable, part::gpusLeft);
+        Planner planner =
+                new Planner(room, part.teamRoom()::cpusRentable, part.teamRoom()::gpusLeft);
         List<Job> jobs = part.ordered();
         int most = rentals.room();
         List<Planner.Slot> wanting = new ArrayList<>();
@@ -158,7 +159,8 @@
      * at once.
      */
     private void lack(List<Job> jobs) {
-        Planner planner = new Planner(slots(), part::cpusRentable, part::gpusLeft);
+        Planner planner =
+                new Planner(slots(), part.teamRoom()::cpusRentable, part.teamRoom()::gpusLeft);
         double machines = 0;
         lacksCpus = 0;
         for (Job job : jobs) {
--- a/src/main/java/org/shoreusher/core/Part.java
+++ b/src/main/java/org/shoreusher/core/Part.java
@@ -69,6 +69,7 @@
     private final TaskStops stops;
 
     private final Rebuild rebuild;
+    private final TeamRoom teamRoom;
     private long nextWalkMs;
     private long nextStatusMs;
 
@@ -92,6 +93,7 @@
         this.finalStates = new FinalStates(out, mirror, arrivals, holding);
         this.stops = new TaskStops(this, out);
         this.rebuild = new Rebuild(this, context, holding, marks);
+        this.teamRoom = new TeamRoom(settings, quota, book, rebuild, neighbours);
         this.reports = new Reports(this, context, book, marks);
     }
 
@@ -191,36 +193,8 @@
         return rebuild.complete();
     }
 
-    double cpusLeft(String team) {
-        return quota.startCpus(team) - book.cpus(team) - unknownCpus(team);
-    }
-
-    double gpusLeft(String team) {
-        Settings.Team t = settings.teams().get(team);
-        return quota.gpus(team)
-                - book.gpus(team)
-                - unknown(rebuild.unknownGpus(), t == null ? 0 : t.gpusMax(), book.foundGpus(team));
-    }
-
-    private double unknownCpus(String team) {
-        Settings.Team t = settings.teams().get(team);
-        return unknown(rebuild.unknownCpus(), t == null ? 0 : t.cpusMax(), book.foundCpus(team));
-    }
-
-    /**
-     * What of a team machines not yet heard may hold. The owner before kept the team to its limit,
-     * so what was found on machines that have been heard and what is on the others is no more than
-     * that together.
-     */
-    private static double unknown(double all, double limit, double found) {
-        return Math.min(all, Math.max(0, limit - found));
-    }
-
-    /** CPUs left if the whole limit of the team could be had: what renting goes by. */
-    double cpusRentable(String team) {
-        Settings.Team t = settings.teams().get(team);
-        double most = t == null ? 0 : t.cpusMax() - neighbours.claimed(team);
-        return Math.max(most, quota.cpus(team)) - book.cpus(team) - unknownCpus(team);
+    TeamRoom teamRoom() {
+        return teamRoom;
     }
 
     /** Whether a machine reports and may be given work. */
@@ -292,10 +266,7 @@
         nextWalkMs = out.now.steadyMs() + Tuning.WALK_MS;
         silentMachines();
         rebuild.step();
-        quota.step(
-                team -> book.cpus(team) + unknownCpus(team),
-                neighbours::claims,
-                neighbours::quantum);
+        quota.step(teamRoom::used, neighbours::claims, neighbours::quantum);
         fleet.step();
         stops.displace();
         stops.preempt();
@@ -428,7 +399,7 @@
                 }
             }
         }
-        return new Planner(slots, this::cpusLeft, this::gpusLeft);
+        return new Planner(slots, teamRoom::cpusLeft, teamRoom::gpusLeft);
     }
 
     // ---- machines ----------------------------------------------------------------------------
--- a/src/main/java/org/shoreusher/core/Placement.java
+++ b/src/main/java/org/shoreusher/core/Placement.java
@@ -51,8 +51,8 @@
         Planner now =
                 new Planner(
                         new ArrayList<>(List.of(new Planner.Slot(m))),
-                        part::cpusLeft,
-                        part::gpusLeft);
+                        part.teamRoom()::cpusLeft,
+                        part.teamRoom()::gpusLeft);
         Set<Job> tried = new HashSet<>();
         if (share != null) {
             for (Planner.Placed p : share) {
--- a/src/main/java/org/shoreusher/core/Reports.java
+++ b/src/main/java/org/shoreusher/core/Reports.java
@@ -1,6 +1,5 @@
 package org.shoreusher.core;
 
-import it.unimi.dsi.fastutil.objects.ObjectOpenHashSet;
 import java.util.ArrayList;
 import java.util.List;
 import org.shoreusher.core.Keys.JobRecord;
@@ -27,6 +26,7 @@
     private final MachineIndex index;
     private final Types types;
     private final TaskBook book;
+    private final ReportReader reader;
     private final Placement placement;
     private long nextAttempt = 1;
 
@@ -38,6 +38,7 @@
         index = context.index();
         types = context.types();
         this.book = book;
+        reader = new ReportReader(part, context, book);
         placement = new Placement(part, out, marks);
     }
 
@@ -80,7 +81,7 @@
             return;
         }
         m.reported(r, out.now.steadyMs(), settings);
-        absorb(m, r);
+        reader.read(m, r);
         List<WorkerOrder> orders = new ArrayList<>();
         if (part.holds()) {
             settle(m, r, orders);
@@ -133,204 +134,6 @@
         return part.add(r.machine(), types.get(r.type()), r.zone(), r.spot(), out.now.wallMs());
     }
 
-    /** Takes over what the report says. */
-    private void absorb(Machine m, WorkerReport r) {
-        m.session = r.session();
-        m.seq = r.seq();
-        m.address = r.address();
-        m.noticeS = r.noticeS();
-        m.reportedAtMs = out.now.steadyMs();
-        boolean found = m.inherited && !m.heard;
-        m.heard = true;
-        if (m.state == Machine.State.BOOTING) {
-            m.state = Machine.State.UP;
-        }
-        if (!m.used) {
-            m.used = true;
-            part.records().changed(m.id);
-        }
-        m.shown = r.tasks().size();
-        ObjectOpenHashSet<String> shown = new ObjectOpenHashSet<>();
-        for (TaskReport t : r.tasks()) {
-            String key = Machine.taskKey(t.job(), t.index());
-            if (t.state() == TaskState.EXITED) {
-                exited(m, key, t);
-            } else {
-                shown.add(key);
-                present(m, key, t);
-            }
-        }
-        if (found) {
-            m.tasks.values().forEach(book::found);
-        }
-        if (m.tasks.size() > shown.size()) {
-            for (Live live : m.tasksNow()) {
-                // A start answered to an older report is in this one, or was dropped and never
-                // happens.
-                if (!shown.contains(Machine.taskKey(live.job.id, live.index))) {
-                    book.remove(live);
-                }
-            }
-        }
-        if (!Double.isNaN(m.noticeS)) {
-            // The cloud takes the machine soon: what can save its progress does so now and goes on
-            // elsewhere.
-            for (Live live : m.tasks.values()) {
-                JobSpec spec = live.job.spec;
-                if (!spec.shape().ends()
-                        || (spec.checkpointS() > 0
-                                && live.state == Live.State.RUNNING
-                                && spec.saveS() < m.noticeS)) {
-                    live.stopping = true;
-                }
-            }
-        }
-        m.idleSinceMs =
-                !m.tasks.isEmpty() ? -1 : m.idleSinceMs < 0 ? out.now.steadyMs() : m.idleSinceMs;
-    }
-
-    private void present(Machine m, String key, TaskReport t) {
-        Live live = m.tasks.get(key);
-        if (live != null && live.attempt != t.attempt()) {
-            book.remove(live);
-            live = null;
-        }
-        if (live == null) {
-            Job job = part.jobs().get(t.job());
-            boolean wanted =
-                    job != null
-                            && t.index() >= 0
-                            && t.index() < job.spec.tasks()
-                            && !job.done.get(t.index())
-                            && job.live.get(t.index()) == null;
-            live =
-                    new Live(
-                            job != null ? job : unwanted(m, t.job()),
-                            t.index(),
-                            t.attempt(),
-                            m,
-                            Live.State.RUNNING,
-                            out.now.steadyMs());
-            live.doomed = !wanted;
-            book.add(live, wanted);
-        }
-        live.state =
-                switch (t.state()) {
-                    case FETCHING -> Live.State.FETCHING;
-                    case SAVING -> Live.State.SAVING;
-                    default -> Live.State.RUNNING;
-                };
-        if (live.state == Live.State.RUNNING && live.runningSinceMs < 0) {
-            live.runningSinceMs = out.now.steadyMs();
-        }
-        if (!live.job.spec.shape().ends()
-                && live.runningSinceMs >= 0
-                && out.now.steadyMs() - live.runningSinceMs >= Tuning.STEADY_MS) {
-            live.job.steady();
-        }
-    }
-
-    /** A job that is cancelled, or unknown: then its tasks are taken to fill the machine. */
-    private Job unwanted(Machine m, String id) {
-        JobRecord record = arrivals.record(id);
-        JobSpec spec =
-                record != null && record.spec() != null
-                        ? record.description()
-                        : new JobSpec(
-                                id,
-                                "",
-                                "",
-                                JobSpec.Priority.LOW,
-                                Tuning.MAX_TASKS,
-                                m.type.cpus(),
-                                m.type.gpus(),
-                                m.type.memGb(),
-                                "",
-                                0,
-                                null,
-                                null,
-                                false,
-                                false,
-                                true,
-                                1,
-                                0,
-                                0,
-                                Double.NaN);
-        Job job = new Job(id, spec, out.now.wallMs());
-        job.closed = true;
-        return job;
-    }
-
-    private void exited(Machine m, String key, TaskReport t) {
-        Live live = m.tasks.get(key);
-        boolean ours = live != null && live.attempt == t.attempt();
-        Job job = part.jobs().get(t.job());
-        if (job != null && !job.spec.shape().ends()) {
-            if (ours) {
-                replicaEnded(m, job, live, t.cause());
-            }
-            return;
-        }
-        if (t.cause() == Cause.DONE) {
-            m.failedJobs.clear();
-            if (ours && job != null && live.runningSinceMs >= 0) {
-                double ranS = (out.now.steadyMs() - live.runningSinceMs) / 1000.0;
-                if (job.observedCount() >= Tuning.PACE_TASKS
-                        && job.observedMeanS() >= Tuning.PACE_LEAST_S) {
-                    m.ran(ranS / job.observedMeanS());
-                }
-                part.estimates().observed(job, ranS);
-            }
-            if (job != null
-                    && t.index() >= 0
-                    && t.index() < job.spec.tasks()
-                    && !job.done.get(t.index())) {
-                job.done.set(t.index());
-                job.setWaiting(t.index(), false);
-                part.finalStates().finished(job);
-                Live elsewhere = job.live.get(t.index());
-                if (elsewhere != null && elsewhere != live) {
-                    elsewhere.doomed = true;
-                    part.stops().halt(elsewhere, 0);
-                }
-            }
-        }
-        if (!ours) {
-            return;
-        }
-        if (t.cause() == Cause.ERROR && job != null) {
-            job.failed(m.id, out.now.steadyMs());
-            if (job.suspect()) {
-                part.machines().values().forEach(other -> other.failedJobs.remove(job.id));
-            } else {
-                m.failedJobs.add(job.id);
-            }
-        } else if (t.cause() == Cause.UNKNOWN && job != null) {
-            job.failed(m.id, out.now.steadyMs());
-        }
-        book.remove(live);
-    }
-
-    /**
-     * A replica runs again whatever it ended of, soon if it had run for long, ever more rarely if
-     * it ends at once again and again.
-     */
-    private void replicaEnded(Machine m, Job job, Live live, Cause cause) {
-        if (cause == Cause.ERROR || cause == Cause.DONE || cause == Cause.UNKNOWN) {
-            if (live.runningSinceMs >= 0
-                    && out.now.steadyMs() - live.runningSinceMs >= Tuning.STEADY_MS) {
-                job.steady();
-            }
-            job.failed(m.id, out.now.steadyMs());
-            if (cause == Cause.ERROR && !job.suspect()) {
-                m.failedJobs.add(job.id);
-            } else if (job.suspect()) {
-                part.machines().values().forEach(other -> other.failedJobs.remove(job.id));
-            }
-        }
-        book.remove(live);
-    }
-
     /**
      * Commands that settle what the report shows: forget what is durable, stop what must not run.
      */
