--- a/src/main/java/org/shoreusher/cli/CloudStandIn.java
+++ b/src/main/java/org/shoreusher/cli/CloudStandIn.java
@@ -7,7 +7,7 @@
 import java.util.function.Function;
 import org.shoreusher.cli.StandInServer.Request;
 import org.shoreusher.cli.StandInServer.Response;
-import org.shoreusher.wire.Tree;
+import org.shoreusher.wire.FieldMap;
 
 /** A small cloud in memory with one type of machine, whose workers run as soon as it is rented. */
 final class CloudStandIn {
@@ -30,7 +30,7 @@
         this.workers = workers;
     }
 
-    synchronized Response handle(Request request) throws Tree.Missing {
+    synchronized Response handle(Request request) throws FieldMap.Missing {
         return switch (request.line()) {
             case "GET /flavors" -> Response.ok(Map.of("presses", List.of(type())));
             case "POST /rentals" -> rent(request.body());
@@ -57,7 +57,7 @@
                 List.of(ZONE));
     }
 
-    private Response rent(Tree body) throws Tree.Missing {
+    private Response rent(FieldMap body) throws FieldMap.Missing {
         String name = body.text("hire");
         if (!rentals.containsKey(name)) {
             List<Object> names = new ArrayList<>();
@@ -72,7 +72,7 @@
         return Response.ok(Map.of("boxes", rentals.get(name)));
     }
 
-    private Response giveBack(Tree body) throws Tree.Missing {
+    private Response giveBack(FieldMap body) throws FieldMap.Missing {
         for (String id : body.texts("boxes")) {
             take(id);
         }
--- a/src/main/java/org/shoreusher/cli/Service.java
+++ b/src/main/java/org/shoreusher/cli/Service.java
@@ -7,15 +7,15 @@
 import java.util.concurrent.TimeUnit;
 import org.agrona.concurrent.ManyToOneConcurrentArrayQueue;
 import org.shoreusher.cloud.CloudClient;
+import org.shoreusher.core.ClockReading;
 import org.shoreusher.core.Command;
 import org.shoreusher.core.Effect;
 import org.shoreusher.core.Node;
-import org.shoreusher.core.Reading;
 import org.shoreusher.peer.Peers;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 import org.shoreusher.state.StateClient;
-import org.shoreusher.user.FrontServer;
+import org.shoreusher.user.HttpFrontend;
 import org.shoreusher.worker.WorkerClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -38,7 +38,7 @@
     private final CloudClient cloud;
     private final WorkerClient workers;
     private final Peers peers;
-    private final FrontServer front;
+    private final HttpFrontend front;
     private boolean working;
     private long tickedAtMs;
     private long lateMs;
@@ -51,7 +51,7 @@
         cloud = new CloudClient(loop, settings, this::mustTake);
         workers = new WorkerClient(loop);
         peers = new Peers(group, settings, this::take);
-        front = new FrontServer(group, settings, this::take, this::lagMs);
+        front = new HttpFrontend(group, settings, this::take, this::lagMs);
     }
 
     /** Listens and works until the process ends. */
@@ -126,7 +126,7 @@
         working = false;
         queue.drainTo(batch, Tuning.BATCH);
         List<Effect> effects =
-                node.step(new Reading(steadyMs(), System.currentTimeMillis()), batch);
+                node.step(new ClockReading(steadyMs(), System.currentTimeMillis()), batch);
         batch.clear();
         for (Effect effect : effects) {
             carryOut(effect);
--- a/src/main/java/org/shoreusher/cli/StandInServer.java
+++ b/src/main/java/org/shoreusher/cli/StandInServer.java
@@ -9,12 +9,12 @@
 import java.util.Map;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
-import org.shoreusher.wire.Tree;
+import org.shoreusher.wire.FieldMap;
 
 /** An HTTP server on loopback for the stand-ins of a rehearsal; each request has a thread. */
 final class StandInServer implements AutoCloseable {
     /** A request; the body is empty where there is none. */
-    record Request(String method, String path, Map<String, String> query, Tree body) {
+    record Request(String method, String path, Map<String, String> query, FieldMap body) {
         /** Method and path, such as "POST /multi". */
         String line() {
             return method + " " + path;
@@ -30,7 +30,7 @@
 
     /** Answers requests, from several threads at once. */
     interface Handler {
-        Response handle(Request request) throws Tree.Missing, InterruptedException;
+        Response handle(Request request) throws FieldMap.Missing, InterruptedException;
     }
 
     private final HttpServer server;
@@ -51,13 +51,13 @@
         Response response;
         try {
             response = handler.handle(request(exchange));
-        } catch (Tree.Missing e) {
+        } catch (FieldMap.Missing e) {
             response = new Response(400, Map.of("error", e.getMessage()));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             response = new Response(503, Map.of());
         }
-        byte[] body = Tree.toCbor(response.body());
+        byte[] body = FieldMap.toCbor(response.body());
         exchange.sendResponseHeaders(response.status(), body.length);
         exchange.getResponseBody().write(body);
         exchange.close();
@@ -65,7 +65,7 @@
 
     private static Request request(HttpExchange exchange) throws IOException {
         byte[] bytes = exchange.getRequestBody().readAllBytes();
-        Tree body = bytes.length == 0 ? new Tree(Map.of()) : Tree.cbor(bytes);
+        FieldMap body = bytes.length == 0 ? new FieldMap(Map.of()) : FieldMap.cbor(bytes);
         Map<String, String> query = new HashMap<>();
         String text = exchange.getRequestURI().getRawQuery();
         for (String pair : text == null ? new String[0] : text.split("&")) {
--- a/src/main/java/org/shoreusher/cli/StateStandIn.java
+++ b/src/main/java/org/shoreusher/cli/StateStandIn.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 import org.shoreusher.cli.StandInServer.Request;
 import org.shoreusher.cli.StandInServer.Response;
-import org.shoreusher.wire.Tree;
+import org.shoreusher.wire.FieldMap;
 
 /** A small state service in memory: keys with versions, transactions and watches, no limits. */
 final class StateStandIn {
@@ -23,7 +23,7 @@
     private final List<Change> changes = new ArrayList<>();
     private long revision = 1;
 
-    synchronized Response handle(Request request) throws Tree.Missing, InterruptedException {
+    synchronized Response handle(Request request) throws FieldMap.Missing, InterruptedException {
         if (request.line().equals("POST /multi")) {
             return transaction(request.body());
         }
@@ -40,9 +40,9 @@
         return page(request.query().get("after"));
     }
 
-    private Response transaction(Tree body) throws Tree.Missing {
+    private Response transaction(FieldMap body) throws FieldMap.Missing {
         List<Object> failed = new ArrayList<>();
-        for (Tree guard : body.list("guards")) {
+        for (FieldMap guard : body.list("guards")) {
             Entry entry = entries.get(guard.text("k"));
             if (guard.whole("stamp") != (entry == null ? 0 : entry.version())) {
                 failed.add(guard.text("k"));
@@ -51,9 +51,9 @@
         if (!failed.isEmpty()) {
             return new Response(409, Map.of("failed", failed, "ledger", revision));
         }
-        List<Tree> writes = body.list("writes");
+        List<FieldMap> writes = body.list("writes");
         revision += writes.isEmpty() ? 0 : 1;
-        for (Tree write : writes) {
+        for (FieldMap write : writes) {
             if (write.has("remove")) {
                 apply(write.text("remove"), null);
             } else {
--- a/src/main/java/org/shoreusher/cli/WorkerStandIn.java
+++ b/src/main/java/org/shoreusher/cli/WorkerStandIn.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.shoreusher.wire.Tree;
+import org.shoreusher.wire.FieldMap;
 
 /** A worker that reports to one controller and runs what it is told; batch tasks end at once. */
 final class WorkerStandIn {
@@ -49,13 +49,13 @@
             while (!stopped) {
                 ControllerClient.Reply reply = controller.call("/hello", report());
                 if (reply.status() == 200) {
-                    carryOut(new Tree(reply.body()));
+                    carryOut(new FieldMap(reply.body()));
                 }
                 Thread.sleep(REPORT_MS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-        } catch (Tree.Missing e) {
+        } catch (FieldMap.Missing e) {
             throw new IllegalStateException("an answer to a report: " + e.getMessage());
         }
     }
@@ -88,13 +88,13 @@
         return shown;
     }
 
-    private synchronized void carryOut(Tree answer) throws Tree.Missing {
+    private synchronized void carryOut(FieldMap answer) throws FieldMap.Missing {
         if (answer.whole("baton") < token) {
             return;
         }
         token = answer.whole("baton");
         // What ran for one report is done by the next, except the replicas of services.
-        for (Tree order : answer.list("orders")) {
+        for (FieldMap order : answer.list("orders")) {
             String name = order.text("sheet");
             long attempt = order.whole("try");
             switch (order.text("verb")) {
--- a/src/main/java/org/shoreusher/core/Acceptance.java
+++ b/src/main/java/org/shoreusher/core/Acceptance.java
@@ -10,12 +10,12 @@
 import java.util.function.ToIntFunction;
 import org.shoreusher.core.Command.StateReply;
 import org.shoreusher.core.Effect.StateOp;
-import org.shoreusher.core.Keys.ArrivalRecord;
-import org.shoreusher.core.Keys.JobRecord;
+import org.shoreusher.core.StoreSchema.ArrivalRecord;
+import org.shoreusher.core.StoreSchema.JobRecord;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
+import org.shoreusher.wire.FieldMap;
 import org.shoreusher.wire.StateFormat;
-import org.shoreusher.wire.Tree;
 import org.shoreusher.wire.UserFormat;
 import org.shoreusher.wire.UserFormat.Shown;
 
@@ -36,7 +36,7 @@
 
     private final Settings settings;
     private final Outbox out;
-    private final Mirror mirror;
+    private final StoreView mirror;
     private final String owner;
     private final ToIntFunction<JobSpec> roomiestPart;
 
@@ -53,7 +53,7 @@
     Acceptance(
             Settings settings,
             Outbox out,
-            Mirror mirror,
+            StoreView mirror,
             String owner,
             ToIntFunction<JobSpec> roomiestPart,
             BiConsumer<Long, String> alreadyKnown,
@@ -75,12 +75,12 @@
             return;
         }
         if (queue.size() >= Tuning.ARRIVALS_WAITING) {
-            out.later(request);
+            out.answerUnavailable(request);
             return;
         }
         Map<String, Object> record =
                 JobRecord.open(roomiestPart.applyAsInt(spec), spec, out.now.wallMs()).write();
-        int bytes = Tree.jsonLength(record);
+        int bytes = FieldMap.jsonLength(record);
         if (bytes > settings.valueBytes()) {
             tooLong.accept(request, spec.id());
             return;
@@ -106,7 +106,7 @@
                         a -> {
                             boolean late = out.now.steadyMs() - a.sinceMs > Tuning.ACCEPT_WAIT_MS;
                             if (late) {
-                                a.requests.forEach(out::later);
+                                a.requests.forEach(out::answerUnavailable);
                             }
                             return late;
                         });
@@ -127,13 +127,13 @@
         }
         Map<String, Long> guards = new LinkedHashMap<>();
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
-        batch.forEach(a -> guards.put(Keys.job(a.spec.id()), 0L));
+        batch.forEach(a -> guards.put(StoreSchema.job(a.spec.id()), 0L));
         if (batch.size() == 1) {
-            writes.put(Keys.job(batch.get(0).spec.id()), batch.get(0).record);
+            writes.put(StoreSchema.job(batch.get(0).spec.id()), batch.get(0).record);
         } else {
             // The owner's name has a suffix that no other process has ever had, so no record is
             // ever written over.
-            String key = Keys.arrived(owner, nextRecord++);
+            String key = StoreSchema.arrived(owner, nextRecord++);
             guards.put(key, 0L);
             Map<String, Map<String, Object>> jobs = new LinkedHashMap<>();
             batch.forEach(a -> jobs.put(a.spec.id(), a.record));
@@ -169,7 +169,7 @@
         } else if (reply.status() == 409) {
             Set<String> failed = failed(reply);
             for (Arriving a : batch) {
-                if (failed.contains(Keys.job(a.spec.id()))) {
+                if (failed.contains(StoreSchema.job(a.spec.id()))) {
                     a.requests.forEach(r -> alreadyKnown.accept(r, a.spec.id()));
                 } else {
                     again(a);
@@ -178,14 +178,14 @@
         } else if (reply.status() == 429) {
             batch.forEach(this::again);
         } else {
-            batch.forEach(a -> a.requests.forEach(out::later));
+            batch.forEach(a -> a.requests.forEach(out::answerUnavailable));
         }
     }
 
     private static Set<String> failed(StateReply reply) {
         try {
-            return new HashSet<>(StateFormat.failed(new Tree(reply.body())));
-        } catch (Tree.Missing e) {
+            return new HashSet<>(StateFormat.failed(new FieldMap(reply.body())));
+        } catch (FieldMap.Missing e) {
             return Set.of();
         }
     }
--- a/src/main/java/org/shoreusher/core/Arrivals.java
+++ b/src/main/java/org/shoreusher/core/Arrivals.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 import org.shoreusher.core.Effect.StateOp;
-import org.shoreusher.core.Keys.ArrivalRecord;
-import org.shoreusher.core.Keys.JobRecord;
+import org.shoreusher.core.StoreSchema.ArrivalRecord;
+import org.shoreusher.core.StoreSchema.JobRecord;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 
@@ -27,7 +27,7 @@
 
     private final Settings settings;
     private final Outbox out;
-    private final Mirror mirror;
+    private final StoreView mirror;
 
     /** Jobs without a record of their own. */
     private final Object2ObjectLinkedOpenHashMap<String, Arrived> waiting =
@@ -40,7 +40,7 @@
     private boolean removing;
     private long nextMs;
 
-    Arrivals(Settings settings, Outbox out, Mirror mirror) {
+    Arrivals(Settings settings, Outbox out, StoreView mirror) {
         this.settings = settings;
         this.out = out;
         this.mirror = mirror;
@@ -51,7 +51,7 @@
      * has neither.
      */
     JobRecord record(String id) {
-        Mirror.Entry own = mirror.get(Keys.job(id));
+        StoreView.Entry own = mirror.get(StoreSchema.job(id));
         if (own != null) {
             return JobRecord.read(own.value());
         }
@@ -69,7 +69,7 @@
      * two records with the same job the older counts, whichever comes into the view first: else the
      * owners of two parts might each take it for the other's.
      */
-    void changed(String key, Mirror.Entry after, BiConsumer<String, JobRecord> arrived) {
+    void changed(String key, StoreView.Entry after, BiConsumer<String, JobRecord> arrived) {
         if (after == null) {
             Set<String> gone = shared.remove(key);
             if (gone != null) {
@@ -83,7 +83,7 @@
                 (id, record) -> {
                     // Done jobs have left the view; until the watch has passed that, the news of
                     // their arrival may still come.
-                    if (!mirror.hasOrHad(Keys.job(id))) {
+                    if (!mirror.hasOrHad(StoreSchema.job(id))) {
                         left.add(id);
                     }
                 });
@@ -106,7 +106,7 @@
     }
 
     /** Removes shared records of which nothing is needed any more, without haste. */
-    void sweep(Holding holding) {
+    void sweep(PartOwnership holding) {
         if (removing || out.now.steadyMs() < nextMs) {
             return;
         }
--- a/src/main/java/org/shoreusher/core/Reading.java
+++ b/src/main/java/org/shoreusher/core/ClockReading.java
@@ -3,4 +3,4 @@
 /**
  * One reading of the clocks: the steady one for elapsed time, the time of day for lease expiries.
  */
-public record Reading(long steadyMs, long wallMs) {}
+public record ClockReading(long steadyMs, long wallMs) {}
--- a/src/main/java/org/shoreusher/core/ConfirmedReads.java
+++ b/src/main/java/org/shoreusher/core/ConfirmedReads.java
@@ -10,12 +10,12 @@
 import java.util.function.LongPredicate;
 import org.shoreusher.core.Command.StateReply;
 import org.shoreusher.core.Effect.StateOp;
-import org.shoreusher.core.Keys.JobRecord;
-import org.shoreusher.core.Keys.JobStatus;
+import org.shoreusher.core.StoreSchema.JobRecord;
+import org.shoreusher.core.StoreSchema.JobStatus;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
+import org.shoreusher.wire.FieldMap;
 import org.shoreusher.wire.StateFormat;
-import org.shoreusher.wire.Tree;
 
 /**
  * Questions about jobs that are answered only after the state service has confirmed what this node
@@ -33,7 +33,7 @@
 
     private final Settings settings;
     private final Outbox out;
-    private final Mirror mirror;
+    private final StoreView mirror;
     private final Arrivals arrivals;
     private final EndedJobs ended;
 
@@ -48,7 +48,7 @@
     ConfirmedReads(
             Settings settings,
             Outbox out,
-            Mirror mirror,
+            StoreView mirror,
             Arrivals arrivals,
             EndedJobs ended,
             LongPredicate refuse) {
@@ -93,7 +93,7 @@
             if (guards.size() >= 4 * settings.txnOps()) {
                 break;
             }
-            guards.put(Keys.job(q.id()), mirror.version(Keys.job(q.id())));
+            guards.put(StoreSchema.job(q.id()), mirror.version(StoreSchema.job(q.id())));
             batch.add(q);
         }
         questions.subList(0, batch.size()).clear();
@@ -107,7 +107,7 @@
         if (sent) {
             readsInFlight++;
         } else {
-            batch.forEach(q -> out.later(q.request()));
+            batch.forEach(q -> out.answerUnavailable(q.request()));
         }
     }
 
@@ -115,17 +115,17 @@
         Set<String> changed = new HashSet<>();
         if (reply.status() == 409) {
             try {
-                changed.addAll(StateFormat.failed(new Tree(reply.body())));
-            } catch (Tree.Missing e) {
-                batch.forEach(q -> changed.add(Keys.job(q.id())));
+                changed.addAll(StateFormat.failed(new FieldMap(reply.body())));
+            } catch (FieldMap.Missing e) {
+                batch.forEach(q -> changed.add(StoreSchema.job(q.id())));
             }
         } else if (reply.status() != 200) {
-            batch.forEach(q -> out.later(q.request()));
+            batch.forEach(q -> out.answerUnavailable(q.request()));
             return;
         }
         for (Question q : batch) {
-            boolean forgotten = guards.get(Keys.job(q.id())) > 0 && seen(q.id()) == null;
-            if (changed.contains(Keys.job(q.id())) || forgotten) {
+            boolean forgotten = guards.get(StoreSchema.job(q.id())) > 0 && seen(q.id()) == null;
+            if (changed.contains(StoreSchema.job(q.id())) || forgotten) {
                 // Done meanwhile, and its final state already crowded out of the cache: it has a
                 // record all the same.
                 read(q);
@@ -153,9 +153,11 @@
         try {
             unseen.add(
                     new Unseen(
-                            q, StateFormat.revision(new Tree(reply.body())), out.now.steadyMs()));
-        } catch (Tree.Missing e) {
-            out.later(q.request());
+                            q,
+                            StateFormat.revision(new FieldMap(reply.body())),
+                            out.now.steadyMs()));
+        } catch (FieldMap.Missing e) {
+            out.answerUnavailable(q.request());
         }
     }
 
@@ -167,7 +169,7 @@
                 u.question().then().accept(seen(u.question().id()));
             } else if (out.now.steadyMs() - u.sinceMs() > Tuning.UNSEEN_WAIT_MS) {
                 unseen.remove(u);
-                out.later(u.question().request());
+                out.answerUnavailable(u.question().request());
             }
         }
     }
@@ -184,7 +186,7 @@
         readingAlone++;
         boolean sent =
                 out.stateForUser(
-                        new StateOp.Get(Keys.job(q.id())),
+                        new StateOp.Get(StoreSchema.job(q.id())),
                         reply -> {
                             readingAlone--;
                             if (reply.status() == 404) {
@@ -192,20 +194,20 @@
                                 return;
                             }
                             if (reply.status() != 200) {
-                                out.later(q.request());
+                                out.answerUnavailable(q.request());
                                 return;
                             }
                             try {
-                                StateFormat.Entry e = StateFormat.entry(new Tree(reply.body()));
+                                StateFormat.Entry e = StateFormat.entry(new FieldMap(reply.body()));
                                 mirror.apply(e.key(), e.value(), e.version());
                                 q.then().accept(JobRecord.read(e.value()));
-                            } catch (Tree.Missing x) {
-                                out.later(q.request());
+                            } catch (FieldMap.Missing x) {
+                                out.answerUnavailable(q.request());
                             }
                         });
         if (!sent) {
             readingAlone--;
-            out.later(q.request());
+            out.answerUnavailable(q.request());
         }
     }
 }
--- a/src/main/java/org/shoreusher/core/EndedJobs.java
+++ b/src/main/java/org/shoreusher/core/EndedJobs.java
@@ -3,7 +3,7 @@
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
 import java.util.ArrayDeque;
-import org.shoreusher.core.Keys.JobRecord;
+import org.shoreusher.core.StoreSchema.JobRecord;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 
@@ -17,7 +17,7 @@
 
     private final Settings settings;
     private final Outbox out;
-    private final Mirror mirror;
+    private final StoreView mirror;
 
     /** Ended jobs, dropped from the mirror; a cache because the store has them for ever. */
     private final Cache<String, JobRecord> ended =
@@ -26,7 +26,7 @@
     /** Cancelled jobs that are yet in the view, the longest cancelled first. */
     private final ArrayDeque<Leaving> leaving = new ArrayDeque<>();
 
-    EndedJobs(Settings settings, Outbox out, Mirror mirror) {
+    EndedJobs(Settings settings, Outbox out, StoreView mirror) {
         this.settings = settings;
         this.out = out;
         this.mirror = mirror;
@@ -40,7 +40,7 @@
     /** A job has become done: its record moves from the mirror to the cache. */
     void done(String id, JobRecord record) {
         ended.put(id, record);
-        mirror.evict(Keys.job(id));
+        mirror.evict(StoreSchema.job(id));
     }
 
     /**
@@ -59,7 +59,7 @@
     void step() {
         while (!leaving.isEmpty() && leaving.peek().atMs() <= out.now.steadyMs()) {
             String id = leaving.poll().id();
-            Mirror.Entry entry = mirror.get(Keys.job(id));
+            StoreView.Entry entry = mirror.get(StoreSchema.job(id));
             if (entry != null) {
                 JobRecord record = JobRecord.read(entry.value());
                 ended.put(
@@ -71,7 +71,7 @@
                                 record.acceptedMs(),
                                 record.begun(),
                                 null));
-                mirror.evict(Keys.job(id));
+                mirror.evict(StoreSchema.job(id));
             }
         }
     }
--- a/src/main/java/org/shoreusher/core/FinalStates.java
+++ b/src/main/java/org/shoreusher/core/FinalStates.java
@@ -4,19 +4,19 @@
 import java.util.List;
 import java.util.Map;
 import org.shoreusher.core.Effect.StateOp;
-import org.shoreusher.core.Keys.JobRecord;
+import org.shoreusher.core.StoreSchema.JobRecord;
 
 /** Writes the final state of jobs whose last task has finished; users are told only after that. */
 final class FinalStates {
     private final Outbox out;
-    private final Mirror mirror;
+    private final StoreView mirror;
     private final Arrivals arrivals;
-    private final Holding holding;
+    private final PartOwnership holding;
 
     /** Jobs whose last task has finished and whose final state is not yet written. */
     private final List<Job> complete = new ArrayList<>();
 
-    FinalStates(Outbox out, Mirror mirror, Arrivals arrivals, Holding holding) {
+    FinalStates(Outbox out, StoreView mirror, Arrivals arrivals, PartOwnership holding) {
         this.out = out;
         this.mirror = mirror;
         this.arrivals = arrivals;
@@ -42,13 +42,14 @@
                 continue;
             }
             Map<String, Map<String, Object>> writes =
-                    Map.of(Keys.job(job.id), record.done().write());
+                    Map.of(StoreSchema.job(job.id), record.done().write());
             // A refusal means that the user's cancellation came first; the view will show it.
             job.finishing =
                     out.state(
                             new StateOp.Multi(
                                     holding.guards(
-                                            Keys.job(job.id), mirror.version(Keys.job(job.id))),
+                                            StoreSchema.job(job.id),
+                                            mirror.version(StoreSchema.job(job.id))),
                                     writes),
                             reply -> {
                                 job.finishing = false;
--- a/src/main/java/org/shoreusher/core/FinishedRecords.java
+++ b/src/main/java/org/shoreusher/core/FinishedRecords.java
@@ -11,7 +11,7 @@
 import java.util.function.IntFunction;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
-import org.shoreusher.wire.Tree;
+import org.shoreusher.wire.FieldMap;
 
 /**
  * The finished tasks of a part's open jobs, laid out in records below the value limit: record 0 is
@@ -197,7 +197,7 @@
         }
         Map<String, Object> out = new LinkedHashMap<>();
         wanted.forEach((id, set) -> out.put(id, TaskRanges.format(set)));
-        return Tree.jsonLength(out) > limit ? now : out;
+        return FieldMap.jsonLength(out) > limit ? now : out;
     }
 
     /** Notes what has become durable: the slices whose records hold them. */
--- a/src/main/java/org/shoreusher/core/Fleet.java
+++ b/src/main/java/org/shoreusher/core/Fleet.java
@@ -15,10 +15,10 @@
     private final Part part;
     private final Settings settings;
     private final Outbox out;
-    private final Types types;
+    private final MachineTypes types;
     private final Rentals rentals;
     private final MachineList list;
-    private final Standby standby;
+    private final StandbyCapacity standby;
     private final Retirement retirement;
     private final Returns returns;
 
@@ -29,14 +29,14 @@
     private double lacksCpus;
     private long nextPlanMs;
 
-    Fleet(Part part, Settings settings, Outbox out, Types types) {
+    Fleet(Part part, Settings settings, Outbox out, MachineTypes types) {
         this.part = part;
         this.settings = settings;
         this.out = out;
         this.types = types;
         rentals = new Rentals(part, settings, out, this);
         list = new MachineList(part, settings, out, types);
-        standby = new Standby(part, settings, types, rentals);
+        standby = new StandbyCapacity(part, settings, types, rentals);
         retirement = new Retirement(part, settings, out);
         returns = new Returns(part, out);
     }
--- a/src/main/java/org/shoreusher/core/Job.java
+++ b/src/main/java/org/shoreusher/core/Job.java
@@ -20,7 +20,7 @@
     final BitSet waiting = new BitSet();
 
     /** Where each live task is; tasks that are only being hunted down are not here. */
-    final Int2ObjectOpenHashMap<Live> live = new Int2ObjectOpenHashMap<>();
+    final Int2ObjectOpenHashMap<TaskAttempt> live = new Int2ObjectOpenHashMap<>();
 
     final ObjectOpenHashSet<String> failedOn = new ObjectOpenHashSet<>();
 
--- a/src/main/java/org/shoreusher/core/Machine.java
+++ b/src/main/java/org/shoreusher/core/Machine.java
@@ -94,7 +94,7 @@
     double cpusUsed;
     double gpusUsed;
     double memUsed;
-    final Object2ObjectOpenHashMap<String, Live> tasks = new Object2ObjectOpenHashMap<>();
+    final Object2ObjectOpenHashMap<String, TaskAttempt> tasks = new Object2ObjectOpenHashMap<>();
 
     /** Images its tasks have had, hence most likely cached. */
     final ObjectOpenHashSet<String> images = new ObjectOpenHashSet<>();
@@ -176,7 +176,7 @@
     }
 
     /** A stable copy, for callers that change the tasks as they go. */
-    List<Live> tasksNow() {
+    List<TaskAttempt> tasksNow() {
         return new ArrayList<>(tasks.values());
     }
 }
--- a/src/main/java/org/shoreusher/core/MachineIndex.java
+++ b/src/main/java/org/shoreusher/core/MachineIndex.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.BiConsumer;
-import org.shoreusher.core.Keys.MachineGroup;
-import org.shoreusher.core.Keys.MachineRecord;
+import org.shoreusher.core.StoreSchema.MachineGroup;
+import org.shoreusher.core.StoreSchema.MachineRecord;
 
 /**
  * Every recorded machine by its name, as this node's view of the store shows it. A machine may
@@ -37,7 +37,7 @@
      * A record of several machines has changed; {@code changed} is told of each machine that is new
      * or different by it.
      */
-    void changed(String key, Mirror.Entry after, BiConsumer<String, MachineRecord> changed) {
+    void changed(String key, StoreView.Entry after, BiConsumer<String, MachineRecord> changed) {
         Map<String, MachineRecord> now =
                 after == null ? Map.of() : MachineGroup.read(key, after.value()).machines();
         Set<String> touched = new HashSet<>(group(key).keySet());
@@ -58,8 +58,8 @@
     }
 
     private MachineRecord merged(String id) {
-        MachineRecord narrow = group(Keys.machine(id, false)).get(id);
-        MachineRecord wide = group(Keys.machine(id, true)).get(id);
+        MachineRecord narrow = group(StoreSchema.machine(id, false)).get(id);
+        MachineRecord wide = group(StoreSchema.machine(id, true)).get(id);
         return narrow == null ? wide : wide != null && wide.used() ? narrow.asUsed() : narrow;
     }
 }
--- a/src/main/java/org/shoreusher/core/MachineList.java
+++ b/src/main/java/org/shoreusher/core/MachineList.java
@@ -12,7 +12,7 @@
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 import org.shoreusher.wire.CloudFormat;
-import org.shoreusher.wire.Tree;
+import org.shoreusher.wire.FieldMap;
 
 /**
  * Reads the cloud's machine list, which lags: from it a part learns which of its machines are gone,
@@ -22,7 +22,7 @@
     private final Part part;
     private final Settings settings;
     private final Outbox out;
-    private final Types types;
+    private final MachineTypes types;
 
     /** Machines that lists show and no record does, with the moment they were first seen. */
     private final Object2LongOpenHashMap<String> strays = new Object2LongOpenHashMap<>();
@@ -36,7 +36,7 @@
     private long nextListMs;
     private boolean listing;
 
-    MachineList(Part part, Settings settings, Outbox out, Types types) {
+    MachineList(Part part, Settings settings, Outbox out, MachineTypes types) {
         this.part = part;
         this.settings = settings;
         this.out = out;
@@ -66,7 +66,7 @@
         readList(null, out.now, new ArrayList<>());
     }
 
-    private void readList(String after, Reading askedAt, List<Listed> soFar) {
+    private void readList(String after, ClockReading askedAt, List<Listed> soFar) {
         listing =
                 out.cloud(
                         new CloudOp.Listing(after),
@@ -83,7 +83,7 @@
                                 return;
                             }
                             try {
-                                ListPage page = CloudFormat.machines(new Tree(reply.body()));
+                                ListPage page = CloudFormat.machines(new FieldMap(reply.body()));
                                 soFar.addAll(page.machines());
                                 if (page.more() && !page.machines().isEmpty()) {
                                     readList(
@@ -93,13 +93,13 @@
                                 } else {
                                     listed(soFar, askedAt);
                                 }
-                            } catch (Tree.Missing e) {
+                            } catch (FieldMap.Missing e) {
                                 out.log("cloud: machine list not understood: " + e.getMessage());
                             }
                         });
     }
 
-    private void listed(List<Listed> all, Reading askedAt) {
+    private void listed(List<Listed> all, ClockReading askedAt) {
         Set<String> names = new HashSet<>();
         for (Listed l : all) {
             names.add(l.id());
--- a/src/main/java/org/shoreusher/core/MachineRecords.java
+++ b/src/main/java/org/shoreusher/core/MachineRecords.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.shoreusher.core.Effect.StateOp;
-import org.shoreusher.core.Keys.MachineGroup;
-import org.shoreusher.core.Keys.MachineRecord;
+import org.shoreusher.core.StoreSchema.MachineGroup;
+import org.shoreusher.core.StoreSchema.MachineRecord;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 
@@ -21,10 +21,10 @@
     private final int n;
     private final Settings settings;
     private final Outbox out;
-    private final Mirror mirror;
+    private final StoreView mirror;
     private final MachineIndex index;
-    private final Formats formats;
-    private final Holding holding;
+    private final MemberFormats formats;
+    private final PartOwnership holding;
     private final Map<String, Machine> machines;
     private final ObjectLinkedOpenHashSet<String> dirty = new ObjectLinkedOpenHashSet<>();
 
@@ -34,7 +34,8 @@
     private boolean recording;
     private long nextMs;
 
-    MachineRecords(int n, NodeContext context, Holding holding, Map<String, Machine> machines) {
+    MachineRecords(
+            int n, NodeContext context, PartOwnership holding, Map<String, Machine> machines) {
         this.n = n;
         settings = context.settings();
         out = context.out();
@@ -99,7 +100,7 @@
         Map<String, Map<String, MachineRecord>> groups = new LinkedHashMap<>();
         List<String> batch = new ArrayList<>();
         for (String id : dirty) {
-            String key = Keys.machine(id, settings.valueBytes());
+            String key = StoreSchema.machine(id, settings.valueBytes());
             Map<String, MachineRecord> group = groups.get(key);
             if (group == null) {
                 if (groups.size() >= Math.max(1, settings.txnOps() / 2)) {
@@ -164,8 +165,8 @@
      * gone.
      */
     private boolean standsElsewhere(String id) {
-        return index.group(Keys.machine(id, false)).containsKey(id)
-                || (index.group(Keys.machine(id, true)).get(id).part() == n
+        return index.group(StoreSchema.machine(id, false)).containsKey(id)
+                || (index.group(StoreSchema.machine(id, true)).get(id).part() == n
                         && !machines.containsKey(id));
     }
 
@@ -178,7 +179,7 @@
             return;
         }
         for (String id : dirty.toArray(new String[0])) {
-            String wide = Keys.machine(id, true);
+            String wide = StoreSchema.machine(id, true);
             if (index.group(wide).containsKey(id) && splitting.add(wide)) {
                 index.group(wide)
                         .forEach(
@@ -208,7 +209,8 @@
                 continue;
             } else if (m == null
                     && record != null
-                    && !index.group(Keys.machine(id, settings.valueBytes())).containsKey(id)) {
+                    && !index.group(StoreSchema.machine(id, settings.valueBytes()))
+                            .containsKey(id)) {
                 // Gone, and only its wide group still has it, which is on its way out.
                 continue;
             } else if (record == null ? m != null : !record.equals(wanted(id))) {
--- a/src/main/java/org/shoreusher/core/Types.java
+++ b/src/main/java/org/shoreusher/core/MachineTypes.java
@@ -10,22 +10,22 @@
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 import org.shoreusher.wire.CloudFormat;
-import org.shoreusher.wire.Tree;
+import org.shoreusher.wire.FieldMap;
 
 /**
  * The machine types. The first node that learns them from the cloud stores the answer, so that a
  * node that restarts while the cloud's interface is down knows them from the state service.
  */
-final class Types {
+final class MachineTypes {
     private final Settings settings;
     private final Outbox out;
-    private final Mirror mirror;
+    private final StoreView mirror;
     private final Object2ObjectOpenHashMap<String, MachineType> types =
             new Object2ObjectOpenHashMap<>();
     private boolean busy;
     private long nextMs;
 
-    Types(Settings settings, Outbox out, Mirror mirror) {
+    MachineTypes(Settings settings, Outbox out, StoreView mirror) {
         this.settings = settings;
         this.out = out;
         this.mirror = mirror;
@@ -59,11 +59,12 @@
         }
         nextMs = out.now.steadyMs() + Tuning.FLAVORS_EVERY_MS;
         boolean first =
-                mirror.get(Keys.TYPES) == null
-                        && Tree.jsonLength(reply.body()) <= settings.valueBytes();
+                mirror.get(StoreSchema.TYPES) == null
+                        && FieldMap.jsonLength(reply.body()) <= settings.valueBytes();
         if (read(reply.body()) && first) {
             out.state(
-                    new StateOp.Multi(Map.of(Keys.TYPES, 0L), Map.of(Keys.TYPES, reply.body())),
+                    new StateOp.Multi(
+                            Map.of(StoreSchema.TYPES, 0L), Map.of(StoreSchema.TYPES, reply.body())),
                     stored -> {});
         }
     }
@@ -77,10 +78,10 @@
 
     private boolean read(Map<String, Object> body) {
         try {
-            List<MachineType> list = CloudFormat.types(new Tree(body));
+            List<MachineType> list = CloudFormat.types(new FieldMap(body));
             list.forEach(t -> types.put(t.name(), t));
             return !list.isEmpty();
-        } catch (Tree.Missing e) {
+        } catch (FieldMap.Missing e) {
             out.log("cloud: types not understood: " + e.getMessage());
             return false;
         }
--- a/src/main/java/org/shoreusher/core/Formats.java
+++ b/src/main/java/org/shoreusher/core/MemberFormats.java
@@ -15,7 +15,7 @@
  * <p>A member that goes back to the old version after its note can't be told by the note alone. It
  * shows when it takes a part: the fence then names a process of that host that has written no note.
  */
-final class Formats {
+final class MemberFormats {
     /**
      * The first with services, narrow groups of machines, and finished tasks of a job in several
      * records.
@@ -27,7 +27,7 @@
 
     private final Settings settings;
     private final Outbox out;
-    private final Mirror mirror;
+    private final StoreView mirror;
     private final String process;
     private final int parts;
     private boolean writing;
@@ -39,7 +39,7 @@
     /**
      * @param process the name of this process, which no other has ever had
      */
-    Formats(Settings settings, Outbox out, Mirror mirror, String process, int parts) {
+    MemberFormats(Settings settings, Outbox out, StoreView mirror, String process, int parts) {
         this.settings = settings;
         this.out = out;
         this.mirror = mirror;
@@ -59,13 +59,13 @@
     }
 
     private boolean noted() {
-        Mirror.Entry note = mirror.get(Keys.node(settings.host()));
+        StoreView.Entry note = mirror.get(StoreSchema.node(settings.host()));
         return note != null && process.equals(note.value().get(PROCESS));
     }
 
     private void note() {
         nextMs = out.now.steadyMs() + Tuning.STATE_RETRY_MS;
-        String key = Keys.node(settings.host());
+        String key = StoreSchema.node(settings.host());
         Map<String, Map<String, Object>> writes =
                 Map.of(key, Map.of(FORMATS, SERVICES, PROCESS, process));
         writing =
@@ -90,7 +90,7 @@
     }
 
     private long understood(String host) {
-        Mirror.Entry note = mirror.get(Keys.node(host));
+        StoreView.Entry note = mirror.get(StoreSchema.node(host));
         if (note == null || !(note.value().get(FORMATS) instanceof Number formats)) {
             return 1;
         }
@@ -101,10 +101,10 @@
      * Whether a process of the host that has not noted itself took a part after the last note. Each
      * new process writes its note at its start, so a later owner without one is of an old version.
      */
-    private boolean wentBack(String host, Mirror.Entry note) {
+    private boolean wentBack(String host, StoreView.Entry note) {
         Object noted = note.value().get(PROCESS);
         for (int n = 0; n < parts && noted != null; n++) {
-            Mirror.Entry fence = mirror.get(Keys.fence(n));
+            StoreView.Entry fence = mirror.get(StoreSchema.fence(n));
             if (fence != null
                     && fence.version() > note.version()
                     && fence.value().get("owner") instanceof String owner
--- a/src/main/java/org/shoreusher/core/Node.java
+++ b/src/main/java/org/shoreusher/core/Node.java
@@ -4,10 +4,10 @@
 import java.util.List;
 import java.util.Map;
 import org.shoreusher.core.Hint.PartHint;
-import org.shoreusher.core.Keys.JobRecord;
-import org.shoreusher.core.Keys.JobStatus;
-import org.shoreusher.core.Keys.MachineRecord;
-import org.shoreusher.core.Keys.PartRecord;
+import org.shoreusher.core.StoreSchema.JobRecord;
+import org.shoreusher.core.StoreSchema.JobStatus;
+import org.shoreusher.core.StoreSchema.MachineRecord;
+import org.shoreusher.core.StoreSchema.PartRecord;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 import org.shoreusher.wire.WorkerFormat;
@@ -20,13 +20,13 @@
 public final class Node {
     private final Settings settings;
     private final Outbox out;
-    private final Mirror mirror;
+    private final StoreView mirror;
     private final MachineIndex index = new MachineIndex();
     private final Arrivals arrivals;
-    private final Types types;
-    private final Formats formats;
+    private final MachineTypes types;
+    private final MemberFormats formats;
     private final Parts parts;
-    private final UserDesk desk;
+    private final UserRequests desk;
     private final PeerHints peers;
 
     /** CPUs of jobs dealt to each part since the last hints went round. */
@@ -41,10 +41,10 @@
         this.settings = settings;
         dealt = new double[count];
         out = new Outbox(settings, count);
-        mirror = new Mirror(out, settings, this::changed);
+        mirror = new StoreView(out, settings, this::changed);
         arrivals = new Arrivals(settings, out, mirror);
-        types = new Types(settings, out, mirror);
-        formats = new Formats(settings, out, mirror, owner, count);
+        types = new MachineTypes(settings, out, mirror);
+        formats = new MemberFormats(settings, out, mirror, owner, count);
         peers = new PeerHints(settings, out, count, this::ownedPart);
         parts =
                 new Parts(
@@ -53,7 +53,7 @@
                         peers,
                         owner);
         desk =
-                new UserDesk(
+                new UserRequests(
                         settings,
                         out,
                         mirror,
@@ -70,7 +70,7 @@
     }
 
     /** Works through a batch; the effects are to be carried out in order, at once. */
-    public List<Effect> step(Reading now, List<Command> batch) {
+    public List<Effect> step(ClockReading now, List<Command> batch) {
         out.now = now;
         peers.started();
         for (Command command : batch) {
@@ -102,7 +102,7 @@
             if (ready()) {
                 out.answer(r.request(), 200, Map.of());
             } else {
-                out.later(r.request());
+                out.answerUnavailable(r.request());
             }
         } else if (command instanceof Command.CloudReply r) {
             out.replied(r);
@@ -133,11 +133,11 @@
         }
         PartRecord record = mirror.loaded() ? parts.record(n) : null;
         if (record == null) {
-            out.later(r.request());
+            out.answerUnavailable(r.request());
         } else if (record.host().equals(settings.host()) || peers.suspect(record)) {
             String host = peers.meanwhile(record.host());
             if (host == null) {
-                out.later(r.request());
+                out.answerUnavailable(r.request());
             } else {
                 out.answer(r.request(), 421, WorkerFormat.elsewhere(host));
             }
@@ -164,27 +164,27 @@
         return parts.partOf(machine);
     }
 
-    private void changed(String key, Mirror.Entry before, Mirror.Entry after) {
-        if (key.startsWith(Keys.JOB)) {
+    private void changed(String key, StoreView.Entry before, StoreView.Entry after) {
+        if (key.startsWith(StoreSchema.JOB)) {
             if (after != null) {
-                String id = key.substring(Keys.JOB.length());
+                String id = key.substring(StoreSchema.JOB.length());
                 arrivals.settled(id);
                 jobChanged(id, JobRecord.read(after.value()));
             }
-        } else if (key.startsWith(Keys.ARRIVED)) {
+        } else if (key.startsWith(StoreSchema.ARRIVED)) {
             arrivals.changed(key, after, this::jobChanged);
-        } else if (key.startsWith(Keys.PART)
-                && key.indexOf('/', Keys.PART.length()) < 0
+        } else if (key.startsWith(StoreSchema.PART)
+                && key.indexOf('/', StoreSchema.PART.length()) < 0
                 && after != null) {
-            int n = Integer.parseInt(key.substring(Keys.PART.length()));
+            int n = Integer.parseInt(key.substring(StoreSchema.PART.length()));
             PartRecord record = PartRecord.read(after.value());
             if (before == null || !PartRecord.read(before.value()).owner().equals(record.owner())) {
                 peers.ownerChanged(n);
             }
             parts.recordChanged(n, record);
-        } else if (key.startsWith(Keys.MACHINE)) {
+        } else if (key.startsWith(StoreSchema.MACHINE)) {
             index.changed(key, after, this::machineChanged);
-        } else if (key.equals(Keys.TYPES) && after != null) {
+        } else if (key.equals(StoreSchema.TYPES) && after != null) {
             types.stored(after.value());
         }
     }
@@ -217,12 +217,12 @@
 
     // ---- hints -------------------------------------------------------------------------------
 
-    private UserDesk.Counts counts(String id) {
+    private UserRequests.Counts counts(String id) {
         for (int n = 0; n < parts.count(); n++) {
             Part part = parts.owned(n);
             Job job = part == null ? null : part.jobs().get(id);
             if (job != null) {
-                return new UserDesk.Counts(job.done.cardinality(), job.live.size());
+                return new UserRequests.Counts(job.done.cardinality(), job.live.size());
             }
         }
         return peers.counts(id);
--- a/src/main/java/org/shoreusher/core/NodeContext.java
+++ b/src/main/java/org/shoreusher/core/NodeContext.java
@@ -6,8 +6,8 @@
 record NodeContext(
         Settings settings,
         Outbox out,
-        Mirror mirror,
+        StoreView mirror,
         Arrivals arrivals,
         MachineIndex index,
-        Types types,
-        Formats formats) {}
+        MachineTypes types,
+        MemberFormats formats) {}
--- a/src/main/java/org/shoreusher/core/Neighbours.java
+++ b/src/main/java/org/shoreusher/core/OtherParts.java
@@ -6,14 +6,14 @@
 import org.shoreusher.core.Hint.PartHint;
 
 /** How a part stands beside the others: what it tells them, and what their hints tell of them. */
-final class Neighbours {
+final class OtherParts {
     private final int n;
     private final int parts;
     private final Part.Others others;
     private final Map<String, Job> jobs;
     private final Map<String, Machine> machines;
 
-    Neighbours(
+    OtherParts(
             int n,
             int parts,
             Part.Others others,
--- a/src/main/java/org/shoreusher/core/Outbox.java
+++ b/src/main/java/org/shoreusher/core/Outbox.java
@@ -30,7 +30,7 @@
     private long nextCall = 1;
     private long stateAnsweredAt = Long.MIN_VALUE / 2;
     private long stateFailedAt = Long.MIN_VALUE / 2;
-    Reading now = new Reading(0, 0);
+    ClockReading now = new ClockReading(0, 0);
 
     Outbox(Settings s, int parts) {
         int owners = Math.min(s.nodes(), parts);
@@ -85,7 +85,7 @@
      * Tells at once that the request can't be taken, and when to come back: not all at the same
      * time.
      */
-    void later(long request) {
+    void answerUnavailable(long request) {
         effects.add(new Effect.Answer(request, 503, Map.of(), Tuning.retryAfterS(request)));
     }
 
--- a/src/main/java/org/shoreusher/core/Part.java
+++ b/src/main/java/org/shoreusher/core/Part.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Map;
 import org.shoreusher.core.Hint.PartHint;
-import org.shoreusher.core.Keys.JobRecord;
-import org.shoreusher.core.Keys.JobStatus;
-import org.shoreusher.core.Keys.MachineRecord;
+import org.shoreusher.core.StoreSchema.JobRecord;
+import org.shoreusher.core.StoreSchema.JobStatus;
+import org.shoreusher.core.StoreSchema.MachineRecord;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 
@@ -47,9 +47,9 @@
     private final Quota quota;
     private final Settings settings;
     private final Outbox out;
-    private final Mirror mirror;
-    private final Types types;
-    private final Holding holding;
+    private final StoreView mirror;
+    private final MachineTypes types;
+    private final PartOwnership holding;
     private final Fleet fleet;
     private final Estimates estimates = new Estimates();
     private final Urgency urgency;
@@ -57,11 +57,11 @@
             new Object2ObjectLinkedOpenHashMap<>();
     private final Object2ObjectOpenHashMap<String, Machine> machines =
             new Object2ObjectOpenHashMap<>();
-    private final TaskBook book = new TaskBook();
+    private final ResourceLedger book = new ResourceLedger();
     private final Arrivals arrivals;
     private final MachineIndex index;
     private final MachineRecords records;
-    private final Neighbours neighbours;
+    private final OtherParts neighbours;
     private final StartMarks marks;
     private final Reports reports;
 
@@ -73,7 +73,7 @@
     private long nextWalkMs;
     private long nextStatusMs;
 
-    Part(int n, int parts, NodeContext context, Others others, Holding holding) {
+    Part(int n, int parts, NodeContext context, Others others, PartOwnership holding) {
         this.n = n;
         this.parts = parts;
         this.others = others;
@@ -88,7 +88,7 @@
         this.records = new MachineRecords(n, context, holding, machines);
         this.urgency = new Urgency(settings, estimates);
         this.fleet = new Fleet(this, settings, out, types);
-        this.neighbours = new Neighbours(n, parts, others, jobs, machines);
+        this.neighbours = new OtherParts(n, parts, others, jobs, machines);
         this.marks = new StartMarks(n, parts, context, holding, jobs);
         this.finalStates = new FinalStates(out, mirror, arrivals, holding);
         this.stops = new TaskStops(this, out);
@@ -107,7 +107,7 @@
         return reports;
     }
 
-    Neighbours neighbours() {
+    OtherParts neighbours() {
         return neighbours;
     }
 
@@ -128,7 +128,7 @@
         return fleet;
     }
 
-    Holding holding() {
+    PartOwnership holding() {
         return holding;
     }
 
@@ -365,8 +365,8 @@
         job.closed = true;
         job.waiting.clear();
         job.waitingCount = 0;
-        for (Live live : new ArrayList<>(job.live.values())) {
-            live.doomed = true;
+        for (TaskAttempt live : new ArrayList<>(job.live.values())) {
+            live.mustStop = true;
             stops.halt(live, 0);
         }
     }
--- a/src/main/java/org/shoreusher/core/PartLease.java
+++ b/src/main/java/org/shoreusher/core/PartLease.java
@@ -77,7 +77,7 @@
     }
 
     /** The store confirmed an expiry that was written at the given moment. */
-    void confirmed(long expiryWall, Reading writtenAt) {
+    void confirmed(long expiryWall, ClockReading writtenAt) {
         expiryWallMs = expiryWall;
         steadyEndMs =
                 writtenAt.steadyMs()
@@ -89,22 +89,22 @@
     }
 
     /** Whether the owner may give commands. */
-    boolean holds(Reading now) {
+    boolean holds(ClockReading now) {
         return left(now) > 0;
     }
 
     /** Whether the owner may at least keep its workers' leases alive. */
-    boolean keepsAlive(Reading now) {
+    boolean keepsAlive(ClockReading now) {
         return left(now) + graceMs > 0;
     }
 
-    private long left(Reading now) {
+    private long left(ClockReading now) {
         return Math.min(
                 expiryWallMs - slackMs - now.wallMs(), steadyEndMs - slackMs - now.steadyMs());
     }
 
     /** Whether a taker may take a part whose record shows this expiry. */
-    static boolean free(Settings s, long expiryWall, Reading now) {
+    static boolean free(Settings s, long expiryWall, ClockReading now) {
         return now.wallMs() > expiryWall + s.clockOffMs() + Tuning.LEASE_MARGIN_MS;
     }
 }
--- a/src/main/java/org/shoreusher/core/Holding.java
+++ b/src/main/java/org/shoreusher/core/PartOwnership.java
@@ -5,21 +5,21 @@
 import java.util.function.Supplier;
 import org.shoreusher.core.Command.StateReply;
 import org.shoreusher.core.Effect.StateOp;
-import org.shoreusher.core.Keys.PartRecord;
+import org.shoreusher.core.StoreSchema.PartRecord;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
+import org.shoreusher.wire.FieldMap;
 import org.shoreusher.wire.StateFormat;
-import org.shoreusher.wire.Tree;
 
 /**
  * The hold on one part: its lease, its term, and the fence that guards every write for it. Once
  * lost it is lost for good; a part taken again gets a new one.
  */
-final class Holding {
+final class PartOwnership {
     private final int n;
     private final Settings settings;
     private final Outbox out;
-    private final Mirror mirror;
+    private final StoreView mirror;
     private final String owner;
     private final PartLease lease;
     private final long fenceVersion;
@@ -44,13 +44,13 @@
      * @param writtenAt when the takeover was sent
      * @param version the revision at which it was applied
      */
-    Holding(
+    PartOwnership(
             int n,
             Settings settings,
             Outbox out,
-            Mirror mirror,
+            StoreView mirror,
             PartRecord record,
-            Reading writtenAt,
+            ClockReading writtenAt,
             long version) {
         this.n = n;
         this.settings = settings;
@@ -106,7 +106,7 @@
     }
 
     Map<String, Long> fence() {
-        return Map.of(Keys.fence(n), fenceVersion);
+        return Map.of(StoreSchema.fence(n), fenceVersion);
     }
 
     /** Whether the view shows all that was written up to the renewal that ended the last lapse. */
@@ -133,14 +133,14 @@
         if (renewing || out.now.steadyMs() < nextRenewMs) {
             return;
         }
-        Reading sentAt = out.now;
+        ClockReading sentAt = out.now;
         long expiry = Math.max(lease.expiryWallMs(), sentAt.wallMs() + PartLease.leaseMs(settings));
         FinishedRecords records = finished.get();
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
         PartRecord record =
                 new PartRecord(
                         owner, expiry, term, records == null ? doneInStore() : records.chunk(0));
-        writes.put(Keys.part(n), record.write());
+        writes.put(StoreSchema.part(n), record.write());
         // In turns: with many jobs every chunk changes between heartbeats, and the last ones must
         // become durable as well.
         int spilled = records == null ? 0 : records.chunks() - 1;
@@ -150,14 +150,14 @@
                 i++) {
             int c = 1 + (from + i - 1) % spilled;
             Map<String, Object> done = records.chunk(c);
-            if (!done.equals(storedDone(c)) || mirror.get(Keys.done(n, c)) == null) {
-                writes.put(Keys.done(n, c), Map.of("done", done));
+            if (!done.equals(storedDone(c)) || mirror.get(StoreSchema.done(n, c)) == null) {
+                writes.put(StoreSchema.done(n, c), Map.of("done", done));
                 lastChunk = c;
             }
         }
         renewing =
                 out.renewal(
-                        new StateOp.Multi(guards(Keys.part(n), recordVersion), writes),
+                        new StateOp.Multi(guards(StoreSchema.part(n), recordVersion), writes),
                         reply -> {
                             renewing = false;
                             renewed(reply, record, sentAt, records, writes);
@@ -172,23 +172,23 @@
         if (chunk == 0) {
             return doneInStore();
         }
-        Mirror.Entry entry = mirror.get(Keys.done(n, chunk));
+        StoreView.Entry entry = mirror.get(StoreSchema.done(n, chunk));
         try {
-            return entry == null ? Map.of() : new Tree(entry.value()).map("done").asMap();
-        } catch (Tree.Missing e) {
+            return entry == null ? Map.of() : new FieldMap(entry.value()).map("done").asMap();
+        } catch (FieldMap.Missing e) {
             throw new IllegalStateException(
                     "a record of finished tasks of this service can't be read: " + e.getMessage());
         }
     }
 
     private Map<String, Object> doneInStore() {
-        return PartRecord.read(mirror.get(Keys.part(n)).value()).done();
+        return PartRecord.read(mirror.get(StoreSchema.part(n)).value()).done();
     }
 
     /** Guards for a write on one key: its version, and the fence that dies with this ownership. */
     Map<String, Long> guards(String key, long version) {
         Map<String, Long> guards = new LinkedHashMap<>();
-        guards.put(Keys.fence(n), fenceVersion);
+        guards.put(StoreSchema.fence(n), fenceVersion);
         guards.put(key, version);
         return guards;
     }
@@ -196,7 +196,7 @@
     private void renewed(
             StateReply reply,
             PartRecord record,
-            Reading sentAt,
+            ClockReading sentAt,
             FinishedRecords records,
             Map<String, Map<String, Object>> writes) {
         if (lost) {
@@ -226,18 +226,18 @@
             // Either somebody took the part, or an earlier renewal without an answer was applied.
             renewing =
                     out.renewal(
-                            new StateOp.Multi(Map.of(Keys.fence(n), fenceVersion), Map.of()),
+                            new StateOp.Multi(Map.of(StoreSchema.fence(n), fenceVersion), Map.of()),
                             fence -> {
                                 renewing = false;
                                 if (fence.status() == 409) {
                                     lose("its fence has changed");
                                 }
                             });
-            out.state(new StateOp.Get(Keys.part(n)), this::rereadRecord);
+            out.state(new StateOp.Get(StoreSchema.part(n)), this::rereadRecord);
         }
     }
 
-    private void confirmed(long expiryMs, Reading writtenAt) {
+    private void confirmed(long expiryMs, ClockReading writtenAt) {
         if (!holds()) {
             viewNeeded = recordVersion;
         }
@@ -249,7 +249,7 @@
             return;
         }
         try {
-            StateFormat.Entry e = StateFormat.entry(new Tree(reply.body()));
+            StateFormat.Entry e = StateFormat.entry(new FieldMap(reply.body()));
             PartRecord record = PartRecord.read(e.value());
             if (!record.owner().equals(owner)) {
                 lose("taken by " + record.owner());
@@ -259,7 +259,7 @@
                 confirmed(record.expiryMs(), out.now);
                 nextRenewMs = out.now.steadyMs();
             }
-        } catch (Tree.Missing x) {
+        } catch (FieldMap.Missing x) {
             out.log("state: part record not understood: " + x.getMessage());
         }
     }
@@ -269,15 +269,15 @@
         if (renewing || !holds()) {
             return;
         }
-        Mirror.Entry counter = mirror.get(Keys.TERM);
+        StoreView.Entry counter = mirror.get(StoreSchema.TERM);
         long counted = counter == null ? 0 : ((Number) counter.value().get("term")).longValue();
         long next = Math.max(counted, above) + 1;
-        Map<String, Long> guards = guards(Keys.part(n), recordVersion);
-        guards.put(Keys.TERM, counter == null ? 0 : counter.version());
+        Map<String, Long> guards = guards(StoreSchema.part(n), recordVersion);
+        guards.put(StoreSchema.TERM, counter == null ? 0 : counter.version());
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
         PartRecord record = new PartRecord(owner, lease.expiryWallMs(), next, doneInStore());
-        writes.put(Keys.part(n), record.write());
-        writes.put(Keys.TERM, Map.of("term", next));
+        writes.put(StoreSchema.part(n), record.write());
+        writes.put(StoreSchema.TERM, Map.of("term", next));
         renewing =
                 out.renewal(
                         new StateOp.Multi(guards, writes),
@@ -319,7 +319,8 @@
         PartRecord record = new PartRecord(owner, 0, term, done.chunk(0));
         if (out.renewal(
                 new StateOp.Multi(
-                        guards(Keys.part(n), recordVersion), Map.of(Keys.part(n), record.write())),
+                        guards(StoreSchema.part(n), recordVersion),
+                        Map.of(StoreSchema.part(n), record.write())),
                 reply -> {})) {
             lose("released: " + why);
         }
--- a/src/main/java/org/shoreusher/core/Parts.java
+++ b/src/main/java/org/shoreusher/core/Parts.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.Map;
 import org.shoreusher.core.Effect.StateOp;
-import org.shoreusher.core.Keys.PartRecord;
+import org.shoreusher.core.StoreSchema.PartRecord;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
-import org.shoreusher.wire.Tree;
+import org.shoreusher.wire.FieldMap;
 
 /** Takes parts that are free, deals them out evenly, and holds those this node owns. */
 final class Parts {
@@ -26,7 +26,7 @@
 
     private final Settings settings;
     private final Outbox out;
-    private final Mirror mirror;
+    private final StoreView mirror;
     private final NodeContext context;
     private final String owner;
     private final Peers peers;
@@ -69,7 +69,7 @@
 
     /** The record of a part as this node sees it, or null. */
     PartRecord record(int n) {
-        Mirror.Entry e = mirror.get(Keys.part(n));
+        StoreView.Entry e = mirror.get(StoreSchema.part(n));
         return e == null ? null : PartRecord.read(e.value());
     }
 
@@ -156,8 +156,8 @@
                 settings,
                 id -> {
                     BitSet covered = new BitSet();
-                    for (int c = 1; mirror.get(Keys.done(n, c)) != null; c++) {
-                        if (mirror.get(Keys.done(n, c)).value().get("done")
+                    for (int c = 1; mirror.get(StoreSchema.done(n, c)) != null; c++) {
+                        if (mirror.get(StoreSchema.done(n, c)).value().get("done")
                                         instanceof Map<?, ?> done
                                 && done.get(id) instanceof String ranges) {
                             covered.or(TaskRanges.parse(ranges));
@@ -174,15 +174,16 @@
      */
     private void spill(int n, List<Map<String, Object>> pieces) {
         Map<String, Long> guards =
-                new LinkedHashMap<>(Map.of(Keys.part(n), mirror.version(Keys.part(n))));
+                new LinkedHashMap<>(
+                        Map.of(StoreSchema.part(n), mirror.version(StoreSchema.part(n))));
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
         int c = 1;
-        while (mirror.get(Keys.done(n, c)) != null) {
+        while (mirror.get(StoreSchema.done(n, c)) != null) {
             c++;
         }
         for (int i = 0; i < pieces.size() && i < settings.txnOps(); i++) {
-            guards.put(Keys.done(n, c + i), 0L);
-            writes.put(Keys.done(n, c + i), Map.of("done", pieces.get(i)));
+            guards.put(StoreSchema.done(n, c + i), 0L);
+            writes.put(StoreSchema.done(n, c + i), Map.of("done", pieces.get(i)));
         }
         taking =
                 out.renewal(
@@ -200,16 +201,16 @@
         nextTakeMs = out.now.steadyMs() + Tuning.TAKE_PAUSE_MS;
         boolean tooLong =
                 before != null
-                        && Tree.jsonLength(before.write())
+                        && FieldMap.jsonLength(before.write())
                                 > settings.valueBytes() * Tuning.RECORD_FILL;
         List<Map<String, Object>> pieces = tooLong ? uncovered(n, before) : List.of();
         if (!pieces.isEmpty()) {
             spill(n, pieces);
             return;
         }
-        Mirror.Entry counter = mirror.get(Keys.TERM);
+        StoreView.Entry counter = mirror.get(StoreSchema.TERM);
         long term = 1 + (counter == null ? 0 : ((Number) counter.value().get("term")).longValue());
-        Reading sentAt = out.now;
+        ClockReading sentAt = out.now;
         PartRecord record =
                 new PartRecord(
                         owner,
@@ -217,12 +218,12 @@
                         term,
                         before == null || tooLong ? Map.of() : before.done());
         Map<String, Long> guards = new LinkedHashMap<>();
-        guards.put(Keys.part(n), mirror.version(Keys.part(n)));
-        guards.put(Keys.TERM, mirror.version(Keys.TERM));
+        guards.put(StoreSchema.part(n), mirror.version(StoreSchema.part(n)));
+        guards.put(StoreSchema.TERM, mirror.version(StoreSchema.TERM));
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
-        writes.put(Keys.part(n), record.write());
-        writes.put(Keys.fence(n), Map.of("owner", owner, "term", term));
-        writes.put(Keys.TERM, Map.of("term", term));
+        writes.put(StoreSchema.part(n), record.write());
+        writes.put(StoreSchema.fence(n), Map.of("owner", owner, "term", term));
+        writes.put(StoreSchema.TERM, Map.of("term", term));
         taking =
                 out.renewal(
                         new StateOp.Multi(guards, writes),
@@ -236,7 +237,7 @@
                                                 owned.length,
                                                 context,
                                                 peers,
-                                                new Holding(
+                                                new PartOwnership(
                                                         n, settings, out, mirror, record, sentAt,
                                                         revision));
                                 nextTakeMs = out.now.steadyMs();
--- a/src/main/java/org/shoreusher/core/PeerHints.java
+++ b/src/main/java/org/shoreusher/core/PeerHints.java
@@ -5,7 +5,7 @@
 import java.util.HashMap;
 import java.util.function.IntFunction;
 import org.shoreusher.core.Hint.PartHint;
-import org.shoreusher.core.Keys.PartRecord;
+import org.shoreusher.core.StoreSchema.PartRecord;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 
@@ -30,14 +30,14 @@
     private long saidStateAwayMs;
 
     /** Workers that have come here from the part's owner, by part. */
-    private final Returners[] returners;
+    private final RedirectedWorkers[] returners;
 
     PeerHints(Settings settings, Outbox out, int parts, IntFunction<Part> ownParts) {
         this.settings = settings;
         this.out = out;
         this.ownParts = ownParts;
-        returners = new Returners[parts];
-        Arrays.setAll(returners, n -> new Returners());
+        returners = new RedirectedWorkers[parts];
+        Arrays.setAll(returners, n -> new RedirectedWorkers());
     }
 
     /** Notes the time of the first batch. */
@@ -71,14 +71,14 @@
     }
 
     /** Counts for display of a job that another node's part has; zeros if no hint names it. */
-    UserDesk.Counts counts(String id) {
+    UserRequests.Counts counts(String id) {
         for (Hint h : hints.values()) {
             if (h.running().containsKey(id) || h.done().containsKey(id)) {
-                return new UserDesk.Counts(
+                return new UserRequests.Counts(
                         h.done().getOrDefault(id, 0), h.running().getOrDefault(id, 0));
             }
         }
-        return new UserDesk.Counts(0, 0);
+        return new UserRequests.Counts(0, 0);
     }
 
     /**
--- a/src/main/java/org/shoreusher/core/Preemption.java
+++ b/src/main/java/org/shoreusher/core/Preemption.java
@@ -13,22 +13,22 @@
  */
 final class Preemption {
     private final Object2DoubleOpenHashMap<String> teamRelief = new Object2DoubleOpenHashMap<>();
-    private final List<Live> victims = new ArrayList<>();
-    private final List<Live> chosen = new ArrayList<>();
+    private final List<TaskAttempt> victims = new ArrayList<>();
+    private final List<TaskAttempt> chosen = new ArrayList<>();
     private final Urgency urgency;
-    private final Reading now;
+    private final ClockReading now;
     private double relief;
 
-    Preemption(Part part, Urgency urgency, Reading now) {
+    Preemption(Part part, Urgency urgency, ClockReading now) {
         this.urgency = urgency;
         this.now = now;
         for (Machine m : part.machines().values()) {
-            for (Live live : m.tasks.values()) {
-                if (live.stopping || live.doomed) {
+            for (TaskAttempt live : m.tasks.values()) {
+                if (live.stopping || live.mustStop) {
                     teamRelief.addTo(live.job.spec.team(), live.job.spec.cpus());
                     relief += live.job.spec.cpus();
                 } else if (live.job.spec.checkpointS() > 0
-                        && live.state == Live.State.RUNNING
+                        && live.state == TaskAttempt.State.RUNNING
                         && now.steadyMs() - live.sinceMs > Tuning.START_COUNTS_MS
                         && part.available(m)
                         && urgency.canSpare(live.job, now.wallMs())) {
@@ -38,7 +38,7 @@
         }
         // The one that has run shortest has the most left to run, so stopping it frees the most.
         victims.sort(
-                Comparator.comparing((Live l) -> l.job.spec.priority())
+                Comparator.comparing((TaskAttempt l) -> l.job.spec.priority())
                         .reversed()
                         .thenComparing(l -> -l.runningSinceMs)
                         .thenComparing(l -> l.job.id)
@@ -46,7 +46,7 @@
     }
 
     /** Chooses for the jobs in order; {@code planner} has the room that is free now. */
-    List<Live> choose(List<Job> ordered, Planner planner) {
+    List<TaskAttempt> choose(List<Job> ordered, Planner planner) {
         for (Job job : ordered) {
             boolean high = job.spec.priority().compareTo(JobSpec.Priority.HIGH) <= 0;
             if (job.suspect()
@@ -77,7 +77,7 @@
     private void take(JobSpec forJob, double cpus, String team) {
         double left = cpus;
         for (int i = 0; i < victims.size() && left > 0; i++) {
-            Live v = victims.get(i);
+            TaskAttempt v = victims.get(i);
             JobSpec spec = v.job.spec;
             if (spec.priority().compareTo(forJob.priority()) > 0
                     && (team == null || spec.team().equals(team))
--- a/src/main/java/org/shoreusher/core/Quota.java
+++ b/src/main/java/org/shoreusher/core/Quota.java
@@ -8,7 +8,7 @@
 import java.util.function.Function;
 import org.shoreusher.core.Effect.StateOp;
 import org.shoreusher.core.Hint.Claim;
-import org.shoreusher.core.Keys.QuotaRecord;
+import org.shoreusher.core.StoreSchema.QuotaRecord;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 
@@ -27,7 +27,7 @@
     private final int parts;
     private final Settings settings;
     private final Outbox out;
-    private final Mirror mirror;
+    private final StoreView mirror;
     private final Map<String, Long> fence;
 
     /** Gives whose fate is open; until it is known, the part keeps to what would be left. */
@@ -42,7 +42,13 @@
     private boolean creating;
     private long nextMs;
 
-    Quota(int n, int parts, Settings settings, Outbox out, Mirror mirror, Map<String, Long> fence) {
+    Quota(
+            int n,
+            int parts,
+            Settings settings,
+            Outbox out,
+            StoreView mirror,
+            Map<String, Long> fence) {
         this.n = n;
         this.parts = parts;
         this.settings = settings;
@@ -90,7 +96,7 @@
     }
 
     private QuotaRecord stored(String team) {
-        Mirror.Entry e = mirror.get(Keys.quota(team));
+        StoreView.Entry e = mirror.get(StoreSchema.quota(team));
         return e == null ? null : QuotaRecord.read(e.value(), parts);
     }
 
@@ -126,10 +132,11 @@
         Map<String, Long> guards = new LinkedHashMap<>(fence);
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
         for (Settings.Team team : settings.teams().values()) {
-            if (mirror.get(Keys.quota(team.name())) == null && writes.size() < settings.txnOps()) {
-                guards.put(Keys.quota(team.name()), 0L);
+            if (mirror.get(StoreSchema.quota(team.name())) == null
+                    && writes.size() < settings.txnOps()) {
+                guards.put(StoreSchema.quota(team.name()), 0L);
                 writes.put(
-                        Keys.quota(team.name()),
+                        StoreSchema.quota(team.name()),
                         QuotaRecord.split(shared(team.cpusMax()), shared(team.gpusMax()), parts)
                                 .write());
             }
@@ -154,7 +161,7 @@
     private void weigh(Settings.Team team, double used, Claim[] claims, double quantum) {
         QuotaRecord stored = stored(team.name());
         Give open = giving.get(team.name());
-        if (open != null && mirror.version(Keys.quota(team.name())) == open.version) {
+        if (open != null && mirror.version(StoreSchema.quota(team.name())) == open.version) {
             // Its fate is open: the same write again goes through, or the record has changed.
             send(team.name(), open);
             return;
@@ -188,15 +195,19 @@
         double moved = stored.cpus()[n] <= 0 ? 0 : Math.floor(gpus[n] * amount / stored.cpus()[n]);
         gpus[n] -= moved;
         gpus[to] += moved;
-        Give give = new Give(mirror.version(Keys.quota(team.name())), new QuotaRecord(cpus, gpus));
+        Give give =
+                new Give(
+                        mirror.version(StoreSchema.quota(team.name())),
+                        new QuotaRecord(cpus, gpus));
         giving.put(team.name(), give);
         send(team.name(), give);
     }
 
     private void send(String team, Give give) {
         Map<String, Long> guards = new LinkedHashMap<>(fence);
-        guards.put(Keys.quota(team), give.version);
-        Map<String, Map<String, Object>> writes = Map.of(Keys.quota(team), give.record.write());
+        guards.put(StoreSchema.quota(team), give.version);
+        Map<String, Map<String, Object>> writes =
+                Map.of(StoreSchema.quota(team), give.record.write());
         boolean sent =
                 out.state(
                         new StateOp.Multi(guards, writes),
--- a/src/main/java/org/shoreusher/core/Rebuild.java
+++ b/src/main/java/org/shoreusher/core/Rebuild.java
@@ -2,8 +2,8 @@
 
 import java.util.BitSet;
 import java.util.Map;
-import org.shoreusher.core.Keys.JobRecord;
-import org.shoreusher.core.Keys.JobStatus;
+import org.shoreusher.core.StoreSchema.JobRecord;
+import org.shoreusher.core.StoreSchema.JobStatus;
 import org.shoreusher.settings.Settings;
 
 /**
@@ -15,10 +15,10 @@
     private final Part part;
     private final Settings settings;
     private final Outbox out;
-    private final Mirror mirror;
+    private final StoreView mirror;
     private final Arrivals arrivals;
     private final MachineIndex index;
-    private final Holding holding;
+    private final PartOwnership holding;
     private final StartMarks marks;
     private boolean loaded;
     private boolean complete;
@@ -28,7 +28,7 @@
 
     private double unknownGpus;
 
-    Rebuild(Part part, NodeContext context, Holding holding, StartMarks marks) {
+    Rebuild(Part part, NodeContext context, PartOwnership holding, StartMarks marks) {
         this.part = part;
         settings = context.settings();
         out = context.out();
@@ -60,12 +60,12 @@
     /** Takes on what owners before have left: jobs, their finished tasks and marks, machines. */
     void load() {
         loaded = true;
-        mirror.under(Keys.JOB)
+        mirror.under(StoreSchema.JOB)
                 .forEach(
                         (key, entry) -> {
                             JobRecord record = JobRecord.read(entry.value());
                             if (record.part() == part.n && record.status() == JobStatus.OPEN) {
-                                part.addJob(key.substring(Keys.JOB.length()), record);
+                                part.addJob(key.substring(StoreSchema.JOB.length()), record);
                             }
                         });
         arrivals.each(
@@ -75,7 +75,7 @@
                     }
                 });
         readDone(holding.storedDone(0), 0);
-        for (int c = 1; mirror.get(Keys.done(part.n, c)) != null; c++) {
+        for (int c = 1; mirror.get(StoreSchema.done(part.n, c)) != null; c++) {
             readDone(holding.storedDone(c), c);
         }
         index.all()
--- a/src/main/java/org/shoreusher/core/Returners.java
+++ b/src/main/java/org/shoreusher/core/RedirectedWorkers.java
@@ -8,7 +8,7 @@
  * can't reach it any more. An owner that hears so of most of its workers gives the part up, since
  * their leases run out while it holds on to its own.
  */
-final class Returners {
+final class RedirectedWorkers {
     /** The reports of one worker that have come here. */
     private static final class Visit {
         long firstMs;
--- a/src/main/java/org/shoreusher/core/Rentals.java
+++ b/src/main/java/org/shoreusher/core/Rentals.java
@@ -10,7 +10,7 @@
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 import org.shoreusher.wire.CloudFormat;
-import org.shoreusher.wire.Tree;
+import org.shoreusher.wire.FieldMap;
 
 /**
  * Asks the cloud for machines, as many requests at once as its call rate allows in a second: one at
@@ -165,7 +165,7 @@
 
     private void rented(CloudOp.Rent rent, Kind kind, CloudReply reply, long askedWallMs) {
         try {
-            List<String> names = CloudFormat.rented(new Tree(reply.body()));
+            List<String> names = CloudFormat.rented(new FieldMap(reply.body()));
             out.log(
                     "rented: "
                             + names.size()
@@ -184,7 +184,7 @@
             for (String id : names) {
                 fleet.rented(id, rent, askedWallMs);
             }
-        } catch (Tree.Missing e) {
+        } catch (FieldMap.Missing e) {
             out.log("cloud: rental not understood: " + e.getMessage());
         }
     }
--- a/src/main/java/org/shoreusher/core/Displacement.java
+++ b/src/main/java/org/shoreusher/core/ReplicaPreemption.java
@@ -10,14 +10,14 @@
  * where the replicas then fit. A replica can't wait for a task to save or to end, nor for a machine
  * to boot: its users are waiting.
  */
-final class Displacement {
+final class ReplicaPreemption {
     /** What a machine has free, or will have when its tasks that are to stop have stopped. */
     private static final class Room {
         final Machine machine;
         double cpus;
         double gpus;
         double mem;
-        final List<Live> victims = new ArrayList<>();
+        final List<TaskAttempt> victims = new ArrayList<>();
 
         Room(Machine machine) {
             this.machine = machine;
@@ -46,17 +46,17 @@
     }
 
     private final Part part;
-    private final Reading now;
+    private final ClockReading now;
     private final List<Room> rooms = new ArrayList<>();
 
-    Displacement(Part part, Reading now) {
+    ReplicaPreemption(Part part, ClockReading now) {
         this.part = part;
         this.now = now;
         for (Machine m : part.machines().values()) {
             if (part.available(m)) {
                 Room room = new Room(m);
-                for (Live live : m.tasks.values()) {
-                    if (live.doomed || live.stopping) {
+                for (TaskAttempt live : m.tasks.values()) {
+                    if (live.mustStop || live.stopping) {
                         room.freed(live.job.spec);
                     } else if (live.job.spec.shape().ends()) {
                         room.victims.add(live);
@@ -76,7 +76,7 @@
      * CPU-seconds that are lost with the task: what it has done since it last saved, and its start
      * if that would count yet.
      */
-    private double loss(Live live) {
+    private double loss(TaskAttempt live) {
         double ranS = live.runningSinceMs < 0 ? 0 : (now.steadyMs() - live.runningSinceMs) / 1000.0;
         double lostS =
                 live.job.spec.checkpointS() > 0
@@ -90,8 +90,8 @@
     }
 
     /** Tasks to stop so that the waiting replicas of these jobs, most pressing first, find room. */
-    List<Live> choose(List<Job> services) {
-        List<Live> chosen = new ArrayList<>();
+    List<TaskAttempt> choose(List<Job> services) {
+        List<TaskAttempt> chosen = new ArrayList<>();
         for (Job job : services) {
             JobSpec spec = job.spec;
             Planner.ZoneRule zones = new Planner.ZoneRule(job);
@@ -105,7 +105,7 @@
                                     .allowedByTeam(spec));
             while (left-- > 0) {
                 Room best = null;
-                List<Live> least = null;
+                List<TaskAttempt> least = null;
                 double leastLoss = Double.MAX_VALUE;
                 for (Room room : rooms) {
                     Machine m = room.machine;
@@ -114,7 +114,7 @@
                             || job.failedOn.contains(m.id)) {
                         continue;
                     }
-                    List<Live> victims = victims(room, spec);
+                    List<TaskAttempt> victims = victims(room, spec);
                     double fetchS =
                             m.images.contains(spec.image())
                                     ? 0
@@ -134,7 +134,7 @@
                 if (best == null) {
                     break;
                 }
-                for (Live live : least) {
+                for (TaskAttempt live : least) {
                     best.victims.remove(live);
                     best.freed(live.job.spec);
                 }
@@ -150,12 +150,12 @@
      * The tasks that must go from a machine for one replica, fewest losses first; null if it finds
      * no room all the same.
      */
-    private static List<Live> victims(Room room, JobSpec spec) {
-        List<Live> victims = new ArrayList<>();
+    private static List<TaskAttempt> victims(Room room, JobSpec spec) {
+        List<TaskAttempt> victims = new ArrayList<>();
         double cpus = 0;
         double gpus = 0;
         double mem = 0;
-        for (Live live : room.victims) {
+        for (TaskAttempt live : room.victims) {
             if (room.fits(spec, cpus, gpus, mem)) {
                 break;
             }
--- a/src/main/java/org/shoreusher/core/ReportReader.java
+++ b/src/main/java/org/shoreusher/core/ReportReader.java
@@ -1,7 +1,7 @@
 package org.shoreusher.core;
 
 import it.unimi.dsi.fastutil.objects.ObjectOpenHashSet;
-import org.shoreusher.core.Keys.JobRecord;
+import org.shoreusher.core.StoreSchema.JobRecord;
 import org.shoreusher.core.WorkerReport.Cause;
 import org.shoreusher.core.WorkerReport.TaskReport;
 import org.shoreusher.core.WorkerReport.TaskState;
@@ -12,9 +12,9 @@
     private final Part part;
     private final Outbox out;
     private final Arrivals arrivals;
-    private final TaskBook book;
+    private final ResourceLedger book;
 
-    ReportReader(Part part, NodeContext context, TaskBook book) {
+    ReportReader(Part part, NodeContext context, ResourceLedger book) {
         this.part = part;
         this.book = book;
         out = context.out();
@@ -52,7 +52,7 @@
             m.tasks.values().forEach(book::found);
         }
         if (m.tasks.size() > shown.size()) {
-            for (Live live : m.tasksNow()) {
+            for (TaskAttempt live : m.tasksNow()) {
                 // A start answered to an older report is in this one, or was dropped and never
                 // happens.
                 if (!shown.contains(Machine.taskKey(live.job.id, live.index))) {
@@ -63,11 +63,11 @@
         if (!Double.isNaN(m.noticeS)) {
             // The cloud takes the machine soon: what can save its progress does so now and goes on
             // elsewhere.
-            for (Live live : m.tasks.values()) {
+            for (TaskAttempt live : m.tasks.values()) {
                 JobSpec spec = live.job.spec;
                 if (!spec.shape().ends()
                         || (spec.checkpointS() > 0
-                                && live.state == Live.State.RUNNING
+                                && live.state == TaskAttempt.State.RUNNING
                                 && spec.saveS() < m.noticeS)) {
                     live.stopping = true;
                 }
@@ -78,7 +78,7 @@
     }
 
     private void present(Machine m, String key, TaskReport t) {
-        Live live = m.tasks.get(key);
+        TaskAttempt live = m.tasks.get(key);
         if (live != null && live.attempt != t.attempt()) {
             book.remove(live);
             live = null;
@@ -92,23 +92,23 @@
                             && !job.done.get(t.index())
                             && job.live.get(t.index()) == null;
             live =
-                    new Live(
+                    new TaskAttempt(
                             job != null ? job : unwanted(m, t.job()),
                             t.index(),
                             t.attempt(),
                             m,
-                            Live.State.RUNNING,
+                            TaskAttempt.State.RUNNING,
                             out.now.steadyMs());
-            live.doomed = !wanted;
+            live.mustStop = !wanted;
             book.add(live, wanted);
         }
         live.state =
                 switch (t.state()) {
-                    case FETCHING -> Live.State.FETCHING;
-                    case SAVING -> Live.State.SAVING;
-                    default -> Live.State.RUNNING;
+                    case FETCHING -> TaskAttempt.State.FETCHING;
+                    case SAVING -> TaskAttempt.State.SAVING;
+                    default -> TaskAttempt.State.RUNNING;
                 };
-        if (live.state == Live.State.RUNNING && live.runningSinceMs < 0) {
+        if (live.state == TaskAttempt.State.RUNNING && live.runningSinceMs < 0) {
             live.runningSinceMs = out.now.steadyMs();
         }
         if (!live.job.spec.shape().ends()
@@ -150,7 +150,7 @@
     }
 
     private void exited(Machine m, String key, TaskReport t) {
-        Live live = m.tasks.get(key);
+        TaskAttempt live = m.tasks.get(key);
         boolean ours = live != null && live.attempt == t.attempt();
         Job job = part.jobs().get(t.job());
         if (job != null && !job.spec.shape().ends()) {
@@ -176,9 +176,9 @@
                 job.done.set(t.index());
                 job.setWaiting(t.index(), false);
                 part.finalStates().finished(job);
-                Live elsewhere = job.live.get(t.index());
+                TaskAttempt elsewhere = job.live.get(t.index());
                 if (elsewhere != null && elsewhere != live) {
-                    elsewhere.doomed = true;
+                    elsewhere.mustStop = true;
                     part.stops().halt(elsewhere, 0);
                 }
             }
@@ -203,7 +203,7 @@
      * A replica runs again whatever it ended of, soon if it had run for long, ever more rarely if
      * it ends at once again and again.
      */
-    private void replicaEnded(Machine m, Job job, Live live, Cause cause) {
+    private void replicaEnded(Machine m, Job job, TaskAttempt live, Cause cause) {
         if (cause == Cause.ERROR || cause == Cause.DONE || cause == Cause.UNKNOWN) {
             if (live.runningSinceMs >= 0
                     && out.now.steadyMs() - live.runningSinceMs >= Tuning.STEADY_MS) {
--- a/src/main/java/org/shoreusher/core/Reports.java
+++ b/src/main/java/org/shoreusher/core/Reports.java
@@ -2,9 +2,9 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.shoreusher.core.Keys.JobRecord;
-import org.shoreusher.core.Keys.JobStatus;
-import org.shoreusher.core.Keys.MachineRecord;
+import org.shoreusher.core.StoreSchema.JobRecord;
+import org.shoreusher.core.StoreSchema.JobStatus;
+import org.shoreusher.core.StoreSchema.MachineRecord;
 import org.shoreusher.core.WorkerReport.Cause;
 import org.shoreusher.core.WorkerReport.TaskReport;
 import org.shoreusher.core.WorkerReport.TaskState;
@@ -24,13 +24,13 @@
     private final Outbox out;
     private final Arrivals arrivals;
     private final MachineIndex index;
-    private final Types types;
-    private final TaskBook book;
+    private final MachineTypes types;
+    private final ResourceLedger book;
     private final ReportReader reader;
     private final Placement placement;
     private long nextAttempt = 1;
 
-    Reports(Part part, NodeContext context, TaskBook book, StartMarks marks) {
+    Reports(Part part, NodeContext context, ResourceLedger book, StartMarks marks) {
         this.part = part;
         settings = context.settings();
         out = context.out();
@@ -48,7 +48,7 @@
             if (!part.lost() && r.token() > part.term()) {
                 part.holding().raise(r.token());
             }
-            out.later(request);
+            out.answerUnavailable(request);
             return;
         }
         Machine m = part.machines().get(r.machine());
@@ -77,7 +77,7 @@
                 || m.state == Machine.State.HANDING
                 || r.session() <= m.endedSession
                 || (m.heard && !r.newerThan(m.session, m.seq))) {
-            out.later(request);
+            out.answerUnavailable(request);
             return;
         }
         m.reported(r, out.now.steadyMs(), settings);
@@ -145,10 +145,10 @@
                                 WorkerOrder.Kind.FORGET, t.job(), t.index(), t.attempt(), 0));
             }
         }
-        for (Live live : m.tasks.values()) {
-            if (live.doomed) {
+        for (TaskAttempt live : m.tasks.values()) {
+            if (live.mustStop) {
                 orders.add(TaskStops.stop(live, 0));
-            } else if (live.stopping && live.state != Live.State.SAVING) {
+            } else if (live.stopping && live.state != TaskAttempt.State.SAVING) {
                 orders.add(TaskStops.stop(live, TaskStops.graceS(live)));
             }
         }
@@ -200,13 +200,13 @@
                     // Its mark is on its way to the store; the next plan has the task again.
                     break;
                 }
-                Live live =
-                        new Live(
+                TaskAttempt live =
+                        new TaskAttempt(
                                 p.job(),
                                 index,
                                 part.term() << Tuning.ATTEMPT_BITS | nextAttempt++,
                                 m,
-                                Live.State.ASKED,
+                                TaskAttempt.State.ASKED,
                                 out.now.steadyMs());
                 book.add(live, true);
                 p.job().startedCount++;
--- a/src/main/java/org/shoreusher/core/TaskBook.java
+++ b/src/main/java/org/shoreusher/core/ResourceLedger.java
@@ -7,7 +7,7 @@
  * use, and in its job. A task is waiting, live or finished, and only {@link #remove} lets a live
  * one wait again.
  */
-final class TaskBook {
+final class ResourceLedger {
     private final Object2DoubleOpenHashMap<String> teamCpus = new Object2DoubleOpenHashMap<>();
     private final Object2DoubleOpenHashMap<String> teamGpus = new Object2DoubleOpenHashMap<>();
 
@@ -17,7 +17,7 @@
     private final Object2DoubleOpenHashMap<String> foundGpus = new Object2DoubleOpenHashMap<>();
 
     /** An owner before has started this task, and a report made since the takeover shows it. */
-    void found(Live live) {
+    void found(TaskAttempt live) {
         foundCpus.addTo(live.job.spec.team(), live.job.spec.cpus());
         foundGpus.addTo(live.job.spec.team(), live.job.spec.gpus());
     }
@@ -39,7 +39,7 @@
     }
 
     /** A task is or may be on its machine from now on. {@code placed}: its job wants it there. */
-    void add(Live live, boolean placed) {
+    void add(TaskAttempt live, boolean placed) {
         JobSpec spec = live.job.spec;
         live.machine.tasks.put(Machine.taskKey(live.job.id, live.index), live);
         live.machine.cpusUsed += spec.cpus();
@@ -60,7 +60,7 @@
      * holds during a rebuild as well: a task is or may be on one machine at most, so one that has
      * been seen on this one is on none that is yet silent.
      */
-    void remove(Live live) {
+    void remove(TaskAttempt live) {
         Machine m = live.machine;
         JobSpec spec = live.job.spec;
         if (!m.tasks.remove(Machine.taskKey(live.job.id, live.index), live)) {
--- a/src/main/java/org/shoreusher/core/Retirement.java
+++ b/src/main/java/org/shoreusher/core/Retirement.java
@@ -85,9 +85,9 @@
      * elsewhere.
      */
     private void moveReplicas(Machine m) {
-        for (Live live : m.tasks.values()) {
-            if (!live.job.spec.shape().ends() && !live.doomed) {
-                live.doomed = true;
+        for (TaskAttempt live : m.tasks.values()) {
+            if (!live.job.spec.shape().ends() && !live.mustStop) {
+                live.mustStop = true;
                 part.stops().halt(live, 0);
             }
         }
--- a/src/main/java/org/shoreusher/core/Standby.java
+++ b/src/main/java/org/shoreusher/core/StandbyCapacity.java
@@ -11,10 +11,10 @@
  * and a replica that has lost its machine must go on, sooner than a machine boots. Batch tasks may
  * use them meanwhile, and give way.
  */
-final class Standby {
+final class StandbyCapacity {
     private final Part part;
     private final Settings settings;
-    private final Types types;
+    private final MachineTypes types;
     private final Rentals rentals;
 
     /** CPUs on ordinary machines that no replica holds, by zone. */
@@ -25,7 +25,7 @@
     /** The zone with most room while another lacks some; null if none does. */
     private String roomiestZone;
 
-    Standby(Part part, Settings settings, Types types, Rentals rentals) {
+    StandbyCapacity(Part part, Settings settings, MachineTypes types, Rentals rentals) {
         this.part = part;
         this.settings = settings;
         this.types = types;
@@ -49,7 +49,7 @@
         for (Machine m : part.machines().values()) {
             if (!m.spot && (part.available(m) || (m.state == Machine.State.BOOTING && !m.used))) {
                 double held = 0;
-                for (Live live : m.tasks.values()) {
+                for (TaskAttempt live : m.tasks.values()) {
                     held += live.job.spec.shape().ends() ? 0 : live.job.spec.cpus();
                 }
                 room.addTo(m.zone, m.type.cpus() - held);
--- a/src/main/java/org/shoreusher/core/StartMarks.java
+++ b/src/main/java/org/shoreusher/core/StartMarks.java
@@ -8,11 +8,11 @@
 import java.util.List;
 import java.util.Map;
 import org.shoreusher.core.Effect.StateOp;
-import org.shoreusher.core.Keys.JobRecord;
-import org.shoreusher.core.Keys.MarkRecord;
+import org.shoreusher.core.StoreSchema.JobRecord;
+import org.shoreusher.core.StoreSchema.MarkRecord;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
-import org.shoreusher.wire.Tree;
+import org.shoreusher.wire.FieldMap;
 
 /**
  * Notes durably how many of each job's tasks may have been started. Tasks are started in the order
@@ -36,16 +36,17 @@
     private final int parts;
     private final Settings settings;
     private final Outbox out;
-    private final Mirror mirror;
+    private final StoreView mirror;
     private final Arrivals arrivals;
-    private final Holding holding;
+    private final PartOwnership holding;
     private final Map<String, Job> jobs;
     private final long gapMs;
     private final Object2IntLinkedOpenHashMap<Job> wanted = new Object2IntLinkedOpenHashMap<>();
     private boolean writing;
     private long nextMs;
 
-    StartMarks(int n, int parts, NodeContext context, Holding holding, Map<String, Job> jobs) {
+    StartMarks(
+            int n, int parts, NodeContext context, PartOwnership holding, Map<String, Job> jobs) {
         this.n = n;
         this.parts = parts;
         settings = context.settings();
@@ -59,7 +60,7 @@
 
     /** Takes over what owners before have noted. */
     void load() {
-        for (int c = 0; mirror.get(Keys.begun(n, c)) != null; c++) {
+        for (int c = 0; mirror.get(StoreSchema.begun(n, c)) != null; c++) {
             int chunk = c;
             stored(c)
                     .forEach(
@@ -107,9 +108,9 @@
                 // own any more; in the same transaction it would hold up all other marks for good.
                 continue;
             }
-            if (parts > 1 && mirror.get(Keys.job(job.id)) == null) {
-                guards.put(Keys.job(job.id), 0L);
-                writes.put(Keys.job(job.id), record.write());
+            if (parts > 1 && mirror.get(StoreSchema.job(job.id)) == null) {
+                guards.put(StoreSchema.job(job.id), 0L);
+                writes.put(StoreSchema.job(job.id), record.write());
             }
             int below =
                     Math.min(job.spec.tasks(), Math.max(next, job.startBelow * Tuning.MARK_GROWTH));
@@ -128,8 +129,8 @@
         }
         chunks.forEach(
                 (c, marks) -> {
-                    guards.put(Keys.begun(n, c), mirror.version(Keys.begun(n, c)));
-                    writes.put(Keys.begun(n, c), MarkRecord.write(marks));
+                    guards.put(StoreSchema.begun(n, c), mirror.version(StoreSchema.begun(n, c)));
+                    writes.put(StoreSchema.begun(n, c), MarkRecord.write(marks));
                 });
         writing =
                 out.state(
@@ -154,11 +155,11 @@
     }
 
     private boolean writable(JobRecord record) {
-        return Tree.jsonLength(record.write()) <= settings.valueBytes();
+        return FieldMap.jsonLength(record.write()) <= settings.valueBytes();
     }
 
     private Map<String, Integer> stored(int chunk) {
-        Mirror.Entry entry = mirror.get(Keys.begun(n, chunk));
+        StoreView.Entry entry = mirror.get(StoreSchema.begun(n, chunk));
         return entry == null ? Map.of() : MarkRecord.read(entry.value()).below();
     }
 
--- a/src/main/java/org/shoreusher/core/Keys.java
+++ b/src/main/java/org/shoreusher/core/StoreSchema.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.shoreusher.settings.Tuning;
-import org.shoreusher.wire.Tree;
+import org.shoreusher.wire.FieldMap;
 import org.shoreusher.wire.UserFormat;
 
 /** Names and values of the service's keys in the state service. */
-final class Keys {
+final class StoreSchema {
     static final String TERM = "term";
     static final String TYPES = "types";
 
@@ -26,7 +26,7 @@
     static final String PART = "part/";
     static final String NODE = "node/";
 
-    private Keys() {}
+    private StoreSchema() {}
 
     static String part(int n) {
         return PART + n;
@@ -80,10 +80,10 @@
     record PartRecord(String owner, long expiryMs, long term, Map<String, Object> done) {
         static PartRecord read(Map<String, Object> value) {
             try {
-                Tree t = new Tree(value);
+                FieldMap t = new FieldMap(value);
                 return new PartRecord(
                         t.text("owner"), t.whole("expiry"), t.whole("term"), t.map("done").asMap());
-            } catch (Tree.Missing e) {
+            } catch (FieldMap.Missing e) {
                 throw new IllegalStateException(
                         "a part record of this service can't be read: " + e.getMessage());
             }
@@ -129,7 +129,7 @@
             Map<String, Object> spec) {
         static JobRecord read(Map<String, Object> value) {
             try {
-                Tree t = new Tree(value);
+                FieldMap t = new FieldMap(value);
                 int tasks = (int) t.whole("tasks");
                 // A record from before there were marks: any of its tasks may have been started.
                 int begun = t.has("begun") ? (int) t.whole("begun") : tasks;
@@ -140,7 +140,7 @@
                         t.whole("accepted"),
                         begun,
                         t.has("spec") ? t.map("spec").asMap() : null);
-            } catch (Tree.Missing e) {
+            } catch (FieldMap.Missing e) {
                 throw new IllegalStateException(
                         "a job record of this service can't be read: " + e.getMessage());
             }
@@ -168,7 +168,7 @@
         JobRecord cancelled(int valueBytes) {
             JobRecord full =
                     new JobRecord(part, JobStatus.CANCELLED, tasks, acceptedMs, begun, spec);
-            if (spec == null || Tree.jsonLength(full.write()) <= valueBytes) {
+            if (spec == null || FieldMap.jsonLength(full.write()) <= valueBytes) {
                 return full;
             }
             Map<String, Object> resources = UserFormat.resourcesOnly(spec);
@@ -177,8 +177,8 @@
 
         JobSpec description() {
             try {
-                return UserFormat.described(new Tree(spec));
-            } catch (Tree.Missing e) {
+                return UserFormat.described(new FieldMap(spec));
+            } catch (FieldMap.Missing e) {
                 throw new IllegalStateException(
                         "a job description of this service can't be read: " + e.getMessage());
             }
@@ -203,11 +203,11 @@
         static MarkRecord read(Map<String, Object> value) {
             Map<String, Integer> below = new LinkedHashMap<>();
             try {
-                Tree t = new Tree(value).map("begun");
+                FieldMap t = new FieldMap(value).map("begun");
                 for (String id : t.asMap().keySet()) {
                     below.put(id, (int) t.whole(id));
                 }
-            } catch (Tree.Missing e) {
+            } catch (FieldMap.Missing e) {
                 throw new IllegalStateException(
                         "a record of marks of this service can't be read: " + e.getMessage());
             }
@@ -226,10 +226,10 @@
         static ArrivalRecord read(Map<String, Object> value) {
             Map<String, JobRecord> jobs = new LinkedHashMap<>();
             try {
-                for (String id : new Tree(value).map("jobs").asMap().keySet()) {
-                    jobs.put(id, JobRecord.read(new Tree(value).map("jobs").map(id).asMap()));
+                for (String id : new FieldMap(value).map("jobs").asMap().keySet()) {
+                    jobs.put(id, JobRecord.read(new FieldMap(value).map("jobs").map(id).asMap()));
                 }
-            } catch (Tree.Missing e) {
+            } catch (FieldMap.Missing e) {
                 throw new IllegalStateException(
                         "a record of arrivals of this service can't be read: " + e.getMessage());
             }
@@ -295,7 +295,7 @@
     record MachineGroup(Map<String, MachineRecord> machines) {
         static MachineGroup read(String key, Map<String, Object> value) {
             try {
-                Tree t = new Tree(value);
+                FieldMap t = new FieldMap(value);
                 List<String> names = t.texts("names");
                 Map<String, MachineRecord> machines = new TreeMap<>();
                 for (Map.Entry<String, Object> e : t.map("machines").asMap().entrySet()) {
@@ -311,7 +311,7 @@
                                     whole(f, 5) == 1));
                 }
                 return new MachineGroup(machines);
-            } catch (Tree.Missing | ClassCastException | IndexOutOfBoundsException e) {
+            } catch (FieldMap.Missing | ClassCastException | IndexOutOfBoundsException e) {
                 throw new IllegalStateException(
                         "a record of machines of this service can't be read: " + e.getMessage());
             }
--- a/src/main/java/org/shoreusher/core/Mirror.java
+++ b/src/main/java/org/shoreusher/core/StoreView.java
@@ -8,15 +8,15 @@
 import org.shoreusher.core.Effect.StateOp;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
+import org.shoreusher.wire.FieldMap;
 import org.shoreusher.wire.StateFormat;
-import org.shoreusher.wire.Tree;
 
 /**
  * This node's view of the store: read once page by page, then kept by one watch, and read again
  * when the watch has fallen too far behind (410). Changes are applied by version, so pages, watches
  * and the node's own writes may come in any order.
  */
-final class Mirror {
+final class StoreView {
     /** One key. */
     record Entry(Map<String, Object> value, long version) {}
 
@@ -44,7 +44,7 @@
     private long freshAt = Long.MIN_VALUE / 2;
     private long nextAt;
 
-    Mirror(Outbox out, Settings settings, Listener listener) {
+    StoreView(Outbox out, Settings settings, Listener listener) {
         // A change wakes the watches of all nodes: where requests are few they would leave none for
         // anything else.
         double share = settings.stateRps() * Tuning.RATE_USE / settings.nodes();
@@ -120,8 +120,8 @@
     long applied(StateReply reply, Map<String, Map<String, Object>> writes) {
         long at;
         try {
-            at = StateFormat.revision(new Tree(reply.body()));
-        } catch (Tree.Missing e) {
+            at = StateFormat.revision(new FieldMap(reply.body()));
+        } catch (FieldMap.Missing e) {
             throw new IllegalStateException(
                     "the state service confirmed a write without its revision: " + e.getMessage());
         }
@@ -159,14 +159,14 @@
                             busy = false;
                             try {
                                 replied(reply, sentAt);
-                            } catch (Tree.Missing e) {
+                            } catch (FieldMap.Missing e) {
                                 out.log("state: answer not understood: " + e.getMessage());
                                 retry();
                             }
                         });
     }
 
-    private void replied(StateReply reply, long sentAt) throws Tree.Missing {
+    private void replied(StateReply reply, long sentAt) throws FieldMap.Missing {
         if (reply.status() == 410) {
             reload();
             return;
@@ -179,7 +179,7 @@
             retry();
             return;
         }
-        Tree body = new Tree(reply.body());
+        FieldMap body = new FieldMap(reply.body());
         if (loading) {
             paged(body);
             return;
@@ -198,7 +198,7 @@
         nextAt = out.now.steadyMs() + watchGapMs;
     }
 
-    private void paged(Tree body) throws Tree.Missing {
+    private void paged(FieldMap body) throws FieldMap.Missing {
         long at = StateFormat.revision(body);
         if (page == null) {
             startRevision = at;
--- a/src/main/java/org/shoreusher/core/Live.java
+++ b/src/main/java/org/shoreusher/core/TaskAttempt.java
@@ -1,7 +1,7 @@
 package org.shoreusher.core;
 
 /** A task that is or may be on a machine. */
-final class Live {
+final class TaskAttempt {
     /** What is known of it. */
     enum State {
         /** Its start was answered to a report; a newer report will show it or not. */
@@ -19,7 +19,7 @@
     State state;
 
     /** To be stopped at once: cancelled, finished elsewhere, or of no known job. */
-    boolean doomed;
+    boolean mustStop;
 
     /** Told to stop with time to save; it goes back to waiting when it has exited. */
     boolean stopping;
@@ -27,7 +27,7 @@
     long runningSinceMs = -1;
     long haltedAtMs = Long.MIN_VALUE / 2;
 
-    Live(Job job, int index, long attempt, Machine machine, State state, long sinceMs) {
+    TaskAttempt(Job job, int index, long attempt, Machine machine, State state, long sinceMs) {
         this.job = job;
         this.index = index;
         this.attempt = attempt;
--- a/src/main/java/org/shoreusher/core/TaskStops.java
+++ b/src/main/java/org/shoreusher/core/TaskStops.java
@@ -26,8 +26,8 @@
         }
         List<Job> services = part.ordered();
         services.removeIf(job -> job.spec.shape().ends());
-        for (Live live : new Displacement(part, out.now).choose(services)) {
-            live.doomed = true;
+        for (TaskAttempt live : new ReplicaPreemption(part, out.now).choose(services)) {
+            live.mustStop = true;
             halt(live, 0);
         }
     }
@@ -44,7 +44,7 @@
         if (ordered.isEmpty()) {
             return;
         }
-        for (Live live :
+        for (TaskAttempt live :
                 new Preemption(part, part.urgency(), out.now).choose(ordered, part.planner())) {
             live.stopping = true;
             halt(live, graceS(live));
@@ -52,17 +52,17 @@
     }
 
     /** Seconds that a task which is stopped gets to save. */
-    static double graceS(Live live) {
+    static double graceS(TaskAttempt live) {
         return live.job.spec.saveS() * Tuning.SAVE_SLACK;
     }
 
-    static WorkerOrder stop(Live live, double graceS) {
+    static WorkerOrder stop(TaskAttempt live, double graceS) {
         return new WorkerOrder(
                 WorkerOrder.Kind.STOP, live.job.id, live.index, live.attempt, graceS);
     }
 
     /** Stops a task by a direct command; reports repeat it until it is gone. */
-    void halt(Live live, double graceS) {
+    void halt(TaskAttempt live, double graceS) {
         Machine m = live.machine;
         // A machine that is silent most likely can't be reached: its lease ends, or it is told when
         // it reports again.
--- a/src/main/java/org/shoreusher/core/TeamRoom.java
+++ b/src/main/java/org/shoreusher/core/TeamRoom.java
@@ -9,12 +9,16 @@
 final class TeamRoom {
     private final Settings settings;
     private final Quota quota;
-    private final TaskBook book;
+    private final ResourceLedger book;
     private final Rebuild rebuild;
-    private final Neighbours neighbours;
+    private final OtherParts neighbours;
 
     TeamRoom(
-            Settings settings, Quota quota, TaskBook book, Rebuild rebuild, Neighbours neighbours) {
+            Settings settings,
+            Quota quota,
+            ResourceLedger book,
+            Rebuild rebuild,
+            OtherParts neighbours) {
         this.settings = settings;
         this.quota = quota;
         this.book = book;
--- a/src/main/java/org/shoreusher/core/UserDesk.java
+++ b/src/main/java/org/shoreusher/core/UserRequests.java
@@ -5,8 +5,8 @@
 import java.util.function.ToIntFunction;
 import org.shoreusher.core.Command.StateReply;
 import org.shoreusher.core.Effect.StateOp;
-import org.shoreusher.core.Keys.JobRecord;
-import org.shoreusher.core.Keys.JobStatus;
+import org.shoreusher.core.StoreSchema.JobRecord;
+import org.shoreusher.core.StoreSchema.JobStatus;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 import org.shoreusher.wire.UserFormat;
@@ -17,7 +17,7 @@
  * after the state service has confirmed, in a read begun after the question, that it still holds.
  * Many questions share one such read. What can't be answered is refused at once.
  */
-final class UserDesk {
+final class UserRequests {
     /** Counts for display. */
     record Counts(int done, int running) {}
 
@@ -28,9 +28,9 @@
 
     private final Settings settings;
     private final Outbox out;
-    private final Mirror mirror;
-    private final Types types;
-    private final Formats formats;
+    private final StoreView mirror;
+    private final MachineTypes types;
+    private final MemberFormats formats;
     private final CountSource counts;
     private final Arrivals arrivals;
     private final Acceptance acceptance;
@@ -41,13 +41,13 @@
     /** Writes whose answers are awaited. */
     private int writing;
 
-    UserDesk(
+    UserRequests(
             Settings settings,
             Outbox out,
-            Mirror mirror,
+            StoreView mirror,
             Arrivals arrivals,
-            Types types,
-            Formats formats,
+            MachineTypes types,
+            MemberFormats formats,
             String owner,
             CountSource counts,
             ToIntFunction<JobSpec> roomiestPart) {
@@ -67,7 +67,8 @@
                         mirror,
                         owner,
                         roomiestPart,
-                        (request, id) -> answerIfKnown(request, id, () -> out.later(request)),
+                        (request, id) ->
+                                answerIfKnown(request, id, () -> out.answerUnavailable(request)),
                         (request, id) -> answerIfKnown(request, id, () -> refuseLong(request)));
     }
 
@@ -143,7 +144,7 @@
                                                     "error",
                                                     "can never run: unknown team, no machine type"
                                                         + " that fits, or above the team's limit"));
-                            default -> out.later(request);
+                            default -> out.answerUnavailable(request);
                         }
                     }
                 });
@@ -225,10 +226,12 @@
             out.answer(request, 200, UserFormat.status(id, Shown.CANCELLED));
         } else {
             Map<String, Map<String, Object>> writes =
-                    Map.of(Keys.job(id), record.cancelled(settings.valueBytes()).write());
+                    Map.of(StoreSchema.job(id), record.cancelled(settings.valueBytes()).write());
             write(
                     request,
-                    new StateOp.Multi(Map.of(Keys.job(id), mirror.version(Keys.job(id))), writes),
+                    new StateOp.Multi(
+                            Map.of(StoreSchema.job(id), mirror.version(StoreSchema.job(id))),
+                            writes),
                     Tuning.WRITE_TRIES,
                     reply -> {
                         if (reply.status() == 200) {
@@ -236,7 +239,7 @@
                         } else if (tries > 1) {
                             reads.read(request, id, now -> cancel(request, id, now, tries - 1));
                         } else {
-                            out.later(request);
+                            out.answerUnavailable(request);
                         }
                     });
         }
@@ -261,12 +264,12 @@
                             } else if (reply.status() == 429 && tries > 1) {
                                 write(request, op, tries - 1, then);
                             } else {
-                                out.later(request);
+                                out.answerUnavailable(request);
                             }
                         });
         if (!sent) {
             writing--;
-            out.later(request);
+            out.answerUnavailable(request);
         }
     }
 
@@ -287,7 +290,7 @@
         if (!mirror.loaded()
                 || out.stateAway()
                 || writing + reads.waiting() >= Tuning.MAX_USER_WORK) {
-            out.later(request);
+            out.answerUnavailable(request);
             return true;
         }
         return false;
--- a/src/main/java/org/shoreusher/net/HttpCaller.java
+++ b/src/main/java/org/shoreusher/net/HttpCaller.java
@@ -27,7 +27,7 @@
 import java.util.concurrent.TimeUnit;
 import org.shoreusher.settings.Settings.Address;
 import org.shoreusher.settings.Tuning;
-import org.shoreusher.wire.Tree;
+import org.shoreusher.wire.FieldMap;
 
 /**
  * Calls one HTTP service over kept connections, one request at a time on each. Every call ends in
@@ -88,7 +88,7 @@
                                 HttpVersion.HTTP_1_1,
                                 HttpMethod.POST,
                                 path,
-                                Unpooled.wrappedBuffer(Tree.toCbor(body)));
+                                Unpooled.wrappedBuffer(FieldMap.toCbor(body)));
         request.headers().set(HttpHeaderNames.HOST, target.toString());
         if (body != null) {
             request.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/cbor");
@@ -175,7 +175,7 @@
             int status = response.decoderResult().isSuccess() ? response.status().code() : 0;
             if (response.content().isReadable()) {
                 try {
-                    body = Tree.cbor(ByteBufUtil.getBytes(response.content())).asMap();
+                    body = FieldMap.cbor(ByteBufUtil.getBytes(response.content())).asMap();
                 } catch (java.io.IOException e) {
                     status = status == 200 ? 0 : status;
                 }
--- a/src/main/java/org/shoreusher/settings/Settings.java
+++ b/src/main/java/org/shoreusher/settings/Settings.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Stream;
-import org.shoreusher.wire.Tree;
+import org.shoreusher.wire.FieldMap;
 
 /**
  * The validated settings file that the platform hands over. Unknown fields are ignored. Where the
@@ -90,9 +90,9 @@
 
     /** Checks the bytes of a settings file. */
     public static Settings parse(byte[] json) throws Invalid {
-        Tree root;
+        FieldMap root;
         try {
-            root = Tree.json(json);
+            root = FieldMap.json(json);
         } catch (IOException e) {
             throw new Invalid(
                     "settings are not valid JSON: "
@@ -100,20 +100,20 @@
         }
         try {
             return read(root);
-        } catch (Tree.Missing e) {
+        } catch (FieldMap.Missing e) {
             throw new Invalid("settings: " + e.getMessage());
         }
     }
 
-    private static Settings read(Tree root) throws Tree.Missing, Invalid {
+    private static Settings read(FieldMap root) throws FieldMap.Missing, Invalid {
         List<Member> members = new ArrayList<>();
-        for (Tree m : root.list("members")) {
+        for (FieldMap m : root.list("members")) {
             members.add(new Member(m.text("host_name"), address(m.text("peer_addr"), "peer_addr")));
         }
-        Tree ends = root.map("endpoints");
-        Tree d = root.map("deployment");
+        FieldMap ends = root.map("endpoints");
+        FieldMap d = root.map("deployment");
         Map<String, Team> teams = new LinkedHashMap<>();
-        for (Tree t : d.list("teams")) {
+        for (FieldMap t : d.list("teams")) {
             Team team =
                     new Team(
                             t.text("name"),
@@ -126,7 +126,7 @@
                     "team " + team.name() + " is there twice");
         }
         List<Objective> objectives = new ArrayList<>();
-        for (Tree o : d.list("objectives")) {
+        for (FieldMap o : d.list("objectives")) {
             objectives.add(
                     new Objective(
                             o.text("kind"),
@@ -136,10 +136,10 @@
                             o.numberOr("times", 1)));
         }
         List<String> zones = d.texts("zones");
-        Tree workers = d.map("workers");
-        Tree state = d.map("state");
-        Tree next = state.has("next") ? state.map("next") : new Tree(Map.of());
-        Tree cloud = d.map("cloud");
+        FieldMap workers = d.map("workers");
+        FieldMap state = d.map("state");
+        FieldMap next = state.has("next") ? state.map("next") : new FieldMap(Map.of());
+        FieldMap cloud = d.map("cloud");
         Settings s =
                 new Settings(
                         root.text("host_name"),
@@ -172,14 +172,14 @@
      * Changes in one transaction: not more than the state service's burst of one second takes,
      * since a larger one would be refused with 429 each time.
      */
-    private static int txnOps(Tree state, Tree next) throws Tree.Missing, Invalid {
+    private static int txnOps(FieldMap state, FieldMap next) throws FieldMap.Missing, Invalid {
         int limit = (int) stricter(state, next, "txn_ops");
         int burst = Math.max(Tuning.LEAST_TXN_OPS, (int) stricter(state, next, "write_rps"));
         return Math.min(limit, burst);
     }
 
-    private static double stricter(Tree state, Tree next, String field)
-            throws Tree.Missing, Invalid {
+    private static double stricter(FieldMap state, FieldMap next, String field)
+            throws FieldMap.Missing, Invalid {
         double now = state.number(field);
         double later = next.numberOr(field, now);
         require(later > 0 || !next.has(field), "state.next." + field + " must be above 0");
@@ -190,7 +190,7 @@
      * "0 means none", of guarantees and of limits alike. Taken for no CPUs at all, it had every job
      * of the team refused for good.
      */
-    private static double limit(Tree team, String field) throws Tree.Missing {
+    private static double limit(FieldMap team, String field) throws FieldMap.Missing {
         double limit = team.numberOr(field, 0);
         return limit == 0 ? Double.POSITIVE_INFINITY : limit;
     }
--- a/src/main/java/org/shoreusher/user/FrontServer.java
+++ b/src/main/java/org/shoreusher/user/HttpFrontend.java
@@ -41,12 +41,12 @@
 import org.shoreusher.core.WorkerReport;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
-import org.shoreusher.wire.Tree;
+import org.shoreusher.wire.FieldMap;
 import org.shoreusher.wire.UserFormat;
 import org.shoreusher.wire.WorkerFormat;
 
 /** The node's front: users, workers and health checks. Bodies are read here; the core decides. */
-public final class FrontServer {
+public final class HttpFrontend {
     private static final String JOBS = "/v2/runs";
     private static final String HELLO = "/hello";
     private static final String CANCEL = "/cancel";
@@ -77,7 +77,7 @@
      * @param core takes a command, or refuses it when too many wait
      * @param lagMs how far this node is behind its work
      */
-    public FrontServer(
+    public HttpFrontend(
             EventLoopGroup loop, Settings settings, Predicate<Command> core, LongSupplier lagMs) {
         this.lagMs = lagMs;
         this.loop = loop;
@@ -159,7 +159,7 @@
                 new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1,
                         HttpResponseStatus.valueOf(status),
-                        Unpooled.wrappedBuffer(Tree.toCbor(body)));
+                        Unpooled.wrappedBuffer(FieldMap.toCbor(body)));
         response.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/cbor");
         HttpUtil.setContentLength(response, response.content().readableBytes());
         if (retryAfterS > 0) {
@@ -297,9 +297,9 @@
             boolean get = http.method().equals(HttpMethod.GET);
             if (post && path.equals(HELLO)) {
                 try {
-                    WorkerReport report = WorkerFormat.report(Tree.cbor(bytes(http.content())));
+                    WorkerReport report = WorkerFormat.report(FieldMap.cbor(bytes(http.content())));
                     return new Command.Report(current, report);
-                } catch (IOException | Tree.Missing e) {
+                } catch (IOException | FieldMap.Missing e) {
                     send(ctx, keepAlive, 400, Map.of("error", String.valueOf(e.getMessage())), 0);
                     return null;
                 }
@@ -330,13 +330,13 @@
         private Command submission(byte[] body) {
             String id = null;
             try {
-                Tree t = Tree.cbor(body);
+                FieldMap t = FieldMap.cbor(body);
                 id = t.textOr("name_id", null);
                 JobSpec spec = UserFormat.job(t);
                 return new Command.Submit(current, id, spec, null);
             } catch (IOException e) {
                 return new Command.Submit(current, null, null, "the body is not one CBOR map");
-            } catch (Tree.Missing e) {
+            } catch (FieldMap.Missing e) {
                 return new Command.Submit(current, id, null, e.getMessage());
             }
         }
--- a/src/main/java/org/shoreusher/wire/CloudFormat.java
+++ b/src/main/java/org/shoreusher/wire/CloudFormat.java
@@ -38,9 +38,9 @@
     }
 
     /** The machine types of an answer. */
-    public static List<MachineType> types(Tree t) throws Tree.Missing {
+    public static List<MachineType> types(FieldMap t) throws FieldMap.Missing {
         List<MachineType> out = new ArrayList<>();
-        for (Tree m : t.list("presses")) {
+        for (FieldMap m : t.list("presses")) {
             double price = m.numberOr("rate", 1);
             out.add(
                     new MachineType(
@@ -59,14 +59,14 @@
     }
 
     /** The names of the machines that a rental has brought. */
-    public static List<String> rented(Tree t) throws Tree.Missing {
+    public static List<String> rented(FieldMap t) throws FieldMap.Missing {
         return t.texts("boxes");
     }
 
     /** A page of the list of machines. */
-    public static ListPage machines(Tree t) throws Tree.Missing {
+    public static ListPage machines(FieldMap t) throws FieldMap.Missing {
         List<Listed> out = new ArrayList<>();
-        for (Tree m : t.list("boxes")) {
+        for (FieldMap m : t.list("boxes")) {
             out.add(
                     new Listed(
                             m.text("name_id"),
--- a/src/main/java/org/shoreusher/wire/Tree.java
+++ b/src/main/java/org/shoreusher/wire/FieldMap.java
@@ -19,7 +19,7 @@
  * only Jackson's streaming part is used, since its data binding costs a small machine a second of
  * start-up.
  */
-public final class Tree {
+public final class FieldMap {
     private static final CBORFactory CBOR =
             CBORFactory.builder()
                     .streamReadConstraints(
@@ -50,25 +50,25 @@
     private final Map<String, Object> map;
 
     /** Reads from a map. */
-    public Tree(Map<String, Object> map) {
+    public FieldMap(Map<String, Object> map) {
         this.map = map;
     }
 
     /** The map in a CBOR body; an {@link IOException} if it is no map or goes on behind it. */
-    public static Tree cbor(byte[] body) throws IOException {
+    public static FieldMap cbor(byte[] body) throws IOException {
         try (JsonParser p = CBOR.createParser(body)) {
             return whole(p);
         }
     }
 
     /** The map in a JSON text. */
-    public static Tree json(byte[] body) throws IOException {
+    public static FieldMap json(byte[] body) throws IOException {
         try (JsonParser p = JSON.createParser(body)) {
             return whole(p);
         }
     }
 
-    private static Tree whole(JsonParser p) throws IOException {
+    private static FieldMap whole(JsonParser p) throws IOException {
         if (p.nextToken() != JsonToken.START_OBJECT) {
             throw new IOException("not a map");
         }
@@ -77,7 +77,7 @@
         if (p.nextToken() != null) {
             throw new IOException("more than one value");
         }
-        return new Tree(map);
+        return new FieldMap(map);
     }
 
     private static Object value(JsonParser p) throws IOException {
@@ -190,26 +190,26 @@
     }
 
     /** A field that must be a map. */
-    public Tree map(String field) throws Missing {
+    public FieldMap map(String field) throws Missing {
         @SuppressWarnings("unchecked")
         Map<String, Object> m =
                 map.get(field) instanceof Map<?, ?> v ? (Map<String, Object>) v : null;
         if (m == null) {
             throw new Missing(field + " must be a map");
         }
-        return new Tree(m);
+        return new FieldMap(m);
     }
 
     /** The maps of a list; an absent list is empty. */
-    public List<Tree> list(String field) throws Missing {
-        List<Tree> out = new ArrayList<>();
+    public List<FieldMap> list(String field) throws Missing {
+        List<FieldMap> out = new ArrayList<>();
         for (Object o : rawList(field)) {
             if (!(o instanceof Map<?, ?>)) {
                 throw new Missing(field + " must hold maps");
             }
             @SuppressWarnings("unchecked")
             Map<String, Object> m = (Map<String, Object>) o;
-            out.add(new Tree(m));
+            out.add(new FieldMap(m));
         }
         return out;
     }
--- a/src/main/java/org/shoreusher/wire/StateFormat.java
+++ b/src/main/java/org/shoreusher/wire/StateFormat.java
@@ -58,33 +58,33 @@
     }
 
     /** The single key of a read. */
-    public static Entry entry(Tree t) throws Tree.Missing {
+    public static Entry entry(FieldMap t) throws FieldMap.Missing {
         return new Entry(t.text("k"), t.map("value").asMap(), t.whole("stamp"));
     }
 
     /** The keys of a page. */
-    public static List<Entry> page(Tree t) throws Tree.Missing {
+    public static List<Entry> page(FieldMap t) throws FieldMap.Missing {
         List<Entry> out = new ArrayList<>();
-        for (Tree e : t.list("entries")) {
+        for (FieldMap e : t.list("entries")) {
             out.add(entry(e));
         }
         return out;
     }
 
     /** Whether further pages follow. */
-    public static boolean more(Tree t) throws Tree.Missing {
+    public static boolean more(FieldMap t) throws FieldMap.Missing {
         return t.flagOr("more", false);
     }
 
     /** The store's revision that an answer tells. */
-    public static long revision(Tree t) throws Tree.Missing {
+    public static long revision(FieldMap t) throws FieldMap.Missing {
         return t.whole("ledger");
     }
 
     /** The changes a watch saw, in order. */
-    public static List<Entry> changes(Tree t) throws Tree.Missing {
+    public static List<Entry> changes(FieldMap t) throws FieldMap.Missing {
         List<Entry> out = new ArrayList<>();
-        for (Tree e : t.list("log")) {
+        for (FieldMap e : t.list("log")) {
             out.add(
                     e.has("remove")
                             ? new Entry(e.text("remove"), null, e.whole("stamp"))
@@ -94,7 +94,7 @@
     }
 
     /** The keys whose guards failed. */
-    public static List<String> failed(Tree t) throws Tree.Missing {
+    public static List<String> failed(FieldMap t) throws FieldMap.Missing {
         return t.texts("failed");
     }
 }
--- a/src/main/java/org/shoreusher/wire/UserFormat.java
+++ b/src/main/java/org/shoreusher/wire/UserFormat.java
@@ -57,8 +57,8 @@
         return true;
     }
 
-    /** Reads a job that a user submits; {@link Tree.Missing} says what is wrong with it. */
-    public static JobSpec job(Tree t) throws Tree.Missing {
+    /** Reads a job that a user submits; {@link FieldMap.Missing} says what is wrong with it. */
+    public static JobSpec job(FieldMap t) throws FieldMap.Missing {
         String shape = t.text("shape");
         // Gangs and other shapes will get their own reading here; none is specified today.
         need(shape.equals(SWEEP) || shape.equals(SERVICE), "shape must be sweep or service");
@@ -66,11 +66,11 @@
     }
 
     /** Reads a job's description in the state service, as {@link #description} writes it. */
-    public static JobSpec described(Tree t) throws Tree.Missing {
+    public static JobSpec described(FieldMap t) throws FieldMap.Missing {
         return job(t, t.flagOr(KEPT_UP, false) ? Shape.SERVICE : Shape.BATCH);
     }
 
-    private static JobSpec job(Tree t, Shape shape) throws Tree.Missing {
+    private static JobSpec job(FieldMap t, Shape shape) throws FieldMap.Missing {
         String id = t.text("name_id");
         need(isId(id), "name_id must look like wk-000412");
         long tasks = t.whole("sheets");
@@ -105,7 +105,7 @@
                 deadline);
     }
 
-    private static double amount(Tree t, String field) throws Tree.Missing {
+    private static double amount(FieldMap t, String field) throws FieldMap.Missing {
         double v = t.number(field);
         need(
                 v >= 0 && v < Double.POSITIVE_INFINITY,
@@ -113,19 +113,19 @@
         return v;
     }
 
-    private static void need(boolean ok, String message) throws Tree.Missing {
+    private static void need(boolean ok, String message) throws FieldMap.Missing {
         if (!ok) {
-            throw new Tree.Missing(message);
+            throw new FieldMap.Missing(message);
         }
     }
 
-    private static Priority priority(String text) throws Tree.Missing {
+    private static Priority priority(String text) throws FieldMap.Missing {
         return switch (text) {
             case "prod" -> Priority.PRODUCTION;
             case "high" -> Priority.HIGH;
             case "standard" -> Priority.NORMAL;
             case "low" -> Priority.LOW;
-            default -> throw new Tree.Missing("urgency must be prod, high, standard or low");
+            default -> throw new FieldMap.Missing("urgency must be prod, high, standard or low");
         };
     }
 
--- a/src/main/java/org/shoreusher/wire/WorkerFormat.java
+++ b/src/main/java/org/shoreusher/wire/WorkerFormat.java
@@ -15,19 +15,19 @@
     private WorkerFormat() {}
 
     /** Reads a report. */
-    public static WorkerReport report(Tree t) throws Tree.Missing {
+    public static WorkerReport report(FieldMap t) throws FieldMap.Missing {
         List<TaskReport> tasks = new ArrayList<>();
-        for (Tree s : t.list("sheets")) {
+        for (FieldMap s : t.list("sheets")) {
             String name = s.text("sheet");
             int slash = name.lastIndexOf('/');
             if (slash < 1) {
-                throw new Tree.Missing("sheet must look like wk-000412/3");
+                throw new FieldMap.Missing("sheet must look like wk-000412/3");
             }
             int index;
             try {
                 index = Integer.parseInt(name.substring(slash + 1));
             } catch (NumberFormatException e) {
-                throw new Tree.Missing("sheet must look like wk-000412/3");
+                throw new FieldMap.Missing("sheet must look like wk-000412/3");
             }
             TaskState state = state(s.text("status"));
             tasks.add(
--- a/src/test/java/org/shoreusher/core/ArrivalsTest.java
+++ b/src/test/java/org/shoreusher/core/ArrivalsTest.java
@@ -68,24 +68,27 @@
             Outbox out = new Outbox(SETTINGS, 1);
             Arrivals[] arrivals = new Arrivals[1];
             List<String> told = new ArrayList<>();
-            Mirror mirror =
-                    new Mirror(
+            StoreView mirror =
+                    new StoreView(
                             out,
                             SETTINGS,
                             (key, before, after) -> {
-                                if (key.startsWith(Keys.ARRIVED)) {
+                                if (key.startsWith(StoreSchema.ARRIVED)) {
                                     arrivals[0].changed(key, after, (id, record) -> told.add(id));
                                 }
                             });
             arrivals[0] = new Arrivals(SETTINGS, out, mirror);
             if (ended) {
-                mirror.apply(Keys.job("wk-1"), Keys.JobRecord.open(0, spec, 0).done().write(), 9);
-                mirror.evict(Keys.job("wk-1"));
+                mirror.apply(
+                        StoreSchema.job("wk-1"),
+                        StoreSchema.JobRecord.open(0, spec, 0).done().write(),
+                        9);
+                mirror.evict(StoreSchema.job("wk-1"));
             }
             mirror.apply(
-                    Keys.arrived("n/1", 1),
-                    Keys.ArrivalRecord.write(
-                            Map.of("wk-1", Keys.JobRecord.open(0, spec, 0).write())),
+                    StoreSchema.arrived("n/1", 1),
+                    StoreSchema.ArrivalRecord.write(
+                            Map.of("wk-1", StoreSchema.JobRecord.open(0, spec, 0).write())),
                     6);
             assertEquals(ended ? List.of() : List.of("wk-1"), told);
             if (ended) {
--- a/src/test/java/org/shoreusher/core/FinishedRecordsTest.java
+++ b/src/test/java/org/shoreusher/core/FinishedRecordsTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.ShrinkingMode;
 import net.jqwik.api.constraints.LongRange;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.wire.Tree;
+import org.shoreusher.wire.FieldMap;
 
 /**
  * Records of finished tasks: below the limit whatever is finished, and what is durable stays so,
@@ -118,7 +118,7 @@
                 Map<String, Object> record = store.get(c);
                 record.put(job.id, TaskRanges.format(set));
                 // Its taker leaves no part's own record that it may not write again.
-                if (Tree.jsonLength(record)
+                if (FieldMap.jsonLength(record)
                         > (c == 0 ? Math.min(former, s.valueBytes()) : former) * 0.75) {
                     record.remove(job.id);
                 }
@@ -156,8 +156,8 @@
             writes.forEach(
                     (c, record) ->
                             assertTrue(
-                                    Tree.jsonLength(record) <= s.valueBytes(),
-                                    "record " + c + " of " + Tree.jsonLength(record)));
+                                    FieldMap.jsonLength(record) <= s.valueBytes(),
+                                    "record " + c + " of " + FieldMap.jsonLength(record)));
             if (r.nextInt(4) > 0 || beat > 40) {
                 store.putAll(writes);
                 laid.markDurable();
@@ -200,7 +200,7 @@
         }
         Map<String, BitSet> found = new LinkedHashMap<>(covered);
         for (Map<String, Object> piece : FinishedRecords.split(done, s, covered::get)) {
-            assertTrue(Tree.jsonLength(piece) <= s.valueBytes());
+            assertTrue(FieldMap.jsonLength(piece) <= s.valueBytes());
             piece.forEach(
                     (id, ranges) -> {
                         BitSet set = TaskRanges.parse((String) ranges);
--- a/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
+++ b/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
@@ -18,7 +18,7 @@
 import org.shoreusher.core.Command.StateReply;
 import org.shoreusher.core.Effect.StateOp;
 import org.shoreusher.core.Hint.Claim;
-import org.shoreusher.core.Keys.QuotaRecord;
+import org.shoreusher.core.StoreSchema.QuotaRecord;
 import org.shoreusher.settings.Settings;
 
 /** Tests of the classes by which an owner acts. */
@@ -90,8 +90,9 @@
     void oldNewsDoesNotBringADoneJobBack() {
         Outbox out = new Outbox(settings(List.of()), 1);
         List<String> seen = new ArrayList<>();
-        Mirror mirror = new Mirror(out, settings(List.of()), (key, before, after) -> seen.add(key));
-        out.now = new Reading(1_000, 1_000);
+        StoreView mirror =
+                new StoreView(out, settings(List.of()), (key, before, after) -> seen.add(key));
+        out.now = new ClockReading(1_000, 1_000);
         mirror.step();
         assertTrue(asked(out) instanceof StateOp.Page);
         out.replied(
@@ -128,8 +129,8 @@
     @Example
     void aViewWhoseWatchKeepsFailingIsReadInPages() {
         Outbox out = new Outbox(settings(List.of()), 1);
-        Mirror mirror = new Mirror(out, settings(List.of()), (key, before, after) -> {});
-        out.now = new Reading(1_000, 1_000);
+        StoreView mirror = new StoreView(out, settings(List.of()), (key, before, after) -> {});
+        out.now = new ClockReading(1_000, 1_000);
         mirror.step();
         asked(out);
         out.replied(
@@ -139,7 +140,7 @@
         out.replied(new StateReply(2, 200, Map.of("ledger", 5L, "log", List.of())));
         StateOp last = null;
         for (int call = 3; call < 100 && !(last instanceof StateOp.Page); call++) {
-            out.now = new Reading(out.now.steadyMs() + 500, out.now.wallMs() + 500);
+            out.now = new ClockReading(out.now.steadyMs() + 500, out.now.wallMs() + 500);
             mirror.step();
             last = asked(out);
             assertTrue(
@@ -272,12 +273,12 @@
             Outbox out = new Outbox(s, 2);
             Arrivals[] arrivals = new Arrivals[1];
             List<Integer> told = new ArrayList<>();
-            Mirror mirror =
-                    new Mirror(
+            StoreView mirror =
+                    new StoreView(
                             out,
                             s,
                             (key, before, after) -> {
-                                if (key.startsWith(Keys.ARRIVED)) {
+                                if (key.startsWith(StoreSchema.ARRIVED)) {
                                     arrivals[0].changed(
                                             key, after, (id, record) -> told.add(record.part()));
                                 }
@@ -285,14 +286,15 @@
             arrivals[0] = new Arrivals(s, out, mirror);
             for (int part : olderFirst ? new int[] {1, 0} : new int[] {0, 1}) {
                 mirror.apply(
-                        Keys.arrived("n/" + part, 1),
-                        Keys.ArrivalRecord.write(
-                                Map.of("wk-1", Keys.JobRecord.open(part, spec, 0).write())),
+                        StoreSchema.arrived("n/" + part, 1),
+                        StoreSchema.ArrivalRecord.write(
+                                Map.of("wk-1", StoreSchema.JobRecord.open(part, spec, 0).write())),
                         part == 1 ? 5 : 6);
             }
             assertEquals(1, arrivals[0].record("wk-1").part());
             assertEquals(1, told.get(told.size() - 1));
-            mirror.apply(Keys.job("wk-1"), Keys.JobRecord.open(0, spec, 0).write(), 7);
+            mirror.apply(
+                    StoreSchema.job("wk-1"), StoreSchema.JobRecord.open(0, spec, 0).write(), 7);
             assertEquals(0, arrivals[0].record("wk-1").part());
         }
     }
@@ -308,16 +310,16 @@
         Random random = new Random(seed);
         Settings s = settings(List.of());
         Outbox out = new Outbox(s, 1);
-        out.now = new Reading(1_000, 1_000);
-        Mirror mirror = new Mirror(out, s, (key, before, after) -> {});
+        out.now = new ClockReading(1_000, 1_000);
+        StoreView mirror = new StoreView(out, s, (key, before, after) -> {});
         Arrivals arrivals = new Arrivals(s, out, mirror);
-        Holding holding =
-                new Holding(
+        PartOwnership holding =
+                new PartOwnership(
                         0,
                         s,
                         out,
                         mirror,
-                        new Keys.PartRecord("n/1", 60_000, 1, Map.of()),
+                        new StoreSchema.PartRecord("n/1", 60_000, 1, Map.of()),
                         out.now,
                         1);
         Map<String, Job> jobs = new java.util.LinkedHashMap<>();
@@ -332,7 +334,8 @@
                             Double.NaN,
                             0);
             jobs.put(job.id, job);
-            mirror.apply(Keys.job(job.id), Keys.JobRecord.open(0, job.spec, 0).write(), 1);
+            mirror.apply(
+                    StoreSchema.job(job.id), StoreSchema.JobRecord.open(0, job.spec, 0).write(), 1);
         }
         StartMarks marks =
                 new StartMarks(
@@ -346,7 +349,7 @@
                 round < 200 && jobs.values().stream().anyMatch(j -> j.startBelow == 0);
                 round++) {
             jobs.values().forEach(j -> marks.want(j, j.startBelow == 0 ? 1 : 0));
-            out.now = new Reading(out.now.steadyMs() + 300, out.now.wallMs() + 10);
+            out.now = new ClockReading(out.now.steadyMs() + 300, out.now.wallMs() + 10);
             marks.write();
             for (Effect e : out.drain()) {
                 Effect.StateCall call = (Effect.StateCall) e;
@@ -355,7 +358,7 @@
                         .forEach(
                                 (key, value) ->
                                         assertTrue(
-                                                org.shoreusher.wire.Tree.jsonLength(value)
+                                                org.shoreusher.wire.FieldMap.jsonLength(value)
                                                         <= s.valueBytes(),
                                                 key));
                 out.replied(new StateReply(call.call(), 200, Map.of("ledger", ++revision)));
--- a/src/test/java/org/shoreusher/core/PiecesTest.java
+++ b/src/test/java/org/shoreusher/core/PiecesTest.java
@@ -118,17 +118,17 @@
         long written = 1_000_000;
         long ownerOff = r.nextInt(2 * off + 1) - off;
         lease.confirmed(
-                written + ownerOff + PartLease.leaseMs(s), new Reading(0, written + ownerOff));
+                written + ownerOff + PartLease.leaseMs(s), new ClockReading(0, written + ownerOff));
         for (long t = 0; t < PartLease.leaseMs(s) + 4_000; t += 13) {
             // The time of day wanders inside its bound; the steady clock may be up to 0.05% fast.
             long ownerWall = written + t + r.nextInt(2 * off + 1) - off;
             long takerWall = written + t + r.nextInt(2 * off + 1) - off;
-            boolean acts = lease.holds(new Reading((long) (t * 1.0005), ownerWall));
+            boolean acts = lease.holds(new ClockReading((long) (t * 1.0005), ownerWall));
             boolean taken =
                     PartLease.free(
                             s,
                             written + ownerOff + PartLease.leaseMs(s),
-                            new Reading(0, takerWall));
+                            new ClockReading(0, takerWall));
             assertFalse(acts && taken, "both at " + t);
         }
     }
--- a/src/test/java/org/shoreusher/core/StartMarksTest.java
+++ b/src/test/java/org/shoreusher/core/StartMarksTest.java
@@ -14,7 +14,7 @@
 import org.shoreusher.core.Command.StateReply;
 import org.shoreusher.core.Effect.StateOp;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.wire.Tree;
+import org.shoreusher.wire.FieldMap;
 
 /**
  * Marks of how far jobs have been begun, when their writes fail, get no answer, or are carried out
@@ -58,15 +58,15 @@
             @ForAll @LongRange(min = 0) long seed) {
         Random random = new Random(seed);
         Outbox out = new Outbox(SETTINGS, 1);
-        out.now = new Reading(1_000, 1_000);
-        Mirror mirror = new Mirror(out, SETTINGS, (key, before, after) -> {});
-        Holding holding =
-                new Holding(
+        out.now = new ClockReading(1_000, 1_000);
+        StoreView mirror = new StoreView(out, SETTINGS, (key, before, after) -> {});
+        PartOwnership holding =
+                new PartOwnership(
                         0,
                         SETTINGS,
                         out,
                         mirror,
-                        new Keys.PartRecord("n/1", 60_000, 1, Map.of()),
+                        new StoreSchema.PartRecord("n/1", 60_000, 1, Map.of()),
                         out.now,
                         1);
         Map<String, Job> jobs = new LinkedHashMap<>();
@@ -93,7 +93,8 @@
                             0,
                             Double.NaN);
             jobs.put(spec.id(), new Job(spec.id(), spec, 0));
-            mirror.apply(Keys.job(spec.id()), Keys.JobRecord.open(0, spec, 0).write(), 1);
+            mirror.apply(
+                    StoreSchema.job(spec.id()), StoreSchema.JobRecord.open(0, spec, 0).write(), 1);
         }
         StartMarks marks =
                 new StartMarks(
@@ -116,7 +117,7 @@
             jobs.values().stream()
                     .filter(j -> j.startBelow == 0 && random.nextInt(3) == 0)
                     .forEach(j -> marks.want(j, 1));
-            out.now = new Reading(out.now.steadyMs() + 300, out.now.wallMs() + 10);
+            out.now = new ClockReading(out.now.steadyMs() + 300, out.now.wallMs() + 10);
             marks.write();
             for (Effect e : out.drain()) {
                 Effect.StateCall call = (Effect.StateCall) e;
@@ -125,7 +126,7 @@
                         .forEach(
                                 (key, value) ->
                                         assertTrue(
-                                                Tree.jsonLength(value) <= SETTINGS.valueBytes(),
+                                                FieldMap.jsonLength(value) <= SETTINGS.valueBytes(),
                                                 key));
                 boolean fails = round < 20 || (round < 100 && random.nextInt(3) > 0);
                 out.replied(
--- a/src/test/java/org/shoreusher/model/FormerFormatsTest.java
+++ b/src/test/java/org/shoreusher/model/FormerFormatsTest.java
@@ -16,7 +16,7 @@
 import org.shoreusher.core.JobSpec;
 import org.shoreusher.peer.HintCodec;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.wire.Tree;
+import org.shoreusher.wire.FieldMap;
 import org.shoreusher.wire.UserFormat;
 
 /**
@@ -33,7 +33,7 @@
     private static Map<String, Object> former() {
         try (InputStream in =
                 FormerFormatsTest.class.getResourceAsStream("/formats-before-services.json")) {
-            return Tree.json(in.readAllBytes()).asMap();
+            return FieldMap.json(in.readAllBytes()).asMap();
         } catch (java.io.IOException e) {
             throw new AssertionError(e);
         }
@@ -208,8 +208,9 @@
     private static JobSpec describedAgain(SingleNode node, String id) {
         try {
             return UserFormat.described(
-                    new Tree((Map<String, Object>) node.state().value("job/" + id).get("spec")));
-        } catch (Tree.Missing e) {
+                    new FieldMap(
+                            (Map<String, Object>) node.state().value("job/" + id).get("spec")));
+        } catch (FieldMap.Missing e) {
             throw new AssertionError(e);
         }
     }
--- a/src/test/java/org/shoreusher/model/FormerOwner.java
+++ b/src/test/java/org/shoreusher/model/FormerOwner.java
@@ -11,7 +11,7 @@
 import org.shoreusher.core.Effect.StateOp;
 import org.shoreusher.core.JobSpec;
 import org.shoreusher.model.FormerStore.KnownJob;
-import org.shoreusher.wire.Tree;
+import org.shoreusher.wire.FieldMap;
 import org.shoreusher.wire.UserFormat;
 
 /**
@@ -487,7 +487,7 @@
         if (status.equals("DONE")) {
             guards.put("part/0/fence", fence);
         }
-        if (Tree.jsonLength(record) <= valueBytes) {
+        if (FieldMap.jsonLength(record) <= valueBytes) {
             send(guards, Map.of(key, record), then);
         }
     }
--- a/src/test/java/org/shoreusher/model/LargerRecordsTest.java
+++ b/src/test/java/org/shoreusher/model/LargerRecordsTest.java
@@ -9,7 +9,7 @@
 import net.jqwik.api.Example;
 import org.shoreusher.core.JobSpec;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.wire.Tree;
+import org.shoreusher.wire.FieldMap;
 import org.shoreusher.wire.UserFormat;
 
 /** Jobs that were accepted when values could be longer than they may be now. */
@@ -56,7 +56,7 @@
         record.put("accepted", node.now);
         record.put("begun", 0L);
         record.put("spec", UserFormat.description(longJob()));
-        assertTrue(Tree.jsonLength(record) > VALUE_BYTES);
+        assertTrue(FieldMap.jsonLength(record) > VALUE_BYTES);
         node.state().put("job/" + ID, record);
     }
 
@@ -82,7 +82,7 @@
 
     /** Written in full, the cancelled job's record would be refused each time. */
     @Example
-    void aLongJobIsCancelled() throws Tree.Missing {
+    void aLongJobIsCancelled() throws FieldMap.Missing {
         node.left();
         acceptedBefore();
         node.steps(40);
@@ -90,8 +90,8 @@
         assertEquals(200, node.cancel(ID));
         assertEquals("aborted", node.ask(ID));
         Map<String, Object> record = node.state().value("job/" + ID);
-        assertTrue(Tree.jsonLength(record) <= VALUE_BYTES);
-        JobSpec left = UserFormat.described(new Tree(record).map("spec"));
+        assertTrue(FieldMap.jsonLength(record) <= VALUE_BYTES);
+        JobSpec left = UserFormat.described(new FieldMap(record).map("spec"));
         assertEquals("team-0", left.team());
         assertEquals(2.0, left.cpus());
     }
--- a/src/test/java/org/shoreusher/model/SingleNode.java
+++ b/src/test/java/org/shoreusher/model/SingleNode.java
@@ -7,13 +7,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
+import org.shoreusher.core.ClockReading;
 import org.shoreusher.core.Command;
 import org.shoreusher.core.Effect;
 import org.shoreusher.core.Effect.CloudOp;
 import org.shoreusher.core.Effect.StateOp;
 import org.shoreusher.core.JobSpec;
 import org.shoreusher.core.Node;
-import org.shoreusher.core.Reading;
 import org.shoreusher.core.WorkerReport;
 import org.shoreusher.core.WorkerReport.TaskReport;
 import org.shoreusher.model.World.Sabotage;
@@ -47,7 +47,7 @@
             world.now = now;
             List<Command> batch = new ArrayList<>(commands);
             commands.clear();
-            for (Effect e : node.step(new Reading(now, now), batch)) {
+            for (Effect e : node.step(new ClockReading(now, now), batch)) {
                 if (e instanceof Effect.StateCall c) {
                     world.state.handle(
                             "node-0",
--- a/src/test/java/org/shoreusher/model/StateModel.java
+++ b/src/test/java/org/shoreusher/model/StateModel.java
@@ -11,7 +11,7 @@
 import org.shoreusher.core.TokenBucket;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
-import org.shoreusher.wire.Tree;
+import org.shoreusher.wire.FieldMap;
 
 /**
  * A stand-in of the state service, as the protocol describes it; it keeps few changes, so that 410
@@ -90,7 +90,8 @@
                 op.writes().size() <= s.txnOps()
                         && op.guards().size() <= 4 * s.txnOps()
                         && op.writes().values().stream()
-                                .allMatch(v -> v == null || Tree.jsonLength(v) <= s.valueBytes());
+                                .allMatch(
+                                        v -> v == null || FieldMap.jsonLength(v) <= s.valueBytes());
         if (!ok && !world.old(host)) {
             throw new AssertionError("transaction of " + host + " above its limits: " + op);
         }
@@ -148,7 +149,7 @@
 
     /** Bytes of the longest value. */
     int longest() {
-        return items.values().stream().mapToInt(i -> Tree.jsonLength(i.value)).max().orElse(0);
+        return items.values().stream().mapToInt(i -> FieldMap.jsonLength(i.value)).max().orElse(0);
     }
 
     /** How many keys begin so. */
--- a/src/test/java/org/shoreusher/model/World.java
+++ b/src/test/java/org/shoreusher/model/World.java
@@ -9,14 +9,14 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.function.Consumer;
+import org.shoreusher.core.ClockReading;
 import org.shoreusher.core.Command;
 import org.shoreusher.core.Effect;
 import org.shoreusher.core.Node;
-import org.shoreusher.core.Reading;
 import org.shoreusher.core.WorkerReport;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
-import org.shoreusher.wire.Tree;
+import org.shoreusher.wire.FieldMap;
 
 /**
  * A small deterministic world: several cores, a state service, a cloud, workers and users, joined
@@ -211,7 +211,7 @@
 
     static Map<String, Object> copy(Map<String, Object> value) {
         try {
-            return value == null ? null : Tree.cbor(Tree.toCbor(value)).asMap();
+            return value == null ? null : FieldMap.cbor(FieldMap.toCbor(value)).asMap();
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -344,8 +344,8 @@
             }
             List<Command> batch = new ArrayList<>(queue);
             queue.clear();
-            Reading reading =
-                    new Reading(
+            ClockReading reading =
+                    new ClockReading(
                             1_000_000L * (index + 1) + (long) (now * (1 + drift)),
                             1_700_000_000_000L + now + wallOff);
             for (Effect e : node.step(reading, batch)) {
--- a/src/test/java/org/shoreusher/net/ConnectionsTest.java
+++ b/src/test/java/org/shoreusher/net/ConnectionsTest.java
@@ -17,7 +17,7 @@
 import org.shoreusher.core.WorkerOrder;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
-import org.shoreusher.user.FrontServer;
+import org.shoreusher.user.HttpFrontend;
 import org.shoreusher.worker.WorkerClient;
 
 /**
@@ -80,8 +80,8 @@
     void theConnectionLongestQuietMakesRoom() throws Exception {
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         int port = freePort();
-        FrontServer front =
-                new FrontServer(
+        HttpFrontend front =
+                new HttpFrontend(
                         group, settings(port, Tuning.OWN_SOCKETS + 2), command -> true, () -> 0L);
         front.listen();
         try (Socket first = new Socket(InetAddress.getLoopbackAddress(), port);
@@ -105,7 +105,7 @@
     void aBodyThatIsTooLongIsMalformed() throws Exception {
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         int port = freePort();
-        new FrontServer(group, settings(port, Tuning.OWN_SOCKETS + 2), command -> true, () -> 0L)
+        new HttpFrontend(group, settings(port, Tuning.OWN_SOCKETS + 2), command -> true, () -> 0L)
                 .listen();
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(20_000);
--- a/src/test/java/org/shoreusher/wire/FormatsTest.java
+++ b/src/test/java/org/shoreusher/wire/FormatsTest.java
@@ -44,14 +44,14 @@
 
     @Property(tries = 300, seed = "1")
     void cborKeepsEveryMap(@ForAll("maps") Map<String, Object> map) throws IOException {
-        assertEquals(map, Tree.cbor(Tree.toCbor(map)).asMap());
+        assertEquals(map, FieldMap.cbor(FieldMap.toCbor(map)).asMap());
     }
 
     /** Whatever the bytes, reading ends in a map or in the one exception that means 400. */
     @Property(tries = 500, seed = "2")
     void anyBytesAreAMapOrRefused(@ForAll byte[] bytes) {
         try {
-            Tree.cbor(bytes).asMap();
+            FieldMap.cbor(bytes).asMap();
         } catch (IOException e) {
             assertTrue(bytes.length >= 0);
         }
@@ -63,11 +63,11 @@
     @Property(tries = 500, seed = "3")
     void aSpoiledJobIsReadOrRefused(
             @ForAll("jobs") JobSpec job, @ForAll int at, @ForAll byte value) {
-        byte[] bytes = Tree.toCbor(UserFormat.map(job));
+        byte[] bytes = FieldMap.toCbor(UserFormat.map(job));
         bytes[Math.floorMod(at, bytes.length)] = value;
         try {
-            assertTrue(UserFormat.isId(UserFormat.job(Tree.cbor(bytes)).id()));
-        } catch (IOException | Tree.Missing e) {
+            assertTrue(UserFormat.isId(UserFormat.job(FieldMap.cbor(bytes)).id()));
+        } catch (IOException | FieldMap.Missing e) {
             assertTrue(e.getMessage() != null);
         }
     }
@@ -109,8 +109,8 @@
     }
 
     @Property(tries = 300, seed = "4")
-    void jobsComeBackFromTheWire(@ForAll("jobs") JobSpec job) throws IOException, Tree.Missing {
-        assertEquals(job, UserFormat.job(Tree.cbor(Tree.toCbor(UserFormat.map(job)))));
+    void jobsComeBackFromTheWire(@ForAll("jobs") JobSpec job) throws IOException, FieldMap.Missing {
+        assertEquals(job, UserFormat.job(FieldMap.cbor(FieldMap.toCbor(UserFormat.map(job)))));
     }
 
     @Example
@@ -136,8 +136,10 @@
                 (field, value) -> {
                     Map<String, Object> map = new LinkedHashMap<>(UserFormat.map(job));
                     map.put(field, value);
-                    Tree.Missing e =
-                            assertThrows(Tree.Missing.class, () -> UserFormat.job(new Tree(map)));
+                    FieldMap.Missing e =
+                            assertThrows(
+                                    FieldMap.Missing.class,
+                                    () -> UserFormat.job(new FieldMap(map)));
                     assertTrue(e.getMessage().contains(field), e.getMessage());
                 });
     }
@@ -178,11 +180,11 @@
                 Map<String, Object> map = new LinkedHashMap<>(whole);
                 map.put(field, value);
                 if (value == null && List.of("presses", "yard", "due_s").contains(field)) {
-                    assertDoesNotThrow(() -> UserFormat.job(new Tree(map)), field);
+                    assertDoesNotThrow(() -> UserFormat.job(new FieldMap(map)), field);
                 } else {
                     assertThrows(
-                            Tree.Missing.class,
-                            () -> UserFormat.job(new Tree(map)),
+                            FieldMap.Missing.class,
+                            () -> UserFormat.job(new FieldMap(map)),
                             field + " " + value);
                 }
             }
@@ -190,7 +192,7 @@
     }
 
     @Example
-    void readsAReportWithFieldsItDoesNotKnow() throws Tree.Missing {
+    void readsAReportWithFieldsItDoesNotKnow() throws FieldMap.Missing {
         Map<String, Object> report =
                 new LinkedHashMap<>(
                         Map.of(
@@ -228,7 +230,7 @@
                                 "stored",
                                 true),
                         Map.of("sheet", "wk-000412/4", "try", 8L, "status", "flushing")));
-        WorkerReport r = WorkerFormat.report(new Tree(report));
+        WorkerReport r = WorkerFormat.report(new FieldMap(report));
         assertTrue(Double.isNaN(r.noticeS()));
         assertEquals(
                 List.of(
