--- a/src/main/java/org/shoreusher/core/Acceptance.java
+++ b/src/main/java/org/shoreusher/core/Acceptance.java
@@ -36,7 +36,7 @@
 
     private final Settings settings;
     private final Outbox out;
-    private final StoreView mirror;
+    private final StoreView view;
     private final String owner;
     private final ToIntFunction<JobSpec> roomiestPart;
 
@@ -53,14 +53,14 @@
     Acceptance(
             Settings settings,
             Outbox out,
-            StoreView mirror,
+            StoreView view,
             String owner,
             ToIntFunction<JobSpec> roomiestPart,
             BiConsumer<Long, String> alreadyKnown,
             BiConsumer<Long, String> tooLong) {
         this.settings = settings;
         this.out = out;
-        this.mirror = mirror;
+        this.view = view;
         this.owner = owner;
         this.roomiestPart = roomiestPart;
         this.alreadyKnown = alreadyKnown;
@@ -156,7 +156,7 @@
     private void replied(
             StateReply reply, List<Arriving> batch, Map<String, Map<String, Object>> writes) {
         if (reply.status() == 200) {
-            mirror.applied(reply, writes);
+            view.applied(reply, writes);
             batch.forEach(
                     a ->
                             a.requests.forEach(
--- a/src/main/java/org/shoreusher/core/Arrivals.java
+++ b/src/main/java/org/shoreusher/core/Arrivals.java
@@ -27,7 +27,7 @@
 
     private final Settings settings;
     private final Outbox out;
-    private final StoreView mirror;
+    private final StoreView view;
 
     /** Jobs without a record of their own. */
     private final Object2ObjectLinkedOpenHashMap<String, Arrived> waiting =
@@ -40,10 +40,10 @@
     private boolean removing;
     private long nextMs;
 
-    Arrivals(Settings settings, Outbox out, StoreView mirror) {
+    Arrivals(Settings settings, Outbox out, StoreView view) {
         this.settings = settings;
         this.out = out;
-        this.mirror = mirror;
+        this.view = view;
     }
 
     /**
@@ -51,7 +51,7 @@
      * has neither.
      */
     JobRecord record(String id) {
-        StoreView.Entry own = mirror.get(StoreSchema.job(id));
+        StoreView.Entry own = view.get(StoreSchema.job(id));
         if (own != null) {
             return JobRecord.read(own.value());
         }
@@ -83,7 +83,7 @@
                 (id, record) -> {
                     // Done jobs have left the view; until the watch has passed that, the news of
                     // their arrival may still come.
-                    if (!mirror.hasOrHad(StoreSchema.job(id))) {
+                    if (!view.hasOrHad(StoreSchema.job(id))) {
                         left.add(id);
                     }
                 });
@@ -106,17 +106,17 @@
     }
 
     /** Removes shared records of which nothing is needed any more, without haste. */
-    void sweep(PartOwnership holding) {
+    void sweep(PartOwnership ownership) {
         if (removing || out.now.steadyMs() < nextMs) {
             return;
         }
         nextMs = out.now.steadyMs() + Tuning.SWEEP_EVERY_MS;
-        Map<String, Long> guards = new LinkedHashMap<>(holding.fence());
+        Map<String, Long> guards = new LinkedHashMap<>(ownership.fence());
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
         shared.forEach(
                 (key, ids) -> {
                     if (ids.isEmpty() && writes.size() < settings.txnOps() / 2) {
-                        guards.put(key, mirror.version(key));
+                        guards.put(key, view.version(key));
                         writes.put(key, null);
                     }
                 });
@@ -127,7 +127,7 @@
                             reply -> {
                                 removing = false;
                                 if (reply.status() == 200) {
-                                    mirror.applied(reply, writes);
+                                    view.applied(reply, writes);
                                 }
                             });
         }
--- a/src/main/java/org/shoreusher/core/ConfirmedReads.java
+++ b/src/main/java/org/shoreusher/core/ConfirmedReads.java
@@ -33,7 +33,7 @@
 
     private final Settings settings;
     private final Outbox out;
-    private final StoreView mirror;
+    private final StoreView view;
     private final Arrivals arrivals;
     private final EndedJobs ended;
 
@@ -48,13 +48,13 @@
     ConfirmedReads(
             Settings settings,
             Outbox out,
-            StoreView mirror,
+            StoreView view,
             Arrivals arrivals,
             EndedJobs ended,
             LongPredicate refuse) {
         this.settings = settings;
         this.out = out;
-        this.mirror = mirror;
+        this.view = view;
         this.arrivals = arrivals;
         this.ended = ended;
         this.refuse = refuse;
@@ -93,7 +93,7 @@
             if (guards.size() >= 4 * settings.txnOps()) {
                 break;
             }
-            guards.put(StoreSchema.job(q.id()), mirror.version(StoreSchema.job(q.id())));
+            guards.put(StoreSchema.job(q.id()), view.version(StoreSchema.job(q.id())));
             batch.add(q);
         }
         questions.subList(0, batch.size()).clear();
@@ -164,7 +164,7 @@
     /** Answers the questions up to whose revision the view has come. */
     void answerUnseen() {
         for (Unseen u : List.copyOf(unseen)) {
-            if (mirror.revision() >= u.revision()) {
+            if (view.revision() >= u.revision()) {
                 unseen.remove(u);
                 u.question().then().accept(seen(u.question().id()));
             } else if (out.now.steadyMs() - u.sinceMs() > Tuning.UNSEEN_WAIT_MS) {
@@ -199,7 +199,7 @@
                             }
                             try {
                                 StateFormat.Entry e = StateFormat.entry(new FieldMap(reply.body()));
-                                mirror.apply(e.key(), e.value(), e.version());
+                                view.apply(e.key(), e.value(), e.version());
                                 q.then().accept(JobRecord.read(e.value()));
                             } catch (FieldMap.Missing x) {
                                 out.answerUnavailable(q.request());
--- a/src/main/java/org/shoreusher/core/EndedJobs.java
+++ b/src/main/java/org/shoreusher/core/EndedJobs.java
@@ -17,19 +17,19 @@
 
     private final Settings settings;
     private final Outbox out;
-    private final StoreView mirror;
+    private final StoreView view;
 
-    /** Ended jobs, dropped from the mirror; a cache because the store has them for ever. */
+    /** Ended jobs, dropped from the view; a cache because the store has them for ever. */
     private final Cache<String, JobRecord> ended =
             Caffeine.newBuilder().maximumSize(Tuning.FINAL_STATES).executor(Runnable::run).build();
 
     /** Cancelled jobs that are yet in the view, the longest cancelled first. */
     private final ArrayDeque<Leaving> leaving = new ArrayDeque<>();
 
-    EndedJobs(Settings settings, Outbox out, StoreView mirror) {
+    EndedJobs(Settings settings, Outbox out, StoreView view) {
         this.settings = settings;
         this.out = out;
-        this.mirror = mirror;
+        this.view = view;
     }
 
     /** The record of an ended job; null if it is not in memory. */
@@ -37,10 +37,10 @@
         return ended.getIfPresent(id);
     }
 
-    /** A job has become done: its record moves from the mirror to the cache. */
+    /** A job has become done: its record moves from the view to the cache. */
     void done(String id, JobRecord record) {
         ended.put(id, record);
-        mirror.evict(StoreSchema.job(id));
+        view.evict(StoreSchema.job(id));
     }
 
     /**
@@ -59,7 +59,7 @@
     void step() {
         while (!leaving.isEmpty() && leaving.peek().atMs() <= out.now.steadyMs()) {
             String id = leaving.poll().id();
-            StoreView.Entry entry = mirror.get(StoreSchema.job(id));
+            StoreView.Entry entry = view.get(StoreSchema.job(id));
             if (entry != null) {
                 JobRecord record = JobRecord.read(entry.value());
                 ended.put(
@@ -71,7 +71,7 @@
                                 record.acceptedMs(),
                                 record.begun(),
                                 null));
-                mirror.evict(StoreSchema.job(id));
+                view.evict(StoreSchema.job(id));
             }
         }
     }
--- a/src/main/java/org/shoreusher/core/FinalStates.java
+++ b/src/main/java/org/shoreusher/core/FinalStates.java
@@ -9,18 +9,18 @@
 /** Writes the final state of jobs whose last task has finished; users are told only after that. */
 final class FinalStates {
     private final Outbox out;
-    private final StoreView mirror;
+    private final StoreView view;
     private final Arrivals arrivals;
-    private final PartOwnership holding;
+    private final PartOwnership ownership;
 
     /** Jobs whose last task has finished and whose final state is not yet written. */
     private final List<Job> complete = new ArrayList<>();
 
-    FinalStates(Outbox out, StoreView mirror, Arrivals arrivals, PartOwnership holding) {
+    FinalStates(Outbox out, StoreView view, Arrivals arrivals, PartOwnership ownership) {
         this.out = out;
-        this.mirror = mirror;
+        this.view = view;
         this.arrivals = arrivals;
-        this.holding = holding;
+        this.ownership = ownership;
     }
 
     /** A task of the job has finished, or the job is new here: notes it if it was the last one. */
@@ -32,7 +32,7 @@
 
     /** Writes what is due. */
     void write() {
-        if (complete.isEmpty() || !holding.holds()) {
+        if (complete.isEmpty() || !ownership.holds()) {
             return;
         }
         complete.removeIf(job -> job.closed);
@@ -47,14 +47,14 @@
             job.finishing =
                     out.state(
                             new StateOp.Multi(
-                                    holding.guards(
+                                    ownership.guards(
                                             StoreSchema.job(job.id),
-                                            mirror.version(StoreSchema.job(job.id))),
+                                            view.version(StoreSchema.job(job.id))),
                                     writes),
                             reply -> {
                                 job.finishing = false;
                                 if (reply.status() == 200) {
-                                    mirror.applied(reply, writes);
+                                    view.applied(reply, writes);
                                 }
                             });
             if (!job.finishing) {
--- a/src/main/java/org/shoreusher/core/Fleet.java
+++ b/src/main/java/org/shoreusher/core/Fleet.java
@@ -135,7 +135,7 @@
         lack(jobs);
         // Idle machines of other parts come by handover, which is quicker and cheaper than renting.
         wanting.subList(
-                        Math.max(0, wanting.size() - part.neighbours().idleElsewhere()),
+                        Math.max(0, wanting.size() - part.otherParts().idleElsewhere()),
                         wanting.size())
                 .clear();
         rentals.ask(wanting);
@@ -198,8 +198,8 @@
 
     /** Hands spare machines to the part that lacks most. */
     private void handOver() {
-        int to = part.neighbours().neediest();
-        int most = to < 0 ? 0 : part.neighbours().lacksOf(to);
+        int to = part.otherParts().neediest();
+        int most = to < 0 ? 0 : part.otherParts().lacksOf(to);
         runEmpty(most);
         for (Machine m : new ArrayList<>(part.machines().values())) {
             if (most > 0
--- a/src/main/java/org/shoreusher/core/MachineRecords.java
+++ b/src/main/java/org/shoreusher/core/MachineRecords.java
@@ -21,10 +21,10 @@
     private final int n;
     private final Settings settings;
     private final Outbox out;
-    private final StoreView mirror;
+    private final StoreView view;
     private final MachineIndex index;
     private final MemberFormats formats;
-    private final PartOwnership holding;
+    private final PartOwnership ownership;
     private final Map<String, Machine> machines;
     private final ObjectLinkedOpenHashSet<String> dirty = new ObjectLinkedOpenHashSet<>();
 
@@ -35,14 +35,14 @@
     private long nextMs;
 
     MachineRecords(
-            int n, NodeContext context, PartOwnership holding, Map<String, Machine> machines) {
+            int n, NodeContext context, PartOwnership ownership, Map<String, Machine> machines) {
         this.n = n;
         settings = context.settings();
         out = context.out();
-        mirror = context.mirror();
+        view = context.view();
         index = context.index();
         formats = context.formats();
-        this.holding = holding;
+        this.ownership = ownership;
         this.machines = machines;
     }
 
@@ -92,7 +92,7 @@
     void write() {
         if (recording
                 || (dirty.isEmpty() && splitting.isEmpty())
-                || !holding.holds()
+                || !ownership.holds()
                 || out.now.steadyMs() < nextMs) {
             return;
         }
@@ -120,19 +120,19 @@
             }
         }
         batch.forEach(dirty::remove);
-        Map<String, Long> guards = new LinkedHashMap<>(holding.fence());
+        Map<String, Long> guards = new LinkedHashMap<>(ownership.fence());
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
         groups.forEach(
                 (key, group) -> {
                     if (!group.equals(index.group(key))) {
-                        guards.put(key, mirror.version(key));
+                        guards.put(key, view.version(key));
                         writes.put(key, MachineGroup.write(key, group));
                     }
                 });
         for (String wide : splitting) {
             if (writes.size() < settings.txnOps()
                     && index.group(wide).keySet().stream().allMatch(this::standsElsewhere)) {
-                guards.put(wide, mirror.version(wide));
+                guards.put(wide, view.version(wide));
                 writes.put(wide, null);
             }
         }
@@ -145,11 +145,11 @@
                         new StateOp.Multi(guards, writes),
                         reply -> {
                             recording = false;
-                            if (holding.lost()) {
+                            if (ownership.lost()) {
                                 return;
                             }
                             if (reply.status() == 200) {
-                                mirror.applied(reply, writes);
+                                view.applied(reply, writes);
                             }
                             settle(batch);
                         });
--- a/src/main/java/org/shoreusher/core/MachineTypes.java
+++ b/src/main/java/org/shoreusher/core/MachineTypes.java
@@ -19,16 +19,16 @@
 final class MachineTypes {
     private final Settings settings;
     private final Outbox out;
-    private final StoreView mirror;
+    private final StoreView view;
     private final Object2ObjectOpenHashMap<String, MachineType> types =
             new Object2ObjectOpenHashMap<>();
     private boolean busy;
     private long nextMs;
 
-    MachineTypes(Settings settings, Outbox out, StoreView mirror) {
+    MachineTypes(Settings settings, Outbox out, StoreView view) {
         this.settings = settings;
         this.out = out;
-        this.mirror = mirror;
+        this.view = view;
     }
 
     boolean known() {
@@ -45,7 +45,7 @@
 
     /** Asks the cloud if this node rents (prices change) or if nobody has told the types yet. */
     void step(boolean renting) {
-        if (!mirror.loaded() || busy || out.now.steadyMs() < nextMs || (known() && !renting)) {
+        if (!view.loaded() || busy || out.now.steadyMs() < nextMs || (known() && !renting)) {
             return;
         }
         busy = out.cloud(new CloudOp.Types(), this::replied);
@@ -59,7 +59,7 @@
         }
         nextMs = out.now.steadyMs() + Tuning.FLAVORS_EVERY_MS;
         boolean first =
-                mirror.get(StoreSchema.TYPES) == null
+                view.get(StoreSchema.TYPES) == null
                         && FieldMap.jsonLength(reply.body()) <= settings.valueBytes();
         if (read(reply.body()) && first) {
             out.state(
--- a/src/main/java/org/shoreusher/core/MemberFormats.java
+++ b/src/main/java/org/shoreusher/core/MemberFormats.java
@@ -27,7 +27,7 @@
 
     private final Settings settings;
     private final Outbox out;
-    private final StoreView mirror;
+    private final StoreView view;
     private final String process;
     private final int parts;
     private boolean writing;
@@ -39,17 +39,17 @@
     /**
      * @param process the name of this process, which no other has ever had
      */
-    MemberFormats(Settings settings, Outbox out, StoreView mirror, String process, int parts) {
+    MemberFormats(Settings settings, Outbox out, StoreView view, String process, int parts) {
         this.settings = settings;
         this.out = out;
-        this.mirror = mirror;
+        this.view = view;
         this.process = process;
         this.parts = parts;
     }
 
     /** Notes what this node understands, and logs when services become enabled or disabled. */
     void step() {
-        if (!mirror.loaded()) {
+        if (!view.loaded()) {
             return;
         }
         logChange();
@@ -59,7 +59,7 @@
     }
 
     private boolean noted() {
-        StoreView.Entry note = mirror.get(StoreSchema.node(settings.host()));
+        StoreView.Entry note = view.get(StoreSchema.node(settings.host()));
         return note != null && process.equals(note.value().get(PROCESS));
     }
 
@@ -70,11 +70,11 @@
                 Map.of(key, Map.of(FORMATS, SERVICES, PROCESS, process));
         writing =
                 out.state(
-                        new StateOp.Multi(Map.of(key, mirror.version(key)), writes),
+                        new StateOp.Multi(Map.of(key, view.version(key)), writes),
                         reply -> {
                             writing = false;
                             if (reply.status() == 200) {
-                                mirror.applied(reply, writes);
+                                view.applied(reply, writes);
                             }
                         });
     }
@@ -90,7 +90,7 @@
     }
 
     private long understood(String host) {
-        StoreView.Entry note = mirror.get(StoreSchema.node(host));
+        StoreView.Entry note = view.get(StoreSchema.node(host));
         if (note == null || !(note.value().get(FORMATS) instanceof Number formats)) {
             return 1;
         }
@@ -104,7 +104,7 @@
     private boolean wentBack(String host, StoreView.Entry note) {
         Object noted = note.value().get(PROCESS);
         for (int n = 0; n < parts && noted != null; n++) {
-            StoreView.Entry fence = mirror.get(StoreSchema.fence(n));
+            StoreView.Entry fence = view.get(StoreSchema.fence(n));
             if (fence != null
                     && fence.version() > note.version()
                     && fence.value().get("owner") instanceof String owner
--- a/src/main/java/org/shoreusher/core/Node.java
+++ b/src/main/java/org/shoreusher/core/Node.java
@@ -20,13 +20,13 @@
 public final class Node {
     private final Settings settings;
     private final Outbox out;
-    private final StoreView mirror;
+    private final StoreView view;
     private final MachineIndex index = new MachineIndex();
     private final Arrivals arrivals;
     private final MachineTypes types;
     private final MemberFormats formats;
     private final Parts parts;
-    private final UserRequests desk;
+    private final UserRequests users;
     private final PeerHints peers;
 
     /** CPUs of jobs dealt to each part since the last hints went round. */
@@ -41,22 +41,22 @@
         this.settings = settings;
         dealt = new double[count];
         out = new Outbox(settings, count);
-        mirror = new StoreView(out, settings, this::changed);
-        arrivals = new Arrivals(settings, out, mirror);
-        types = new MachineTypes(settings, out, mirror);
-        formats = new MemberFormats(settings, out, mirror, owner, count);
+        view = new StoreView(out, settings, this::changed);
+        arrivals = new Arrivals(settings, out, view);
+        types = new MachineTypes(settings, out, view);
+        formats = new MemberFormats(settings, out, view, owner, count);
         peers = new PeerHints(settings, out, count, this::ownedPart);
         parts =
                 new Parts(
                         count,
-                        new NodeContext(settings, out, mirror, arrivals, index, types, formats),
+                        new NodeContext(settings, out, view, arrivals, index, types, formats),
                         peers,
                         owner);
-        desk =
+        users =
                 new UserRequests(
                         settings,
                         out,
-                        mirror,
+                        view,
                         arrivals,
                         types,
                         formats,
@@ -76,11 +76,11 @@
         for (Command command : batch) {
             handle(command);
         }
-        mirror.step();
+        view.step();
         formats.step();
         types.step(parts.ownedCount() > 0);
         parts.step();
-        desk.step();
+        users.step();
         if (peers.tell()) {
             Arrays.fill(dealt, 0);
         }
@@ -93,11 +93,11 @@
         } else if (command instanceof Command.StateReply r) {
             out.replied(r);
         } else if (command instanceof Command.Poll p) {
-            desk.poll(p.request(), p.id());
+            users.poll(p.request(), p.id());
         } else if (command instanceof Command.Submit s) {
-            desk.submit(s.request(), s.id(), s.spec(), s.problem());
+            users.submit(s.request(), s.id(), s.spec(), s.problem());
         } else if (command instanceof Command.Cancel c) {
-            desk.cancel(c.request(), c.id());
+            users.cancel(c.request(), c.id());
         } else if (command instanceof Command.Ready r) {
             if (ready()) {
                 out.answer(r.request(), 200, Map.of());
@@ -116,7 +116,7 @@
      * when all have, staying is better, since coming back takes the load balancer seconds.
      */
     private boolean ready() {
-        if (!mirror.loaded() || !types.known()) {
+        if (!view.loaded() || !types.known()) {
             return false;
         }
         return out.stateSilenceMs() < Tuning.READY_STATE_MS || !peers.anyWithStateService();
@@ -131,7 +131,7 @@
             part.reports().report(r.request(), r.report());
             return;
         }
-        PartRecord record = mirror.loaded() ? parts.record(n) : null;
+        PartRecord record = view.loaded() ? parts.record(n) : null;
         if (record == null) {
             out.answerUnavailable(r.request());
         } else if (record.host().equals(settings.host()) || peers.suspect(record)) {
@@ -209,9 +209,9 @@
             }
         }
         if (record.status() == JobStatus.DONE) {
-            desk.ended().done(id, record);
+            users.ended().done(id, record);
         } else if (record.status() == JobStatus.CANCELLED) {
-            desk.ended().cancelled(id);
+            users.ended().cancelled(id);
         }
     }
 
--- a/src/main/java/org/shoreusher/core/NodeContext.java
+++ b/src/main/java/org/shoreusher/core/NodeContext.java
@@ -6,7 +6,7 @@
 record NodeContext(
         Settings settings,
         Outbox out,
-        StoreView mirror,
+        StoreView view,
         Arrivals arrivals,
         MachineIndex index,
         MachineTypes types,
--- a/src/main/java/org/shoreusher/core/Part.java
+++ b/src/main/java/org/shoreusher/core/Part.java
@@ -47,9 +47,9 @@
     private final Quota quota;
     private final Settings settings;
     private final Outbox out;
-    private final StoreView mirror;
+    private final StoreView view;
     private final MachineTypes types;
-    private final PartOwnership holding;
+    private final PartOwnership ownership;
     private final Fleet fleet;
     private final Estimates estimates = new Estimates();
     private final Urgency urgency;
@@ -57,11 +57,11 @@
             new Object2ObjectLinkedOpenHashMap<>();
     private final Object2ObjectOpenHashMap<String, Machine> machines =
             new Object2ObjectOpenHashMap<>();
-    private final ResourceLedger book = new ResourceLedger();
+    private final ResourceLedger ledger = new ResourceLedger();
     private final Arrivals arrivals;
     private final MachineIndex index;
     private final MachineRecords records;
-    private final OtherParts neighbours;
+    private final OtherParts otherParts;
     private final StartMarks marks;
     private final Reports reports;
 
@@ -73,28 +73,28 @@
     private long nextWalkMs;
     private long nextStatusMs;
 
-    Part(int n, int parts, NodeContext context, Others others, PartOwnership holding) {
+    Part(int n, int parts, NodeContext context, Others others, PartOwnership ownership) {
         this.n = n;
         this.parts = parts;
         this.others = others;
         this.settings = context.settings();
         this.out = context.out();
-        this.mirror = context.mirror();
+        this.view = context.view();
         this.types = context.types();
         this.arrivals = context.arrivals();
         this.index = context.index();
-        this.holding = holding;
-        this.quota = new Quota(n, parts, settings, out, mirror, holding.fence());
-        this.records = new MachineRecords(n, context, holding, machines);
+        this.ownership = ownership;
+        this.quota = new Quota(n, parts, settings, out, view, ownership.fence());
+        this.records = new MachineRecords(n, context, ownership, machines);
         this.urgency = new Urgency(settings, estimates);
         this.fleet = new Fleet(this, settings, out, types);
-        this.neighbours = new OtherParts(n, parts, others, jobs, machines);
-        this.marks = new StartMarks(n, parts, context, holding, jobs);
-        this.finalStates = new FinalStates(out, mirror, arrivals, holding);
+        this.otherParts = new OtherParts(n, parts, others, jobs, machines);
+        this.marks = new StartMarks(n, parts, context, ownership, jobs);
+        this.finalStates = new FinalStates(out, view, arrivals, ownership);
         this.stops = new TaskStops(this, out);
-        this.rebuild = new Rebuild(this, context, holding, marks);
-        this.teamRoom = new TeamRoom(settings, quota, book, rebuild, neighbours);
-        this.reports = new Reports(this, context, book, marks);
+        this.rebuild = new Rebuild(this, context, ownership, marks);
+        this.teamRoom = new TeamRoom(settings, quota, ledger, rebuild, otherParts);
+        this.reports = new Reports(this, context, ledger, marks);
     }
 
     // ---- views for others --------------------------------------------------------------------
@@ -107,8 +107,8 @@
         return reports;
     }
 
-    OtherParts neighbours() {
-        return neighbours;
+    OtherParts otherParts() {
+        return otherParts;
     }
 
     FinalStates finalStates() {
@@ -121,27 +121,27 @@
 
     /** What the other parts are told of this one. */
     PartHint hint() {
-        return neighbours.hint(fleet);
+        return otherParts.hint(fleet);
     }
 
     Fleet fleet() {
         return fleet;
     }
 
-    PartOwnership holding() {
-        return holding;
+    PartOwnership ownership() {
+        return ownership;
     }
 
     boolean lost() {
-        return holding.lost();
+        return ownership.lost();
     }
 
     boolean holds() {
-        return holding.holds();
+        return ownership.holds();
     }
 
     long term() {
-        return holding.term();
+        return ownership.term();
     }
 
     /**
@@ -149,7 +149,7 @@
      * here on.
      */
     void release(String why) {
-        holding.release(why, finished());
+        ownership.release(why, finished());
     }
 
     /**
@@ -159,7 +159,7 @@
     boolean unreachable() {
         if (!rebuild.loaded()
                 || !holds()
-                || out.now.steadyMs() - holding.sinceMs() < Tuning.COMES_BACK_MS) {
+                || out.now.steadyMs() - ownership.sinceMs() < Tuning.COMES_BACK_MS) {
             return false;
         }
         int up = 0;
@@ -170,7 +170,7 @@
     }
 
     private FinishedRecords finished() {
-        return FinishedRecords.of(jobs.values(), settings, holding::storedDone);
+        return FinishedRecords.of(jobs.values(), settings, ownership::storedDone);
     }
 
     Estimates estimates() {
@@ -223,8 +223,8 @@
     boolean mayAnswer() {
         return !lost()
                 && rebuild.loaded()
-                && mirror.ageMs() < PartLease.answerableViewMs(settings)
-                && (holds() || (holding.keepsAlive() && others.stateAwayEverywhere()));
+                && view.ageMs() < PartLease.answerableViewMs(settings)
+                && (holds() || (ownership.keepsAlive() && others.stateAwayEverywhere()));
     }
 
     /**
@@ -236,8 +236,8 @@
     boolean mayStart() {
         return rebuild.loaded()
                 && holds()
-                && mirror.ageMs() < Tuning.VIEW_STALE_MS
-                && holding.viewComplete();
+                && view.ageMs() < Tuning.VIEW_STALE_MS
+                && ownership.viewComplete();
     }
 
     // ---- time --------------------------------------------------------------------------------
@@ -246,10 +246,10 @@
         if (lost()) {
             return;
         }
-        holding.watchLapse();
-        holding.heartbeat(() -> rebuild.loaded() ? finished() : null);
+        ownership.watchLapse();
+        ownership.heartbeat(() -> rebuild.loaded() ? finished() : null);
         if (!rebuild.loaded()) {
-            if (mirror.revision() < holding.takenRevision() || !types.known()) {
+            if (view.revision() < ownership.takenRevision() || !types.known()) {
                 return;
             }
             rebuild.load();
@@ -258,7 +258,7 @@
         records.write();
         finalStates.write();
         if (holds()) {
-            arrivals.sweep(holding);
+            arrivals.sweep(ownership);
         }
         if (out.now.steadyMs() < nextWalkMs) {
             return;
@@ -266,13 +266,13 @@
         nextWalkMs = out.now.steadyMs() + Tuning.WALK_MS;
         silentMachines();
         rebuild.step();
-        quota.step(teamRoom::used, neighbours::claims, neighbours::quantum);
+        quota.step(teamRoom::used, otherParts::claims, otherParts::quantum);
         fleet.step();
         stops.displace();
         stops.preempt();
         if (out.now.steadyMs() >= nextStatusMs) {
             nextStatusMs = out.now.steadyMs() + Tuning.STATUS_LINE_MS;
-            out.detail(PartStatus.line(this, mirror.size()));
+            out.detail(PartStatus.line(this, view.size()));
         }
     }
 
@@ -300,12 +300,12 @@
         // believed this node to be
         // without state service as well.
         m.answeredAtMs =
-                holding.takenAtMs()
+                ownership.takenAtMs()
                         + Math.max(
                                 0,
                                 Math.min(
                                         PartLease.graceMs(settings),
-                                        others.saidStateAwayUntilMs() - holding.takenAtMs()));
+                                        others.saidStateAwayUntilMs() - ownership.takenAtMs()));
         m.inheritedAnswerMs = m.answeredAtMs;
         machines.put(id, m);
         return m;
@@ -415,7 +415,7 @@
                                 + " lost its lease with "
                                 + m.tasks.size()
                                 + " tasks");
-                m.tasksNow().forEach(book::remove);
+                m.tasksNow().forEach(ledger::remove);
                 m.endedSession = m.session;
             }
         }
@@ -424,7 +424,7 @@
     /** The machine and everything on it are gone. */
     void gone(Machine m, String why) {
         out.log("gone: " + m.id + " of part " + n + ", " + why);
-        m.tasksNow().forEach(book::remove);
+        m.tasksNow().forEach(ledger::remove);
         machines.remove(m.id);
         records.changed(m.id);
         fleet.list().forget(m.id);
@@ -432,7 +432,7 @@
 
     /** The cloud says that the machine has stopped by itself, so nothing is on it. */
     void stopped(Machine m) {
-        m.tasksNow().forEach(book::remove);
+        m.tasksNow().forEach(ledger::remove);
         if (m.state == Machine.State.BOOTING || m.state == Machine.State.UP) {
             m.state = Machine.State.DRAINING;
         }
--- a/src/main/java/org/shoreusher/core/PartOwnership.java
+++ b/src/main/java/org/shoreusher/core/PartOwnership.java
@@ -19,7 +19,7 @@
     private final int n;
     private final Settings settings;
     private final Outbox out;
-    private final StoreView mirror;
+    private final StoreView view;
     private final String owner;
     private final PartLease lease;
     private final long fenceVersion;
@@ -48,14 +48,14 @@
             int n,
             Settings settings,
             Outbox out,
-            StoreView mirror,
+            StoreView view,
             PartRecord record,
             ClockReading writtenAt,
             long version) {
         this.n = n;
         this.settings = settings;
         this.out = out;
-        this.mirror = mirror;
+        this.view = view;
         owner = record.owner();
         term = record.term();
         takenTerm = term;
@@ -111,7 +111,7 @@
 
     /** Whether the view shows all that was written up to the renewal that ended the last lapse. */
     boolean viewComplete() {
-        if (viewNeeded > 0 && mirror.revision() >= viewNeeded) {
+        if (viewNeeded > 0 && view.revision() >= viewNeeded) {
             viewNeeded = 0;
         }
         return viewNeeded == 0;
@@ -150,7 +150,7 @@
                 i++) {
             int c = 1 + (from + i - 1) % spilled;
             Map<String, Object> done = records.chunk(c);
-            if (!done.equals(storedDone(c)) || mirror.get(StoreSchema.done(n, c)) == null) {
+            if (!done.equals(storedDone(c)) || view.get(StoreSchema.done(n, c)) == null) {
                 writes.put(StoreSchema.done(n, c), Map.of("done", done));
                 lastChunk = c;
             }
@@ -172,7 +172,7 @@
         if (chunk == 0) {
             return doneInStore();
         }
-        StoreView.Entry entry = mirror.get(StoreSchema.done(n, chunk));
+        StoreView.Entry entry = view.get(StoreSchema.done(n, chunk));
         try {
             return entry == null ? Map.of() : new FieldMap(entry.value()).map("done").asMap();
         } catch (FieldMap.Missing e) {
@@ -182,7 +182,7 @@
     }
 
     private Map<String, Object> doneInStore() {
-        return PartRecord.read(mirror.get(StoreSchema.part(n)).value()).done();
+        return PartRecord.read(view.get(StoreSchema.part(n)).value()).done();
     }
 
     /** Guards for a write on one key: its version, and the fence that dies with this ownership. */
@@ -203,7 +203,7 @@
             return;
         }
         if (reply.status() == 200) {
-            recordVersion = mirror.applied(reply, writes);
+            recordVersion = view.applied(reply, writes);
             confirmed(record.expiryMs(), sentAt);
             nextRenewMs = sentAt.steadyMs() + PartLease.heartbeatMs(settings);
             if (lapsedLogged && holds()) {
@@ -269,7 +269,7 @@
         if (renewing || !holds()) {
             return;
         }
-        StoreView.Entry counter = mirror.get(StoreSchema.TERM);
+        StoreView.Entry counter = view.get(StoreSchema.TERM);
         long counted = counter == null ? 0 : ((Number) counter.value().get("term")).longValue();
         long next = Math.max(counted, above) + 1;
         Map<String, Long> guards = guards(StoreSchema.part(n), recordVersion);
@@ -284,7 +284,7 @@
                         reply -> {
                             renewing = false;
                             if (reply.status() == 200 && !lost) {
-                                recordVersion = mirror.applied(reply, writes);
+                                recordVersion = view.applied(reply, writes);
                                 term = next;
                                 out.log(
                                         "term: part "
--- a/src/main/java/org/shoreusher/core/Parts.java
+++ b/src/main/java/org/shoreusher/core/Parts.java
@@ -26,7 +26,7 @@
 
     private final Settings settings;
     private final Outbox out;
-    private final StoreView mirror;
+    private final StoreView view;
     private final NodeContext context;
     private final String owner;
     private final Peers peers;
@@ -40,7 +40,7 @@
     Parts(int count, NodeContext context, Peers peers, String owner) {
         settings = context.settings();
         out = context.out();
-        mirror = context.mirror();
+        view = context.view();
         this.context = context;
         this.peers = peers;
         owned = new Part[count];
@@ -69,7 +69,7 @@
 
     /** The record of a part as this node sees it, or null. */
     PartRecord record(int n) {
-        StoreView.Entry e = mirror.get(StoreSchema.part(n));
+        StoreView.Entry e = view.get(StoreSchema.part(n));
         return e == null ? null : PartRecord.read(e.value());
     }
 
@@ -96,9 +96,9 @@
             }
         }
         dealOut();
-        if (!mirror.loaded()
+        if (!view.loaded()
                 || taking
-                || mirror.ageMs() > Tuning.VIEW_STALE_MS
+                || view.ageMs() > Tuning.VIEW_STALE_MS
                 || out.now.steadyMs() < nextTakeMs) {
             return;
         }
@@ -156,8 +156,8 @@
                 settings,
                 id -> {
                     BitSet covered = new BitSet();
-                    for (int c = 1; mirror.get(StoreSchema.done(n, c)) != null; c++) {
-                        if (mirror.get(StoreSchema.done(n, c)).value().get("done")
+                    for (int c = 1; view.get(StoreSchema.done(n, c)) != null; c++) {
+                        if (view.get(StoreSchema.done(n, c)).value().get("done")
                                         instanceof Map<?, ?> done
                                 && done.get(id) instanceof String ranges) {
                             covered.or(TaskRanges.parse(ranges));
@@ -174,11 +174,10 @@
      */
     private void spill(int n, List<Map<String, Object>> pieces) {
         Map<String, Long> guards =
-                new LinkedHashMap<>(
-                        Map.of(StoreSchema.part(n), mirror.version(StoreSchema.part(n))));
+                new LinkedHashMap<>(Map.of(StoreSchema.part(n), view.version(StoreSchema.part(n))));
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
         int c = 1;
-        while (mirror.get(StoreSchema.done(n, c)) != null) {
+        while (view.get(StoreSchema.done(n, c)) != null) {
             c++;
         }
         for (int i = 0; i < pieces.size() && i < settings.txnOps(); i++) {
@@ -191,7 +190,7 @@
                         reply -> {
                             taking = false;
                             if (reply.status() == 200) {
-                                mirror.applied(reply, writes);
+                                view.applied(reply, writes);
                                 nextTakeMs = out.now.steadyMs();
                             }
                         });
@@ -208,7 +207,7 @@
             spill(n, pieces);
             return;
         }
-        StoreView.Entry counter = mirror.get(StoreSchema.TERM);
+        StoreView.Entry counter = view.get(StoreSchema.TERM);
         long term = 1 + (counter == null ? 0 : ((Number) counter.value().get("term")).longValue());
         ClockReading sentAt = out.now;
         PartRecord record =
@@ -218,8 +217,8 @@
                         term,
                         before == null || tooLong ? Map.of() : before.done());
         Map<String, Long> guards = new LinkedHashMap<>();
-        guards.put(StoreSchema.part(n), mirror.version(StoreSchema.part(n)));
-        guards.put(StoreSchema.TERM, mirror.version(StoreSchema.TERM));
+        guards.put(StoreSchema.part(n), view.version(StoreSchema.part(n)));
+        guards.put(StoreSchema.TERM, view.version(StoreSchema.TERM));
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
         writes.put(StoreSchema.part(n), record.write());
         writes.put(StoreSchema.fence(n), Map.of("owner", owner, "term", term));
@@ -230,7 +229,7 @@
                         reply -> {
                             taking = false;
                             if (reply.status() == 200) {
-                                long revision = mirror.applied(reply, writes);
+                                long revision = view.applied(reply, writes);
                                 owned[n] =
                                         new Part(
                                                 n,
@@ -238,7 +237,7 @@
                                                 context,
                                                 peers,
                                                 new PartOwnership(
-                                                        n, settings, out, mirror, record, sentAt,
+                                                        n, settings, out, view, record, sentAt,
                                                         revision));
                                 nextTakeMs = out.now.steadyMs();
                                 out.log(
@@ -261,7 +260,7 @@
     void recordChanged(int n, PartRecord record) {
         Part part = owned(n);
         if (part != null) {
-            part.holding().recordChanged(record);
+            part.ownership().recordChanged(record);
         }
     }
 }
--- a/src/main/java/org/shoreusher/core/PeerHints.java
+++ b/src/main/java/org/shoreusher/core/PeerHints.java
@@ -30,14 +30,14 @@
     private long saidStateAwayMs;
 
     /** Workers that have come here from the part's owner, by part. */
-    private final RedirectedWorkers[] returners;
+    private final RedirectedWorkers[] redirected;
 
     PeerHints(Settings settings, Outbox out, int parts, IntFunction<Part> ownParts) {
         this.settings = settings;
         this.out = out;
         this.ownParts = ownParts;
-        returners = new RedirectedWorkers[parts];
-        Arrays.setAll(returners, n -> new RedirectedWorkers());
+        redirected = new RedirectedWorkers[parts];
+        Arrays.setAll(redirected, n -> new RedirectedWorkers());
     }
 
     /** Notes the time of the first batch. */
@@ -62,12 +62,12 @@
 
     /** A worker of another owner has reported here; whether it should wait with another node. */
     boolean cameBackHere(int part, WorkerReport report, int machines) {
-        return returners[part].came(report, machines, out.now.steadyMs());
+        return redirected[part].came(report, machines, out.now.steadyMs());
     }
 
     /** The part has another owner than before. */
     void ownerChanged(int part) {
-        returners[part].clear();
+        redirected[part].clear();
     }
 
     /** Counts for display of a job that another node's part has; zeros if no hint names it. */
@@ -218,9 +218,9 @@
         HashMap<Integer, Integer> back = new HashMap<>();
         HashMap<String, Integer> running = new HashMap<>();
         HashMap<String, Integer> finished = new HashMap<>();
-        for (int n = 0; n < returners.length; n++) {
+        for (int n = 0; n < redirected.length; n++) {
             Part part = ownParts.apply(n);
-            int workers = returners[n].count(out.now.steadyMs());
+            int workers = redirected[n].count(out.now.steadyMs());
             if (workers > 0) {
                 back.put(n, workers);
             }
--- a/src/main/java/org/shoreusher/core/Quota.java
+++ b/src/main/java/org/shoreusher/core/Quota.java
@@ -27,7 +27,7 @@
     private final int parts;
     private final Settings settings;
     private final Outbox out;
-    private final StoreView mirror;
+    private final StoreView view;
     private final Map<String, Long> fence;
 
     /** Gives whose fate is open; until it is known, the part keeps to what would be left. */
@@ -47,13 +47,13 @@
             int parts,
             Settings settings,
             Outbox out,
-            StoreView mirror,
+            StoreView view,
             Map<String, Long> fence) {
         this.n = n;
         this.parts = parts;
         this.settings = settings;
         this.out = out;
-        this.mirror = mirror;
+        this.view = view;
         this.fence = fence;
     }
 
@@ -96,7 +96,7 @@
     }
 
     private QuotaRecord stored(String team) {
-        StoreView.Entry e = mirror.get(StoreSchema.quota(team));
+        StoreView.Entry e = view.get(StoreSchema.quota(team));
         return e == null ? null : QuotaRecord.read(e.value(), parts);
     }
 
@@ -132,7 +132,7 @@
         Map<String, Long> guards = new LinkedHashMap<>(fence);
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
         for (Settings.Team team : settings.teams().values()) {
-            if (mirror.get(StoreSchema.quota(team.name())) == null
+            if (view.get(StoreSchema.quota(team.name())) == null
                     && writes.size() < settings.txnOps()) {
                 guards.put(StoreSchema.quota(team.name()), 0L);
                 writes.put(
@@ -148,7 +148,7 @@
                             reply -> {
                                 creating = false;
                                 if (reply.status() == 200) {
-                                    mirror.applied(reply, writes);
+                                    view.applied(reply, writes);
                                 }
                             });
         }
@@ -161,7 +161,7 @@
     private void weigh(Settings.Team team, double used, Claim[] claims, double quantum) {
         QuotaRecord stored = stored(team.name());
         Give open = giving.get(team.name());
-        if (open != null && mirror.version(StoreSchema.quota(team.name())) == open.version) {
+        if (open != null && view.version(StoreSchema.quota(team.name())) == open.version) {
             // Its fate is open: the same write again goes through, or the record has changed.
             send(team.name(), open);
             return;
@@ -196,9 +196,7 @@
         gpus[n] -= moved;
         gpus[to] += moved;
         Give give =
-                new Give(
-                        mirror.version(StoreSchema.quota(team.name())),
-                        new QuotaRecord(cpus, gpus));
+                new Give(view.version(StoreSchema.quota(team.name())), new QuotaRecord(cpus, gpus));
         giving.put(team.name(), give);
         send(team.name(), give);
     }
@@ -215,7 +213,7 @@
                             inFlight.remove(team);
                             if (reply.status() == 200) {
                                 giving.remove(team);
-                                mirror.applied(reply, writes);
+                                view.applied(reply, writes);
                             }
                         });
         if (sent) {
--- a/src/main/java/org/shoreusher/core/Rebuild.java
+++ b/src/main/java/org/shoreusher/core/Rebuild.java
@@ -15,10 +15,10 @@
     private final Part part;
     private final Settings settings;
     private final Outbox out;
-    private final StoreView mirror;
+    private final StoreView view;
     private final Arrivals arrivals;
     private final MachineIndex index;
-    private final PartOwnership holding;
+    private final PartOwnership ownership;
     private final StartMarks marks;
     private boolean loaded;
     private boolean complete;
@@ -28,14 +28,14 @@
 
     private double unknownGpus;
 
-    Rebuild(Part part, NodeContext context, PartOwnership holding, StartMarks marks) {
+    Rebuild(Part part, NodeContext context, PartOwnership ownership, StartMarks marks) {
         this.part = part;
         settings = context.settings();
         out = context.out();
-        mirror = context.mirror();
+        view = context.view();
         arrivals = context.arrivals();
         index = context.index();
-        this.holding = holding;
+        this.ownership = ownership;
         this.marks = marks;
     }
 
@@ -60,7 +60,7 @@
     /** Takes on what owners before have left: jobs, their finished tasks and marks, machines. */
     void load() {
         loaded = true;
-        mirror.under(StoreSchema.JOB)
+        view.under(StoreSchema.JOB)
                 .forEach(
                         (key, entry) -> {
                             JobRecord record = JobRecord.read(entry.value());
@@ -74,9 +74,9 @@
                         part.addJob(id, record);
                     }
                 });
-        readDone(holding.storedDone(0), 0);
-        for (int c = 1; mirror.get(StoreSchema.done(part.n, c)) != null; c++) {
-            readDone(holding.storedDone(c), c);
+        readDone(ownership.storedDone(0), 0);
+        for (int c = 1; view.get(StoreSchema.done(part.n, c)) != null; c++) {
+            readDone(ownership.storedDone(c), c);
         }
         index.all()
                 .forEach(
@@ -147,7 +147,7 @@
                         + " machines, "
                         + live
                         + " tasks on them, after "
-                        + (out.now.steadyMs() - holding.takenAtMs())
+                        + (out.now.steadyMs() - ownership.takenAtMs())
                         + " ms");
     }
 }
--- a/src/main/java/org/shoreusher/core/ReportReader.java
+++ b/src/main/java/org/shoreusher/core/ReportReader.java
@@ -12,11 +12,11 @@
     private final Part part;
     private final Outbox out;
     private final Arrivals arrivals;
-    private final ResourceLedger book;
+    private final ResourceLedger ledger;
 
-    ReportReader(Part part, NodeContext context, ResourceLedger book) {
+    ReportReader(Part part, NodeContext context, ResourceLedger ledger) {
         this.part = part;
-        this.book = book;
+        this.ledger = ledger;
         out = context.out();
         arrivals = context.arrivals();
     }
@@ -49,14 +49,14 @@
             }
         }
         if (found) {
-            m.tasks.values().forEach(book::found);
+            m.tasks.values().forEach(ledger::found);
         }
         if (m.tasks.size() > shown.size()) {
             for (TaskAttempt live : m.tasksNow()) {
                 // A start answered to an older report is in this one, or was dropped and never
                 // happens.
                 if (!shown.contains(Machine.taskKey(live.job.id, live.index))) {
-                    book.remove(live);
+                    ledger.remove(live);
                 }
             }
         }
@@ -80,7 +80,7 @@
     private void present(Machine m, String key, TaskReport t) {
         TaskAttempt live = m.tasks.get(key);
         if (live != null && live.attempt != t.attempt()) {
-            book.remove(live);
+            ledger.remove(live);
             live = null;
         }
         if (live == null) {
@@ -100,7 +100,7 @@
                             TaskAttempt.State.RUNNING,
                             out.now.steadyMs());
             live.mustStop = !wanted;
-            book.add(live, wanted);
+            ledger.add(live, wanted);
         }
         live.state =
                 switch (t.state()) {
@@ -196,7 +196,7 @@
         } else if (t.cause() == Cause.UNKNOWN && job != null) {
             job.failed(m.id, out.now.steadyMs());
         }
-        book.remove(live);
+        ledger.remove(live);
     }
 
     /**
@@ -216,6 +216,6 @@
                 part.machines().values().forEach(other -> other.failedJobs.remove(job.id));
             }
         }
-        book.remove(live);
+        ledger.remove(live);
     }
 }
--- a/src/main/java/org/shoreusher/core/Reports.java
+++ b/src/main/java/org/shoreusher/core/Reports.java
@@ -25,20 +25,20 @@
     private final Arrivals arrivals;
     private final MachineIndex index;
     private final MachineTypes types;
-    private final ResourceLedger book;
+    private final ResourceLedger ledger;
     private final ReportReader reader;
     private final Placement placement;
     private long nextAttempt = 1;
 
-    Reports(Part part, NodeContext context, ResourceLedger book, StartMarks marks) {
+    Reports(Part part, NodeContext context, ResourceLedger ledger, StartMarks marks) {
         this.part = part;
         settings = context.settings();
         out = context.out();
         arrivals = context.arrivals();
         index = context.index();
         types = context.types();
-        this.book = book;
-        reader = new ReportReader(part, context, book);
+        this.ledger = ledger;
+        reader = new ReportReader(part, context, ledger);
         placement = new Placement(part, out, marks);
     }
 
@@ -46,7 +46,7 @@
     void report(long request, WorkerReport r) {
         if (!part.mayAnswer() || r.token() > part.term()) {
             if (!part.lost() && r.token() > part.term()) {
-                part.holding().raise(r.token());
+                part.ownership().raise(r.token());
             }
             out.answerUnavailable(request);
             return;
@@ -62,7 +62,7 @@
         if (m != null
                 && m.inherited
                 && !m.heard
-                && r.token() < part.holding().takenTerm()
+                && r.token() < part.ownership().takenTerm()
                 && !deafSinceTakeover(m, r)) {
             m.answeredAtMs = Math.max(m.answeredAtMs, out.now.steadyMs());
             out.answer(request, 200, WorkerFormat.answer(part.term(), stopsOfCancelled(r)));
@@ -208,7 +208,7 @@
                                 m,
                                 TaskAttempt.State.ASKED,
                                 out.now.steadyMs());
-                book.add(live, true);
+                ledger.add(live, true);
                 p.job().startedCount++;
                 orders.add(
                         new WorkerOrder(
--- a/src/main/java/org/shoreusher/core/StartMarks.java
+++ b/src/main/java/org/shoreusher/core/StartMarks.java
@@ -36,9 +36,9 @@
     private final int parts;
     private final Settings settings;
     private final Outbox out;
-    private final StoreView mirror;
+    private final StoreView view;
     private final Arrivals arrivals;
-    private final PartOwnership holding;
+    private final PartOwnership ownership;
     private final Map<String, Job> jobs;
     private final long gapMs;
     private final Object2IntLinkedOpenHashMap<Job> wanted = new Object2IntLinkedOpenHashMap<>();
@@ -46,21 +46,21 @@
     private long nextMs;
 
     StartMarks(
-            int n, int parts, NodeContext context, PartOwnership holding, Map<String, Job> jobs) {
+            int n, int parts, NodeContext context, PartOwnership ownership, Map<String, Job> jobs) {
         this.n = n;
         this.parts = parts;
         settings = context.settings();
         out = context.out();
-        mirror = context.mirror();
+        view = context.view();
         arrivals = context.arrivals();
-        this.holding = holding;
+        this.ownership = ownership;
         this.jobs = jobs;
         gapMs = (long) (1000 / (Outbox.ownerWrites(settings, parts) * Tuning.MARKS_SHARE));
     }
 
     /** Takes over what owners before have noted. */
     void load() {
-        for (int c = 0; mirror.get(StoreSchema.begun(n, c)) != null; c++) {
+        for (int c = 0; view.get(StoreSchema.begun(n, c)) != null; c++) {
             int chunk = c;
             stored(c)
                     .forEach(
@@ -86,10 +86,10 @@
      * others again.
      */
     void write() {
-        if (writing || wanted.isEmpty() || !holding.holds() || out.now.steadyMs() < nextMs) {
+        if (writing || wanted.isEmpty() || !ownership.holds() || out.now.steadyMs() < nextMs) {
             return;
         }
-        Map<String, Long> guards = new LinkedHashMap<>(holding.fence());
+        Map<String, Long> guards = new LinkedHashMap<>(ownership.fence());
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
         Map<Integer, Map<String, Integer>> chunks = new LinkedHashMap<>();
         List<Marked> marked = new ArrayList<>();
@@ -108,7 +108,7 @@
                 // own any more; in the same transaction it would hold up all other marks for good.
                 continue;
             }
-            if (parts > 1 && mirror.get(StoreSchema.job(job.id)) == null) {
+            if (parts > 1 && view.get(StoreSchema.job(job.id)) == null) {
                 guards.put(StoreSchema.job(job.id), 0L);
                 writes.put(StoreSchema.job(job.id), record.write());
             }
@@ -129,7 +129,7 @@
         }
         chunks.forEach(
                 (c, marks) -> {
-                    guards.put(StoreSchema.begun(n, c), mirror.version(StoreSchema.begun(n, c)));
+                    guards.put(StoreSchema.begun(n, c), view.version(StoreSchema.begun(n, c)));
                     writes.put(StoreSchema.begun(n, c), MarkRecord.write(marks));
                 });
         writing =
@@ -137,8 +137,8 @@
                         new StateOp.Multi(guards, writes),
                         reply -> {
                             writing = false;
-                            if (reply.status() == 200 && !holding.lost()) {
-                                mirror.applied(reply, writes);
+                            if (reply.status() == 200 && !ownership.lost()) {
+                                view.applied(reply, writes);
                                 marked.forEach(
                                         m -> {
                                             // Only now: the room of a record is counted by what
@@ -159,7 +159,7 @@
     }
 
     private Map<String, Integer> stored(int chunk) {
-        StoreView.Entry entry = mirror.get(StoreSchema.begun(n, chunk));
+        StoreView.Entry entry = view.get(StoreSchema.begun(n, chunk));
         return entry == null ? Map.of() : MarkRecord.read(entry.value()).below();
     }
 
--- a/src/main/java/org/shoreusher/core/TeamRoom.java
+++ b/src/main/java/org/shoreusher/core/TeamRoom.java
@@ -9,42 +9,43 @@
 final class TeamRoom {
     private final Settings settings;
     private final Quota quota;
-    private final ResourceLedger book;
+    private final ResourceLedger ledger;
     private final Rebuild rebuild;
-    private final OtherParts neighbours;
+    private final OtherParts otherParts;
 
     TeamRoom(
             Settings settings,
             Quota quota,
-            ResourceLedger book,
+            ResourceLedger ledger,
             Rebuild rebuild,
-            OtherParts neighbours) {
+            OtherParts otherParts) {
         this.settings = settings;
         this.quota = quota;
-        this.book = book;
+        this.ledger = ledger;
         this.rebuild = rebuild;
-        this.neighbours = neighbours;
+        this.otherParts = otherParts;
     }
 
     /** CPUs that tasks of the team use or may use. */
     double used(String team) {
-        return book.cpus(team) + unknownCpus(team);
+        return ledger.cpus(team) + unknownCpus(team);
     }
 
     double cpusLeft(String team) {
-        return quota.startCpus(team) - book.cpus(team) - unknownCpus(team);
+        return quota.startCpus(team) - ledger.cpus(team) - unknownCpus(team);
     }
 
     double gpusLeft(String team) {
         Settings.Team t = settings.teams().get(team);
         return quota.gpus(team)
-                - book.gpus(team)
-                - unknown(rebuild.unknownGpus(), t == null ? 0 : t.gpusMax(), book.foundGpus(team));
+                - ledger.gpus(team)
+                - unknown(
+                        rebuild.unknownGpus(), t == null ? 0 : t.gpusMax(), ledger.foundGpus(team));
     }
 
     private double unknownCpus(String team) {
         Settings.Team t = settings.teams().get(team);
-        return unknown(rebuild.unknownCpus(), t == null ? 0 : t.cpusMax(), book.foundCpus(team));
+        return unknown(rebuild.unknownCpus(), t == null ? 0 : t.cpusMax(), ledger.foundCpus(team));
     }
 
     /**
@@ -59,7 +60,7 @@
     /** CPUs left if the whole limit of the team could be had: what renting goes by. */
     double cpusRentable(String team) {
         Settings.Team t = settings.teams().get(team);
-        double most = t == null ? 0 : t.cpusMax() - neighbours.claimed(team);
-        return Math.max(most, quota.cpus(team)) - book.cpus(team) - unknownCpus(team);
+        double most = t == null ? 0 : t.cpusMax() - otherParts.claimed(team);
+        return Math.max(most, quota.cpus(team)) - ledger.cpus(team) - unknownCpus(team);
     }
 }
--- a/src/main/java/org/shoreusher/core/UserRequests.java
+++ b/src/main/java/org/shoreusher/core/UserRequests.java
@@ -28,7 +28,7 @@
 
     private final Settings settings;
     private final Outbox out;
-    private final StoreView mirror;
+    private final StoreView view;
     private final MachineTypes types;
     private final MemberFormats formats;
     private final CountSource counts;
@@ -44,7 +44,7 @@
     UserRequests(
             Settings settings,
             Outbox out,
-            StoreView mirror,
+            StoreView view,
             Arrivals arrivals,
             MachineTypes types,
             MemberFormats formats,
@@ -53,18 +53,18 @@
             ToIntFunction<JobSpec> roomiestPart) {
         this.settings = settings;
         this.out = out;
-        this.mirror = mirror;
+        this.view = view;
         this.types = types;
         this.formats = formats;
         this.counts = counts;
         this.arrivals = arrivals;
-        ended = new EndedJobs(settings, out, mirror);
-        reads = new ConfirmedReads(settings, out, mirror, arrivals, ended, this::refuse);
+        ended = new EndedJobs(settings, out, view);
+        reads = new ConfirmedReads(settings, out, view, arrivals, ended, this::refuse);
         acceptance =
                 new Acceptance(
                         settings,
                         out,
-                        mirror,
+                        view,
                         owner,
                         roomiestPart,
                         (request, id) ->
@@ -118,7 +118,7 @@
         }
         // A known job is answered with its state before anything in the body is judged.
         if (spec != null
-                && mirror.loaded()
+                && view.loaded()
                 && arrivals.record(id) == null
                 && ended.get(id) == null
                 && verdict(spec) == 0) {
@@ -230,8 +230,7 @@
             write(
                     request,
                     new StateOp.Multi(
-                            Map.of(StoreSchema.job(id), mirror.version(StoreSchema.job(id))),
-                            writes),
+                            Map.of(StoreSchema.job(id), view.version(StoreSchema.job(id))), writes),
                     Tuning.WRITE_TRIES,
                     reply -> {
                         if (reply.status() == 200) {
@@ -257,7 +256,7 @@
                         reply -> {
                             writing--;
                             if (reply.status() == 200) {
-                                mirror.applied(reply, op.writes());
+                                view.applied(reply, op.writes());
                                 then.accept(reply);
                             } else if (reply.status() == 409) {
                                 then.accept(reply);
@@ -287,7 +286,7 @@
     }
 
     private boolean refuse(long request) {
-        if (!mirror.loaded()
+        if (!view.loaded()
                 || out.stateAway()
                 || writing + reads.waiting() >= Tuning.MAX_USER_WORK) {
             out.answerUnavailable(request);
--- a/src/main/java/org/shoreusher/settings/Tuning.java
+++ b/src/main/java/org/shoreusher/settings/Tuning.java
@@ -146,7 +146,7 @@
      */
     public static final long RELOAD_AFTER_MS = 20_000;
 
-    /** ms; pause after a failed state call of the mirror. */
+    /** ms; pause after a failed state call of the view. */
     public static final long STATE_RETRY_MS = 300;
 
     /** ms; a state call is given up after this; answers take 10 ms, now and then some hundred. */
--- a/src/test/java/org/shoreusher/core/ArrivalsTest.java
+++ b/src/test/java/org/shoreusher/core/ArrivalsTest.java
@@ -68,7 +68,7 @@
             Outbox out = new Outbox(SETTINGS, 1);
             Arrivals[] arrivals = new Arrivals[1];
             List<String> told = new ArrayList<>();
-            StoreView mirror =
+            StoreView view =
                     new StoreView(
                             out,
                             SETTINGS,
@@ -77,15 +77,15 @@
                                     arrivals[0].changed(key, after, (id, record) -> told.add(id));
                                 }
                             });
-            arrivals[0] = new Arrivals(SETTINGS, out, mirror);
+            arrivals[0] = new Arrivals(SETTINGS, out, view);
             if (ended) {
-                mirror.apply(
+                view.apply(
                         StoreSchema.job("wk-1"),
                         StoreSchema.JobRecord.open(0, spec, 0).done().write(),
                         9);
-                mirror.evict(StoreSchema.job("wk-1"));
+                view.evict(StoreSchema.job("wk-1"));
             }
-            mirror.apply(
+            view.apply(
                     StoreSchema.arrived("n/1", 1),
                     StoreSchema.ArrivalRecord.write(
                             Map.of("wk-1", StoreSchema.JobRecord.open(0, spec, 0).write())),
--- a/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
+++ b/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
@@ -73,7 +73,7 @@
 
     // ---- the view ------------------------------------------------------------------------------
 
-    /** Reads what the mirror asks for, and answers it. */
+    /** Reads what the view asks for, and answers it. */
     private static StateOp asked(Outbox out) {
         return out.drain().stream()
                 .filter(e -> e instanceof Effect.StateCall)
@@ -90,16 +90,16 @@
     void oldNewsDoesNotBringADoneJobBack() {
         Outbox out = new Outbox(settings(List.of()), 1);
         List<String> seen = new ArrayList<>();
-        StoreView mirror =
+        StoreView view =
                 new StoreView(out, settings(List.of()), (key, before, after) -> seen.add(key));
         out.now = new ClockReading(1_000, 1_000);
-        mirror.step();
+        view.step();
         assertTrue(asked(out) instanceof StateOp.Page);
         out.replied(
                 new StateReply(1, 200, Map.of("entries", List.of(), "more", false, "ledger", 5L)));
-        mirror.apply("job/wk-1", Map.of("status", "DONE"), 9);
-        mirror.evict("job/wk-1");
-        mirror.step();
+        view.apply("job/wk-1", Map.of("status", "DONE"), 9);
+        view.evict("job/wk-1");
+        view.step();
         assertEquals(new StateOp.Watch(5, 0), asked(out));
         out.replied(
                 new StateReply(
@@ -117,9 +117,9 @@
                                                 Map.of("status", "OPEN"),
                                                 "stamp",
                                                 6L)))));
-        assertNull(mirror.get("job/wk-1"));
+        assertNull(view.get("job/wk-1"));
         assertEquals(List.of("job/wk-1"), seen);
-        assertTrue(mirror.loaded());
+        assertTrue(view.loaded());
     }
 
     /**
@@ -129,19 +129,19 @@
     @Example
     void aViewWhoseWatchKeepsFailingIsReadInPages() {
         Outbox out = new Outbox(settings(List.of()), 1);
-        StoreView mirror = new StoreView(out, settings(List.of()), (key, before, after) -> {});
+        StoreView view = new StoreView(out, settings(List.of()), (key, before, after) -> {});
         out.now = new ClockReading(1_000, 1_000);
-        mirror.step();
+        view.step();
         asked(out);
         out.replied(
                 new StateReply(1, 200, Map.of("entries", List.of(), "more", false, "ledger", 5L)));
-        mirror.step();
+        view.step();
         asked(out);
         out.replied(new StateReply(2, 200, Map.of("ledger", 5L, "log", List.of())));
         StateOp last = null;
         for (int call = 3; call < 100 && !(last instanceof StateOp.Page); call++) {
             out.now = new ClockReading(out.now.steadyMs() + 500, out.now.wallMs() + 500);
-            mirror.step();
+            view.step();
             last = asked(out);
             assertTrue(
                     last instanceof StateOp.Page == out.now.steadyMs() > 21_000 + 500,
@@ -273,7 +273,7 @@
             Outbox out = new Outbox(s, 2);
             Arrivals[] arrivals = new Arrivals[1];
             List<Integer> told = new ArrayList<>();
-            StoreView mirror =
+            StoreView view =
                     new StoreView(
                             out,
                             s,
@@ -283,9 +283,9 @@
                                             key, after, (id, record) -> told.add(record.part()));
                                 }
                             });
-            arrivals[0] = new Arrivals(s, out, mirror);
+            arrivals[0] = new Arrivals(s, out, view);
             for (int part : olderFirst ? new int[] {1, 0} : new int[] {0, 1}) {
-                mirror.apply(
+                view.apply(
                         StoreSchema.arrived("n/" + part, 1),
                         StoreSchema.ArrivalRecord.write(
                                 Map.of("wk-1", StoreSchema.JobRecord.open(part, spec, 0).write())),
@@ -293,8 +293,7 @@
             }
             assertEquals(1, arrivals[0].record("wk-1").part());
             assertEquals(1, told.get(told.size() - 1));
-            mirror.apply(
-                    StoreSchema.job("wk-1"), StoreSchema.JobRecord.open(0, spec, 0).write(), 7);
+            view.apply(StoreSchema.job("wk-1"), StoreSchema.JobRecord.open(0, spec, 0).write(), 7);
             assertEquals(0, arrivals[0].record("wk-1").part());
         }
     }
@@ -311,14 +310,14 @@
         Settings s = settings(List.of());
         Outbox out = new Outbox(s, 1);
         out.now = new ClockReading(1_000, 1_000);
-        StoreView mirror = new StoreView(out, s, (key, before, after) -> {});
-        Arrivals arrivals = new Arrivals(s, out, mirror);
-        PartOwnership holding =
+        StoreView view = new StoreView(out, s, (key, before, after) -> {});
+        Arrivals arrivals = new Arrivals(s, out, view);
+        PartOwnership ownership =
                 new PartOwnership(
                         0,
                         s,
                         out,
-                        mirror,
+                        view,
                         new StoreSchema.PartRecord("n/1", 60_000, 1, Map.of()),
                         out.now,
                         1);
@@ -334,15 +333,15 @@
                             Double.NaN,
                             0);
             jobs.put(job.id, job);
-            mirror.apply(
+            view.apply(
                     StoreSchema.job(job.id), StoreSchema.JobRecord.open(0, job.spec, 0).write(), 1);
         }
         StartMarks marks =
                 new StartMarks(
                         0,
                         1,
-                        new NodeContext(s, out, mirror, arrivals, null, null, null),
-                        holding,
+                        new NodeContext(s, out, view, arrivals, null, null, null),
+                        ownership,
                         jobs);
         long revision = 1;
         for (int round = 0;
@@ -369,8 +368,8 @@
         new StartMarks(
                         0,
                         1,
-                        new NodeContext(s, out, mirror, arrivals, null, null, null),
-                        holding,
+                        new NodeContext(s, out, view, arrivals, null, null, null),
+                        ownership,
                         taken)
                 .load();
         jobs.values()
--- a/src/test/java/org/shoreusher/core/StartMarksTest.java
+++ b/src/test/java/org/shoreusher/core/StartMarksTest.java
@@ -59,13 +59,13 @@
         Random random = new Random(seed);
         Outbox out = new Outbox(SETTINGS, 1);
         out.now = new ClockReading(1_000, 1_000);
-        StoreView mirror = new StoreView(out, SETTINGS, (key, before, after) -> {});
-        PartOwnership holding =
+        StoreView view = new StoreView(out, SETTINGS, (key, before, after) -> {});
+        PartOwnership ownership =
                 new PartOwnership(
                         0,
                         SETTINGS,
                         out,
-                        mirror,
+                        view,
                         new StoreSchema.PartRecord("n/1", 60_000, 1, Map.of()),
                         out.now,
                         1);
@@ -93,7 +93,7 @@
                             0,
                             Double.NaN);
             jobs.put(spec.id(), new Job(spec.id(), spec, 0));
-            mirror.apply(
+            view.apply(
                     StoreSchema.job(spec.id()), StoreSchema.JobRecord.open(0, spec, 0).write(), 1);
         }
         StartMarks marks =
@@ -103,12 +103,12 @@
                         new NodeContext(
                                 SETTINGS,
                                 out,
-                                mirror,
-                                new Arrivals(SETTINGS, out, mirror),
+                                view,
+                                new Arrivals(SETTINGS, out, view),
                                 null,
                                 null,
                                 null),
-                        holding,
+                        ownership,
                         jobs);
         long revision = 1;
         for (int round = 0;
