--- a/src/main/java/org/shoreusher/core/Fleet.java
+++ b/src/main/java/org/shoreusher/core/Fleet.java
@@ -67,7 +67,7 @@
     /** The cloud has rented this machine to the part. */
     void rented(String id, CloudOp.Rent rent, long askedWallMs) {
         if (!part.lost() && !part.machines().containsKey(id) && !list.isGone(id)) {
-            part.add(id, types.get(rent.type()), rent.zone(), rent.spot(), askedWallMs);
+            part.lifecycle().add(id, types.get(rent.type()), rent.zone(), rent.spot(), askedWallMs);
         }
     }
 
@@ -93,29 +93,7 @@
                 continue;
             }
             int left = planner.place(job, wantedAtOnce(job, cheapest));
-            while (left > 0 && wanting.size() < most) {
-                Rentals.Kind kind = kindFor(job.spec, perZone);
-                if (kind == null) {
-                    break;
-                }
-                MachineType type = types.get(kind.type());
-                // In rounds over the zones, so that none gets all.
-                int count =
-                        Math.max(
-                                1,
-                                Math.min(
-                                        left
-                                                / Math.max(1, fits(type, job.spec))
-                                                / type.zones().size(),
-                                        most - wanting.size()));
-                for (int i = 0; i < count; i++) {
-                    Planner.Slot slot = new Planner.Slot(type, kind.zone(), kind.spot());
-                    wanting.add(slot);
-                    planner.addRoom(slot);
-                }
-                perZone.addTo(kind.zone(), count);
-                left = planner.place(job, left);
-            }
+            rentFor(job, left, planner, wanting, most, perZone);
         }
         standby.step(wanting, most);
         for (Job job : jobs) {
@@ -141,6 +119,34 @@
         rentals.ask(wanting);
     }
 
+    /** Adds machines to what is to be rented, until a job's tasks find room or none can be had. */
+    private void rentFor(
+            Job job,
+            int tasks,
+            Planner planner,
+            List<Planner.Slot> wanting,
+            int most,
+            Object2IntOpenHashMap<String> perZone) {
+        int left = tasks;
+        while (left > 0 && wanting.size() < most) {
+            Rentals.Kind kind = kindFor(job.spec, perZone);
+            if (kind == null) {
+                return;
+            }
+            MachineType type = types.get(kind.type());
+            // In rounds over the zones, so that none gets all.
+            int share = left / Math.max(1, fits(type, job.spec)) / type.zones().size();
+            int count = Math.max(1, Math.min(share, most - wanting.size()));
+            for (int i = 0; i < count; i++) {
+                Planner.Slot slot = new Planner.Slot(type, kind.zone(), kind.spot());
+                wanting.add(slot);
+                planner.addRoom(slot);
+            }
+            perZone.addTo(kind.zone(), count);
+            left = planner.place(job, left);
+        }
+    }
+
     /** The room on machines that have come up or will. */
     private List<Planner.Slot> slots() {
         List<Planner.Slot> slots = new ArrayList<>();
--- a/src/main/java/org/shoreusher/core/MachineList.java
+++ b/src/main/java/org/shoreusher/core/MachineList.java
@@ -105,9 +105,9 @@
             names.add(l.id());
             Machine m = part.machines().get(l.id());
             if (m != null && l.state().equals("failed")) {
-                part.stopped(m);
+                part.lifecycle().stopped(m);
             }
-            if (m == null && part.strayHere(l.id())) {
+            if (m == null && part.lifecycle().strayHere(l.id())) {
                 stray(l);
             } else {
                 // Else a machine returned later, which a lagging list still shows, would count as
@@ -122,7 +122,7 @@
         long shown = (long) (2 * settings.listLagS() * 1000) + Tuning.LIST_SLACK_MS;
         for (Machine m : new ArrayList<>(part.machines().values())) {
             if (!names.contains(m.id) && askedAt.wallMs() - m.rentedWallMs > shown) {
-                part.gone(m, "no longer in the cloud's list");
+                part.lifecycle().gone(m, "no longer in the cloud's list");
             }
         }
     }
@@ -141,12 +141,13 @@
             strays.removeLong(l.id());
             gone.remove(l.id());
             out.log("adopted: " + l.id() + " in part " + part.n);
-            part.add(
-                    l.id(),
-                    types.get(l.type()),
-                    l.zone(),
-                    l.spot(),
-                    out.now.wallMs() - (long) (l.ageS() * 1000));
+            part.lifecycle()
+                    .add(
+                            l.id(),
+                            types.get(l.type()),
+                            l.zone(),
+                            l.spot(),
+                            out.now.wallMs() - (long) (l.ageS() * 1000));
         }
     }
 }
--- a/src/main/java/org/shoreusher/core/MachineRecords.java
+++ b/src/main/java/org/shoreusher/core/MachineRecords.java
@@ -98,27 +98,7 @@
         }
         split();
         Map<String, Map<String, MachineRecord>> groups = new LinkedHashMap<>();
-        List<String> batch = new ArrayList<>();
-        for (String id : dirty) {
-            String key = StoreSchema.machine(id, settings.valueBytes());
-            Map<String, MachineRecord> group = groups.get(key);
-            if (group == null) {
-                if (groups.size() >= Math.max(1, settings.txnOps() / 2)) {
-                    continue;
-                }
-                group = new TreeMap<>(index.group(key));
-                groups.put(key, group);
-            }
-            batch.add(id);
-            MachineRecord wanted = wanted(id);
-            MachineRecord known = group.get(id);
-            // Another part's machine is not this one's to write about.
-            if (wanted == null && known != null && known.part() == n) {
-                group.remove(id);
-            } else if (wanted != null && (known == null || known.part() == n)) {
-                group.put(id, wanted);
-            }
-        }
+        List<String> batch = gather(groups);
         batch.forEach(dirty::remove);
         Map<String, Long> guards = new LinkedHashMap<>(ownership.fence());
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
@@ -160,6 +140,32 @@
         }
     }
 
+    /** Puts the machines that changed into their groups; returns those for which there was room. */
+    private List<String> gather(Map<String, Map<String, MachineRecord>> groups) {
+        List<String> batch = new ArrayList<>();
+        for (String id : dirty) {
+            String key = StoreSchema.machine(id, settings.valueBytes());
+            Map<String, MachineRecord> group = groups.get(key);
+            if (group == null) {
+                if (groups.size() >= Math.max(1, settings.txnOps() / 2)) {
+                    continue;
+                }
+                group = new TreeMap<>(index.group(key));
+                groups.put(key, group);
+            }
+            batch.add(id);
+            MachineRecord wanted = wanted(id);
+            MachineRecord known = group.get(id);
+            // Another part's machine is not this one's to write about.
+            if (wanted == null && known != null && known.part() == n) {
+                group.remove(id);
+            } else if (wanted != null && (known == null || known.part() == n)) {
+                group.put(id, wanted);
+            }
+        }
+        return batch;
+    }
+
     /**
      * Whether nothing is lost of a machine with its wide group: its narrow one has it, or it is
      * gone.
--- a/src/main/java/org/shoreusher/core/Node.java
+++ b/src/main/java/org/shoreusher/core/Node.java
@@ -46,23 +46,9 @@
         types = new MachineTypes(settings, out, view);
         formats = new MemberFormats(settings, out, view, owner, count);
         peers = new PeerHints(settings, out, count, this::ownedPart);
-        parts =
-                new Parts(
-                        count,
-                        new NodeContext(settings, out, view, arrivals, index, types, formats),
-                        peers,
-                        owner);
-        users =
-                new UserRequests(
-                        settings,
-                        out,
-                        view,
-                        arrivals,
-                        types,
-                        formats,
-                        owner,
-                        this::counts,
-                        this::roomiestPart);
+        NodeContext context = new NodeContext(settings, out, view, arrivals, index, types, formats);
+        parts = new Parts(count, context, peers, owner);
+        users = new UserRequests(context, owner, this::counts, this::roomiestPart);
     }
 
     private Part ownedPart(int n) {
@@ -192,7 +178,7 @@
     private void machineChanged(String id, MachineRecord record) {
         for (int n = 0; n < parts.count(); n++) {
             if (parts.owned(n) != null) {
-                parts.owned(n).machineChanged(id, record);
+                parts.owned(n).lifecycle().machineChanged(id, record);
             }
         }
     }
--- a/src/main/java/org/shoreusher/core/Part.java
+++ b/src/main/java/org/shoreusher/core/Part.java
@@ -8,7 +8,6 @@
 import org.shoreusher.core.Hint.PartHint;
 import org.shoreusher.core.StoreSchema.JobRecord;
 import org.shoreusher.core.StoreSchema.JobStatus;
-import org.shoreusher.core.StoreSchema.MachineRecord;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 
@@ -70,6 +69,7 @@
 
     private final Rebuild rebuild;
     private final TeamRoom teamRoom;
+    private final MachineLifecycle lifecycle;
     private long nextWalkMs;
     private long nextStatusMs;
 
@@ -93,6 +93,7 @@
         this.finalStates = new FinalStates(out, view, arrivals, ownership);
         this.stops = new TaskStops(this, out);
         this.rebuild = new Rebuild(this, context, ownership, marks);
+        this.lifecycle = new MachineLifecycle(this, parts, context, others, ownership, ledger);
         this.teamRoom = new TeamRoom(settings, quota, ledger, rebuild, otherParts);
         this.reports = new Reports(this, context, ledger, marks);
     }
@@ -189,10 +190,19 @@
         return machines;
     }
 
+    /** Whether what the store has of it is known. */
+    boolean loaded() {
+        return rebuild.loaded();
+    }
+
     boolean rebuilt() {
         return rebuild.complete();
     }
 
+    MachineLifecycle lifecycle() {
+        return lifecycle;
+    }
+
     TeamRoom teamRoom() {
         return teamRoom;
     }
@@ -264,7 +274,7 @@
             return;
         }
         nextWalkMs = out.now.steadyMs() + Tuning.WALK_MS;
-        silentMachines();
+        lifecycle.endSilent();
         rebuild.step();
         quota.step(teamRoom::used, otherParts::claims, otherParts::quantum);
         fleet.step();
@@ -287,42 +297,6 @@
 
     // ---- takeover ----------------------------------------------------------------------------
 
-    /** Takes on a machine whose record names this part; null if its type is unknown. */
-    Machine addMachine(String id, MachineRecord record) {
-        MachineType type = types.get(record.type());
-        if (type == null) {
-            return null;
-        }
-        Machine m = new Machine(id, type, record.zone(), record.spot(), record.rentedMs());
-        m.used = record.used();
-        m.recordedUsed = record.used();
-        // The owner before may have kept the worker's lease alive in its grace, as long as it
-        // believed this node to be
-        // without state service as well.
-        m.answeredAtMs =
-                ownership.takenAtMs()
-                        + Math.max(
-                                0,
-                                Math.min(
-                                        PartLease.graceMs(settings),
-                                        others.saidStateAwayUntilMs() - ownership.takenAtMs()));
-        m.inheritedAnswerMs = m.answeredAtMs;
-        machines.put(id, m);
-        return m;
-    }
-
-    /** A machine that no record shows: it has never been given a task. */
-    Machine add(String id, MachineType type, String zone, boolean spot, long rentedWallMs) {
-        if (type == null) {
-            return null;
-        }
-        Machine m = new Machine(id, type, zone, spot, rentedWallMs);
-        m.answeredAtMs = out.now.steadyMs();
-        machines.put(id, m);
-        records.changed(id);
-        return m;
-    }
-
     /** Whether what an unheard machine held is surely gone. */
     boolean leaseEnded(Machine m) {
         return out.now.steadyMs() > m.answeredAtMs + PartLease.workerLeaseMs(settings);
@@ -401,58 +375,4 @@
         }
         return new Planner(slots, teamRoom::cpusLeft, teamRoom::gpusLeft);
     }
-
-    // ---- machines ----------------------------------------------------------------------------
-
-    private void silentMachines() {
-        for (Machine m : machines.values()) {
-            if (!m.tasks.isEmpty() && leaseEnded(m)) {
-                out.log(
-                        "silent: "
-                                + m.id
-                                + " of part "
-                                + n
-                                + " lost its lease with "
-                                + m.tasks.size()
-                                + " tasks");
-                m.tasksNow().forEach(ledger::remove);
-                m.endedSession = m.session;
-            }
-        }
-    }
-
-    /** The machine and everything on it are gone. */
-    void gone(Machine m, String why) {
-        out.log("gone: " + m.id + " of part " + n + ", " + why);
-        m.tasksNow().forEach(ledger::remove);
-        machines.remove(m.id);
-        records.changed(m.id);
-        fleet.list().forget(m.id);
-    }
-
-    /** The cloud says that the machine has stopped by itself, so nothing is on it. */
-    void stopped(Machine m) {
-        m.tasksNow().forEach(ledger::remove);
-        if (m.state == Machine.State.BOOTING || m.state == Machine.State.UP) {
-            m.state = Machine.State.DRAINING;
-        }
-    }
-
-    /** Whether this part is the one to take on a machine that no record shows. */
-    boolean strayHere(String id) {
-        return index.get(id) == null && Math.floorMod(id.hashCode(), parts) == n;
-    }
-
-    /**
-     * The view shows a machine's record: one that was handed to this part is expected to report.
-     */
-    void machineChanged(String id, MachineRecord record) {
-        Machine m = machines.get(id);
-        // A write from before a machine's end may come into the view after it.
-        if (rebuild.loaded() && m == null && record.part() == n && !fleet.list().isGone(id)) {
-            addMachine(id, record);
-        } else if (m != null && m.tasks.isEmpty() && record.part() != n) {
-            machines.remove(id);
-        }
-    }
 }
--- a/src/main/java/org/shoreusher/core/Rebuild.java
+++ b/src/main/java/org/shoreusher/core/Rebuild.java
@@ -82,7 +82,7 @@
                 .forEach(
                         (id, record) -> {
                             if (record.part() == part.n) {
-                                Machine m = part.addMachine(id, record);
+                                Machine m = part.lifecycle().addMachine(id, record);
                                 if (m != null) {
                                     m.inherited = record.used();
                                 }
--- a/src/main/java/org/shoreusher/core/Reports.java
+++ b/src/main/java/org/shoreusher/core/Reports.java
@@ -123,7 +123,9 @@
         }
         MachineRecord record = index.get(r.machine());
         if (record != null) {
-            return record.part() == part.n ? part.addMachine(r.machine(), record) : null;
+            return record.part() == part.n
+                    ? part.lifecycle().addMachine(r.machine(), record)
+                    : null;
         }
         // Nor one that an owner before has returned: what has been answered before and has no
         // record is taken on only
@@ -131,7 +133,8 @@
         if (r.token() > 0 && !part.fleet().list().isListed(r.machine())) {
             return null;
         }
-        return part.add(r.machine(), types.get(r.type()), r.zone(), r.spot(), out.now.wallMs());
+        return part.lifecycle()
+                .add(r.machine(), types.get(r.type()), r.zone(), r.spot(), out.now.wallMs());
     }
 
     /**
--- a/src/main/java/org/shoreusher/core/Returns.java
+++ b/src/main/java/org/shoreusher/core/Returns.java
@@ -49,7 +49,7 @@
                             for (String id : ids) {
                                 Machine m = part.machines().get(id);
                                 if (m != null) {
-                                    part.gone(m, "returned");
+                                    part.lifecycle().gone(m, "returned");
                                 }
                             }
                         });
--- a/src/main/java/org/shoreusher/core/StartMarks.java
+++ b/src/main/java/org/shoreusher/core/StartMarks.java
@@ -112,17 +112,7 @@
                 guards.put(StoreSchema.job(job.id), 0L);
                 writes.put(StoreSchema.job(job.id), record.write());
             }
-            int below =
-                    Math.min(job.spec.tasks(), Math.max(next, job.startBelow * Tuning.MARK_GROWTH));
-            // A record may be longer than may now be written: what is in it stays there to be read,
-            // and the larger mark counts.
-            int chunk =
-                    job.markChunk >= 0 && length(marksOf(chunks, job.markChunk)) <= limit()
-                            ? job.markChunk
-                            : chunkWithRoom(chunks, job.id);
-            // The larger one stands already if its write was carried out and only the answer lost.
-            int mark = chunks.computeIfAbsent(chunk, this::open).merge(job.id, below, Math::max);
-            marked.add(new Marked(job, chunk, mark));
+            marked.add(mark(job, next, chunks));
         }
         if (marked.isEmpty()) {
             return;
@@ -139,21 +129,34 @@
                             writing = false;
                             if (reply.status() == 200 && !ownership.lost()) {
                                 view.applied(reply, writes);
-                                marked.forEach(
-                                        m -> {
-                                            // Only now: the room of a record is counted by what
-                                            // stands in it, so one assigned by a write that failed
-                                            // could
-                                            // take the record above the value limit, where every
-                                            // write of it is refused for good.
-                                            m.job.markChunk = m.chunk;
-                                            m.job.startBelow = Math.max(m.job.startBelow, m.below);
-                                        });
+                                marked.forEach(StartMarks::written);
                             }
                         });
         nextMs = writing ? out.now.steadyMs() + gapMs : nextMs;
     }
 
+    /** Puts the next mark of a job into a record that is about to be written. */
+    private Marked mark(Job job, int next, Map<Integer, Map<String, Integer>> chunks) {
+        int below = Math.min(job.spec.tasks(), Math.max(next, job.startBelow * Tuning.MARK_GROWTH));
+        // A record may be longer than may now be written: what is in it stays there to be read, and
+        // the larger mark counts.
+        boolean stays = job.markChunk >= 0 && length(marksOf(chunks, job.markChunk)) <= limit();
+        int chunk = stays ? job.markChunk : chunkWithRoom(chunks, job.id);
+        // The larger one stands already if its write was carried out and only the answer lost.
+        int mark = chunks.computeIfAbsent(chunk, this::open).merge(job.id, below, Math::max);
+        return new Marked(job, chunk, mark);
+    }
+
+    /**
+     * A mark is durable. Only now its record counts as the job's: the room of a record is counted
+     * by what stands in it, so one assigned by a write that failed could take the record above the
+     * value limit, where every write of it is refused for good.
+     */
+    private static void written(Marked marked) {
+        marked.job.markChunk = marked.chunk;
+        marked.job.startBelow = Math.max(marked.job.startBelow, marked.below);
+    }
+
     private boolean writable(JobRecord record) {
         return FieldMap.jsonLength(record.write()) <= settings.valueBytes();
     }
--- a/src/main/java/org/shoreusher/core/UserRequests.java
+++ b/src/main/java/org/shoreusher/core/UserRequests.java
@@ -42,22 +42,17 @@
     private int writing;
 
     UserRequests(
-            Settings settings,
-            Outbox out,
-            StoreView view,
-            Arrivals arrivals,
-            MachineTypes types,
-            MemberFormats formats,
+            NodeContext context,
             String owner,
             CountSource counts,
             ToIntFunction<JobSpec> roomiestPart) {
-        this.settings = settings;
-        this.out = out;
-        this.view = view;
-        this.types = types;
-        this.formats = formats;
+        settings = context.settings();
+        out = context.out();
+        view = context.view();
+        types = context.types();
+        formats = context.formats();
         this.counts = counts;
-        this.arrivals = arrivals;
+        arrivals = context.arrivals();
         ended = new EndedJobs(settings, out, view);
         reads = new ConfirmedReads(settings, out, view, arrivals, ended, this::refuse);
         acceptance =
--- a/src/main/java/org/shoreusher/settings/Settings.java
+++ b/src/main/java/org/shoreusher/settings/Settings.java
@@ -125,16 +125,6 @@
                     teams.put(team.name(), team) == null,
                     "team " + team.name() + " is there twice");
         }
-        List<Objective> objectives = new ArrayList<>();
-        for (FieldMap o : d.list("objectives")) {
-            objectives.add(
-                    new Objective(
-                            o.text("kind"),
-                            o.textOr("class", ""),
-                            o.numberOr("within_s", Double.NaN),
-                            o.numberOr("share", Double.NaN),
-                            o.numberOr("times", 1)));
-        }
         List<String> zones = d.texts("zones");
         FieldMap workers = d.map("workers");
         FieldMap state = d.map("state");
@@ -152,7 +142,7 @@
                         (int) d.number("count"),
                         zones,
                         teams,
-                        List.copyOf(objectives),
+                        objectives(d),
                         workers.number("report_s"),
                         workers.number("lease_s"),
                         workers.number("cancel_s"),
@@ -178,6 +168,20 @@
         return Math.min(limit, burst);
     }
 
+    private static List<Objective> objectives(FieldMap d) throws FieldMap.Missing {
+        List<Objective> objectives = new ArrayList<>();
+        for (FieldMap o : d.list("objectives")) {
+            objectives.add(
+                    new Objective(
+                            o.text("kind"),
+                            o.textOr("class", ""),
+                            o.numberOr("within_s", Double.NaN),
+                            o.numberOr("share", Double.NaN),
+                            o.numberOr("times", 1)));
+        }
+        return List.copyOf(objectives);
+    }
+
     private static double stricter(FieldMap state, FieldMap next, String field)
             throws FieldMap.Missing, Invalid {
         double now = state.number(field);
