--- a/src/main/java/org/shoreusher/core/PartOwnership.java
+++ b/src/main/java/org/shoreusher/core/PartOwnership.java
@@ -5,6 +5,7 @@
 import java.util.function.Supplier;
 import org.shoreusher.core.Command.StateReply;
 import org.shoreusher.core.Effect.StateOp;
+import org.shoreusher.core.StoreSchema.FinishedRecord;
 import org.shoreusher.core.StoreSchema.PartRecord;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
@@ -151,7 +152,7 @@
             int c = 1 + (from + i - 1) % spilled;
             Map<String, Object> done = records.chunk(c);
             if (!done.equals(storedDone(c)) || view.get(StoreSchema.done(n, c)) == null) {
-                writes.put(StoreSchema.done(n, c), Map.of("done", done));
+                writes.put(StoreSchema.done(n, c), new FinishedRecord(done).write());
                 lastChunk = c;
             }
         }
@@ -173,12 +174,7 @@
             return doneInStore();
         }
         StoreView.Entry entry = view.get(StoreSchema.done(n, chunk));
-        try {
-            return entry == null ? Map.of() : new FieldMap(entry.value()).map("done").asMap();
-        } catch (FieldMap.Missing e) {
-            throw new IllegalStateException(
-                    "a record of finished tasks of this service can't be read: " + e.getMessage());
-        }
+        return entry == null ? Map.of() : FinishedRecord.read(entry.value()).ranges();
     }
 
     private Map<String, Object> doneInStore() {
--- a/src/main/java/org/shoreusher/core/Parts.java
+++ b/src/main/java/org/shoreusher/core/Parts.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import org.shoreusher.core.Effect.StateOp;
+import org.shoreusher.core.StoreSchema.FinishedRecord;
 import org.shoreusher.core.StoreSchema.PartRecord;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
@@ -151,20 +152,19 @@
      * records that may be written.
      */
     private List<Map<String, Object>> uncovered(int n, PartRecord before) {
-        return FinishedRecords.split(
-                before.done(),
-                settings,
-                id -> {
-                    BitSet covered = new BitSet();
-                    for (int c = 1; view.get(StoreSchema.done(n, c)) != null; c++) {
-                        if (view.get(StoreSchema.done(n, c)).value().get("done")
-                                        instanceof Map<?, ?> done
-                                && done.get(id) instanceof String ranges) {
-                            covered.or(TaskRanges.parse(ranges));
-                        }
-                    }
-                    return covered;
-                });
+        return FinishedRecords.split(before.done(), settings, id -> finishedElsewhere(n, id));
+    }
+
+    /** The finished tasks of a job that stand in other records than the part's own. */
+    private BitSet finishedElsewhere(int n, String id) {
+        BitSet finished = new BitSet();
+        StoreView.Entry entry;
+        for (int c = 1; (entry = view.get(StoreSchema.done(n, c))) != null; c++) {
+            if (FinishedRecord.read(entry.value()).ranges().get(id) instanceof String ranges) {
+                finished.or(TaskRanges.parse(ranges));
+            }
+        }
+        return finished;
     }
 
     /**
@@ -182,7 +182,7 @@
         }
         for (int i = 0; i < pieces.size() && i < settings.txnOps(); i++) {
             guards.put(StoreSchema.done(n, c + i), 0L);
-            writes.put(StoreSchema.done(n, c + i), Map.of("done", pieces.get(i)));
+            writes.put(StoreSchema.done(n, c + i), new FinishedRecord(pieces.get(i)).write());
         }
         taking =
                 out.renewal(
--- a/src/main/java/org/shoreusher/core/StoreSchema.java
+++ b/src/main/java/org/shoreusher/core/StoreSchema.java
@@ -198,6 +198,25 @@
         }
     }
 
+    /**
+     * Finished tasks that would take the part's own record over the value limit, as ranges by job.
+     */
+    record FinishedRecord(Map<String, Object> ranges) {
+        static FinishedRecord read(Map<String, Object> value) {
+            try {
+                return new FinishedRecord(new FieldMap(value).map("done").asMap());
+            } catch (FieldMap.Missing e) {
+                throw new IllegalStateException(
+                        "a record of finished tasks of this service can't be read: "
+                                + e.getMessage());
+            }
+        }
+
+        Map<String, Object> write() {
+            return Map.of("done", ranges);
+        }
+    }
+
     /** From which number on no task of a part's jobs has ever been started, by job. */
     record MarkRecord(Map<String, Integer> below) {
         static MarkRecord read(Map<String, Object> value) {
