--- a/src/main/java/org/shoreusher/core/JobSpec.java
+++ b/src/main/java/org/shoreusher/core/JobSpec.java
@@ -52,50 +52,6 @@
         }
     }
 
-    /** A batch job. */
-    public JobSpec(
-            String id,
-            String jobClass,
-            String team,
-            Priority priority,
-            int tasks,
-            double cpus,
-            double gpus,
-            double memGb,
-            String image,
-            double imageGb,
-            List<String> types,
-            String zone,
-            boolean oneZone,
-            boolean spread,
-            boolean spot,
-            double estimateS,
-            double checkpointS,
-            double saveS,
-            double deadlineS) {
-        this(
-                id,
-                jobClass,
-                team,
-                Shape.BATCH,
-                priority,
-                tasks,
-                cpus,
-                gpus,
-                memGb,
-                image,
-                imageGb,
-                types,
-                zone,
-                oneZone,
-                spread,
-                spot,
-                estimateS,
-                checkpointS,
-                saveS,
-                deadlineS);
-    }
-
     /** Whether a machine of this kind may hold a task, other tasks of the job aside. */
     public boolean allows(String type, String machineZone, boolean spotMachine) {
         return (types == null || types.contains(type))
--- a/src/main/java/org/shoreusher/core/ReportReader.java
+++ b/src/main/java/org/shoreusher/core/ReportReader.java
@@ -128,6 +128,7 @@
                                 id,
                                 "",
                                 "",
+                                JobSpec.Shape.BATCH,
                                 JobSpec.Priority.LOW,
                                 Tuning.MAX_TASKS,
                                 m.type.cpus(),
--- a/src/test/java/org/shoreusher/core/ArrivalsTest.java
+++ b/src/test/java/org/shoreusher/core/ArrivalsTest.java
@@ -48,6 +48,7 @@
                         "wk-1",
                         "c",
                         "team",
+                        JobSpec.Shape.BATCH,
                         JobSpec.Priority.HIGH,
                         3,
                         1,
--- a/src/test/java/org/shoreusher/core/FinishedRecordsTest.java
+++ b/src/test/java/org/shoreusher/core/FinishedRecordsTest.java
@@ -57,6 +57,7 @@
                         id,
                         "c",
                         "team",
+                        JobSpec.Shape.BATCH,
                         JobSpec.Priority.NORMAL,
                         tasks,
                         1,
--- a/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
+++ b/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
@@ -62,8 +62,26 @@
                 new Job(
                         id,
                         new JobSpec(
-                                id, jobClass, "team", priority, tasks, 2, 0, 1, "i", 1, null, null,
-                                false, false, true, estimate, 0, 0, deadline),
+                                id,
+                                jobClass,
+                                "team",
+                                JobSpec.Shape.BATCH,
+                                priority,
+                                tasks,
+                                2,
+                                0,
+                                1,
+                                "i",
+                                1,
+                                null,
+                                null,
+                                false,
+                                false,
+                                true,
+                                estimate,
+                                0,
+                                0,
+                                deadline),
                         acceptedMs);
         for (int i = 0; i < tasks; i++) {
             job.setWaiting(i, true);
--- a/src/test/java/org/shoreusher/core/PiecesTest.java
+++ b/src/test/java/org/shoreusher/core/PiecesTest.java
@@ -62,6 +62,7 @@
                 id,
                 "c",
                 "team",
+                JobSpec.Shape.BATCH,
                 JobSpec.Priority.NORMAL,
                 tasks,
                 cpus,
--- a/src/test/java/org/shoreusher/core/StartMarksTest.java
+++ b/src/test/java/org/shoreusher/core/StartMarksTest.java
@@ -76,6 +76,7 @@
                             "wk-" + (1_000_000 + i),
                             "c",
                             "team",
+                            JobSpec.Shape.BATCH,
                             JobSpec.Priority.HIGH,
                             1 + random.nextInt(1_000),
                             2,
--- a/src/test/java/org/shoreusher/model/CancellationGapTest.java
+++ b/src/test/java/org/shoreusher/model/CancellationGapTest.java
@@ -32,6 +32,7 @@
                                     String.format("wk-%06d", i),
                                     "class",
                                     "team-" + i % 2,
+                                    JobSpec.Shape.BATCH,
                                     JobSpec.Priority.HIGH,
                                     1 + i % 4,
                                     1,
--- a/src/test/java/org/shoreusher/model/FormerOwner.java
+++ b/src/test/java/org/shoreusher/model/FormerOwner.java
@@ -417,6 +417,7 @@
                 id,
                 "class",
                 "team-" + world.random.nextInt(2),
+                JobSpec.Shape.BATCH,
                 JobSpec.Priority.values()[1 + world.random.nextInt(3)],
                 1 + world.random.nextInt(alone && types == 1 ? 120 : 6),
                 1,
--- a/src/test/java/org/shoreusher/model/LargerRecordsTest.java
+++ b/src/test/java/org/shoreusher/model/LargerRecordsTest.java
@@ -30,6 +30,7 @@
                 ID,
                 "class",
                 "team-0",
+                JobSpec.Shape.BATCH,
                 JobSpec.Priority.HIGH,
                 2,
                 2,
--- a/src/test/java/org/shoreusher/model/MeetingsTest.java
+++ b/src/test/java/org/shoreusher/model/MeetingsTest.java
@@ -180,6 +180,7 @@
                                     String.format("wk-%06d", i),
                                     "class",
                                     "team-" + i % 2,
+                                    JobSpec.Shape.BATCH,
                                     JobSpec.Priority.values()[i % 4],
                                     1,
                                     1,
--- a/src/test/java/org/shoreusher/model/ServicesTest.java
+++ b/src/test/java/org/shoreusher/model/ServicesTest.java
@@ -217,6 +217,7 @@
                                     String.format("wk-%06d", i),
                                     "class",
                                     "team-0",
+                                    JobSpec.Shape.BATCH,
                                     JobSpec.Priority.NORMAL,
                                     1_000,
                                     1,
--- a/src/test/java/org/shoreusher/model/SingleNode.java
+++ b/src/test/java/org/shoreusher/model/SingleNode.java
@@ -245,6 +245,7 @@
                 id,
                 "class",
                 "team-0",
+                JobSpec.Shape.BATCH,
                 JobSpec.Priority.HIGH,
                 tasks,
                 cpus,
