--- a/src/test/java/org/shoreusher/model/CancellationGapTest.java
+++ b/src/test/java/org/shoreusher/model/CancellationGapTest.java
@@ -24,7 +24,7 @@
 
     /** Long tasks of jobs that are all running when the trouble comes. */
     private static World world(long seed, List<Trouble> troubles) {
-        World w = new World(seed, ClusterModelTest.settings(), 1, Sabotage.NONE);
+        World w = new World(seed, ModelSettings.usual(), 1, Sabotage.NONE);
         for (int i = 0; i < 16; i++) {
             w.users.submit(
                     new UserModel.Wish(
@@ -98,7 +98,7 @@
                 new Trouble(
                         GAP_MS,
                         w ->
-                                ClusterModelTest.owners(w)
+                                Troubles.owners(w)
                                         .forEach(p -> w.state.refuse(p.host, before + 14_000))));
         troubles.add(cancelled(GAP_MS + r.nextInt(2_000)));
         troubles.add(new Trouble(GAP_MS + before, w -> w.state.outage(outage)));
@@ -130,7 +130,7 @@
                                     new Trouble(
                                             GAP_MS,
                                             x ->
-                                                    ClusterModelTest.owners(x)
+                                                    Troubles.owners(x)
                                                             .forEach(
                                                                     p ->
                                                                             x.state.stallViews(
--- a/src/test/java/org/shoreusher/model/FormerFormatsTest.java
+++ b/src/test/java/org/shoreusher/model/FormerFormatsTest.java
@@ -40,8 +40,7 @@
     }
 
     private static Settings limits(int valueBytes, int txnOps) {
-        return ClusterModelTest.limits(
-                ClusterModelTest.settings().stateWriteRps(), valueBytes, txnOps);
+        return ModelSettings.limits(ModelSettings.usual().stateWriteRps(), valueBytes, txnOps);
     }
 
     @SuppressWarnings("unchecked")
@@ -219,29 +218,10 @@
     private static SingleNode nodeOfTwo() {
         Settings s = limits(2_048, 6);
         Settings of =
-                new Settings(
-                        "node-0",
-                        s.zone(),
-                        s.front(),
-                        s.back(),
-                        List.of(new Settings.Member("node-1", s.back())),
-                        s.cloud(),
-                        s.state(),
-                        2,
-                        s.zones(),
-                        s.teams(),
-                        s.objectives(),
-                        s.reportS(),
-                        s.workerLeaseS(),
-                        s.cancelS(),
-                        s.stateRps(),
-                        s.stateWriteRps(),
-                        s.valueBytes(),
-                        s.txnOps(),
-                        s.cloudRps(),
-                        s.listLagS(),
-                        s.sockets(),
-                        s.clockOffMs());
+                new SettingsBuilder(s)
+                        .host("node-0", List.of(new Settings.Member("node-1", s.back())))
+                        .nodes(2)
+                        .build();
         SingleNode node = new SingleNode(of);
         node.left();
         node.steps(40);
--- a/src/test/java/org/shoreusher/model/FormerVersionTest.java
+++ b/src/test/java/org/shoreusher/model/FormerVersionTest.java
@@ -101,9 +101,9 @@
         World w =
                 new World(
                         seed,
-                        ClusterModelTest.limits(
+                        ModelSettings.limits(
                                 60, seed % 3 == 0 ? 1_024 : 2_048, seed % 2 == 0 ? 4 : 6),
-                        ClusterModelTest.limits(100, 8_192, 12),
+                        ModelSettings.limits(100, 8_192, 12),
                         1,
                         Sabotage.NONE,
                         8);
--- a/src/test/java/org/shoreusher/model/LargerRecordsTest.java
+++ b/src/test/java/org/shoreusher/model/LargerRecordsTest.java
@@ -20,8 +20,8 @@
     private final SingleNode node = new SingleNode(limits());
 
     private static Settings limits() {
-        Settings usual = ClusterModelTest.settings();
-        return ClusterModelTest.limits(usual.stateWriteRps(), VALUE_BYTES, usual.txnOps());
+        Settings usual = ModelSettings.usual();
+        return ModelSettings.limits(usual.stateWriteRps(), VALUE_BYTES, usual.txnOps());
     }
 
     /** A job whose list of machine types alone is longer than a value may be. */
--- a/src/test/java/org/shoreusher/model/MeetingsTest.java
+++ b/src/test/java/org/shoreusher/model/MeetingsTest.java
@@ -59,8 +59,8 @@
                         w.keepReports = true;
                         w.in(length, () -> w.keepReports = false);
                     };
-            case 3 -> w -> ClusterModelTest.owners(w).forEach(p -> p.kill(50 + length / 4));
-            case 4 -> w -> ClusterModelTest.owners(w).forEach(p -> w.state.refuse(p.host, length));
+            case 3 -> w -> Troubles.owners(w).forEach(p -> p.kill(50 + length / 4));
+            case 4 -> w -> Troubles.owners(w).forEach(p -> w.state.refuse(p.host, length));
             case 5 -> w -> w.state.outage(length);
             case 6 -> w -> some(w, m -> m.deafen(length));
             case 7 -> w -> some(w, m -> m.mute(length));
@@ -68,7 +68,7 @@
             case 9 -> w -> w.state.slow(900, length);
             case 10 ->
                     w -> {
-                        ClusterModelTest.cutFromStateAndPeers(w, w.processes.get(node), length);
+                        Troubles.cutFromStateAndPeers(w, w.processes.get(node), length);
                     };
             case 11 -> w -> w.cutZone("b", host, length);
             case 12 ->
@@ -85,15 +85,12 @@
                     };
             case 14 -> w -> w.processes.forEach(p -> p.kill(9_000 + w.random.nextInt(3_000)));
             case 15 -> w -> some(w, m -> m.hang(length));
-            default ->
-                    w ->
-                            ClusterModelTest.owners(w)
-                                    .forEach(p -> ClusterModelTest.cutFromWorkers(w, p, length));
+            default -> w -> Troubles.owners(w).forEach(p -> Troubles.cutFromWorkers(w, p, length));
         };
     }
 
     private static void endOwners(World w) {
-        ClusterModelTest.owners(w).forEach(p -> p.kill(100 + w.random.nextInt(6_000)));
+        Troubles.owners(w).forEach(p -> p.kill(100 + w.random.nextInt(6_000)));
     }
 
     static List<Trouble> meetings(long seed) {
@@ -114,7 +111,7 @@
     }
 
     private static World world(long seed, List<Trouble> troubles) {
-        World w = new World(seed, ClusterModelTest.settings(), 1, Sabotage.NONE);
+        World w = new World(seed, ModelSettings.usual(), 1, Sabotage.NONE);
         w.users.impatient = 3;
         w.users.closeLooks = true;
         w.users.cancelAtEnd = seed % 2 == 0 ? 3 : 0;
@@ -171,7 +168,7 @@
     /** Jobs of one task come four a second, a quarter of them cancelled, while the owner ends. */
     @Example
     void manySmallJobsOfWhichAQuarterIsCancelled() {
-        World w = new World(7, ClusterModelTest.settings(), 1, Sabotage.NONE);
+        World w = new World(7, ModelSettings.usual(), 1, Sabotage.NONE);
         w.users.closeLooks = false;
         for (int i = 0; i < 400; i++) {
             w.users.submit(
@@ -205,10 +202,7 @@
         w.at(150_000, w.rules::watchWaiting);
         w.run(
                 260_000,
-                List.of(
-                        new Trouble(
-                                60_000,
-                                x -> ClusterModelTest.owners(x).forEach(p -> p.kill(500)))));
+                List.of(new Trouble(60_000, x -> Troubles.owners(x).forEach(p -> p.kill(500)))));
         w.rules.end();
         w.rules.servedByHalf();
         assertEquals(List.of(), w.rules.violations, () -> String.join("\n", w.log));
--- /dev/null
+++ b/src/test/java/org/shoreusher/model/ModelSettings.java
@@ -0,0 +1,80 @@
+package org.shoreusher.model;
+
+import java.util.List;
+import java.util.Map;
+import org.shoreusher.settings.Settings;
+
+/** Settings of generated worlds. */
+final class ModelSettings {
+    private ModelSettings() {}
+
+    /** Three nodes in two zones, two teams, and limits that allow a busy day. */
+    static Settings usual() {
+        Map<String, Settings.Team> teams =
+                Map.of(
+                        "team-0",
+                        new Settings.Team("team-0", 16, 24, 0, 0),
+                        "team-1",
+                        new Settings.Team("team-1", 8, 16, 0, 0));
+        Settings.Address nowhere = new Settings.Address("127.0.0.1", 1);
+        return new Settings(
+                "node",
+                "a",
+                nowhere,
+                nowhere,
+                List.of(),
+                nowhere,
+                nowhere,
+                3,
+                List.of("a", "b"),
+                teams,
+                List.of(),
+                1.5,
+                8,
+                30,
+                400,
+                100,
+                4096,
+                12,
+                10,
+                3,
+                1000,
+                80);
+    }
+
+    /** The same under other limits of the state service. */
+    static Settings limits(double writeRps, int valueBytes, int txnOps) {
+        return new SettingsBuilder(usual()).limits(writeRps, valueBytes, txnOps).build();
+    }
+
+    /**
+     * Five nodes in four zones, a state service of few requests and changes with the shortest
+     * transactions allowed or twice those, a team without bounds, and machines of two sizes.
+     */
+    static Settings spread(long seed) {
+        double none = Double.POSITIVE_INFINITY;
+        return new SettingsBuilder(usual())
+                .nodes(5)
+                .zones("a", "b", "c", "d")
+                .teams(new Settings.Team("team-0", 0, none, 0, none))
+                .stateRps(120)
+                .limits(20, 4096, seed % 2 == 0 ? 4 : 8)
+                .cloudRps(8)
+                .sockets(1500)
+                .clockOffMs(25)
+                .build();
+    }
+
+    /** Two large teams, and workers that report every 5 s. */
+    static Settings large() {
+        return new SettingsBuilder(usual())
+                .teams(
+                        new Settings.Team("team-0", 3_000, 5_000, 0, 0),
+                        new Settings.Team("team-1", 3_000, 8_000, 0, 0))
+                .workers(5, 26, 46)
+                .limits(usual().stateWriteRps(), 8_192, 20)
+                .sockets(2_600)
+                .clockOffMs(25)
+                .build();
+    }
+}
--- /dev/null
+++ b/src/test/java/org/shoreusher/model/OwnerLossTest.java
@@ -0,0 +1,318 @@
+package org.shoreusher.model;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import net.jqwik.api.Example;
+import org.shoreusher.core.JobSpec;
+import org.shoreusher.model.World.Sabotage;
+import org.shoreusher.model.World.Trouble;
+import org.shoreusher.settings.Settings;
+
+/** Owners that end, or lose what they need, one trouble at a time. */
+class OwnerLossTest {
+    /** An outage longer than the lease: the owner keeps its workers alive, and its tasks go on. */
+    @Example
+    void keepsWorkThroughAnOutageLongerThanTheLease() {
+        World w =
+                ClusterModelTest.world(
+                        3,
+                        Sabotage.NONE,
+                        List.of(new Trouble(60_000, x -> x.state.outage(11_000))));
+        assertEquals(List.of(), w.rules.violations);
+        assertFalse(
+                w.log.stream().anyMatch(l -> l.contains("lost its lease")),
+                () -> String.join("\n", w.log));
+    }
+
+    /**
+     * One node alone is refused by the state service: its part goes on elsewhere soon, not after
+     * its grace.
+     */
+    @Example
+    void aNodeRefusedAloneSendsItsWorkersAway() {
+        World w =
+                ClusterModelTest.world(
+                        1,
+                        Sabotage.NONE,
+                        List.of(
+                                new Trouble(
+                                        60_000,
+                                        x ->
+                                                Troubles.owners(x)
+                                                        .forEach(
+                                                                p ->
+                                                                        x.state.refuse(
+                                                                                p.host, 40_000)))));
+        assertEquals(List.of(), w.rules.violations);
+        // Lease 9 s, at most a renewal just before, the taker's wait, and a round of reports from
+        // workers sent away.
+        assertTrue(rebuiltAfter(w, 60_000) < 60_000 + 16_000, () -> String.join("\n", w.log));
+    }
+
+    /**
+     * An owner loses the network: its workers must not hang there until their leases end, but wait
+     * with nodes that are there, so that the taker finds their tasks.
+     */
+    @Example
+    void workersOfACutOffOwnerAreThereForTheTaker() {
+        List<Long> rebuilt = new ArrayList<>();
+        // Seeds with one part; in one or the other a single message is late by seconds.
+        for (long seed : new long[] {0, 3, 6, 9, 12}) {
+            World w =
+                    ClusterModelTest.world(
+                            seed,
+                            Sabotage.NONE,
+                            List.of(
+                                    new Trouble(
+                                            60_000,
+                                            x ->
+                                                    Troubles.owners(x)
+                                                            .forEach(
+                                                                    p -> {
+                                                                        Troubles
+                                                                                .cutFromStateAndPeers(
+                                                                                        x, p,
+                                                                                        60_000);
+                                                                        Troubles.cutFromWorkers(
+                                                                                x, p, 60_000);
+                                                                    }))));
+            assertEquals(List.of(), w.rules.violations);
+            rebuilt.add(rebuiltAfter(w, 60_000));
+        }
+        // Takeover after 7 s and a round of reports at once; workers that hang at the lost owner
+        // make it 12 s.
+        Collections.sort(rebuilt);
+        assertTrue(rebuilt.get(2) < 60_000 + 9_500, () -> "rebuilt at " + rebuilt);
+    }
+
+    /**
+     * A controller loses state service and peers, but not its workers. Nobody can tell it that it
+     * is alone, so it must see for itself: its grace would keep the workers from the next owner.
+     */
+    @Example
+    void aNodeWithNothingButItsWorkersLetsThemGo() {
+        List<Long> rebuilt = new ArrayList<>();
+        for (long seed : new long[] {0, 3, 6}) {
+            World w =
+                    ClusterModelTest.world(
+                            seed,
+                            Sabotage.NONE,
+                            List.of(
+                                    new Trouble(
+                                            60_000,
+                                            x ->
+                                                    Troubles.owners(x)
+                                                            .forEach(
+                                                                    p ->
+                                                                            Troubles
+                                                                                    .cutFromStateAndPeers(
+                                                                                            x, p,
+                                                                                            60_000)))));
+            assertEquals(List.of(), w.rules.violations);
+            rebuilt.add(rebuiltAfter(w, 60_000));
+        }
+        Collections.sort(rebuilt);
+        // Lapse after 6 to 9 s, then a round of reports; with the grace it is 15 s and more.
+        assertTrue(rebuilt.get(1) < 60_000 + 13_000, () -> "rebuilt at " + rebuilt);
+    }
+
+    /**
+     * An owner loses its workers, but neither state service nor peers: it gives the part up when
+     * others tell that its workers come to them, before their leases end. Else all that runs is
+     * lost, and nothing runs until the network is whole.
+     */
+    @Example
+    void anOwnerThatItsWorkersDoNotReachGivesThePartUp() {
+        List<Long> rebuilt = new ArrayList<>();
+        for (long seed : new long[] {0, 3, 6, 9, 12}) {
+            World w =
+                    ClusterModelTest.world(
+                            seed,
+                            Sabotage.NONE,
+                            List.of(
+                                    new Trouble(
+                                            60_000,
+                                            x ->
+                                                    Troubles.owners(x)
+                                                            .forEach(
+                                                                    p ->
+                                                                            Troubles.cutFromWorkers(
+                                                                                    x, p,
+                                                                                    40_000)))));
+            assertEquals(List.of(), w.rules.violations);
+            rebuilt.add(
+                    w.log.stream().anyMatch(l -> l.contains("released: most"))
+                            ? rebuiltAfter(w, 60_000)
+                            : Long.MAX_VALUE);
+        }
+        // In one or the other a single message is late by seconds, or a machine hangs at the old
+        // owner once more.
+        Collections.sort(rebuilt);
+        assertTrue(rebuilt.get(2) < 60_000 + 14_000, () -> "rebuilt at " + rebuilt);
+    }
+
+    /**
+     * A thousand machines: owners end while a zone is cut off from everything, a controller stands
+     * still, and many machines stop at once. A few worlds of bounded work; what is lost is made
+     * good, and no rule is broken.
+     */
+    @Example
+    void aThousandMachines() {
+        Settings large = ModelSettings.large();
+        for (int parts = 1; parts <= 2; parts++) {
+            World w = new World(parts, large, parts, Sabotage.NONE, 250);
+            for (int i = 0; i < 60; i++) {
+                w.users.submit(
+                        new UserModel.Wish(
+                                new JobSpec(
+                                        String.format("wk-%06d", i),
+                                        "class",
+                                        "team-" + i % 2,
+                                        JobSpec.Shape.BATCH,
+                                        JobSpec.Priority.values()[1 + i % 3],
+                                        120,
+                                        4,
+                                        0,
+                                        1,
+                                        "img-" + i % 5,
+                                        1,
+                                        null,
+                                        null,
+                                        i % 10 == 0,
+                                        i % 10 == 1,
+                                        true,
+                                        8,
+                                        0,
+                                        0,
+                                        Double.NaN),
+                                i % 15 == 2,
+                                15_000),
+                        1_000 + i * 1_000L);
+            }
+            w.quietFrom = 120_000;
+            w.run(
+                    200_000,
+                    List.of(
+                            new Trouble(40_000, x -> x.cutZone("b", "node-1", 35_000)),
+                            new Trouble(45_000, x -> Troubles.owners(x).forEach(p -> p.kill(300))),
+                            new Trouble(70_000, x -> x.processes.get(2).starve(12_000)),
+                            new Trouble(
+                                    85_000,
+                                    x -> {
+                                        int n = 0;
+                                        for (WorkerModel m : x.cloud.machines()) {
+                                            if (n++ % 3 == 0) {
+                                                x.cloud.take(m);
+                                            }
+                                        }
+                                    })));
+            w.rules.end();
+            assertEquals(List.of(), w.rules.violations, () -> String.join("\n", w.log));
+            long machines =
+                    w.log.stream()
+                            .filter(l -> l.contains("rented: "))
+                            .mapToLong(
+                                    l ->
+                                            Long.parseLong(
+                                                    l.replaceAll(".*rented: (\\d+) of.*", "$1")))
+                            .sum();
+            assertTrue(machines > 1_000, () -> "rented " + machines);
+            assertEquals(
+                    0,
+                    w.users.wishes.values().stream()
+                            .filter(x -> !x.doneTold && !x.cancelTold)
+                            .count());
+        }
+    }
+
+    /**
+     * An owner ends; whoever takes its part ends in the middle of it, and is back before anybody
+     * else has noticed.
+     */
+    @Example
+    void takersThatEndInTheMiddleOfItDoNoHarm() {
+        for (long seed = 0; seed < 9; seed++) {
+            World w =
+                    ClusterModelTest.world(
+                            seed,
+                            Sabotage.NONE,
+                            List.of(
+                                    new Trouble(
+                                            60_000,
+                                            x -> {
+                                                Troubles.endNextTakers(x, 3);
+                                                Troubles.owners(x).forEach(p -> p.kill(100));
+                                            })));
+            assertEquals(List.of(), w.rules.violations);
+            assertEquals(
+                    0,
+                    w.users.wishes.values().stream()
+                            .filter(x -> !x.doneTold && !x.cancelTold)
+                            .count());
+            assertTrue(w.log.stream().filter(l -> l.contains("takeover")).count() > 3);
+        }
+    }
+
+    /**
+     * A machine that reports but hears nothing is given up and returned; its tasks run elsewhere.
+     */
+    @Example
+    void aDeafMachineIsReplaced() {
+        for (long seed : new long[] {0, 3, 6}) {
+            List<WorkerModel> deaf = new ArrayList<>();
+            World w =
+                    ClusterModelTest.world(
+                            seed,
+                            Sabotage.NONE,
+                            List.of(
+                                    new Trouble(
+                                            50_000,
+                                            x -> {
+                                                for (WorkerModel m : x.cloud.machines()) {
+                                                    if (deaf.isEmpty() && m.hasTasks()) {
+                                                        m.deafen(1_000_000);
+                                                        deaf.add(m);
+                                                    }
+                                                }
+                                            })));
+            assertEquals(List.of(), w.rules.violations);
+            assertEquals(1, deaf.size());
+            String id = deaf.get(0).id;
+            // Else starts go to it again and again, since it seems idle, and it is never returned
+            // while there is work.
+            assertTrue(
+                    w.log.stream()
+                            .anyMatch(
+                                    l ->
+                                            l.contains("gone: " + id)
+                                                    && l.contains("returned")
+                                                    && timeOf(l) < 100_000),
+                    () -> String.join("\n", w.log));
+            assertEquals(
+                    0,
+                    w.users.wishes.values().stream()
+                            .filter(x -> !x.doneTold && !x.cancelTold)
+                            .count());
+        }
+    }
+
+    /** The time at the start of a line of the world's log. */
+    private static long timeOf(String line) {
+        return Long.parseLong(line.substring(0, line.indexOf(' ')));
+    }
+
+    /** When a part was first rebuilt after a moment. */
+    private static long rebuiltAfter(World w, long ms) {
+        return w.log.stream()
+                .filter(l -> l.contains("rebuilt"))
+                .mapToLong(OwnerLossTest::timeOf)
+                .filter(t -> t > ms)
+                .findFirst()
+                .orElseThrow();
+    }
+}
--- a/src/test/java/org/shoreusher/model/ReportsTest.java
+++ b/src/test/java/org/shoreusher/model/ReportsTest.java
@@ -220,8 +220,7 @@
             long ranAt = 0;
             for (int seq = 2; ranAt == 0 && seq < 60; seq++) {
                 owner.steps(12);
-                if (newer
-                        && owner.now - from > 1_000 * ClusterModelTest.settings().workerLeaseS()) {
+                if (newer && owner.now - from > 1_000 * ModelSettings.usual().workerLeaseS()) {
                     owner.reportOf("host-2", 2, seq, 5);
                 } else {
                     owner.report(
@@ -240,7 +239,7 @@
                     break;
                 }
             }
-            long lease = (long) (ClusterModelTest.settings().workerLeaseS() * 1000);
+            long lease = (long) (ModelSettings.usual().workerLeaseS() * 1000);
             assertEquals(newer, ranAt > 0, "newer reports: " + newer);
             assertTrue(!newer || ranAt > lease, "too early: " + ranAt);
         }
@@ -336,8 +335,7 @@
                 ranAt = node.now - startedAt;
             }
         }
-        long agreed =
-                Tuning.HINT_STALE_MS + (long) (ClusterModelTest.settings().workerLeaseS() * 1000);
+        long agreed = Tuning.HINT_STALE_MS + (long) (ModelSettings.usual().workerLeaseS() * 1000);
         assertTrue(ranAt > agreed, "too early: " + ranAt);
         assertTrue(ranAt < agreed + 2_500, "too late: " + ranAt);
     }
--- a/src/test/java/org/shoreusher/model/ServiceTroublesTest.java
+++ b/src/test/java/org/shoreusher/model/ServiceTroublesTest.java
@@ -49,7 +49,7 @@
 
     /** A scattered service, one of a single zone, and one without a rule on zones. */
     private static World world(long seed) {
-        World w = new World(seed, ClusterModelTest.settings(), 1, Sabotage.NONE);
+        World w = new World(seed, ModelSettings.usual(), 1, Sabotage.NONE);
         w.users.submit(service(0, "team-0", 4, 2, false, true), 5_000);
         w.users.submit(service(1, "team-0", 3, 2, true, false), 6_000);
         w.users.submit(service(2, "team-1", 3, 2, false, false), 7_000);
@@ -135,7 +135,7 @@
     @Example
     void aServiceAtItsTeamsLimitWaitsForTheLeaseOfAMachineThatCantBeAsked() {
         for (long seed = 0; seed < SEEDS; seed++) {
-            World w = new World(seed, ClusterModelTest.settings(), 1, Sabotage.NONE);
+            World w = new World(seed, ModelSettings.usual(), 1, Sabotage.NONE);
             w.users.submit(service(0, "team-0", 12, 2, false, true), 5_000);
             int[] downAfterLease = {0};
             w.at(TROUBLE_MS + 30_000, () -> downAfterLease[0] = w.users.servicesDown().size());
@@ -184,7 +184,7 @@
                     w,
                     TROUBLE_MS + 60_000,
                     x -> {
-                        ClusterModelTest.owners(x).forEach(p -> p.kill(300));
+                        Troubles.owners(x).forEach(p -> p.kill(300));
                         cancelAll(x, cancelledAfterMs);
                     });
             assertCancelled(w);
@@ -200,7 +200,7 @@
                     w,
                     TROUBLE_MS + 90_000,
                     x -> {
-                        ClusterModelTest.owners(x).forEach(p -> x.state.refuse(p.host, 50_000));
+                        Troubles.owners(x).forEach(p -> x.state.refuse(p.host, 50_000));
                         cancelAll(x, 500);
                         x.in(6_000, () -> x.state.outage(40_000));
                     });
--- a/src/test/java/org/shoreusher/model/ServicesTest.java
+++ b/src/test/java/org/shoreusher/model/ServicesTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import java.util.Map;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -55,7 +54,7 @@
 
     @Property(tries = 40, seed = "99", shrinking = ShrinkingMode.OFF)
     void servicesKeepTheRulesAndComeBack(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
-        World w = new World(seed, ClusterModelTest.settings(), 1 + (int) (seed % 2), Sabotage.NONE);
+        World w = new World(seed, ModelSettings.usual(), 1 + (int) (seed % 2), Sabotage.NONE);
         submit(w, 1_000);
         int[] down = {0};
         // A replica may just have ended; one that is down at three moments in a row is not coming
@@ -67,9 +66,7 @@
         }
         w.quietFrom = QUIET_MS;
         w.at(QUIET_MS, w.rules::watchWaiting);
-        w.run(
-                END_MS,
-                seed % 2 == 0 ? ClusterModelTest.troubles(seed, 3) : MeetingsTest.meetings(seed));
+        w.run(END_MS, seed % 2 == 0 ? Troubles.troubles(seed, 3) : MeetingsTest.meetings(seed));
         check(w, seed);
         assertTrue(
                 down[0] < 3,
@@ -88,8 +85,8 @@
         World w =
                 new World(
                         seed,
-                        ClusterModelTest.limits(60, seed % 3 == 0 ? 1_024 : 2_048, ops),
-                        ClusterModelTest.limits(100, 8_192, 12),
+                        ModelSettings.limits(60, seed % 3 == 0 ? 1_024 : 2_048, ops),
+                        ModelSettings.limits(100, 8_192, 12),
                         1,
                         Sabotage.NONE,
                         8);
@@ -124,9 +121,9 @@
         World w =
                 new World(
                         seed,
-                        ClusterModelTest.limits(
+                        ModelSettings.limits(
                                 rate, seed % 2 == 0 ? 1_024 : 2_048, 4 + (int) (seed % 4)),
-                        ClusterModelTest.limits(100, 8_192, 12),
+                        ModelSettings.limits(100, 8_192, 12),
                         1,
                         Sabotage.NONE,
                         8);
@@ -142,7 +139,7 @@
         if (seed % 4 < 2) {
             w.at(
                     drop - w.random.nextInt(1_000),
-                    () -> ClusterModelTest.owners(w).forEach(p -> p.kill(200)));
+                    () -> Troubles.owners(w).forEach(p -> p.kill(200)));
         }
         w.quietFrom = QUIET_MS;
         w.at(QUIET_MS, w.rules::watchWaiting);
@@ -158,57 +155,12 @@
      */
     @Example
     void aTakerCutsUpRecordsThatAreTooLong() {
-        Map<String, Settings.Team> teams =
-                Map.of("team-0", new Settings.Team("team-0", 1_000, 2_000, 0, 0));
-        Settings s = ClusterModelTest.limits(40, 2_048, 4);
         Settings strict =
-                new Settings(
-                        s.host(),
-                        s.zone(),
-                        s.front(),
-                        s.back(),
-                        s.members(),
-                        s.cloud(),
-                        s.state(),
-                        s.nodes(),
-                        s.zones(),
-                        teams,
-                        s.objectives(),
-                        2,
-                        12,
-                        40,
-                        s.stateRps(),
-                        s.stateWriteRps(),
-                        s.valueBytes(),
-                        s.txnOps(),
-                        s.cloudRps(),
-                        s.listLagS(),
-                        s.sockets(),
-                        s.clockOffMs());
-        Settings former =
-                new Settings(
-                        s.host(),
-                        s.zone(),
-                        s.front(),
-                        s.back(),
-                        s.members(),
-                        s.cloud(),
-                        s.state(),
-                        s.nodes(),
-                        s.zones(),
-                        teams,
-                        s.objectives(),
-                        2,
-                        12,
-                        40,
-                        s.stateRps(),
-                        100,
-                        8_192,
-                        12,
-                        s.cloudRps(),
-                        s.listLagS(),
-                        s.sockets(),
-                        s.clockOffMs());
+                new SettingsBuilder(ModelSettings.limits(40, 2_048, 4))
+                        .teams(new Settings.Team("team-0", 1_000, 2_000, 0, 0))
+                        .workers(2, 12, 40)
+                        .build();
+        Settings former = new SettingsBuilder(strict).limits(100, 8_192, 12).build();
         World w = new World(4, strict, former, 1, Sabotage.NONE, 40);
         for (int i = 0; i < 8; i++) {
             w.users.submit(
@@ -247,10 +199,7 @@
         w.at(110_000, w.state::lowerLimits);
         w.run(
                 400_000,
-                List.of(
-                        new Trouble(
-                                130_000,
-                                x -> ClusterModelTest.owners(x).forEach(p -> p.kill(500)))));
+                List.of(new Trouble(130_000, x -> Troubles.owners(x).forEach(p -> p.kill(500)))));
         w.rules.end();
         assertEquals(List.of(), w.rules.violations, () -> String.join("\n", w.log));
         assertTrue(
--- /dev/null
+++ b/src/test/java/org/shoreusher/model/SettingsBuilder.java
@@ -0,0 +1,130 @@
+package org.shoreusher.model;
+
+import java.util.List;
+import java.util.Map;
+import org.shoreusher.settings.Settings;
+
+/** Settings like given ones but for some values. */
+final class SettingsBuilder {
+    private final Settings base;
+    private String host;
+    private List<Settings.Member> members;
+    private int nodes;
+    private List<String> zones;
+    private Map<String, Settings.Team> teams;
+    private double reportS;
+    private double workerLeaseS;
+    private double cancelS;
+    private double stateRps;
+    private double stateWriteRps;
+    private int valueBytes;
+    private int txnOps;
+    private double cloudRps;
+    private int sockets;
+    private long clockOffMs;
+
+    SettingsBuilder(Settings base) {
+        this.base = base;
+        host = base.host();
+        members = base.members();
+        nodes = base.nodes();
+        zones = base.zones();
+        teams = base.teams();
+        reportS = base.reportS();
+        workerLeaseS = base.workerLeaseS();
+        cancelS = base.cancelS();
+        stateRps = base.stateRps();
+        stateWriteRps = base.stateWriteRps();
+        valueBytes = base.valueBytes();
+        txnOps = base.txnOps();
+        cloudRps = base.cloudRps();
+        sockets = base.sockets();
+        clockOffMs = base.clockOffMs();
+    }
+
+    SettingsBuilder host(String name, List<Settings.Member> others) {
+        host = name;
+        members = others;
+        return this;
+    }
+
+    SettingsBuilder nodes(int count) {
+        nodes = count;
+        return this;
+    }
+
+    SettingsBuilder zones(String... names) {
+        zones = List.of(names);
+        return this;
+    }
+
+    SettingsBuilder teams(Settings.Team... list) {
+        teams = new java.util.LinkedHashMap<>();
+        for (Settings.Team team : list) {
+            teams.put(team.name(), team);
+        }
+        return this;
+    }
+
+    /** How often workers report, how long their leases last, and what a cancellation may take. */
+    SettingsBuilder workers(double report, double lease, double cancel) {
+        reportS = report;
+        workerLeaseS = lease;
+        cancelS = cancel;
+        return this;
+    }
+
+    SettingsBuilder stateRps(double requests) {
+        stateRps = requests;
+        return this;
+    }
+
+    /** The limits on changes, values and transactions of the state service. */
+    SettingsBuilder limits(double writeRps, int bytes, int ops) {
+        stateWriteRps = writeRps;
+        valueBytes = bytes;
+        txnOps = ops;
+        return this;
+    }
+
+    SettingsBuilder cloudRps(double calls) {
+        cloudRps = calls;
+        return this;
+    }
+
+    SettingsBuilder sockets(int count) {
+        sockets = count;
+        return this;
+    }
+
+    SettingsBuilder clockOffMs(long ms) {
+        clockOffMs = ms;
+        return this;
+    }
+
+    Settings build() {
+        return new Settings(
+                host,
+                base.zone(),
+                base.front(),
+                base.back(),
+                members,
+                base.cloud(),
+                base.state(),
+                nodes,
+                zones,
+                teams,
+                base.objectives(),
+                reportS,
+                workerLeaseS,
+                cancelS,
+                stateRps,
+                stateWriteRps,
+                valueBytes,
+                txnOps,
+                cloudRps,
+                base.listLagS(),
+                sockets,
+                clockOffMs);
+    }
+}
--- a/src/test/java/org/shoreusher/model/SingleNode.java
+++ b/src/test/java/org/shoreusher/model/SingleNode.java
@@ -33,7 +33,7 @@
     private long requests;
 
     SingleNode() {
-        this(ClusterModelTest.settings());
+        this(ModelSettings.usual());
     }
 
     SingleNode(Settings settings) {
--- a/src/test/java/org/shoreusher/model/World.java
+++ b/src/test/java/org/shoreusher/model/World.java
@@ -257,29 +257,7 @@
                             .filter(p -> p != this)
                             .map(p -> new Settings.Member(p.host, s.back()))
                             .toList();
-            return new Settings(
-                    host,
-                    s.zone(),
-                    s.front(),
-                    s.back(),
-                    members,
-                    s.cloud(),
-                    s.state(),
-                    s.nodes(),
-                    s.zones(),
-                    s.teams(),
-                    s.objectives(),
-                    s.reportS(),
-                    s.workerLeaseS(),
-                    s.cancelS(),
-                    s.stateRps(),
-                    s.stateWriteRps(),
-                    s.valueBytes(),
-                    s.txnOps(),
-                    s.cloudRps(),
-                    s.listLagS(),
-                    s.sockets(),
-                    s.clockOffMs());
+            return new SettingsBuilder(s).host(host, members).build();
         }
 
         void kill(long backAfterMs) {
