--- a/src/test/java/org/shoreusher/model/OwnerLossTest.java
+++ b/src/test/java/org/shoreusher/model/OwnerLossTest.java
@@ -7,6 +7,7 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
+import java.util.function.BiConsumer;
 import net.jqwik.api.Example;
 import org.shoreusher.core.JobSpec;
 import org.shoreusher.model.World.Sabotage;
@@ -15,6 +16,12 @@
 
 /** Owners that end, or lose what they need, one trouble at a time. */
 class OwnerLossTest {
+    /** A minute after the start each owner of a part is hit. */
+    private static List<Trouble> ownersLose(BiConsumer<World, World.Process> what) {
+        return List.of(
+                new Trouble(60_000, w -> Troubles.owners(w).forEach(p -> what.accept(w, p))));
+    }
+
     /** An outage longer than the lease: the owner keeps its workers alive, and its tasks go on. */
     @Example
     void keepsWorkThroughAnOutageLongerThanTheLease() {
@@ -37,17 +44,7 @@
     void aNodeRefusedAloneSendsItsWorkersAway() {
         World w =
                 ClusterModelTest.world(
-                        1,
-                        Sabotage.NONE,
-                        List.of(
-                                new Trouble(
-                                        60_000,
-                                        x ->
-                                                Troubles.owners(x)
-                                                        .forEach(
-                                                                p ->
-                                                                        x.state.refuse(
-                                                                                p.host, 40_000)))));
+                        1, Sabotage.NONE, ownersLose((x, p) -> x.state.refuse(p.host, 40_000)));
         assertEquals(List.of(), w.rules.violations);
         // Lease 9 s, at most a renewal just before, the taker's wait, and a round of reports from
         // workers sent away.
@@ -67,20 +64,11 @@
                     ClusterModelTest.world(
                             seed,
                             Sabotage.NONE,
-                            List.of(
-                                    new Trouble(
-                                            60_000,
-                                            x ->
-                                                    Troubles.owners(x)
-                                                            .forEach(
-                                                                    p -> {
-                                                                        Troubles
-                                                                                .cutFromStateAndPeers(
-                                                                                        x, p,
-                                                                                        60_000);
-                                                                        Troubles.cutFromWorkers(
-                                                                                x, p, 60_000);
-                                                                    }))));
+                            ownersLose(
+                                    (x, p) -> {
+                                        Troubles.cutFromStateAndPeers(x, p, 60_000);
+                                        Troubles.cutFromWorkers(x, p, 60_000);
+                                    }));
             assertEquals(List.of(), w.rules.violations);
             rebuilt.add(rebuiltAfter(w, 60_000));
         }
@@ -102,17 +90,7 @@
                     ClusterModelTest.world(
                             seed,
                             Sabotage.NONE,
-                            List.of(
-                                    new Trouble(
-                                            60_000,
-                                            x ->
-                                                    Troubles.owners(x)
-                                                            .forEach(
-                                                                    p ->
-                                                                            Troubles
-                                                                                    .cutFromStateAndPeers(
-                                                                                            x, p,
-                                                                                            60_000)))));
+                            ownersLose((x, p) -> Troubles.cutFromStateAndPeers(x, p, 60_000)));
             assertEquals(List.of(), w.rules.violations);
             rebuilt.add(rebuiltAfter(w, 60_000));
         }
@@ -134,16 +112,7 @@
                     ClusterModelTest.world(
                             seed,
                             Sabotage.NONE,
-                            List.of(
-                                    new Trouble(
-                                            60_000,
-                                            x ->
-                                                    Troubles.owners(x)
-                                                            .forEach(
-                                                                    p ->
-                                                                            Troubles.cutFromWorkers(
-                                                                                    x, p,
-                                                                                    40_000)))));
+                            ownersLose((x, p) -> Troubles.cutFromWorkers(x, p, 40_000)));
             assertEquals(List.of(), w.rules.violations);
             rebuilt.add(
                     w.log.stream().anyMatch(l -> l.contains("released: most"))
