--- a/src/test/java/org/shoreusher/settings/SettingsTest.java
+++ b/src/test/java/org/shoreusher/settings/SettingsTest.java
@@ -83,6 +83,17 @@
         }
     }
 
+    /**
+     * The state service's burst is a second's worth: a larger transaction would never get through.
+     */
+    @Example
+    void aTransactionFitsTheBurstOfTheStateService() throws Settings.Invalid {
+        assertEquals(20, parse(GOOD).txnOps());
+        String rate = "\"write_rps\":25.0";
+        assertEquals(6, parse(GOOD.replace(rate, "\"write_rps\":6.5")).txnOps());
+        assertEquals(4, parse(GOOD.replace(rate, "\"write_rps\":3")).txnOps());
+    }
+
     /**
      * Limits to come count from the start where they are stricter, and only there; absent or null
      * they change nothing.
