--- a/src/test/java/org/shoreusher/core/ArrivalsTest.java
+++ b/src/test/java/org/shoreusher/core/ArrivalsTest.java
@@ -44,27 +44,13 @@
     @Example
     void newsOfAnArrivalAfterThatOfItsEndBeginsNothing() {
         JobSpec spec =
-                new JobSpec(
-                        "wk-1",
-                        "c",
-                        "team",
-                        JobSpec.Shape.BATCH,
-                        JobSpec.Priority.HIGH,
-                        3,
-                        1,
-                        0,
-                        1,
-                        "i",
-                        1,
-                        null,
-                        null,
-                        false,
-                        false,
-                        true,
-                        1,
-                        0,
-                        0,
-                        Double.NaN);
+                new JobSpecBuilder("wk-1")
+                        .jobClass("c")
+                        .team("team")
+                        .tasks(3)
+                        .image("i")
+                        .estimateS(1)
+                        .build();
         for (boolean ended : new boolean[] {false, true}) {
             Outbox out = new Outbox(SETTINGS, 1);
             Arrivals[] arrivals = new Arrivals[1];
--- a/src/test/java/org/shoreusher/core/FinishedRecordsTest.java
+++ b/src/test/java/org/shoreusher/core/FinishedRecordsTest.java
@@ -53,27 +53,14 @@
         String id = String.format("wk-%06d", number);
         return new Job(
                 id,
-                new JobSpec(
-                        id,
-                        "c",
-                        "team",
-                        JobSpec.Shape.BATCH,
-                        JobSpec.Priority.NORMAL,
-                        tasks,
-                        1,
-                        0,
-                        1,
-                        "i",
-                        1,
-                        null,
-                        null,
-                        false,
-                        false,
-                        true,
-                        10,
-                        0,
-                        0,
-                        Double.NaN),
+                new JobSpecBuilder(id)
+                        .jobClass("c")
+                        .team("team")
+                        .priority(JobSpec.Priority.NORMAL)
+                        .tasks(tasks)
+                        .image("i")
+                        .estimateS(10)
+                        .build(),
                 0);
     }
 
--- a/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
+++ b/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
@@ -61,27 +61,16 @@
         Job job =
                 new Job(
                         id,
-                        new JobSpec(
-                                id,
-                                jobClass,
-                                "team",
-                                JobSpec.Shape.BATCH,
-                                priority,
-                                tasks,
-                                2,
-                                0,
-                                1,
-                                "i",
-                                1,
-                                null,
-                                null,
-                                false,
-                                false,
-                                true,
-                                estimate,
-                                0,
-                                0,
-                                deadline),
+                        new JobSpecBuilder(id)
+                                .jobClass(jobClass)
+                                .team("team")
+                                .priority(priority)
+                                .tasks(tasks)
+                                .cpus(2)
+                                .image("i")
+                                .estimateS(estimate)
+                                .deadlineS(deadline)
+                                .build(),
                         acceptedMs);
         for (int i = 0; i < tasks; i++) {
             job.setWaiting(i, true);
--- a/src/test/java/org/shoreusher/core/PiecesTest.java
+++ b/src/test/java/org/shoreusher/core/PiecesTest.java
@@ -58,27 +58,19 @@
             boolean one,
             boolean spread,
             boolean spot) {
-        return new JobSpec(
-                id,
-                "c",
-                "team",
-                JobSpec.Shape.BATCH,
-                JobSpec.Priority.NORMAL,
-                tasks,
-                cpus,
-                0,
-                1,
-                "i",
-                1,
-                null,
-                zone,
-                one,
-                spread,
-                spot,
-                10,
-                0,
-                0,
-                Double.NaN);
+        return new JobSpecBuilder(id)
+                .jobClass("c")
+                .team("team")
+                .priority(JobSpec.Priority.NORMAL)
+                .tasks(tasks)
+                .cpus(cpus)
+                .image("i")
+                .zone(zone)
+                .oneZone(one)
+                .spread(spread)
+                .spot(spot)
+                .estimateS(10)
+                .build();
     }
 
     @Property(tries = 300, seed = "7")
--- a/src/test/java/org/shoreusher/core/StartMarksTest.java
+++ b/src/test/java/org/shoreusher/core/StartMarksTest.java
@@ -72,27 +72,14 @@
         Map<String, Job> jobs = new LinkedHashMap<>();
         for (int i = 0; i < count; i++) {
             JobSpec spec =
-                    new JobSpec(
-                            "wk-" + (1_000_000 + i),
-                            "c",
-                            "team",
-                            JobSpec.Shape.BATCH,
-                            JobSpec.Priority.HIGH,
-                            1 + random.nextInt(1_000),
-                            2,
-                            0,
-                            1,
-                            "i",
-                            1,
-                            null,
-                            null,
-                            false,
-                            false,
-                            true,
-                            1,
-                            0,
-                            0,
-                            Double.NaN);
+                    new JobSpecBuilder("wk-" + (1_000_000 + i))
+                            .jobClass("c")
+                            .team("team")
+                            .tasks(1 + random.nextInt(1_000))
+                            .cpus(2)
+                            .image("i")
+                            .estimateS(1)
+                            .build();
             jobs.put(spec.id(), new Job(spec.id(), spec, 0));
             view.apply(
                     StoreSchema.job(spec.id()), StoreSchema.JobRecord.open(0, spec, 0).write(), 1);
--- a/src/test/java/org/shoreusher/core/ZoneRuleTest.java
+++ b/src/test/java/org/shoreusher/core/ZoneRuleTest.java
@@ -8,27 +8,18 @@
 class ZoneRuleTest {
     private static Job scattered(int replicas) {
         JobSpec spec =
-                new JobSpec(
-                        "wk-1",
-                        "gate",
-                        "team",
-                        JobSpec.Shape.SERVICE,
-                        JobSpec.Priority.PRODUCTION,
-                        replicas,
-                        2,
-                        0,
-                        1,
-                        "img",
-                        1,
-                        null,
-                        null,
-                        false,
-                        true,
-                        false,
-                        0,
-                        0,
-                        0,
-                        Double.NaN);
+                new JobSpecBuilder("wk-1")
+                        .jobClass("gate")
+                        .team("team")
+                        .shape(JobSpec.Shape.SERVICE)
+                        .priority(JobSpec.Priority.PRODUCTION)
+                        .tasks(replicas)
+                        .cpus(2)
+                        .image("img")
+                        .spread(true)
+                        .spot(false)
+                        .estimateS(0)
+                        .build();
         return new Job("wk-1", spec, 0);
     }
 
--- a/src/test/java/org/shoreusher/model/CancellationGapTest.java
+++ b/src/test/java/org/shoreusher/model/CancellationGapTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 import net.jqwik.api.constraints.LongRange;
-import org.shoreusher.core.JobSpec;
+import org.shoreusher.core.JobSpecBuilder;
 import org.shoreusher.model.World.Sabotage;
 import org.shoreusher.model.World.Trouble;
 
@@ -28,27 +28,12 @@
         for (int i = 0; i < 16; i++) {
             w.users.submit(
                     new UserModel.Wish(
-                            new JobSpec(
-                                    String.format("wk-%06d", i),
-                                    "class",
-                                    "team-" + i % 2,
-                                    JobSpec.Shape.BATCH,
-                                    JobSpec.Priority.HIGH,
-                                    1 + i % 4,
-                                    1,
-                                    0,
-                                    1,
-                                    "img-" + i % 3,
-                                    1,
-                                    null,
-                                    null,
-                                    false,
-                                    false,
-                                    true,
-                                    90,
-                                    0,
-                                    0,
-                                    Double.NaN),
+                            new JobSpecBuilder(String.format("wk-%06d", i))
+                                    .team("team-" + i % 2)
+                                    .tasks(1 + i % 4)
+                                    .image("img-" + i % 3)
+                                    .estimateS(90)
+                                    .build(),
                             false,
                             120_000),
                     1_000 + i * 500L);
--- a/src/test/java/org/shoreusher/model/ClusterModelTest.java
+++ b/src/test/java/org/shoreusher/model/ClusterModelTest.java
@@ -10,6 +10,7 @@
 import net.jqwik.api.ShrinkingMode;
 import net.jqwik.api.constraints.LongRange;
 import org.shoreusher.core.JobSpec;
+import org.shoreusher.core.JobSpecBuilder;
 import org.shoreusher.model.World.Sabotage;
 import org.shoreusher.model.World.Trouble;
 
@@ -169,27 +170,7 @@
 
     private static UserModel.Wish wish(String id, JobSpec.Priority priority, int tasks) {
         return new UserModel.Wish(
-                new JobSpec(
-                        id,
-                        "class",
-                        "team-0",
-                        JobSpec.Shape.BATCH,
-                        priority,
-                        tasks,
-                        2,
-                        0,
-                        1,
-                        "img-0",
-                        1,
-                        null,
-                        null,
-                        false,
-                        false,
-                        true,
-                        5,
-                        0,
-                        0,
-                        Double.NaN),
+                new JobSpecBuilder(id).priority(priority).tasks(tasks).cpus(2).build(),
                 false,
                 8_000);
     }
--- a/src/test/java/org/shoreusher/model/FormerFormatsTest.java
+++ b/src/test/java/org/shoreusher/model/FormerFormatsTest.java
@@ -14,6 +14,7 @@
 import net.jqwik.api.Example;
 import org.shoreusher.core.Hint;
 import org.shoreusher.core.JobSpec;
+import org.shoreusher.core.JobSpecBuilder;
 import org.shoreusher.peer.HintCodec;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.wire.FieldMap;
@@ -229,27 +230,16 @@
     }
 
     private static JobSpec service(String id, int replicas) {
-        return new JobSpec(
-                id,
-                "gate",
-                "team-0",
-                JobSpec.Shape.SERVICE,
-                JobSpec.Priority.PRODUCTION,
-                replicas,
-                1,
-                0,
-                1,
-                "img",
-                1,
-                null,
-                null,
-                false,
-                true,
-                false,
-                0,
-                0,
-                0,
-                Double.NaN);
+        return new JobSpecBuilder(id)
+                .jobClass("gate")
+                .shape(JobSpec.Shape.SERVICE)
+                .priority(JobSpec.Priority.PRODUCTION)
+                .tasks(replicas)
+                .image("img")
+                .spread(true)
+                .spot(false)
+                .estimateS(0)
+                .build();
     }
 
     private static long upgradeLines(SingleNode node, String with) {
@@ -359,27 +349,13 @@
 
     /** A service that may use any machine. */
     private static JobSpec anywhere(String id) {
-        return new JobSpec(
-                id,
-                "gate",
-                "team-0",
-                JobSpec.Shape.SERVICE,
-                JobSpec.Priority.PRODUCTION,
-                1,
-                1,
-                0,
-                1,
-                "img",
-                1,
-                null,
-                null,
-                false,
-                false,
-                true,
-                0,
-                0,
-                0,
-                Double.NaN);
+        return new JobSpecBuilder(id)
+                .jobClass("gate")
+                .shape(JobSpec.Shape.SERVICE)
+                .priority(JobSpec.Priority.PRODUCTION)
+                .image("img")
+                .estimateS(0)
+                .build();
     }
 
     /** The form of hints is the same in both versions. */
--- a/src/test/java/org/shoreusher/model/FormerOwner.java
+++ b/src/test/java/org/shoreusher/model/FormerOwner.java
@@ -10,6 +10,7 @@
 import java.util.function.IntConsumer;
 import org.shoreusher.core.Effect.StateOp;
 import org.shoreusher.core.JobSpec;
+import org.shoreusher.core.JobSpecBuilder;
 import org.shoreusher.model.FormerStore.KnownJob;
 import org.shoreusher.wire.FieldMap;
 import org.shoreusher.wire.UserFormat;
@@ -413,27 +414,13 @@
     /** Some have descriptions that are longer than a value may be later. */
     private JobSpec job(String id, boolean alone) {
         int types = alone && world.random.nextInt(3) == 0 ? 400 : 1;
-        return new JobSpec(
-                id,
-                "class",
-                "team-" + world.random.nextInt(2),
-                JobSpec.Shape.BATCH,
-                JobSpec.Priority.values()[1 + world.random.nextInt(3)],
-                1 + world.random.nextInt(alone && types == 1 ? 120 : 6),
-                1,
-                0,
-                1,
-                "img-0",
-                1,
-                Collections.nCopies(types, CloudModel.TYPE),
-                null,
-                false,
-                world.random.nextInt(4) == 0,
-                true,
-                5,
-                0,
-                0,
-                Double.NaN);
+        return new JobSpecBuilder(id)
+                .team("team-" + world.random.nextInt(2))
+                .priority(JobSpec.Priority.values()[1 + world.random.nextInt(3)])
+                .tasks(1 + world.random.nextInt(alone && types == 1 ? 120 : 6))
+                .types(Collections.nCopies(types, CloudModel.TYPE))
+                .spread(world.random.nextInt(4) == 0)
+                .build();
     }
 
     /** Jobs whose tasks are all noted as finished get their final state. */
--- a/src/test/java/org/shoreusher/model/LargerRecordsTest.java
+++ b/src/test/java/org/shoreusher/model/LargerRecordsTest.java
@@ -8,6 +8,7 @@
 import java.util.Map;
 import net.jqwik.api.Example;
 import org.shoreusher.core.JobSpec;
+import org.shoreusher.core.JobSpecBuilder;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.wire.FieldMap;
 import org.shoreusher.wire.UserFormat;
@@ -26,27 +27,12 @@
 
     /** A job whose list of machine types alone is longer than a value may be. */
     private static JobSpec longJob() {
-        return new JobSpec(
-                ID,
-                "class",
-                "team-0",
-                JobSpec.Shape.BATCH,
-                JobSpec.Priority.HIGH,
-                2,
-                2,
-                0,
-                1,
-                "img",
-                1,
-                Collections.nCopies(VALUE_BYTES / 4, CloudModel.TYPE),
-                null,
-                false,
-                false,
-                true,
-                5,
-                0,
-                0,
-                Double.NaN);
+        return new JobSpecBuilder(ID)
+                .tasks(2)
+                .cpus(2)
+                .image("img")
+                .types(Collections.nCopies(VALUE_BYTES / 4, CloudModel.TYPE))
+                .build();
     }
 
     private void acceptedBefore() {
--- a/src/test/java/org/shoreusher/model/MeetingsTest.java
+++ b/src/test/java/org/shoreusher/model/MeetingsTest.java
@@ -13,6 +13,7 @@
 import net.jqwik.api.ShrinkingMode;
 import net.jqwik.api.constraints.LongRange;
 import org.shoreusher.core.JobSpec;
+import org.shoreusher.core.JobSpecBuilder;
 import org.shoreusher.model.World.Sabotage;
 import org.shoreusher.model.World.Trouble;
 
@@ -173,27 +174,12 @@
         for (int i = 0; i < 400; i++) {
             w.users.submit(
                     new UserModel.Wish(
-                            new JobSpec(
-                                    String.format("wk-%06d", i),
-                                    "class",
-                                    "team-" + i % 2,
-                                    JobSpec.Shape.BATCH,
-                                    JobSpec.Priority.values()[i % 4],
-                                    1,
-                                    1,
-                                    0,
-                                    1,
-                                    "img-" + i % 3,
-                                    1,
-                                    null,
-                                    null,
-                                    false,
-                                    false,
-                                    true,
-                                    3,
-                                    0,
-                                    0,
-                                    Double.NaN),
+                            new JobSpecBuilder(String.format("wk-%06d", i))
+                                    .team("team-" + i % 2)
+                                    .priority(JobSpec.Priority.values()[i % 4])
+                                    .image("img-" + i % 3)
+                                    .estimateS(3)
+                                    .build(),
                             i % 4 == 0,
                             3_000),
                     10_000 + i * 250L);
--- a/src/test/java/org/shoreusher/model/OwnerLossTest.java
+++ b/src/test/java/org/shoreusher/model/OwnerLossTest.java
@@ -10,6 +10,7 @@
 import java.util.function.BiConsumer;
 import net.jqwik.api.Example;
 import org.shoreusher.core.JobSpec;
+import org.shoreusher.core.JobSpecBuilder;
 import org.shoreusher.model.World.Sabotage;
 import org.shoreusher.model.World.Trouble;
 import org.shoreusher.settings.Settings;
@@ -138,27 +139,16 @@
             for (int i = 0; i < 60; i++) {
                 w.users.submit(
                         new UserModel.Wish(
-                                new JobSpec(
-                                        String.format("wk-%06d", i),
-                                        "class",
-                                        "team-" + i % 2,
-                                        JobSpec.Shape.BATCH,
-                                        JobSpec.Priority.values()[1 + i % 3],
-                                        120,
-                                        4,
-                                        0,
-                                        1,
-                                        "img-" + i % 5,
-                                        1,
-                                        null,
-                                        null,
-                                        i % 10 == 0,
-                                        i % 10 == 1,
-                                        true,
-                                        8,
-                                        0,
-                                        0,
-                                        Double.NaN),
+                                new JobSpecBuilder(String.format("wk-%06d", i))
+                                        .team("team-" + i % 2)
+                                        .priority(JobSpec.Priority.values()[1 + i % 3])
+                                        .tasks(120)
+                                        .cpus(4)
+                                        .image("img-" + i % 5)
+                                        .oneZone(i % 10 == 0)
+                                        .spread(i % 10 == 1)
+                                        .estimateS(8)
+                                        .build(),
                                 i % 15 == 2,
                                 15_000),
                         1_000 + i * 1_000L);
--- a/src/test/java/org/shoreusher/model/ReplicaTest.java
+++ b/src/test/java/org/shoreusher/model/ReplicaTest.java
@@ -8,6 +8,7 @@
 import java.util.List;
 import net.jqwik.api.Example;
 import org.shoreusher.core.JobSpec;
+import org.shoreusher.core.JobSpecBuilder;
 import org.shoreusher.core.WorkerReport.Cause;
 import org.shoreusher.core.WorkerReport.TaskReport;
 import org.shoreusher.core.WorkerReport.TaskState;
@@ -18,27 +19,15 @@
     private int seq = 1;
 
     private static JobSpec service(String id, int replicas, double cpus) {
-        return new JobSpec(
-                id,
-                "gate",
-                "team-0",
-                JobSpec.Shape.SERVICE,
-                JobSpec.Priority.PRODUCTION,
-                replicas,
-                cpus,
-                0,
-                1,
-                "img",
-                1,
-                null,
-                null,
-                false,
-                false,
-                true,
-                0,
-                0,
-                0,
-                Double.NaN);
+        return new JobSpecBuilder(id)
+                .jobClass("gate")
+                .shape(JobSpec.Shape.SERVICE)
+                .priority(JobSpec.Priority.PRODUCTION)
+                .tasks(replicas)
+                .cpus(cpus)
+                .image("img")
+                .estimateS(0)
+                .build();
     }
 
     private void machine() {
--- a/src/test/java/org/shoreusher/model/ServiceTroublesTest.java
+++ b/src/test/java/org/shoreusher/model/ServiceTroublesTest.java
@@ -10,6 +10,7 @@
 import org.shoreusher.core.Command;
 import org.shoreusher.core.Effect;
 import org.shoreusher.core.JobSpec;
+import org.shoreusher.core.JobSpecBuilder;
 import org.shoreusher.model.World.Sabotage;
 import org.shoreusher.model.World.Trouble;
 
@@ -22,27 +23,17 @@
     private static UserModel.Wish service(
             int number, String team, int replicas, double cpus, boolean oneZone, boolean spread) {
         return new UserModel.Wish(
-                new JobSpec(
-                        String.format("wk-%06d", number),
-                        "gate",
-                        team,
-                        JobSpec.Shape.SERVICE,
-                        JobSpec.Priority.PRODUCTION,
-                        replicas,
-                        cpus,
-                        0,
-                        1,
-                        "img-0",
-                        1,
-                        null,
-                        null,
-                        oneZone,
-                        spread,
-                        true,
-                        0,
-                        0,
-                        0,
-                        Double.NaN),
+                new JobSpecBuilder(String.format("wk-%06d", number))
+                        .jobClass("gate")
+                        .team(team)
+                        .shape(JobSpec.Shape.SERVICE)
+                        .priority(JobSpec.Priority.PRODUCTION)
+                        .tasks(replicas)
+                        .cpus(cpus)
+                        .oneZone(oneZone)
+                        .spread(spread)
+                        .estimateS(0)
+                        .build(),
                 false,
                 1_000);
     }
--- a/src/test/java/org/shoreusher/model/ServicesTest.java
+++ b/src/test/java/org/shoreusher/model/ServicesTest.java
@@ -10,6 +10,7 @@
 import net.jqwik.api.ShrinkingMode;
 import net.jqwik.api.constraints.LongRange;
 import org.shoreusher.core.JobSpec;
+import org.shoreusher.core.JobSpecBuilder;
 import org.shoreusher.model.World.Sabotage;
 import org.shoreusher.model.World.Trouble;
 import org.shoreusher.settings.Settings;
@@ -165,27 +166,11 @@
         for (int i = 0; i < 8; i++) {
             w.users.submit(
                     new UserModel.Wish(
-                            new JobSpec(
-                                    String.format("wk-%06d", i),
-                                    "class",
-                                    "team-0",
-                                    JobSpec.Shape.BATCH,
-                                    JobSpec.Priority.NORMAL,
-                                    1_000,
-                                    1,
-                                    0,
-                                    0,
-                                    "img-0",
-                                    1,
-                                    null,
-                                    null,
-                                    false,
-                                    false,
-                                    true,
-                                    5,
-                                    0,
-                                    0,
-                                    Double.NaN),
+                            new JobSpecBuilder(String.format("wk-%06d", i))
+                                    .priority(JobSpec.Priority.NORMAL)
+                                    .tasks(1_000)
+                                    .memGb(0)
+                                    .build(),
                             false,
                             6_000),
                     1_000);
--- a/src/test/java/org/shoreusher/model/SingleNode.java
+++ b/src/test/java/org/shoreusher/model/SingleNode.java
@@ -13,6 +13,7 @@
 import org.shoreusher.core.Effect.CloudOp;
 import org.shoreusher.core.Effect.StateOp;
 import org.shoreusher.core.JobSpec;
+import org.shoreusher.core.JobSpecBuilder;
 import org.shoreusher.core.Node;
 import org.shoreusher.core.WorkerReport;
 import org.shoreusher.core.WorkerReport.TaskReport;
@@ -241,26 +242,12 @@
     }
 
     private static JobSpec spec(String id, int tasks, double cpus, boolean oneZone) {
-        return new JobSpec(
-                id,
-                "class",
-                "team-0",
-                JobSpec.Shape.BATCH,
-                JobSpec.Priority.HIGH,
-                tasks,
-                cpus,
-                0,
-                0,
-                "i",
-                1,
-                null,
-                null,
-                oneZone,
-                false,
-                true,
-                5,
-                0,
-                0,
-                Double.NaN);
+        return new JobSpecBuilder(id)
+                .tasks(tasks)
+                .cpus(cpus)
+                .memGb(0)
+                .image("i")
+                .oneZone(oneZone)
+                .build();
     }
 }
--- a/src/test/java/org/shoreusher/model/UserModel.java
+++ b/src/test/java/org/shoreusher/model/UserModel.java
@@ -9,6 +9,7 @@
 import org.shoreusher.core.Command;
 import org.shoreusher.core.Effect;
 import org.shoreusher.core.JobSpec;
+import org.shoreusher.core.JobSpecBuilder;
 
 /**
  * Users: they submit, poll and cancel at any node, and try again when they are refused or hear
@@ -71,27 +72,16 @@
     /** A service of some replicas, which its user may call off after a while. */
     void submitService(int number, long at, int replicas, boolean cancels) {
         JobSpec spec =
-                new JobSpec(
-                        String.format("wk-%06d", number),
-                        "gate",
-                        "team-" + number % world.settings.teams().size(),
-                        JobSpec.Shape.SERVICE,
-                        JobSpec.Priority.PRODUCTION,
-                        replicas,
-                        1,
-                        0,
-                        1,
-                        "img-0",
-                        1,
-                        null,
-                        null,
-                        false,
-                        true,
-                        false,
-                        0,
-                        0,
-                        0,
-                        Double.NaN);
+                new JobSpecBuilder(String.format("wk-%06d", number))
+                        .jobClass("gate")
+                        .team("team-" + number % world.settings.teams().size())
+                        .shape(JobSpec.Shape.SERVICE)
+                        .priority(JobSpec.Priority.PRODUCTION)
+                        .tasks(replicas)
+                        .spread(true)
+                        .spot(false)
+                        .estimateS(0)
+                        .build();
         submit(new Wish(spec, cancels, 1_000), at);
     }
 
@@ -121,27 +111,17 @@
         var r = world.random;
         boolean oneZone = r.nextInt(4) == 0;
         JobSpec spec =
-                new JobSpec(
-                        id,
-                        "class",
-                        "team-" + r.nextInt(world.settings.teams().size()),
-                        JobSpec.Shape.BATCH,
-                        JobSpec.Priority.values()[r.nextInt(4)],
-                        1 + r.nextInt(12),
-                        1 + r.nextInt(3),
-                        0,
-                        1,
-                        "img-" + r.nextInt(3),
-                        1,
-                        null,
-                        r.nextInt(5) == 0 ? "a" : null,
-                        oneZone,
-                        !oneZone && r.nextInt(4) == 0,
-                        r.nextInt(3) > 0,
-                        5,
-                        0,
-                        0,
-                        Double.NaN);
+                new JobSpecBuilder(id)
+                        .team("team-" + r.nextInt(world.settings.teams().size()))
+                        .priority(JobSpec.Priority.values()[r.nextInt(4)])
+                        .tasks(1 + r.nextInt(12))
+                        .cpus(1 + r.nextInt(3))
+                        .image("img-" + r.nextInt(3))
+                        .zone(r.nextInt(5) == 0 ? "a" : null)
+                        .oneZone(oneZone)
+                        .spread(!oneZone && r.nextInt(4) == 0)
+                        .spot(r.nextInt(3) > 0)
+                        .build();
         submit(new Wish(spec, r.nextInt(5) == 0, 2_000 + r.nextInt(12_000)), at);
     }
 
@@ -357,27 +337,12 @@
     }
 
     private static JobSpec bad(String id, String team, double cpus, String zone) {
-        return new JobSpec(
-                id,
-                "class",
-                team,
-                JobSpec.Shape.BATCH,
-                JobSpec.Priority.NORMAL,
-                1,
-                cpus,
-                0,
-                1,
-                "img-0",
-                1,
-                null,
-                zone,
-                false,
-                false,
-                true,
-                5,
-                0,
-                0,
-                Double.NaN);
+        return new JobSpecBuilder(id)
+                .team(team)
+                .priority(JobSpec.Priority.NORMAL)
+                .cpus(cpus)
+                .zone(zone)
+                .build();
     }
 
     /** A question about a job that nobody submitted. */
--- a/src/test/java/org/shoreusher/wire/FormatsTest.java
+++ b/src/test/java/org/shoreusher/wire/FormatsTest.java
@@ -18,6 +18,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 import org.shoreusher.core.JobSpec;
+import org.shoreusher.core.JobSpecBuilder;
 import org.shoreusher.core.WorkerOrder;
 import org.shoreusher.core.WorkerReport;
 
@@ -86,27 +87,25 @@
                         amount.injectNull(0.5).map(d -> d == null ? Double.NaN : d))
                 .as(
                         (id, tasks, a, priority, types, zone, flag, deadline) ->
-                                new JobSpec(
-                                        "wk-" + id,
-                                        "class",
-                                        "team",
-                                        JobSpec.Shape.BATCH,
-                                        priority,
-                                        tasks,
-                                        a,
-                                        a / 2,
-                                        a / 3,
-                                        "image",
-                                        a,
-                                        types,
-                                        zone,
-                                        flag,
-                                        !flag,
-                                        flag,
-                                        a,
-                                        a,
-                                        a,
-                                        deadline));
+                                new JobSpecBuilder("wk-" + id)
+                                        .team("team")
+                                        .priority(priority)
+                                        .tasks(tasks)
+                                        .cpus(a)
+                                        .gpus(a / 2)
+                                        .memGb(a / 3)
+                                        .image("image")
+                                        .imageGb(a)
+                                        .types(types)
+                                        .zone(zone)
+                                        .oneZone(flag)
+                                        .spread(!flag)
+                                        .spot(flag)
+                                        .estimateS(a)
+                                        .checkpointS(a)
+                                        .saveS(a)
+                                        .deadlineS(deadline)
+                                        .build());
     }
 
     @Property(tries = 300, seed = "4")
@@ -153,27 +152,18 @@
     void everyFieldThatMayNotBeNullIsNeeded() {
         Map<String, Object> whole =
                 UserFormat.map(
-                        new JobSpec(
-                                "wk-1",
-                                "class",
-                                "team",
-                                JobSpec.Shape.BATCH,
-                                JobSpec.Priority.LOW,
-                                3,
-                                1,
-                                0,
-                                1,
-                                "image",
-                                1,
-                                List.of("a"),
-                                "a",
-                                true,
-                                false,
-                                true,
-                                5,
-                                30,
-                                4,
-                                60));
+                        new JobSpecBuilder("wk-1")
+                                .team("team")
+                                .priority(JobSpec.Priority.LOW)
+                                .tasks(3)
+                                .image("image")
+                                .types(List.of("a"))
+                                .zone("a")
+                                .oneZone(true)
+                                .checkpointS(30)
+                                .saveS(4)
+                                .deadlineS(60)
+                                .build());
         for (String field : whole.keySet()) {
             for (Object value :
                     new Object[] {
