--- /dev/null
+++ b/src/test/java/org/shoreusher/core/OrderTestData.java
@@ -0,0 +1,65 @@
+package org.shoreusher.core;
+
+import java.util.List;
+import java.util.Map;
+import org.shoreusher.settings.Settings;
+
+/** Settings and jobs for tests of an owner's classes. */
+final class OrderTestData {
+    private OrderTestData() {}
+
+    static Settings settings(List<Settings.Objective> objectives) {
+        Settings.Address nowhere = new Settings.Address("127.0.0.1", 1);
+        return new Settings(
+                "n",
+                "a",
+                nowhere,
+                nowhere,
+                List.of(),
+                nowhere,
+                nowhere,
+                3,
+                List.of("a"),
+                Map.of("team", new Settings.Team("team", 8, 16, 0, 0)),
+                objectives,
+                1,
+                10,
+                40,
+                1000,
+                1000,
+                1024,
+                12,
+                5,
+                3,
+                1000,
+                25);
+    }
+
+    static Job job(
+            String id,
+            String jobClass,
+            JobSpec.Priority priority,
+            int tasks,
+            double estimate,
+            double deadline,
+            long acceptedMs) {
+        Job job =
+                new Job(
+                        id,
+                        new JobSpecBuilder(id)
+                                .jobClass(jobClass)
+                                .team("team")
+                                .priority(priority)
+                                .tasks(tasks)
+                                .cpus(2)
+                                .image("i")
+                                .estimateS(estimate)
+                                .deadlineS(deadline)
+                                .build(),
+                        acceptedMs);
+        for (int i = 0; i < tasks; i++) {
+            job.setWaiting(i, true);
+        }
+        return job;
+    }
+}
--- a/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
+++ b/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
@@ -1,7 +1,6 @@
 package org.shoreusher.core;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -23,60 +22,6 @@
 
 /** Tests of the classes by which an owner acts. */
 class OwnerPiecesTest {
-    private static Settings settings(List<Settings.Objective> objectives) {
-        Settings.Address nowhere = new Settings.Address("127.0.0.1", 1);
-        return new Settings(
-                "n",
-                "a",
-                nowhere,
-                nowhere,
-                List.of(),
-                nowhere,
-                nowhere,
-                3,
-                List.of("a"),
-                Map.of("team", new Settings.Team("team", 8, 16, 0, 0)),
-                objectives,
-                1,
-                10,
-                40,
-                1000,
-                1000,
-                1024,
-                12,
-                5,
-                3,
-                1000,
-                25);
-    }
-
-    private static Job job(
-            String id,
-            String jobClass,
-            JobSpec.Priority priority,
-            int tasks,
-            double estimate,
-            double deadline,
-            long acceptedMs) {
-        Job job =
-                new Job(
-                        id,
-                        new JobSpecBuilder(id)
-                                .jobClass(jobClass)
-                                .team("team")
-                                .priority(priority)
-                                .tasks(tasks)
-                                .cpus(2)
-                                .image("i")
-                                .estimateS(estimate)
-                                .deadlineS(deadline)
-                                .build(),
-                        acceptedMs);
-        for (int i = 0; i < tasks; i++) {
-            job.setWaiting(i, true);
-        }
-        return job;
-    }
 
     // ---- the view ------------------------------------------------------------------------------
 
@@ -95,10 +40,13 @@
      */
     @Example
     void oldNewsDoesNotBringADoneJobBack() {
-        Outbox out = new Outbox(settings(List.of()), 1);
+        Outbox out = new Outbox(OrderTestData.settings(List.of()), 1);
         List<String> seen = new ArrayList<>();
         StoreView view =
-                new StoreView(out, settings(List.of()), (key, before, after) -> seen.add(key));
+                new StoreView(
+                        out,
+                        OrderTestData.settings(List.of()),
+                        (key, before, after) -> seen.add(key));
         out.now = new ClockReading(1_000, 1_000);
         view.step();
         assertTrue(asked(out) instanceof StateOp.Page);
@@ -135,8 +83,9 @@
      */
     @Example
     void aViewWhoseWatchKeepsFailingIsReadInPages() {
-        Outbox out = new Outbox(settings(List.of()), 1);
-        StoreView view = new StoreView(out, settings(List.of()), (key, before, after) -> {});
+        Outbox out = new Outbox(OrderTestData.settings(List.of()), 1);
+        StoreView view =
+                new StoreView(out, OrderTestData.settings(List.of()), (key, before, after) -> {});
         out.now = new ClockReading(1_000, 1_000);
         view.step();
         asked(out);
@@ -203,70 +152,6 @@
 
     // ---- order ---------------------------------------------------------------------------------
 
-    @Example
-    void whatCanStillMeetItsAimComesBeforeWhatCannot() {
-        Settings s =
-                settings(
-                        List.of(
-                                new Settings.Objective("deadline", "rush", Double.NaN, 0.9, 1),
-                                new Settings.Objective("finished", "slow", 200, 0.8, 1)));
-        Urgency urgency = new Urgency(s, new Estimates());
-        Job late = job("wk-1", "rush", JobSpec.Priority.NORMAL, 1, 30, 40, 0);
-        Job soon = job("wk-2", "rush", JobSpec.Priority.NORMAL, 1, 30, 100, 0);
-        Job relaxed = job("wk-3", "slow", JobSpec.Priority.LOW, 1, 30, Double.NaN, 0);
-        Job high = job("wk-4", "other", JobSpec.Priority.HIGH, 1, 30, Double.NaN, 0);
-        List<Job> jobs = new ArrayList<>(List.of(late, relaxed, soon, high));
-        urgency.sort(jobs, 30_000);
-        assertEquals(
-                List.of("wk-4", "wk-2", "wk-3", "wk-1"), jobs.stream().map(j -> j.id).toList());
-    }
-
-    /**
-     * With more work than machines, jobs that each got their turn just in time were all late by a
-     * little. Of those that can wait the one with least left goes first; one whose last chance is
-     * near does not wait.
-     */
-    @Example
-    void theLeastWorkComesFirstAmongJobsThatCanWait() {
-        Urgency urgency =
-                new Urgency(
-                        settings(List.of(new Settings.Objective("finished", "rolls", 200, 0.8, 1))),
-                        new Estimates());
-        Job large = job("wk-1", "rolls", JobSpec.Priority.NORMAL, 500, 40, Double.NaN, 0);
-        Job small = job("wk-2", "rolls", JobSpec.Priority.NORMAL, 20, 40, Double.NaN, 30_000);
-        List<Job> jobs = new ArrayList<>(List.of(large, small));
-        urgency.sort(jobs, 40_000);
-        assertEquals("wk-2", jobs.get(0).id);
-        // Without a team's limit all its tasks may run at once: 40 s, so its last chance is at 158
-        // s.
-        Job unlimited = job("wk-3", "rolls", JobSpec.Priority.NORMAL, 8, 40, Double.NaN, 0);
-        jobs = new ArrayList<>(List.of(small, unlimited));
-        urgency.sort(jobs, 145_000);
-        assertEquals("wk-3", jobs.get(0).id);
-    }
-
-    /**
-     * A job whose team's guarantee says that it should have begun by now does not wait behind
-     * smaller ones; later it does again.
-     */
-    @Example
-    void aGuaranteeAboutToBeMissedDoesNotWaitForSmallerJobs() {
-        Urgency urgency =
-                new Urgency(
-                        settings(
-                                List.of(
-                                        new Settings.Objective("guarantee", "", 90, 0.9, 1),
-                                        new Settings.Objective("finished", "rolls", 400, 0.8, 1))),
-                        new Estimates());
-        Job large = job("wk-1", "rolls", JobSpec.Priority.NORMAL, 500, 1, Double.NaN, 0);
-        Job small = job("wk-2", "rolls", JobSpec.Priority.NORMAL, 5, 1, Double.NaN, 60_000);
-        for (long now : new long[] {65_000, 80_000, 100_000}) {
-            List<Job> jobs = new ArrayList<>(List.of(small, large));
-            urgency.sort(jobs, now);
-            assertEquals(now == 80_000 ? "wk-1" : "wk-2", jobs.get(0).id);
-        }
-    }
-
     /**
      * Two nodes have accepted the same job for different parts. Whichever record a node sees first,
      * the older one counts: else each owner might take the job for the other's, and nobody would
@@ -274,8 +159,9 @@
      */
     @Example
     void theOlderOfTwoRecordsOfAnArrivalCounts() {
-        Settings s = settings(List.of());
-        JobSpec spec = job("wk-1", "c", JobSpec.Priority.HIGH, 3, 1, Double.NaN, 0).spec;
+        Settings s = OrderTestData.settings(List.of());
+        JobSpec spec =
+                OrderTestData.job("wk-1", "c", JobSpec.Priority.HIGH, 3, 1, Double.NaN, 0).spec;
         for (boolean olderFirst : new boolean[] {true, false}) {
             Outbox out = new Outbox(s, 2);
             Arrivals[] arrivals = new Arrivals[1];
@@ -314,7 +200,7 @@
             @ForAll @IntRange(min = 1, max = 400) int count,
             @ForAll @LongRange(min = 0) long seed) {
         Random random = new Random(seed);
-        Settings s = settings(List.of());
+        Settings s = OrderTestData.settings(List.of());
         Outbox out = new Outbox(s, 1);
         out.now = new ClockReading(1_000, 1_000);
         StoreView view = new StoreView(out, s, (key, before, after) -> {});
@@ -331,7 +217,7 @@
         Map<String, Job> jobs = new java.util.LinkedHashMap<>();
         for (int i = 0; i < count; i++) {
             Job job =
-                    job(
+                    OrderTestData.job(
                             "wk-" + (1_000_000 + i),
                             "c",
                             JobSpec.Priority.HIGH,
@@ -388,74 +274,10 @@
                                         j.id));
     }
 
-    /**
-     * Only a job whose last chance is near and not yet gone is worth stopping another's tasks for.
-     */
-    @Example
-    void aJobPressesShortlyBeforeItsLastChance() {
-        Urgency urgency =
-                new Urgency(
-                        settings(
-                                List.of(
-                                        new Settings.Objective(
-                                                "deadline", "rush", Double.NaN, 0.9, 1))),
-                        new Estimates());
-        Job job = job("wk-1", "rush", JobSpec.Priority.NORMAL, 1, 30, 100, 0);
-        // It takes 30 s and a start of 2 s, so the last chance is at 68 s.
-        assertFalse(urgency.pressing(job, 40_000));
-        assertTrue(urgency.pressing(job, 50_000));
-        assertTrue(urgency.pressing(job, 67_000));
-        assertFalse(urgency.pressing(job, 70_000));
-    }
-
-    /**
-     * Urgent work that keeps coming must not keep a job, however large or low, from beginning
-     * within four minutes.
-     */
-    @Example
-    void whatHasNotBegunForLongComesFirst() {
-        Urgency urgency = new Urgency(settings(List.of()), new Estimates());
-        Job large = job("wk-1", "large", JobSpec.Priority.LOW, 500, 30, Double.NaN, 0);
-        Job begun = job("wk-2", "large", JobSpec.Priority.LOW, 500, 30, Double.NaN, 0);
-        begun.startedCount = 1;
-        for (long now : new long[] {100_000, 200_000}) {
-            Job urgent =
-                    job(
-                            "wk-3",
-                            "rush",
-                            JobSpec.Priority.PRODUCTION,
-                            10,
-                            10,
-                            Double.NaN,
-                            now - 1_000);
-            List<Job> jobs = new ArrayList<>(List.of(begun, large, urgent));
-            urgency.sort(jobs, now);
-            assertEquals(now < 150_000 ? "wk-3" : "wk-1", jobs.get(0).id);
-        }
-    }
-
-    @Example
-    void estimatesFollowWhatIsObserved() {
-        Estimates estimates = new Estimates();
-        Job first = job("wk-1", "c", JobSpec.Priority.LOW, 5, 10, Double.NaN, 0);
-        for (int i = 0; i < 100; i++) {
-            estimates.observed(first, 20);
-        }
-        assertEquals(20, estimates.runS(first), 1e-9);
-        assertEquals(
-                20,
-                estimates.runS(job("wk-2", "c", JobSpec.Priority.LOW, 5, 10, Double.NaN, 0)),
-                0.2);
-        assertEquals(
-                10,
-                estimates.runS(job("wk-3", "d", JobSpec.Priority.LOW, 5, 10, Double.NaN, 0)),
-                1e-9);
-    }
-
     /** A job whose tasks fail on every machine is told apart from a faulty machine. */
     @Example
     void aJobThatFailsEverywhereIsSuspectAndTriedRarely() {
-        Job job = job("wk-1", "c", JobSpec.Priority.LOW, 5, 10, Double.NaN, 0);
+        Job job = OrderTestData.job("wk-1", "c", JobSpec.Priority.LOW, 5, 10, Double.NaN, 0);
         job.failed("m-1", 1_000);
         assertTrue(!job.suspect() && !job.paused(1_000));
         job.failed("m-2", 2_000);
--- /dev/null
+++ b/src/test/java/org/shoreusher/core/UrgencyTest.java
@@ -0,0 +1,153 @@
+package org.shoreusher.core;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import net.jqwik.api.Example;
+import org.shoreusher.settings.Settings;
+
+/** Tests of the order in which jobs are served. */
+class UrgencyTest {
+    @Example
+    void whatCanStillMeetItsAimComesBeforeWhatCannot() {
+        Settings s =
+                OrderTestData.settings(
+                        List.of(
+                                new Settings.Objective("deadline", "rush", Double.NaN, 0.9, 1),
+                                new Settings.Objective("finished", "slow", 200, 0.8, 1)));
+        Urgency urgency = new Urgency(s, new Estimates());
+        Job late = OrderTestData.job("wk-1", "rush", JobSpec.Priority.NORMAL, 1, 30, 40, 0);
+        Job soon = OrderTestData.job("wk-2", "rush", JobSpec.Priority.NORMAL, 1, 30, 100, 0);
+        Job relaxed = OrderTestData.job("wk-3", "slow", JobSpec.Priority.LOW, 1, 30, Double.NaN, 0);
+        Job high = OrderTestData.job("wk-4", "other", JobSpec.Priority.HIGH, 1, 30, Double.NaN, 0);
+        List<Job> jobs = new ArrayList<>(List.of(late, relaxed, soon, high));
+        urgency.sort(jobs, 30_000);
+        assertEquals(
+                List.of("wk-4", "wk-2", "wk-3", "wk-1"), jobs.stream().map(j -> j.id).toList());
+    }
+
+    /**
+     * With more work than machines, jobs that each got their turn just in time were all late by a
+     * little. Of those that can wait the one with least left goes first; one whose last chance is
+     * near does not wait.
+     */
+    @Example
+    void theLeastWorkComesFirstAmongJobsThatCanWait() {
+        Urgency urgency =
+                new Urgency(
+                        OrderTestData.settings(
+                                List.of(new Settings.Objective("finished", "rolls", 200, 0.8, 1))),
+                        new Estimates());
+        Job large =
+                OrderTestData.job("wk-1", "rolls", JobSpec.Priority.NORMAL, 500, 40, Double.NaN, 0);
+        Job small =
+                OrderTestData.job(
+                        "wk-2", "rolls", JobSpec.Priority.NORMAL, 20, 40, Double.NaN, 30_000);
+        List<Job> jobs = new ArrayList<>(List.of(large, small));
+        urgency.sort(jobs, 40_000);
+        assertEquals("wk-2", jobs.get(0).id);
+        // Without a team's limit all its tasks may run at once: 40 s, so its last chance is at 158
+        // s.
+        Job unlimited =
+                OrderTestData.job("wk-3", "rolls", JobSpec.Priority.NORMAL, 8, 40, Double.NaN, 0);
+        jobs = new ArrayList<>(List.of(small, unlimited));
+        urgency.sort(jobs, 145_000);
+        assertEquals("wk-3", jobs.get(0).id);
+    }
+
+    /**
+     * A job whose team's guarantee says that it should have begun by now does not wait behind
+     * smaller ones; later it does again.
+     */
+    @Example
+    void aGuaranteeAboutToBeMissedDoesNotWaitForSmallerJobs() {
+        Urgency urgency =
+                new Urgency(
+                        OrderTestData.settings(
+                                List.of(
+                                        new Settings.Objective("guarantee", "", 90, 0.9, 1),
+                                        new Settings.Objective("finished", "rolls", 400, 0.8, 1))),
+                        new Estimates());
+        Job large =
+                OrderTestData.job("wk-1", "rolls", JobSpec.Priority.NORMAL, 500, 1, Double.NaN, 0);
+        Job small =
+                OrderTestData.job(
+                        "wk-2", "rolls", JobSpec.Priority.NORMAL, 5, 1, Double.NaN, 60_000);
+        for (long now : new long[] {65_000, 80_000, 100_000}) {
+            List<Job> jobs = new ArrayList<>(List.of(small, large));
+            urgency.sort(jobs, now);
+            assertEquals(now == 80_000 ? "wk-1" : "wk-2", jobs.get(0).id);
+        }
+    }
+
+    /**
+     * Only a job whose last chance is near and not yet gone is worth stopping another's tasks for.
+     */
+    @Example
+    void aJobPressesShortlyBeforeItsLastChance() {
+        Urgency urgency =
+                new Urgency(
+                        OrderTestData.settings(
+                                List.of(
+                                        new Settings.Objective(
+                                                "deadline", "rush", Double.NaN, 0.9, 1))),
+                        new Estimates());
+        Job job = OrderTestData.job("wk-1", "rush", JobSpec.Priority.NORMAL, 1, 30, 100, 0);
+        // It takes 30 s and a start of 2 s, so the last chance is at 68 s.
+        assertFalse(urgency.pressing(job, 40_000));
+        assertTrue(urgency.pressing(job, 50_000));
+        assertTrue(urgency.pressing(job, 67_000));
+        assertFalse(urgency.pressing(job, 70_000));
+    }
+
+    /**
+     * Urgent work that keeps coming must not keep a job, however large or low, from beginning
+     * within four minutes.
+     */
+    @Example
+    void whatHasNotBegunForLongComesFirst() {
+        Urgency urgency = new Urgency(OrderTestData.settings(List.of()), new Estimates());
+        Job large =
+                OrderTestData.job("wk-1", "large", JobSpec.Priority.LOW, 500, 30, Double.NaN, 0);
+        Job begun =
+                OrderTestData.job("wk-2", "large", JobSpec.Priority.LOW, 500, 30, Double.NaN, 0);
+        begun.startedCount = 1;
+        for (long now : new long[] {100_000, 200_000}) {
+            Job urgent =
+                    OrderTestData.job(
+                            "wk-3",
+                            "rush",
+                            JobSpec.Priority.PRODUCTION,
+                            10,
+                            10,
+                            Double.NaN,
+                            now - 1_000);
+            List<Job> jobs = new ArrayList<>(List.of(begun, large, urgent));
+            urgency.sort(jobs, now);
+            assertEquals(now < 150_000 ? "wk-3" : "wk-1", jobs.get(0).id);
+        }
+    }
+
+    @Example
+    void estimatesFollowWhatIsObserved() {
+        Estimates estimates = new Estimates();
+        Job first = OrderTestData.job("wk-1", "c", JobSpec.Priority.LOW, 5, 10, Double.NaN, 0);
+        for (int i = 0; i < 100; i++) {
+            estimates.observed(first, 20);
+        }
+        assertEquals(20, estimates.runS(first), 1e-9);
+        assertEquals(
+                20,
+                estimates.runS(
+                        OrderTestData.job("wk-2", "c", JobSpec.Priority.LOW, 5, 10, Double.NaN, 0)),
+                0.2);
+        assertEquals(
+                10,
+                estimates.runS(
+                        OrderTestData.job("wk-3", "d", JobSpec.Priority.LOW, 5, 10, Double.NaN, 0)),
+                1e-9);
+    }
+}
--- a/src/test/java/org/shoreusher/model/FormerOwner.java
+++ b/src/test/java/org/shoreusher/model/FormerOwner.java
@@ -2,18 +2,13 @@
 
 import java.util.ArrayList;
 import java.util.BitSet;
-import java.util.Collections;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.IntConsumer;
 import org.shoreusher.core.Effect.StateOp;
-import org.shoreusher.core.JobSpec;
-import org.shoreusher.core.JobSpecBuilder;
 import org.shoreusher.model.FormerStore.KnownJob;
-import org.shoreusher.wire.FieldMap;
-import org.shoreusher.wire.UserFormat;
 
 /**
  * The traffic of one node of the version before services with the state service: it takes the part,
@@ -28,7 +23,7 @@
     private static final int MARK_FRAME = 10;
     private static final long LEASE_MS = 5_000;
     private static final long WAIT_MS = 250;
-    private static final long WALL_MS = 1_700_000_000_000L;
+    static final long WALL_MS = 1_700_000_000_000L;
 
     private final World world;
     private final String host;
@@ -38,7 +33,7 @@
     private String owner;
     private long fence;
     private long reignEnds;
-    private int named;
+    private final FormerJobs jobs;
     private final Map<String, BitSet> done = new LinkedHashMap<>();
     private final Map<String, Integer> doneChunk = new HashMap<>();
     private final Map<String, Integer> markChunk = new HashMap<>();
@@ -52,6 +47,7 @@
         this.valueBytes = valueBytes;
         this.txnOps = txnOps;
         store = new FormerStore(world.state);
+        jobs = new FormerJobs(world, valueBytes, this);
     }
 
     /** Tries to take the part for a while, and acts as its owner as long as it is. */
@@ -80,16 +76,15 @@
             case 0, 1 -> renew();
             case 2 -> mark();
             case 3 -> recordMachines();
-            case 4 -> accept(1);
-            case 5 -> accept(2 + world.random.nextInt(3));
-            case 6 -> finish();
-            default -> cancel();
+            case 4 -> jobs.accept(1);
+            case 5 -> jobs.accept(2 + world.random.nextInt(3));
+            case 6 -> jobs.finish(fence);
+            default -> jobs.cancel(anyOpen());
         }
     }
 
     /** Sends a transaction over the network; an end of the reign does not stop it. */
-    private void send(
-            Map<String, Long> guards, Map<String, Map<String, Object>> writes, IntConsumer then) {
+    void send(Map<String, Long> guards, Map<String, Map<String, Object>> writes, IntConsumer then) {
         StateOp.Multi op = new StateOp.Multi(guards, writes);
         boolean[] answered = {false};
         world.send(
@@ -107,6 +102,11 @@
                                 }));
     }
 
+    /** The name of the process that acts. */
+    String owner() {
+        return owner;
+    }
+
     private Map<String, Long> guards(String... keys) {
         Map<String, Long> guards = new LinkedHashMap<>();
         guards.put("part/0/fence", fence);
@@ -367,116 +367,4 @@
                                 WALL_MS + m.rentedAt,
                                 1L));
     }
-
-    /** One job gets a record of its own, several that come together share one. */
-    private void accept(int count) {
-        Map<String, Long> guards = new LinkedHashMap<>();
-        Map<String, Object> records = new LinkedHashMap<>();
-        List<UserModel.Wish> wishes = new ArrayList<>();
-        for (int i = 0; i < count; i++) {
-            JobSpec spec = job(String.format("wk-%06d", 800_000 + named++), count == 1);
-            Map<String, Object> record = new LinkedHashMap<>();
-            record.put("part", 0L);
-            record.put("status", "OPEN");
-            record.put("tasks", (long) spec.tasks());
-            record.put("accepted", WALL_MS + world.now);
-            record.put("begun", 0L);
-            record.put("spec", UserFormat.description(spec));
-            guards.put("job/" + spec.id(), 0L);
-            records.put(spec.id(), record);
-            wishes.add(new UserModel.Wish(spec, false, 2_000));
-            // The answer may be lost: then the job exists, and its user does not know.
-            world.users.wishes.put(spec.id(), wishes.get(i));
-        }
-        send(
-                guards,
-                Map.of(acceptKey(count, records), acceptValue(count, records)),
-                status -> {
-                    if (status == 200) {
-                        wishes.forEach(world.users::acceptedElsewhere);
-                    }
-                });
-    }
-
-    private String acceptKey(int count, Map<String, Object> records) {
-        return count == 1
-                ? "job/" + records.keySet().iterator().next()
-                : "arrived/" + owner + "/" + named;
-    }
-
-    @SuppressWarnings("unchecked")
-    private static Map<String, Object> acceptValue(int count, Map<String, Object> records) {
-        return count == 1
-                ? (Map<String, Object>) records.values().iterator().next()
-                : Map.of("jobs", records);
-    }
-
-    /** Some have descriptions that are longer than a value may be later. */
-    private JobSpec job(String id, boolean alone) {
-        int types = alone && world.random.nextInt(3) == 0 ? 400 : 1;
-        return new JobSpecBuilder(id)
-                .team("team-" + world.random.nextInt(2))
-                .priority(JobSpec.Priority.values()[1 + world.random.nextInt(3)])
-                .tasks(1 + world.random.nextInt(alone && types == 1 ? 120 : 6))
-                .types(Collections.nCopies(types, CloudModel.TYPE))
-                .spread(world.random.nextInt(4) == 0)
-                .build();
-    }
-
-    /** Jobs whose tasks are all noted as finished get their final state. */
-    private void finish() {
-        Map<String, BitSet> finished = store.finished();
-        store.jobs()
-                .forEach(
-                        (id, job) -> {
-                            if (job.open()
-                                    && finished.containsKey(id)
-                                    && finished.get(id).cardinality() == job.tasks()) {
-                                end(id, job.tasks(), "DONE", null, status -> {});
-                            }
-                        });
-    }
-
-    /** A user calls off a job that this node accepted. */
-    private void cancel() {
-        String id = anyOpen();
-        UserModel.Wish wish = id == null ? null : world.users.wishes.get(id);
-        if (wish == null || !wish.accepted || wish.cancels || world.random.nextBoolean()) {
-            return;
-        }
-        wish.cancelAsked = true;
-        end(
-                id,
-                wish.spec.tasks(),
-                "CANCELLED",
-                UserFormat.description(wish.spec),
-                status -> {
-                    if (status == 200 && !wish.doneTold) {
-                        wish.cancelTold = true;
-                        wish.cancelToldAt = world.now;
-                    }
-                });
-    }
-
-    private void end(
-            String id, int tasks, String status, Map<String, Object> spec, IntConsumer then) {
-        Map<String, Object> record = new LinkedHashMap<>();
-        record.put("part", 0L);
-        record.put("status", status);
-        record.put("tasks", (long) tasks);
-        record.put("accepted", WALL_MS + world.now);
-        record.put("begun", 0L);
-        if (spec != null) {
-            record.put("spec", spec);
-        }
-        String key = "job/" + id;
-        Map<String, Long> guards = new LinkedHashMap<>();
-        guards.put(key, world.state.version(key));
-        if (status.equals("DONE")) {
-            guards.put("part/0/fence", fence);
-        }
-        if (FieldMap.jsonLength(record) <= valueBytes) {
-            send(guards, Map.of(key, record), then);
-        }
-    }
 }
--- a/src/test/java/org/shoreusher/model/ReportsTest.java
+++ b/src/test/java/org/shoreusher/model/ReportsTest.java
@@ -6,7 +6,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -103,39 +102,6 @@
         assertNull(node.report("host-8", 30, 6), "a copy of a later one");
     }
 
-    /**
-     * An idle machine whose return was refused works again; one whose return may yet be carried out
-     * does not.
-     */
-    @Example
-    void aMachineWhoseReturnWasRefusedTakesWork() {
-        for (int status : new int[] {503, 0}) {
-            SingleNode owner = new SingleNode();
-            owner.left("host-1");
-            boolean[] asked = {false};
-            owner.cloud =
-                    op -> {
-                        asked[0] |= op instanceof CloudOp.Return;
-                        return new Command.CloudReply(0, status, Map.of("error", "trouble"));
-                    };
-            owner.steps(20);
-            int seq = 1;
-            while (!asked[0] && seq < 80) {
-                owner.report("host-1", seq++, 6);
-                owner.steps(15);
-            }
-            assertTrue(asked[0], "idle for long");
-            owner.openJob("wk-1", 1);
-            boolean started = false;
-            for (int i = 0; i < 5; i++) {
-                owner.steps(15);
-                List<String> orders = owner.report("host-1", seq++, 6);
-                started |= orders != null && orders.contains("run");
-            }
-            assertEquals(status == 503, started, "after status " + status);
-        }
-    }
-
     /**
      * While a machine is silent, tasks that no owner has ever started begin all the same, in what
      * the team's limit surely leaves: 24 CPUs less 8 that the silent machine may hold. A task that
@@ -340,131 +306,6 @@
         assertTrue(ranAt < agreed + 2_500, "too late: " + ranAt);
     }
 
-    /**
-     * Rentals go out side by side; one without an answer may have been carried out, so it is
-     * repeated under its own name, one at a time while they fail, and no name is asked for again
-     * once it is answered.
-     */
-    @Example
-    void rentalsKeepTheirNamesUntilAnswered() {
-        List<CloudOp.Rent> asked = new ArrayList<>();
-        Map<String, CloudOp.Rent> open = new HashMap<>();
-        node.cloud =
-                op -> {
-                    if (!(op instanceof CloudOp.Rent rent)) {
-                        return new Command.CloudReply(0, 0, null);
-                    }
-                    asked.add(rent);
-                    assertTrue(
-                            asked.size() <= 2 || open.containsKey(rent.name()),
-                            "asked again after its answer, or more than is wanted: " + rent);
-                    assertTrue(
-                            !open.containsKey(rent.name()) || open.get(rent.name()).equals(rent),
-                            "another request under the name of " + rent);
-                    open.put(rent.name(), rent);
-                    if (asked.size() < 6) {
-                        return new Command.CloudReply(0, 0, null);
-                    }
-                    open.remove(rent.name());
-                    return new Command.CloudReply(
-                            0, 200, Map.of("boxes", List.of("host-" + asked.size())));
-                };
-        node.left();
-        node.steps(20);
-        // A twelfth of its tasks at once, so two machines, in two zones.
-        node.openJob("wk-1", 24, 8);
-        node.steps(200);
-        assertEquals(
-                2,
-                asked.stream().map(CloudOp.Rent::name).distinct().count(),
-                "one request a zone: " + asked);
-        assertTrue(open.isEmpty(), "all are answered in the end");
-        assertTrue(asked.size() > 6, "repeated: " + asked);
-    }
-
-    /**
-     * The type that is cheapest for a task is rented first, and when the cloud has none of it the
-     * next one: with the cheapest alone, work waited beside hundreds of small machines that nobody
-     * rented.
-     */
-    @Example
-    void whenTheCheapestTypeIsGoneTheNextIsRented() {
-        List<String> asked = new ArrayList<>();
-        node.cloud =
-                op -> {
-                    if (op instanceof CloudOp.Types) {
-                        return new Command.CloudReply(
-                                0,
-                                200,
-                                Map.of(
-                                        "presses",
-                                        List.of(
-                                                type("small", 4, 0.2, 0.08),
-                                                type("large", 32, 1.16, 0.43))));
-                    }
-                    if (!(op instanceof CloudOp.Rent rent)) {
-                        return new Command.CloudReply(0, 0, null);
-                    }
-                    asked.add(rent.type() + (rent.spot() ? "" : " ordinary"));
-                    return new Command.CloudReply(0, 503, Map.of("error", "no capacity"));
-                };
-        node.steps(30);
-        node.openJob("wk-1", 100, 1);
-        node.steps(300);
-        List<String> order = asked.stream().distinct().toList();
-        assertEquals(List.of("large", "small", "large ordinary", "small ordinary"), order);
-    }
-
-    private static Map<String, Object> type(
-            String name, double cpus, double price, double spotPrice) {
-        return Map.of(
-                "sku",
-                name,
-                "cpus",
-                cpus,
-                "mem_gb",
-                64.0,
-                "rate",
-                price,
-                "low_price",
-                spotPrice,
-                "ready_s",
-                5.0,
-                "yards",
-                List.of("a", "b"));
-    }
-
-    /**
-     * A machine that was used came up once: a taker that can't hear it does not take it for dead in
-     * its boot, and keeps it for a while.
-     */
-    @Example
-    void aTakerKeepsUsedMachinesThatAreSilent() {
-        List<String> returned = new ArrayList<>();
-        long[] at = {0};
-        node.cloud =
-                op -> {
-                    if (op instanceof CloudOp.Return back) {
-                        returned.addAll(back.machines());
-                        at[0] = node.now;
-                    }
-                    return new Command.CloudReply(
-                            0, op instanceof CloudOp.Return ? 200 : 0, Map.of());
-                };
-        node.now += 600_000;
-        node.left("host-1");
-        long from = node.now;
-        node.now += 600_000;
-        for (int i = 0; returned.isEmpty() && i < 3_000; i++) {
-            node.steps(1);
-        }
-        assertEquals(List.of("host-1"), returned);
-        // Its lease of 8 s, and a minute.
-        assertTrue(
-                at[0] - from - 600_000 > 60_000,
-                () -> "returned after " + (at[0] - from - 600_000));
-    }
-
     private static TaskReport[] running(String job, List<String> startedElsewhere) {
         return startedElsewhere.contains("run")
                 ? new TaskReport[0]
--- a/src/test/java/org/shoreusher/model/WorkerModel.java
+++ b/src/test/java/org/shoreusher/model/WorkerModel.java
@@ -176,6 +176,39 @@
                 id, address(), type, zone, spot, session, ++seq, token, noticeS, list);
     }
 
+    /** An answer arrives at the machine. */
+    private void heard(Effect.Answer answer, long sentAt, long ofSession, long ofFlight) {
+        if (world.now < deafUntil) {
+            return;
+        }
+        if (world.sabotage == World.Sabotage.LATE_ANSWERS_EXECUTED
+                && !gone
+                && answer.status() == 200) {
+            orders(answer.body());
+        } else if (flight == ofFlight && inFlight && !gone) {
+            long wait = Math.max(0, hangingUntil - world.now);
+            world.in(wait, () -> answered(answer, sentAt, ofSession, ofFlight));
+        }
+    }
+
+    /**
+     * A copy may come late, from seconds to well over a lease, perhaps when the machine is long
+     * gone; nobody hears its answer.
+     */
+    private void copyLater(WorkerReport report) {
+        if (world.random.nextInt(COPIED) > 0) {
+            return;
+        }
+        world.in(
+                1_000 + world.random.nextInt(40_000),
+                () -> {
+                    world.copies++;
+                    world.processes
+                            .get(world.random.nextInt(world.processes.size()))
+                            .request(n -> new Command.Report(n, report), answer -> {});
+                });
+    }
+
     private void report() {
         inFlight = true;
         lastReportAt = world.now;
@@ -198,18 +231,7 @@
                         next(1_000);
                     }
                 });
-        if (world.random.nextInt(COPIED) == 0) {
-            // A copy comes late, from seconds to well over a lease, perhaps when the machine is
-            // long gone; nobody hears its answer.
-            world.in(
-                    1_000 + world.random.nextInt(40_000),
-                    () -> {
-                        world.copies++;
-                        world.processes
-                                .get(world.random.nextInt(world.processes.size()))
-                                .request(n -> new Command.Report(n, report), answer -> {});
-                    });
-        }
+        copyLater(report);
         if (world.keepReports && world.random.nextInt(4) == 0) {
             world.kept.add(report);
         }
@@ -220,38 +242,15 @@
                 id,
                 node.host,
                 () -> {
-                    if (!node.alive()) {
-                        return;
+                    if (node.alive()) {
+                        node.request(
+                                n -> new Command.Report(n, report),
+                                answer ->
+                                        world.send(
+                                                node.host,
+                                                id,
+                                                () -> heard(answer, sentAt, ofSession, ofFlight)));
                     }
-                    node.request(
-                            n -> new Command.Report(n, report),
-                            answer ->
-                                    world.send(
-                                            node.host,
-                                            id,
-                                            () -> {
-                                                if (world.now < deafUntil) {
-                                                    return;
-                                                }
-                                                if (world.sabotage
-                                                                == World.Sabotage
-                                                                        .LATE_ANSWERS_EXECUTED
-                                                        && !gone
-                                                        && answer.status() == 200) {
-                                                    orders(answer.body());
-                                                } else if (flight == ofFlight
-                                                        && inFlight
-                                                        && !gone) {
-                                                    long wait =
-                                                            Math.max(0, hangingUntil - world.now);
-                                                    world.in(
-                                                            wait,
-                                                            () ->
-                                                                    answered(
-                                                                            answer, sentAt,
-                                                                            ofSession, ofFlight));
-                                                }
-                                            }));
                 });
     }
 
