--- a/src/test/java/org/shoreusher/model/ReplicaTest.java
+++ b/src/test/java/org/shoreusher/model/ReplicaTest.java
@@ -100,6 +100,41 @@
         assertTrue(all >= 4 && all <= 12, () -> "starts " + all);
     }
 
+    /**
+     * A replica that errors at once on every machine is tried on another one each time, backs off,
+     * and is not held against the machines: none of them is given up.
+     */
+    @Example
+    void aReplicaThatFailsEverywhereIsNotHeldAgainstTheMachines() {
+        List<String> machines = List.of("host-1", "host-2", "host-3");
+        node.left(machines.toArray(new String[0]));
+        node.steps(40);
+        machines.forEach(machine -> node.report(machine, seq++, 5));
+        node.steps(3);
+        machines.forEach(machine -> node.report(machine, seq++, 6));
+        assertEquals(201, node.submit(service("wk-1", 1, 2)));
+        List<String> startedOn = new ArrayList<>();
+        for (int round = 0; round < 150; round++) {
+            for (String machine : machines) {
+                boolean last =
+                        !startedOn.isEmpty() && startedOn.get(startedOn.size() - 1).equals(machine);
+                TaskReport failed = replica(0, startedOn.size(), TaskState.EXITED, Cause.ERROR);
+                List<String> started =
+                        last
+                                ? node.startsOf(machine, seq++, 6, failed)
+                                : node.startsOf(machine, seq++, 6);
+                node.steps(2);
+                started.forEach(task -> startedOn.add(machine));
+            }
+        }
+        assertTrue(startedOn.size() >= 4 && startedOn.size() <= 12, () -> "starts " + startedOn);
+        assertEquals(
+                3,
+                startedOn.subList(0, 3).stream().distinct().count(),
+                () -> "starts " + startedOn);
+        assertEquals(List.of(), node.log.stream().filter(l -> l.startsWith("retired")).toList());
+    }
+
     /**
      * Batch tasks of lower priority give way at once when a replica finds no room; the replica
      * takes the place as soon as it is free.
