--- a/src/test/java/org/shoreusher/model/CancellationGapTest.java
+++ b/src/test/java/org/shoreusher/model/CancellationGapTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 import net.jqwik.api.constraints.LongRange;
-import org.shoreusher.core.JobSpec;
+import org.shoreusher.core.JobSpecBuilder;
 import org.shoreusher.model.World.Sabotage;
 import org.shoreusher.model.World.Trouble;
 
@@ -24,31 +24,16 @@
 
     /** Long tasks of jobs that are all running when the trouble comes. */
     private static World world(long seed, List<Trouble> troubles) {
-        World w = new World(seed, ClusterModelTest.settings(), 1, Sabotage.NONE);
+        World w = new World(seed, ModelSettings.usual(), 1, Sabotage.NONE);
         for (int i = 0; i < 16; i++) {
             w.users.submit(
                     new UserModel.Wish(
-                            new JobSpec(
-                                    String.format("wk-%06d", i),
-                                    "class",
-                                    "team-" + i % 2,
-                                    JobSpec.Shape.BATCH,
-                                    JobSpec.Priority.HIGH,
-                                    1 + i % 4,
-                                    1,
-                                    0,
-                                    1,
-                                    "img-" + i % 3,
-                                    1,
-                                    null,
-                                    null,
-                                    false,
-                                    false,
-                                    true,
-                                    90,
-                                    0,
-                                    0,
-                                    Double.NaN),
+                            new JobSpecBuilder(String.format("wk-%06d", i))
+                                    .team("team-" + i % 2)
+                                    .tasks(1 + i % 4)
+                                    .image("img-" + i % 3)
+                                    .estimateS(90)
+                                    .build(),
                             false,
                             120_000),
                     1_000 + i * 500L);
@@ -98,7 +83,7 @@
                 new Trouble(
                         GAP_MS,
                         w ->
-                                ClusterModelTest.owners(w)
+                                Troubles.owners(w)
                                         .forEach(p -> w.state.refuse(p.host, before + 14_000))));
         troubles.add(cancelled(GAP_MS + r.nextInt(2_000)));
         troubles.add(new Trouble(GAP_MS + before, w -> w.state.outage(outage)));
@@ -130,7 +115,7 @@
                                     new Trouble(
                                             GAP_MS,
                                             x ->
-                                                    ClusterModelTest.owners(x)
+                                                    Troubles.owners(x)
                                                             .forEach(
                                                                     p ->
                                                                             x.state.stallViews(
--- a/src/test/java/org/shoreusher/model/FormerFormatsTest.java
+++ b/src/test/java/org/shoreusher/model/FormerFormatsTest.java
@@ -14,6 +14,7 @@
 import net.jqwik.api.Example;
 import org.shoreusher.core.Hint;
 import org.shoreusher.core.JobSpec;
+import org.shoreusher.core.JobSpecBuilder;
 import org.shoreusher.peer.HintCodec;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.wire.FieldMap;
@@ -40,8 +41,7 @@
     }
 
     private static Settings limits(int valueBytes, int txnOps) {
-        return ClusterModelTest.limits(
-                ClusterModelTest.settings().stateWriteRps(), valueBytes, txnOps);
+        return ModelSettings.limits(ModelSettings.usual().stateWriteRps(), valueBytes, txnOps);
     }
 
     @SuppressWarnings("unchecked")
@@ -219,29 +219,10 @@
     private static SingleNode nodeOfTwo() {
         Settings s = limits(2_048, 6);
         Settings of =
-                new Settings(
-                        "node-0",
-                        s.zone(),
-                        s.front(),
-                        s.back(),
-                        List.of(new Settings.Member("node-1", s.back())),
-                        s.cloud(),
-                        s.state(),
-                        2,
-                        s.zones(),
-                        s.teams(),
-                        s.objectives(),
-                        s.reportS(),
-                        s.workerLeaseS(),
-                        s.cancelS(),
-                        s.stateRps(),
-                        s.stateWriteRps(),
-                        s.valueBytes(),
-                        s.txnOps(),
-                        s.cloudRps(),
-                        s.listLagS(),
-                        s.sockets(),
-                        s.clockOffMs());
+                new SettingsBuilder(s)
+                        .host("node-0", List.of(new Settings.Member("node-1", s.back())))
+                        .nodes(2)
+                        .build();
         SingleNode node = new SingleNode(of);
         node.left();
         node.steps(40);
@@ -249,27 +230,16 @@
     }
 
     private static JobSpec service(String id, int replicas) {
-        return new JobSpec(
-                id,
-                "gate",
-                "team-0",
-                JobSpec.Shape.SERVICE,
-                JobSpec.Priority.PRODUCTION,
-                replicas,
-                1,
-                0,
-                1,
-                "img",
-                1,
-                null,
-                null,
-                false,
-                true,
-                false,
-                0,
-                0,
-                0,
-                Double.NaN);
+        return new JobSpecBuilder(id)
+                .jobClass("gate")
+                .shape(JobSpec.Shape.SERVICE)
+                .priority(JobSpec.Priority.PRODUCTION)
+                .tasks(replicas)
+                .image("img")
+                .spread(true)
+                .spot(false)
+                .estimateS(0)
+                .build();
     }
 
     private static long upgradeLines(SingleNode node, String with) {
@@ -379,27 +349,13 @@
 
     /** A service that may use any machine. */
     private static JobSpec anywhere(String id) {
-        return new JobSpec(
-                id,
-                "gate",
-                "team-0",
-                JobSpec.Shape.SERVICE,
-                JobSpec.Priority.PRODUCTION,
-                1,
-                1,
-                0,
-                1,
-                "img",
-                1,
-                null,
-                null,
-                false,
-                false,
-                true,
-                0,
-                0,
-                0,
-                Double.NaN);
+        return new JobSpecBuilder(id)
+                .jobClass("gate")
+                .shape(JobSpec.Shape.SERVICE)
+                .priority(JobSpec.Priority.PRODUCTION)
+                .image("img")
+                .estimateS(0)
+                .build();
     }
 
     /** The form of hints is the same in both versions. */
--- a/src/test/java/org/shoreusher/model/ServiceTroublesTest.java
+++ b/src/test/java/org/shoreusher/model/ServiceTroublesTest.java
@@ -10,6 +10,7 @@
 import org.shoreusher.core.Command;
 import org.shoreusher.core.Effect;
 import org.shoreusher.core.JobSpec;
+import org.shoreusher.core.JobSpecBuilder;
 import org.shoreusher.model.World.Sabotage;
 import org.shoreusher.model.World.Trouble;
 
@@ -22,34 +23,24 @@
     private static UserModel.Wish service(
             int number, String team, int replicas, double cpus, boolean oneZone, boolean spread) {
         return new UserModel.Wish(
-                new JobSpec(
-                        String.format("wk-%06d", number),
-                        "gate",
-                        team,
-                        JobSpec.Shape.SERVICE,
-                        JobSpec.Priority.PRODUCTION,
-                        replicas,
-                        cpus,
-                        0,
-                        1,
-                        "img-0",
-                        1,
-                        null,
-                        null,
-                        oneZone,
-                        spread,
-                        true,
-                        0,
-                        0,
-                        0,
-                        Double.NaN),
+                new JobSpecBuilder(String.format("wk-%06d", number))
+                        .jobClass("gate")
+                        .team(team)
+                        .shape(JobSpec.Shape.SERVICE)
+                        .priority(JobSpec.Priority.PRODUCTION)
+                        .tasks(replicas)
+                        .cpus(cpus)
+                        .oneZone(oneZone)
+                        .spread(spread)
+                        .estimateS(0)
+                        .build(),
                 false,
                 1_000);
     }
 
     /** A scattered service, one of a single zone, and one without a rule on zones. */
     private static World world(long seed) {
-        World w = new World(seed, ClusterModelTest.settings(), 1, Sabotage.NONE);
+        World w = new World(seed, ModelSettings.usual(), 1, Sabotage.NONE);
         w.users.submit(service(0, "team-0", 4, 2, false, true), 5_000);
         w.users.submit(service(1, "team-0", 3, 2, true, false), 6_000);
         w.users.submit(service(2, "team-1", 3, 2, false, false), 7_000);
@@ -135,7 +126,7 @@
     @Example
     void aServiceAtItsTeamsLimitWaitsForTheLeaseOfAMachineThatCantBeAsked() {
         for (long seed = 0; seed < SEEDS; seed++) {
-            World w = new World(seed, ClusterModelTest.settings(), 1, Sabotage.NONE);
+            World w = new World(seed, ModelSettings.usual(), 1, Sabotage.NONE);
             w.users.submit(service(0, "team-0", 12, 2, false, true), 5_000);
             int[] downAfterLease = {0};
             w.at(TROUBLE_MS + 30_000, () -> downAfterLease[0] = w.users.servicesDown().size());
@@ -184,7 +175,7 @@
                     w,
                     TROUBLE_MS + 60_000,
                     x -> {
-                        ClusterModelTest.owners(x).forEach(p -> p.kill(300));
+                        Troubles.owners(x).forEach(p -> p.kill(300));
                         cancelAll(x, cancelledAfterMs);
                     });
             assertCancelled(w);
@@ -200,7 +191,7 @@
                     w,
                     TROUBLE_MS + 90_000,
                     x -> {
-                        ClusterModelTest.owners(x).forEach(p -> x.state.refuse(p.host, 50_000));
+                        Troubles.owners(x).forEach(p -> x.state.refuse(p.host, 50_000));
                         cancelAll(x, 500);
                         x.in(6_000, () -> x.state.outage(40_000));
                     });
