--- a/src/test/java/org/shoreusher/core/ArrivalsTest.java
+++ b/src/test/java/org/shoreusher/core/ArrivalsTest.java
@@ -8,34 +8,15 @@
 import java.util.Map;
 import net.jqwik.api.Example;
 import org.shoreusher.settings.Settings;
+import org.shoreusher.settings.SettingsBuilder;
 
 /** Records of jobs that were accepted together, beside what became of the jobs. */
 class ArrivalsTest {
-    private static final Settings.Address NOWHERE = new Settings.Address("127.0.0.1", 1);
     private static final Settings SETTINGS =
-            new Settings(
-                    "n",
-                    "a",
-                    NOWHERE,
-                    NOWHERE,
-                    List.of(),
-                    NOWHERE,
-                    NOWHERE,
-                    3,
-                    List.of("a"),
-                    Map.of(),
-                    List.of(),
-                    1,
-                    10,
-                    40,
-                    1000,
-                    1000,
-                    8192,
-                    12,
-                    5,
-                    3,
-                    1000,
-                    25);
+            new SettingsBuilder(OrderTestData.settings(List.of()))
+                    .teams()
+                    .limits(1000, 8192, 12)
+                    .build();
 
     /**
      * The news of a shared record may come into the view after that of a job's end, which has left
--- a/src/test/java/org/shoreusher/core/FinishedRecordsTest.java
+++ b/src/test/java/org/shoreusher/core/FinishedRecordsTest.java
@@ -14,6 +14,7 @@
 import net.jqwik.api.ShrinkingMode;
 import net.jqwik.api.constraints.LongRange;
 import org.shoreusher.settings.Settings;
+import org.shoreusher.settings.SettingsBuilder;
 import org.shoreusher.wire.FieldMap;
 
 /**
@@ -21,32 +22,13 @@
  * from whichever version it comes.
  */
 class FinishedRecordsTest {
-    private static final Settings.Address NOWHERE = new Settings.Address("127.0.0.1", 1);
 
     private static Settings settings(int valueBytes) {
-        return new Settings(
-                "n",
-                "a",
-                NOWHERE,
-                NOWHERE,
-                List.of(),
-                NOWHERE,
-                NOWHERE,
-                3,
-                List.of("a"),
-                Map.of(),
-                List.of(),
-                1,
-                10,
-                40,
-                100,
-                100,
-                valueBytes,
-                4,
-                5,
-                3,
-                1000,
-                25);
+        return new SettingsBuilder(OrderTestData.settings(List.of()))
+                .teams()
+                .stateRps(100)
+                .limits(100, valueBytes, 4)
+                .build();
     }
 
     private static Job job(int number, int tasks) {
--- a/src/test/java/org/shoreusher/core/MachineTest.java
+++ b/src/test/java/org/shoreusher/core/MachineTest.java
@@ -4,37 +4,22 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import java.util.Map;
 import net.jqwik.api.Example;
 import org.shoreusher.settings.Settings;
+import org.shoreusher.settings.SettingsBuilder;
 
 /** What an owner concludes from the times of a machine's reports. */
 class MachineTest {
-    private static final Settings.Address NOWHERE = new Settings.Address("127.0.0.1", 1);
     private static final Settings SETTINGS =
-            new Settings(
-                    "n",
-                    "a",
-                    NOWHERE,
-                    NOWHERE,
-                    List.of(),
-                    NOWHERE,
-                    NOWHERE,
-                    3,
-                    List.of("a"),
-                    Map.of(),
-                    List.of(),
-                    5,
-                    26.5,
-                    46.5,
-                    400,
-                    50,
-                    8192,
-                    20,
-                    7,
-                    5,
-                    2600,
-                    25);
+            new SettingsBuilder(OrderTestData.settings(List.of()))
+                    .teams()
+                    .workers(5, 26.5, 46.5)
+                    .stateRps(400)
+                    .limits(50, 8192, 20)
+                    .cloudRps(7)
+                    .listLagS(5)
+                    .sockets(2600)
+                    .build();
     private final Machine machine =
             new Machine(
                     "host-1",
--- a/src/test/java/org/shoreusher/core/PiecesTest.java
+++ b/src/test/java/org/shoreusher/core/PiecesTest.java
@@ -17,6 +17,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.LongRange;
 import org.shoreusher.settings.Settings;
+import org.shoreusher.settings.SettingsBuilder;
 
 /** Tests of small classes of the core. */
 class PiecesTest {
@@ -24,30 +25,13 @@
             new MachineType("t", 8, 2, 16, 10, 1, 1, 0.4, 10, List.of("a", "b"));
 
     private static Settings settings(double clockOff, double workerLease, double cancel) {
-        Settings.Address nowhere = new Settings.Address("127.0.0.1", 1);
-        return new Settings(
-                "n",
-                "a",
-                nowhere,
-                nowhere,
-                List.of(),
-                nowhere,
-                nowhere,
-                3,
-                List.of("a"),
-                Map.of(),
-                List.of(),
-                1,
-                workerLease,
-                cancel,
-                100,
-                100,
-                1024,
-                12,
-                5,
-                3,
-                1000,
-                (long) clockOff);
+        return new SettingsBuilder(OrderTestData.settings(List.of()))
+                .teams()
+                .workers(1, workerLease, cancel)
+                .stateRps(100)
+                .limits(100, 1024, 12)
+                .clockOffMs((long) clockOff)
+                .build();
     }
 
     private static JobSpec spec(
--- a/src/test/java/org/shoreusher/core/StartMarksTest.java
+++ b/src/test/java/org/shoreusher/core/StartMarksTest.java
@@ -21,31 +21,7 @@
  * late.
  */
 class StartMarksTest {
-    private static final Settings.Address NOWHERE = new Settings.Address("127.0.0.1", 1);
-    private static final Settings SETTINGS =
-            new Settings(
-                    "n",
-                    "a",
-                    NOWHERE,
-                    NOWHERE,
-                    List.of(),
-                    NOWHERE,
-                    NOWHERE,
-                    3,
-                    List.of("a"),
-                    Map.of("team", new Settings.Team("team", 8, 16, 0, 0)),
-                    List.of(),
-                    1,
-                    10,
-                    40,
-                    1000,
-                    1000,
-                    1024,
-                    12,
-                    5,
-                    3,
-                    1000,
-                    25);
+    private static final Settings SETTINGS = OrderTestData.settings(List.of());
 
     /**
      * A record was assigned to a job when the write was made: after writes that failed others were
--- a/src/test/java/org/shoreusher/model/FormerFormatsTest.java
+++ b/src/test/java/org/shoreusher/model/FormerFormatsTest.java
@@ -17,6 +17,7 @@
 import org.shoreusher.core.JobSpecBuilder;
 import org.shoreusher.peer.HintCodec;
 import org.shoreusher.settings.Settings;
+import org.shoreusher.settings.SettingsBuilder;
 import org.shoreusher.wire.FieldMap;
 import org.shoreusher.wire.UserFormat;
 
--- a/src/test/java/org/shoreusher/model/ModelSettings.java
+++ b/src/test/java/org/shoreusher/model/ModelSettings.java
@@ -3,6 +3,7 @@
 import java.util.List;
 import java.util.Map;
 import org.shoreusher.settings.Settings;
+import org.shoreusher.settings.SettingsBuilder;
 
 /** Settings of generated worlds. */
 final class ModelSettings {
--- a/src/test/java/org/shoreusher/model/ServicesTest.java
+++ b/src/test/java/org/shoreusher/model/ServicesTest.java
@@ -14,6 +14,7 @@
 import org.shoreusher.model.World.Sabotage;
 import org.shoreusher.model.World.Trouble;
 import org.shoreusher.settings.Settings;
+import org.shoreusher.settings.SettingsBuilder;
 
 /**
  * Services: replicas that run until they are called off, beside batch work and through troubles;
--- a/src/test/java/org/shoreusher/model/World.java
+++ b/src/test/java/org/shoreusher/model/World.java
@@ -15,6 +15,7 @@
 import org.shoreusher.core.Node;
 import org.shoreusher.core.WorkerReport;
 import org.shoreusher.settings.Settings;
+import org.shoreusher.settings.SettingsBuilder;
 import org.shoreusher.settings.Tuning;
 import org.shoreusher.wire.FieldMap;
 
--- a/src/test/java/org/shoreusher/model/SettingsBuilder.java
+++ b/src/test/java/org/shoreusher/settings/SettingsBuilder.java
@@ -1,11 +1,11 @@
-package org.shoreusher.model;
+package org.shoreusher.settings;
 
+import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.shoreusher.settings.Settings;
 
 /** Settings like given ones but for some values. */
-final class SettingsBuilder {
+public final class SettingsBuilder {
     private final Settings base;
     private String host;
     private List<Settings.Member> members;
@@ -20,10 +20,12 @@
     private int valueBytes;
     private int txnOps;
     private double cloudRps;
+    private double listLagS;
     private int sockets;
     private long clockOffMs;
 
-    SettingsBuilder(Settings base) {
+    /** Settings like these to begin with. */
+    public SettingsBuilder(Settings base) {
         this.base = base;
         host = base.host();
         members = base.members();
@@ -38,28 +40,33 @@
         valueBytes = base.valueBytes();
         txnOps = base.txnOps();
         cloudRps = base.cloudRps();
+        listLagS = base.listLagS();
         sockets = base.sockets();
         clockOffMs = base.clockOffMs();
     }
 
-    SettingsBuilder host(String name, List<Settings.Member> others) {
+    /** Sets this alone. */
+    public SettingsBuilder host(String name, List<Settings.Member> others) {
         host = name;
         members = others;
         return this;
     }
 
-    SettingsBuilder nodes(int count) {
+    /** Sets this alone. */
+    public SettingsBuilder nodes(int count) {
         nodes = count;
         return this;
     }
 
-    SettingsBuilder zones(String... names) {
+    /** Sets this alone. */
+    public SettingsBuilder zones(String... names) {
         zones = List.of(names);
         return this;
     }
 
-    SettingsBuilder teams(Settings.Team... list) {
-        teams = new java.util.LinkedHashMap<>();
+    /** Sets this alone. */
+    public SettingsBuilder teams(Settings.Team... list) {
+        teams = new LinkedHashMap<>();
         for (Settings.Team team : list) {
             teams.put(team.name(), team);
         }
@@ -67,42 +74,53 @@
     }
 
     /** How often workers report, how long their leases last, and what a cancellation may take. */
-    SettingsBuilder workers(double report, double lease, double cancel) {
+    public SettingsBuilder workers(double report, double lease, double cancel) {
         reportS = report;
         workerLeaseS = lease;
         cancelS = cancel;
         return this;
     }
 
-    SettingsBuilder stateRps(double requests) {
+    /** Sets this alone. */
+    public SettingsBuilder stateRps(double requests) {
         stateRps = requests;
         return this;
     }
 
     /** The limits on changes, values and transactions of the state service. */
-    SettingsBuilder limits(double writeRps, int bytes, int ops) {
+    public SettingsBuilder limits(double writeRps, int bytes, int ops) {
         stateWriteRps = writeRps;
         valueBytes = bytes;
         txnOps = ops;
         return this;
     }
 
-    SettingsBuilder cloudRps(double calls) {
+    /** Sets this alone. */
+    public SettingsBuilder cloudRps(double calls) {
         cloudRps = calls;
         return this;
     }
 
-    SettingsBuilder sockets(int count) {
+    /** Sets this alone. */
+    public SettingsBuilder listLagS(double seconds) {
+        listLagS = seconds;
+        return this;
+    }
+
+    /** Sets this alone. */
+    public SettingsBuilder sockets(int count) {
         sockets = count;
         return this;
     }
 
-    SettingsBuilder clockOffMs(long ms) {
+    /** Sets this alone. */
+    public SettingsBuilder clockOffMs(long ms) {
         clockOffMs = ms;
         return this;
     }
 
-    Settings build() {
+    /** The settings. */
+    public Settings build() {
         return new Settings(
                 host,
                 base.zone(),
@@ -123,7 +141,7 @@
                 valueBytes,
                 txnOps,
                 cloudRps,
-                base.listLagS(),
+                listLagS,
                 sockets,
                 clockOffMs);
     }
