--- a/src/main/java/org/shoreusher/core/ClockReading.java
+++ b/src/main/java/org/shoreusher/core/ClockReading.java
@@ -1,6 +1,10 @@
 package org.shoreusher.core;
 
 /**
- * One reading of the clocks: the steady one for elapsed time, the time of day for lease expiries.
+ * A reading of both clocks of a process.
+ *
+ * @param steadyMs the monotonic clock in ms, for elapsed times; its origin is arbitrary
+ * @param wallMs the wall clock in ms since the Unix epoch, for lease expiries, which nodes compare
+ *     with each other
  */
 public record ClockReading(long steadyMs, long wallMs) {}
--- a/src/main/java/org/shoreusher/core/ConfirmedReads.java
+++ b/src/main/java/org/shoreusher/core/ConfirmedReads.java
@@ -18,16 +18,21 @@
 import org.shoreusher.wire.StateFormat;
 
 /**
- * Questions about jobs that are answered only after the state service has confirmed what this node
- * knows, in a read begun after the question. Many questions share one such read.
+ * Linearizable reads of jobs for users. A read is answered only after the key-value store has
+ * confirmed this node's cached version of the job, in a call issued after the user's request. Many
+ * reads share one such call: it checks the cached versions as the preconditions of an empty
+ * compare-and-swap.
  */
 final class ConfirmedReads {
-    /** A question that needs a confirmed look at a job; null: no such job. */
+    /**
+     * A pending read of a job. The callback receives the record of the job, or null if there is no
+     * such job.
+     */
     private record Question(long request, String id, Consumer<JobRecord> then) {}
 
     /**
-     * A question about a job that has no record of its own: the view must show all arrivals up to a
-     * revision before it is answered.
+     * A read of a job that has no record of its own. It is answered once the store cache shows all
+     * submission batches up to a revision.
      */
     private record Unseen(Question question, long revision, long sinceMs) {}
 
@@ -37,7 +42,7 @@
     private final Arrivals arrivals;
     private final EndedJobs ended;
 
-    /** Refuses a request if no more can be taken; whether it did. */
+    /** Rejects a request if this node is overloaded; returns whether it did. */
     private final LongPredicate refuse;
 
     private final List<Question> questions = new ArrayList<>();
@@ -45,6 +50,16 @@
     private int readsInFlight;
     private int readingAlone;
 
+    /**
+     * Creates the reads without any pending one.
+     *
+     * @param settings the deployment's settings
+     * @param outbox sends the calls to the store
+     * @param view the store cache
+     * @param arrivals jobs that were accepted together and share a stored record
+     * @param ended recently terminated jobs
+     * @param refuse rejects a request if this node is overloaded, and returns whether it did
+     */
     ConfirmedReads(
             Settings settings,
             Outbox outbox,
@@ -60,14 +75,19 @@
         this.refuse = refuse;
     }
 
-    /** Questions that have no answer yet. */
+    /** Returns how many reads are pending. */
     int waiting() {
         return readingAlone + questions.size() + unseen.size();
     }
 
     /**
-     * Goes on with a job's record as it is now, null if there is no such job. A final state comes
-     * from memory, anything else from a read begun after the question.
+     * Reads the current record of a job. A terminal state is answered from memory, since it never
+     * changes; anything else is confirmed by a shared call that {@link #send} issues later.
+     *
+     * @param request the request, which is rejected if this node is overloaded or the store does
+     *     not answer
+     * @param id the id of the job
+     * @param then receives the record, or null if there is no such job
      */
     void ask(long request, String id, Consumer<JobRecord> then) {
         JobRecord last = ended.get(id);
@@ -82,7 +102,10 @@
         }
     }
 
-    /** Sends the questions gathered so far; while enough reads are on their way, more gather. */
+    /**
+     * Sends the reads collected so far in one call. While enough calls are in flight, reads are
+     * collected further.
+     */
     void send() {
         if (questions.isEmpty() || readsInFlight >= Tuning.READS_AT_ONCE) {
             return;
@@ -126,8 +149,8 @@
         for (Question q : batch) {
             boolean forgotten = guards.get(StoreSchema.job(q.id())) > 0 && seen(q.id()) == null;
             if (changed.contains(StoreSchema.job(q.id())) || forgotten) {
-                // Done meanwhile, and its final state already crowded out of the cache: it has a
-                // record all the same.
+                // The job has been completed meanwhile and its terminal state evicted from memory.
+                // Its record exists all the same.
                 read(q);
             } else {
                 unlessUnseen(q, reply);
@@ -141,8 +164,8 @@
     }
 
     /**
-     * No record of the job's own is there: nobody knows it unless a shared one, as new as this
-     * answer, names it.
+     * Continues a read after the store has confirmed that the job has no record of its own. There
+     * is no such job, unless a submission batch contains it at the revision of this answer.
      */
     private void unlessUnseen(Question q, StateReply reply) {
         JobRecord seen = seen(q.id());
@@ -161,7 +184,10 @@
         }
     }
 
-    /** Answers the questions up to whose revision the view has come. */
+    /**
+     * Answers the reads whose revision the store cache has reached, and rejects those that have
+     * waited too long.
+     */
     void answerUnseen() {
         for (Unseen u : List.copyOf(unseen)) {
             if (view.revision() >= u.revision()) {
@@ -174,7 +200,14 @@
         }
     }
 
-    /** The same from a read of this job alone. */
+    /**
+     * Like {@link #ask}, by a read of this job alone that is issued at once.
+     *
+     * @param request the request, which is rejected if this node is overloaded or the store does
+     *     not answer
+     * @param id the id of the job
+     * @param then receives the record, or null if there is no such job
+     */
     void read(long request, String id, Consumer<JobRecord> then) {
         read(new Question(request, id, then));
     }
--- a/src/main/java/org/shoreusher/core/Effect.java
+++ b/src/main/java/org/shoreusher/core/Effect.java
@@ -4,63 +4,137 @@
 import java.util.Map;
 import org.shoreusher.standby.StandbyMessage;
 
-/** What the core wants done. */
+/** An output of {@link Node#step}: an action that the surrounding process carries out. */
 public sealed interface Effect {
 
-    /** Answers a request. */
+    /**
+     * Answers a request.
+     *
+     * @param request the id of the request
+     * @param response the answer
+     */
     record Answer(long request, Response response) implements Effect {}
 
     /**
-     * Calls the state service; {@code urgent}: a heartbeat or takeover, which must not wait behind
-     * others.
+     * Calls the key-value store. The answer arrives as a {@link Command.StateReply}.
+     *
+     * @param call the id under which the answer is expected
+     * @param op the operation
+     * @param urgent whether the call renews or acquires a leader's lease, and so must not queue
+     *     behind other calls
      */
     record StateCall(long call, StateOp op, boolean urgent) implements Effect {}
 
-    /** Calls the cloud. */
+    /**
+     * Calls the cloud. The answer arrives as a {@link Command.CloudReply}.
+     *
+     * @param call the id under which the answer is expected
+     * @param op the operation
+     */
     record CloudCall(long call, CloudOp op) implements Effect {}
 
-    /** Sends commands straight to a worker; no answer is waited for. */
+    /**
+     * Sends orders directly to a worker, without waiting for its next heartbeat. No answer is
+     * expected, and the message may be lost.
+     *
+     * @param address the worker's network address
+     * @param token the fencing token: the leader's term. A worker rejects a token lower than the
+     *     highest one it has seen
+     * @param session the worker session for which the orders are meant; in any other session the
+     *     worker drops them
+     * @param orders the orders
+     */
     record Orders(String address, long token, long session, List<WorkerOrder> orders)
             implements Effect {}
 
-    /** Tells the peers. */
+    /**
+     * Sends gossip to all other controllers; it may be lost.
+     *
+     * @param hint the gossip message
+     */
     record Tell(Hint hint) implements Effect {}
 
-    /** Sends a message of the warm standby to one controller; it may be lost. */
+    /**
+     * Sends a message of the standby replication to one controller; it may be lost.
+     *
+     * @param host the controller's host
+     * @param message a frame of the attempt log, or an acknowledgement
+     */
     record SendToPeer(String host, StandbyMessage message) implements Effect {}
 
-    /** One line for the operator; {@code detail}: only at the debug level. */
+    /**
+     * Writes one line to the log for operators.
+     *
+     * @param line the text
+     * @param detail whether the line is logged at debug level only
+     */
     record Log(String line, boolean detail) implements Effect {}
 
-    /** Calls of the state service. */
+    /** An operation of the key-value store. */
     sealed interface StateOp {
-        /** Reads one key. */
+        /**
+         * Reads one key.
+         *
+         * @param key the key
+         */
         record Get(String key) implements StateOp {}
 
-        /** Reads a page of all keys. */
+        /**
+         * Reads a page of all entries in the order of their keys.
+         *
+         * @param after the last key of the previous page; null for the first page
+         */
         record Page(String after) implements StateOp {}
 
-        /** Compares and writes; a null value removes. */
+        /**
+         * Writes several keys atomically, if all preconditions are met; otherwise nothing is
+         * written and the answer is 409.
+         *
+         * @param guards by key, the version that the key must have; 0: the key must be absent
+         * @param writes the new values by key; a null value removes the key. If empty, the
+         *     operation is a linearizable check of the preconditions
+         */
         record Multi(Map<String, Long> guards, Map<String, Map<String, Object>> writes)
                 implements StateOp {}
 
-        /** Waits for changes. */
+        /**
+         * Waits for changes and reads them.
+         *
+         * @param after the revision after which changes are wanted
+         * @param blockMs how long the store waits for a first change, in ms; 0: not at all
+         */
         record Watch(long after, long blockMs) implements StateOp {}
     }
 
-    /** Calls of the cloud. */
+    /** An operation of the cloud. */
     sealed interface CloudOp {
-        /** Asks for types and prices. */
+        /** Reads the machine types and their prices. */
         record Types() implements CloudOp {}
 
-        /** Rents. */
+        /**
+         * Provisions machines.
+         *
+         * @param name the prefix of the new machines' names; the operation is idempotent by it
+         * @param type the name of the machine type
+         * @param zone the zone
+         * @param spot whether spot machines are wanted
+         * @param count how many machines are wanted; the cloud may provision fewer
+         */
         record Rent(String name, String type, String zone, boolean spot, int count)
                 implements CloudOp {}
 
-        /** Returns. */
+        /**
+         * Terminates machines.
+         *
+         * @param machines the ids of the machines
+         */
         record Return(List<String> machines) implements CloudOp {}
 
-        /** Lists. */
+        /**
+         * Lists the provisioned machines, page by page.
+         *
+         * @param after the last machine id of the previous page; null for the first page
+         */
         record Listing(String after) implements CloudOp {}
     }
 }
--- a/src/main/java/org/shoreusher/core/MemberFormats.java
+++ b/src/main/java/org/shoreusher/core/MemberFormats.java
@@ -12,25 +12,27 @@
 import org.shoreusher.standby.StandbyChooser;
 
 /**
- * Which stored formats every member understands. Each process of this version notes under a key of
- * its host which formats it understands, and its own name; versions from before there were such
- * notes write none. During an upgrade both kinds serve, and a process that ends before its turn
- * comes back old.
+ * Determines which stored formats every member supports, so that a rolling upgrade is safe. Each
+ * process of this version writes a version record under a key of its host: the formats that it
+ * supports, and its incarnation. Versions from before version records write none. During an upgrade
+ * both kinds of version serve, and a process that crashes before its turn is restarted in the old
+ * version.
  *
- * <p>A member that goes back to the old version after its note can't be told by the note alone. It
- * shows when it takes a part: the fence then names a process of that host that has written no note.
+ * <p>The version record alone does not show that a member has been downgraded after writing it. The
+ * downgrade is detected when the member becomes the leader of a shard: the fencing key then names
+ * an incarnation on that host that has written no version record.
  */
 final class MemberFormats {
     /**
-     * The first with services, narrow groups of machines, and finished tasks of a job in several
-     * records.
+     * The first format with services, with narrow machine groups, and with completion records of a
+     * job in several overflow records.
      */
     static final long SERVICES = 2;
 
     private static final String FORMATS = "formats";
     private static final String PROCESS = "process";
 
-    /** Which log of attempts the process understands as a standby; absent: none. */
+    /** The format of the attempt log that the process supports as a standby; absent: none. */
     private static final String STANDBY = "standby";
 
     private static final long STANDBY_LOG = 1;
@@ -45,16 +47,23 @@
     private long nextMs;
 
     /**
-     * The members that are not known to understand services, this one included; null when the view
-     * has changed since it was worked out.
+     * The members that are not known to support services, including this one; null if the store
+     * cache has changed since they were determined.
      */
     private List<String> oldMembers;
 
-    /** The members that the last log line named as old; null before the first line. */
+    /** The members without services as last logged; null before the first line. */
     private List<String> loggedOld;
 
     /**
-     * @param process the name of this process, which no other has ever had
+     * Creates the negotiation; {@link #step} writes the version record of this process.
+     *
+     * @param settings the deployment's settings
+     * @param features the optional features that this node uses
+     * @param outbox sends the calls to the store
+     * @param view the store cache
+     * @param process the incarnation of this process
+     * @param parts the number of shards
      */
     MemberFormats(
             Settings settings,
@@ -71,14 +80,17 @@
         this.parts = parts;
     }
 
-    /** The view shows a change of a key. */
+    /** Called for each change of a key in the store cache. */
     void changed(String key) {
         if (key.startsWith(StoreSchema.NODE) || StoreSchema.isFence(key)) {
             oldMembers = null;
         }
     }
 
-    /** Notes what this node understands, and logs when services become enabled or disabled. */
+    /**
+     * Writes this process's version record if it is missing, and logs when services become enabled
+     * or disabled.
+     */
     void step() {
         if (!view.loaded()) {
             return;
@@ -116,9 +128,9 @@
     }
 
     /**
-     * The processes of other members that understand this version's log of attempts.
+     * Returns the processes of other members that support the attempt log format of this version.
      *
-     * @param up whether the controller of a host has lately been heard
+     * @param up whether gossip from the controller of a host has arrived recently
      */
     List<StandbyChooser.Candidate> standbys(Predicate<String> up) {
         List<StandbyChooser.Candidate> candidates = new ArrayList<>();
@@ -135,7 +147,10 @@
         return candidates;
     }
 
-    /** Whether every node is known, by the store and not by hints, to understand services. */
+    /**
+     * Returns whether every member is known to support services. Only stored records count, not
+     * gossip.
+     */
     boolean services() {
         return oldMembers().isEmpty();
     }
@@ -157,8 +172,9 @@
     }
 
     /**
-     * Whether a process of the host that has not noted itself took a part after the last note. Each
-     * new process writes its note at its start, so a later owner without one is of an old version.
+     * Returns whether a process of the host became a leader after the version record was written,
+     * without having written one itself. Each process of this version writes its record at its
+     * start, so a later leader without one runs an old version.
      */
     private boolean wentBack(String host, StoreView.Entry note) {
         Object noted = note.value().get(PROCESS);
@@ -175,7 +191,10 @@
         return false;
     }
 
-    /** Logs which members are still old, each time that changes, once this one is noted. */
+    /**
+     * Logs which members do not support services, each time that changes, once the version record
+     * of this process is written.
+     */
     private void logChange() {
         if (!noted()) {
             return;
--- a/src/main/java/org/shoreusher/core/Node.java
+++ b/src/main/java/org/shoreusher/core/Node.java
@@ -15,9 +15,11 @@
 import org.shoreusher.standby.StandbyMessage;
 
 /**
- * The one owner of all state of a process: takes batches of commands with a reading of the clocks,
- * and gives the effects that are to be carried out. It does no I/O, reads no clock and draws
- * nothing at random, so the same batches give the same effects.
+ * The deterministic state machine that holds all state of a controller process.
+ *
+ * <p>{@link #step} takes a batch of commands with a reading of the clocks and returns the effects
+ * to carry out. A node does no I/O, reads no clock and draws no random numbers, so equal batches
+ * give equal effects. It is used by a single thread.
  */
 public final class Node {
     private final Settings settings;
@@ -31,14 +33,18 @@
     private final UserRequests users;
     private final PeerHints peers;
 
-    /** CPUs of jobs dealt to each part since the last hints went round. */
+    /** CPUs of jobs assigned to each shard since this node last sent gossip. */
     private final double[] dealt;
 
     /**
-     * @param features the optional features that this node uses; others may use different ones
-     * @param owner the node's name, a slash, and a suffix that no other process has ever had
-     * @param count number of parts; the same on all nodes and for the life of the state service's
-     *     contents
+     * Creates a node that leads no shard yet.
+     *
+     * @param settings the deployment's settings
+     * @param features the optional features that this node uses; other nodes may use different ones
+     * @param owner the incarnation of this process: the host name, a slash, and a suffix that no
+     *     other process has ever used
+     * @param count the number of shards; the same on all nodes and for the lifetime of the stored
+     *     data
      */
     public Node(Settings settings, Features features, String owner, int count) {
         this.settings = settings;
@@ -59,7 +65,14 @@
         return parts.owned(n);
     }
 
-    /** Works through a batch; the effects are to be carried out in order, at once. */
+    /**
+     * Processes a batch of commands, then all work that is due.
+     *
+     * @param now the clocks at the start of the batch; the monotonic time never decreases from call
+     *     to call
+     * @param batch the commands in order of arrival; may be empty
+     * @return the effects, to be carried out at once and in order
+     */
     public List<Effect> step(ClockReading now, List<Command> batch) {
         outbox.now = now;
         peers.started();
@@ -115,8 +128,9 @@
     }
 
     /**
-     * Whether users should come here. A node that alone has lost the state service sends them away;
-     * when all have, staying is better, since coming back takes the load balancer seconds.
+     * Returns whether the load balancer should send users to this node. A node that alone can't
+     * reach the key-value store reports that it is not ready. If no node reaches the store, this
+     * one stays ready, because the load balancer takes seconds to bring a node back.
      */
     private boolean ready() {
         if (!view.loaded() || !types.known()) {
@@ -154,8 +168,8 @@
     }
 
     /**
-     * A machine without record belongs to the part that rented it, else to the one its name falls
-     * to.
+     * Returns the shard of a machine without a record: the led shard that provisioned it, or else
+     * the shard that the hash of its name selects.
      */
     private int unrecorded(String machine) {
         for (int n = 0; n < parts.count(); n++) {
@@ -206,8 +220,8 @@
             if (part != null && n == record.part()) {
                 part.openJobs().changed(id, record);
             } else if (part != null) {
-                // Two nodes may have accepted it for different parts; its own record tells for
-                // which.
+                // Two nodes may have accepted the job for different shards; the job's own record
+                // decides.
                 part.openJobs().close(id);
             }
         }
@@ -218,7 +232,7 @@
         }
     }
 
-    // ---- hints -------------------------------------------------------------------------------
+    // ---- gossip ------------------------------------------------------------------------------
 
     private Response.Counts counts(String id) {
         for (int n = 0; n < parts.count(); n++) {
@@ -232,7 +246,8 @@
     }
 
     /**
-     * Deals a job to the part with most room, and remembers it until the part's next hint tells.
+     * Returns the shard with the most headroom for a new job, and counts the job against that
+     * headroom until the next gossip round.
      */
     private int roomiestPart(JobSpec spec) {
         int best = 0;
@@ -240,7 +255,8 @@
         for (int n = 0; n < parts.count(); n++) {
             PartHint hint = peers.hint(n);
             Hint.Claim claim = hint == null ? null : hint.claims().get(spec.team());
-            // A team's jobs are best together: then its limit is not cut up.
+            // Jobs of one team are kept in one shard where possible, so that the team's quota is
+            // not split.
             double room =
                     (hint == null ? Tuning.UNKNOWN_ROOM : hint.room())
                             - dealt[n]
--- a/src/main/java/org/shoreusher/core/NodeContext.java
+++ b/src/main/java/org/shoreusher/core/NodeContext.java
@@ -3,7 +3,18 @@
 import org.shoreusher.settings.Features;
 import org.shoreusher.settings.Settings;
 
-/** What the classes of a node share, whatever parts it owns. */
+/**
+ * The collaborators that all classes of a node share, whichever shards the node leads.
+ *
+ * @param settings the deployment's settings
+ * @param features the optional features that this node uses
+ * @param outbox collects effects, and tracks calls to the store and to the cloud
+ * @param view the cached contents of the key-value store
+ * @param arrivals jobs that were accepted together and share a stored record
+ * @param index the machine records of all shards, by machine
+ * @param types the machine types that the cloud offers
+ * @param formats the stored formats that every member supports
+ */
 record NodeContext(
         Settings settings,
         Features features,
--- a/src/main/java/org/shoreusher/core/Outbox.java
+++ b/src/main/java/org/shoreusher/core/Outbox.java
@@ -12,8 +12,8 @@
 import org.shoreusher.settings.Tuning;
 
 /**
- * Everything that leaves the core in a batch, the calls whose answers are awaited, and the tokens
- * that keep calls under the limits of state service and cloud.
+ * Collects the effects of a batch, tracks the calls whose answers are pending, and keeps calls
+ * within the rate limits of the key-value store and the cloud by token buckets.
  */
 final class Outbox {
     private final Long2ObjectOpenHashMap<Consumer<StateReply>> stateCalls =
@@ -31,10 +31,17 @@
     private long stateFailedAt = Long.MIN_VALUE / 2;
     ClockReading now = new ClockReading(0, 0);
 
+    /**
+     * Creates an empty outbox with full token buckets.
+     *
+     * @param s the deployment's settings, which give the rate limits of all nodes together
+     * @param parts the number of shards
+     */
     Outbox(Settings s, int parts) {
         int owners = Math.min(s.nodes(), parts);
-        // The shares of owners' and users' writes add up to a little more than the rate, since they
-        // seldom come together; a 429 is then answered like any refusal, by a later try.
+        // The shares of leaders' and users' writes add up to a little more than the rate limit,
+        // because they rarely coincide. If they do, the store answers 429, and the write is tried
+        // again later like after any other failure.
         double rate = s.stateRps() * Tuning.RATE_USE / s.nodes();
         double writes = s.stateWriteRps() * Tuning.RATE_USE;
         double owner = ownerWrites(s, parts);
@@ -49,7 +56,7 @@
                 new TokenBucket(s.cloudRps() * Tuning.RATE_USE / owners, s.cloudRps() / owners);
     }
 
-    /** Changes a second that a part's owner plans to make at most. */
+    /** Returns the writes per second that a shard's leader plans to make at most. */
     static double ownerWrites(Settings s, int parts) {
         return s.stateWriteRps()
                 * Tuning.RATE_USE
@@ -57,42 +64,58 @@
                 / Math.min(s.nodes(), parts);
     }
 
+    /** Returns the effects collected since the last call, in order, and starts an empty list. */
     List<Effect> drain() {
         List<Effect> out = effects;
         effects = new ArrayList<>();
         return out;
     }
 
+    /** Adds an effect. */
     void add(Effect e) {
         effects.add(e);
     }
 
+    /** Logs a line for operators. */
     void log(String line) {
         effects.add(new Effect.Log(line, false));
     }
 
+    /** Logs a line at debug level. */
     void detail(String line) {
         effects.add(new Effect.Log(line, true));
     }
 
+    /** Answers a request. */
     void answer(long request, Response response) {
         effects.add(new Effect.Answer(request, response));
     }
 
     /**
-     * Tells at once that the request can't be taken, and when to come back: not all at the same
-     * time.
+     * Answers at once that a request can't be served now. The suggested retry delay depends on the
+     * request, so that not all senders retry at the same time.
      */
     void answerUnavailable(long request) {
         answer(request, new Response.Unavailable(Tuning.retryAfterS(request)));
     }
 
-    /** Calls the state service for background work; false without tokens. */
+    /**
+     * Calls the key-value store for background work.
+     *
+     * @param op the operation
+     * @param then called with the answer, or with status 0 if there is none
+     * @return false if the rate limit leaves no token; then nothing is sent
+     */
     boolean state(StateOp op, Consumer<StateReply> then) {
         return call(op, writeTokens, then);
     }
 
-    /** The same for a user's request, whose writes have tokens of their own. */
+    /**
+     * Calls the key-value store for a user's request. Such calls draw on a write budget of their
+     * own; otherwise like {@link #state}.
+     *
+     * @return false if the rate limit leaves no token; then nothing is sent
+     */
     boolean stateForUser(StateOp op, Consumer<StateReply> then) {
         return call(op, userWriteTokens, then);
     }
@@ -109,7 +132,13 @@
         return true;
     }
 
-    /** A heartbeat or takeover: it has its own tokens, and other writes wait for what it uses. */
+    /**
+     * Calls the key-value store to renew or acquire a leader's lease. Such calls have a call budget
+     * of their own, and their writes are charged to the leader's write budget without waiting for
+     * it, so that other writes wait instead.
+     *
+     * @return false if the rate limit leaves no token; then nothing is sent
+     */
     boolean renewal(StateOp.Multi op, Consumer<StateReply> then) {
         if (!renewalTokens.take(1, now.steadyMs())) {
             return false;
@@ -125,6 +154,13 @@
         effects.add(new Effect.StateCall(call, op, urgent));
     }
 
+    /**
+     * Calls the cloud.
+     *
+     * @param op the operation
+     * @param then called with the answer, or with status 0 if there is none
+     * @return false if the rate limit leaves no token; then nothing is sent
+     */
     boolean cloud(CloudOp op, Consumer<CloudReply> then) {
         if (!cloudTokens.take(1, now.steadyMs())) {
             return false;
@@ -135,8 +171,9 @@
         return true;
     }
 
+    /** Passes an answer of the key-value store to the callback of its call. */
     void replied(StateReply reply) {
-        // 429 shows that the service is there; only silence and 503 count as away.
+        // A 429 shows that the store is available; only a missing answer and 503 count as failures.
         if (reply.status() == 0 || reply.status() == 503) {
             stateFailedAt = now.steadyMs();
         } else {
@@ -148,6 +185,7 @@
         }
     }
 
+    /** Passes an answer of the cloud to the callback of its call. */
     void replied(CloudReply reply) {
         Consumer<CloudReply> then = cloudCalls.remove(reply.call());
         if (then != null) {
@@ -155,12 +193,15 @@
         }
     }
 
-    /** ms since the state service last answered. */
+    /** Returns the ms since the last successful answer of the key-value store. */
     long stateSilenceMs() {
         return now.steadyMs() - stateAnsweredAt;
     }
 
-    /** Whether the state service is failing: its last word was a failure, and for a while. */
+    /**
+     * Returns whether the key-value store is unavailable: the latest call failed, and no call has
+     * succeeded for longer than the call timeout.
+     */
     boolean stateAway() {
         return stateFailedAt >= stateAnsweredAt && stateSilenceMs() > Tuning.STATE_TIMEOUT_MS;
     }
--- a/src/main/java/org/shoreusher/core/Part.java
+++ b/src/main/java/org/shoreusher/core/Part.java
@@ -9,34 +9,42 @@
 import org.shoreusher.settings.Tuning;
 
 /**
- * A part this node owns: its lease, jobs and machines. Exists from a successful takeover until the
- * part is lost.
+ * A shard that this node leads: its lease, jobs and machines. An instance exists from the moment at
+ * which this node becomes the leader until the leadership is lost.
  *
- * <p>Promise: every write is guarded by the part's fence, so a write that arrives after another
- * takeover changes nothing. What is promised of starts, {@link Reports} keeps.
+ * <p>Invariant: every write to the key-value store has the shard's fencing key as a precondition,
+ * so a write that arrives after a later leadership change has no effect. {@link Reports} describes
+ * which invariants hold for the starts of tasks.
  */
 final class Part {
-    /** What is known of the other parts, by hints. */
+    /**
+     * What gossip tells about other controllers and their shards. It may be outdated or missing.
+     */
     interface Others {
-        /** A part's fresh hint, or null. */
+        /** Returns the latest summary of a shard, or null if there is no recent one. */
         PartHint hint(int part);
 
         /**
-         * Whether every other member has just said that the state service does not answer it
-         * either.
+         * Returns whether every other member has just reported that the key-value store does not
+         * answer it either.
          */
         boolean stateAwayEverywhere();
 
         /**
-         * How many workers of this part's owner have lately come to the one of the others that most
-         * have come to.
+         * Returns how many workers have recently returned to another controller after it had
+         * redirected them to this shard's leader. If several controllers have seen such workers,
+         * the largest of their counts is returned. A high count indicates a partition between the
+         * leader and its workers.
          */
         int cameBack(int part);
 
-        /** Whether the controller of a host has lately been heard. */
+        /** Returns whether gossip from the host's controller has arrived recently. */
         boolean up(String host);
 
-        /** steady ms up to which another node may have heard this one say so. */
+        /**
+         * Returns the monotonic time in ms until which another node may still rely on this node's
+         * gossip that the key-value store does not answer it.
+         */
         long saidStateAwayUntilMs();
     }
 
@@ -74,6 +82,17 @@
     private long nextWalkMs;
     private long nextStatusMs;
 
+    /**
+     * Creates the shard after its leadership was acquired. Its jobs and machines are loaded later,
+     * by {@link #step}.
+     *
+     * @param number the shard's number
+     * @param parts the number of shards
+     * @param context the node's shared collaborators
+     * @param others what gossip tells about other controllers and shards
+     * @param ownership the leadership that was acquired
+     * @param inheritance the attempt log of the previous leader, if this node was its standby
+     */
     Part(
             int number,
             int parts,
@@ -112,64 +131,77 @@
         this.reports = new Reports(this, context, ledger, marks);
     }
 
-    // ---- views for others --------------------------------------------------------------------
+    // ---- collaborators and state -------------------------------------------------------------
 
+    /** The stored records of the shard's machines. */
     MachineRecords records() {
         return records;
     }
 
+    /** Handles the heartbeats of the shard's workers. */
     Reports reports() {
         return reports;
     }
 
+    /** The demand of the other shards. */
     OtherParts otherParts() {
         return otherParts;
     }
 
+    /** Writes the terminal states of jobs. */
     FinalStates finalStates() {
         return finalStates;
     }
 
+    /** Evicts running tasks. */
     TaskStops stops() {
         return stops;
     }
 
-    /** What the other parts are told of this one. */
+    /** Returns the summary of this shard that gossip carries to the other nodes. */
     PartHint hint() {
         return otherParts.hint(fleet);
     }
 
+    /** Decides when machines are added and removed. */
     Fleet fleet() {
         return fleet;
     }
 
+    /** The leadership of this shard. */
     PartOwnership ownership() {
         return ownership;
     }
 
+    /** Returns whether the leadership has ended for good. */
     boolean lost() {
         return ownership.lost();
     }
 
+    /** Returns whether this node is the leader and its lease is valid. */
     boolean holds() {
         return ownership.holds();
     }
 
+    /** The leader's current term, which workers receive as the fencing token. */
     long term() {
         return ownership.term();
     }
 
     /**
-     * Gives the part up to another node, unless a renewal is just in flight; then it is lost from
-     * here on.
+     * Gives up the leadership so that another node can take over at once. Does nothing while a
+     * lease renewal is in flight.
+     *
+     * @param why the reason, for the log
      */
     void release(String why) {
         ownership.release(why, finished());
     }
 
     /**
-     * Whether most of its workers can't reach this node although it holds the lease: they have come
-     * to others. Kept until the network is whole again, the part would lose all that runs on them.
+     * Returns whether most workers can't reach this node although its lease is valid, as in a
+     * one-way partition: after being redirected here they have returned to other nodes. A leader
+     * that stayed until the partition ends would lose all tasks that run on those machines.
      */
     boolean unreachable() {
         if (!rebuild.loaded()
@@ -177,7 +209,8 @@
                 || outbox.now.steadyMs() - ownership.sinceMs() < Tuning.COMES_BACK_MS) {
             return false;
         }
-        // Asked in every batch, so machines are counted only when some have come to others.
+        // This runs in every batch, so machines are counted only if some workers have returned to
+        // other nodes.
         int cameBack = others.cameBack(number);
         if (cameBack <= 1) {
             return false;
@@ -193,62 +226,79 @@
         return FinishedRecords.of(jobs().values(), settings, ownership::storedDone);
     }
 
+    /** Estimates of the run times of tasks. */
     Estimates estimates() {
         return estimates;
     }
 
+    /** The order in which jobs are scheduled. */
     Urgency urgency() {
         return urgency;
     }
 
+    /** The shard's open jobs, by id. */
     Map<String, Job> jobs() {
         return openJobs.byId();
     }
 
+    /** The shard's open jobs. */
     OpenJobs openJobs() {
         return openJobs;
     }
 
+    /** Reconciles the state of the shard with its workers after a leadership change. */
     Rebuild rebuild() {
         return rebuild;
     }
 
+    /** Replicates the log of task attempts to the standby. */
     AttemptReplication replication() {
         return replication;
     }
 
+    /** The shard's machines, by id. */
     Map<String, Machine> machines() {
         return machines;
     }
 
-    /** Whether what the store has of it is known. */
+    /** Returns whether the shard's stored state has been loaded. */
     boolean loaded() {
         return rebuild.loaded();
     }
 
+    /**
+     * Returns whether reconciliation is complete: it is known of every task whether it runs, and
+     * where.
+     */
     boolean rebuilt() {
         return rebuild.complete();
     }
 
+    /** Follows the machines from provisioning to termination. */
     MachineLifecycle lifecycle() {
         return lifecycle;
     }
 
+    /** What the teams may still use of their quotas. */
     TeamRoom teamRoom() {
         return teamRoom;
     }
 
+    /** Migrates tasks between machines. */
     Balancing balancing() {
         return balancing;
     }
 
-    /** A machine is gone, or belongs to another part. */
+    /** Forgets a machine that is gone or belongs to another shard. */
     void removeMachine(String id) {
         machines.remove(id);
         balancing.machineGone(id);
     }
 
-    /** Whether a machine reports and may be given work. */
+    /**
+     * Returns whether a machine may be given new tasks: it sends heartbeats, receives its orders,
+     * and is neither reserved for another shard nor under an interruption notice.
+     */
     boolean available(Machine m) {
         return m.state == Machine.State.UP
                 && m.heard
@@ -258,18 +308,23 @@
                 && outbox.now.steadyMs() - m.reportedAtMs < quietMs();
     }
 
-    /** ms after which a machine without a report counts as silent. */
+    /** The time in ms after its last heartbeat from which a machine counts as unresponsive. */
     double quietMs() {
         return settings.reportS() * 1000 * Tuning.QUIET_REPORTS;
     }
 
     /**
-     * Whether reports may be answered. Not with a view so old that a cancellation it lacks would
-     * not come true in time: an owner may renew its lease again and again while nothing of what
-     * others write reaches it. The grace after a lapse is for an outage that all share. If the
-     * state service answers another node, that one takes the part, and every answer given here
-     * would only keep the worker from it. A taker relies on this: it need not wait for a grace that
-     * it has not agreed to.
+     * Returns whether heartbeats may be answered, which extends the leases of the workers.
+     *
+     * <p>Not with a store cache so old that a cancellation missing from it would take effect too
+     * late: a leader may be able to renew its lease again and again while no write of another node
+     * reaches it.
+     *
+     * <p>After the expiry of the leader's lease, heartbeats may be answered for a grace period,
+     * provided that the store is unavailable to all nodes. If the store answers another node, that
+     * node will take over, and every answer given here would only delay the worker's move to it.
+     * The next leader relies on this: it does not wait for a grace period that it has not itself
+     * confirmed by gossip.
      */
     boolean mayAnswer() {
         return !lost()
@@ -279,10 +334,11 @@
     }
 
     /**
-     * Whether commands that start something may be given now. During the rebuild only tasks wait
-     * that surely are on no machine, and every team is charged with all that silent machines may
-     * hold. After a lapse the view must first show all that others wrote meanwhile: a cancellation
-     * among it was confirmed while this owner could not know.
+     * Returns whether orders that start a task may be given now. During reconciliation the only
+     * waiting tasks are those that are certainly on no machine, and each team is charged with
+     * everything that unresponsive machines may be running. After an expiry of the lease, the store
+     * cache must first have caught up with what others wrote meanwhile, which may include a
+     * cancellation that was confirmed to a user.
      */
     boolean mayStart() {
         return rebuild.loaded()
@@ -293,6 +349,10 @@
 
     // ---- time --------------------------------------------------------------------------------
 
+    /**
+     * Does all work that is due: renews the lease, loads the stored state once it is available,
+     * writes records, and at fixed intervals runs a scheduling pass.
+     */
     void step() {
         if (lost()) {
             return;
@@ -329,7 +389,7 @@
         }
     }
 
-    /** CPUs of all machines that report. */
+    /** Returns the CPUs of all running machines. */
     double cpus() {
         double all = 0;
         for (Machine m : machines.values()) {
@@ -338,16 +398,19 @@
         return all;
     }
 
-    // ---- takeover ----------------------------------------------------------------------------
+    // ---- failover ----------------------------------------------------------------------------
 
-    /** Whether what an unheard machine held is surely gone. */
+    /**
+     * Returns whether a machine's worker lease has certainly expired, so that its worker has
+     * stopped all tasks.
+     */
     boolean leaseEnded(Machine m) {
         return outbox.now.steadyMs() > m.answeredAtMs + PartLease.workerLeaseMs(settings);
     }
 
-    // ---- placing -----------------------------------------------------------------------------
+    // ---- placement ---------------------------------------------------------------------------
 
-    /** A planner over all machines that have room now. */
+    /** Returns a bin packer over all available machines that have free capacity now. */
     Planner planner() {
         List<Planner.Slot> slots = new ArrayList<>();
         for (Machine m : machines.values()) {
--- a/src/main/java/org/shoreusher/core/PartOwnership.java
+++ b/src/main/java/org/shoreusher/core/PartOwnership.java
@@ -13,8 +13,12 @@
 import org.shoreusher.wire.StateFormat;
 
 /**
- * The hold on one part: its lease, its term, and the fence that guards every write for it. Once
- * lost it is lost for good; a part taken again gets a new one.
+ * The leadership of one shard: its lease, its term, and the fencing precondition of every write for
+ * the shard. Leadership that is lost never returns; a node that acquires the shard again gets a new
+ * instance.
+ *
+ * <p>The fencing key of a shard is written only when its leader changes. Each write has the key's
+ * version as a precondition, so the writes of a previous leader fail, however late they arrive.
  */
 final class PartOwnership {
     private final int partNumber;
@@ -34,17 +38,24 @@
     private boolean renewing;
     private boolean lapsedLogged;
 
-    /** The revision that the view must have reached since the last lapse; 0: it has. */
+    /** The revision that the store cache must reach after the last lease expiry; 0: it has. */
     private long viewNeeded;
 
     private long nextRenewMs;
 
-    /** The last chunk of finished tasks that was written. */
+    /** The last chunk of completed tasks that was written. */
     private int lastChunk;
 
     /**
-     * @param writtenAt when the takeover was sent
-     * @param version the revision at which it was applied
+     * Creates the leadership after the store has confirmed the acquisition.
+     *
+     * @param partNumber the shard's number
+     * @param settings the deployment's settings
+     * @param outbox sends the calls to the store
+     * @param view the store cache
+     * @param record the shard's record as written by the acquisition
+     * @param writtenAt the clocks when the acquisition was sent
+     * @param version the revision at which the store applied it
      */
     PartOwnership(
             int partNumber,
@@ -70,64 +81,90 @@
         nextRenewMs = writtenAt.steadyMs() + PartLease.heartbeatMs(settings);
     }
 
-    /** The owning process, HOST/SUFFIX. */
+    /** The incarnation of the leading process, HOST/SUFFIX. */
     String owner() {
         return owner;
     }
 
+    /** Returns whether the leadership has ended for good. */
     boolean lost() {
         return lost;
     }
 
-    /** Lets the part's record name this standby, soon; null: none. */
+    /**
+     * Has the shard's record name a standby as soon as possible.
+     *
+     * @param process the standby's incarnation; null: none
+     */
     void nameStandby(String process) {
         standby.want(process);
         nextRenewMs = Math.min(nextRenewMs, outbox.now.steadyMs());
     }
 
-    /** Whether the record names no standby, and no write that was sent can still name one. */
+    /** Returns whether the record names no standby and no write in flight can still name one. */
     boolean surelyNoStandby() {
         return standby.surelyNone();
     }
 
-    /** Whether commands may be given and effects decided. */
+    /**
+     * Returns whether this node is the leader and its lease is valid, so that it may give orders
+     * and change the stored state.
+     */
     boolean holds() {
         return !lost && lease.holds(outbox.now);
     }
 
-    /** Whether reports may at least be answered without commands. */
+    /**
+     * Returns whether heartbeats may be answered without orders, which extends the leases of the
+     * workers: while the lease is valid and for a grace period after its expiry.
+     */
     boolean keepsAlive() {
         return !lost && lease.keepsAlive(outbox.now);
     }
 
+    /**
+     * The leader's current term, which workers receive as the fencing token. It starts at the
+     * acquisition's term and can be raised.
+     */
     long term() {
         return term;
     }
 
-    /** The term of the takeover: a worker that has seen it has been answered by this owner. */
+    /**
+     * The term of the acquisition. A worker that has seen it, or a higher one, has been answered by
+     * this leader.
+     */
     long takenTerm() {
         return takenTerm;
     }
 
-    /** The revision that the view must have reached to show all that earlier owners did. */
+    /**
+     * The revision of the acquisition. A store cache that has reached it shows all writes of
+     * previous leaders.
+     */
     long takenRevision() {
         return fenceVersion;
     }
 
-    /** Since when it has been held without a lapse. */
+    /** The monotonic time in ms since which the lease has been valid without interruption. */
     long sinceMs() {
         return sinceMs;
     }
 
+    /** The monotonic time in ms at which the acquisition was confirmed. */
     long takenAtMs() {
         return takenAtMs;
     }
 
+    /** Returns the precondition that fails after a later leadership change. */
     Map<String, Long> fence() {
         return Map.of(StoreSchema.fence(partNumber), fenceVersion);
     }
 
-    /** Whether the view shows all that was written up to the renewal that ended the last lapse. */
+    /**
+     * Returns whether the store cache shows everything that was written before the renewal that
+     * ended the last lease expiry.
+     */
     boolean viewComplete() {
         if (viewNeeded > 0 && view.revision() >= viewNeeded) {
             viewNeeded = 0;
@@ -135,7 +172,7 @@
         return viewNeeded == 0;
     }
 
-    /** Logs a lapse once. */
+    /** Logs an expiry of the lease, once. */
     void watchLapse() {
         if (!holds() && !lost && !lapsedLogged) {
             lapsedLogged = true;
@@ -145,8 +182,11 @@
     }
 
     /**
-     * Renews when it is due. {@code records}: the finished tasks to write, or null before they are
-     * loaded.
+     * Renews the lease when that is due. The same write stores completed tasks and the name of the
+     * standby.
+     *
+     * @param finished supplies the completion records to write; supplies null as long as they are
+     *     not loaded
      */
     void heartbeat(Supplier<FinishedRecords> finished) {
         if (renewing || outbox.now.steadyMs() < nextRenewMs) {
@@ -164,8 +204,8 @@
                         records == null ? doneInStore() : records.chunk(0),
                         standby.wanted());
         writes.put(StoreSchema.part(partNumber), record.write());
-        // In turns: with many jobs every chunk changes between heartbeats, and the last ones must
-        // become durable as well.
+        // The chunks take turns: with many jobs every chunk changes between renewals, and the last
+        // ones must become durable as well.
         int spilled = records == null ? 0 : records.chunks() - 1;
         int from = lastChunk;
         for (int i = 1;
@@ -190,8 +230,10 @@
     }
 
     /**
-     * The finished tasks in one of the part's records as the view has it; none if there is no such
-     * record.
+     * Returns the completed tasks in one of the shard's records as the store cache has it; empty if
+     * there is no such record.
+     *
+     * @param chunk 0 for the shard's own record, a higher number for an overflow record
      */
     Map<String, Object> storedDone(int chunk) {
         if (chunk == 0) {
@@ -205,7 +247,13 @@
         return PartRecord.read(view.get(StoreSchema.part(partNumber)).value()).done();
     }
 
-    /** Guards for a write on one key: its version, and the fence that dies with this ownership. */
+    /**
+     * Returns the preconditions of a write to one key.
+     *
+     * @param key the key
+     * @param version the version that the key must have; 0: the key must be absent
+     * @return that precondition and the fencing precondition
+     */
     Map<String, Long> guards(String key, long version) {
         Map<String, Long> guards = new LinkedHashMap<>();
         guards.put(StoreSchema.fence(partNumber), fenceVersion);
@@ -247,7 +295,8 @@
         }
         nextRenewMs = outbox.now.steadyMs() + Tuning.HEARTBEAT_RETRY_MS;
         if (reply.status() == 409) {
-            // Either somebody took the part, or an earlier renewal without an answer was applied.
+            // Either another node has become the leader, or an earlier renewal that got no answer
+            // was applied.
             renewing =
                     outbox.renewal(
                             new StateOp.Multi(
@@ -290,7 +339,12 @@
         }
     }
 
-    /** A worker has seen a higher token than this part's term, so its answers would be dropped. */
+    /**
+     * Raises the term above a fencing token that a worker has seen: the worker would reject answers
+     * with a lower token. Does nothing while a renewal is in flight.
+     *
+     * @param above the token that the worker has seen
+     */
     void raise(long above) {
         if (renewing || !holds()) {
             return;
@@ -328,7 +382,11 @@
                         });
     }
 
-    /** The view shows a new record of this part. */
+    /**
+     * Ends the leadership if the shard's new record names another leader.
+     *
+     * @param record the record that the store cache now shows
+     */
     void recordChanged(PartRecord record) {
         if (!record.owner().equals(owner)) {
             lose("taken by " + record.owner());
@@ -336,16 +394,19 @@
     }
 
     /**
-     * Gives the part up so that another node can take it at once. This node acts for it no more
-     * from before the write is sent; if the write is lost, the lease runs out as after a crash.
-     * Beside a renewal in flight it would be refused for the record's version, so it has to wait
-     * for that.
+     * Gives up the leadership so that another node can take over at once. From before the write is
+     * sent, this node no longer acts as the leader; if the write is lost, the lease expires as
+     * after a crash. Does nothing while a renewal is in flight, because the write would then fail
+     * for the version of the record.
+     *
+     * @param why the reason, for the log
+     * @param done the completed tasks to store with the record
      */
     void release(String why, FinishedRecords done) {
         if (renewing) {
             return;
         }
-        // The standby takes over at once, and what left this owner it knows.
+        // The standby takes over at once, and it knows every order that left this leader.
         PartRecord record = new PartRecord(owner, 0, term, done.chunk(0), standby.wanted());
         if (outbox.renewal(
                 new StateOp.Multi(
--- a/src/main/java/org/shoreusher/core/PartStatus.java
+++ b/src/main/java/org/shoreusher/core/PartStatus.java
@@ -2,11 +2,16 @@
 
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 
-/** Describes a part for operators. */
+/** Describes the state of a shard for operators. */
 final class PartStatus {
     private PartStatus() {}
 
-    /** One line for the log. */
+    /**
+     * Returns one line for the log: machines by state, CPUs in use, and tasks waiting by job class.
+     *
+     * @param part the shard
+     * @param keys the number of keys in the store cache
+     */
     static String line(Part part, int keys) {
         int[] states = new int[Machine.State.values().length];
         double used = 0;
--- a/src/main/java/org/shoreusher/core/Parts.java
+++ b/src/main/java/org/shoreusher/core/Parts.java
@@ -13,17 +13,27 @@
 import org.shoreusher.standby.StandbySettings;
 import org.shoreusher.wire.FieldMap;
 
-/** Takes parts that are free, deals them out evenly, and holds those this node owns. */
+/**
+ * Acquires the leadership of shards that have no leader, spreads the leaderships evenly over the
+ * nodes, and holds the shards that this node leads.
+ */
 final class Parts {
-    /** What is known of the other nodes, by hints. */
+    /** What gossip tells about other nodes as candidates for leadership. */
     interface Peers extends Part.Others {
         /**
-         * How many peers should come first to a free part: those that hold fewer, or as many and
-         * are younger.
+         * Returns how many peers should be the first to try for a shard without a leader: those
+         * that lead fewer shards than this node, or as many and have been up for a shorter time.
+         *
+         * @param ownedCount how many shards this node leads
          */
         int before(int ownedCount);
 
-        /** Whether a peer that is there for some time holds at least two parts less. */
+        /**
+         * Returns whether a peer that has been up for some time leads at least two shards fewer
+         * than this node.
+         *
+         * @param ownedCount how many shards this node leads
+         */
         boolean anyWithTwoLess(int ownedCount);
     }
 
@@ -41,6 +51,14 @@
     private boolean taking;
     private long nextTakeMs;
 
+    /**
+     * Creates the set of shards, none of which this node leads yet.
+     *
+     * @param count the number of shards
+     * @param context the node's shared collaborators
+     * @param peers what gossip tells about other nodes
+     * @param owner the incarnation of this process
+     */
     Parts(int count, NodeContext context, Peers peers, String owner) {
         settings = context.settings();
         outbox = context.outbox();
@@ -59,11 +77,12 @@
         this.owner = owner;
     }
 
-    /** The part if this node owns it, else null. */
+    /** Returns the shard if this node leads it, or null. */
     Part owned(int n) {
         return n >= 0 && n < owned.length ? owned[n] : null;
     }
 
+    /** Returns how many shards this node leads. */
     int ownedCount() {
         int count = 0;
         for (Part p : owned) {
@@ -72,26 +91,33 @@
         return count;
     }
 
-    /** The record of a part as this node sees it, or null. */
+    /** Returns a shard's record from the store cache, or null if there is none. */
     PartRecord record(int n) {
         StoreView.Entry e = view.get(StoreSchema.part(n));
         return e == null ? null : PartRecord.read(e.value());
     }
 
-    /** Which part takes on a machine or job that nothing else decides about. */
+    /**
+     * Returns the shard to which the hash of an id assigns a machine or job that no record assigns.
+     */
     int partOf(String id) {
         return Math.floorMod(id.hashCode(), owned.length);
     }
 
+    /** The number of shards. */
     int count() {
         return owned.length;
     }
 
-    /** The logs that this node receives as a standby. */
+    /** The attempt logs that this node receives as a standby. */
     AttemptReplicas replicas() {
         return replicas;
     }
 
+    /**
+     * Does the due work of all led shards, and tries for the leadership of at most one shard that
+     * has no leader.
+     */
     void step() {
         for (int n = 0; n < owned.length; n++) {
             if (owned[n] != null) {
@@ -114,12 +140,12 @@
             return;
         }
         for (int i = 0; i < owned.length && !taking; i++) {
-            // Each node begins with another part, so that they do not race for the same one at a
-            // start.
+            // Each node begins with a different shard, so that nodes that start together do not
+            // compete for the same one.
             int n = (first + i) % owned.length;
             PartRecord record = record(n);
-            // A takeover of this process that got no answer may have been applied: nobody acts on
-            // it.
+            // An acquisition by this process that got no answer may have been applied; no node acts
+            // on that leadership.
             boolean ownTrace = record != null && record.owner().equals(owner);
             if (owned[n] != null
                     || (record != null
@@ -129,8 +155,9 @@
             } else if (freeSinceMs[n] == 0) {
                 freeSinceMs[n] = outbox.now.steadyMs();
             }
-            // Who holds fewer comes first, so that parts spread out; then who is younger, since a
-            // rolling restart comes back to that one last.
+            // Nodes that lead fewer shards come first, which spreads the shards evenly. Among
+            // equals the node that started last comes first: a rolling restart will return to it
+            // last.
             if (freeSinceMs[n] > 0 && outbox.now.steadyMs() - freeSinceMs[n] >= pauseMs(record)) {
                 take(n, record);
             }
@@ -138,8 +165,9 @@
     }
 
     /**
-     * ms that a free part is left to others. Its named standby comes first, and others leave it a
-     * head start while it is heard; a standby that is dead costs no more than that.
+     * Returns for how many ms this node leaves a shard without a leader to others. The standby that
+     * the shard's record names tries first. The other nodes grant it a head start as long as gossip
+     * from it arrives; if it has failed unnoticed, no more than the head start is lost.
      */
     private long pauseMs(PartRecord record) {
         String named = record == null ? null : record.standby();
@@ -152,7 +180,7 @@
                 + (headStart ? standby.headStartMs() : 0);
     }
 
-    /** Gives a part up, if another node holds two less. */
+    /** Steps down from one shard if a peer leads at least two shards fewer. */
     private void dealOut() {
         if (outbox.now.steadyMs() < nextDealMs) {
             return;
@@ -170,14 +198,17 @@
     }
 
     /**
-     * The finished tasks of the part's own record that stand in none of its others, cut into
-     * records that may be written.
+     * Returns the completed tasks in the shard's own record that are in none of its overflow
+     * records, split into records of a size that may be written.
      */
     private List<Map<String, Object>> uncovered(int n, PartRecord before) {
         return FinishedRecords.split(before.done(), settings, id -> finishedElsewhere(n, id));
     }
 
-    /** The finished tasks of a job that stand in other records than the part's own. */
+    /**
+     * Returns a job's completed tasks that are in overflow records rather than in the shard's own
+     * record.
+     */
     private BitSet finishedElsewhere(int n, String id) {
         BitSet finished = new BitSet();
         StoreView.Entry entry;
@@ -190,9 +221,9 @@
     }
 
     /**
-     * Copies the finished tasks in a part's record into further ones before the part is taken, if
-     * the record is longer than this version may write it again. The copies are of one version of
-     * the record, and true whoever owns the part next.
+     * Copies completed tasks from a shard's own record into overflow records before the leadership
+     * is acquired, if the own record is longer than this version may write. The copies are made
+     * from one version of the record, and remain true whichever node becomes the leader.
      */
     private void spill(int n, List<Map<String, Object>> pieces) {
         Map<String, Long> guards =
@@ -260,18 +291,18 @@
                                                 revision);
                                 taken(n, before, replaced, ownership);
                             } else if (reply.status() == 409) {
-                                // Another took this part, or counted the term up for a different
-                                // one.
+                                // Another node acquired this shard, or incremented the term counter
+                                // for a different one.
                                 nextTakeMs = outbox.now.steadyMs() + Tuning.TAKE_AGAIN_MS;
                             } else if (before != null && before.standby() != null) {
-                                // In an outage the named standby has had no chance either: its head
-                                // start begins anew.
+                                // During an outage of the store the standby had no chance either,
+                                // so its head start begins again.
                                 freeSinceMs[n] = 0;
                             }
                         });
     }
 
-    /** This node has a part from now on. */
+    /** Starts to act as the leader after the store has confirmed the acquisition. */
     private void taken(
             int n, PartRecord before, AttemptReplicas.Fence replaced, PartOwnership ownership) {
         nextTakeMs = outbox.now.steadyMs();
@@ -289,7 +320,12 @@
         owned[n] = new Part(n, owned.length, context, peers, ownership, inheritance);
     }
 
-    /** The view shows a new record of a part. */
+    /**
+     * Tells the leadership of a shard that the store cache shows a new record of it.
+     *
+     * @param n the shard's number
+     * @param record the new record
+     */
     void recordChanged(int n, PartRecord record) {
         Part part = owned(n);
         if (part != null) {
--- a/src/main/java/org/shoreusher/core/Response.java
+++ b/src/main/java/org/shoreusher/core/Response.java
@@ -2,24 +2,36 @@
 
 import java.util.List;
 
-/** What a request of a user, a worker or the load balancer is answered. */
+/** The answer to a request of a user, a worker or the load balancer. */
 public sealed interface Response {
 
     /** This node can take requests. */
     record Ready() implements Response {}
 
-    /** What a user is told of a job: its state, and counts where they were asked for. */
+    /**
+     * The state of a job as shown to users.
+     *
+     * @param id the job's id
+     * @param shown the state
+     * @param counts task counts for display; null where they were not asked for
+     * @param created whether this request created the job
+     */
     record JobState(String id, Shown shown, Counts counts, boolean created) implements Response {
-        /** A known job's state alone. */
+        /** A job that this request did not create, without task counts. */
         JobState(String id, Shown shown) {
             this(id, shown, null, false);
         }
     }
 
-    /** Tasks of a job that are done and that run, for display. */
+    /**
+     * Task counts of a job, for display only.
+     *
+     * @param done completed tasks
+     * @param running running tasks
+     */
     record Counts(int done, int running) {}
 
-    /** States of a job as users see them. */
+    /** The states of a job as users see them. */
     enum Shown {
         PENDING,
         RUNNING,
@@ -30,18 +42,39 @@
     /** There is no such job. */
     record NotFound() implements Response {}
 
-    /** The request is malformed. */
+    /**
+     * The request is malformed.
+     *
+     * @param problem the reason, for the user
+     */
     record Malformed(String problem) implements Response {}
 
-    /** The job can never run. */
+    /**
+     * The job can never run, for example because no machine type is large enough.
+     *
+     * @param problem the reason, for the user
+     */
     record CannotRun(String problem) implements Response {}
 
-    /** The request can't be taken now; the sender should come back after some seconds. */
+    /**
+     * The request can't be served now.
+     *
+     * @param retryAfterS after how many seconds the sender should try again
+     */
     record Unavailable(int retryAfterS) implements Response {}
 
-    /** A worker's report is accepted; these are its orders. */
+    /**
+     * A worker's heartbeat is accepted, which extends the worker's lease.
+     *
+     * @param term the fencing token: the leader's term
+     * @param orders the orders for the worker
+     */
     record Orders(long term, List<WorkerOrder> orders) implements Response {}
 
-    /** A worker should report to another controller. */
+    /**
+     * A worker should send its heartbeats to another controller.
+     *
+     * @param host that controller's host
+     */
     record Elsewhere(String host) implements Response {}
 }
--- a/src/main/java/org/shoreusher/core/StoreSchema.java
+++ b/src/main/java/org/shoreusher/core/StoreSchema.java
@@ -10,85 +10,131 @@
 import org.shoreusher.wire.FieldMap;
 import org.shoreusher.wire.UserFormat;
 
-/** Names and values of the service's keys in the state service. */
+/**
+ * The keys and values of this service in the key-value store. Records convert themselves to and
+ * from the store's generic fields.
+ */
 final class StoreSchema {
+    /** The key of the term counter, which every change of a leader increments. */
     static final String TERM = "term";
+
+    /** The key of the last known machine types. */
     static final String TYPES = "types";
 
     /**
-     * Stands before the jobs in the order of keys: a view that is read in pages learns of arrivals
-     * first, then of what became of them.
+     * The prefix of the records of jobs that were accepted together. It sorts before the prefix of
+     * jobs: a cache that is loaded page by page then learns of submissions first, and of their
+     * jobs' progress afterwards.
      */
     static final String ARRIVED = "arrived/";
 
+    /** The prefix of jobs' records. */
     static final String JOB = "job/";
+
+    /** The prefix of the records of machine groups. */
     static final String MACHINE = "machine/";
+
+    /** The prefix of all keys of a shard. */
     static final String PART = "part/";
+
+    /** The prefix of the keys under which nodes record the formats that they support. */
     static final String NODE = "node/";
+
     private static final String FENCE = "/fence";
 
     private StoreSchema() {}
 
+    /** The key of a shard's record. */
     static String part(int n) {
         return PART + n;
     }
 
+    /**
+     * The fencing key of a shard. It is written only when the leader changes, and its version is a
+     * precondition of all writes for the shard.
+     */
     static String fence(int n) {
         return PART + n + FENCE;
     }
 
+    /** Returns whether a key is the fencing key of some shard. */
     static boolean isFence(String key) {
         return key.startsWith(PART) && key.endsWith(FENCE);
     }
 
+    /** The key of an overflow record of completed tasks. */
     static String done(int n, int chunk) {
         return PART + n + "/done/" + chunk;
     }
 
+    /** The key of a record of high-water marks. */
     static String begun(int n, int chunk) {
         return PART + n + "/begun/" + chunk;
     }
 
+    /** The key of a job's own record. */
     static String job(String id) {
         return JOB + id;
     }
 
-    /** The key of a record of jobs that were accepted together. */
+    /**
+     * The key of a record of jobs that were accepted together.
+     *
+     * @param owner the incarnation of the accepting process
+     * @param n counts the records of that process
+     */
     static String arrived(String owner, long n) {
         return ARRIVED + owner + "/" + n;
     }
 
     /**
-     * The key of the record that a machine is in, together with those whose names differ in the
-     * last signs only.
+     * The key of the record that contains a machine, together with the machines whose names differ
+     * in the last characters only.
+     *
+     * @param id the machine's id
+     * @param valueBytes the size limit of values in the store, which decides between wide and
+     *     narrow groups
      */
     static String machine(String id, int valueBytes) {
         return machine(id, valueBytes >= Tuning.WIDE_GROUP_BYTES);
     }
 
-    /** The key of its wide group, of a hundred machines at most, or of its narrow one, of ten. */
+    /**
+     * The key of the group that contains a machine.
+     *
+     * @param id the machine's id
+     * @param wide whether the wide group of up to a hundred machines is meant, or the narrow one of
+     *     up to ten
+     */
     static String machine(String id, boolean wide) {
         int signs = wide ? 2 : 1;
         return MACHINE + id.substring(0, Math.max(0, id.length() - signs));
     }
 
-    /** The key under which a node says which formats it understands. */
+    /** The key under which a node records the formats that it supports. */
     static String node(String host) {
         return NODE + host;
     }
 
+    /** The key of a team's quota shares. */
     static String quota(String team) {
         return "quota/" + team;
     }
 
     /**
-     * A part's record. {@code done} holds the finished tasks of its first chunk of jobs.
+     * A shard's own record.
      *
-     * @param standby the process that knows every attempt that may be on a machine; null: none.
-     *     Versions before the warm standby drop the field when they take the part
+     * @param owner the incarnation of the leading process, HOST/SUFFIX
+     * @param expiryMs when the leader's lease expires, in wall-clock ms
+     * @param term the leader's term
+     * @param done completed tasks of the first chunk of jobs, as ranges by job
+     * @param standby the incarnation of the process that knows every attempt that may be on a
+     *     machine; null: none. Versions from before the standby replication drop this field when
+     *     they acquire the shard
      */
     record PartRecord(
             String owner, long expiryMs, long term, Map<String, Object> done, String standby) {
+        /** Reads the record from its stored fields. */
         static PartRecord read(Map<String, Object> value) {
             try {
                 FieldMap t = new FieldMap(value);
@@ -104,6 +150,7 @@
             }
         }
 
+        /** Returns the stored fields of the record. */
         Map<String, Object> write() {
             Map<String, Object> m = new LinkedHashMap<>();
             m.put("owner", owner);
@@ -116,14 +163,14 @@
             return m;
         }
 
-        /** The node's name in the owner. */
+        /** Returns the leader's host. */
         String host() {
             int slash = owner.lastIndexOf('/');
             return slash < 0 ? owner : owner.substring(0, slash);
         }
     }
 
-    /** How far a job has come, for good. */
+    /** The durable status of a job. */
     enum JobStatus {
         OPEN,
         DONE,
@@ -131,12 +178,18 @@
     }
 
     /**
-     * A job's record. A done job's description is dropped; a cancelled one's is kept, because its
-     * tasks use their team's limit until they are hunted down, also under the next owner.
+     * A job's record. The description of a completed job is dropped. That of a cancelled job is
+     * kept, because its tasks count against their team's quota until they have stopped, also under
+     * the next leader.
      *
-     * @param begun 0 for a job whose part's records of marks tell how far it has been begun, see
-     *     {@link StartMarks}; in records from before there were such, tasks from this number on had
-     *     never been started
+     * @param part the shard of the job
+     * @param status the durable status
+     * @param tasks the number of tasks
+     * @param acceptedMs when the job was accepted, in wall-clock ms
+     * @param begun 0 for a job whose high-water mark is in the shard's records of marks, see {@link
+     *     StartMarks}. In records from before there were such, no task from this number on had ever
+     *     been started
+     * @param spec the fields of the job's description; null for a completed job
      */
     record JobRecord(
             int part,
@@ -145,11 +198,13 @@
             long acceptedMs,
             int begun,
             Map<String, Object> spec) {
+        /** Reads the record from its stored fields. */
         static JobRecord read(Map<String, Object> value) {
             try {
                 FieldMap t = new FieldMap(value);
                 int tasks = (int) t.whole("tasks");
-                // A record from before there were marks: any of its tasks may have been started.
+                // A record from before there were high-water marks: any of its tasks may have been
+                // started.
                 int begun = t.has("begun") ? (int) t.whole("begun") : tasks;
                 return new JobRecord(
                         (int) t.whole("part"),
@@ -164,6 +219,7 @@
             }
         }
 
+        /** Returns the record of a newly accepted job; the time is in wall-clock ms. */
         static JobRecord open(int part, JobSpec spec, long acceptedMs) {
             return new JobRecord(
                     part,
@@ -174,14 +230,18 @@
                     UserFormat.description(spec));
         }
 
+        /** Returns the record of the job once it is completed. */
         JobRecord done() {
             return new JobRecord(part, JobStatus.DONE, tasks, acceptedMs, begun, null);
         }
 
         /**
-         * The record of the cancelled job, no longer than a value may be. One that was accepted
-         * under larger limits loses those parts of its description by which tasks are started:
-         * written in full it would be refused each time, and the job could never be cancelled.
+         * Returns the record of the job once it is cancelled, within the size limit of values. A
+         * job that was accepted under a larger limit loses the fields of its description that are
+         * needed to start tasks: otherwise the store would refuse the write each time, and the job
+         * could never be cancelled.
+         *
+         * @param valueBytes the size limit of a value in bytes
          */
         JobRecord cancelled(int valueBytes) {
             JobRecord full =
@@ -193,6 +253,7 @@
             return new JobRecord(part, JobStatus.CANCELLED, tasks, acceptedMs, begun, resources);
         }
 
+        /** Parses the job's description; the record must have one. */
         JobSpec description() {
             try {
                 return UserFormat.described(new FieldMap(spec));
@@ -202,6 +263,7 @@
             }
         }
 
+        /** Returns the stored fields of the record. */
         Map<String, Object> write() {
             Map<String, Object> m = new LinkedHashMap<>();
             m.put("part", (long) part);
@@ -217,9 +279,13 @@
     }
 
     /**
-     * Finished tasks that would take the part's own record over the value limit, as ranges by job.
+     * A completion record: completed tasks that would make the shard's own record exceed the size
+     * limit of values.
+     *
+     * @param ranges completed tasks as ranges by job
      */
     record FinishedRecord(Map<String, Object> ranges) {
+        /** Reads the record from its stored fields. */
         static FinishedRecord read(Map<String, Object> value) {
             try {
                 return new FinishedRecord(new FieldMap(value).map("done").asMap());
@@ -230,13 +296,19 @@
             }
         }
 
+        /** Returns the stored fields of the record. */
         Map<String, Object> write() {
             return Map.of("done", ranges);
         }
     }
 
-    /** From which number on no task of a part's jobs has ever been started, by job. */
+    /**
+     * High-water marks of a shard's jobs.
+     *
+     * @param below by job, the task number from which on no task has ever been started
+     */
     record MarkRecord(Map<String, Integer> below) {
+        /** Reads the record from its stored fields. */
         static MarkRecord read(Map<String, Object> value) {
             Map<String, Integer> below = new LinkedHashMap<>();
             try {
@@ -251,6 +323,7 @@
             return new MarkRecord(below);
         }
 
+        /** Returns the stored fields of a record of these marks. */
         static Map<String, Object> write(Map<String, Integer> below) {
             Map<String, Object> marks = new LinkedHashMap<>();
             below.forEach((id, number) -> marks.put(id, (long) number));
@@ -258,8 +331,13 @@
         }
     }
 
-    /** Jobs that were accepted together, by id; see {@link Arrivals}. */
+    /**
+     * Jobs that were accepted together; see {@link Arrivals}.
+     *
+     * @param jobs the records of the jobs, by id
+     */
     record ArrivalRecord(Map<String, JobRecord> jobs) {
+        /** Reads the record from its stored fields. */
         static ArrivalRecord read(Map<String, Object> value) {
             Map<String, JobRecord> jobs = new LinkedHashMap<>();
             try {
@@ -273,19 +351,36 @@
             return new ArrivalRecord(jobs);
         }
 
+        /**
+         * Returns the stored fields of a record of these jobs, which are already in stored form.
+         */
         static Map<String, Object> write(Map<String, Map<String, Object>> jobs) {
             return Map.of("jobs", jobs);
         }
     }
 
-    /** Each part's share of a team's limit. */
+    /**
+     * Each shard's share of a team's quota.
+     *
+     * @param cpus the CPUs of each shard
+     * @param gpus the GPUs of each shard
+     */
     record QuotaRecord(double[] cpus, double[] gpus) {
+        /**
+         * Reads the record from its stored fields.
+         *
+         * @param value the stored fields
+         * @param parts the number of shards
+         */
         static QuotaRecord read(Map<String, Object> value, int parts) {
             return new QuotaRecord(
                     amounts(value.get("cpus"), parts), amounts(value.get("gpus"), parts));
         }
 
-        /** Shares for another number of parts are worth nothing, which is safe. */
+        /**
+         * Reads the shares of one resource. Shares for another number of shards are read as zeros,
+         * which is safe.
+         */
         private static double[] amounts(Object list, int parts) {
             double[] out = new double[parts];
             if (list instanceof List<?> l && l.size() == parts) {
@@ -296,7 +391,7 @@
             return out;
         }
 
-        /** Whole and even shares; the first part gets what is left over. */
+        /** Returns equal shares in whole units; the first shard also gets the remainder. */
         static QuotaRecord split(double cpus, double gpus, int parts) {
             return new QuotaRecord(split(cpus, parts), split(gpus, parts));
         }
@@ -308,6 +403,7 @@
             return out;
         }
 
+        /** Returns the stored fields of the record. */
         Map<String, Object> write() {
             Map<String, Object> m = new LinkedHashMap<>();
             m.put("cpus", Arrays.stream(cpus).boxed().toList());
@@ -316,20 +412,38 @@
         }
     }
 
-    /** A machine's record: its part; {@code used} is written before the first start. */
+    /**
+     * A machine's record, stored in a {@link MachineGroup}.
+     *
+     * @param part the shard of the machine
+     * @param type the name of its machine type
+     * @param zone its zone
+     * @param spot whether it is a spot machine
+     * @param rentedMs when it was provisioned, in wall-clock ms
+     * @param used whether tasks may have been started on it; written before the first start
+     */
     record MachineRecord(
             int part, String type, String zone, boolean spot, long rentedMs, boolean used) {
+        /** Returns the record with the mark that tasks may have been started on the machine. */
         MachineRecord asUsed() {
             return new MachineRecord(part, type, zone, spot, rentedMs, true);
         }
     }
 
     /**
-     * The records of neighbouring machines in one value, by name. Machines rented together are
-     * named one after the other, so that hundreds of them cost a handful of writes. Types and zones
-     * stand once, machines refer to them.
+     * The records of machines with neighbouring names in one value. Machines that are provisioned
+     * together are named consecutively, so that hundreds of them cost only a few writes. Machine
+     * types and zones are stored once and referred to by index.
+     *
+     * @param machines the records by machine id
      */
     record MachineGroup(Map<String, MachineRecord> machines) {
+        /**
+         * Reads the group from its stored fields.
+         *
+         * @param key the key of the group, from which the machine ids are completed
+         * @param value the stored fields
+         */
         static MachineGroup read(String key, Map<String, Object> value) {
             try {
                 FieldMap t = new FieldMap(value);
@@ -358,7 +472,13 @@
             return ((Number) fields.get(i)).longValue();
         }
 
-        /** The value under a key; null, which removes it, if no machine is left. */
+        /**
+         * Returns the stored fields of a group of these machines.
+         *
+         * @param key the key of the group
+         * @param machines the records by machine id
+         * @return the fields; null, which removes the key, if there are no machines
+         */
         static Map<String, Object> write(String key, Map<String, MachineRecord> machines) {
             if (machines.isEmpty()) {
                 return null;
--- a/src/main/java/org/shoreusher/core/StoreView.java
+++ b/src/main/java/org/shoreusher/core/StoreView.java
@@ -12,16 +12,28 @@
 import org.shoreusher.wire.StateFormat;
 
 /**
- * This node's view of the store: read once page by page, then kept by one watch, and read again
- * when the watch has fallen too far behind (410). Changes are applied by version, so pages, watches
- * and the node's own writes may come in any order.
+ * This node's cached copy of the key-value store. It is loaded page by page, then kept current by a
+ * single watch, and loaded again when the watch has fallen too far behind (status 410). Changes are
+ * applied by version, so pages, watch results and this node's own writes may arrive in any order.
  */
 final class StoreView {
-    /** One key. */
+    /**
+     * The value of one key.
+     *
+     * @param value the stored fields
+     * @param version the revision at which the key was last written
+     */
     record Entry(Map<String, Object> value, long version) {}
 
-    /** Told of every change; a null entry: the key is gone. */
+    /** Receives every change of the cache. */
     interface Listener {
+        /**
+         * Called after an entry was added, changed or removed.
+         *
+         * @param key the key
+         * @param before the previous entry; null: there was none
+         * @param after the new entry; null: the key was removed
+         */
         void changed(String key, Entry before, Entry after);
     }
 
@@ -30,7 +42,7 @@
     private final long watchGapMs;
     private final TreeMap<String, Entry> entries = new TreeMap<>();
 
-    /** Versions at which keys were removed, until the watch has passed them. */
+    /** Versions at which keys were removed, kept until the watch has passed them. */
     private final Object2LongOpenHashMap<String> removed = new Object2LongOpenHashMap<>();
 
     private boolean loading = true;
@@ -44,9 +56,16 @@
     private long freshAt = Long.MIN_VALUE / 2;
     private long nextAt;
 
+    /**
+     * Creates an empty cache; {@link #step} loads it.
+     *
+     * @param outbox sends the calls to the store
+     * @param settings the deployment's settings
+     * @param listener receives every change
+     */
     StoreView(Outbox outbox, Settings settings, Listener listener) {
-        // A change wakes the watches of all nodes: where requests are few they would leave none for
-        // anything else.
+        // A change wakes the watches of all nodes. Under a low rate limit they would use up all
+        // calls.
         double share = settings.stateRps() * Tuning.RATE_USE / settings.nodes();
         watchGapMs =
                 Math.max(
@@ -55,46 +74,62 @@
         this.listener = listener;
     }
 
-    /** Whether the view has been complete once. */
+    /** Returns whether the cache has been complete once. */
     boolean loaded() {
         return loaded;
     }
 
-    /** The revision up to which every change is in the view. */
+    /**
+     * Returns the revision up to which the cache contains every change; -1 while it is being
+     * loaded.
+     */
     long revision() {
         return loading ? -1 : revision;
     }
 
-    /** ms since a moment at which the view was complete. */
+    /** Returns the ms since the last moment at which the cache was known to be complete. */
     long ageMs() {
         return outbox.now.steadyMs() - freshAt;
     }
 
+    /** Returns the entry of a key, or null. */
     Entry get(String key) {
         return entries.get(key);
     }
 
+    /**
+     * Returns the version of a key; 0 if it is absent. This is the form that preconditions have.
+     */
     long version(String key) {
         Entry e = entries.get(key);
         return e == null ? 0 : e.version();
     }
 
-    /** Whether the view has the key, or had it at a moment that the watch has yet to pass. */
+    /**
+     * Returns whether the cache contains the key, or contained it at a revision that the watch has
+     * not passed yet.
+     */
     boolean hasOrHad(String key) {
         return entries.containsKey(key) || removed.containsKey(key);
     }
 
-    /** Keys in memory. */
+    /** Returns the number of keys in memory. */
     int size() {
         return entries.size();
     }
 
-    /** All keys that begin so. */
+    /** Returns a live view of the entries whose keys start with a prefix. */
     SortedMap<String, Entry> under(String prefix) {
         return entries.subMap(prefix, prefix + Character.MAX_VALUE);
     }
 
-    /** Applies a key as read or written; older news than what is known is dropped. */
+    /**
+     * Applies an entry as read or written. An older version than the known one is dropped.
+     *
+     * @param key the key
+     * @param value the stored fields; null: the key was removed
+     * @param version the revision of the change
+     */
     void apply(String key, Map<String, Object> value, long version) {
         Entry before = entries.get(key);
         if ((before != null && before.version() >= version) || removed.getLong(key) >= version) {
@@ -115,7 +150,11 @@
     }
 
     /**
-     * Puts an own write that succeeded into the view; returns the revision at which it was applied.
+     * Applies this node's own successful write.
+     *
+     * @param reply the store's answer to the write
+     * @param writes the values that were written
+     * @return the revision at which the store applied the write
      */
     long applied(StateReply reply, Map<String, Map<String, Object>> writes) {
         long at;
@@ -130,8 +169,8 @@
     }
 
     /**
-     * Drops a key from memory. News from before its last version, which a watch may yet bring, must
-     * not bring it back: a done job would be taken for an open one.
+     * Removes a key from memory only. A watch may yet deliver changes from before the key's last
+     * version; they must not restore the key, or a completed job would count as open.
      */
     void evict(String key) {
         Entry e = entries.remove(key);
@@ -140,7 +179,7 @@
         }
     }
 
-    /** Issues the next page or watch when it is due. */
+    /** Requests the next page or the next watch when it is due. */
     void step() {
         if (busy || outbox.now.steadyMs() < nextAt) {
             return;
@@ -172,7 +211,8 @@
             return;
         }
         if (reply.status() != 200) {
-            // An answer that is too long fails like one that is lost, and would fail for ever.
+            // An answer that exceeds the size limit fails like a lost one, and would fail each
+            // time.
             if (loaded && !loading && ageMs() > Tuning.RELOAD_AFTER_MS) {
                 reload();
             }
@@ -190,8 +230,8 @@
         revision = Math.max(revision, StateFormat.revision(body));
         removed.object2LongEntrySet().removeIf(e -> e.getLongValue() <= revision);
         if (revision >= needRevision) {
-            // The answer holds all changes up to its sending, so the view was complete when asked
-            // for.
+            // The answer contains all changes up to the moment of the request, so the cache was
+            // complete then.
             freshAt = sentAt;
             loaded = true;
         }
@@ -210,8 +250,8 @@
         if (StateFormat.more(body) && page != null) {
             return;
         }
-        // Pages are from different moments: watching on from the first page's revision repairs
-        // that.
+        // Pages are read at different revisions. Watching from the first page's revision on makes
+        // the cache consistent.
         for (String key : entries.keySet().toArray(new String[0])) {
             if (!incoming.containsKey(key) && entries.get(key).version() <= startRevision) {
                 Entry before = entries.remove(key);
--- a/src/main/java/org/shoreusher/core/TokenBucket.java
+++ b/src/main/java/org/shoreusher/core/TokenBucket.java
@@ -1,20 +1,31 @@
 package org.shoreusher.core;
 
-/** Tokens for calls at a rate, with a burst. */
+/** A token bucket: limits a rate of calls and allows bursts. */
 public final class TokenBucket {
     private final double perMs;
     private final double burst;
     private double tokens;
     private long at = Long.MIN_VALUE;
 
-    /** A full bucket that gains tokens at a rate, up to a burst of at least one. */
+    /**
+     * Creates a full bucket.
+     *
+     * @param perSecond tokens gained per second
+     * @param burst the capacity; at least 1
+     */
     public TokenBucket(double perSecond, double burst) {
         this.perMs = perSecond / 1000;
         this.burst = Math.max(1, burst);
         this.tokens = this.burst;
     }
 
-    /** Takes tokens if they are there. */
+    /**
+     * Takes tokens if they are available. A request above the capacity is granted by a full bucket.
+     *
+     * @param count how many tokens are taken
+     * @param steadyMs the monotonic clock in ms
+     * @return whether the tokens were taken
+     */
     public boolean take(double count, long steadyMs) {
         refill(steadyMs);
         if (tokens < Math.min(count, burst)) {
@@ -24,7 +35,12 @@
         return true;
     }
 
-    /** Takes tokens that must be spent, below zero if need be; later takers wait. */
+    /**
+     * Takes tokens unconditionally. The balance may become negative, so that later requests wait.
+     *
+     * @param count how many tokens are taken
+     * @param steadyMs the monotonic clock in ms
+     */
     public void force(double count, long steadyMs) {
         refill(steadyMs);
         tokens -= count;
