--- a/src/main/java/org/shoreusher/core/Effect.java
+++ b/src/main/java/org/shoreusher/core/Effect.java
@@ -40,8 +40,8 @@
      * @param address the worker's network address
      * @param token the fencing token: the leader's term. A worker rejects a token lower than the
      *     highest one it has seen
-     * @param session the worker session for which the orders are meant; in any other session the
-     *     worker drops them
+     * @param session the worker incarnation for which the orders are meant; in any other
+     *     incarnation the worker drops them
      * @param orders the orders
      */
     record Orders(String address, long token, long session, List<WorkerOrder> orders)
@@ -114,7 +114,7 @@
         /**
          * Provisions machines.
          *
-         * @param name the prefix of the new machines' names; the operation is idempotent by it
+         * @param name the name of the request, by which it is idempotent; never reused
          * @param type the name of the machine type
          * @param zone the zone
          * @param spot whether spot machines are wanted
--- a/src/main/java/org/shoreusher/core/MemberFormats.java
+++ b/src/main/java/org/shoreusher/core/MemberFormats.java
@@ -14,13 +14,13 @@
 /**
  * Determines which stored formats every member supports, so that a rolling upgrade is safe. Each
  * process of this version writes a version record under a key of its host: the formats that it
- * supports, and its incarnation. Versions from before version records write none. During an upgrade
- * both kinds of version serve, and a process that crashes before its turn is restarted in the old
- * version.
+ * supports, and its process name. Versions from before version records write none. During an
+ * upgrade both kinds of version serve, and a process that crashes before its turn is restarted in
+ * the old version.
  *
  * <p>The version record alone does not show that a member has been downgraded after writing it. The
- * downgrade is detected when the member becomes the leader of a shard: the fencing key then names
- * an incarnation on that host that has written no version record.
+ * downgrade is detected when the member becomes the leader of a shard: the fencing key then names a
+ * process on that host that has written no version record.
  */
 final class MemberFormats {
     /**
@@ -62,7 +62,7 @@
      * @param features the optional features that this node uses
      * @param outbox sends the calls to the store
      * @param view the store cache
-     * @param process the incarnation of this process
+     * @param process the name of this process, HOST/SUFFIX
      * @param parts the number of shards
      */
     MemberFormats(
--- a/src/main/java/org/shoreusher/core/Node.java
+++ b/src/main/java/org/shoreusher/core/Node.java
@@ -41,8 +41,8 @@
      *
      * @param settings the deployment's settings
      * @param features the optional features that this node uses; other nodes may use different ones
-     * @param owner the incarnation of this process: the host name, a slash, and a suffix that no
-     *     other process has ever used
+     * @param owner the name of this process: the host name, a slash, and a suffix that no other
+     *     process has ever used
      * @param count the number of shards; the same on all nodes and for the lifetime of the stored
      *     data
      */
--- a/src/main/java/org/shoreusher/core/PartOwnership.java
+++ b/src/main/java/org/shoreusher/core/PartOwnership.java
@@ -81,7 +81,7 @@
         nextRenewMs = writtenAt.steadyMs() + PartLease.heartbeatMs(settings);
     }
 
-    /** The incarnation of the leading process, HOST/SUFFIX. */
+    /** The name of the leading process, HOST/SUFFIX. */
     String owner() {
         return owner;
     }
@@ -94,7 +94,7 @@
     /**
      * Has the shard's record name a standby as soon as possible.
      *
-     * @param process the standby's incarnation; null: none
+     * @param process the standby's process name; null: none
      */
     void nameStandby(String process) {
         standby.want(process);
--- a/src/main/java/org/shoreusher/core/Parts.java
+++ b/src/main/java/org/shoreusher/core/Parts.java
@@ -57,7 +57,7 @@
      * @param count the number of shards
      * @param context the node's shared collaborators
      * @param peers what gossip tells about other nodes
-     * @param owner the incarnation of this process
+     * @param owner the name of this process, HOST/SUFFIX
      */
     Parts(int count, NodeContext context, Peers peers, String owner) {
         settings = context.settings();
--- a/src/main/java/org/shoreusher/core/StoreSchema.java
+++ b/src/main/java/org/shoreusher/core/StoreSchema.java
@@ -80,7 +80,7 @@
     /**
      * The key of a record of jobs that were accepted together.
      *
-     * @param owner the incarnation of the accepting process
+     * @param owner the name of the accepting process
      * @param n counts the records of that process
      */
     static String arrived(String owner, long n) {
@@ -124,13 +124,13 @@
     /**
      * A shard's own record.
      *
-     * @param owner the incarnation of the leading process, HOST/SUFFIX
+     * @param owner the name of the leading process, HOST/SUFFIX
      * @param expiryMs when the leader's lease expires, in wall-clock ms
      * @param term the leader's term
      * @param done completed tasks of the first chunk of jobs, as ranges by job
-     * @param standby the incarnation of the process that knows every attempt that may be on a
-     *     machine; null: none. Versions from before the standby replication drop this field when
-     *     they acquire the shard
+     * @param standby the name of the process that knows every attempt that may be on a machine;
+     *     null: none. Versions from before the standby replication drop this field when they
+     *     acquire the shard
      */
     record PartRecord(
             String owner, long expiryMs, long term, Map<String, Object> done, String standby) {
