--- a/src/main/java/org/shoreusher/core/AttemptReplicas.java
+++ b/src/main/java/org/shoreusher/core/AttemptReplicas.java
@@ -12,8 +12,8 @@
 import org.shoreusher.standby.StandbySettings;
 
 /**
- * The logs that this node receives from owners of parts as their standby, and what becomes of them
- * when it takes a part. Inert when the feature is off.
+ * The attempt logs that this node receives as the standby of shard leaders, and their use when this
+ * node becomes the leader of a shard. Does nothing when the warm standby is off.
  */
 final class AttemptReplicas {
     private final Settings settings;
@@ -25,7 +25,10 @@
     private final Map<PromotionOutcome, Integer> outcomes = new EnumMap<>(PromotionOutcome.class);
 
     /**
-     * @param process the name of this process, which no other has ever had
+     * Creates replicas for all shards, without any log.
+     *
+     * @param process the name of this process, HOST/SUFFIX; no other process ever had it
+     * @param parts the number of shards
      */
     AttemptReplicas(NodeContext context, String process, int parts) {
         settings = context.settings();
@@ -41,8 +44,9 @@
     }
 
     /**
-     * A frame of an owner has arrived. One for a former process of this host is refused, so that
-     * its sender need not wait: that process and its table are gone.
+     * Handles a log frame from a leader and sends the acknowledgement. A frame for an earlier
+     * process of this host is rejected, so that the leader need not wait for its timeout: that
+     * process and its table are gone.
      */
     void receive(LogFrame frame) {
         LogStream stream = frame.stream();
@@ -62,7 +66,7 @@
         }
     }
 
-    /** Whether the part has been taken since, as the view shows. */
+    /** Whether the store cache shows a newer leadership term of the shard. */
     private boolean ofFormerTerm(LogStream stream) {
         Fence fence = fence(stream.part());
         return fence != null && fence.term > stream.term();
@@ -75,10 +79,15 @@
         return receivers[part];
     }
 
-    /** Whose takeover was the last. */
+    /**
+     * The fencing record of a shard: who acquired its leadership last.
+     *
+     * @param owner the leader process, HOST/SUFFIX
+     * @param term the leadership term as acquired
+     */
     record Fence(String owner, long term) {}
 
-    /** The part's fence as the view has it; null if it has none. */
+    /** The shard's fencing record in the store cache; null if there is none. */
     Fence fence(int part) {
         StoreView.Entry entry = view.get(StoreSchema.fence(part));
         if (entry == null
@@ -90,11 +99,12 @@
     }
 
     /**
-     * This process has taken a part.
+     * Promotes the log of a shard whose leadership this process has just acquired.
      *
-     * @param named the standby in the record that the takeover replaced
-     * @param before the fence that it replaced; null: the part is new
-     * @return the attempts that may be on the part's machines; null if they have to be learnt
+     * @param named the standby named in the shard record that the failover replaced; null if none
+     * @param before the fencing record that the failover replaced; null if the shard is new
+     * @return the attempts that may be on the shard's machines; null if the log can't be used and
+     *     they have to be learnt from heartbeats
      */
     AttemptTable promoted(int part, String named, Fence before) {
         AttemptLogReceiver receiver = receivers[part];
@@ -109,7 +119,7 @@
         return outcome == PromotionOutcome.IN_SYNC ? receiver.takeTable() : null;
     }
 
-    /** Counts how a takeover came out, and logs it. */
+    /** Counts and logs the outcome of a promotion. */
     void count(int part, PromotionOutcome outcome) {
         int times = outcomes.merge(outcome, 1, Integer::sum);
         outbox.log(
--- a/src/main/java/org/shoreusher/core/AttemptReplication.java
+++ b/src/main/java/org/shoreusher/core/AttemptReplication.java
@@ -16,34 +16,40 @@
 import org.shoreusher.standby.StandbySettings;
 
 /**
- * Keeps a standby in step with what an owner starts. Inert when the feature is off.
+ * Replicates the attempts of a shard from its leader to a standby. Does nothing when the warm
+ * standby is off.
  *
- * <p>Invariant: <em>while a standby's name may stand in the part's record, no start leaves without
- * that standby's acknowledgement.</em> An answer that contains starts is held until then; ends, and
- * answers without starts, are not. A standby is named only after it has acknowledged a snapshot and
- * every start since, and starts are held from before the write that names it is sent. One that does
- * not answer in time is removed from the record first; until that is known to be applied, nothing
- * starts.
+ * <p>Invariant: <em>while the shard record may name a standby, no start order is sent before that
+ * standby has acknowledged it.</em> An answer that contains starts is held until then. Ends of
+ * attempts, and answers without starts, are not held. A standby is named only after it has
+ * acknowledged a snapshot and every start since. Starts are held from before the write that names
+ * it is sent. A standby that does not acknowledge in time is first removed from the record. Until
+ * the store has confirmed the removal, nothing is started.
  */
 final class AttemptReplication implements ResourceLedger.Listener {
-    /** ms; longer times count as this. */
+    /** ms; longer durations are recorded as this one. */
     private static final long LONGEST_HELD_MS = 10_000;
 
-    /** How far the owner and a standby have come. */
+    /** The phases of replication to a standby. */
     private enum Phase {
-        /** There is no standby; starts leave at once. */
+        /** There is no standby; starts are sent at once. */
         ALONE,
-        /** A snapshot is being sent; starts leave at once. */
+        /** A snapshot is being sent; starts are sent at once. */
         SNAPSHOT,
-        /** The snapshot has arrived; starts are held, and those that left before are confirmed. */
+        /** The snapshot is acknowledged; starts are held, earlier starts await acknowledgement. */
         CONFIRMING,
-        /** The name may stand in the record; starts are held until they are acknowledged. */
+        /** The shard record may name the standby; starts are held until acknowledged. */
         NAMED,
-        /** The name is being removed from the record; nothing starts. */
+        /** The name is being removed from the shard record; nothing is started. */
         REMOVING
     }
 
-    /** An answer with starts that waits for the standby to acknowledge the changes up to one. */
+    /**
+     * An answer with starts that waits for the standby's acknowledgement.
+     *
+     * @param change the number of the change up to which all changes must be acknowledged
+     * @param sinceMs steady ms at which it was held
+     */
     private record HeldAnswer(long request, List<WorkerOrder> orders, long change, long sinceMs) {}
 
     private final Part part;
@@ -56,7 +62,7 @@
     private final StandbyChooser chooser;
     private final Map<Machine, HeldAnswer> held = new LinkedHashMap<>();
 
-    /** Completed attempts whose completion is not yet durable. */
+    /** Completed attempts whose completion record is not durable yet. */
     private final List<TaskAttempt> notDurable = new ArrayList<>();
 
     private Phase phase = Phase.ALONE;
@@ -64,9 +70,10 @@
     private long namedAtMs;
     private long nextLineMs;
 
-    /** ms for which answers with starts were held since the last line about them. */
+    /** ms for which answers with starts were held, since the last statistics in the log. */
     private final Histogram heldMs = new Histogram(LONGEST_HELD_MS, 2);
 
+    /** Creates the replication of a shard that this process leads, without a standby at first. */
     AttemptReplication(
             Part part, NodeContext context, Part.Others others, PartOwnership ownership) {
         this.part = part;
@@ -90,8 +97,9 @@
         return sender == null;
     }
 
-    // ---- what happens in the part ------------------------------------------------------------
+    // ---- changes of the shard's attempts -----------------------------------------------------
 
+    /** Replicates the start of an attempt. */
     @Override
     public void added(TaskAttempt live) {
         if (!off()) {
@@ -108,9 +116,11 @@
     }
 
     /**
-     * A completed task is durable only with the next heartbeat. A taker that reads from the log
-     * that it has ended, and finds it nowhere in the store, would start it again while its silent
-     * worker holds the result; so its end is told once it is durable.
+     * Replicates the end of an attempt. The completion record of a task becomes durable only with
+     * the leader's next lease renewal. A new leader that found the end in the log, but no
+     * completion in the store, would start the task again although a worker that it has not heard
+     * from has the result. The end of a completed attempt is therefore replicated once its
+     * completion is durable.
      */
     @Override
     public void removed(TaskAttempt live) {
@@ -124,6 +134,9 @@
         }
     }
 
+    /**
+     * Whether the end can be replicated: the task did not complete, or its completion is durable.
+     */
     private static boolean durable(TaskAttempt live) {
         Job job = live.job;
         return !job.done.get(live.index) || job.durable.get(live.index) || job.closed;
@@ -133,9 +146,9 @@
         return new AttemptId(live.job.id, live.index, live.attempt);
     }
 
-    // ---- answers -----------------------------------------------------------------------------
+    // ---- answers to heartbeats ---------------------------------------------------------------
 
-    /** Whether anything may be started as far as the standby is concerned. */
+    /** Whether the state of replication permits starts, held or not. */
     boolean mayStart() {
         return phase != Phase.REMOVING;
     }
@@ -145,8 +158,8 @@
     }
 
     /**
-     * A newer report of a machine is here: what was to answer the one before never leaves, since
-     * the newer one shows that it has not arrived.
+     * Discards the held answer to a machine's previous heartbeat. A newer heartbeat has arrived, so
+     * the worker does not wait for that answer any more.
      */
     void newReport(Machine m) {
         HeldAnswer late = held.remove(m);
@@ -155,7 +168,9 @@
         }
     }
 
-    /** Answers a report, at once or as soon as the standby knows the starts in it. */
+    /**
+     * Answers a heartbeat: at once, or as soon as the standby has acknowledged the starts in it.
+     */
     void answer(long request, Machine m, List<WorkerOrder> orders) {
         boolean starts = orders.stream().anyMatch(AttemptReplication::isStart);
         if (starts && holdsStarts()) {
@@ -175,7 +190,12 @@
         outbox.answer(request, new Response.Orders(part.term(), orders));
     }
 
-    /** Sends held answers whose starts the standby knows, or need not know. */
+    /**
+     * Sends held answers.
+     *
+     * @param withStarts true: those whose starts are acknowledged or need no acknowledgement;
+     *     false: all of them, without their starts
+     */
     private void release(boolean withStarts) {
         for (Map.Entry<Machine, HeldAnswer> e : List.copyOf(held.entrySet())) {
             HeldAnswer answer = e.getValue();
@@ -185,8 +205,8 @@
             }
             held.remove(e.getKey());
             heldMs.recordValue(Math.min(LONGEST_HELD_MS, nowMs() - answer.sinceMs));
-            // Time has passed since the starts were decided: the lease, the view and the job are
-            // looked at again.
+            // Time has passed since the starts were decided, so the lease, the store cache and the
+            // jobs are checked again.
             if (part.mayAnswer()) {
                 send(answer.request, e.getKey(), stillDue(e.getKey(), answer, withStarts));
             } else {
@@ -195,7 +215,10 @@
         }
     }
 
-    /** A process that stood still may find its answer older than any standby may take. */
+    /**
+     * The orders of a held answer that are still valid. After a long pause of this process the
+     * answer may be older than the acknowledgement timeout; then its starts are dropped.
+     */
     private List<WorkerOrder> stillDue(Machine m, HeldAnswer answer, boolean withStarts) {
         boolean mayStart =
                 withStarts
@@ -217,21 +240,21 @@
 
     // ---- the standby -------------------------------------------------------------------------
 
-    /** The standby has answered. */
+    /** Handles an acknowledgement of the standby. */
     void acknowledged(LogAcknowledgement answer) {
         if (!off()) {
             sender.acknowledged(answer);
         }
     }
 
-    /** Looks after the standby, sends what is due, and lets answers go that waited for it. */
+    /** Advances the phase, sends the next frame, and sends held answers that are acknowledged. */
     void step() {
         if (off()) {
             return;
         }
         tellDurable();
-        // After a report that contradicted the log of the owner before, this one knows no more than
-        // it can tell.
+        // A heartbeat that contradicted the previous leader's log restarts reconciliation. Until it
+        // is complete this leader's own attempt table is not complete either.
         boolean follows = phase != Phase.ALONE && phase != Phase.REMOVING;
         if (follows && (!part.rebuilt() || sender.failed(nowMs(), settings.ackTimeoutMs()))) {
             giveUp();
@@ -275,6 +298,7 @@
         return outbox.now.steadyMs();
     }
 
+    /** Replicates the ends of completed attempts whose completion has become durable. */
     private void tellDurable() {
         notDurable.removeIf(
                 live -> {
@@ -286,7 +310,7 @@
                 });
     }
 
-    /** Only an owner that knows of all attempts on machines can tell them. */
+    /** Begins to replicate to the best candidate, once all attempts on machines are known. */
     private void attach() {
         if (!part.rebuilt() || !part.holds() || sender.attempts() > settings.mostAttempts()) {
             return;
@@ -298,6 +322,7 @@
         }
     }
 
+    /** Holds starts once the snapshot is acknowledged. */
     private void confirm() {
         if (sender.snapshotAcknowledged()) {
             phase = Phase.CONFIRMING;
@@ -305,6 +330,7 @@
         }
     }
 
+    /** Names the standby in the shard record once all earlier starts are acknowledged. */
     private void name() {
         if (sender.changesAcknowledged() >= confirmChange) {
             phase = Phase.NAMED;
@@ -323,6 +349,7 @@
         }
     }
 
+    /** Stops replicating to the standby, and removes its name from the record if it was named. */
     private void giveUp() {
         outbox.log(
                 "standby: part "
@@ -342,13 +369,16 @@
         }
     }
 
+    /**
+     * Sends starts without a standby again once the store has confirmed the removal of its name.
+     */
     private void goOnAlone() {
         if (ownership.surelyNoStandby()) {
             phase = Phase.ALONE;
         }
     }
 
-    /** The part is lost: nothing that was held may leave any more. */
+    /** Drops all held answers, because leadership of the shard is lost. */
     void close() {
         held.values().forEach(answer -> outbox.answerUnavailable(answer.request));
         held.clear();
--- a/src/main/java/org/shoreusher/core/Inheritance.java
+++ b/src/main/java/org/shoreusher/core/Inheritance.java
@@ -5,9 +5,10 @@
 import org.shoreusher.standby.PromotionOutcome;
 
 /**
- * What a taker has from the log of the owner before.
+ * What a new leader has from the attempt log that the previous leader replicated to it.
  *
- * @param attempts the attempts that may be on machines; null if they have to be learnt from reports
- * @param distrusted told when the log turns out not to be trusted after all, with the reason
+ * @param attempts the attempts that may be on machines; null if there is no usable log and the
+ *     attempts have to be learnt from heartbeats
+ * @param distrusted called with the reason when the log turns out to be wrong after all
  */
 record Inheritance(AttemptTable attempts, Consumer<PromotionOutcome> distrusted) {}
--- a/src/main/java/org/shoreusher/core/Rebuild.java
+++ b/src/main/java/org/shoreusher/core/Rebuild.java
@@ -14,13 +14,15 @@
 import org.shoreusher.standby.PromotionOutcome;
 
 /**
- * What a taker learns of a part: at once what the store has, and then from the reports of its
- * machines which tasks they hold. Until all have reported, or surely hold nothing, only tasks start
- * that are on none of them.
+ * Reconciliation of a new leader's state with the machines of its shard. The leader first loads
+ * jobs, completion records, high-water marks and machines from the store. The heartbeats of the
+ * machines then show which tasks they run. Until every machine has sent a heartbeat, or its worker
+ * lease has certainly expired, only tasks are started that were certainly never started before.
  *
- * <p>A taker that was the standby in sync has the attempts of all machines from its log, and need
- * not wait: what silent machines may hold is known, and keeps its room and its team's limit until
- * they report or their leases have surely ended.
+ * <p>A new leader that was the standby in sync has the attempts of all machines in its replicated
+ * log and need not wait. The attempts on machines that have not sent a heartbeat yet are known.
+ * They keep counting against their machine's resources and their team's quota until a heartbeat
+ * arrives or the worker lease has certainly expired.
  */
 final class Rebuild {
     private final Part part;
@@ -35,17 +37,18 @@
 
     private final Inheritance inheritance;
 
-    /** Whether the part goes on from the log of the owner before. */
+    /** Whether the attempts come from the replicated log of the previous leader. */
     private boolean fromLog;
 
     private boolean loaded;
     private boolean complete;
 
-    /** What machines that are not yet heard may hold, of any team. */
+    /** CPUs of machines that are not reconciled; tasks of any team may use them. */
     private double unknownCpus;
 
     private double unknownGpus;
 
+    /** Creates the reconciliation of a shard whose leadership this process has just acquired. */
     Rebuild(
             Part part,
             NodeContext context,
@@ -65,25 +68,34 @@
         this.marks = marks;
     }
 
-    /** Whether what the store has is known. */
+    /** Whether the stored state of the shard has been loaded. */
     boolean loaded() {
         return loaded;
     }
 
-    /** Whether all machines have reported or surely hold nothing. */
+    /**
+     * Whether all attempts on machines are known: from the replicated log, or because every machine
+     * has sent a heartbeat or its worker lease has certainly expired.
+     */
     boolean complete() {
         return complete;
     }
 
+    /** CPUs of machines whose tasks are unknown; tasks of any team may use them. */
     double unknownCpus() {
         return unknownCpus;
     }
 
+    /** GPUs of machines whose tasks are unknown; tasks of any team may use them. */
     double unknownGpus() {
         return unknownGpus;
     }
 
-    /** Takes on what owners before have left: jobs, their finished tasks and marks, machines. */
+    /**
+     * Loads what previous leaders stored: jobs, completed tasks, high-water marks and machines. The
+     * store cache must have reached the revision at which leadership was acquired. Then restores
+     * the attempts from the replicated log if there is one that can be used.
+     */
     void load() {
         loaded = true;
         view.under(StoreSchema.JOB)
@@ -130,6 +142,7 @@
         }
     }
 
+    /** Restores all attempts of the log, unless it names a machine that could not be loaded. */
     private void inherit(List<Attempt> attempts) {
         if (!allMachinesKnown(attempts)) {
             inheritance.distrusted().accept(PromotionOutcome.UNKNOWN_MACHINE);
@@ -140,7 +153,10 @@
         complete("from the log");
     }
 
-    /** Lets only those tasks of a job wait that were surely never started. */
+    /**
+     * Makes only those tasks of a job eligible to start that were certainly never started: the ones
+     * from the high-water mark on.
+     */
     private void holdBack(Job job) {
         job.waiting.clear();
         job.waitingCount = 0;
@@ -148,7 +164,7 @@
         job.zonesUnknown = job.startBelow > 0 && (job.spec.oneZone() || job.spec.spread());
     }
 
-    /** Whether each machine of the log that the part still has could be taken on. */
+    /** Whether each machine of the log that still has a record in this shard could be loaded. */
     private boolean allMachinesKnown(List<Attempt> attempts) {
         return attempts.stream()
                 .map(Attempt::machine)
@@ -162,8 +178,8 @@
     }
 
     /**
-     * An attempt of the log may be on its machine. One whose machine has no record any more is
-     * gone: the owner before has removed the record durably, and only then.
+     * Restores one attempt of the log, which may be on its machine. An attempt on a machine without
+     * a record is gone: the previous leader removed the record only after it knew that.
      */
     private void inherit(Attempt attempt) {
         Machine m = part.machines().get(attempt.machine());
@@ -187,7 +203,7 @@
         ledger.add(live, wanted);
     }
 
-    /** A job that has ended while its tasks may still be on machines. */
+    /** A closed job that stands in for a terminal one whose tasks may still be on machines. */
     private Job closedJob(Attempt attempt) {
         JobSpec spec =
                 JobSpec.ofRoom(
@@ -202,12 +218,13 @@
     }
 
     /**
-     * A worker shows an attempt that nothing here knows. If an owner before has started it, the log
-     * that this part goes on from is wrong, and nothing is concluded from it any more. A report
-     * that was made before its worker had heard of this term may be a late copy, and tells nothing:
-     * one counts for a machine whose lease has surely ended, and shows what ended with it.
+     * Handles an attempt in a heartbeat that the leader does not know. If a previous leader started
+     * it, the replicated log is wrong. Then the log is no longer used, and the shard is reconciled
+     * from heartbeats. A heartbeat with a fencing token from before this leadership proves nothing:
+     * it may be a delayed copy that shows tasks which have ended since.
      *
-     * @param token the highest term that the worker had seen when it made its report
+     * @param token the fencing token: the highest term that the worker had seen when it sent the
+     *     heartbeat
      */
     void unknownAttempt(Machine m, TaskReport task, long token) {
         boolean ofOwnerBefore = task.attempt() >>> Tuning.ATTEMPT_BITS < ownership.takenTerm();
@@ -232,11 +249,12 @@
         countUnheard();
     }
 
+    /** Loads one chunk of completed tasks, as index ranges by job id. */
     private void readDone(Map<String, Object> done, int chunk) {
         done.forEach(
                 (id, ranges) -> {
                     Job job = part.jobs().get(id);
-                    // An owner of a version before services may have noted a replica as finished.
+                    // A version that did not know services may have stored a replica as completed.
                     if (job != null && job.spec.shape().ends()) {
                         BitSet set = TaskRanges.parse((String) ranges);
                         job.done.or(set);
@@ -246,14 +264,17 @@
                 });
     }
 
-    /** Ends the rebuild once every machine that may hold tasks has reported or lost its lease. */
+    /**
+     * Completes the reconciliation once every machine that may run tasks has sent a heartbeat or
+     * its worker lease has certainly expired.
+     */
     void step() {
         if (!complete && countUnheard() == 0) {
             complete("from reports");
         }
     }
 
-    /** Machines that may hold tasks of which nothing is known; notes what those may take. */
+    /** Counts the machines whose tasks are unknown, and sums up their CPUs and GPUs. */
     private int countUnheard() {
         int unheard = 0;
         unknownCpus = 0;
@@ -268,6 +289,7 @@
         return unheard;
     }
 
+    /** Ends the reconciliation: all tasks without a live attempt may be started from here on. */
     private void complete(String how) {
         complete = true;
         int live = 0;
--- a/src/main/java/org/shoreusher/core/RedirectedWorkers.java
+++ b/src/main/java/org/shoreusher/core/RedirectedWorkers.java
@@ -4,12 +4,13 @@
 import org.shoreusher.settings.Tuning;
 
 /**
- * Workers of another node's part that have been answered by its owner and report here now: they
- * can't reach it any more. An owner that hears so of most of its workers gives the part up, since
- * their leases run out while it holds on to its own.
+ * Workers of a shard that another node leads, and which now send their heartbeats to this node
+ * although that leader has answered them before. Such workers can't reach their leader any more.
+ * The number goes to the leader by gossip. A leader that most of its workers can't reach releases
+ * the shard, because their leases would expire while it renews its own.
  */
 final class RedirectedWorkers {
-    /** The reports of one worker that have come here. */
+    /** The heartbeats of one worker that arrived here. */
     private static final class Visit {
         long firstMs;
         long lastMs;
@@ -17,8 +18,8 @@
         long seq;
 
         /**
-         * It has come more than once, each time with a newer report: a late copy of an old one does
-         * not.
+         * Whether it came more than once lately, each time with a newer heartbeat. Delayed copies
+         * of an old heartbeat don't count.
          */
         boolean again;
     }
@@ -26,12 +27,14 @@
     private final Object2ObjectOpenHashMap<String, Visit> visits = new Object2ObjectOpenHashMap<>();
 
     /**
-     * A worker has come from the owner. Tells whether to keep it waiting between the nodes that are
-     * there, for a moment in which the owner may give the part up: sent back at once it would hang
-     * there for its whole patience. Only if many come, for the answer to a single one may just have
-     * been lost.
+     * Records a heartbeat of a worker that belongs to another node's shard. Returns whether to
+     * redirect the worker to other reachable nodes for a while rather than to its leader. That
+     * gives an unreachable leader time to release the shard; a worker sent back at once would wait
+     * there for its full request timeout. Returns true only if many workers come, because a single
+     * worker may just have missed one answer.
      *
-     * @param machines how many there are in all
+     * @param machines the number of machines of all shards
+     * @param nowMs steady clock, ms
      */
     boolean came(WorkerReport r, int machines, long nowMs) {
         Visit v = visits.computeIfAbsent(r.machine(), id -> new Visit());
@@ -49,12 +52,17 @@
                 && visits.size() > Math.max(2, machines * Tuning.MANY_COME_SHARE);
     }
 
-    /** There is another owner. */
+    /** Forgets all workers, because the shard has another leader. */
     void clear() {
         visits.clear();
     }
 
-    /** How many have come lately, and not only once. */
+    /**
+     * The number of workers that came lately and more than once, which can't reach their leader.
+     * Removes older entries.
+     *
+     * @param nowMs steady clock, ms
+     */
     int count(long nowMs) {
         visits.values().removeIf(v -> nowMs - v.lastMs >= Tuning.COMES_BACK_MS);
         int count = 0;
--- a/src/main/java/org/shoreusher/core/ReportReader.java
+++ b/src/main/java/org/shoreusher/core/ReportReader.java
@@ -7,13 +7,17 @@
 import org.shoreusher.core.WorkerReport.TaskState;
 import org.shoreusher.settings.Tuning;
 
-/** Takes over what a machine's newest report says of the machine and of the tasks on it. */
+/**
+ * Applies a worker's newest heartbeat to the leader's state of the machine, of its tasks and of
+ * their jobs.
+ */
 final class ReportReader {
     private final Part part;
     private final Outbox outbox;
     private final Arrivals arrivals;
     private final ResourceLedger ledger;
 
+    /** Creates the reader of one shard that this process leads. */
     ReportReader(Part part, NodeContext context, ResourceLedger ledger) {
         this.part = part;
         this.ledger = ledger;
@@ -21,7 +25,10 @@
         arrivals = context.arrivals();
     }
 
-    /** Takes over what the report says. */
+    /**
+     * Applies a heartbeat. The caller has checked that it is newer than all heartbeats applied
+     * before. Attempts that it does not show are removed, since they never started or have ended.
+     */
     void read(Machine m, WorkerReport r) {
         m.session = r.session();
         m.seq = r.seq();
@@ -54,16 +61,16 @@
         }
         if (m.tasks.size() > shown.size()) {
             for (TaskAttempt live : m.tasksNow()) {
-                // A start answered to an older report is in this one, or was dropped and never
-                // happens.
+                // The start order went out in the answer to an older heartbeat. The worker has
+                // either started the task, which this heartbeat would show, or never will.
                 if (!shown.contains(Machine.taskKey(live.job.id, live.index))) {
                     ledger.remove(live);
                 }
             }
         }
         if (!Double.isNaN(m.noticeS)) {
-            // The cloud takes the machine soon: what can save its progress does so now and goes on
-            // elsewhere.
+            // Interruption notice: the cloud reclaims the machine soon. Service replicas, and tasks
+            // with enough time to save a checkpoint, are evicted gracefully and run elsewhere.
             for (TaskAttempt live : m.tasks.values()) {
                 JobSpec spec = live.job.spec;
                 if (!spec.shape().ends()
@@ -78,6 +85,9 @@
                 !m.tasks.isEmpty() ? -1 : m.idleSinceMs < 0 ? outbox.now.steadyMs() : m.idleSinceMs;
     }
 
+    /**
+     * Records a task that is on the machine, and marks it to be stopped if it must not run there.
+     */
     private void present(Machine m, String key, TaskReport t, long token) {
         TaskAttempt live = m.tasks.get(key);
         if (live != null && live.attempt != t.attempt()) {
@@ -120,7 +130,10 @@
         }
     }
 
-    /** A job that is cancelled, or unknown: then its tasks are taken to fill the machine. */
+    /**
+     * A closed job that stands in for one that is terminal or unknown. Tasks of an unknown job are
+     * assumed to use the whole machine, so that nothing else is started beside them.
+     */
     private Job unwanted(Machine m, String id) {
         JobRecord record = arrivals.record(id);
         JobSpec spec =
@@ -132,6 +145,7 @@
         return job;
     }
 
+    /** Records a task that has exited, with its completion or its failure. */
     private void exited(Machine m, String key, TaskReport t) {
         TaskAttempt live = m.tasks.get(key);
         boolean ours = live != null && live.attempt == t.attempt();
@@ -186,8 +200,8 @@
     }
 
     /**
-     * A replica runs again whatever it ended of, soon if it had run for long, ever more rarely if
-     * it ends at once again and again.
+     * Records that a service replica has exited. It is always restarted: promptly if it had run for
+     * long, and with increasing backoff if it keeps exiting early.
      */
     private void replicaEnded(Machine m, Job job, TaskAttempt live, Cause cause) {
         if (cause == Cause.ERROR || cause == Cause.DONE || cause == Cause.UNKNOWN) {
--- a/src/main/java/org/shoreusher/core/Reports.java
+++ b/src/main/java/org/shoreusher/core/Reports.java
@@ -13,10 +13,10 @@
 import org.shoreusher.settings.Tuning;
 
 /**
- * Reads the reports of a part's machines and answers them.
+ * Handles the heartbeats of a shard's workers and answers them with orders.
  *
- * <p>Promises: a task is started only in the answer to the newest report of its machine, only under
- * an unexpired lease, and only when no machine can have it.
+ * <p>Guarantees: a task is started only in the answer to the newest heartbeat of its machine, only
+ * while the leader's lease is valid, and only if no machine can be running the task.
  */
 final class Reports {
     private final Part part;
@@ -30,6 +30,7 @@
     private final Placement placement;
     private long nextAttempt = 1;
 
+    /** Creates the handler of one shard that this process leads. */
     Reports(Part part, NodeContext context, ResourceLedger ledger, StartMarks marks) {
         this.part = part;
         settings = context.settings();
@@ -42,7 +43,12 @@
         placement = new Placement(part, outbox, marks);
     }
 
-    /** Answers a report of a machine that belongs to this part, or to none yet. */
+    /**
+     * Handles one heartbeat of a machine that belongs to this shard, or to no shard yet. Exactly
+     * one answer to the request is emitted or, if a standby has to acknowledge the starts first, is
+     * emitted later. Heartbeats that must not be answered get an "unavailable" answer, and the
+     * worker tries another node.
+     */
     void report(long request, WorkerReport r) {
         if (!part.mayAnswer() || r.token() > part.term()) {
             if (!part.lost() && r.token() > part.term()) {
@@ -55,9 +61,9 @@
         if (m == null) {
             m = adopt(r);
         }
-        // A report may have been held up since before the takeover and not show what the owner
-        // before started after it. Only one made by a worker that has seen this owner's term is
-        // surely newer than all that.
+        // A heartbeat may have been delayed since before the failover and lack tasks that the
+        // previous leader started after it. Only a heartbeat with a fencing token of this leader is
+        // certain to be newer than those starts.
         if (m != null
                 && m.inherited
                 && !m.heard
@@ -67,9 +73,10 @@
             outbox.answer(request, new Response.Orders(part.term(), stopsOfCancelled(r)));
             return;
         }
-        // A late report's sender has given up on it, and of a copy nobody waits for the answer; the
-        // task list is as old as the report. A machine whose handover is on its way may hold the
-        // next owner's tasks already, which are not this one's to judge.
+        // The worker no longer waits for the answer to a delayed or duplicated heartbeat, and the
+        // task list in it is stale. A machine that is being transferred to another shard may
+        // already
+        // run tasks of that shard's leader, which must not be stopped here.
         if (m == null
                 || m.state == Machine.State.HANDING
                 || r.session() <= m.endedSession
@@ -99,10 +106,11 @@
     }
 
     /**
-     * Whether nothing that the owner before started can be left on a machine that has not seen this
-     * owner's term. Each newer report shows that its worker did not hear the answer to the one
-     * before, so its lease runs from the last answer of the owner before. Without this a machine
-     * that reports and hears nothing kept a whole rebuild waiting for as long as it was deaf.
+     * Whether no task of the previous leader can be left on a machine that has not seen this
+     * leader's term. Each newer heartbeat with an old fencing token shows that the worker did not
+     * receive the answer to the one before. Its lease therefore runs from the last answer of the
+     * previous leader. Without this check a one-way partition between one worker and the leader
+     * delayed the reconciliation of the whole shard for as long as the partition lasted.
      */
     private boolean deafSinceTakeover(Machine m, WorkerReport r) {
         boolean newer = r.newerThan(m.session, m.seq);
@@ -115,8 +123,9 @@
     }
 
     private Machine adopt(WorkerReport r) {
-        // A late copy must not bring back a machine that was returned, be its record still there or
-        // not.
+        // A delayed heartbeat must not register a terminated machine again, whether its record
+        // still
+        // exists or not.
         if (part.fleet().list().isGone(r.machine())) {
             return null;
         }
@@ -126,8 +135,9 @@
                     ? part.lifecycle().addMachine(r.machine(), record)
                     : null;
         }
-        // Nor one that an owner before has returned: what has been answered before and has no
-        // record is taken on only when the cloud says that it is there.
+        // Nor a machine that a previous leader terminated. A machine that has a fencing token but
+        // no
+        // record is registered only if the cloud lists it.
         if (r.token() > 0 && !part.fleet().list().isListed(r.machine())) {
             return null;
         }
@@ -136,7 +146,8 @@
     }
 
     /**
-     * Commands that settle what the report shows: forget what is durable, stop what must not run.
+     * Adds the orders that follow from the reported tasks: to forget exited tasks whose result is
+     * durable, and to stop tasks that must not run or are being evicted.
      */
     private void settle(Machine m, WorkerReport r, List<WorkerOrder> orders) {
         for (TaskReport t : r.tasks()) {
@@ -156,9 +167,10 @@
     }
 
     /**
-     * Stops for tasks whose job is cancelled. A cancellation is final in the store, so they are
-     * right whoever holds the part and however old the report is: each of ten owners in two minutes
-     * may give a worker just one answer.
+     * Stop orders for tasks whose job is cancelled. Cancelled is a terminal state in the store, so
+     * these orders are correct whoever leads the shard and however old the heartbeat is. They are
+     * given as early as possible because leadership may change so often that a leader answers a
+     * worker only once (seen with ten leaders in two minutes).
      */
     private List<WorkerOrder> stopsOfCancelled(WorkerReport r) {
         List<WorkerOrder> orders = new ArrayList<>();
@@ -175,7 +187,10 @@
         return orders;
     }
 
-    /** A finish may be forgotten when it, or its job's final state, is in the store. */
+    /**
+     * Whether the worker may forget an exited task: always after a failure or a stop, and after a
+     * completion once the completion record or the job's terminal state is in the store.
+     */
     private boolean forgettable(TaskReport t) {
         if (t.cause() != Cause.DONE) {
             return true;
@@ -184,24 +199,26 @@
         if (job != null) {
             return !job.spec.shape().ends() || job.durable.get(t.index());
         }
-        // Done jobs have left the view.
+        // Completed jobs are no longer open.
         JobRecord record = arrivals.record(t.job());
         return record == null || record.status() != JobStatus.OPEN;
     }
 
+    /** Starts the migrated tasks that wait for this machine, then as many planned tasks as fit. */
     private void start(Machine m, List<WorkerOrder> orders) {
-        // Answer and report have a bound on their size, whatever small tasks a large machine could
-        // hold.
+        // Migrated tasks go first: the machine's resources are already reserved for them.
         for (TaskId moved : part.balancing().takeReady(m)) {
             start(part.jobs().get(moved.job()), moved.index(), m, orders);
         }
+        // Answer and heartbeat are limited in size, however many small tasks would fit.
         int room = Tuning.MOST_TASKS_ON_MACHINE - Math.max(m.tasks.size(), m.shown);
         for (Planner.Placed p : placement.forMachine(m)) {
             int index = -1;
             for (int i = 0; i < p.count() && room > 0; i++, room--) {
                 index = p.job().waiting.nextSetBit(index + 1);
                 if (index < 0 || index >= p.job().startBelow) {
-                    // Its mark is on its way to the store; the next plan has the task again.
+                    // The raised high-water mark is not durable yet. The next plan has the task
+                    // again.
                     break;
                 }
                 start(p.job(), index, m, orders);
@@ -209,7 +226,7 @@
         }
     }
 
-    /** Starts a waiting task, under an attempt that was never used. */
+    /** Starts a pending task with an attempt number that was never used: term and counter. */
     private void start(Job job, int index, Machine m, List<WorkerOrder> orders) {
         TaskAttempt live =
                 new TaskAttempt(
--- a/src/main/java/org/shoreusher/core/WorkerOrder.java
+++ b/src/main/java/org/shoreusher/core/WorkerOrder.java
@@ -1,12 +1,24 @@
 package org.shoreusher.core;
 
-/** A command to a worker. */
+/**
+ * An order from the leader to a worker. Orders name the attempt, so that a repeated order never
+ * affects another attempt at the same task.
+ *
+ * @param kind what to do with the task
+ * @param job the id of the job
+ * @param index the task's index in its job, from 0
+ * @param attempt the attempt number
+ * @param graceS seconds that a stopped task has to save its progress; only for {@link Kind#STOP}
+ */
 public record WorkerOrder(Kind kind, String job, int index, long attempt, double graceS) {
 
     /** What the worker is to do with the task. */
     public enum Kind {
+        /** Start the task under this attempt number. */
         START,
+        /** Stop it, after the grace period at the latest. */
         STOP,
+        /** Remove the exited task from further heartbeats. */
         FORGET
     }
 }
--- a/src/main/java/org/shoreusher/standby/Attempt.java
+++ b/src/main/java/org/shoreusher/standby/Attempt.java
@@ -1,10 +1,12 @@
 package org.shoreusher.standby;
 
 /**
- * An attempt that may be on a machine, with what it takes of the machine's room and of its team's
- * limit.
+ * An attempt that may be on a machine, with the resources that it uses of the machine and of its
+ * team's quota.
  *
- * @param cpus CPUs, and the same for the others
+ * @param machine the id of the machine
+ * @param cpus number of CPUs
+ * @param gpus number of GPUs
  * @param memGb GB of memory
  */
 public record Attempt(
--- a/src/main/java/org/shoreusher/standby/AttemptId.java
+++ b/src/main/java/org/shoreusher/standby/AttemptId.java
@@ -1,8 +1,10 @@
 package org.shoreusher.standby;
 
 /**
- * Names one attempt at one task.
+ * Identifies one attempt at one task.
  *
- * @param task the task's number in its job
+ * @param job the id of the job
+ * @param task the task's index in its job, from 0
+ * @param attempt the attempt number; unique among all attempts at the task
  */
 public record AttemptId(String job, int task, long attempt) {}
--- a/src/main/java/org/shoreusher/standby/AttemptLogReceiver.java
+++ b/src/main/java/org/shoreusher/standby/AttemptLogReceiver.java
@@ -8,9 +8,8 @@
 import org.shoreusher.standby.LogRecord.Started;
 
 /**
- * The standby's side of a part's log: applies records in their order, each once, and never more
- * than it can vouch for. After a gap, a checkpoint that does not agree, or too many attempts it is
- * out of sync until a new stream begins.
+ * The standby's side of a shard's attempt log. Applies records in order, each exactly once. After a
+ * gap, a checksum mismatch, or too many attempts the log is inconsistent until a new stream begins.
  */
 public final class AttemptLogReceiver {
     private final int mostAttempts;
@@ -21,15 +20,19 @@
     private boolean broken;
 
     /**
-     * @param mostAttempts attempts that it keeps at most
+     * Creates a receiver without a log.
+     *
+     * @param mostAttempts the maximum number of attempts in the table
      */
     public AttemptLogReceiver(int mostAttempts) {
         this.mostAttempts = mostAttempts;
     }
 
     /**
-     * Takes a frame that is addressed to this process; returns the answer, or null for a frame of a
-     * stream that a newer one has replaced.
+     * Applies a frame that is addressed to this process. Idempotent: records that were applied
+     * before are skipped.
+     *
+     * @return the acknowledgement; null for a frame of a stream that a newer one has replaced
      */
     public LogAcknowledgement receive(LogFrame frame) {
         if (stream == null || frame.stream().newerThan(stream)) {
@@ -40,7 +43,7 @@
         if (!broken && frame.first() > applied + 1) {
             broken = true;
         }
-        // Records that an earlier copy of the frame has brought are passed over.
+        // Records of an earlier copy of the frame are skipped.
         for (long next = applied + 1; next <= frame.last() && !broken; next++) {
             apply(frame.records().get((int) (next - frame.first())));
             applied = next;
@@ -78,12 +81,12 @@
     }
 
     /**
-     * Whether this process may take the part over with its table.
+     * Whether this process, as the new leader of the shard, can use its table, or why not.
      *
      * @param process this process, HOST/SUFFIX
-     * @param named the standby that the record named which the takeover replaced; null: none
-     * @param owner the owner by that part's fence
-     * @param term the term of that owner's takeover, by the fence
+     * @param named the standby named in the shard record that the failover replaced; null if none
+     * @param owner the previous leader, from the shard's fencing record
+     * @param term the term at which the previous leader acquired leadership, from the same record
      */
     public PromotionOutcome outcome(String process, String named, String owner, long term) {
         if (!process.equals(named)) {
@@ -101,7 +104,7 @@
         return snapshotComplete ? PromotionOutcome.IN_SYNC : PromotionOutcome.INCOMPLETE;
     }
 
-    /** The table as far as the log has come; the receiver begins anew without one. */
+    /** Removes and returns the table. The receiver has no usable log until a new stream begins. */
     public AttemptTable takeTable() {
         AttemptTable taken = table;
         table = new AttemptTable();
@@ -110,7 +113,7 @@
         return taken;
     }
 
-    /** Attempts in the table. */
+    /** The number of attempts in the table. */
     public int attempts() {
         return table.size();
     }
--- a/src/main/java/org/shoreusher/standby/AttemptLogSender.java
+++ b/src/main/java/org/shoreusher/standby/AttemptLogSender.java
@@ -10,18 +10,21 @@
 import org.shoreusher.standby.LogRecord.Started;
 
 /**
- * The owner's side of the log. One frame is in flight at a time; what happens meanwhile gathers for
- * the next one. A frame without acknowledgement is sent again as it was, and the standby applies it
- * once. A stream begins with a snapshot in frames of bounded size, between which changes are told.
+ * The leader's side of a shard's attempt log. One frame is in flight at a time; changes meanwhile
+ * are collected for the next one. An unacknowledged frame is resent unchanged, and the standby
+ * applies it once. A stream begins with a snapshot in frames of bounded size, with changes
+ * interleaved.
  */
 public final class AttemptLogSender {
-    /** ms; a frame is sent again after this: several round trips, and well below the timeout. */
+    /**
+     * ms until a frame is resent: several round trips, and well below the acknowledgement timeout.
+     */
     private static final long RESEND_MS = 200;
 
-    /** ms; a checkpoint is sent after this at the latest, so that a dead standby is noticed. */
+    /** ms between checksums, which also serve to detect a standby that has failed. */
     private static final long CHECKPOINT_EVERY_MS = 1_000;
 
-    /** frames; a standby that is so many frames of changes behind has to begin anew. */
+    /** frames; a standby with more unsent changes than fit in so many frames is abandoned. */
     private static final int MOST_FRAMES_BEHIND = 40;
 
     private final int part;
@@ -45,14 +48,19 @@
     private long nextSequence;
     private long nextCheckpointMs;
 
-    /** Changes of the table since the beginning, told to a standby or not. */
+    /** Number of changes of the table so far, replicated or not. */
     private long changes;
 
     private long changesInFlight;
     private long changesAcknowledged;
 
     /**
-     * @param term the term of the takeover by which the owner has the part
+     * Creates a sender with an empty table and without a standby.
+     *
+     * @param part the number of the shard
+     * @param term the term at which the leader acquired leadership
+     * @param owner the leader process, HOST/SUFFIX
+     * @param frameRecords the maximum number of records in a frame
      */
     public AttemptLogSender(int part, long term, String owner, int frameRecords) {
         this.part = part;
@@ -61,13 +69,15 @@
         this.frameRecords = frameRecords;
     }
 
-    /** An attempt may be on its machine from now on. */
+    /** Records that an attempt may be on its machine from now on. */
     public void started(Attempt attempt) {
         table.add(attempt);
         changed(new Started(attempt));
     }
 
-    /** An attempt is surely not on its machine any more, and nothing of it can be lost. */
+    /**
+     * Records that an attempt is certainly off its machine, and its completion, if any, durable.
+     */
     public void ended(AttemptId id) {
         if (table.contains(id)) {
             table.remove(id);
@@ -82,12 +92,12 @@
         }
     }
 
-    /** Attempts that may be on machines now. */
+    /** The number of attempts that may be on machines now. */
     public int attempts() {
         return table.size();
     }
 
-    /** Begins a stream to a process. */
+    /** Begins a new stream to a standby process, with a snapshot of the table. */
     public void attach(String standby, long nowMs) {
         detach();
         stream = new LogStream(part, term, owner, standby, ++attachments);
@@ -97,7 +107,7 @@
         nextCheckpointMs = nowMs + CHECKPOINT_EVERY_MS;
     }
 
-    /** Ends the stream. */
+    /** Ends the stream, if there is one. */
     public void detach() {
         stream = null;
         pending.clear();
@@ -109,12 +119,12 @@
         inFlight = null;
     }
 
-    /** The process that the stream goes to; null if there is none. */
+    /** The standby process of the current stream; null if there is none. */
     public String standby() {
         return stream == null ? null : stream.standby();
     }
 
-    /** The next frame to send now, or one to send again; null if there is none. */
+    /** The frame to send now, new or to be resent; null if there is none. Steady clock, ms. */
     public LogFrame poll(long nowMs) {
         if (stream == null) {
             return null;
@@ -140,7 +150,7 @@
 
     private List<LogRecord> nextRecords(long nowMs) {
         List<LogRecord> records = new ArrayList<>();
-        // Half of a frame at least is left to the snapshot, so that it ends under any load.
+        // At least half of each frame is left to the snapshot, so that it completes under any load.
         int mostChanges = snapshotEnded ? frameRecords : Math.max(1, frameRecords / 2);
         while (!pending.isEmpty() && records.size() < mostChanges) {
             records.add(pending.poll());
@@ -151,7 +161,7 @@
                 records.add(new Started(attempt));
             }
         }
-        // Both tables are the same only when no change waits to be told.
+        // The tables can be compared only when no change is pending.
         if (pending.isEmpty() && snapshotSent == snapshot.size()) {
             addCheckpoint(records, nowMs);
         }
@@ -170,7 +180,7 @@
         }
     }
 
-    /** A standby has answered; answers of other streams and former frames change nothing. */
+    /** Handles an acknowledgement. Those of other streams and earlier frames have no effect. */
     public void acknowledged(LogAcknowledgement answer) {
         if (!answer.stream().equals(stream)) {
             return;
@@ -189,17 +199,17 @@
         return snapshotAcknowledged;
     }
 
-    /** How many changes there have been, to be compared with {@link #changesAcknowledged}. */
+    /** The number of changes so far, to be compared with {@link #changesAcknowledged}. */
     public long changes() {
         return changes;
     }
 
-    /** Up to which change the standby of the present stream has applied all. */
+    /** The number of the change up to which the current standby has applied all; 0 before that. */
     public long changesAcknowledged() {
         return snapshotAcknowledged ? changesAcknowledged : 0;
     }
 
-    /** Whether the standby can't follow: it said so, does not answer, or is too far behind. */
+    /** Whether the standby has failed: it rejected a frame, timed out, or is too far behind. */
     public boolean failed(long nowMs, long ackTimeoutMs) {
         return stream != null
                 && (rejected
--- a/src/main/java/org/shoreusher/standby/AttemptTable.java
+++ b/src/main/java/org/shoreusher/standby/AttemptTable.java
@@ -7,9 +7,9 @@
 import java.util.List;
 
 /**
- * The attempts that may be on machines, with a digest of all of them that is kept up with every
- * change: the sum of the attempts' 64-bit hashes, which does not depend on their order. XXH3 was as
- * fast as any hash of its library on such records (docs/standby-design.md).
+ * The attempts that may be on machines, with a checksum that is updated with every change: the sum
+ * of the attempts' 64-bit hashes, which does not depend on their order. XXH3 was as fast as any
+ * hash of its library on such records (docs/standby-design.md).
  */
 public final class AttemptTable {
     private final Object2ObjectOpenHashMap<AttemptId, Attempt> attempts =
@@ -17,7 +17,7 @@
     private final HashStream64 hasher = Hashing.xxh3_64().hashStream();
     private long digest;
 
-    /** Adds an attempt; one with the same name is replaced. */
+    /** Adds an attempt; one with the same id is replaced. */
     public void add(Attempt attempt) {
         Attempt before = attempts.put(attempt.id(), attempt);
         if (before != null) {
@@ -26,7 +26,7 @@
         digest += hash(attempt);
     }
 
-    /** Removes an attempt; one that is not there changes nothing. */
+    /** Removes an attempt. Has no effect if it is not in the table. */
     public void remove(AttemptId id) {
         Attempt before = attempts.remove(id);
         if (before != null) {
@@ -39,7 +39,7 @@
         return attempts.containsKey(id);
     }
 
-    /** How many attempts there are. */
+    /** The number of attempts. */
     public int size() {
         return attempts.size();
     }
@@ -49,7 +49,7 @@
         return new ArrayList<>(attempts.values());
     }
 
-    /** What two tables must agree on to be held for equal. */
+    /** The checksum by which the tables of leader and standby are compared. */
     public Checkpoint checkpoint() {
         return new Checkpoint(digest, attempts.size());
     }
@@ -68,9 +68,10 @@
     }
 
     /**
-     * Digest and size of a table at some point of the log.
+     * The checksum of a table at some point of the log.
      *
      * @param digest sum of the hashes of its attempts, modulo 2^64
+     * @param size the number of attempts
      */
     public record Checkpoint(long digest, int size) {}
 }
--- a/src/main/java/org/shoreusher/standby/LogAcknowledgement.java
+++ b/src/main/java/org/shoreusher/standby/LogAcknowledgement.java
@@ -1,10 +1,10 @@
 package org.shoreusher.standby;
 
 /**
- * What a standby answers to a frame.
+ * A standby's answer to a frame.
  *
- * @param sequence the last record that it has applied
- * @param accepted false: the standby can't follow this stream any more
+ * @param sequence the sequence number of the last record that it has applied
+ * @param accepted false if the standby's log is inconsistent and needs a new stream
  */
 public record LogAcknowledgement(LogStream stream, long sequence, boolean accepted)
         implements StandbyMessage {}
--- a/src/main/java/org/shoreusher/standby/LogFrame.java
+++ b/src/main/java/org/shoreusher/standby/LogFrame.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * Consecutive records of a stream, as many as one batch of the owner has made.
+ * Consecutive records of a stream, sent as one message.
  *
- * @param first the sequence number of the first record; the stream begins with 1
+ * @param first the sequence number of the first record; a stream begins with 1
  */
 public record LogFrame(LogStream stream, long first, List<LogRecord> records)
         implements StandbyMessage {
--- a/src/main/java/org/shoreusher/standby/LogRecord.java
+++ b/src/main/java/org/shoreusher/standby/LogRecord.java
@@ -2,24 +2,24 @@
 
 import org.shoreusher.standby.AttemptTable.Checkpoint;
 
-/** One change that the owner's log tells, in the order in which the owner decided it. */
+/** One record of the attempt log, in the order in which the leader made the changes. */
 public sealed interface LogRecord {
 
-    /** The table is told anew from here on: it is empty now. */
+    /** A snapshot begins: the table is empty now. */
     record SnapshotBegin() implements LogRecord {}
 
     /** An attempt may be on its machine from now on. */
     record Started(Attempt attempt) implements LogRecord {}
 
     /**
-     * An attempt is surely not on its machine any more. Of one that has completed this is told only
-     * when its completion is durable in the state service.
+     * An attempt is certainly off its machine. For a completed attempt this record is sent only
+     * when the completion is durable in the key-value store.
      */
     record Ended(AttemptId id) implements LogRecord {}
 
-    /** The whole table has been told; it must agree with the checkpoint. */
+    /** The snapshot is complete: the checksum of the table must be equal to this one. */
     record SnapshotEnd(Checkpoint checkpoint) implements LogRecord {}
 
-    /** The table must agree with the checkpoint now. */
+    /** The checksum of the table must be equal to this one now. */
     record Checked(Checkpoint checkpoint) implements LogRecord {}
 }
--- a/src/main/java/org/shoreusher/standby/PromotionOutcome.java
+++ b/src/main/java/org/shoreusher/standby/PromotionOutcome.java
@@ -1,22 +1,25 @@
 package org.shoreusher.standby;
 
-/** Whether a taker may start work from its log, or why it has to learn everything anew. */
+/**
+ * Whether a new leader can use its replicated log, or why it has to reconcile from heartbeats
+ * instead.
+ */
 public enum PromotionOutcome {
     /** The log holds every attempt that may be on a machine. */
     IN_SYNC("in sync"),
-    /** The record that the takeover replaced named no standby, or another process. */
+    /** The shard record that the failover replaced named no standby, or another process. */
     NOT_NAMED("the record does not name this process"),
-    /** No frame has ever come. */
+    /** No frame was ever received. */
     NO_LOG("there is no log"),
-    /** The log is of another owner or another term. */
+    /** The log is from another leader or another term. */
     OTHER_TERM("the log is of another term"),
-    /** The snapshot had not arrived whole. */
+    /** The snapshot was not received completely. */
     INCOMPLETE("the snapshot is incomplete"),
-    /** The log had a gap, was too large, or did not agree with a checkpoint. */
+    /** The log had a gap, too many attempts, or a checksum mismatch. */
     BROKEN("the log is broken"),
-    /** The log names a machine of the part whose type nobody knows. */
+    /** The log names a machine of the shard whose machine type is unknown. */
     UNKNOWN_MACHINE("the log names a machine of unknown type"),
-    /** A worker showed an attempt that the log does not know. */
+    /** A worker's heartbeat showed an attempt of a previous leader that the log lacks. */
     CONTRADICTED("a report contradicts the log");
 
     private final String reason;
@@ -25,7 +28,7 @@
         this.reason = reason;
     }
 
-    /** The outcome in words, for log lines. */
+    /** The outcome in words, for the operators' log. */
     public String reason() {
         return reason;
     }
--- a/src/main/java/org/shoreusher/standby/StandbyMessage.java
+++ b/src/main/java/org/shoreusher/standby/StandbyMessage.java
@@ -1,6 +1,6 @@
 package org.shoreusher.standby;
 
-/** What an owner and its standby send each other. */
+/** A message between a shard's leader and its standby. */
 public sealed interface StandbyMessage permits LogFrame, LogAcknowledgement {
     /** The stream that the message belongs to. */
     LogStream stream();
--- a/src/main/java/org/shoreusher/standby/package-info.java
+++ b/src/main/java/org/shoreusher/standby/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Warm standby: a log of the attempts that may be on machines, kept in step on a second controller.
- * State machines of both sides and their messages; no I/O, no clock, nothing random.
+ * Warm standby: a log of the attempts that may be on machines, replicated to a second controller.
+ * Contains the state machines of both sides and their messages. No I/O, no clock, no randomness.
  */
 package org.shoreusher.standby;
