--- a/src/main/java/org/shoreusher/core/AttemptReplication.java
+++ b/src/main/java/org/shoreusher/core/AttemptReplication.java
@@ -118,8 +118,8 @@
     /**
      * Replicates the end of an attempt. The completion record of a task becomes durable only with
      * the leader's next lease renewal. A new leader that found the end in the log, but no
-     * completion in the store, would start the task again although a worker that it has not heard
-     * from has the result. The end of a completed attempt is therefore replicated once its
+     * completion in the store, would start the task again although a worker that has not sent it a
+     * heartbeat has the result. The end of a completed attempt is therefore replicated once its
      * completion is durable.
      */
     @Override
--- a/src/main/java/org/shoreusher/core/Reports.java
+++ b/src/main/java/org/shoreusher/core/Reports.java
@@ -75,8 +75,7 @@
         }
         // The worker no longer waits for the answer to a delayed or duplicated heartbeat, and the
         // task list in it is stale. A machine that is being transferred to another shard may
-        // already
-        // run tasks of that shard's leader, which must not be stopped here.
+        // already run tasks of that shard's leader, which must not be stopped here.
         if (m == null
                 || m.state == Machine.State.HANDING
                 || r.session() <= m.endedSession
@@ -124,8 +123,7 @@
 
     private Machine adopt(WorkerReport r) {
         // A delayed heartbeat must not register a terminated machine again, whether its record
-        // still
-        // exists or not.
+        // still exists or not.
         if (part.fleet().list().isGone(r.machine())) {
             return null;
         }
@@ -136,8 +134,7 @@
                     : null;
         }
         // Nor a machine that a previous leader terminated. A machine that has a fencing token but
-        // no
-        // record is registered only if the cloud lists it.
+        // no record is registered only if the cloud lists it.
         if (r.token() > 0 && !part.fleet().list().isListed(r.machine())) {
             return null;
         }
