--- a/src/main/java/org/shoreusher/balance/BalanceStatistics.java
+++ b/src/main/java/org/shoreusher/balance/BalanceStatistics.java
@@ -21,37 +21,47 @@
 
     BalanceStatistics() {}
 
+    /** Records the skew of a high-demand team, from 0 to 1. */
     void spread(double share) {
         spread.recordValue(Math.round(Math.min(1, share) * THOUSAND));
     }
 
+    /** Counts a migration that has begun. */
     void begun() {
         begun++;
     }
 
+    /**
+     * Counts a task that has started at its target.
+     *
+     * @param afterMs ms since its migration began
+     */
     void started(long afterMs) {
         started++;
         moveMs.recordValue(Math.min(LONGEST_MS, Math.max(0, afterMs)));
     }
 
+    /** Counts a task that completed before it was stopped. */
     void completed() {
         completed++;
     }
 
+    /** Counts an abandoned migration. */
     void abandoned(Move.Reason reason) {
         abandoned.merge(reason, 1, Integer::sum);
     }
 
+    /** Records the seconds of work that one migration causes to be repeated. */
     void repeated(double seconds) {
         repeatedMs.recordValue(Math.min(LONGEST_MS, Math.round(seconds * THOUSAND)));
     }
 
-    /** Moves that have begun. */
+    /** Returns the number of migrations that have begun. */
     public int moves() {
         return begun;
     }
 
-    /** One line for the log. */
+    /** Returns a summary in one line. */
     public String line() {
         return ("spread median %.3f, 99%% %.3f, most %.3f; moves %d begun, %d started,"
                         + " %d completed before, abandoned %s; move 99%% %.1f s;"
--- a/src/main/java/org/shoreusher/balance/Balancer.java
+++ b/src/main/java/org/shoreusher/balance/Balancer.java
@@ -9,11 +9,16 @@
 import java.util.function.Predicate;
 
 /**
- * Decides for one part how far a hot team's work is spread and which running tasks are moved, and
- * keeps the moves that are under way.
+ * Decides for one shard how the load of high-demand teams is spread and which running tasks are
+ * migrated, and tracks the migrations in progress. Deterministic; not thread-safe.
  */
 public final class Balancer {
-    /** Times in ms that the deployment gives a move. */
+    /**
+     * Timeouts of a migration, which depend on the deployment.
+     *
+     * @param toLeaveMs ms within which the task must have left its source
+     * @param toStartMs ms after that within which it must have started at its target
+     */
     public record Patience(long toLeaveMs, long toStartMs) {}
 
     private final BalanceSettings settings;
@@ -25,13 +30,19 @@
     private final BalanceStatistics statistics = new BalanceStatistics();
     private final Map<TaskId, Move> moves = new LinkedHashMap<>();
 
-    /** Until when no task leaves a machine, since one has been moved there. */
+    /**
+     * Machines that no task may leave until the given time (ms), because one has just been migrated
+     * to them.
+     */
     private final Map<String, Long> keepsUntilMs = new HashMap<>();
 
-    /** Until when no task is moved to a machine, since one has been moved away. */
+    /**
+     * Machines that no task may be migrated to until the given time (ms), because one has just left
+     * them.
+     */
     private final Map<String, Long> closedUntilMs = new HashMap<>();
 
-    /** A balancer that knows no machine yet. */
+    /** Creates a balancer that knows no machines yet. */
     public Balancer(BalanceSettings settings, Patience patience) {
         this.settings = settings;
         this.patience = patience;
@@ -40,37 +51,38 @@
         planner = new MovePlanner(settings, load);
     }
 
-    /** The load of the machines, to be kept up to date by the caller. */
+    /** Returns the load of the machines, which the caller keeps up to date. */
     public LoadModel load() {
         return load;
     }
 
-    /** What moves may cost, to be told by the caller of tasks on machines and jobs ended. */
+    /** Returns the budget of migrations, which the caller keeps up to date with tasks and jobs. */
     public MoveBudget budget() {
         return budget;
     }
 
-    /** What has been done so far. */
+    /** Returns the statistics of all migrations so far. */
     public BalanceStatistics statistics() {
         return statistics;
     }
 
-    /** Takes on what each team wants beyond what it uses, in CPUs. */
+    /** Updates the CPUs that each team wants beyond what it uses. */
     public void demand(Map<String, Double> wantedCpus) {
         heat.demand(wantedCpus);
     }
 
-    /** Whether a team's work is to be spread. */
+    /** Whether the team's demand is high, so that its load is to be spread. */
     public boolean hot(String team) {
         return heat.hot(team);
     }
 
     /**
-     * CPUs that a team may use on a machine as long as others have room: at least one task's. No
-     * limit unless the team is hot.
+     * Returns the most CPUs that a team may use on a machine while other machines have capacity: at
+     * least those of one task, and infinite unless the team's demand is high.
      *
-     * @param fetchShare share of a task's time that the fetch of its image takes elsewhere, if the
-     *     machine has the image: it is weighed against the spread, CPU for CPU
+     * @param taskCpus CPUs of one task
+     * @param fetchShare share of a task's time that fetching its image elsewhere takes, if the
+     *     machine has the image; 0 otherwise. It raises the limit, CPU for CPU
      */
     public double cpusAllowed(String machine, String team, double taskCpus, double fetchShare) {
         MachineLoad on = load.load(machine);
@@ -81,9 +93,13 @@
                 taskCpus, (heat.share(team) + settings.spreadMargin() + fetchShare) * on.cpus());
     }
 
-    // ---- moves -------------------------------------------------------------------------------
+    // ---- migrations --------------------------------------------------------------------------
 
-    /** Begins the moves that are worth it now. */
+    /**
+     * Begins the migrations that are worth their cost now.
+     *
+     * @return the migrations that have begun
+     */
     public List<Move> plan(FleetView view, long nowMs) {
         keepsUntilMs.values().removeIf(untilMs -> untilMs <= nowMs);
         closedUntilMs.values().removeIf(untilMs -> untilMs <= nowMs);
@@ -109,7 +125,10 @@
         return move;
     }
 
-    /** The bounds of one plan, by the moves under way and those that it has begun. */
+    /**
+     * The limits of one planning round, from the migrations in progress and those that the round
+     * has begun.
+     */
     private final class Planning implements MovePlanner.Moves {
         private final long nowMs;
         private final List<Move> begun = new ArrayList<>();
@@ -179,22 +198,22 @@
         return on == null ? "" : on.zone();
     }
 
-    /** The move of a task that is under way; null if there is none. */
+    /** Returns the migration of a task that is in progress; null if there is none. */
     public Move move(TaskId task) {
         return moves.get(task);
     }
 
     /**
-     * The task of a move has surely left its source.
+     * The task of a migration has certainly left its source.
      *
-     * @param saved whether the source has shown that its progress was saved
+     * @param saved whether the source has reported that the task wrote a checkpoint
      */
     public void leftSource(Move move, boolean saved, long nowMs) {
         settle(move, saved ? 0 : move.task().unsavedS());
         move.leftSource(nowMs + patience.toStartMs());
     }
 
-    /** The task of a move has completed before it was stopped. */
+    /** The task of a migration completed before it was stopped. */
     public void completed(Move move, long nowMs) {
         settle(move, 0);
         move.completed();
@@ -202,17 +221,17 @@
         ended(move, nowMs);
     }
 
-    /** The task of a move was started at its target. */
+    /** The task of a migration was started at its target. */
     public void started(Move move, long nowMs) {
         move.started();
         statistics.started(nowMs - move.begunMs());
         ended(move, nowMs);
     }
 
-    /** A move goes no further. */
+    /** Abandons a migration. */
     public void abandon(Move move, Move.Reason reason, long nowMs) {
         if (move.state() == Move.State.STOPPING) {
-            // Its task may yet lose what it has not saved.
+            // The task may still lose the work since its last checkpoint.
             settle(move, move.task().unsavedS());
         }
         move.abandon(reason);
@@ -220,7 +239,7 @@
         ended(move, nowMs);
     }
 
-    /** Why a move takes too long; null if it does not. */
+    /** Returns why a migration has timed out; null if it has not. */
     public Move.Reason overdue(Move move, long nowMs) {
         if (!move.overdue(nowMs)) {
             return null;
--- a/src/main/java/org/shoreusher/balance/FleetView.java
+++ b/src/main/java/org/shoreusher/balance/FleetView.java
@@ -2,11 +2,14 @@
 
 import java.util.List;
 
-/** What the balancer asks of the scheduler about machines and tasks as they are now. */
+/** The scheduler's current state of machines and tasks, as far as the balancer needs it. */
 public interface FleetView {
-    /** Tasks of a team on a machine that may be moved now. */
+    /** Returns the tasks of a team on a machine that may be migrated now. */
     List<MovableTask> movableTasks(String machine, String team);
 
-    /** Whether a machine reports, may be given work, and has room for the task that is allowed. */
+    /**
+     * Whether a machine is responsive, accepts work, and has capacity for the task within the job's
+     * constraints.
+     */
     boolean takes(String machine, MovableTask task);
 }
--- a/src/main/java/org/shoreusher/balance/LoadModel.java
+++ b/src/main/java/org/shoreusher/balance/LoadModel.java
@@ -9,15 +9,16 @@
 import java.util.Set;
 
 /**
- * The load of the machines by team, kept up to date task by task and report by report.
+ * The load of the machines by team, updated with every task and heartbeat.
  *
- * <p>The spread of a team is the largest share of a machine's CPUs that the team uses there beyond
+ * <p>The skew of a team is the largest share of a machine's CPUs that the team uses there beyond
  * one task, less the team's mean share over all machines: {@code max_m((c_tm - q_tm) / C_m) - sum
  * c_tm / sum C_m}, where {@code c_tm} are the team's CPUs on machine {@code m}, {@code q_tm} its
- * largest task there and {@code C_m} the machine's CPUs. It is 0 if that is below 0.
+ * largest task there and {@code C_m} the machine's CPUs. It is at least 0. One task is left out
+ * since a single task cannot be spread.
  */
 public final class LoadModel {
-    /** A team's use of all machines. */
+    /** A team's load over all machines. */
     private static final class TeamLoad {
         private final Set<String> machines = new LinkedHashSet<>();
         private double cpus;
@@ -28,7 +29,7 @@
     private final List<String> order = new ArrayList<>();
     private double cpus;
 
-    /** A machine is there; nothing happens if it was before. */
+    /** Adds a machine; does nothing if it is known already. */
     public void machine(String id, String zone, double machineCpus, double fetchGbPerS) {
         if (machines.containsKey(id) || machineCpus <= 0) {
             return;
@@ -38,7 +39,7 @@
         cpus += machineCpus;
     }
 
-    /** A machine is gone, with all that was on it. */
+    /** Removes a machine and everything on it. */
     public void machineGone(String id) {
         MachineLoad machine = machines.remove(id);
         if (machine == null) {
@@ -53,7 +54,7 @@
         }
     }
 
-    /** A task is on a machine from now on, or may be. Machines that are unknown change nothing. */
+    /** Adds a task that is or may be on a machine. Unknown machines are ignored. */
     public void taskAdded(String id, String team, double taskCpus, String image) {
         MachineLoad machine = machines.get(id);
         if (machine == null) {
@@ -65,7 +66,7 @@
         load.cpus += taskCpus;
     }
 
-    /** A task is surely not on a machine any more. */
+    /** Removes a task that is certainly no longer on a machine. Unknown machines are ignored. */
     public void taskRemoved(String id, String team, double taskCpus) {
         MachineLoad machine = machines.get(id);
         TeamLoad load = teams.get(team);
@@ -79,29 +80,29 @@
         }
     }
 
-    /** CPUs of all machines. */
+    /** Returns the CPUs of all machines. */
     public double cpus() {
         return cpus;
     }
 
-    /** CPUs that a team uses. */
+    /** Returns the CPUs that a team uses. */
     public double cpus(String team) {
         TeamLoad load = teams.get(team);
         return load == null ? 0 : Math.max(0, load.cpus);
     }
 
-    /** CPUs that a team uses on one machine. */
+    /** Returns the CPUs that a team uses on one machine. */
     public double cpusOn(String id, String team) {
         MachineLoad machine = machines.get(id);
         return machine == null ? 0 : machine.cpus(team);
     }
 
-    /** Share of all CPUs that a team uses. */
+    /** Returns the share of all CPUs that a team uses, from 0 to 1. */
     public double mean(String team) {
         return cpus <= 0 ? 0 : cpus(team) / cpus;
     }
 
-    /** How unevenly a team's load lies on the machines, as the class comment defines it. */
+    /** Returns the skew of a team as the class comment defines it. */
     public double spread(String team) {
         double most = 0;
         for (String id : machinesOf(team)) {
@@ -110,27 +111,28 @@
         return Math.max(0, most - mean(team));
     }
 
-    /** Teams that use anything. */
+    /** Returns the teams that have ever used a machine. */
     public Iterable<String> teams() {
         return teams.keySet();
     }
 
-    /** The machines that a team uses. */
+    /** Returns the machines that a team uses. */
     Iterable<String> machinesOf(String team) {
         TeamLoad load = teams.get(team);
         return load == null ? List.of() : load.machines;
     }
 
+    /** Returns the load of a machine; null if it is unknown. */
     MachineLoad load(String id) {
         return machines.get(id);
     }
 
-    /** How many machines there are. */
+    /** Returns the number of machines. */
     int size() {
         return order.size();
     }
 
-    /** A machine by its place in the order in which they came. */
+    /** Returns a machine by its index in the order in which machines were added. */
     MachineLoad at(int place) {
         return machines.get(order.get(place));
     }
--- a/src/main/java/org/shoreusher/balance/MachineLoad.java
+++ b/src/main/java/org/shoreusher/balance/MachineLoad.java
@@ -6,13 +6,16 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** What is on one machine, by team, and which images it has. */
+/** The load of one machine by team, and the images that it has. */
 final class MachineLoad {
-    /** The tasks of a team on the machine; the sizes are kept since one task alone is no spread. */
+    /**
+     * The tasks of a team on the machine. Task sizes are kept because the largest task does not
+     * count as skew.
+     */
     private static final class TeamUse {
         private double cpus;
 
-        /** How many tasks there are of each size. */
+        /** Number of tasks by CPUs per task. */
         private final TreeMap<Double, Integer> sizes = new TreeMap<>();
     }
 
@@ -23,6 +26,7 @@
     private final Map<String, TeamUse> teams = new HashMap<>();
     private final Set<String> images = new HashSet<>();
 
+    /** Creates the load of an empty machine. */
     MachineLoad(String id, String zone, double cpus, double fetchGbPerS) {
         this.id = id;
         this.zone = zone;
@@ -42,6 +46,7 @@
         return cpus;
     }
 
+    /** Adds a task. Its image is on the machine from now on. */
     void add(String team, double taskCpus, String image) {
         TeamUse use = teams.computeIfAbsent(team, t -> new TeamUse());
         use.cpus += taskCpus;
@@ -49,6 +54,7 @@
         images.add(image);
     }
 
+    /** Removes a task. */
     void remove(String team, double taskCpus) {
         TeamUse use = teams.get(team);
         if (use == null) {
@@ -61,17 +67,19 @@
         }
     }
 
+    /** Returns the CPUs that a team uses here. */
     double cpus(String team) {
         TeamUse use = teams.get(team);
         return use == null ? 0 : use.cpus;
     }
 
-    /** Share of the machine that the team uses beyond its largest task there. */
+    /** Returns the share of the machine's CPUs that the team uses beyond its largest task here. */
     double shareBeyondOneTask(String team) {
         TeamUse use = teams.get(team);
         return use == null ? 0 : Math.max(0, use.cpus - use.sizes.lastKey()) / cpus;
     }
 
+    /** Whether the team has tasks here. */
     boolean has(String team) {
         return teams.containsKey(team);
     }
@@ -80,7 +88,7 @@
         return teams.keySet();
     }
 
-    /** Seconds until an image is there; none if a task has had it here. */
+    /** Returns the seconds that fetching an image takes here; 0 if a task here has used it. */
     double fetchS(String image, double imageGb) {
         return images.contains(image) || fetchGbPerS <= 0 ? 0 : imageGb / fetchGbPerS;
     }
--- a/src/main/java/org/shoreusher/balance/MovableTask.java
+++ b/src/main/java/org/shoreusher/balance/MovableTask.java
@@ -1,12 +1,12 @@
 package org.shoreusher.balance;
 
 /**
- * A running task that may be stopped and started again elsewhere.
+ * A running task that can be stopped and restarted on another machine.
  *
- * @param machine where it runs
- * @param remainingS seconds that it is expected still to run
- * @param unsavedS seconds of its progress that would be repeated if its save failed
- * @param saveS seconds that it takes to save when it is stopped
+ * @param machine the machine on which it runs
+ * @param remainingS estimated seconds that it still has to run
+ * @param unsavedS seconds of progress that would be repeated if writing a checkpoint failed
+ * @param saveS seconds that writing a checkpoint takes when it is stopped
  */
 public record MovableTask(
         TaskId id,
--- a/src/main/java/org/shoreusher/balance/Move.java
+++ b/src/main/java/org/shoreusher/balance/Move.java
@@ -1,24 +1,24 @@
 package org.shoreusher.balance;
 
 /**
- * One task on its way from a machine to another.
+ * The migration of one task from a machine to another.
  *
- * <p>Promise: the task may be started at the target only in state {@link State#STARTING}, which is
- * reached only when it has surely left the source. Every other end puts it back into the queue, but
- * for a task that completed before it was stopped.
+ * <p>Invariant: the task may be started at the target only in state {@link State#STARTING}, which
+ * is reached only after it has certainly left the source. Every other outcome puts the task back
+ * into the queue, unless it completed before it was stopped.
  */
 public final class Move {
-    /** Where a move stands. */
+    /** State of a migration. */
     public enum State {
-        /** The task is told to stop; room for it is reserved at the target. */
+        /** The task has been told to stop; capacity is reserved at the target. */
         STOPPING(false),
-        /** The task has left the source and waits for the target's next report. */
+        /** The task has left the source and waits for the target's next heartbeat. */
         STARTING(false),
-        /** The start was given to the target. */
+        /** The start order was sent to the target. */
         STARTED(true),
         /** The task completed before it was stopped. */
         COMPLETED(true),
-        /** The task waits in the queue, or its job is over. */
+        /** The task is back in the queue, or its job has ended. */
         ABANDONED(true);
 
         private final boolean ended;
@@ -27,25 +27,25 @@
             this.ended = ended;
         }
 
-        /** Whether nothing more happens to the move. */
+        /** Whether the state is terminal. */
         public boolean ended() {
             return ended;
         }
     }
 
-    /** Why a move was abandoned. */
+    /** Why a migration was abandoned. The names appear in the log. */
     public enum Reason {
-        /** The target is gone, silent, deaf, leaving or full. */
+        /** The target is gone, unresponsive, cordoned or full, or does not receive responses. */
         TARGET_LOST,
-        /** The job was cancelled or handed to another part. */
+        /** The job was cancelled or moved to another shard. */
         JOB_CLOSED,
-        /** The source did not show that the task is gone in time. */
+        /** The source did not report in time that the task is gone. */
         SOURCE_SILENT,
-        /** The target did not report in time. */
+        /** The target sent no heartbeat in time. */
         TARGET_SILENT,
-        /** The team's limit leaves no room for the task. */
+        /** The team's quota has no headroom for the task. */
         TEAM_LIMIT,
-        /** What is known of the machines has turned out not to be what is on them. */
+        /** The known state of the machines has turned out to be wrong. */
         REBUILD
     }
 
@@ -58,9 +58,9 @@
     private long dueMs;
 
     /**
-     * A move that begins now.
+     * Creates a migration that begins now.
      *
-     * @param dueMs when the task must have left the source
+     * @param dueMs time (ms) by which the task must have left the source
      */
     Move(MovableTask task, String target, double gainS, long nowMs, long dueMs) {
         this.task = task;
@@ -70,57 +70,81 @@
         this.dueMs = dueMs;
     }
 
-    /** The task as it was when the move began. */
+    /** Returns the task as it was when the migration began. */
     public MovableTask task() {
         return task;
     }
 
-    /** The machine it goes to. */
+    /** Returns the machine to which the task is migrated. */
     public String target() {
         return target;
     }
 
-    /** Seconds that the task is expected to run at the target, less what the move costs. */
+    /**
+     * Returns the seconds that the task is expected to run at the target, less the cost of the
+     * migration.
+     */
     public double gainS() {
         return gainS;
     }
 
-    /** When the move began. */
+    /** Returns the time (ms) at which the migration began. */
     public long begunMs() {
         return begunMs;
     }
 
-    /** Where it stands. */
+    /** Returns the current state. */
     public State state() {
         return state;
     }
 
-    /** Why it was abandoned; null unless it was. */
+    /** Returns why the migration was abandoned; null unless it was. */
     public Reason reason() {
         return reason;
     }
 
-    /** Whether the next step has not come in time. */
+    /** Whether the next step has not happened in time. */
     boolean overdue(long nowMs) {
         return !state.ended() && nowMs >= dueMs;
     }
 
+    /**
+     * The task has left the source.
+     *
+     * @param startDueMs time (ms) by which it must have started at the target
+     * @throws IllegalStateException unless the state is {@link State#STOPPING}
+     */
     void leftSource(long startDueMs) {
         require(State.STOPPING);
         state = State.STARTING;
         dueMs = startDueMs;
     }
 
+    /**
+     * The task was started at the target.
+     *
+     * @throws IllegalStateException unless the state is {@link State#STARTING}
+     */
     void started() {
         require(State.STARTING);
         state = State.STARTED;
     }
 
+    /**
+     * The task completed before it was stopped.
+     *
+     * @throws IllegalStateException unless the state is {@link State#STOPPING}
+     */
     void completed() {
         require(State.STOPPING);
         state = State.COMPLETED;
     }
 
+    /**
+     * Abandons the migration.
+     *
+     * @throws IllegalStateException if its state is terminal
+     */
     void abandon(Reason why) {
         if (state.ended()) {
             throw new IllegalStateException("a move that has ended can't be abandoned: " + state);
--- a/src/main/java/org/shoreusher/balance/MoveBudget.java
+++ b/src/main/java/org/shoreusher/balance/MoveBudget.java
@@ -7,14 +7,14 @@
 import org.shoreusher.balance.BalanceSettings.ClassBudget;
 
 /**
- * How often tasks may still be moved, and how much of their work may be repeated because of it: a
- * share of the time that tasks of the class have spent on machines.
+ * Limits how often tasks are migrated, and how much work is repeated because of it: a share of the
+ * time that tasks of the job class have spent on machines.
  *
- * <p>Nothing of it is stored. A job that was begun under an owner before counts as having used up
- * its moves, so that a change of owner never refills a budget.
+ * <p>Nothing is stored. The tasks of a job that was started under a previous leader count as having
+ * used up their migrations, so that a failover never refills a budget.
  */
 public final class MoveBudget {
-    /** What a class has done and what moves have cost it. */
+    /** The run time of a job class and what migrations have cost it. */
     private static final class Account {
         private int running;
         private long sinceMs;
@@ -22,6 +22,7 @@
         private double repeatedS;
         private double atRiskS;
 
+        /** Adds the run time since the last call. */
         void passed(long nowMs) {
             workedS += running * (nowMs - sinceMs) / 1_000.0;
             sinceMs = nowMs;
@@ -37,32 +38,34 @@
         this.settings = settings;
     }
 
-    /** A job was begun under an owner before: how often its tasks were moved is not known. */
+    /**
+     * A job was started under a previous leader: how often its tasks were migrated is not known.
+     */
     public void begunBefore(String job) {
         spent.add(job);
     }
 
-    /** A job has ended. */
+    /** Forgets a job that has ended. */
     public void jobEnded(String job) {
         spent.remove(job);
         moves.remove(job);
     }
 
-    /** A task of a class is on a machine from now on. */
+    /** Counts a task of the class that is on a machine from now on. */
     public void taskAdded(String jobClass, long nowMs) {
         Account account = account(jobClass);
         account.passed(nowMs);
         account.running++;
     }
 
-    /** A task of a class is on a machine no more. */
+    /** Counts a task of the class that is no longer on a machine. */
     public void taskRemoved(String jobClass, long nowMs) {
         Account account = account(jobClass);
         account.passed(nowMs);
         account.running = Math.max(0, account.running - 1);
     }
 
-    /** Whether a task may be moved now. */
+    /** Whether a task may be migrated now. */
     boolean allows(MovableTask task, long nowMs) {
         ClassBudget budget = settings.budget(task.jobClass());
         Account account = account(task.jobClass());
@@ -73,14 +76,18 @@
                         <= budget.repeatedShare() * account.workedS;
     }
 
-    /** A move begins; until it is known whether the save succeeds its unsaved work is at risk. */
+    /** Counts a migration that begins. Its unsaved work is at risk until {@link #settle}. */
     void begin(MovableTask task) {
         moves.computeIfAbsent(task.id().job(), job -> new HashMap<>())
                 .merge(task.id().index(), 1, Integer::sum);
         account(task.jobClass()).atRiskS += task.unsavedS();
     }
 
-    /** The task has left its machine; {@code repeatedS} of its work has to be done again. */
+    /**
+     * The task has left its machine.
+     *
+     * @param repeatedS seconds of its work that must be repeated
+     */
     void settle(MovableTask task, double repeatedS) {
         Account account = account(task.jobClass());
         account.atRiskS -= task.unsavedS();
@@ -91,7 +98,7 @@
         return moves.getOrDefault(task.job(), Map.of()).getOrDefault(task.index(), 0);
     }
 
-    /** Seconds of work of a class that moves have caused to be repeated. */
+    /** Returns the seconds of work of a job class that migrations have caused to be repeated. */
     public double repeatedS(String jobClass) {
         return account(jobClass).repeatedS;
     }
--- a/src/main/java/org/shoreusher/balance/MovePlanner.java
+++ b/src/main/java/org/shoreusher/balance/MovePlanner.java
@@ -5,60 +5,73 @@
 import java.util.List;
 
 /**
- * Chooses moves that bring a hot team's spread back within the margin: from the machine with the
- * largest share to one where the share stays within it. A plan looks at a bounded number of
- * machines, whatever their number; the next one goes on where it ended.
+ * Selects migrations that bring the skew of a high-demand team back within the margin: from the
+ * machines with the largest share of the team's load to machines whose share stays below. A
+ * planning round examines a bounded number of machines; the next round continues where it ended.
  */
 final class MovePlanner {
-    /** A task, its target, and the expected gain in seconds. */
+    /**
+     * A migration worth its cost.
+     *
+     * @param task the task
+     * @param target the machine to which it goes
+     * @param gainS expected gain in seconds
+     */
     record Choice(MovableTask task, String target, double gainS) {}
 
-    /** The moves under way, which bound what may be begun. */
+    /** Limits on further migrations, from those in progress. */
     interface Moves {
-        /** Whether one more of a team may begin. */
+        /** Whether another migration of the team may begin. */
         boolean room(String team);
 
-        /** Whether a task may be moved, for its budget and the moves under way. */
+        /** Whether the task may be migrated, given its budget and the migrations in progress. */
         boolean allows(MovableTask task);
 
-        /** Whether tasks may leave a machine: none has lately come. */
+        /** Whether tasks may leave the machine: none has recently been migrated to it. */
         boolean mayLeave(String machine);
 
-        /** Whether tasks may come to a machine: none has lately left. */
+        /** Whether tasks may be migrated to the machine: none has recently left it. */
         boolean mayEnter(String machine);
 
-        /** CPUs of a team that are about to leave a machine. */
+        /** Returns the CPUs of a team that are about to leave a machine. */
         double leaving(String machine, String team);
 
-        /** Whether one more may go into a zone. */
+        /** Whether another migration into the zone may begin. */
         boolean roomInZone(String zone);
 
-        /** CPUs of a team that are on their way to a machine. */
+        /** Returns the CPUs of a team that are being migrated to a machine. */
         double coming(String machine, String team);
 
-        /** A move begins. */
+        /** Begins a migration. */
         void begin(Choice choice);
     }
 
-    /** Overloaded machines that one plan takes tasks from. */
+    /** Largest number of overloaded machines that one round takes tasks from. */
     private static final int SOURCES = 32;
 
-    /** Machines that one plan considers as targets. */
+    /** Largest number of machines that one round considers as targets. */
     private static final int TARGETS = 256;
 
-    /** Seconds until a task that is asked for begins: the target's next report and the start. */
+    /**
+     * Seconds from the decision to start a task until it runs: the next heartbeat of the target,
+     * and the start itself.
+     */
     private static final double START_LAG_S = 2;
 
     private final BalanceSettings settings;
     private final LoadModel load;
     private int nextTarget;
 
+    /** Creates a planner that reads the given load. */
     MovePlanner(BalanceSettings settings, LoadModel load) {
         this.settings = settings;
         this.load = load;
     }
 
-    /** Chooses moves of a team; each is begun at once, so that the next one sees what is left. */
+    /**
+     * Selects migrations of a team. Each begins at once, so that the next selection takes it into
+     * account.
+     */
     void choose(String team, FleetView view, Moves moves) {
         double limit = load.mean(team) + settings.spreadMargin();
         if (load.spread(team) <= settings.spreadMargin() + settings.hysteresis()) {
@@ -77,7 +90,7 @@
         }
     }
 
-    /** Machines above the limit, the one with the largest share first. */
+    /** Returns the machines above the limit, the largest share first. */
     private List<MachineLoad> sources(String team, double limit, Moves moves) {
         List<MachineLoad> sources = new ArrayList<>();
         for (String id : load.machinesOf(team)) {
@@ -93,7 +106,7 @@
         return sources.subList(0, Math.min(SOURCES, sources.size()));
     }
 
-    /** The next machines in order, those with the least share first. */
+    /** Returns the next machines in the round-robin order, the smallest share first. */
     private List<MachineLoad> targets(String team, Moves moves) {
         List<MachineLoad> targets = new ArrayList<>();
         int count = Math.min(TARGETS, load.size());
@@ -111,7 +124,9 @@
         return (machine.cpus(team) + moves.coming(machine.id(), team)) / machine.cpus();
     }
 
-    /** The task and target with the largest gain; null if no move is worth its cost. */
+    /**
+     * Returns the task and target with the largest gain; null if no migration is worth its cost.
+     */
     private Choice choose(
             MachineLoad source,
             List<MachineLoad> targets,
@@ -123,7 +138,7 @@
         }
         Choice best = null;
         for (MovableTask task : view.movableTasks(source.id(), team)) {
-            // No target can do better than one that has the image.
+            // Upper bound: a target that already has the image.
             double mostS = task.remainingS() - task.saveS() - START_LAG_S;
             if (!moves.allows(task) || (best != null && best.gainS() >= mostS)) {
                 continue;
@@ -155,7 +170,10 @@
         return task.remainingS() >= settings.leastGain() * costS(task, target);
     }
 
-    /** Whether the target has less of the team after the move than the source before it. */
+    /**
+     * Whether the team's share at the target after the migration is below its share at the source
+     * before.
+     */
     private static boolean lowers(
             MachineLoad source, MachineLoad target, MovableTask task, Moves moves) {
         double after = share(target, task.team(), moves) + task.cpus() / target.cpus();
--- a/src/main/java/org/shoreusher/balance/TaskId.java
+++ b/src/main/java/org/shoreusher/balance/TaskId.java
@@ -1,6 +1,11 @@
 package org.shoreusher.balance;
 
-/** A task: its job and its number in it. */
+/**
+ * Identifies a task.
+ *
+ * @param job id of the job
+ * @param index index of the task in the job
+ */
 public record TaskId(String job, int index) {
     @Override
     public String toString() {
--- a/src/main/java/org/shoreusher/core/Balancing.java
+++ b/src/main/java/org/shoreusher/core/Balancing.java
@@ -15,22 +15,23 @@
 import org.shoreusher.settings.Tuning;
 
 /**
- * Carries out what the balancer decides for a part: limits how much of a hot team's work goes on
- * one machine, and moves running tasks. Inert when the feature is off.
+ * Carries out the balancer's decisions for a shard: limits how much of a high-demand team's load is
+ * placed on one machine, and migrates running tasks. Does nothing when the feature is disabled.
  *
- * <p>Promise: a task that is moved is started at its target only in the answer to a report, under
- * the same checks as any other, and only after the source has shown that it is gone or its lease
- * has surely ended. Until then it is booked at the source; from then until its start its room and
- * its team's are held, so it never counts twice.
+ * <p>Invariant: a migrated task starts at its target only in a response to a heartbeat, under the
+ * same checks as any other task, and only after the source has reported that the task is gone or
+ * the source's lease has certainly expired. Until then the task is accounted at the source.
+ * Afterwards, until its start, its resources at the target and its team's quota are reserved, so it
+ * is never counted twice.
  */
 final class Balancing implements ResourceLedger.Listener, Planner.SpreadLimit, FleetView {
-    /** What is held for a move: the task, and room for it at the target. */
+    /** A migration in progress, with the capacity reserved at its target. */
     private static final class Reservation {
         private final Move move;
         private final TaskAttempt source;
         private final Machine target;
 
-        /** Whether the task has left the source, and its team's room is held. */
+        /** Whether the task has left the source; its team's quota is then reserved. */
         private boolean left;
 
         Reservation(Move move, TaskAttempt source, Machine target) {
@@ -52,6 +53,7 @@
     private long nextStepMs;
     private long nextLineMs;
 
+    /** Creates the migrations of one shard; disabled if the features have no balance section. */
     Balancing(Part part, NodeContext context, ResourceLedger ledger) {
         this.part = part;
         this.ledger = ledger;
@@ -61,7 +63,8 @@
     }
 
     private Balancer.Patience patience(NodeContext context) {
-        // The source shows the end within its lease, or the lease ends; the target reports soon.
+        // The source reports the exit before its lease expires, or the lease expires; the target
+        // reports soon after.
         long reportMs = Math.round(context.settings().reportS() * 1_000);
         return new Balancer.Patience(
                 PartLease.workerLeaseMs(context.settings()) + 2 * reportMs,
@@ -72,30 +75,30 @@
         return balancer == null;
     }
 
-    // ---- what happens in the part ------------------------------------------------------------
+    // ---- events of the shard -----------------------------------------------------------------
 
-    /** A machine has reported. */
+    /** A machine has sent a heartbeat. */
     void reported(Machine m) {
         if (!off()) {
             balancer.load().machine(m.id, m.zone, m.type.cpus(), m.type.fetchGbPerS());
         }
     }
 
-    /** A machine does not belong to the part any more. */
+    /** A machine no longer belongs to the shard. */
     void machineGone(String id) {
         if (!off()) {
             balancer.load().machineGone(id);
         }
     }
 
-    /** A job was begun under an owner before. */
+    /** A job was started under a previous leader. */
     void begunBefore(Job job) {
         if (!off()) {
             balancer.budget().begunBefore(job.id);
         }
     }
 
-    /** A job has ended. */
+    /** A job has reached a terminal state. */
     void jobEnded(Job job) {
         if (!off()) {
             balancer.budget().jobEnded(job.id);
@@ -137,11 +140,12 @@
         }
     }
 
-    // ---- placing -----------------------------------------------------------------------------
+    // ---- placement ---------------------------------------------------------------------------
 
     /**
-     * How much of a hot team's work a plan that is made now puts on one machine. Which teams are
-     * hot is judged anew: work that has just come would else be placed before anybody knows.
+     * Returns the limit on a team's load per machine for a plan that is made now. Demand is updated
+     * first: work that has just been submitted would otherwise be placed before its team counts as
+     * a high-demand one.
      */
     Planner.SpreadLimit spreadLimit() {
         if (off()) {
@@ -170,15 +174,15 @@
         return balancer.load().cpusOn(m.id, team);
     }
 
-    /** Whether a task of a move waits for this machine's report. */
+    /** Whether a migrated task waits for this machine's heartbeat. */
     boolean hasReady(Machine m) {
         return m.reservations > 0
                 && reservations.values().stream().anyMatch(r -> r.target == m && r.left);
     }
 
     /**
-     * Tasks of moves that are to be started now on a machine that reports; they are waiting from
-     * here on, and the machine has room for them.
+     * Returns the migrated tasks that are to start now on a machine that has sent a heartbeat.
+     * Their state becomes waiting, and their reserved capacity is free for them.
      */
     List<TaskId> takeReady(Machine m) {
         List<TaskId> ready = new ArrayList<>();
@@ -192,7 +196,7 @@
             if (r.source.job.closed) {
                 abandon(r, Move.Reason.JOB_CLOSED);
             } else if (part.teamRoom().cpusLeft(r.spec().team()) < -Tuning.EPSILON) {
-                // The limit may have become less since the task left its source.
+                // The quota share may have been lowered since the task left its source.
                 abandon(r, Move.Reason.TEAM_LIMIT);
             } else {
                 release(r);
@@ -210,9 +214,9 @@
         return ready;
     }
 
-    // ---- moving ------------------------------------------------------------------------------
+    // ---- migration ---------------------------------------------------------------------------
 
-    /** Looks after the moves under way, and begins new ones. */
+    /** Checks the migrations in progress and begins new ones. */
     void step() {
         if (off() || outbox.now.steadyMs() < nextStepMs) {
             return;
@@ -221,8 +225,8 @@
         for (Reservation r : List.copyOf(reservations.values())) {
             check(r);
         }
-        // Nothing is begun before all machines are heard, after a lapse, or on a view that is old:
-        // what is known of the machines is then not what is on them.
+        // No migration begins before all machines have reported, after a lease expiry, or with a
+        // stale store cache: the known state of the machines may then be wrong.
         if (part.rebuilt() && part.mayStart()) {
             balancer.demand(demand());
             balancer.plan(this, outbox.now.steadyMs()).forEach(this::begin);
@@ -233,7 +237,7 @@
         }
     }
 
-    /** CPUs that each team wants beyond what it uses, as far as its limit allows. */
+    /** Returns the CPUs that each team wants beyond what it uses, within its quota headroom. */
     private Map<String, Double> demand() {
         Map<String, Double> wanted = new HashMap<>();
         for (Job job : part.jobs().values()) {
@@ -276,7 +280,7 @@
                                 move.gainS()));
     }
 
-    /** Gives up all moves: what is known of the machines is not what is on them. */
+    /** Abandons all migrations: the known state of the machines has turned out to be wrong. */
     void abandonAll() {
         List.copyOf(reservations.values()).forEach(r -> abandon(r, Move.Reason.REBUILD));
     }
@@ -291,7 +295,9 @@
                         + reason.name().toLowerCase(Locale.ROOT).replace('_', ' '));
     }
 
-    /** Gives back what is held for a move; the task waits again if it has left its source. */
+    /**
+     * Releases what is reserved for a migration. The task waits again if it has left its source.
+     */
     private void release(Reservation r) {
         reservations.remove(r.move.task().id());
         r.target.reserve(r.spec(), -1);
@@ -321,7 +327,7 @@
         return movable;
     }
 
-    /** Whether a task can be stopped without harm to its job. */
+    /** Whether a task can be stopped and restarted without harm to its job. */
     private boolean movable(TaskAttempt live) {
         JobSpec spec = live.job.spec;
         return live.state == TaskAttempt.State.RUNNING
--- a/src/main/java/org/shoreusher/core/Placement.java
+++ b/src/main/java/org/shoreusher/core/Placement.java
@@ -9,10 +9,12 @@
 import org.shoreusher.settings.Tuning;
 
 /**
- * Which waiting tasks go on which machine. A plan over all machines and jobs gives each machine its
- * share; what finds no room in it goes to the next machine that reports with some to spare. A plan
- * is used again until as much time has passed as its making is worth: a small deployment plans for
- * every report, a large one a few times a second.
+ * Decides which waiting tasks start on which machine.
+ *
+ * <p>A plan over all machines and jobs assigns tasks to machines. Tasks for which it found no
+ * capacity go to the next machine that sends a heartbeat and has some. A plan is reused for a time
+ * in proportion to its cost: a small deployment plans on every heartbeat, a large one a few times a
+ * second.
  */
 final class Placement {
     private final Part part;
@@ -21,21 +23,25 @@
     private final Object2ObjectOpenHashMap<Machine, List<Planner.Placed>> shares =
             new Object2ObjectOpenHashMap<>();
 
-    /** Tasks that no machine had room for, by job, most pressing first. */
+    /** Tasks that no machine had capacity for, by job, in scheduling order. */
     private final Object2IntLinkedOpenHashMap<Job> rest = new Object2IntLinkedOpenHashMap<>();
 
-    /** Machines that are kept until they have room for a job that found none. */
+    /** Machines that are reserved, until they have enough capacity, for a job that found none. */
     private final Object2ObjectOpenHashMap<Machine, Job> kept = new Object2ObjectOpenHashMap<>();
 
     private long nextMs = Long.MIN_VALUE;
 
+    /** Creates an empty plan; the first call of {@link #forMachine} fills it. */
     Placement(Part part, Outbox outbox, StartMarks marks) {
         this.marks = marks;
         this.part = part;
         this.outbox = outbox;
     }
 
-    /** What is to be started now on a machine that reports. */
+    /**
+     * Returns the tasks that are to start now on a machine that has sent a heartbeat, and removes
+     * them from the plan.
+     */
     List<Planner.Placed> forMachine(Machine m) {
         if (outbox.now.steadyMs() >= nextMs) {
             plan();
@@ -44,9 +50,9 @@
         if (share == null && rest.isEmpty()) {
             return List.of();
         }
-        // What has changed since the plan, on this machine, in the team's use or in the job, is
-        // looked at again. A job is placed once, its share and its rest together: the planner does
-        // not see what it has placed itself.
+        // The plan may be outdated: the machine, the team's usage or the job may have changed, so
+        // everything is checked again. A job is placed in one call, its planned and its unplaced
+        // tasks together, because the packer does not count its own placements as tasks of the job.
         Planner now =
                 new Planner(
                         new ArrayList<>(List.of(new Planner.Slot(m))),
@@ -73,7 +79,10 @@
         return now.placed();
     }
 
-    /** Places a job's share of the machine and as much as fits of what found no room elsewhere. */
+    /**
+     * Places the tasks of a job that are planned for the machine, and as many of its unplaced ones
+     * as fit.
+     */
     private void place(Planner now, Job job, int share) {
         int before = now.placed().size();
         int left = rest.getInt(job);
@@ -90,9 +99,9 @@
     }
 
     /**
-     * Notes a machine's share. A job that was placed on it in several passes has one share there:
-     * each would be placed by itself later, and count the zones of the job's tasks without the
-     * others.
+     * Records tasks that are planned for a machine. Several passes of the packer may place the same
+     * job on one machine; they are merged, because each part placed on its own later would ignore
+     * the others in the job's zone constraints.
      */
     private void share(Planner.Placed p) {
         List<Planner.Placed> share =
@@ -135,7 +144,8 @@
                 keepable -= keep.size() * job.spec.cpus();
                 keep.forEach(m -> kept.put(m, job));
             }
-            // What is about to be started, and what comes next when a machine has room again.
+            // High-water mark: what is about to start, and what comes next when a machine has
+            // capacity again.
             int next =
                     (int)
                             Math.min(
--- a/src/main/java/org/shoreusher/core/Planner.java
+++ b/src/main/java/org/shoreusher/core/Planner.java
@@ -9,21 +9,25 @@
 import org.shoreusher.settings.Tuning;
 
 /**
- * Places waiting tasks on the fullest machine that fits. A plan holds for the moment it is made;
- * {@link Placement} keeps it while machines report, because starts travel only in answers to
- * reports.
+ * Best-fit bin packing of waiting tasks: each task goes to the machine with the least free capacity
+ * that still fits it, so that machines empty out and can be scaled in.
+ *
+ * <p>A plan describes the moment at which it is made. {@link Placement} caches it between
+ * heartbeats, since starts are sent only in responses to heartbeats. Not thread-safe.
  */
 final class Planner {
-    /** A machine's room while a plan is made. */
+    /** The capacity of one machine that is still free while a plan is made. */
     static final class Slot {
+        /** The machine; null if it has not been provisioned yet. */
         final Machine machine;
+
         final MachineType type;
         final String zone;
         final boolean spot;
 
         /**
-         * An ordinary machine that costs far more than a spot one: filled last, so that it runs
-         * empty first when there is less to do.
+         * Whether this is an on-demand machine that costs far more than a spot one. It is filled
+         * last, so that it becomes idle first when load drops.
          */
         final boolean dear;
 
@@ -33,14 +37,15 @@
 
         private Object2DoubleOpenHashMap<String> planned;
 
-        /** Where it stands in the order for the job that is being placed. */
+        /** Position in the packing order of the current job; lower values are filled first. */
         private double rank;
 
+        /** The capacity of an existing machine that is free now. */
         Slot(Machine m) {
             this(m, m.type, m.zone, m.spot, m.cpusFree(), m.gpusFree(), m.memFree());
         }
 
-        /** An empty machine that has yet to be rented. */
+        /** The capacity of an empty machine that has not been provisioned yet. */
         Slot(MachineType type, String zone, boolean spot) {
             this(null, type, zone, spot, type.cpus(), type.gpus(), type.memGb());
         }
@@ -63,6 +68,7 @@
             this.mem = mem;
         }
 
+        /** Returns how many tasks of the job fit into the free capacity. */
         int fits(JobSpec job) {
             double n = Integer.MAX_VALUE;
             n = job.cpus() > 0 ? Math.min(n, Math.floor(cpus / job.cpus() + Tuning.EPSILON)) : n;
@@ -71,17 +77,17 @@
             return (int) Math.max(0, n);
         }
 
-        /** Whether hardly any task could find room here. */
+        /** Whether neither CPUs nor GPUs are left, so that hardly any task fits. */
         boolean full() {
             return cpus <= Tuning.EPSILON && gpus <= Tuning.EPSILON;
         }
 
-        /** CPUs that this plan gives to a team here. */
+        /** Returns the CPUs on this machine that the current plan assigns to a team. */
         double planned(String team) {
             return planned == null ? 0 : planned.getDouble(team);
         }
 
-        /** Notes what this plan gives to the job's team here. */
+        /** Records that the current plan assigns so many tasks of the job to this machine. */
         void plan(JobSpec job, int count) {
             if (planned == null) {
                 planned = new Object2DoubleOpenHashMap<>();
@@ -89,6 +95,7 @@
             planned.addTo(job.team(), job.cpus() * count);
         }
 
+        /** Subtracts the resources of so many tasks from the free capacity. */
         void take(JobSpec job, int count) {
             cpus -= job.cpus() * count;
             gpus -= job.gpus() * count;
@@ -96,28 +103,37 @@
         }
     }
 
-    /** So many tasks of a job on a machine. */
+    /**
+     * A number of tasks of one job that are to run on one machine.
+     *
+     * @param job the job
+     * @param slot the machine
+     * @param count number of tasks
+     */
     record Placed(Job job, Slot slot, int count) {}
 
     /**
-     * A pass over the machines while a job is placed, in this order. The time of a fetch is weighed
-     * against the spread: machines with the image are filled evenly, then beyond the limit by the
-     * share of a task's time that a fetch elsewhere takes, and only then others are used.
+     * Passes over the machines while a job is placed, in this order. Image locality is weighed
+     * against load balance: machines that have the image are filled evenly first, then beyond the
+     * limit by the share of a task's run time that fetching the image elsewhere would take; only
+     * then are other machines used.
      */
     enum SpreadPass {
         /** Machines that have the image, within the limit. */
         IMAGE_WITHIN_LIMIT,
-        /** Machines that have the image, beyond the limit by what the fetch would take. */
+        /** Machines that have the image, beyond the limit by the cost of a fetch. */
         IMAGE_BEYOND_LIMIT,
         /** All machines, within the limit. */
         WITHIN_LIMIT,
-        /** All machines: no work waits for the sake of balance. */
+        /** All machines without a limit: no task waits for the sake of balance. */
         UNLIMITED
     }
 
-    /** How much of a team's work may go on one machine as long as others have room. */
+    /**
+     * Limits how much of a team's load is placed on one machine while other machines have capacity.
+     */
     interface SpreadLimit {
-        /** No limit at all. */
+        /** No limit. */
         SpreadLimit NONE =
                 new SpreadLimit() {
                     @Override
@@ -131,10 +147,13 @@
                     }
                 };
 
-        /** CPUs that the job's team may use on the machine in a pass. */
+        /**
+         * Returns the most CPUs that the job's team may use on the machine in this pass; infinite
+         * if not limited.
+         */
         double cpusAllowed(Machine m, JobSpec spec, SpreadPass pass);
 
-        /** CPUs that a team uses on the machine. */
+        /** Returns the CPUs that the team uses on the machine. */
         double cpusUsed(Machine m, String team);
     }
 
@@ -148,12 +167,19 @@
     private final Object2DoubleOpenHashMap<String> cpusPlanned = new Object2DoubleOpenHashMap<>();
     private final Object2DoubleOpenHashMap<String> gpusPlanned = new Object2DoubleOpenHashMap<>();
 
-    /** Those that still have room. */
+    /** Machines that still have free capacity. */
     private final List<Slot> slots;
 
     private final List<Placed> placed = new ArrayList<>();
     private long steps;
 
+    /**
+     * Creates a plan without a spread limit.
+     *
+     * @param slots machines with free capacity; the list is changed
+     * @param cpusLeft CPUs of the quota that a team may still use
+     * @param gpusLeft GPUs of the quota that a team may still use
+     */
     Planner(
             List<Slot> slots,
             ToDoubleFunction<String> cpusLeft,
@@ -161,6 +187,14 @@
         this(slots, cpusLeft, gpusLeft, SpreadLimit.NONE);
     }
 
+    /**
+     * Creates a plan that spreads the load of some teams.
+     *
+     * @param slots machines with free capacity; the list is changed
+     * @param cpusLeft CPUs of the quota that a team may still use
+     * @param gpusLeft GPUs of the quota that a team may still use
+     * @param spreadLimit limit on a team's load on one machine
+     */
     Planner(
             List<Slot> slots,
             ToDoubleFunction<String> cpusLeft,
@@ -172,26 +206,27 @@
         this.spreadLimit = spreadLimit;
     }
 
+    /** Returns everything placed so far, in the order of placement. */
     List<Placed> placed() {
         return placed;
     }
 
-    /** One more machine to place on. */
+    /** Adds a machine to place tasks on. */
     void addRoom(Slot slot) {
         slots.add(slot);
     }
 
-    /** Whether any machine has room left. */
+    /** Whether any machine has free capacity. */
     boolean hasRoom() {
         return !slots.isEmpty();
     }
 
-    /** Machines looked at so far, summed over jobs: what the plan costs. */
+    /** Returns how many machines were examined so far, summed over jobs: the cost of the plan. */
     long steps() {
         return steps;
     }
 
-    /** How many tasks of the job its team's limit still allows. */
+    /** Returns how many more tasks of the job its team's quota allows. */
     int allowedByTeam(JobSpec job) {
         double n = Integer.MAX_VALUE;
         if (job.cpus() > 0) {
@@ -218,8 +253,9 @@
     }
 
     /**
-     * Places up to {@code wanted} tasks of a job; returns how many found no machine although the
-     * team may run them.
+     * Places up to {@code wanted} tasks of a job.
+     *
+     * @return how many tasks found no machine although the quota allows them
      */
     int place(Job job, int wanted) {
         JobSpec spec = job.spec;
@@ -231,8 +267,9 @@
             return left;
         }
         steps += slots.size();
-        // By the share that is free: of two sizes the small ones would else always come before
-        // large ones with some room, and these, cheaper by the CPU, would stand nearly empty.
+        // Sorted by the free fraction, not by absolute free capacity: small machines would
+        // otherwise always come before larger ones with some capacity left, and the larger ones,
+        // cheaper per CPU, would stay nearly empty.
         slots.forEach(
                 s ->
                         s.rank =
@@ -252,7 +289,10 @@
         return left;
     }
 
-    /** Puts tasks on machines in their order; returns how many found no room within the limit. */
+    /**
+     * Assigns tasks to machines in order; returns how many found no capacity within the limit of
+     * this pass.
+     */
     private int fill(Job job, int wanted, ZoneRule zones, SpreadPass pass) {
         JobSpec spec = job.spec;
         int left = wanted;
@@ -283,7 +323,7 @@
         return left;
     }
 
-    /** How many more tasks of the job a pass allows on a machine. */
+    /** Returns how many more tasks of the job this pass allows on a machine. */
     private int within(Slot slot, JobSpec spec, SpreadPass pass) {
         if (slot.machine == null || spec.cpus() <= 0 || pass == SpreadPass.UNLIMITED) {
             return Integer.MAX_VALUE;
@@ -297,9 +337,10 @@
     }
 
     /**
-     * Keeps machines that are partly free for a job that found no room, the emptiest first: filled
-     * up with smaller tasks again and again they would never have room for a larger one. Returns
-     * those that are kept.
+     * Reserves partly free machines for a job that found no capacity, those with the most free CPUs
+     * first. Otherwise smaller tasks would keep filling them and a larger task would never fit.
+     *
+     * @return the reserved machines, which take no further tasks in this plan
      */
     List<Machine> keep(JobSpec spec, int wanted) {
         List<Machine> kept = new ArrayList<>();
@@ -322,9 +363,9 @@
     }
 
     /**
-     * What the image's fetch costs on a machine that has not got it, in CPUs: the share of the
-     * task's time on its machine that would go into fetching. A slightly emptier machine with the
-     * image comes first.
+     * Returns the cost, in CPUs, of fetching the image on a machine that does not have it: the
+     * share of the task's time there that the fetch would take. A slightly emptier machine that has
+     * the image is preferred.
      */
     private static double fetchCost(Slot slot, JobSpec spec) {
         if (slot.machine != null && slot.machine.images.contains(spec.image())) {
@@ -333,13 +374,19 @@
         return spec.cpus() * fetchShare(slot.type, spec);
     }
 
-    /** Share of a task's time on a machine without its image that goes into the fetch. */
+    /**
+     * Returns the share of a task's time on a machine that goes into fetching its image, from 0 to
+     * 1.
+     */
     static double fetchShare(MachineType type, JobSpec spec) {
         double fetchS = spec.imageGb() / Math.max(Tuning.LEAST_FETCH, type.fetchGbPerS());
         return fetchS / (fetchS + Math.max(Tuning.LEAST_RUN_S, spec.estimateS()));
     }
 
-    /** The rules on zones, given the job's tasks that are or may be on machines. */
+    /**
+     * Zone constraints of a job (single zone, or replicas spread over zones), given the tasks that
+     * are or may be on machines.
+     */
     static final class ZoneRule {
         private final Object2IntOpenHashMap<String> used = new Object2IntOpenHashMap<>();
         private final boolean one;
@@ -347,6 +394,7 @@
         private final int mostElsewhere;
         private final String largerHalfZone;
 
+        /** Counts the tasks of the job that are or may be on machines, by zone. */
         ZoneRule(Job job) {
             one = job.spec.oneZone();
             most = job.spec.spread() ? (job.spec.tasks() + 1) / 2 : Integer.MAX_VALUE;
@@ -357,9 +405,9 @@
             }
         }
 
+        /** Returns how many more tasks of the job may go into the zone. */
         int room(String zone) {
-            // With tasks that may be in two zones, none is right until one of them is known to be
-            // empty.
+            // If tasks may be in two zones, no zone is safe until one of them is known to be empty.
             if (one && !used.isEmpty() && (used.size() > 1 || !used.containsKey(zone))) {
                 return 0;
             }
@@ -367,6 +415,7 @@
             return (largerHalf ? most : mostElsewhere) - used.getInt(zone);
         }
 
+        /** Records that so many tasks of the job were placed in the zone. */
         void add(String zone, int n) {
             used.addTo(zone, n);
         }
--- a/src/main/java/org/shoreusher/core/Preemption.java
+++ b/src/main/java/org/shoreusher/core/Preemption.java
@@ -7,9 +7,11 @@
 import org.shoreusher.settings.Tuning;
 
 /**
- * Chooses tasks to stop so that waiting tasks of higher priority find room: in their team's limit,
- * or on machines. Only tasks that save their progress are stopped, so that no work is lost, and
- * none that started so lately that its start would not count.
+ * Selects tasks to preempt so that waiting tasks of higher priority can start, within their team's
+ * quota or on machines.
+ *
+ * <p>Only tasks that write checkpoints are preempted, so that no work is lost, and none that
+ * started so recently that its start would not count for the objectives.
  */
 final class Preemption {
     private final Object2DoubleOpenHashMap<String> teamRelief = new Object2DoubleOpenHashMap<>();
@@ -19,6 +21,10 @@
     private final ClockReading now;
     private double relief;
 
+    /**
+     * Collects the tasks that can be preempted now, and the CPUs of those that are already
+     * stopping.
+     */
     Preemption(Part part, Urgency urgency, ClockReading now) {
         this.urgency = urgency;
         this.now = now;
@@ -36,7 +42,8 @@
                 }
             }
         }
-        // The one that has run shortest has the most left to run, so stopping it frees the most.
+        // Lowest priority first, then the task that has run for the shortest time: it has the most
+        // work left, so stopping it frees capacity for longest.
         victims.sort(
                 Comparator.comparing((TaskAttempt l) -> l.job.spec.priority())
                         .reversed()
@@ -45,7 +52,12 @@
                         .thenComparingInt(l -> l.index));
     }
 
-    /** Chooses for the jobs in order; {@code planner} has the room that is free now. */
+    /**
+     * Selects the tasks to preempt.
+     *
+     * @param ordered jobs in scheduling order
+     * @param planner capacity that is free now; waiting tasks are placed in it
+     */
     List<TaskAttempt> choose(List<Job> ordered, Planner planner) {
         for (Job job : ordered) {
             boolean high = job.spec.priority().compareTo(JobSpec.Priority.HIGH) <= 0;
@@ -64,7 +76,7 @@
                 teamRelief.put(spec.team(), Math.max(0, -missingCpus));
                 take(spec, missingCpus, spec.team());
             }
-            // Replicas of services have room made for them by Displacement.
+            // Capacity for replicas of services is made by ReplicaPreemption.
             if (noMachine > 0 && spec.shape().ends()) {
                 double missingCpus = noMachine * spec.cpus() - relief;
                 relief = Math.max(0, -missingCpus);
--- a/src/main/java/org/shoreusher/core/Quota.java
+++ b/src/main/java/org/shoreusher/core/Quota.java
@@ -13,14 +13,21 @@
 import org.shoreusher.settings.Tuning;
 
 /**
- * A part's share of each team's limit. The shares of all parts are in one record per team and never
- * sum to more than the limit. Only a part's owner lowers its share, in the write that raises
- * another's, and it keeps to the lower share from before that write is sent, so at no moment may
- * two parts use the same CPU. What a team has no limit on needs no shares: the records have 0
- * there, which nobody reads.
+ * A shard's share of each team's quota.
+ *
+ * <p>One record per team in the key-value store contains the shares of all shards; they never sum
+ * to more than the quota. Only the leader of a shard lowers its share, in the same compare-and-swap
+ * that raises another shard's. It respects the lower share from before the write is sent, so two
+ * shards never use the same CPU. For a resource without a quota the record contains 0, which is not
+ * read.
  */
 final class Quota {
-    /** A write that lowers this part's share, valid only upon one version of the record. */
+    /**
+     * A write that lowers this shard's share.
+     *
+     * @param version version of the record that is the precondition of the write
+     * @param record the shares after the write
+     */
     private record Give(long version, QuotaRecord record) {}
 
     private final int partNumber;
@@ -30,18 +37,26 @@
     private final StoreView view;
     private final Map<String, Long> fence;
 
-    /** Gives whose fate is open; until it is known, the part keeps to what would be left. */
+    /** Transfers whose outcome is unknown; until it is known the lower share applies. */
     private final Object2ObjectOpenHashMap<String, Give> giving = new Object2ObjectOpenHashMap<>();
 
     private final ObjectOpenHashSet<String> inFlight = new ObjectOpenHashSet<>();
 
-    /** What this part should keep to when others' claims are weighed, by team. */
+    /**
+     * CPUs that this shard should not exceed once the demands of the others are considered, by
+     * team.
+     */
     private final Object2ObjectOpenHashMap<String, Double> target =
             new Object2ObjectOpenHashMap<>();
 
     private boolean creating;
     private long nextMs;
 
+    /**
+     * Creates the shares of one shard.
+     *
+     * @param fence preconditions of every write: this shard's leadership
+     */
     Quota(
             int partNumber,
             int parts,
@@ -57,7 +72,7 @@
         this.fence = fence;
     }
 
-    /** CPUs that this part's tasks of a team may use. */
+    /** Returns the CPUs that tasks of the team in this shard may use. */
     double cpus(String team) {
         Settings.Team t = settings.teams().get(team);
         if (parts == 1 || t == null || Double.isInfinite(t.cpusMax())) {
@@ -72,6 +87,7 @@
                         : Math.min(stored.cpus()[partNumber], open.record.cpus()[partNumber]);
     }
 
+    /** Returns the GPUs that tasks of the team in this shard may use. */
     double gpus(String team) {
         Settings.Team t = settings.teams().get(team);
         if (parts == 1 || t == null || Double.isInfinite(t.gpusMax())) {
@@ -87,8 +103,8 @@
     }
 
     /**
-     * CPUs up to which new tasks should be started, so that another part's more pressing ones get
-     * theirs.
+     * Returns the CPUs up to which new tasks should start. It may be below the share, so that
+     * another shard can get what its more urgent tasks need.
      */
     double startCpus(String team) {
         Double t = target.get(team);
@@ -101,10 +117,11 @@
     }
 
     /**
-     * Creates missing records and gives away what others need more.
+     * Creates missing records and transfers shares to shards with a higher demand.
      *
-     * @param used CPUs that this part's tasks of a team use or may use
-     * @param claims each part's claims, null where no fresh hint tells
+     * @param used CPUs that this shard's tasks of a team use or may use
+     * @param claims each shard's demand for a team, null where no recent gossip is known
+     * @param quantum smallest useful transfer for a team, in CPUs
      */
     void step(
             Function<String, Double> used,
@@ -162,7 +179,8 @@
         QuotaRecord stored = stored(team.name());
         Give open = giving.get(team.name());
         if (open != null && view.version(StoreSchema.quota(team.name())) == open.version) {
-            // Its fate is open: the same write again goes through, or the record has changed.
+            // The outcome is unknown: repeating the same write is safe, since it succeeds or the
+            // record has changed.
             send(team.name(), open);
             return;
         }
@@ -194,7 +212,7 @@
         double amount = Math.min(spare, targets[to] - cpus[to]);
         cpus[partNumber] -= amount;
         cpus[to] += amount;
-        // GPUs follow the CPUs in proportion; a team without any has none to give.
+        // GPUs are transferred in proportion to the CPUs.
         double moved =
                 stored.cpus()[partNumber] <= 0
                         ? 0
@@ -228,13 +246,19 @@
     }
 
     /**
-     * How a limit should be shared: pressing claims first, then the others, what is left evenly.
+     * Computes how a quota should be shared: high-priority demand first, then other demand, and the
+     * remainder evenly.
+     *
+     * @param max the quota, in CPUs
+     * @param claims demand of each shard; a shard without (null) keeps its share
+     * @param shares current share of each shard
+     * @param quantum shares are rounded to a multiple of this
      */
     static double[] targets(double max, Claim[] claims, double[] shares, double quantum) {
         int parts = shares.length;
         double[] outbox = new double[parts];
         double left = max;
-        // A part that says nothing keeps its share: nobody else may use it anyway.
+        // A shard without recent gossip keeps its share: no other shard may use it anyway.
         for (int m = 0; m < parts; m++) {
             if (claims[m] == null) {
                 outbox[m] = shares[m];
--- a/src/main/java/org/shoreusher/core/ReplicaPreemption.java
+++ b/src/main/java/org/shoreusher/core/ReplicaPreemption.java
@@ -6,12 +6,12 @@
 import org.shoreusher.settings.Tuning;
 
 /**
- * Chooses batch tasks of lower priority that give way to replicas of services at once, on machines
- * where the replicas then fit. A replica can't wait for a task to save or to end, nor for a machine
- * to boot: its users are waiting.
+ * Selects batch tasks of lower priority that are preempted at once, without a grace period, on
+ * machines where waiting replicas of services then fit. A replica serves users, so it cannot wait
+ * until a task has written a checkpoint or finished, nor until a machine has booted.
  */
 final class ReplicaPreemption {
-    /** What a machine has free, or will have when its tasks that are to stop have stopped. */
+    /** The capacity that a machine has free, or will have when its stopping tasks have exited. */
     private static final class Room {
         final Machine machine;
         double cpus;
@@ -49,6 +49,10 @@
     private final ClockReading now;
     private final List<Room> rooms = new ArrayList<>();
 
+    /**
+     * Collects the batch tasks on every machine that accepts work, those with the least lost work
+     * first.
+     */
     ReplicaPreemption(Part part, ClockReading now) {
         this.part = part;
         this.now = now;
@@ -73,8 +77,8 @@
     }
 
     /**
-     * CPU-seconds that are lost with the task: what it has done since it last saved, and its start
-     * if that would count yet.
+     * Returns the CPU-seconds lost if the task is stopped: the work since its last checkpoint, plus
+     * a penalty if its start would not yet count for the objectives.
      */
     private double loss(TaskAttempt live) {
         double ranS = live.runningSinceMs < 0 ? 0 : (now.steadyMs() - live.runningSinceMs) / 1000.0;
@@ -89,7 +93,10 @@
         return live.job.spec.cpus() * (lostS + early);
     }
 
-    /** Tasks to stop so that the waiting replicas of these jobs, most pressing first, find room. */
+    /**
+     * Selects the tasks to stop so that the waiting replicas of these services, given in scheduling
+     * order, fit.
+     */
     List<TaskAttempt> choose(List<Job> services) {
         List<TaskAttempt> chosen = new ArrayList<>();
         for (Job job : services) {
@@ -147,8 +154,8 @@
     }
 
     /**
-     * The tasks that must go from a machine for one replica, fewest losses first; null if it finds
-     * no room all the same.
+     * Returns the tasks to stop on a machine so that one replica fits, least lost work first; null
+     * if it would still not fit.
      */
     private static List<TaskAttempt> victims(Room room, JobSpec spec) {
         List<TaskAttempt> victims = new ArrayList<>();
--- a/src/main/java/org/shoreusher/core/StandbyCapacity.java
+++ b/src/main/java/org/shoreusher/core/StandbyCapacity.java
@@ -7,9 +7,9 @@
 import org.shoreusher.settings.Tuning;
 
 /**
- * Keeps ordinary machines for replicas of services, in every zone: a service that comes must begin,
- * and a replica that has lost its machine must go on, sooner than a machine boots. Batch tasks may
- * use them meanwhile, and give way.
+ * Reserves on-demand machines for replicas of services in every zone: a new service must start, and
+ * a replica that lost its machine must restart, sooner than a machine boots. Batch tasks may use
+ * these machines meanwhile and are preempted.
  */
 final class StandbyCapacity {
     private final Part part;
@@ -17,14 +17,19 @@
     private final MachineTypes types;
     private final Rentals rentals;
 
-    /** CPUs on ordinary machines that no replica holds, by zone. */
+    /** CPUs on on-demand machines that no replica uses, by zone. */
     private final Object2DoubleOpenHashMap<String> room = new Object2DoubleOpenHashMap<>();
 
+    /** CPUs to reserve in each zone. */
     private double wanted;
 
-    /** The zone with most room while another lacks some; null if none does. */
+    /**
+     * The zone with the most capacity while another zone has too little; null if every zone has
+     * enough.
+     */
     private String roomiestZone;
 
+    /** Creates the reservation of one shard. */
     StandbyCapacity(Part part, Settings settings, MachineTypes types, Rentals rentals) {
         this.part = part;
         this.settings = settings;
@@ -32,7 +37,12 @@
         this.rentals = rentals;
     }
 
-    /** Adds to what is to be rented, up to {@code most} machines in all. */
+    /**
+     * Adds machines to a scale-out request.
+     *
+     * @param wanting machines to request so far
+     * @param most upper bound on the number of machines in the request
+     */
     void step(List<Planner.Slot> wanting, int most) {
         MachineType type =
                 types.all().stream()
@@ -73,8 +83,9 @@
     }
 
     /**
-     * Where a service's replicas go that may be in any zone, since another zone has too little
-     * room: there it is kept for those that may be nowhere else. Null while every zone has enough.
+     * Returns the zone for the larger half of the replicas of a service that may run in any zone,
+     * while another zone has too little capacity: that capacity is left to services that may run
+     * only there. Null while every zone has enough.
      */
     String zoneForLargerHalf(JobSpec spec) {
         return spec.shape().ends() || spec.zone() != null ? null : roomiestZone;
@@ -86,7 +97,10 @@
         }
     }
 
-    /** Whether the machine, which is empty, is to be kept; one that is not counts no more. */
+    /**
+     * Whether an empty machine must be kept. One that need not be kept no longer counts as
+     * reserved.
+     */
     boolean needs(Machine m) {
         if (m.spot || room.getDouble(m.zone) - m.type.cpus() < wanted) {
             return !m.spot && wanted > 0;
@@ -96,8 +110,8 @@
     }
 
     /**
-     * CPUs to keep in each zone: for what may come while a machine boots, halves of the largest
-     * service, and as much as one machine may lose.
+     * Returns the CPUs to reserve in each zone: half of the largest service times the number of
+     * services that may arrive while a machine boots, plus one machine that may fail.
      */
     private double wanted(MachineType type) {
         double largest = 0;
@@ -106,8 +120,8 @@
                 largest = Math.max(largest, (job.spec.tasks() + 1) / 2 * job.spec.cpus());
             }
         }
-        // Before the first one an aim tells that work comes which must begin sooner than a machine
-        // boots.
+        // Before the first service arrives, an objective tells whether work is expected that must
+        // start sooner than a machine boots.
         boolean expected =
                 settings.objectives().stream()
                         .anyMatch(o -> o.kind().equals("wait") && o.withinS() < type.bootS());
--- a/src/main/java/org/shoreusher/core/TaskStops.java
+++ b/src/main/java/org/shoreusher/core/TaskStops.java
@@ -3,20 +3,24 @@
 import java.util.List;
 import org.shoreusher.settings.Tuning;
 
-/** Decides which tasks of a part give way to others, and stops tasks by direct commands. */
+/**
+ * Evicts tasks of a shard: selects them for preemption, and sends stop orders directly to their
+ * workers.
+ */
 final class TaskStops {
     private final Part part;
     private final Outbox outbox;
     private long nextPreemptMs;
 
+    /** Creates the eviction of one shard. */
     TaskStops(Part part, Outbox outbox) {
         this.part = part;
         this.outbox = outbox;
     }
 
     /**
-     * Stops batch tasks where replicas of services wait for room; unlike preemption at once, and
-     * during a rebuild too.
+     * Stops batch tasks where replicas of services wait for capacity. Unlike {@link #preempt} this
+     * happens at once, without a grace period, and also during reconciliation.
      */
     void displace() {
         if (!part.mayStart()
@@ -32,10 +36,10 @@
         }
     }
 
-    /** Stops tasks that can be spared where work of higher priority finds no room. */
+    /** Stops preemptible tasks where waiting work of higher priority finds no capacity. */
     void preempt() {
-        // Until all machines are heard it is what they may hold that binds, and no task that is
-        // stopped makes room for that.
+        // Until all machines have reported, the tasks that they may still be running limit the
+        // headroom, and stopping known tasks would not change that.
         if (outbox.now.steadyMs() < nextPreemptMs || !part.rebuilt() || !part.mayStart()) {
             return;
         }
@@ -51,21 +55,31 @@
         }
     }
 
-    /** Seconds that a task which is stopped gets to save. */
+    /** Returns the grace period, in seconds, that a stopped task gets to write a checkpoint. */
     static double graceS(TaskAttempt live) {
         return live.job.spec.saveS() * Tuning.SAVE_SLACK;
     }
 
+    /**
+     * Returns an order to stop the task.
+     *
+     * @param graceS seconds until the task is killed
+     */
     static WorkerOrder stop(TaskAttempt live, double graceS) {
         return new WorkerOrder(
                 WorkerOrder.Kind.STOP, live.job.id, live.index, live.attempt, graceS);
     }
 
-    /** Stops a task by a direct command; reports repeat it until it is gone. */
+    /**
+     * Sends an order to stop a task directly to its worker. Responses to heartbeats repeat the
+     * order until the task is gone.
+     *
+     * @param graceS seconds until the task is killed
+     */
     void halt(TaskAttempt live, double graceS) {
         Machine m = live.machine;
-        // A machine that is silent most likely can't be reached: its lease ends, or it is told when
-        // it reports again.
+        // An unresponsive machine most likely cannot be reached: its lease expires, or its next
+        // heartbeat is answered with the order.
         if (part.holds()
                 && m.address != null
                 && m.heard
--- a/src/main/java/org/shoreusher/core/TeamRoom.java
+++ b/src/main/java/org/shoreusher/core/TeamRoom.java
@@ -3,8 +3,8 @@
 import org.shoreusher.settings.Settings;
 
 /**
- * What a part's tasks of a team may yet use: its share of the team's limit, less what its tasks use
- * and what machines that are not yet heard may hold.
+ * The quota headroom of teams in a shard: the shard's share of the quota, less what its tasks use
+ * and what machines that have not reported since the failover may be running.
  */
 final class TeamRoom {
     private final Settings settings;
@@ -13,6 +13,7 @@
     private final Rebuild rebuild;
     private final OtherParts otherParts;
 
+    /** Creates the headroom of one shard. */
     TeamRoom(
             Settings settings,
             Quota quota,
@@ -26,15 +27,17 @@
         this.otherParts = otherParts;
     }
 
-    /** CPUs that tasks of the team use or may use. */
+    /** Returns the CPUs that tasks of the team use or may be using. */
     double used(String team) {
         return ledger.cpus(team) + unknownCpus(team);
     }
 
+    /** Returns the CPUs with which further tasks of the team may start; may be negative. */
     double cpusLeft(String team) {
         return quota.startCpus(team) - ledger.cpus(team) - unknownCpus(team);
     }
 
+    /** Returns the GPUs with which further tasks of the team may start; may be negative. */
     double gpusLeft(String team) {
         Settings.Team t = settings.teams().get(team);
         return quota.gpus(team)
@@ -49,15 +52,18 @@
     }
 
     /**
-     * What of a team machines not yet heard may hold. The owner before kept the team to its limit,
-     * so what was found on machines that have been heard and what is on the others is no more than
-     * that together.
+     * Returns what machines that have not reported yet may be using of a team's quota. The previous
+     * leader kept the team within its quota, so what was found on machines that have reported and
+     * what is on the others do not exceed it together.
      */
     private static double unknown(double all, double limit, double found) {
         return Math.min(all, Math.max(0, limit - found));
     }
 
-    /** CPUs left if the whole limit of the team could be had: what renting goes by. */
+    /**
+     * Returns the CPUs with which tasks could start if this shard got all of the quota that other
+     * shards do not demand. Scaling out is based on this.
+     */
     double cpusRentable(String team) {
         Settings.Team t = settings.teams().get(team);
         double most = t == null ? 0 : t.cpusMax() - otherParts.claimed(team);
--- a/src/main/java/org/shoreusher/core/Urgency.java
+++ b/src/main/java/org/shoreusher/core/Urgency.java
@@ -6,29 +6,37 @@
 import org.shoreusher.settings.Tuning;
 
 /**
- * In which order jobs get machines. High priorities come first; among them, and among the rest,
- * jobs that can still meet one of the users' aims come before those that can't, and the one whose
- * last chance to start is nearest comes first. Of the rest those whose chance is not yet near go by
- * the work they have left, the least first: with more work than machines, each getting its turn
- * just in time, all of them would be late by a little. Before all of them come jobs that have
- * waited so long that they might be starved.
+ * The order in which jobs are considered for scheduling.
+ *
+ * <p>Jobs are sorted by priority band. Within a band, jobs that can still meet their service-level
+ * objectives come first, and among these the job with the latest start time nearest in the future
+ * (least slack first). Jobs with ample slack are sorted by remaining work instead, shortest first:
+ * under overload, pure least-slack-first would start every job just too late. Jobs that have waited
+ * so long that they risk starvation come before all others.
  */
 final class Urgency {
     /**
-     * Where a job stands at one moment; computed once per job and plan. {@code workS}: CPU-seconds
-     * left, 0 if something else decides.
+     * The sort key of one job at one moment, computed once per job and scheduling round.
+     *
+     * @param band priority band; lower values are scheduled first
+     * @param lateness number of service-level objectives that the job can no longer meet
+     * @param workS remaining CPU-seconds; 0 if the slack decides
+     * @param slackS seconds until the latest start time that still meets the next objective
      */
     private record Rank(Job job, int band, int lateness, double workS, double slackS) {}
 
     private final Settings settings;
     private final Estimates estimates;
 
+    /**
+     * Creates an order that uses the deployment's service-level objectives and run-time estimates.
+     */
     Urgency(Settings settings, Estimates estimates) {
         this.settings = settings;
         this.estimates = estimates;
     }
 
-    /** Sorts the jobs, most pressing first. */
+    /** Sorts the jobs in place, in the order in which they are to be scheduled. */
     void sort(List<Job> jobs, long wallMs) {
         List<Rank> ranks = new java.util.ArrayList<>(jobs.size());
         for (Job job : jobs) {
@@ -46,8 +54,8 @@
     }
 
     /**
-     * Seconds within which the job must be through to meet the nearest aim it still can; MAX_VALUE
-     * if none is left.
+     * Returns the seconds within which the job must finish to meet the nearest service-level
+     * objective that is still attainable; {@link Double#MAX_VALUE} if there is none.
      */
     double leftS(Job job, long wallMs) {
         double ageS = (wallMs - job.acceptedMs) / 1000.0;
@@ -63,15 +71,15 @@
     }
 
     /**
-     * Whether a task of the job can be stopped and start again later without costing the job an
-     * aim.
+     * Whether a task of the job can be preempted and restarted later without missing a
+     * service-level objective.
      */
     boolean canSpare(Job job, long wallMs) {
         Rank r = rank(job, wallMs);
         return r.slackS() < 0 || r.slackS() > Tuning.SPARE_SLACK_S;
     }
 
-    /** Whether the job's last chance to meet an aim is near and not yet gone. */
+    /** Whether the latest start time that still meets an objective is near but not yet past. */
     boolean pressing(Job job, long wallMs) {
         double slackS = rank(job, wallMs).slackS();
         return slackS >= 0 && slackS < Tuning.PRESSING_SLACK_S;
@@ -80,7 +88,8 @@
     private Rank rank(Job job, long wallMs) {
         double ageS = (wallMs - job.acceptedMs) / 1000.0;
         double needS = needS(job);
-        // Lateness counts the aims that are out of reach already; slack is that of the next one.
+        // Objectives that are already out of reach are counted; the slack is that of the next
+        // attainable one.
         int lateness = 0;
         double slack = Double.MAX_VALUE;
         for (Settings.Objective o : settings.objectives()) {
@@ -94,9 +103,9 @@
         if (slack == Double.MAX_VALUE) {
             slack = Tuning.PATIENCE_S - ageS - needS;
         }
-        // Low jobs have aims with more time in them; side by side with normal ones each gets its
-        // turn in time. A job that has not begun for long goes before all others, or urgent work
-        // that keeps coming would starve it.
+        // Low and normal priority share a band: low-priority objectives allow more time, so
+        // ordering by slack serves both in time. A job that has not started for very long goes
+        // first; a steady stream of urgent work would otherwise starve it.
         int band =
                 job.begun() || ageS < Tuning.STARVED_S
                         ? Math.min(job.spec.priority().ordinal(), JobSpec.Priority.NORMAL.ordinal())
@@ -114,8 +123,8 @@
     }
 
     /**
-     * Whether the time is nearly up within which a job of a team with a guarantee should begin in
-     * full; which jobs fit into it is not known here.
+     * Whether the period is nearly over in which a job of a team with guaranteed capacity must be
+     * fully started. Whether the job fits into the guarantee is not known here.
      */
     private boolean guaranteePresses(Job job, double ageS) {
         Settings.Team team = settings.teams().get(job.spec.team());
@@ -131,8 +140,11 @@
     }
 
     /**
-     * Seconds that are left before the job must start to meet an aim; MAX_VALUE if the aim is not
-     * about it.
+     * Returns the seconds left until the latest start time that meets the objective; negative if it
+     * can no longer be met, {@link Double#MAX_VALUE} if the objective does not apply to the job.
+     *
+     * @param ageS seconds since the job was accepted
+     * @param needS estimated seconds that the remaining tasks take
      */
     private double slackS(Settings.Objective o, Job job, double ageS, double needS) {
         if (!o.jobClass().isEmpty() && !o.jobClass().equals(job.spec.jobClass())) {
@@ -152,7 +164,7 @@
         };
     }
 
-    /** Tasks of the job that its team's limit lets run at once. */
+    /** Returns how many tasks of the job can run concurrently within its team's quota. */
     private int atOnce(Job job) {
         Settings.Team team = settings.teams().get(job.spec.team());
         if (team == null || job.spec.cpus() <= 0) {
@@ -161,7 +173,10 @@
         return (int) Math.max(1, Math.min(job.spec.tasks(), team.cpusMax() / job.spec.cpus()));
     }
 
-    /** Seconds that the waiting tasks take if the team's whole limit is theirs. */
+    /**
+     * Returns the estimated seconds until all waiting tasks have run if the team's whole quota were
+     * available.
+     */
     private double needS(Job job) {
         double rounds = Math.max(1, Math.ceil((double) job.waitingCount / atOnce(job)));
         return rounds * (estimates.runS(job) + Tuning.START_LAG_S);
