--- a/src/main/java/org/shoreusher/core/Fleet.java
+++ b/src/main/java/org/shoreusher/core/Fleet.java
@@ -10,7 +10,10 @@
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 
-/** Rents, returns and keeps track of the machines of one part. */
+/**
+ * Scales the machines of one shard out and in: plans once a second what to provision, drain and
+ * hand over to other shards, and runs the calls to the cloud that follow from it.
+ */
 final class Fleet {
     private final Part part;
     private final Settings settings;
@@ -22,13 +25,16 @@
     private final Retirement retirement;
     private final Returns returns;
 
-    /** Machines the last plan had nothing for, and how many more it could have filled. */
+    /** Usable machines that the last plan had no tasks for. */
     private final Set<Machine> spare = new HashSet<>();
 
+    /** Machines that the last plan could have filled beyond the existing ones, and their CPUs. */
     private int lacks;
+
     private double lacksCpus;
     private long nextPlanMs;
 
+    /** Creates the autoscaler of a shard. */
     Fleet(Part part, Settings settings, Outbox outbox, MachineTypes types) {
         this.part = part;
         this.settings = settings;
@@ -41,6 +47,10 @@
         returns = new Returns(part, outbox);
     }
 
+    /**
+     * Runs what is due, as long as this node holds the shard's lease and knows the machine types.
+     * While reconciliation is incomplete, machines are only added.
+     */
     void step() {
         if (!part.holds() || !types.known()) {
             return;
@@ -60,23 +70,31 @@
         list.step();
     }
 
+    /** The cloud's machine list as last read. */
     MachineList list() {
         return list;
     }
 
-    /** The cloud has rented this machine to the part. */
+    /**
+     * Adds a machine that the cloud has provisioned, unless it is known or terminated already.
+     *
+     * @param askedWallMs wall-clock ms at which the request was sent
+     */
     void rented(String id, CloudOp.Rent rent, long askedWallMs) {
         if (!part.lost() && !part.machines().containsKey(id) && !list.isGone(id)) {
             part.lifecycle().add(id, types.get(rent.type()), rent.zone(), rent.spot(), askedWallMs);
         }
     }
 
-    /** All requests of the last plan are answered: the next one, made at once, may want more. */
+    /**
+     * Has the next plan made in the next step. Called when all requests of the last one are
+     * answered, because the next one may want more machines.
+     */
     void planSoon() {
         nextPlanMs = outbox.now.steadyMs();
     }
 
-    // ---- renting -----------------------------------------------------------------------------
+    // ---- scale out ---------------------------------------------------------------------------
 
     private void plan() {
         List<Planner.Slot> room = slots();
@@ -111,7 +129,8 @@
             }
         }
         lack(jobs);
-        // Idle machines of other parts come by handover, which is quicker and cheaper than renting.
+        // Surplus machines of other shards are handed over, which is faster and cheaper than a
+        // boot.
         wanting.subList(
                         Math.max(0, wanting.size() - part.otherParts().idleElsewhere()),
                         wanting.size())
@@ -119,7 +138,7 @@
         rentals.ask(wanting);
     }
 
-    /** Adds machines to what is to be rented, until a job's tasks find room or none can be had. */
+    /** Adds machines to provision until all tasks of a job are placed or none can be had. */
     private void rentFor(
             Job job,
             int tasks,
@@ -134,7 +153,7 @@
                 return;
             }
             MachineType type = types.get(kind.type());
-            // In rounds over the zones, so that none gets all.
+            // In rounds over the zones, so that no zone gets all of them.
             int share = left / Math.max(1, fits(type, job.spec)) / type.zones().size();
             int count = Math.max(1, Math.min(share, most - wanting.size()));
             for (int i = 0; i < count; i++) {
@@ -147,12 +166,12 @@
         }
     }
 
-    /** The room on machines that have come up or will. */
+    /** The free capacity of machines that can start tasks or are booting. */
     private List<Planner.Slot> slots() {
         List<Planner.Slot> slots = new ArrayList<>();
         for (Machine m : part.machines().values()) {
-            // A machine of an owner before has no room until it is heard: it may hold tasks, or
-            // can't be reached.
+            // A machine that a previous leader used has no capacity until it is reconciled: it may
+            // hold tasks, or be unreachable.
             if (part.available(m) || (m.state == Machine.State.BOOTING && !m.used)) {
                 slots.add(new Planner.Slot(m));
             }
@@ -161,8 +180,8 @@
     }
 
     /**
-     * Machines and CPUs that would be filled beyond those there if every waiting task got its place
-     * at once.
+     * Computes the machines and CPUs that the shard would need beyond the existing ones to run
+     * every waiting task at once.
      */
     private void lack(List<Job> jobs) {
         Planner planner =
@@ -180,11 +199,12 @@
         lacks = (int) Math.ceil(machines);
     }
 
+    /** Tasks of a job that fit on an empty machine. */
     private static int fits(MachineType type, JobSpec spec) {
         return new Planner.Slot(type, "", true).fits(spec);
     }
 
-    /** The part's machines in each zone, those that have been asked for included. */
+    /** The shard's machines in each zone, requested ones included. */
     private Object2IntOpenHashMap<String> perZone() {
         Object2IntOpenHashMap<String> count = new Object2IntOpenHashMap<>();
         part.machines().values().forEach(m -> count.addTo(m.zone, 1));
@@ -192,17 +212,17 @@
         return count;
     }
 
-    /** Whether the part has nothing to do for this machine. */
+    /** Whether the last plan had no tasks for this machine. */
     boolean spare(Machine m) {
         return spare.contains(m);
     }
 
-    /** How many more machines the part could fill at once. */
+    /** How many more machines the shard could fill at once. */
     int lacks() {
         return lacks;
     }
 
-    /** Hands spare machines to the part that lacks most. */
+    /** Hands surplus machines over to the shard with the largest shortfall. */
     private void handOver() {
         int to = part.otherParts().neediest();
         int most = to < 0 ? 0 : part.otherParts().lacksOf(to);
@@ -222,8 +242,9 @@
     }
 
     /**
-     * Lets machines run empty when others lack machines and this part could do its work on fewer:
-     * tasks are never moved, so without this a part keeps many machines half full.
+     * Chooses a machine that gets no more tasks when other shards have a shortfall and this one
+     * could run its tasks on fewer machines. A handover needs an empty machine, and without this a
+     * shard keeps many half-full ones.
      */
     private void runEmpty(int lackedElsewhere) {
         double free = 0;
@@ -255,7 +276,8 @@
     }
 
     /**
-     * How many tasks of a job should run at once, so that its work takes a part of the time it has.
+     * How many of a job's waiting tasks should run in parallel, so that the job needs only a share
+     * of its slack.
      */
     private int wantedAtOnce(Job job, MachineType type) {
         if (!job.spec.shape().ends()) {
@@ -263,7 +285,8 @@
         }
         double run = part.estimates().runS(job);
         double left = part.urgency().leftS(job, outbox.now.wallMs());
-        // What can't be through in time on a machine that has yet to boot gains nothing from haste.
+        // A job that can't meet its deadline on a machine that has yet to boot gains nothing from
+        // more parallelism.
         boolean tooLate = left < type.bootS() + run;
         double horizon =
                 Math.max(
@@ -274,6 +297,7 @@
         return (int) Math.ceil(job.waitingCount * Math.min(1, run / horizon));
     }
 
+    /** The type with the lowest spot price per task of a job; null if none can run it. */
     private MachineType cheapest(JobSpec spec) {
         return types.all().stream()
                 .filter(t -> t.fits(spec))
@@ -282,18 +306,18 @@
     }
 
     /**
-     * What a task's place costs on an empty machine: room that its size leaves over is paid for as
-     * well.
+     * Price per hour of one task on an empty machine; the capacity that the task size leaves unused
+     * is paid for as well.
      */
     private static double pricePerTask(MachineType type, boolean spot, JobSpec spec) {
         return (spot ? type.spotPrice() : type.price()) / Math.max(1, fits(type, spec));
     }
 
     /**
-     * The kind of machine to rent for a job: spot before ordinary, then the cheapest type that the
-     * cloud has, then the zone with fewer machines; null if all are refused. With the cheapest type
-     * alone, a deployment whose large machines are few had work waiting beside hundreds of small
-     * ones that nobody rented.
+     * The kind of machine to provision for a job: spot before on-demand, then the cheapest
+     * available type, then the zone with fewer machines; null if none is available. When only the
+     * cheapest type was considered, tasks waited in a deployment with few large machines although
+     * hundreds of small ones were available.
      */
     private Rentals.Kind kindFor(JobSpec spec, Object2IntOpenHashMap<String> perZone) {
         Rentals.Kind spot = kindFor(spec, true, perZone);
@@ -327,15 +351,16 @@
     }
 
     /**
-     * Ordinary machines cost a multiple of spot ones: for work that may use spot, only a long queue
-     * is worth it.
+     * Whether tasks that may run on spot machines should get on-demand ones of this type. They cost
+     * a multiple, which only a long queue justifies.
      */
     private boolean worthOrdinary(MachineType type) {
         return !type.dear() || lacksCpus > part.cpus() * Tuning.ORDINARY_QUEUE;
     }
 
-    // ---- returning ---------------------------------------------------------------------------
+    // ---- scale in ----------------------------------------------------------------------------
 
+    /** Drains machines that have been idle for too long, except those reserved for replicas. */
     private void returnIdle(Set<Machine> needed) {
         for (Machine m : part.machines().values()) {
             if (m.state == Machine.State.UP
--- a/src/main/java/org/shoreusher/core/Machine.java
+++ b/src/main/java/org/shoreusher/core/Machine.java
@@ -7,108 +7,164 @@
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 
-/** An owner's knowledge of one machine of its part. */
+/**
+ * What the leader of a shard knows of one machine of that shard. Times are steady-clock ms unless a
+ * name says otherwise.
+ */
 final class Machine {
-    /** How far it has come. */
+    /**
+     * The stages of a machine's life; a machine only ever moves to a later one, except that a
+     * refused termination of an idle machine brings it back to {@link #UP}.
+     */
     enum State {
-        /** Rented; its worker has not reported yet. */
+        /** Provisioned; its worker has sent no heartbeat to this leader yet. */
         BOOTING,
-        /** Its worker reports, or did. */
+        /** Its worker has sent a heartbeat to this leader. */
         UP,
-        /** Its handover to another part has been sent and not yet confirmed. */
+        /** Its handover to another shard is being written to the store and is not confirmed yet. */
         HANDING,
-        /** Nothing is started on it any more; it is returned once empty. */
+        /** No task is started on it any more; it is terminated once empty. */
         DRAINING,
-        /** Its return has been asked for and not yet confirmed. */
+        /** Its termination has been requested from the cloud and is not confirmed yet. */
         RETURNING
     }
 
+    /** The cloud's name of the machine; never used again for another one. */
     final String id;
+
     final MachineType type;
     final String zone;
     final boolean spot;
+
+    /**
+     * Wall-clock ms at which it was requested from the cloud, or its age in the cloud's list says
+     * so.
+     */
     final long rentedWallMs;
+
     State state = State.BOOTING;
+
+    /** Address of its worker, from the newest heartbeat; null before the first. */
     String address;
+
+    /** The worker's session in the newest heartbeat. A new session starts with no tasks. */
     long session;
+
+    /** Sequence number of the newest heartbeat within its session. */
     long seq;
 
-    /** steady ms of the newest report of this owner's term. */
+    /** Steady ms of the newest heartbeat that this leader has received in its term. */
     long reportedAtMs = Long.MIN_VALUE / 2;
 
-    /** steady ms of the last moment at which a valid answer may have renewed the worker's lease. */
+    /**
+     * Steady ms of the latest moment at which a reply, of this leader or a previous one, may have
+     * renewed the worker's lease. The lease expires one worker lease after it.
+     */
     long answeredAtMs;
 
-    /** steady ms of the last moment at which an owner before may have given it a valid answer. */
+    /**
+     * Steady ms of the latest moment at which a previous leader may have renewed the worker's
+     * lease.
+     */
     long inheritedAnswerMs;
 
-    /** steady ms of the last answer that this owner gave; -1 if none. */
+    /** Steady ms of the last reply that this leader sent; -1 if none. */
     long repliedAtMs = -1;
 
-    /** Answers in a row that the worker seems not to have heard. */
+    /** Replies in a row that seem not to have reached the worker. */
     private int unheard;
 
-    /** Whether the worker has reported to this owner since it took the part. */
+    /**
+     * Whether this leader has accepted a heartbeat of the worker, so that its task list replaces
+     * what was inferred from the store.
+     */
     boolean heard;
 
     /**
-     * Whether an owner before may have started tasks on it; then only reports made since the
-     * takeover count.
+     * Whether a previous leader may have started tasks on it. Then only a heartbeat made after the
+     * failover reconciles it.
      */
     boolean inherited;
 
     /**
-     * Sessions up to this one have surely ended; their reports come late and tell of tasks that are
-     * gone.
+     * Newest worker session whose lease has expired. A heartbeat of this session or an older one
+     * arrives late and lists tasks that no longer run.
      */
     long endedSession;
 
-    /** Whether tasks may have been started on it, by this owner or one before. */
+    /**
+     * Whether tasks may have been started on it, by this leader or a previous one. Never false
+     * again once true.
+     */
     boolean used;
 
-    /** Whether the record that says so is durable. */
+    /** Whether its record in the store says so too. No task starts on it before. */
     boolean recordedUsed;
 
     /**
-     * Given no more tasks, so that it runs empty and can be handed to a part that lacks machines.
+     * Whether it gets no more tasks, so that it becomes empty and can be handed over to a shard
+     * that has too few machines.
      */
     boolean yielding;
 
-    /** Whether it is being returned only because there was no work for it. */
+    /**
+     * Whether it is drained only because it was idle; then a refused termination makes it usable.
+     */
     boolean unneeded;
 
-    /** Whether a return of it may yet be carried out: it got no answer. */
+    /** Whether a termination request without an answer may still take effect. */
     boolean returnUnknown;
 
-    /** The part that it is being handed to. */
+    /** Number of the shard it is handed over to; valid in state {@link State#HANDING}. */
     int handTo;
 
+    /**
+     * Seconds until the cloud interrupts this spot machine, as of the newest heartbeat; NaN without
+     * an interruption notice.
+     */
     double noticeS = Double.NaN;
+
+    /** Steady ms since which heartbeats have listed no task; -1 while there are tasks. */
     long idleSinceMs = -1;
+
+    /** Moving average of its tasks' run times, each divided by the mean of its job. */
     private double pace = 1;
+
     private int paced;
 
-    /** Tasks in its newest report, those that have exited included. */
+    /** Tasks in its newest heartbeat, exited ones included. */
     int shown;
 
-    /** Tasks of moves that room is kept for, and that room. */
+    /** Tasks on their way here by task migration, for which the capacity below is reserved. */
     int reservations;
 
     private double cpusReserved;
     private double gpusReserved;
     private double memReserved;
 
+    /** CPUs, GPUs and GB of memory that the tasks on it occupy. */
     double cpusUsed;
+
     double gpusUsed;
     double memUsed;
+
+    /**
+     * The attempts that are or may be on it, by {@link #taskKey}. Only {@link ResourceLedger}
+     * changes them, together with the sums above.
+     */
     final Object2ObjectOpenHashMap<String, TaskAttempt> tasks = new Object2ObjectOpenHashMap<>();
 
-    /** Images its tasks have had, hence most likely cached. */
+    /** Container images of tasks that ran on it; most likely in its cache still. */
     final ObjectOpenHashSet<String> images = new ObjectOpenHashSet<>();
 
-    /** Jobs that failed here since the last success. */
+    /** Jobs of which a task failed on it since a task last succeeded on it. */
     final ObjectOpenHashSet<String> failedJobs = new ObjectOpenHashSet<>();
 
+    /**
+     * Creates a machine in state {@link State#BOOTING}.
+     *
+     * @param rentedWallMs wall-clock ms at which it was requested
+     */
     Machine(String id, MachineType type, String zone, boolean spot, long rentedWallMs) {
         this.id = id;
         this.type = type;
@@ -118,9 +174,10 @@
     }
 
     /**
-     * A report is here that is newer than the last one: tells whether its worker has heard the
-     * answer to that one. A worker that hears nothing waits out its patience and asks elsewhere
-     * first, and at last its session ends although it was answered in time.
+     * Infers from a new heartbeat whether the reply to the previous one reached the worker. A
+     * worker without a reply waits for its timeout and tries other nodes before it comes back, and
+     * in the end its session ends although the replies were sent in time. To be called before the
+     * heartbeat's session is taken over.
      */
     void reported(WorkerReport r, long nowMs, Settings settings) {
         if (repliedAtMs < 0) {
@@ -128,9 +185,9 @@
         }
         long since = nowMs - repliedAtMs;
         if (r.session() > session && since < Tuning.WORKER_PATIENCE_MS - Tuning.REPORT_SLACK_MS) {
-            // Held up by a cut and let through with the one before it: a worker that did not hear
-            // an answer would have waited
-            // for it first. Good machines were retired half a second after a cut had ended.
+            // Delayed by a network partition and delivered together with the previous heartbeat: a
+            // worker without a reply would have waited for its timeout first. Without this check,
+            // sound machines were cordoned half a second after a partition had healed.
             return;
         }
         if (r.session() > session && since < settings.workerLeaseS() * 1000) {
@@ -148,41 +205,45 @@
     }
 
     /**
-     * Whether its reports arrive but nothing reaches it, as far as can be told. It gets no work
-     * until it shows that it hears.
+     * Whether there seems to be a one-way partition: its heartbeats arrive, but replies don't reach
+     * it. It gets no tasks until a heartbeat shows that a reply did.
      */
     boolean deaf() {
         return unheard >= Tuning.DEAF_AFTER;
     }
 
-    /** A task took so many times the mean of its job's finished tasks. */
+    /** Records that a task took so many times the mean run time of its job's finished tasks. */
     void ran(double timesTheMean) {
         pace = paced == 0 ? timesTheMean : pace + (timesTheMean - pace) * Tuning.PACE_WEIGHT;
         paced++;
     }
 
-    /** Whether it is so much slower than others that work is better done elsewhere. */
+    /** Whether its tasks take so much longer than elsewhere that it should get no more of them. */
     boolean slow() {
         return paced >= Tuning.PACE_TASKS && pace > Tuning.SLOW_TIMES;
     }
 
+    /** The key of a task in {@link #tasks}: job and array index. */
     static String taskKey(String job, int index) {
         return job + "/" + index;
     }
 
+    /** CPUs neither used nor reserved; may be negative. */
     double cpusFree() {
         return type.cpus() - cpusUsed - cpusReserved;
     }
 
+    /** GPUs neither used nor reserved; may be negative. */
     double gpusFree() {
         return type.gpus() - gpusUsed - gpusReserved;
     }
 
+    /** GB of memory neither used nor reserved; may be negative. */
     double memFree() {
         return type.memGb() - memUsed - memReserved;
     }
 
-    /** Keeps room for so many more tasks that are moved here; less than 0: gives it back. */
+    /** Reserves capacity for so many tasks that migrate here; a negative number releases it. */
     void reserve(JobSpec spec, int tasks) {
         reservations += tasks;
         cpusReserved = reservations == 0 ? 0 : cpusReserved + tasks * spec.cpus();
@@ -190,12 +251,12 @@
         memReserved = reservations == 0 ? 0 : memReserved + tasks * spec.memGb();
     }
 
-    /** Whether nothing is on it and nothing is about to come. */
+    /** Whether it has no tasks and no capacity is reserved on it. */
     boolean unused() {
         return tasks.isEmpty() && reservations == 0;
     }
 
-    /** A stable copy, for callers that change the tasks as they go. */
+    /** Returns a copy of the tasks, for callers that add or remove some while they iterate. */
     List<TaskAttempt> tasksNow() {
         return new ArrayList<>(tasks.values());
     }
--- a/src/main/java/org/shoreusher/core/MachineIndex.java
+++ b/src/main/java/org/shoreusher/core/MachineIndex.java
@@ -9,9 +9,10 @@
 import org.shoreusher.core.StoreSchema.MachineRecord;
 
 /**
- * Every recorded machine by its name, as this node's view of the store shows it. A machine may
- * stand in two groups, a narrow one and a wide one that an owner with a larger value limit wrote:
- * the narrow one counts, but whether it has been used is true if either says so.
+ * The records of all machines by machine name, from this node's cache of the store. The store keeps
+ * machines in groups, one key each. A machine may be in two of them: a narrow group, and a wide one
+ * that a leader with a larger value limit wrote. The narrow one has precedence, but the machine
+ * counts as used if either says so.
  */
 final class MachineIndex {
     private final Object2ObjectOpenHashMap<String, MachineRecord> records =
@@ -19,23 +20,29 @@
     private final Object2ObjectOpenHashMap<String, Map<String, MachineRecord>> groups =
             new Object2ObjectOpenHashMap<>();
 
-    /** The machine's record, or null. */
+    /** Returns the machine's record, or null. */
     MachineRecord get(String id) {
         return records.get(id);
     }
 
+    /** The records of all machines by machine name; not to be changed. */
     Map<String, MachineRecord> all() {
         return records;
     }
 
-    /** The machines in the group under a key. */
+    /**
+     * The records in the group under a store key, by machine name; empty if there is no such group.
+     */
     Map<String, MachineRecord> group(String key) {
         return groups.getOrDefault(key, Map.of());
     }
 
     /**
-     * A record of several machines has changed; {@code changed} is told of each machine that is new
-     * or different by it.
+     * Applies the new value of a group.
+     *
+     * @param after the group's new entry in the store; null if it was removed
+     * @param changed called with each machine whose record is new or different now
+     * @throws IllegalStateException if the value can't be parsed
      */
     void changed(String key, StoreView.Entry after, BiConsumer<String, MachineRecord> changed) {
         Map<String, MachineRecord> now =
--- a/src/main/java/org/shoreusher/core/MachineLifecycle.java
+++ b/src/main/java/org/shoreusher/core/MachineLifecycle.java
@@ -3,7 +3,10 @@
 import org.shoreusher.core.StoreSchema.MachineRecord;
 import org.shoreusher.settings.Settings;
 
-/** Takes machines on for a part and lets go of them, with the tasks that are or may be on them. */
+/**
+ * Adds machines to a shard and removes them, with the tasks that are or may be on them. One for
+ * each shard that this node leads.
+ */
 final class MachineLifecycle {
     private final Part part;
     private final int parts;
@@ -15,6 +18,11 @@
     private final PartOwnership ownership;
     private final ResourceLedger ledger;
 
+    /**
+     * Creates the lifecycle of a shard's machines.
+     *
+     * @param parts number of shards of the cluster
+     */
     MachineLifecycle(
             Part part,
             int parts,
@@ -33,7 +41,11 @@
         types = context.types();
     }
 
-    /** Takes on a machine whose record names this part; null if its type is unknown. */
+    /**
+     * Adds a machine whose record assigns it to this shard. It may hold tasks of a previous leader.
+     *
+     * @return the machine; null if its type is unknown
+     */
     Machine addMachine(String id, MachineRecord record) {
         MachineType type = types.get(record.type());
         if (type == null) {
@@ -42,8 +54,9 @@
         Machine m = new Machine(id, type, record.zone(), record.spot(), record.rentedMs());
         m.used = record.used();
         m.recordedUsed = record.used();
-        // The owner before may have kept the worker's lease alive in its grace, as long as it
-        // believed this node to be without state service as well.
+        // During an outage of the store the previous leader may have renewed the worker's lease in
+        // its grace period, as long as gossip told it that this node could not reach the store
+        // either.
         m.answeredAtMs =
                 ownership.takenAtMs()
                         + Math.max(
@@ -56,7 +69,13 @@
         return m;
     }
 
-    /** A machine that no record shows: it has never been given a task. */
+    /**
+     * Adds a machine that has no record, hence has never been given a task, and has its record
+     * written.
+     *
+     * @param rentedWallMs wall-clock ms at which it was requested
+     * @return the machine; null if {@code type} is null
+     */
     Machine add(String id, MachineType type, String zone, boolean spot, long rentedWallMs) {
         if (type == null) {
             return null;
@@ -68,7 +87,10 @@
         return m;
     }
 
-    /** Lets tasks wait again that were on machines whose leases have surely ended. */
+    /**
+     * Puts the tasks of machines whose worker leases have expired back into the queue. The worker
+     * has killed them by then.
+     */
     void endSilent() {
         for (Machine m : part.machines().values()) {
             if (!m.tasks.isEmpty() && part.leaseEnded(m)) {
@@ -86,7 +108,9 @@
         }
     }
 
-    /** The machine and everything on it are gone. */
+    /**
+     * Removes a machine that no longer exists, with its tasks and its record. The reason is logged.
+     */
     void gone(Machine m, String why) {
         outbox.log("gone: " + m.id + " of part " + part.number + ", " + why);
         m.tasksNow().forEach(ledger::remove);
@@ -95,7 +119,9 @@
         part.fleet().list().forget(m.id);
     }
 
-    /** The cloud says that the machine has stopped by itself, so nothing is on it. */
+    /**
+     * Handles a machine that the cloud reports as failed: nothing runs on it, and it is drained.
+     */
     void stopped(Machine m) {
         m.tasksNow().forEach(ledger::remove);
         if (m.state == Machine.State.BOOTING || m.state == Machine.State.UP) {
@@ -103,17 +129,20 @@
         }
     }
 
-    /** Whether this part is the one to take on a machine that no record shows. */
+    /**
+     * Whether this shard, by the hash of the name, is the one to adopt a machine without a record.
+     */
     boolean strayHere(String id) {
         return index.get(id) == null && Math.floorMod(id.hashCode(), parts) == part.number;
     }
 
     /**
-     * The view shows a machine's record: one that was handed to this part is expected to report.
+     * Applies a changed machine record: adds a machine that was handed over to this shard, and
+     * removes an empty one that belongs to another shard now.
      */
     void machineChanged(String id, MachineRecord record) {
         Machine m = part.machines().get(id);
-        // A write from before a machine's end may come into the view after it.
+        // A write made before the machine was terminated may reach the cache after that.
         if (part.loaded()
                 && m == null
                 && record.part() == part.number
--- a/src/main/java/org/shoreusher/core/MachineList.java
+++ b/src/main/java/org/shoreusher/core/MachineList.java
@@ -16,8 +16,8 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * Reads the cloud's machine list, which lags: from it a part learns which of its machines are gone,
- * and which machines nobody knows of.
+ * Polls the cloud's machine list, which lags behind, for one shard. From it the shard learns which
+ * of its machines have been terminated, and which machines have no record and need to be adopted.
  */
 final class MachineList {
     private final Part part;
@@ -25,30 +25,35 @@
     private final Outbox outbox;
     private final MachineTypes types;
 
-    /** Machines that lists show and no record does, with the moment they were first seen. */
+    /** Listed machines without a record, with the steady ms at which they were first seen. */
     private final Object2LongOpenHashMap<String> strays = new Object2LongOpenHashMap<>();
 
-    /** Machines in the newest list. */
+    /** Names of the machines in the newest complete list. */
     private Set<String> listed = Set.of();
 
-    /** Machines that have been there and are gone; names are never used again. */
+    /** Machines that have been terminated, oldest first; the cloud never uses a name again. */
     private final ObjectLinkedOpenHashSet<String> gone = new ObjectLinkedOpenHashSet<>();
 
     private long nextListMs;
 
-    /** The list that is being read; null between two lists. */
+    /** The list that is being read page by page; null between two lists. */
     private Reading reading;
 
     private boolean awaitingReply;
 
-    /** The pages of a list read so far. {@code askedAt}: when the first was asked for. */
+    /**
+     * The pages of a list read so far.
+     *
+     * @param askedAt when the first page was requested
+     */
     private record Reading(ClockReading askedAt, List<Listed> machines) {
-        /** The last machine so far, behind which the next page begins; null for the first page. */
+        /** The last machine so far, after which the next page begins; null for the first page. */
         String lastName() {
             return machines.isEmpty() ? null : machines.get(machines.size() - 1).id();
         }
     }
 
+    /** Creates the inventory of a shard; nothing is listed yet. */
     MachineList(Part part, Settings settings, Outbox outbox, MachineTypes types) {
         this.part = part;
         this.settings = settings;
@@ -56,7 +61,10 @@
         this.types = types;
     }
 
-    /** A machine of the part is gone. */
+    /**
+     * Remembers that a machine of the shard has been terminated, so that late messages add it not
+     * again.
+     */
     void forget(String id) {
         gone.add(id);
         if (gone.size() > Tuning.GONE_NAMES) {
@@ -64,18 +72,20 @@
         }
     }
 
+    /** Whether the machine is known to have been terminated. */
     boolean isGone(String id) {
         return gone.contains(id);
     }
 
+    /** Whether the newest complete list has the machine. */
     boolean isListed(String id) {
         return listed.contains(id);
     }
 
     /**
-     * Asks for the next page when it is due. A page for which there is no token is asked for again
-     * in the next step: at 4,000 machines a list has more pages than a second's burst of calls, and
-     * one that began anew each time would never be read whole.
+     * Requests the next page when it is due. A page that the rate limit holds back is requested in
+     * the next step, and the pages so far are kept: at 4,000 machines a list has more pages than
+     * the limit's burst, and one that started over each time would never be complete.
      */
     void step() {
         if (awaitingReply) {
@@ -93,7 +103,7 @@
     private void replied(CloudReply reply) {
         awaitingReply = false;
         Reading current = reading;
-        // A rebuild waits for machines that are gone, until a list no longer shows them.
+        // Reconciliation waits for machines until a list shows that they are terminated.
         nextListMs =
                 outbox.now.steadyMs()
                         + (part.rebuilt() ? Tuning.LIST_EVERY_MS : Tuning.LIST_IN_REBUILD_MS);
@@ -126,15 +136,16 @@
             if (m == null && part.lifecycle().strayHere(l.id())) {
                 stray(l);
             } else {
-                // Else a machine returned later, which a lagging list still shows, would count as
-                // seen before.
+                // Otherwise a machine that is terminated later, and that a lagging list still has,
+                // would count as seen before.
                 strays.removeLong(l.id());
             }
         }
         strays.keySet().retainAll(names);
         listed = names;
-        // Lists are at most twice their lag old, and a machine once listed stays so until it is
-        // gone.
+        // Lists are at most twice their lag old, and a machine once listed stays in them until it
+        // is
+        // terminated.
         long shown = (long) (2 * settings.listLagS() * 1000) + Tuning.LIST_SLACK_MS;
         for (Machine m : new ArrayList<>(part.machines().values())) {
             if (!names.contains(m.id) && askedAt.wallMs() - m.rentedWallMs > shown) {
@@ -144,8 +155,8 @@
     }
 
     /**
-     * A machine of which no record tells: taken on once it is sure that no answer to a rental is
-     * still on its way.
+     * Adopts a listed machine without a record once it has been listed for long enough that no
+     * reply to a provisioning request can still be on its way.
      */
     private void stray(Listed l) {
         if (!strays.containsKey(l.id())) {
--- a/src/main/java/org/shoreusher/core/MachineRecords.java
+++ b/src/main/java/org/shoreusher/core/MachineRecords.java
@@ -14,9 +14,10 @@
 import org.shoreusher.settings.Tuning;
 
 /**
- * Keeps the records of a part's machines in the store in step, and hands machines to other parts. A
- * write is guarded by the version of each group of machines it changes, so parts that share a group
- * can't undo each other.
+ * Keeps the store's records of a shard's machines up to date, and hands machines over to other
+ * shards. Each write is a compare-and-swap on the version of every group of machines that it
+ * changes, and on the leader's fencing token: shards that share a group can't undo each other's
+ * writes, and a previous leader can't write at all.
  */
 final class MachineRecords {
     private final int partNumber;
@@ -28,17 +29,26 @@
     private final PartOwnership ownership;
     private final Map<String, Machine> machines;
 
-    /** Told of a machine that belongs to another part now. */
+    /** Called with a machine that belongs to another shard now. */
     private final Consumer<String> handedOver;
 
+    /** Machines whose records may differ from {@link #wanted}, oldest first. */
     private final ObjectLinkedOpenHashSet<String> dirty = new ObjectLinkedOpenHashSet<>();
 
-    /** Wide groups, written under a larger value limit, whose machines move to narrow ones. */
+    /**
+     * Keys of wide groups, written under a larger value limit, whose machines move to narrow ones.
+     */
     private final ObjectLinkedOpenHashSet<String> splitting = new ObjectLinkedOpenHashSet<>();
 
     private boolean recording;
     private long nextMs;
 
+    /**
+     * Creates the records of a shard.
+     *
+     * @param machines the shard's machines by name; read, never changed
+     * @param handedOver called with each machine that belongs to another shard now
+     */
     MachineRecords(
             int partNumber,
             NodeContext context,
@@ -56,14 +66,16 @@
         this.machines = machines;
     }
 
-    /** The machine is new, used, or gone: its record is to be written or removed. */
+    /** Has the record of a machine that is new, used or terminated written or removed. */
     void changed(String id) {
         dirty.add(id);
     }
 
     /**
-     * Hands an idle machine with nothing in flight to another part. From here on nothing starts on
-     * it; the write is repeated until it is done or the machine's record has changed.
+     * Hands an idle machine over to another shard. From now on no task starts on it. The write is
+     * repeated until it succeeds or the machine's record has been changed by another leader.
+     *
+     * @param to number of the other shard
      */
     void handOver(Machine m, int to) {
         m.state = Machine.State.HANDING;
@@ -71,15 +83,15 @@
         dirty.add(m.id);
     }
 
-    /** What the store should say of a machine; null if nothing. */
+    /** The record that a machine should have; null if none. */
     private MachineRecord wanted(String id) {
         Machine m = machines.get(id);
         if (m == null) {
             return null;
         }
         boolean handing = m.state == Machine.State.HANDING;
-        // An older version would write a wide group beside a narrow one, and read "not used" in the
-        // narrow one again later.
+        // A node of the previous version would write a wide group beside the narrow one, and later
+        // read "not used" in the narrow one.
         boolean mixed = narrow() && !formats.services();
         return new MachineRecord(
                 handing ? m.handTo : partNumber,
@@ -95,9 +107,9 @@
     }
 
     /**
-     * Records machines before their first start, and removes the records of those that are gone: as
-     * many as have gathered, since a few hundred machines that come up within seconds would else
-     * take the whole rate of changes.
+     * Writes the records of machines before tasks start on them, and removes those of terminated
+     * machines, in batches: a few hundred machines that boot within seconds would otherwise use up
+     * the store's rate limit. At most one write is in flight.
      */
     void write() {
         if (recording
@@ -150,7 +162,12 @@
         }
     }
 
-    /** Puts the machines that changed into their groups; returns those for which there was room. */
+    /**
+     * Applies the changed machines to copies of their groups, as many as fit into a transaction.
+     *
+     * @param groups receives the new groups by key
+     * @return the machines whose groups are among them
+     */
     private List<String> gather(Map<String, Map<String, MachineRecord>> groups) {
         List<String> batch = new ArrayList<>();
         for (String id : dirty) {
@@ -166,7 +183,7 @@
             batch.add(id);
             MachineRecord wanted = wanted(id);
             MachineRecord known = group.get(id);
-            // Another part's machine is not this one's to write about.
+            // A record that assigns the machine to another shard is that shard's to change.
             if (wanted == null && known != null && known.part() == partNumber) {
                 group.remove(id);
             } else if (wanted != null && (known == null || known.part() == partNumber)) {
@@ -177,8 +194,8 @@
     }
 
     /**
-     * Whether nothing is lost of a machine with its wide group: its narrow one has it, or it is
-     * gone.
+     * Whether a machine's entry in a wide group is no longer needed: its narrow group has it, or it
+     * has been terminated.
      */
     private boolean standsElsewhere(String id) {
         return index.group(StoreSchema.machine(id, false)).containsKey(id)
@@ -187,8 +204,8 @@
     }
 
     /**
-     * A machine that changes and stands in a wide group takes the whole group with it, a few narrow
-     * ones a write: the wide one may be longer than can be written again.
+     * When a machine in a wide group changes, moves the whole group to narrow ones, a few of them a
+     * write: the wide group may be larger than this node's value limit, so it can't be rewritten.
      */
     private void split() {
         if (!narrow()) {
@@ -211,7 +228,8 @@
     }
 
     /**
-     * Takes over what the view now says of machines; what is not yet as wanted is written again.
+     * Compares the machines of a write with what the cache shows after it: notes which are durable
+     * or handed over, and marks those still different as changed, so that they are written again.
      */
     private void settle(List<String> batch) {
         for (String id : batch) {
@@ -234,7 +252,7 @@
                     && record != null
                     && !index.group(StoreSchema.machine(id, settings.valueBytes()))
                             .containsKey(id)) {
-                // Gone, and only its wide group still has it, which is on its way out.
+                // Terminated, and only its wide group still has it, which is about to be removed.
                 continue;
             } else if (record == null ? m != null : !record.equals(wanted(id))) {
                 dirty.add(id);
--- a/src/main/java/org/shoreusher/core/MachineTypes.java
+++ b/src/main/java/org/shoreusher/core/MachineTypes.java
@@ -13,8 +13,9 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * The machine types. The first node that learns them from the cloud stores the answer, so that a
- * node that restarts while the cloud's interface is down knows them from the state service.
+ * The machine types that the cloud offers. The first node that reads them from the cloud also
+ * writes them to the key-value store, so that a node that restarts during an outage of the cloud's
+ * API has them.
  */
 final class MachineTypes {
     private final Settings settings;
@@ -25,25 +26,37 @@
     private boolean busy;
     private long nextMs;
 
+    /** Creates an empty catalog. */
     MachineTypes(Settings settings, Outbox outbox, StoreView view) {
         this.settings = settings;
         this.outbox = outbox;
         this.view = view;
     }
 
+    /**
+     * Whether the types are known, from the cloud or the store. Without them no machine can be
+     * used.
+     */
     boolean known() {
         return !types.isEmpty();
     }
 
+    /** Returns the type of this name, or null. */
     MachineType get(String name) {
         return types.get(name);
     }
 
+    /** All types, in no particular order. */
     Collection<MachineType> all() {
         return types.values();
     }
 
-    /** Asks the cloud if this node rents (prices change) or if nobody has told the types yet. */
+    /**
+     * Reads the types from the cloud if that is due: while they are unknown, and regularly on a
+     * node that provisions machines, because prices change.
+     *
+     * @param renting whether this node leads a shard, and so provisions machines
+     */
     void step(boolean renting) {
         if (!view.loaded() || busy || outbox.now.steadyMs() < nextMs || (known() && !renting)) {
             return;
@@ -69,7 +82,7 @@
         }
     }
 
-    /** The view shows what another node has learned. */
+    /** Takes the types from the store unless they are known already. */
     void stored(Map<String, Object> value) {
         if (!known()) {
             read(value);
--- a/src/main/java/org/shoreusher/core/Rentals.java
+++ b/src/main/java/org/shoreusher/core/Rentals.java
@@ -13,17 +13,23 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * Asks the cloud for machines, as many requests at once as its call rate allows in a second: one at
- * a time took ten seconds to rent a thousand machines.
+ * Provisions machines. Sends as many requests at once as the cloud's rate limit allows in a second:
+ * one at a time took ten seconds for a thousand machines.
  *
- * <p>Promise: a request without an answer is repeated under its own name until it has one, and no
- * name is used for another request, by this owner or a later one.
+ * <p>Guarantee: requests are idempotent. A request without an answer is repeated under the same
+ * name until it has one, and no name is ever used for another request, by this leader or a later
+ * one.
  */
 final class Rentals {
-    /** A kind of machine as the cloud has or lacks it. */
+    /**
+     * What the cloud's capacity is counted by.
+     *
+     * @param type name of the machine type
+     * @param spot whether a spot machine, else an on-demand one
+     */
     record Kind(String type, String zone, boolean spot) {}
 
-    /** A request whose answer is still open. */
+    /** A request that has no final answer yet. */
     private static final class Pending {
         final CloudOp.Rent rent;
         final Planner.Slot example;
@@ -40,18 +46,22 @@
     private final Outbox outbox;
     private final Fleet fleet;
     private final int atOnce;
+
+    /** Steady ms until which a kind that had no capacity is not requested again. */
     private final Object2LongOpenHashMap<Kind> refusedUntil = new Object2LongOpenHashMap<>();
+
     private final List<Pending> pending = new ArrayList<>();
     private long nextHire = 1;
 
     /**
-     * After a failure one request at a time finds out whether the cloud is back, or all of them
-     * would use up the rate.
+     * Whether the last call failed. Then requests are sent one at a time until one succeeds, since
+     * all of them together would use up the rate limit during an outage.
      */
     private boolean failing;
 
     private long againMs;
 
+    /** Creates the scale-out of a shard; nothing is requested yet. */
     Rentals(Part part, Settings settings, Outbox outbox, Fleet fleet) {
         this.part = part;
         this.outbox = outbox;
@@ -59,17 +69,17 @@
         atOnce = Math.max(1, (int) (settings.cloudRps() * Tuning.RATE_USE));
     }
 
-    /** Whether the cloud has lately had no machine of this kind. */
+    /** Whether the cloud has recently had no capacity for this kind of machine. */
     boolean refused(Kind kind) {
         return refusedUntil.getLong(kind) > outbox.now.steadyMs();
     }
 
-    /** How many more machines can be asked for just now. */
+    /** How many more machines can be requested now. */
     int room() {
         return (atOnce - pending.size()) * Tuning.RENT_AT_ONCE;
     }
 
-    /** Machines that have been asked for, as empty room. */
+    /** The capacity of the machines that have been requested and not been provisioned yet. */
     List<Planner.Slot> coming() {
         List<Planner.Slot> slots = new ArrayList<>();
         for (Pending p : pending) {
@@ -80,7 +90,7 @@
         return slots;
     }
 
-    /** Asks for machines like these, at most {@link #room} of them. */
+    /** Requests machines like these, at most {@link #room} of them. */
     void ask(List<Planner.Slot> wanting) {
         Map<Kind, Integer> counts = new LinkedHashMap<>();
         Map<Kind, Planner.Slot> examples = new LinkedHashMap<>();
@@ -94,8 +104,8 @@
                     for (int left = count;
                             left > 0 && pending.size() < atOnce;
                             left -= Tuning.RENT_AT_ONCE) {
-                        // The name contains the term, so no other owner and no restart can use it
-                        // again.
+                        // The name contains the term, so that no other leader uses it, nor this
+                        // node after a restart.
                         CloudOp.Rent rent =
                                 new CloudOp.Rent(
                                         "part-"
@@ -114,7 +124,7 @@
         step();
     }
 
-    /** Sends what is due. */
+    /** Sends the pending requests that are due, new ones and those to be repeated. */
     void step() {
         if (outbox.now.steadyMs() < againMs
                 || (failing && pending.stream().anyMatch(p -> p.inFlight))) {
@@ -146,7 +156,7 @@
                         && "no capacity".equals(reply.body().get("error"));
         failing = reply.status() != 200 && reply.status() != 400 && !capacity;
         if (failing) {
-            // Without an answer it may have been carried out: only the same name is safe to repeat.
+            // A request without an answer may have taken effect: it is repeated under its name.
             againMs = outbox.now.steadyMs() + Tuning.CLOUD_RETRY_MS;
             return;
         }
--- a/src/main/java/org/shoreusher/core/Retirement.java
+++ b/src/main/java/org/shoreusher/core/Retirement.java
@@ -4,20 +4,23 @@
 import org.shoreusher.settings.Tuning;
 
 /**
- * Marks machines that must not get more work: faulty, noticed, deaf, silent, dead in their boot.
+ * Cordons machines that must get no more tasks: faulty or slow ones, those with an interruption
+ * notice or behind a one-way partition, unresponsive ones, and those that failed to boot. They are
+ * drained and then terminated.
  */
 final class Retirement {
     private final Part part;
     private final Settings settings;
     private final Outbox outbox;
 
+    /** Creates the cordon of a shard. */
     Retirement(Part part, Settings settings, Outbox outbox) {
         this.part = part;
         this.settings = settings;
         this.outbox = outbox;
     }
 
-    /** Looks at all machines of the part. */
+    /** Checks all machines of the shard and sets those to be cordoned to draining. */
     void step() {
         boolean deafAreFaulty = deafAreFaulty();
         for (Machine m : part.machines().values()) {
@@ -36,13 +39,16 @@
         }
     }
 
-    /** Whether deaf machines are at fault: if many seem deaf, it is this node they don't hear. */
+    /**
+     * Whether machines behind a one-way partition are themselves at fault. If many are, the fault
+     * is more likely in this node's network.
+     */
     private boolean deafAreFaulty() {
         long deaf = part.machines().values().stream().filter(Machine::deaf).count();
         return deaf <= Math.max(1, part.machines().size() * Tuning.DEAF_SHARE);
     }
 
-    /** What is wrong with a machine; null if nothing is. */
+    /** The reason to cordon a machine, as the rest of a log line; null if there is none. */
     private String fault(Machine m, boolean deafAreFaulty) {
         if (m.state == Machine.State.BOOTING && neverCameUp(m)) {
             return " did not come up in " + ageMs(m) / 1000 + " s";
@@ -65,9 +71,9 @@
     }
 
     /**
-     * One that an owner before has used did come up. Taken for dead in their boot, all machines
-     * behind a cut were returned by a taker, and came back with the zone as new ones without
-     * images.
+     * Whether a machine is far beyond its boot time. One that a previous leader used did boot:
+     * without that check, a successor terminated all machines behind a network partition, and their
+     * replacements had empty image caches.
      */
     private boolean neverCameUp(Machine m) {
         return !m.used && ageMs(m) > Tuning.BOOT_PATIENCE * m.type.bootS() * 1000;
@@ -77,6 +83,9 @@
         return outbox.now.steadyMs() - m.answeredAtMs;
     }
 
+    /**
+     * Whether an empty machine's lease expired long enough ago that it has cost its minimum charge.
+     */
     private boolean silent(Machine m) {
         return m.used
                 && (m.state == Machine.State.UP || m.state == Machine.State.BOOTING)
@@ -85,8 +94,8 @@
     }
 
     /**
-     * Replicas never end by themselves: on a machine that is to go they are stopped, and run again
-     * elsewhere.
+     * Evicts service replicas from a draining machine, since they never end by themselves; they are
+     * started again elsewhere.
      */
     private void moveReplicas(Machine m) {
         for (TaskAttempt live : m.tasks.values()) {
--- a/src/main/java/org/shoreusher/core/Returns.java
+++ b/src/main/java/org/shoreusher/core/Returns.java
@@ -5,19 +5,20 @@
 import org.shoreusher.core.Effect.CloudOp;
 import org.shoreusher.settings.Tuning;
 
-/** Returns a part's empty machines that are to go to the cloud. */
+/** Terminates the drained machines of a shard once they are empty; one call at a time. */
 final class Returns {
     private final Part part;
     private final Outbox outbox;
     private boolean returning;
     private long nextReturnMs;
 
+    /** Creates the scale-in of a shard. */
     Returns(Part part, Outbox outbox) {
         this.part = part;
         this.outbox = outbox;
     }
 
-    /** Asks for the next return when it is due. */
+    /** Requests the next termination when it is due. */
     void step() {
         if (returning || outbox.now.steadyMs() < nextReturnMs) {
             return;
@@ -27,7 +28,7 @@
             if ((m.state == Machine.State.DRAINING || m.state == Machine.State.RETURNING)
                     && m.tasks.isEmpty()
                     && ids.size() < Tuning.RETURN_AT_ONCE) {
-                // From here on nothing may start on it, whatever becomes of the call.
+                // From now on no task may start on it, whatever the outcome of the call.
                 m.state = Machine.State.RETURNING;
                 ids.add(m.id);
             }
@@ -56,9 +57,13 @@
     }
 
     /**
-     * A return was not confirmed. If it was refused, so were all before it, and the machine was
-     * only not needed, it is as good as ever: while the cloud's interface is down for a minute,
-     * work must not wait beside machines that wait for it.
+     * Handles a termination that was not confirmed. A machine that was drained only because it was
+     * idle becomes usable again if this call and all earlier ones were refused for certain:
+     * otherwise tasks would wait during an outage of the cloud's API beside machines that wait for
+     * their termination.
+     *
+     * @param m the machine; null if it is known to be terminated
+     * @param status HTTP status of the reply; 503 and 429 mean that nothing was done
      */
     private void stillThere(Machine m, int status) {
         if (m == null) {
