--- a/src/main/java/org/shoreusher/core/Acceptance.java
+++ b/src/main/java/org/shoreusher/core/Acceptance.java
@@ -18,13 +18,14 @@
 import org.shoreusher.wire.StateFormat;
 
 /**
- * Makes submissions durable and answers them. One alone gets a record of its own; those that come
- * while the write before them is on its way, or waits for a token, share one, see {@link Arrivals}:
- * at twenty changes a second a hundred jobs that come together had to wait for six seconds. What
- * does not fit the next writes is refused at once.
+ * Makes submissions durable by group commit, and answers them. A single submission gets a record of
+ * its own. Submissions that arrive while the write before them is in flight, or waits for a token
+ * of the rate limit, share a record; see {@link Arrivals}. One write for each would make a hundred
+ * simultaneous submissions wait up to six seconds at twenty writes a second. Submissions that do
+ * not fit into the next writes are refused at once.
  */
 final class Acceptance {
-    /** A job with all requests that submit it just now. */
+    /** A job that is to be written, with all requests that submit it. */
     private record Arriving(
             JobSpec spec,
             long sinceMs,
@@ -38,16 +39,26 @@
     private final String owner;
     private final ToIntFunction<JobSpec> roomiestPart;
 
-    /** Told of a job that another try of its submission has made known first. */
+    /** Called for a job that has become durable by another submission; with request and job id. */
     private final BiConsumer<Long, String> alreadyKnown;
 
-    /** Told of a submission whose description is longer than a record may be. */
+    /** Called for a description that exceeds the limit on a record; with request and job id. */
     private final BiConsumer<Long, String> tooLong;
 
+    /** Submissions to be written, by job id, in the order of arrival. */
     private final Map<String, Arriving> queue = new LinkedHashMap<>();
+
     private int writing;
     private long nextRecord = 1;
 
+    /**
+     * A committer for the submissions that one node accepts.
+     *
+     * @param owner the name of this process, which no other process has ever had
+     * @param roomiestPart the number of the shard that a new job should go to
+     * @param alreadyKnown called for a job that has become durable by another submission
+     * @param tooLong called for a description that exceeds the limit on a record
+     */
     Acceptance(
             Settings settings,
             Outbox outbox,
@@ -65,7 +76,7 @@
         this.tooLong = tooLong;
     }
 
-    /** Takes a job that is not known and can run. */
+    /** Queues a job that is not yet known and has been admitted; the request is answered later. */
     void submit(long request, JobSpec spec) {
         Arriving known = queue.get(spec.id());
         if (known != null) {
@@ -93,12 +104,12 @@
                         new ArrayList<>(List.of(request))));
     }
 
-    /** Sends what has gathered. */
+    /** Writes the queued submissions, and refuses those that have waited for too long. */
     void step() {
         while (!queue.isEmpty() && writing < Tuning.ACCEPTS_AT_ONCE && write()) {
-            // until all is on its way, or tokens have run out
+            // until the queue is empty or the rate limit is reached
         }
-        // Held for the next write only, not for the one after it: the user had better come back.
+        // A submission waits for the next write only: a retry by the user costs less than a queue.
         queue.values()
                 .removeIf(
                         a -> {
@@ -115,7 +126,7 @@
         List<Arriving> batch = new ArrayList<>();
         int bytes = 0;
         for (Arriving a : queue.values()) {
-            // One condition for each job, and one for the record.
+            // One precondition for each job, and one for the record.
             if (!batch.isEmpty()
                     && (bytes + a.bytes > settings.valueBytes() * Tuning.RECORD_FILL
                             || batch.size() >= 4 * settings.txnOps() - 1)) {
@@ -130,8 +141,7 @@
         if (batch.size() == 1) {
             writes.put(StoreSchema.job(batch.get(0).spec.id()), batch.get(0).record);
         } else {
-            // The owner's name has a suffix that no other process has ever had, so no record is
-            // ever written over.
+            // The name of this process is unique, so no batch record is ever overwritten.
             String key = StoreSchema.arrived(owner, nextRecord++);
             guards.put(key, 0L);
             Map<String, Map<String, Object>> jobs = new LinkedHashMap<>();
--- a/src/main/java/org/shoreusher/core/Arrivals.java
+++ b/src/main/java/org/shoreusher/core/Arrivals.java
@@ -14,32 +14,36 @@
 import org.shoreusher.settings.Tuning;
 
 /**
- * Jobs that were accepted several at once, in one record, and have none of their own yet.
+ * Jobs that were committed together in a shared record, the submission batch, and have no record of
+ * their own yet.
  *
- * <p>Promise: such a record only says that its jobs exist. Whatever happens to one of them, its
- * first start, its cancellation, its end, creates its own record, guarded by there being none, and
- * from then on that one alone counts. So two nodes may accept the same job in two records, or one
- * record may come late: the job is begun, cancelled and finished once.
+ * <p>Invariant: a batch only says that its jobs exist. Any change of a job (its first start, its
+ * cancellation, its completion) creates the job's own record with the precondition that there is
+ * none; from then on only that record counts. So a job is started, cancelled and completed once
+ * even if two nodes accept it in two batches, or a batch becomes visible late.
  */
 final class Arrivals {
-    /** A job as a shared record has it, and that record's version. */
+    /** A job as its batch has it, and the version of the batch in the store. */
     private record Arrived(JobRecord record, long version) {}
 
     private final Settings settings;
     private final Outbox outbox;
     private final StoreView view;
 
-    /** Jobs without a record of their own. */
+    /** The jobs without a record of their own, by id. */
     private final Object2ObjectLinkedOpenHashMap<String, Arrived> waiting =
             new Object2ObjectLinkedOpenHashMap<>();
 
-    /** The shared records, with the jobs in each that have none of their own. */
+    /** For each batch, by key, the ids of its jobs without a record of their own. */
     private final Object2ObjectOpenHashMap<String, Set<String>> shared =
             new Object2ObjectOpenHashMap<>();
 
     private boolean removing;
+
+    /** When empty batches are next removed; steady ms. */
     private long nextMs;
 
+    /** No batches yet. */
     Arrivals(Settings settings, Outbox outbox, StoreView view) {
         this.settings = settings;
         this.outbox = outbox;
@@ -47,8 +51,8 @@
     }
 
     /**
-     * Where a job stands as the view has it, by its own record or a shared one; null if the view
-     * has neither.
+     * The record of a job in the cache of the store: its own, or else that of its batch; null if
+     * there is neither.
      */
     JobRecord record(String id) {
         StoreView.Entry own = view.get(StoreSchema.job(id));
@@ -59,15 +63,18 @@
         return arrived == null ? null : arrived.record;
     }
 
-    /** Goes through all jobs that have no record of their own. */
+    /** Calls {@code of} with the id and record of each job that has no record of its own. */
     void each(BiConsumer<String, JobRecord> of) {
         waiting.forEach((id, arrived) -> of.accept(id, arrived.record));
     }
 
     /**
-     * A shared record has come or gone; {@code arrived} is told of each job that is new by it. Of
-     * two records with the same job the older counts, whichever comes into the view first: else the
-     * owners of two parts might each take it for the other's.
+     * A batch has appeared in the cache of the store, or was removed. If two batches contain the
+     * same job, the older one counts, whichever becomes visible first: otherwise the leaders of two
+     * shards might each believe that the job belongs to the other.
+     *
+     * @param after the batch; null if it was removed
+     * @param arrived called with the id and record of each job that is new by it
      */
     void changed(String key, StoreView.Entry after, BiConsumer<String, JobRecord> arrived) {
         if (after == null) {
@@ -81,8 +88,8 @@
         Set<String> left = new HashSet<>();
         jobs.forEach(
                 (id, record) -> {
-                    // Done jobs have left the view; until the watch has passed that, the news of
-                    // their arrival may still come.
+                    // A completed job has been evicted from the cache; the watch may still deliver
+                    // the older event of its submission.
                     if (!view.hasOrHad(StoreSchema.job(id))) {
                         left.add(id);
                     }
@@ -98,14 +105,14 @@
                 });
     }
 
-    /** The job has a record of its own. */
+    /** The job has got a record of its own; the batch no longer counts for it. */
     void settled(String id) {
         if (waiting.remove(id) != null) {
             shared.values().forEach(ids -> ids.remove(id));
         }
     }
 
-    /** Removes shared records of which nothing is needed any more, without haste. */
+    /** Removes batches all of whose jobs have records of their own, from time to time. */
     void sweep(PartOwnership ownership) {
         if (removing || outbox.now.steadyMs() < nextMs) {
             return;
--- a/src/main/java/org/shoreusher/core/EndedJobs.java
+++ b/src/main/java/org/shoreusher/core/EndedJobs.java
@@ -8,44 +8,45 @@
 import org.shoreusher.settings.Tuning;
 
 /**
- * Jobs in their final state, which never changes. Their records leave the view of the store; a
- * bounded number stays in memory, and the store has them all.
+ * Jobs in a terminal state, which never changes. Their records are evicted from the cache of the
+ * store; a bounded number is kept here, and the store keeps all of them.
  */
 final class EndedJobs {
-    /** A cancelled job, and when its record leaves the view. */
+    /** A cancelled job, and when its record is evicted; steady ms. */
     private record Leaving(String id, long atMs) {}
 
     private final Settings settings;
     private final Outbox outbox;
     private final StoreView view;
 
-    /** Ended jobs, dropped from the view; a cache because the store has them for ever. */
+    /** Jobs evicted from the cache of the store; those dropped here can be read from the store. */
     private final Cache<String, JobRecord> ended =
             Caffeine.newBuilder().maximumSize(Tuning.FINAL_STATES).executor(Runnable::run).build();
 
-    /** Cancelled jobs that are yet in the view, the longest cancelled first. */
+    /** Cancelled jobs whose records are not yet evicted, in the order of their times. */
     private final ArrayDeque<Leaving> leaving = new ArrayDeque<>();
 
+    /** An empty cache. */
     EndedJobs(Settings settings, Outbox outbox, StoreView view) {
         this.settings = settings;
         this.outbox = outbox;
         this.view = view;
     }
 
-    /** The record of an ended job; null if it is not in memory. */
+    /** The record of a job in a terminal state; null if it is not in memory. */
     JobRecord get(String id) {
         return ended.getIfPresent(id);
     }
 
-    /** A job has become done: its record moves from the view to the cache. */
+    /** A job has completed: moves its record from the cache of the store to this one. */
     void done(String id, JobRecord record) {
         ended.put(id, record);
         view.evict(StoreSchema.job(id));
     }
 
     /**
-     * A job is cancelled: its record stays in the view as long as its tasks may be on machines, and
-     * then goes the same way.
+     * A job has been cancelled: schedules the eviction of its record for a time when its tasks have
+     * surely been stopped.
      */
     void cancelled(String id) {
         leaving.add(
@@ -55,7 +56,9 @@
                                 + (long) (settings.cancelS() * 1000 * Tuning.CANCELLED_KEPT)));
     }
 
-    /** Drops the records of jobs that have been cancelled for long. */
+    /**
+     * Evicts the records of cancelled jobs that are due, and keeps them here without their specs.
+     */
     void step() {
         while (!leaving.isEmpty() && leaving.peek().atMs() <= outbox.now.steadyMs()) {
             String id = leaving.poll().id();
--- a/src/main/java/org/shoreusher/core/Estimates.java
+++ b/src/main/java/org/shoreusher/core/Estimates.java
@@ -4,14 +4,18 @@
 import org.shoreusher.settings.Tuning;
 
 /**
- * How long tasks run: what a job's own finished tasks took, else its owner's estimate corrected by
- * how wrong the estimates of its class have lately been.
+ * Estimates of task run times: the mean of the job's own completed tasks, or else the user's
+ * estimate times the recent mean ratio of actual to estimated run times in the job's class.
  */
 final class Estimates {
+    /**
+     * The exponentially weighted mean of actual to estimated run time, by job class. It is an array
+     * of one element, so that an update allocates nothing.
+     */
     private final Object2ObjectOpenHashMap<String, double[]> ratios =
             new Object2ObjectOpenHashMap<>();
 
-    /** A task of the job took so long. */
+    /** Records how long a completed task of the job ran. */
     void observed(Job job, double seconds) {
         job.observe(seconds);
         if (job.spec.estimateS() > 0) {
@@ -21,7 +25,7 @@
         }
     }
 
-    /** Seconds that a task of the job is expected to run. */
+    /** The expected run time of a task of the job, in seconds; at least 1. */
     double runS(Job job) {
         if (job.observedCount() > 0) {
             return Math.max(Tuning.LEAST_RUN_S, job.observedMeanS());
--- a/src/main/java/org/shoreusher/core/FinalStates.java
+++ b/src/main/java/org/shoreusher/core/FinalStates.java
@@ -6,16 +6,20 @@
 import org.shoreusher.core.Effect.StateOp;
 import org.shoreusher.core.StoreSchema.JobRecord;
 
-/** Writes the final state of jobs whose last task has finished; users are told only after that. */
+/**
+ * Writes the terminal state of jobs whose last task has completed. Users are told of the state only
+ * after the write is durable.
+ */
 final class FinalStates {
     private final Outbox outbox;
     private final StoreView view;
     private final Arrivals arrivals;
     private final PartOwnership ownership;
 
-    /** Jobs whose last task has finished and whose final state is not yet written. */
+    /** Jobs whose last task has completed and whose terminal state is not yet durable. */
     private final List<Job> complete = new ArrayList<>();
 
+    /** A writer for the jobs of one shard. */
     FinalStates(Outbox outbox, StoreView view, Arrivals arrivals, PartOwnership ownership) {
         this.outbox = outbox;
         this.view = view;
@@ -23,14 +27,20 @@
         this.ownership = ownership;
     }
 
-    /** A task of the job has finished, or the job is new here: notes it if it was the last one. */
+    /**
+     * Queues the job if its last task has completed. To be called when a task completes, and for
+     * each job that this leader takes over.
+     */
     void finished(Job job) {
         if (job.complete() && !complete.contains(job)) {
             complete.add(job);
         }
     }
 
-    /** Writes what is due. */
+    /**
+     * Sends the writes that are due, as far as the request rate allows. Does nothing unless this
+     * node is the leader.
+     */
     void write() {
         if (complete.isEmpty() || !ownership.holds()) {
             return;
@@ -43,7 +53,7 @@
             }
             Map<String, Map<String, Object>> writes =
                     Map.of(StoreSchema.job(job.id), record.done().write());
-            // A refusal means that the user's cancellation came first; the view will show it.
+            // A failed precondition means that a cancellation came first; the watch will show it.
             job.finishing =
                     outbox.state(
                             new StateOp.Multi(
--- a/src/main/java/org/shoreusher/core/FinishedRecords.java
+++ b/src/main/java/org/shoreusher/core/FinishedRecords.java
@@ -14,25 +14,31 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * The finished tasks of a part's open jobs, laid out in records below the value limit: record 0 is
- * the part's own, the others spill. A job's tasks are cut into slices that fit into a record
- * however they finish, and a slice keeps its record, so that a change touches one.
+ * The layout of a shard's completion records. They hold the completed tasks of the open jobs, each
+ * below the store's limit on a value: record 0 is part of the shard's own record, the others take
+ * what does not fit into it. A job's tasks are divided into slices of consecutive indexes. A slice
+ * fits into a record in whatever order its tasks complete, and it stays in its record, so that a
+ * completion changes one record only.
  *
- * <p>Promise: what is durable stays so. A slice that has to move, since an owner before could write
- * longer records or cut jobs otherwise, leaves its old record only when it stands in its new one;
- * and no record is ever written above the limit.
+ * <p>Invariants: a recorded completion stays recorded, and no record is written above the limit. A
+ * previous leader may have had a higher limit or other slices. A slice that has to move for that
+ * reason leaves its old record only after its new record is durable.
  */
 final class FinishedRecords {
-    /** A slice of a job in its record. */
+    /** The completed tasks of one slice, and the index of its record. */
     private record Placed(Job job, int chunk, BitSet done) {}
 
+    /** The limit on the JSON length of a record, in bytes. */
     private final int limit;
+
     private final Collection<Job> jobs;
 
-    /** What the store has of a record; empty if nothing. */
+    /** Reads the stored value of a record by its index; empty if there is none. */
     private final IntFunction<Map<String, Object>> stored;
 
+    /** The completed tasks of each record, by job id. */
     private final List<Map<String, BitSet>> chunks = new ArrayList<>();
+
     private final List<Placed> placed = new ArrayList<>();
 
     private FinishedRecords(
@@ -42,6 +48,11 @@
         this.stored = stored;
     }
 
+    /**
+     * Lays out the completed tasks of the jobs as they are now.
+     *
+     * @param stored reads the stored value of a record by its index; empty if there is none
+     */
     static FinishedRecords of(
             Collection<Job> jobs, Settings s, IntFunction<Map<String, Object>> stored) {
         FinishedRecords r = new FinishedRecords(jobs, limit(s), stored);
@@ -55,15 +66,19 @@
         return (int) (s.valueBytes() * Tuning.RECORD_FILL);
     }
 
-    /** Tasks in a slice: what fits into a record when every other one is finished. */
+    /**
+     * The number of tasks in a slice: as many as fit into a record if every other one completes.
+     */
     private static int slice(Job job, int limit) {
         return Math.max(1, (limit - frame(job)) / Tuning.RECORD_PER_TASK);
     }
 
+    /** Bytes that a job takes in a record besides its ranges. */
     private static int frame(Job job) {
         return Tuning.RECORD_FRAME + job.id.length();
     }
 
+    /** Sizes the job's table of slices; all slices are unassigned if their number has changed. */
     private static void cut(Job job, int limit) {
         int slices = (job.spec.tasks() - 1) / slice(job, limit) + 1;
         if (job.chunks.length != slices) {
@@ -72,7 +87,7 @@
         }
     }
 
-    /** A record of an owner before has these finished tasks of the job. */
+    /** Notes that a record of a previous leader holds these completed tasks of the job. */
     static void found(Job job, BitSet set, int chunk, Settings s) {
         int limit = limit(s);
         cut(job, limit);
@@ -83,12 +98,14 @@
         }
     }
 
+    /** The most bytes that a slice can take in its record. */
     private int worst(Job job, int slice) {
         int size = slice(job, limit);
         return frame(job)
                 + Math.min(size, job.spec.tasks() - slice * size) * Tuning.RECORD_PER_TASK;
     }
 
+    /** Assigns a record to each slice that has none or no longer fits into its own. */
     private void assign() {
         List<Integer> load = new ArrayList<>();
         for (Job job : jobs) {
@@ -112,8 +129,8 @@
         for (Job job : jobs) {
             for (int i = 0; i < job.chunks.length; i++) {
                 if (job.chunks[i] < 0) {
-                    // One that moves goes where nothing of others is kept: two records might else
-                    // wait for each other.
+                    // A slice that moves goes to a new record: two full records whose slices change
+                    // places would each wait until the other one is written.
                     int c = slice(job, i, job.durable).isEmpty() ? 0 : fresh;
                     while (loadOf(load, c) + worst(job, i) > limit) {
                         c++;
@@ -124,13 +141,14 @@
             }
         }
         chunks(Math.max(0, load.size() - 1));
-        // Records that an owner before has filled and nothing is assigned to any more: to be
-        // emptied.
+        // Records of a previous leader to which no slice is assigned any more are listed too, so
+        // that they are emptied.
         for (int c = load.size(); !stored.apply(c).isEmpty(); c++) {
             chunks(c);
         }
     }
 
+    /** The worst-case bytes assigned to a record so far. */
     private static int loadOf(List<Integer> load, int c) {
         while (load.size() <= c) {
             load.add(0);
@@ -138,7 +156,7 @@
         return load.get(c);
     }
 
-    /** Those of the tasks that are in one slice. */
+    /** The given tasks that belong to one slice. */
     private BitSet slice(Job job, int i, BitSet tasks) {
         int size = slice(job, limit);
         BitSet set = new BitSet();
@@ -164,13 +182,14 @@
         return chunks.get(c);
     }
 
+    /** The number of records. */
     int chunks() {
         return chunks.size();
     }
 
     /**
-     * What a record should hold now: its slices, and of others what stands nowhere else yet. If
-     * that is too long, what it holds already, which is to be left as it is.
+     * The value that a record should have now: its own slices, and stored tasks of other slices
+     * that no other record holds yet. If that exceeds the limit, it is the stored value, unchanged.
      */
     Map<String, Object> chunk(int c) {
         Map<String, BitSet> wanted = new LinkedHashMap<>(chunks.get(c));
@@ -181,8 +200,8 @@
                 if (wanted.containsKey(job.id)) {
                     only.andNot(wanted.get(job.id));
                 }
-                // What stands in the record of its slice, which keeps it; two records that are both
-                // to lose it would trust in each other.
+                // Only the record assigned to a slice counts as a second copy: two other records
+                // could each rely on the other one and both drop the tasks.
                 for (int i = 0; i < job.chunks.length && !only.isEmpty(); i++) {
                     if (job.chunks[i] != c
                             && stored.apply(job.chunks[i]).get(job.id) instanceof String there) {
@@ -200,7 +219,7 @@
         return FieldMap.jsonLength(out) > limit ? now : out;
     }
 
-    /** Notes what has become durable: the slices whose records hold them. */
+    /** Updates each job's durably completed tasks from the stored records. */
     void markDurable() {
         for (Placed p : placed) {
             if (stored.apply(p.chunk).get(p.job.id) instanceof String ranges) {
@@ -212,10 +231,11 @@
     }
 
     /**
-     * Cuts finished tasks that an owner before has noted in one record into records that may be
-     * written.
+     * Splits a record of a previous leader that exceeds the limit into records that do not.
      *
-     * @param covered finished tasks of a job that stand elsewhere already
+     * @param done the record's ranges, by job id
+     * @param covered the completed tasks of a job that other records hold already; they are left
+     *     out
      */
     static List<Map<String, Object>> split(
             Map<String, Object> done, Settings s, Function<String, BitSet> covered) {
--- a/src/main/java/org/shoreusher/core/Hint.java
+++ b/src/main/java/org/shoreusher/core/Hint.java
@@ -3,18 +3,18 @@
 import java.util.Map;
 
 /**
- * What peers tell each other. No rule rests on a hint: a wrong or old one costs time, never a
- * promise.
+ * What a node tells its peers about itself from time to time. Correctness never depends on gossip:
+ * a wrong, late or missing message costs time only.
  *
- * @param from the telling node
- * @param sentWallMs when it was sent, by the sender's time of day
- * @param stateOk whether the state service has answered it lately
- * @param upS seconds since the telling process started
- * @param parts the parts it holds
- * @param back by part, workers that the part's owner has answered and that have come to this node
- *     since
- * @param running running tasks by job, for display
- * @param done finished tasks by job, for display
+ * @param from the sender's host name
+ * @param sentWallMs when the message was sent: ms since the epoch, by the sender's clock
+ * @param stateOk whether the sender has had a reply from the key-value store lately
+ * @param upS seconds since the sender's process started
+ * @param parts the shards that the sender leads, by number
+ * @param back by shard, the number of workers that the shard's leader had answered before and that
+ *     have sent heartbeats to the sender since; leaders use it to detect one-way partitions
+ * @param running the number of active tasks by job id, for display
+ * @param done the number of completed tasks by job id, for display
  */
 public record Hint(
         String from,
@@ -27,15 +27,21 @@
         Map<String, Integer> done) {
 
     /**
-     * How a part stands.
+     * The load of a shard.
      *
-     * @param room free CPUs less those that waiting tasks want
-     * @param idle machines that it has nothing to do for
-     * @param lacks machines that it would rent now
-     * @param claims what its tasks use and want of their teams' limits
+     * @param room CPUs that are free on its machines, less those of its pending tasks; may be
+     *     negative
+     * @param idle the number of machines for which the shard has no work
+     * @param lacks the number of further machines that the shard could use now
+     * @param claims the demand of each team with an open job in the shard
      */
     public record PartHint(double room, int idle, int lacks, Map<String, Claim> claims) {}
 
-    /** CPUs that a team's tasks use or wait for: those of high priority, and the others. */
+    /**
+     * What a team's pending and active tasks need of its quota.
+     *
+     * @param urgent CPUs of tasks with high or production priority
+     * @param other CPUs of the other tasks
+     */
     public record Claim(double urgent, double other) {}
 }
--- a/src/main/java/org/shoreusher/core/JobSpec.java
+++ b/src/main/java/org/shoreusher/core/JobSpec.java
@@ -4,8 +4,28 @@
 import org.shoreusher.settings.Tuning;
 
 /**
- * What a user asked for. {@code types} null means any, {@code zone} null any, {@code deadlineS} NaN
- * none.
+ * A job as its user described it. Resources are those of one task.
+ *
+ * @param id the user's id of the job; see {@link #isId}
+ * @param jobClass the class that run-time estimates and objectives are kept by; may be empty
+ * @param team the team whose quota the tasks use
+ * @param shape whether the tasks run to completion or until the job is cancelled
+ * @param priority the priority among jobs
+ * @param tasks the number of tasks, or of a service's replicas
+ * @param cpus CPUs that a task uses
+ * @param gpus GPUs that a task uses
+ * @param memGb memory that a task uses, in GB
+ * @param image the image that a machine fetches before it runs a task
+ * @param imageGb the size of the image, in GB
+ * @param types the machine types that a task may run on; null: any
+ * @param zone the zone that the tasks must run in; null: any
+ * @param oneZone whether all tasks must run in the same zone
+ * @param spread whether at most half of the tasks, rounded up, may run in one zone
+ * @param spot whether tasks may run on spot machines
+ * @param estimateS the user's estimate of a task's run time, in seconds; 0: none
+ * @param checkpointS seconds between two checkpoints of a task; 0: it takes none
+ * @param saveS seconds that a checkpoint takes
+ * @param deadlineS seconds from the submission in which the job should be completed; NaN: none
  */
 public record JobSpec(
         String id,
@@ -30,8 +50,8 @@
         double deadlineS) {
 
     /**
-     * A job of which only its team and what its tasks take of a machine are known, and which may
-     * not be started by it.
+     * A description that accounts for the resources of a task whose real description is not known.
+     * No task may be started from it.
      */
     static JobSpec ofRoom(String id, String team, double cpus, double gpus, double memGb) {
         return new JobSpec(
@@ -57,31 +77,35 @@
                 Double.NaN);
     }
 
-    /** Most urgent first. */
+    /** Priorities, the highest first. */
     public enum Priority {
+        /** Production work. */
         PRODUCTION,
+        /** High. */
         HIGH,
+        /** The usual priority. */
         NORMAL,
+        /** Work that others may preempt. */
         LOW
     }
 
-    /** What becomes of a job's tasks. */
+    /** Kinds of workload. */
     public enum Shape {
-        /** Independent tasks, each of which runs to completion; the job is done when all have. */
+        /** A job array: independent tasks, each of which runs to completion. */
         BATCH,
         /**
-         * Replicas that run until the job is cancelled: one that ends, for whatever reason, runs
-         * again.
+         * Replicas that run until the job is cancelled. A replica that exits is started again,
+         * whatever the cause.
          */
         SERVICE;
 
-        /** Whether a task that has completed is finished for good. */
+        /** Whether a task that has completed is never started again. */
         public boolean ends() {
             return this == BATCH;
         }
     }
 
-    /** Whether this has the form of a job id. */
+    /** Whether a text has the form of a job id: {@code wk-} and 1 to 37 digits. */
     public static boolean isId(String id) {
         if (id == null || id.length() < 4 || id.length() > 40 || !id.startsWith("wk-")) {
             return false;
@@ -94,7 +118,10 @@
         return true;
     }
 
-    /** Whether a machine of this kind may hold a task, other tasks of the job aside. */
+    /**
+     * Whether a task may run on a machine with these properties. Rules that depend on the job's
+     * other tasks are not considered.
+     */
     public boolean allows(String type, String machineZone, boolean spotMachine) {
         return (types == null || types.contains(type))
                 && (zone == null || zone.equals(machineZone))
@@ -102,8 +129,8 @@
     }
 
     /**
-     * Tasks that must be able to run at the same time: all replicas of a service, one task of a
-     * batch job.
+     * The number of tasks that must be able to run at the same time: all replicas of a service, one
+     * task of a batch job.
      */
     public int atLeastAtOnce() {
         return shape.ends() ? 1 : tasks;
--- a/src/main/java/org/shoreusher/core/OpenJobs.java
+++ b/src/main/java/org/shoreusher/core/OpenJobs.java
@@ -7,23 +7,28 @@
 import org.shoreusher.core.StoreSchema.JobRecord;
 import org.shoreusher.core.StoreSchema.JobStatus;
 
-/** The open jobs of a part, as the store shows them. */
+/** The open jobs of a shard, as the cache of the store shows them. */
 final class OpenJobs {
     private final Part part;
     private final Outbox outbox;
     private final Object2ObjectLinkedOpenHashMap<String, Job> jobs =
             new Object2ObjectLinkedOpenHashMap<>();
 
+    /** No jobs yet. */
     OpenJobs(Part part, Outbox outbox) {
         this.part = part;
         this.outbox = outbox;
     }
 
+    /** The jobs by id, in the order in which they became known; a live view. */
     Map<String, Job> byId() {
         return jobs;
     }
 
-    /** A job of this part has appeared or changed in the view. */
+    /**
+     * The record of a job of this shard has appeared or changed in the cache of the store. Ignored
+     * until the shard's state has been loaded, which reads all records.
+     */
     void changed(String id, JobRecord record) {
         if (!part.loaded()) {
             return;
@@ -31,14 +36,14 @@
         if (record.status() != JobStatus.OPEN) {
             close(id);
         } else if (!jobs.containsKey(id)) {
-            // Accepted under this owner's lease, so no machine can have any of it.
+            // The job was accepted while this node was the leader: no task has been started.
             add(id, record).waitFrom(0);
         } else {
             jobs.get(id).startBelow = Math.max(jobs.get(id).startBelow, record.begun());
         }
     }
 
-    /** Takes on a job of this part. */
+    /** Adds a job of this shard. One in a terminal state is returned but not kept. */
     Job add(String id, JobRecord record) {
         Job job = new Job(id, record.description(), record.acceptedMs());
         job.closed = record.status() != JobStatus.OPEN;
@@ -49,7 +54,10 @@
         return job;
     }
 
-    /** Nothing of the job may run here any more: it has ended, or belongs to another part. */
+    /**
+     * Removes a job that is in a terminal state or belongs to another shard, and stops its active
+     * tasks. Does nothing if there is no such job.
+     */
     void close(String id) {
         Job job = jobs.remove(id);
         if (job == null) {
@@ -65,7 +73,10 @@
         }
     }
 
-    /** Jobs with waiting tasks, most pressing first. */
+    /**
+     * Jobs with pending tasks that may be started now, in the order in which they should get
+     * resources.
+     */
     List<Job> ordered() {
         List<Job> list = new ArrayList<>();
         for (Job job : jobs.values()) {
--- a/src/main/java/org/shoreusher/core/OtherParts.java
+++ b/src/main/java/org/shoreusher/core/OtherParts.java
@@ -5,7 +5,10 @@
 import org.shoreusher.core.Hint.Claim;
 import org.shoreusher.core.Hint.PartHint;
 
-/** How a part stands beside the others: what it tells them, and what their hints tell of them. */
+/**
+ * The demand of a shard and that of the others: the summary that the others get by gossip, and what
+ * their summaries say.
+ */
 final class OtherParts {
     private final int partNumber;
     private final int parts;
@@ -13,6 +16,7 @@
     private final Map<String, Job> jobs;
     private final Map<String, Machine> machines;
 
+    /** The demand of one shard; {@code jobs} and {@code machines} are live views. */
     OtherParts(
             int partNumber,
             int parts,
@@ -26,7 +30,7 @@
         this.machines = machines;
     }
 
-    /** CPUs of a team's limit that the other parts use or want. */
+    /** CPUs of a team's quota that the other shards need, as far as fresh summaries tell. */
     double claimed(String team) {
         double cpus = 0;
         for (int m = 0; m < parts; m++) {
@@ -37,7 +41,7 @@
         return cpus;
     }
 
-    /** What each part's tasks use and want of a team's limit; null where no fresh hint tells. */
+    /** A team's demand in each shard, by number; null where there is no fresh summary. */
     Claim[] claims(String team) {
         Claim[] claims = new Claim[parts];
         for (int m = 0; m < parts; m++) {
@@ -52,6 +56,7 @@
         return claims;
     }
 
+    /** The team's demand in this shard. */
     private Claim claim(String team) {
         double urgent = 0;
         double other = 0;
@@ -69,8 +74,8 @@
     }
 
     /**
-     * The largest step in which tasks of a team use CPUs, so that shares are not cut into useless
-     * bits.
+     * The CPUs of the team's largest task in this shard; 0 if there is none. A share of the quota
+     * that is smaller than this would be useless.
      */
     double quantum(String team) {
         double most = 0;
@@ -80,7 +85,7 @@
         return most;
     }
 
-    /** What the other parts are told of this one. */
+    /** The summary of this shard for the others. */
     PartHint hint(Fleet fleet) {
         double room = 0;
         int idle = 0;
@@ -99,7 +104,7 @@
         return new PartHint(room, idle, fleet.lacks(), claims);
     }
 
-    /** Machines that the other parts have nothing to do for. */
+    /** The number of machines for which the other shards have no work. */
     int idleElsewhere() {
         int idle = 0;
         for (int m = 0; m < parts; m++) {
@@ -109,13 +114,13 @@
         return idle;
     }
 
-    /** Machines that another part could fill at once. */
+    /** The number of further machines that another shard could use now. */
     int lacksOf(int part) {
         PartHint hint = others.hint(part);
         return hint == null ? 0 : hint.lacks();
     }
 
-    /** The other part that could fill most machines, or -1. */
+    /** The number of the other shard that could use most machines; -1 if none needs any. */
     int neediest() {
         int best = -1;
         for (int m = 0; m < parts; m++) {
--- a/src/main/java/org/shoreusher/core/PeerHints.java
+++ b/src/main/java/org/shoreusher/core/PeerHints.java
@@ -10,28 +10,35 @@
 import org.shoreusher.settings.Tuning;
 
 /**
- * What the other controllers have told by hints, and what this one tells them. No rule rests on it:
- * a hint that is wrong or missing costs time only.
+ * The gossip between the nodes: the last message of each peer, and the messages that this node
+ * sends. Correctness never depends on it: a wrong or missing message costs time only.
  */
 final class PeerHints implements Parts.Peers {
     private final Settings settings;
     private final Outbox outbox;
 
-    /** This node's own parts; null for one that it does not own. */
+    /** The shards that this node leads, by number; null for another shard. */
     private final IntFunction<Part> ownParts;
 
+    /** The last message of each peer, by host. */
     private final Object2ObjectOpenHashMap<String, Hint> hints = new Object2ObjectOpenHashMap<>();
+
+    /** When that message was received, by host; steady ms. */
     private final Object2ObjectOpenHashMap<String, Long> hintedAt =
             new Object2ObjectOpenHashMap<>();
+
     private long nextHintMs;
+
+    /** When this process handled its first batch of commands, steady ms; -1: not yet. */
     private long startedMs = -1;
 
-    /** When this node last told peers that the state service does not answer it. */
+    /** When this node last told its peers that it can't reach the store; steady ms. */
     private long saidStateAwayMs;
 
-    /** Workers that have come here from the part's owner, by part. */
+    /** For each shard, the workers that its leader had answered and that now come to this node. */
     private final RedirectedWorkers[] redirected;
 
+    /** No messages yet. */
     PeerHints(Settings settings, Outbox outbox, int parts, IntFunction<Part> ownParts) {
         this.settings = settings;
         this.outbox = outbox;
@@ -40,37 +47,45 @@
         Arrays.setAll(redirected, n -> new RedirectedWorkers());
     }
 
-    /** Notes the time of the first batch. */
+    /** Notes when the first batch of commands is handled; later calls do nothing. */
     void started() {
         if (startedMs < 0) {
             startedMs = outbox.now.steadyMs();
-            // A former process on this host may have said anything up to its end.
+            // An earlier process on this host may have said so until it ended.
             saidStateAwayMs = startedMs;
         }
     }
 
-    /** A hint has arrived. */
+    /** A message from a peer has arrived. */
     void heard(Hint hint) {
         hints.put(hint.from(), hint);
         hintedAt.put(hint.from(), outbox.now.steadyMs());
     }
 
-    /** Whether the state service has lately answered another node. */
+    /** Whether any peer has lately said that it reaches the store. */
     boolean anyWithStateService() {
         return hints.values().stream().anyMatch(h -> fresh(h) && h.stateOk());
     }
 
-    /** A worker of another owner has reported here; whether it should wait with another node. */
+    /**
+     * Records the heartbeat of a worker that belongs to the shard of another leader.
+     *
+     * @param machines the number of machines of all shards
+     * @return whether the worker should be kept away from the shard's leader for now
+     */
     boolean cameBackHere(int part, WorkerReport report, int machines) {
         return redirected[part].came(report, machines, outbox.now.steadyMs());
     }
 
-    /** The part has another owner than before. */
+    /** The shard has another leader than before. */
     void ownerChanged(int part) {
         redirected[part].clear();
     }
 
-    /** Counts for display of a job that another node's part has; zeros if no hint names it. */
+    /**
+     * The task counts of a job in the shard of another leader, for display; zeros if no message
+     * names the job.
+     */
     Response.Counts counts(String id) {
         for (Hint h : hints.values()) {
             if (h.running().containsKey(id) || h.done().containsKey(id)) {
@@ -82,8 +97,10 @@
     }
 
     /**
-     * A hint may have been held up by the network, so it counts by the sender's time as well.
-     * Whoever is not heard may well have the state service.
+     * {@inheritDoc}
+     *
+     * <p>A message may have been delayed by the network, so its age is also checked by the sender's
+     * clock. A peer that sends nothing is assumed to reach the store.
      */
     @Override
     public boolean stateAwayEverywhere() {
@@ -116,20 +133,22 @@
     public int cameBack(int part) {
         int workers = 0;
         for (Hint h : hints.values()) {
-            // Not their sum: one that is kept waiting goes from one to the other and back.
+            // The largest count, not the sum: a redirected worker goes back and forth between
+            // peers.
             workers =
                     Math.max(workers, fresh(h) && h.stateOk() ? h.back().getOrDefault(part, 0) : 0);
         }
         return workers;
     }
 
+    /** Whether the message is recent enough to be used. */
     private boolean fresh(Hint h) {
         return outbox.now.steadyMs() - hintedAt.get(h.from()) < Tuning.HINT_STALE_MS;
     }
 
     /**
-     * Whether an owner has most likely gone: its lease is over, or it has missed a heartbeat and
-     * its hints.
+     * Whether a shard's leader has probably failed: its lease has expired, or it has missed a lease
+     * renewal and its gossip has stopped.
      */
     boolean suspect(PartRecord record) {
         long leftMs = record.expiryMs() - outbox.now.wallMs();
@@ -147,9 +166,10 @@
     }
 
     /**
-     * Where a worker should report until its part is taken. Sent back to an owner that is cut off
-     * it would hang there for its whole patience, again and again, while its lease runs out;
-     * between two nodes that are there it asks every half second, so the taker hears it at once.
+     * The host that a worker should send heartbeats to until its shard has a new leader; null if no
+     * peer is suitable. Redirected to a leader that is cut off, the worker would wait there for its
+     * whole timeout, again and again, while its lease runs out. Redirected between two responsive
+     * nodes it asks every half second, so the successor hears from it at once.
      */
     String meanwhile(String owner) {
         return hints.values().stream()
@@ -180,8 +200,8 @@
 
     @Override
     public int before(int ownedCount) {
-        // A peer that has not been heard of yet may be starting just now: one part each is left to
-        // it.
+        // A peer that has sent nothing yet may be starting: a node that leads no shard leaves one
+        // shard to each such peer.
         int before =
                 ownedCount == 0
                         ? 0
@@ -215,7 +235,7 @@
                                         && h.parts().size() <= ownedCount - 2);
     }
 
-    /** Tells the others of this node when it is due; whether it was. */
+    /** Sends a message to the peers if one is due; returns whether it did. */
     boolean tell() {
         if (outbox.now.steadyMs() < nextHintMs) {
             return false;
--- a/src/main/java/org/shoreusher/core/ResourceLedger.java
+++ b/src/main/java/org/shoreusher/core/ResourceLedger.java
@@ -5,17 +5,17 @@
 import java.util.List;
 
 /**
- * Books every task of a part that is or may be on a machine: in its machine's room, in its team's
- * use, and in its job. A task is waiting, live or finished, and only {@link #remove} lets a live
- * one wait again.
+ * Accounts for every task attempt of a shard that is or may be on a machine: in the machine's used
+ * resources, in the team's usage, and in the job. A task is pending, active or completed, and only
+ * {@link #remove} makes an active task pending again.
  */
 final class ResourceLedger {
-    /** Is told of every task that is booked. */
+    /** Is told of every attempt that is added or removed. */
     interface Listener {
-        /** A task is or may be on its machine from now on. */
+        /** The attempt is or may be on its machine from now on. */
         void added(TaskAttempt live);
 
-        /** A task is surely not on its machine any more. */
+        /** The attempt is certainly no longer on its machine. */
         void removed(TaskAttempt live);
     }
 
@@ -23,51 +23,65 @@
     private final Object2DoubleOpenHashMap<String> teamCpus = new Object2DoubleOpenHashMap<>();
     private final Object2DoubleOpenHashMap<String> teamGpus = new Object2DoubleOpenHashMap<>();
 
-    /** What was found on machines of an owner before, when each was first heard. */
+    /** CPUs by team of tasks that a previous leader has started; see {@link #found}. */
     private final Object2DoubleOpenHashMap<String> foundCpus = new Object2DoubleOpenHashMap<>();
 
+    /** GPUs by team, likewise. */
     private final Object2DoubleOpenHashMap<String> foundGpus = new Object2DoubleOpenHashMap<>();
 
-    /** Tells this listener too from now on. */
+    /** Adds a listener; listeners are called in the order in which they were added. */
     void listen(Listener listener) {
         listeners.add(listener);
     }
 
-    /** Holds room in the team's use for a task that is on no machine just now. */
+    /**
+     * Charges one task to its team's usage while it is on no machine, such as during a migration.
+     */
     void hold(JobSpec spec) {
         teamCpus.addTo(spec.team(), spec.cpus());
         teamGpus.addTo(spec.team(), spec.gpus());
     }
 
-    /** Gives back what {@link #hold} has taken. */
+    /** Undoes {@link #hold}. */
     void letGo(JobSpec spec) {
         teamCpus.addTo(spec.team(), -spec.cpus());
         teamGpus.addTo(spec.team(), -spec.gpus());
     }
 
-    /** An owner before has started this task, and a report made since the takeover shows it. */
+    /**
+     * Counts an attempt that a previous leader has started and that the machine's first heartbeat
+     * to this leader shows.
+     */
     void found(TaskAttempt live) {
         foundCpus.addTo(live.job.spec.team(), live.job.spec.cpus());
         foundGpus.addTo(live.job.spec.team(), live.job.spec.gpus());
     }
 
+    /** CPUs of the team's tasks that were found on machines after the failover. */
     double foundCpus(String team) {
         return foundCpus.getDouble(team);
     }
 
+    /** GPUs of the team's tasks that were found on machines after the failover. */
     double foundGpus(String team) {
         return foundGpus.getDouble(team);
     }
 
+    /** CPUs that the team's tasks use. */
     double cpus(String team) {
         return teamCpus.getDouble(team);
     }
 
+    /** GPUs that the team's tasks use. */
     double gpus(String team) {
         return teamGpus.getDouble(team);
     }
 
-    /** A task is or may be on its machine from now on. {@code placed}: its job wants it there. */
+    /**
+     * Adds an attempt that is or may be on its machine from now on.
+     *
+     * @param placed whether it is the task's current attempt; false: a surplus one, to be stopped
+     */
     void add(TaskAttempt live, boolean placed) {
         JobSpec spec = live.job.spec;
         live.machine.tasks.put(Machine.taskKey(live.job.id, live.index), live);
@@ -85,9 +99,10 @@
     }
 
     /**
-     * The task is surely not on its machine any more; it waits again unless it is finished. That
-     * holds during a rebuild as well: a task is or may be on one machine at most, so one that has
-     * been seen on this one is on none that is yet silent.
+     * Removes an attempt that is certainly no longer on its machine. The task is pending again
+     * unless it has completed. This is also safe during reconciliation: a task is on at most one
+     * machine, so a task that was seen on this machine is on none that has not yet sent a
+     * heartbeat.
      */
     void remove(TaskAttempt live) {
         Machine m = live.machine;
--- a/src/main/java/org/shoreusher/core/StartMarks.java
+++ b/src/main/java/org/shoreusher/core/StartMarks.java
@@ -15,21 +15,19 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * Notes durably how many of each job's tasks may have been started. Tasks are started in the order
- * of their numbers, and none from the mark on, so a taker knows that these are on no machine and
- * need not wait for silent ones. The marks of some hundred jobs share a record: one in each job's
- * own took most of twenty changes a second just when machines came up.
+ * Keeps a durable high-water mark for each job: tasks are started in the order of their indexes,
+ * and none at or above the mark. So after a failover the successor knows that those tasks are on no
+ * machine, and can start them without waiting for unresponsive machines. The marks of some hundred
+ * jobs share a record. One mark in each job's own record used most of the twenty writes a second
+ * just when machines came up.
  *
- * <p>Promise: a mark is durable before a task below it is started for the first time. The write is
- * guarded by the part's fence, so none of an owner before can come after the takeover that reads
- * the marks. With several parts a job's own record must stand as well, since two nodes may have
- * accepted the job for different ones.
+ * <p>Invariant: a mark is durable before a task below it is started for the first time. Each write
+ * has the shard's fencing token as a precondition, so a write of a previous leader cannot take
+ * effect after its successor has read the marks. With several shards, the job's own record must
+ * exist as well: two nodes may have accepted the job for different shards.
  */
 final class StartMarks {
-    /**
-     * A mark on its way to the store: the record it is in, and the number below which tasks may
-     * then be started.
-     */
+    /** A mark that is being written, and the index of its record. */
     private record Marked(Job job, int chunk, int below) {}
 
     private final int partNumber;
@@ -40,11 +38,19 @@
     private final Arrivals arrivals;
     private final PartOwnership ownership;
     private final Map<String, Job> jobs;
+
+    /** The least time between two writes, in ms; it bounds the share of the write rate. */
     private final long gapMs;
+
+    /** Marks to be written, in the order in which they were requested. */
     private final Object2IntLinkedOpenHashMap<Job> wanted = new Object2IntLinkedOpenHashMap<>();
+
     private boolean writing;
+
+    /** When the next write may be sent; steady ms. */
     private long nextMs;
 
+    /** The marks of one shard; see {@link #load}. */
     StartMarks(
             int partNumber,
             int parts,
@@ -62,7 +68,7 @@
         gapMs = (long) (1000 / (Outbox.ownerWrites(settings, parts) * Tuning.MARKS_SHARE));
     }
 
-    /** Takes over what owners before have noted. */
+    /** Reads the marks that previous leaders have written. */
     void load() {
         for (int c = 0; view.get(StoreSchema.begun(partNumber, c)) != null; c++) {
             int chunk = c;
@@ -78,7 +84,7 @@
         }
     }
 
-    /** Tasks of the job below this number are to be started soon. */
+    /** Requests a mark for tasks that are to be started soon; one that is too low is ignored. */
     void want(Job job, int below) {
         if (below > job.startBelow) {
             wanted.put(job, Math.max(below, wanted.getInt(job)));
@@ -86,8 +92,9 @@
     }
 
     /**
-     * Writes the marks that are wanted, as many as one transaction takes; the next plan wants the
-     * others again.
+     * Writes the requested marks, as many as one transaction takes. What is left out for another
+     * reason is requested again by the next placement plan. Does nothing while a write is in
+     * flight.
      */
     void write() {
         if (writing || wanted.isEmpty() || !ownership.holds() || outbox.now.steadyMs() < nextMs) {
@@ -108,8 +115,8 @@
                 continue;
             }
             if (parts > 1 && !writable(record)) {
-                // Accepted under larger limits together with others, it can't get a record of its
-                // own any more; in the same transaction it would hold up all other marks for good.
+                // The job was accepted in a batch under a higher limit and does not fit into a
+                // record of its own. In this transaction it would block all other marks for good.
                 continue;
             }
             if (parts > 1 && view.get(StoreSchema.job(job.id)) == null) {
@@ -141,22 +148,23 @@
         nextMs = writing ? outbox.now.steadyMs() + gapMs : nextMs;
     }
 
-    /** Puts the next mark of a job into a record that is about to be written. */
+    /** Adds a job's next mark to a record that is about to be written. */
     private Marked mark(Job job, int next, Map<Integer, Map<String, Integer>> chunks) {
         int below = Math.min(job.spec.tasks(), Math.max(next, job.startBelow * Tuning.MARK_GROWTH));
-        // A record may be longer than may now be written: what is in it stays there to be read, and
-        // the larger mark counts.
+        // A record of a previous leader may exceed today's limit. It is left as it is, the mark
+        // goes
+        // to another record, and readers take the larger one.
         boolean stays = job.markChunk >= 0 && length(marksOf(chunks, job.markChunk)) <= limit();
         int chunk = stays ? job.markChunk : chunkWithRoom(chunks, job.id);
-        // The larger one stands already if its write was carried out and only the answer lost.
+        // The stored mark is the larger one if a write took effect and only its reply was lost.
         int mark = chunks.computeIfAbsent(chunk, this::open).merge(job.id, below, Math::max);
         return new Marked(job, chunk, mark);
     }
 
     /**
-     * A mark is durable. Only now its record counts as the job's: the room of a record is counted
-     * by what stands in it, so one assigned by a write that failed could take the record above the
-     * value limit, where every write of it is refused for good.
+     * Applies a mark whose write is durable. The record is assigned to the job only now. The space
+     * in a record is computed from what is stored in it, so a record assigned by a failed write
+     * could later exceed the limit, and every write of it would be refused for good.
      */
     private static void written(Marked marked) {
         marked.job.markChunk = marked.chunk;
@@ -172,7 +180,7 @@
         return entry == null ? Map.of() : MarkRecord.read(entry.value()).below();
     }
 
-    /** The marks in a record of jobs that are still open. */
+    /** The stored marks of a record, without those of jobs that are no longer open. */
     private Map<String, Integer> open(int chunk) {
         Map<String, Integer> marks = new LinkedHashMap<>(stored(chunk));
         marks.keySet().removeIf(id -> !jobs.containsKey(id));
--- a/src/main/java/org/shoreusher/core/TaskAttempt.java
+++ b/src/main/java/org/shoreusher/core/TaskAttempt.java
@@ -1,35 +1,59 @@
 package org.shoreusher.core;
 
-/** A task that is or may be on a machine. */
+/** One attempt to run a task: the task is or may be on the attempt's machine. */
 final class TaskAttempt {
-    /** What is known of it. */
+    /** How far the attempt has come, by the machine's last heartbeat. */
     enum State {
-        /** Its start was answered to a report; a newer report will show it or not. */
+        /** The start was ordered; the next heartbeat shows whether the machine carried it out. */
         ASKED,
+        /** The machine is fetching the image. */
         FETCHING,
+        /** The task is running. */
         RUNNING,
+        /** The task is writing a checkpoint before it stops. */
         SAVING
     }
 
+    /** The task's job. */
     final Job job;
+
+    /** The task's index in its job. */
     final int index;
+
+    /**
+     * A number that no other attempt of the shard has: the leader's fencing token in the high bits,
+     * a counter in the low ones.
+     */
     final long attempt;
+
+    /** The machine that the attempt is on. */
     final Machine machine;
+
+    /** When this leader ordered the start, or first learned of the attempt; steady ms. */
     final long sinceMs;
+
+    /** How far the attempt has come. */
     State state;
 
-    /** To be stopped at once: cancelled, finished elsewhere, or of no known job. */
+    /**
+     * The attempt is to be stopped without a checkpoint: its job was cancelled or is not known, or
+     * the task has completed on another machine.
+     */
     boolean mustStop;
 
-    /** Told to stop with time to save; it goes back to waiting when it has exited. */
+    /** The attempt is being evicted gracefully; the task is pending again once it has exited. */
     boolean stopping;
 
-    /** Whether its machine has shown that it saved its progress when it was stopped. */
+    /** The machine has reported that a checkpoint was written when the task was stopped. */
     boolean saved;
 
+    /** When a heartbeat first showed the task running, steady ms; -1: none has. */
     long runningSinceMs = -1;
+
+    /** When the last direct stop order was sent; steady ms. */
     long haltedAtMs = Long.MIN_VALUE / 2;
 
+    /** An attempt that is neither stopped nor evicted. */
     TaskAttempt(Job job, int index, long attempt, Machine machine, State state, long sinceMs) {
         this.job = job;
         this.index = index;
--- a/src/main/java/org/shoreusher/core/TaskRanges.java
+++ b/src/main/java/org/shoreusher/core/TaskRanges.java
@@ -2,11 +2,11 @@
 
 import java.util.BitSet;
 
-/** The compact text form of a set of task numbers: ranges such as {@code 0-4,7}. */
+/** The compact text form of a set of task indexes: ranges such as {@code 0-4,7}. */
 public final class TaskRanges {
     private TaskRanges() {}
 
-    /** The numbers as ranges, such as 0-4,7. */
+    /** Formats a set as ranges in ascending order; the empty set gives an empty text. */
     public static String format(BitSet set) {
         StringBuilder out = new StringBuilder();
         for (int from = set.nextSetBit(0); from >= 0; ) {
@@ -23,7 +23,11 @@
         return out.toString();
     }
 
-    /** The numbers of a text that {@link #format} has made. */
+    /**
+     * Parses a text that {@link #format} has made.
+     *
+     * @throws NumberFormatException if the text has another form
+     */
     public static BitSet parse(String text) {
         BitSet set = new BitSet();
         if (text.isEmpty()) {
--- a/src/main/java/org/shoreusher/core/UserRequests.java
+++ b/src/main/java/org/shoreusher/core/UserRequests.java
@@ -12,9 +12,9 @@
 import org.shoreusher.settings.Tuning;
 
 /**
- * Answers users. Final states come from memory, since they never change; anything else is said only
- * after the state service has confirmed, in a read begun after the question, that it still holds.
- * Many questions share one such read. What can't be answered is refused at once.
+ * Answers the requests of users. A terminal state is answered from memory, since it never changes.
+ * Any other state is answered only after a linearizable read of the key-value store, see {@link
+ * ConfirmedReads}. A request that cannot be served now is refused at once.
  */
 final class UserRequests {
     private static final String NO_ID = "name_id must look like wk-000412";
@@ -22,8 +22,9 @@
             "can never run: unknown team, no machine type that fits, or above the team's limit";
     private static final String TOO_LONG = "the description is longer than a record may be";
 
-    /** Where counts for display come from. */
+    /** The source of task counts, which are for display only. */
     interface CountSource {
+        /** The completed and running tasks of a job, as far as this node knows. */
         Response.Counts counts(String id);
     }
 
@@ -39,9 +40,15 @@
     private final EndedJobs ended;
     private final ConfirmedReads reads;
 
-    /** Writes whose answers are awaited. */
+    /** Writes that await their reply. */
     private int writing;
 
+    /**
+     * A handler for the requests of one node.
+     *
+     * @param owner the name of this process, which no other process has ever had
+     * @param roomiestPart the number of the shard that a new job should go to
+     */
     UserRequests(
             NodeContext context,
             String owner,
@@ -70,6 +77,7 @@
 
     // ---- requests ----------------------------------------------------------------------------
 
+    /** A user asks for the state of a job. */
     void poll(long request, String id) {
         if (!JobSpec.isId(id)) {
             outbox.answer(request, new Response.NotFound());
@@ -100,12 +108,18 @@
         return new Response.JobState(id, shown, counts, false);
     }
 
+    /**
+     * A user submits a job. A repeated submission is answered with the state of the job.
+     *
+     * @param spec the job; null if the body of the request can't be used
+     * @param problem what is wrong with the body; null if nothing is
+     */
     void submit(long request, String id, JobSpec spec, String problem) {
         if (!JobSpec.isId(id)) {
             outbox.answer(request, new Response.Malformed(problem == null ? NO_ID : problem));
             return;
         }
-        // A known job is answered with its state before anything in the body is judged.
+        // A known job is answered with its state, whether or not the body is valid.
         if (spec != null
                 && view.loaded()
                 && arrivals.record(id) == null
@@ -133,7 +147,7 @@
                 });
     }
 
-    /** Answers with the state of a job that the state service has; it is read anew. */
+    /** Reads the job from the store, and answers with its state if there is one. */
     private void answerIfKnown(long request, String id, Runnable otherwise) {
         reads.read(
                 request,
@@ -148,8 +162,8 @@
     }
 
     /**
-     * Only after the state service was asked: a job that was accepted under larger limits is known
-     * whatever its description's length, also to a node whose view lags.
+     * Refuses a description that exceeds the limit on a record. Only after a read of the store: a
+     * job that was accepted under a higher limit must be found even if this node's cache lags.
      */
     private void refuseLong(long request) {
         outbox.answer(request, new Response.Malformed(TOO_LONG));
@@ -168,11 +182,13 @@
                         }));
     }
 
-    /** Whether a job can run. */
+    /** Whether a job is admitted. */
     private enum Verdict {
+        /** The job can run. */
         RUNS,
+        /** The job can never run. */
         NEVER,
-        /** Not known yet. */
+        /** This node cannot tell yet. */
         UNKNOWN
     }
 
@@ -184,8 +200,8 @@
                 || spec.gpus() * atOnce > team.gpusMax()) {
             return Verdict.NEVER;
         }
-        // A node from before there were services would run a replica to its end, and call the job
-        // done.
+        // A node of a version without services would treat a replica as a batch task and complete
+        // the job when the replica exits.
         if (!types.known() || (!spec.shape().ends() && !formats.services())) {
             return Verdict.UNKNOWN;
         }
@@ -198,6 +214,7 @@
         }
     }
 
+    /** A user cancels a job. */
     void cancel(long request, String id) {
         if (!JobSpec.isId(id)) {
             outbox.answer(request, new Response.NotFound());
@@ -233,7 +250,10 @@
         }
     }
 
-    /** A guarded write; goes on with 200 or 409 and refuses the request on anything else. */
+    /**
+     * Writes with preconditions. Calls {@code then} if the write took effect (200) or a
+     * precondition failed (409), and refuses the request on any other reply.
+     */
     private void write(long request, StateOp.Multi op, int tries, Consumer<StateReply> then) {
         if (refuse(request)) {
             return;
@@ -261,7 +281,7 @@
         }
     }
 
-    /** Sends and answers what is due. */
+    /** Sends the writes and reads that have gathered, and gives the answers that are due. */
     void step() {
         acceptance.step();
         reads.answerUnseen();
@@ -269,11 +289,12 @@
         reads.send();
     }
 
-    /** Ended jobs, which the view drops. */
+    /** The jobs in a terminal state, which the cache of the store evicts. */
     EndedJobs ended() {
         return ended;
     }
 
+    /** Refuses the request if this node can't serve it now; returns whether it did. */
     private boolean refuse(long request) {
         if (!view.loaded()
                 || outbox.stateAway()
