--- a/src/main/java/org/shoreusher/cli/Main.java
+++ b/src/main/java/org/shoreusher/cli/Main.java
@@ -19,9 +19,9 @@
 import org.shoreusher.settings.Settings;
 
 /**
- * The program: reads flags and settings, then runs the service. Flags are read by Commons CLI,
- * picocli's nearest kin: picocli is compiled for Java 5, whose classes the class archive can't
- * hold, and reading it from its jar took a third of the start-up of a small machine.
+ * Entry point: parses options, settings and features, then runs the service or a measurement.
+ * Commons CLI is used since picocli's classes are compiled for Java 5, which the class archive
+ * cannot contain; loading them from the jar took a third of the start-up time on a small machine.
  */
 public final class Main {
     private static final String MEASURE = "measure";
@@ -30,7 +30,7 @@
 
     private Main() {}
 
-    /** Runs the program and exits with its code. */
+    /** Runs the program and exits with its exit code. */
     public static void main(String[] args) {
         System.exit(run(args));
     }
@@ -122,7 +122,7 @@
         System.setProperty("org.slf4j.simpleLogger.log.shoreusher", level);
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "error");
         System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
-        // The machines are small: one arena with chunks of 64 KiB is plenty for some hundred
+        // The machines are small: one arena with chunks of 64 KiB is enough for hundreds of
         // connections.
         System.setProperty("io.netty.allocator.numHeapArenas", "1");
         System.setProperty("io.netty.allocator.numDirectArenas", "1");
@@ -136,7 +136,7 @@
         } catch (InterruptedException e) {
             return complain("interrupted", UNUSABLE);
         } catch (Exception e) {
-            // Netty rethrows a failed bind as it is, though it declares nothing.
+            // Netty rethrows the checked exception of a failed bind without declaring it.
             return complain(
                     "cannot serve on "
                             + settings.front()
--- a/src/main/java/org/shoreusher/cli/ProcessStatus.java
+++ b/src/main/java/org/shoreusher/cli/ProcessStatus.java
@@ -1,12 +1,12 @@
 package org.shoreusher.cli;
 
-/** Describes the process for operators. */
+/** Status of the process for the log. */
 final class ProcessStatus {
     private static final double MB = 1024.0 * 1024.0;
 
     private ProcessStatus() {}
 
-    /** One line for the log. */
+    /** One line with the connections and the use of the heap. */
     static String line(int connections) {
         Runtime runtime = Runtime.getRuntime();
         long used = runtime.totalMemory() - runtime.freeMemory();
--- a/src/main/java/org/shoreusher/cli/Rehearsal.java
+++ b/src/main/java/org/shoreusher/cli/Rehearsal.java
@@ -9,14 +9,14 @@
 import java.util.jar.JarFile;
 
 /**
- * Run by the build, never in service: starts a controller on loopback and plays {@link
- * ServiceRehearsal} with it, so that the Java machine can archive the classes that a start and the
- * first requests need. Exits with 1 when a step of the story does not come true.
+ * Run by the build only: loads all classes of the program, starts a controller on loopback and runs
+ * {@link ServiceRehearsal} against it, so that the JVM archives the classes that start-up and the
+ * first requests need. Exits with 1 if a step of the scenario fails.
  */
 final class Rehearsal {
     private Rehearsal() {}
 
-    /** Plays the story and exits. */
+    /** Runs the scenario and exits. */
     public static void main(String[] args) throws Exception {
         loadOwnClasses();
         int code = 0;
--- a/src/main/java/org/shoreusher/cli/Service.java
+++ b/src/main/java/org/shoreusher/cli/Service.java
@@ -23,8 +23,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A running controller: the adapters, the queue of commands, and the core that works through it in
- * batches, all on one event loop.
+ * A running controller. Adapters put commands into a queue; the core processes them in batches and
+ * returns effects, which the adapters carry out. All of it runs on one event loop.
  */
 public final class Service {
     private static final Logger LOG = LoggerFactory.getLogger("shoreusher");
@@ -45,7 +45,11 @@
     private long tickedAtMs;
     private long lateMs;
 
-    /** Connects the core to its adapters; nothing is sent before the loop runs. */
+    /**
+     * Connects the core to its adapters. Nothing is sent before {@link #run}.
+     *
+     * @param owner identifies this process: its host and a random incarnation
+     */
     public Service(Settings settings, Features features, String owner) {
         this.settings = settings;
         queue = new ManyToOneConcurrentArrayQueue<>(Math.max(Tuning.QUEUE, settings.sockets()));
@@ -58,7 +62,7 @@
         front = new HttpFrontend(group, settings, this::take, this::lagMs);
     }
 
-    /** Listens and works until the process ends. */
+    /** Accepts connections and processes commands until {@link #stop} or the end of the process. */
     public void run() throws InterruptedException {
         front.listen();
         peers.listen();
@@ -85,7 +89,7 @@
         group.terminationFuture().sync();
     }
 
-    /** Ends the work; {@link #run} then returns. */
+    /** Shuts the event loop down; {@link #run} then returns. */
     void stop() {
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
@@ -106,7 +110,7 @@
     }
 
     /**
-     * ms by which this node is behind its work: how late the last tick came, or the next one is.
+     * ms by which this node lags behind its work: the delay of the last tick, or of the next one.
      */
     private long lagMs() {
         return Math.max(lateMs, steadyMs() - tickedAtMs - Tuning.TICK_MS);
@@ -124,7 +128,9 @@
         return true;
     }
 
-    /** Answers to own calls are never refused: the core waits for each of them. */
+    /**
+     * Enqueues a reply to a call of the core, which waits for each: a full queue is drained first.
+     */
     private void mustTake(Command command) {
         while (!queue.offer(command)) {
             work();
--- a/src/main/java/org/shoreusher/cli/ServiceRehearsal.java
+++ b/src/main/java/org/shoreusher/cli/ServiceRehearsal.java
@@ -19,13 +19,13 @@
 import org.shoreusher.standin.WorkerStandIn;
 
 /**
- * What a new user would try: a batch job runs to its end, a service is submitted, its machine is
- * lost, its replica comes back on another one, and it is cancelled. Runs against a controller on
- * loopback, with stand-ins of state service, cloud and workers; throws at the first step that does
- * not come true.
+ * End-to-end check against a controller on loopback, with stand-ins of store, cloud and workers:
+ * batch jobs run to completion, a service is submitted, its machine fails, its replica is restarted
+ * on another one, and the service is cancelled. Throws IllegalStateException at the first step that
+ * does not happen in time.
  */
 final class ServiceRehearsal implements AutoCloseable {
-    /** The id of the service. */
+    /** The job id of the service. */
     static final String SERVICE = "wk-000900";
 
     private static final String REPLICA = SERVICE + "/0";
@@ -73,7 +73,7 @@
 
     ServiceRehearsal() throws IOException {}
 
-    /** The settings of the controller that the story is played with. */
+    /** The settings of the controller to be checked, as JSON. */
     String settings() {
         return SETTINGS.formatted(front, back, cloud.port(), state.port());
     }
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Plays the story; the controller has been started or is just starting. */
+    /** Runs the scenario; the controller must have been started or be about to. */
     void play() throws InterruptedException {
         await("the controller is ready", () -> status("/ready", null) == 200);
         for (int i = 1; i <= BATCH_JOBS; i++) {
--- a/src/main/java/org/shoreusher/cloud/CloudClient.java
+++ b/src/main/java/org/shoreusher/cloud/CloudClient.java
@@ -10,18 +10,18 @@
 import org.shoreusher.wire.CloudFormat;
 import org.shoreusher.wire.StateFormat;
 
-/** Carries calls to the cloud's interface and brings back their answers. */
+/** Client of the cloud's interface: carries out the core's cloud calls. */
 public final class CloudClient {
     private final HttpCaller caller;
     private final Consumer<Command> core;
 
-    /** A client whose replies go to the core as commands. */
+    /** A client that passes the replies to the core as commands. */
     public CloudClient(EventLoop loop, Settings settings, Consumer<Command> core) {
         caller = new HttpCaller(loop, settings.cloud());
         this.core = core;
     }
 
-    /** Sends a call; the reply, or a status of 0 without one, goes to the core. */
+    /** Sends a call. The core gets exactly one reply; its status is 0 on failure or timeout. */
     public void call(Effect.CloudCall call) {
         StateFormat.Request request = CloudFormat.request(call.op());
         caller.call(
--- a/src/main/java/org/shoreusher/measure/BalanceMeasurement.java
+++ b/src/main/java/org/shoreusher/measure/BalanceMeasurement.java
@@ -15,9 +15,9 @@
 import org.shoreusher.standin.TaskHistory;
 
 /**
- * Measures the balancer on an evening on which one team's load doubles, against stand-ins in real
- * time. Fails if a task was on two machines at once, and with the feature on also if the spread
- * stays above the margin for too long or more work is repeated than the budget allows.
+ * Measures the balancer while one team's load doubles, against stand-ins in real time. Fails if a
+ * task ran on two machines at once. With the feature on, also fails if the spread stays above its
+ * margin for too long, or more work is repeated than the budget allows.
  */
 final class BalanceMeasurement {
     static final Options OPTIONS =
@@ -36,7 +36,7 @@
     private static final long SAMPLE_MS = 1_000;
     private static final long PRINT_EVERY = 10;
 
-    /** The spread may be above the margin for this long, while tasks become movable and move. */
+    /** ms; the spread may be above its margin this long, until tasks become migratable and move. */
     private static final long RETURN_MS = 60_000;
 
     private static final String FEATURE = "[balance]\nenabled = true\n";
@@ -50,7 +50,7 @@
     private final Map<String, Long> submittedMs = new LinkedHashMap<>();
     private long samples;
 
-    /** When the spread was first within its bound after the load doubled; -1: not yet. */
+    /** ms from the doubling of the load until the spread was within its bound; -1 before. */
     private long returnedMs = -1;
 
     private BalanceMeasurement(int machines, int seed, boolean on, int seconds) {
@@ -114,7 +114,7 @@
         sampleUntil(beganMs + endMs, nextSampleMs, cluster, spread);
     }
 
-    /** Samples the spread until a moment; returns when the next sample is due. */
+    /** Samples the spread until a point in time; returns when the next sample is due. */
     private long sampleUntil(long untilMs, long firstMs, Cluster cluster, SpreadSamples spread)
             throws InterruptedException {
         long nextMs = firstMs;
@@ -129,7 +129,7 @@
         return nextMs;
     }
 
-    /** Prints where things stand, every tenth time, and notes when the spread is back. */
+    /** Records when the spread is back within its bound, and prints every tenth sample. */
     private void printSample(Cluster cluster, SpreadSamples spread) {
         samples++;
         long atMs = samples * SAMPLE_MS;
--- a/src/main/java/org/shoreusher/measure/BookFairLoad.java
+++ b/src/main/java/org/shoreusher/measure/BookFairLoad.java
@@ -11,22 +11,26 @@
 import org.shoreusher.standin.JobProfile;
 
 /**
- * The load of an evening on which one team's work doubles: long tasks of that team that share a few
- * images, and short ones of another team. Jobs come at exponential intervals, sizes and run times
- * are log-normal, and images are drawn by Zipf's law, all from one seed.
+ * Generates a load in which one team's work doubles: long tasks of that team, which share a few
+ * images, and short tasks of another team. Inter-arrival times are exponential, job sizes and run
+ * times log-normal, and images Zipf-distributed, all from one seed.
  */
 final class BookFairLoad {
     /** The team whose load doubles. */
     static final String HOT_TEAM = "fair";
 
+    /** A team with constant load. */
     static final String OTHER_TEAM = "other";
+
+    /** The class of the jobs whose load doubles. */
     static final String HOT_CLASS = "imposition";
+
     private static final String OTHER_CLASS = "proofs";
 
-    /** A job with the moment at which it is submitted. */
+    /** A job, submitted {@code atMs} ms after the start of the load. */
     record Arrival(long atMs, JobRequest job) {}
 
-    /** CPUs of each task. */
+    /** CPUs of a task. */
     static final double CPUS = 1;
 
     private static final int IMAGES = 6;
@@ -54,11 +58,12 @@
     }
 
     /**
-     * The arrivals of an evening in their order.
+     * All arrivals, ordered by time.
      *
-     * @param cpus CPUs of all machines; the hot team wants a third of them, then two thirds, and
-     *     the other team an eighth
-     * @param doublesMs when the hot team's load doubles
+     * @param cpus CPUs of all machines; the first team demands a third of them, then two thirds,
+     *     and the other team an eighth
+     * @param doublesMs ms after the start at which the first team's load doubles
+     * @param endMs ms after the start at which arrivals end
      */
     List<Arrival> arrivals(double cpus, long doublesMs, long endMs) {
         List<Arrival> all = new ArrayList<>();
@@ -69,7 +74,7 @@
         return all;
     }
 
-    /** Jobs a second that keep so many CPUs busy. */
+    /** Arrival rate in jobs per s that keeps so many CPUs busy. */
     private static double perSecond(double cpus, double runS) {
         return cpus / (TASKS_MEDIAN * CPUS * runS);
     }
@@ -100,7 +105,7 @@
                 profile);
     }
 
-    /** The limit of each team: all machines. */
+    /** The CPU quota of each team: all machines. */
     static Map<String, Double> teams(double cpus) {
         return Map.of(HOT_TEAM, cpus, OTHER_TEAM, cpus);
     }
--- a/src/main/java/org/shoreusher/measure/Cluster.java
+++ b/src/main/java/org/shoreusher/measure/Cluster.java
@@ -22,16 +22,24 @@
 import org.shoreusher.standin.TaskHistory;
 import org.shoreusher.standin.WorkerStandIn;
 
-/** A deployment on loopback: controller processes, a state service, a cloud and workers. */
+/**
+ * A deployment on loopback: controller processes, and stand-ins of the store, the cloud and the
+ * workers.
+ */
 final class Cluster implements AutoCloseable {
     private static final String LOOPBACK = "127.0.0.1";
     private static final long POLL_MS = 50;
 
     /**
-     * What is deployed.
+     * Size and settings of a deployment.
      *
-     * @param machines machines that the cloud has
-     * @param features path of a features file for the controllers; null: none
+     * @param controllers number of controllers
+     * @param machines machines that the cloud can provide
+     * @param offer properties of a machine
+     * @param teams CPU quota by team
+     * @param reportS heartbeat interval of the workers in s
+     * @param leaseS lease of the workers in s
+     * @param features features file of the controllers; null for none
      */
     record Shape(
             int controllers,
@@ -85,7 +93,7 @@
         }
     }
 
-    /** Starts all controllers, and waits until each takes requests. */
+    /** Starts all controllers, and waits until each is ready. */
     void start() throws IOException, InterruptedException {
         for (String host : fronts.keySet()) {
             Path settings = directory.resolve(host + ".json");
@@ -112,7 +120,7 @@
         }
     }
 
-    /** Submits a job of a team, and waits until it is accepted. */
+    /** Submits a job to one controller after the other until it is accepted. */
     void submit(JobRequest job) throws InterruptedException {
         profiles.put(job.id(), job.profile());
         int[] next = {0};
@@ -126,7 +134,7 @@
                 });
     }
 
-    /** Whether any controller says that the job is done. */
+    /** Whether any controller reports the job as done. */
     boolean done(String job) {
         return clients.stream().anyMatch(client -> done(client, job));
     }
@@ -141,7 +149,11 @@
         }
     }
 
-    /** Waits for something that is to happen within some seconds; fails if it does not. */
+    /**
+     * Polls a condition.
+     *
+     * @throws IllegalStateException if it does not become true in time
+     */
     static void await(String what, double withinS, BooleanSupplier condition)
             throws InterruptedException {
         long endMs = ControllerProcess.nowMs() + Math.round(withinS * 1_000);
@@ -153,7 +165,11 @@
         }
     }
 
-    /** Fails if a controller has ended by itself, with the last line that it has logged. */
+    /**
+     * Checks that all controllers are running.
+     *
+     * @throws IllegalStateException with the last log line of a controller that has exited
+     */
     void requireAlive() {
         for (ControllerProcess controller : controllers) {
             if (!controller.alive()) {
@@ -166,7 +182,7 @@
         }
     }
 
-    /** The controller that took the part last; null before the first takeover. */
+    /** The controller that last became leader of shard 0; null if none has yet. */
     ControllerProcess owner() {
         ControllerProcess owner = null;
         long latestMs = Long.MIN_VALUE;
--- a/src/main/java/org/shoreusher/measure/ClusterSettings.java
+++ b/src/main/java/org/shoreusher/measure/ClusterSettings.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** The settings files of a cluster's controllers. */
+/** Generates the settings files of a cluster's controllers. */
 final class ClusterSettings {
     private static final String FORM =
             """
@@ -17,14 +17,14 @@
               "limits":{"sockets":%d},"clock_off_ms":25.0}}\
             """;
 
-    /** Sockets for each machine: as many again may be left behind by a cut. */
+    /** Sockets for each machine: a network partition may leave as many again behind. */
     private static final double SOCKETS_PER_MACHINE = 2;
 
     private static final int OTHER_SOCKETS = 500;
 
     private ClusterSettings() {}
 
-    /** The settings of one controller. */
+    /** The settings of one controller as JSON. */
     static String json(Cluster.Shape shape, String host, Cluster cluster) {
         List<String> zones = shape.offer().zones();
         return FORM.formatted(
--- a/src/main/java/org/shoreusher/measure/ControllerProcess.java
+++ b/src/main/java/org/shoreusher/measure/ControllerProcess.java
@@ -10,9 +10,9 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** A controller that runs as a process of its own, with the lines that it has logged. */
+/** A controller in its own process, with the lines that it has logged. Thread-safe. */
 final class ControllerProcess {
-    /** A line of the log; {@code atMs} by the clock of {@link System#nanoTime}. */
+    /** A line of the log; {@code atMs} is {@link System#nanoTime} in ms when it was read. */
     record Line(long atMs, String text) {}
 
     private final String host;
@@ -29,7 +29,7 @@
         return host;
     }
 
-    /** Starts it, or starts it again. */
+    /** Starts the process, or restarts it. */
     void start() throws IOException {
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().put("LOG_LEVEL", "debug");
@@ -56,12 +56,12 @@
         lines.add(line);
     }
 
-    /** Ends it without a signal that it could handle. */
+    /** Kills the process (SIGKILL) and waits until it has exited. */
     void kill() throws InterruptedException {
         process.destroyForcibly().waitFor();
     }
 
-    /** Ends it without waiting until it has ended. */
+    /** Kills the process (SIGKILL) without waiting. */
     void end() {
         process.destroyForcibly();
     }
@@ -70,7 +70,7 @@
         return process != null && process.isAlive();
     }
 
-    /** The last line after a moment that the predicate accepts; null if there is none. */
+    /** The last matching line after a point in time; null if there is none. */
     synchronized Line last(long afterMs, Predicate<String> wanted) {
         for (int i = lines.size() - 1; i >= 0 && lines.get(i).atMs() > afterMs; i--) {
             if (wanted.test(lines.get(i).text())) {
@@ -80,12 +80,12 @@
         return null;
     }
 
-    /** All lines after a moment that the predicate accepts. */
+    /** All matching lines after a point in time. */
     synchronized List<Line> all(long afterMs, Predicate<String> wanted) {
         return lines.stream().filter(l -> l.atMs() > afterMs && wanted.test(l.text())).toList();
     }
 
-    /** MB of memory that the process holds now, or its most; NaN where the system does not tell. */
+    /** Current or peak resident memory in MB; NaN if the system does not provide it. */
     double memoryMb(boolean most) {
         String field = most ? "VmHWM:" : "VmRSS:";
         try {
@@ -100,11 +100,12 @@
         return Double.NaN;
     }
 
-    /** Seconds of processor that the process has used. */
+    /** CPU time of the process in s; NaN if the system does not provide it. */
     double processorS() {
         return process.info().totalCpuDuration().map(d -> d.toMillis() / 1000.0).orElse(Double.NaN);
     }
 
+    /** {@link System#nanoTime} in ms. */
     static long nowMs() {
         return System.nanoTime() / 1_000_000;
     }
--- a/src/main/java/org/shoreusher/measure/FleetMeasurement.java
+++ b/src/main/java/org/shoreusher/measure/FleetMeasurement.java
@@ -9,9 +9,9 @@
 import org.shoreusher.standin.JobProfile;
 
 /**
- * Measures controllers with thousands of workers: how long until all run a task, what memory and
- * processor time the owner takes, and how long a taker needs to know all machines again after the
- * owner was killed. Fails if a step fails or a task was on two machines at once.
+ * Measures controllers with thousands of workers: the time until all of them run a task, memory and
+ * CPU use of the leader, and the time of a failover and its reconciliation after the leader is
+ * killed. Fails if a step fails or a task ran on two machines at once.
  */
 final class FleetMeasurement {
     static final Options OPTIONS =
@@ -83,7 +83,7 @@
                 new JobProfile("image", 0.1, RUN_S, 0, 0));
     }
 
-    /** Prints what each controller holds and uses while nothing changes. */
+    /** Prints memory and CPU use of each controller while nothing changes. */
     private static void steady(Cluster cluster) throws InterruptedException {
         ControllerProcess owner = cluster.owner();
         double before = owner.processorS();
@@ -103,7 +103,7 @@
         print("owner's processor: %.2f of a core", share);
     }
 
-    /** Kills the owner, waits until another knows all machines, and starts the killed one again. */
+    /** Kills the leader, waits for failover and reconciliation, and restarts the killed process. */
     private static void takeover(Cluster cluster, int tasks) throws Exception {
         ControllerProcess killed = cluster.owner();
         int running = cluster.history().running();
--- a/src/main/java/org/shoreusher/measure/JobRequest.java
+++ b/src/main/java/org/shoreusher/measure/JobRequest.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import org.shoreusher.standin.JobProfile;
 
-/** A job that a measurement submits, with how its tasks behave. */
+/** A batch job that a measurement submits, and how its tasks behave. */
 record JobRequest(
         String id,
         String jobClass,
@@ -14,7 +14,7 @@
         double imageGb,
         JobProfile profile) {
 
-    /** The body of its submission. */
+    /** The body of the submission. */
     Map<String, Object> body() {
         Map<String, Object> body = new LinkedHashMap<>();
         body.put("name_id", id);
--- a/src/main/java/org/shoreusher/measure/Measurements.java
+++ b/src/main/java/org/shoreusher/measure/Measurements.java
@@ -7,14 +7,14 @@
 import org.apache.commons.cli.ParseException;
 
 /**
- * The measurements, as a subcommand of the program. Each runs whole controllers with the flags of
- * the deploy file on loopback, from the repository's root, and takes minutes.
+ * The subcommand {@code measure}. Each measurement runs complete controllers on loopback, with the
+ * command line of the deploy file and from the repository's root, and takes minutes.
  */
 public final class Measurements {
     private static final int FAILED = 1;
     private static final int USAGE = 2;
 
-    /** The help text. */
+    /** The help text of the subcommand. */
     public static final String HELP =
             """
             usage: shoreusher measure NAME [options], from the repository's root, after a build
@@ -29,7 +29,7 @@
 
     private Measurements() {}
 
-    /** Runs the measurement that the first word names; returns the program's exit code. */
+    /** Runs the measurement that the first word names, and returns the exit code. */
     public static int run(String[] words) throws Exception {
         if (words.length == 0 || words[0].equals("--help") || words[0].equals("-h")) {
             System.out.println(HELP);
@@ -71,7 +71,7 @@
         return line;
     }
 
-    /** An option with a value that is not allowed; the message names both. */
+    /** Thrown for an option value that is not allowed; the message names the option. */
     static final class BadOption extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -80,7 +80,7 @@
         }
     }
 
-    /** The value of an option, a whole number within bounds. */
+    /** The value of an option that must be an integer within inclusive bounds. */
     static int whole(CommandLine line, String option, int least, int most, int otherwise)
             throws BadOption {
         double value = number(line, option, least, most, otherwise);
@@ -90,7 +90,7 @@
         return (int) value;
     }
 
-    /** The value of an option, a number within bounds. */
+    /** The value of an option that must be a number within inclusive bounds. */
     static double number(
             CommandLine line, String option, double least, double most, double otherwise)
             throws BadOption {
@@ -104,7 +104,7 @@
                 return value;
             }
         } catch (NumberFormatException e) {
-            // Told below, like a number out of bounds.
+            // Reported below, like a number out of bounds.
         }
         throw new BadOption(
                 "--" + option + " must be a number from " + text(least) + " to " + text(most));
--- a/src/main/java/org/shoreusher/measure/RunCommand.java
+++ b/src/main/java/org/shoreusher/measure/RunCommand.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.shoreusher.wire.FieldMap;
 
-/** The command that the platform starts controllers with, as the deploy file has it. */
+/** The command line of the controllers, from the deploy file. */
 final class RunCommand {
     private static final Path DEPLOY_FILE = Path.of("deploy/service.toml");
     private static final String FEATURES_FLAG = "--features";
@@ -15,9 +15,9 @@
     private RunCommand() {}
 
     /**
-     * The words of the command, up to the settings file that is still to be added.
+     * The words of the command line, without the settings file at the end.
      *
-     * @param features a features file to be used in place of the deploy file's; null: none at all
+     * @param features features file instead of the deploy file's; null for none
      */
     static List<String> read(Path features) throws IOException {
         String line;
--- a/src/main/java/org/shoreusher/measure/SpreadSamples.java
+++ b/src/main/java/org/shoreusher/measure/SpreadSamples.java
@@ -7,7 +7,7 @@
 import org.shoreusher.standin.CloudStandIn;
 import org.shoreusher.standin.WorkerStandIn;
 
-/** The spread of one team as it really is on the stand-ins, sampled over time. */
+/** Samples the spread of one team over time, as measured on the stand-ins. */
 final class SpreadSamples {
     private static final double THOUSAND = 1_000;
     private static final int DIGITS = 2;
@@ -20,7 +20,7 @@
     private final Stretch avoidable = new Stretch();
     private double last;
 
-    /** How long something has been so without a break. */
+    /** The longest uninterrupted time for which a condition has been true. */
     private static final class Stretch {
         private long sinceMs = -1;
         private long longestMs;
@@ -32,8 +32,10 @@
     }
 
     /**
-     * @param margin the margin of spread
-     * @param bound the spread above which tasks are moved
+     * A sampler without samples.
+     *
+     * @param margin the margin of the spread
+     * @param bound the spread above which tasks are migrated
      */
     SpreadSamples(String team, double margin, double bound) {
         this.team = team;
@@ -41,7 +43,7 @@
         this.bound = bound;
     }
 
-    /** Takes a sample of all machines. {@code jobs}: the jobs by their names. */
+    /** Samples all machines; {@code jobs} are the jobs by id. */
     void sample(CloudStandIn machines, Map<String, JobRequest> jobs) {
         LoadModel load = new LoadModel();
         double machineCpus = machines.offer().cpus();
@@ -71,19 +73,19 @@
         avoidable.sample(last > bound && room, nowMs);
     }
 
-    /** The newest sample. */
+    /** The spread of the latest sample. */
     double last() {
         return last;
     }
 
-    /** The spread above which tasks are moved. */
+    /** The spread above which tasks are migrated. */
     double bound() {
         return bound;
     }
 
     /**
-     * The longest time in ms for which the spread was above the bound without a break although a
-     * machine had room for a task that would have kept it within the margin.
+     * The longest uninterrupted time in ms for which the spread was above its bound although some
+     * machine had free capacity for one more task within the margin.
      */
     long longestAvoidableMs() {
         return avoidable.longestMs;
--- a/src/main/java/org/shoreusher/measure/TakeoverFigures.java
+++ b/src/main/java/org/shoreusher/measure/TakeoverFigures.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 
-/** What the takeovers of one setting took, in ms, and how they came out. */
+/** Durations of the failovers of one configuration in ms, and their outcomes. */
 final class TakeoverFigures {
     private static final long LONGEST_MS = 600_000;
     private static final int DIGITS = 3;
@@ -16,11 +16,12 @@
     private final Map<String, Integer> outcomes = new TreeMap<>();
 
     /**
-     * One takeover.
+     * Records one failover.
      *
-     * @param takeoverMs from the kill to the takeover
-     * @param firstStartMs from the takeover to the first task that began
-     * @param allPlacedMs from the takeover until as many tasks ran as before the kill
+     * @param takeoverMs ms from the kill to the failover
+     * @param firstStartMs ms from the failover to the first start of a task
+     * @param allPlacedMs ms from the failover until as many tasks ran as before the kill
+     * @param outcome whether and how a standby was promoted
      */
     void add(long takeoverMs, long firstStartMs, long allPlacedMs, String outcome) {
         toTakeover.recordValue(takeoverMs);
@@ -29,10 +30,12 @@
         outcomes.merge(outcome, 1, Integer::sum);
     }
 
+    /** How many failovers had an outcome. */
     int times(String outcome) {
         return outcomes.getOrDefault(outcome, 0);
     }
 
+    /** Prints the percentiles and outcomes of a configuration. */
     void print(String setting) {
         System.out.println(setting + ": " + toTakeover.getTotalCount() + " kills, " + outcomes);
         print("kill to takeover", toTakeover);
--- a/src/main/java/org/shoreusher/measure/TakeoverMeasurement.java
+++ b/src/main/java/org/shoreusher/measure/TakeoverMeasurement.java
@@ -18,9 +18,10 @@
 import org.shoreusher.standin.WorkerStandIn;
 
 /**
- * Measures how long nothing starts when the active controller is killed, with the warm standby off
- * and on, all machines heard and a share of them silent. Fails if a task was on two machines at
- * once, a job was not done at the end, a controller ended by itself, or no standby was promoted.
+ * Measures for how long no task starts when the leader is killed, with the warm standby off and on,
+ * and with all machines reachable or a share of them partitioned. Fails if a task ran on two
+ * machines at once, a job was not done at the end, a controller exited by itself, or no standby was
+ * promoted.
  */
 final class TakeoverMeasurement {
     static final Options OPTIONS =
@@ -37,20 +38,20 @@
     private static final double CPUS = 4;
     private static final double TASK_CPUS = 2;
 
-    /** Share of all CPUs that the team may use; it is always at that limit. */
+    /** The team's quota as a share of all CPUs; its use is always at that limit. */
     private static final double TEAM_SHARE = 0.85;
 
     private static final double REPORT_S = 5;
     private static final double LEASE_S = 26.5;
     private static final double RUN_S = 12;
 
-    /** Waiting tasks, as a share of those that run. */
+    /** Pending tasks, as a share of the running ones. */
     private static final double BACKLOG = 0.6;
 
-    /** Tasks that end are replaced with their machine's next report, so a few always lack. */
+    /** Completed tasks are replaced with the next heartbeat, so a few are always missing. */
     private static final double PLACED_SHARE = 0.95;
 
-    /** Within the workers' leases, so that no task is lost by the silence itself. */
+    /** ms; within the workers' leases, so that the partition alone loses no task. */
     private static final long SILENT_MS = 20_000;
 
     private static final double PATIENCE_S = 180;
@@ -64,7 +65,7 @@
     private final int machines;
     private final int kills;
 
-    /** Jobs that the running tasks belong to; with few, hardly any task was never started. */
+    /** Jobs that run at once; with few, nearly all tasks are below a high-water mark. */
     private final int jobsAtOnce;
 
     private final Random random;
@@ -89,7 +90,7 @@
         random = new Random(seed);
     }
 
-    /** Runs all four settings, one after the other. */
+    /** Runs all four configurations, one after the other. */
     static void run(CommandLine line) throws Exception {
         int machines = Measurements.whole(line, "machines", 4, MOST_MACHINES, 400);
         int kills = Measurements.whole(line, "kills", 1, MOST_KILLS, 5);
@@ -118,7 +119,7 @@
         try (Cluster cluster = new Cluster(shape)) {
             cluster.start();
             settle(cluster, Long.MIN_VALUE);
-            // The first tasks all begin together; later ones are spread over time.
+            // The first tasks all start together; later ones are spread over time.
             keepBusy(cluster, WARM_UP_MS);
             steady(cluster);
             for (int i = 0; i < kills; i++) {
@@ -173,7 +174,7 @@
         }
     }
 
-    /** Waits until the team is at its limit, and the standby in sync if there is to be one. */
+    /** Waits until the team is at its quota and, with the feature on, the standby is in sync. */
     private void settle(Cluster cluster, long sinceMs) throws InterruptedException {
         awaitBusy(
                 cluster,
@@ -192,7 +193,7 @@
         return last != null && last.text().contains("is in sync");
     }
 
-    // ---- takeovers ---------------------------------------------------------------------------
+    // ---- failovers ---------------------------------------------------------------------------
 
     private void kill(Cluster cluster) throws Exception {
         Thread.sleep(random.nextInt(LONGEST_WAIT_MS));
@@ -223,7 +224,7 @@
         settle(cluster, takenMs);
     }
 
-    /** Silences a share of the machines; returns their names. */
+    /** Partitions a share of the machines from the controllers; returns their names. */
     private Set<String> silence(Cluster cluster) {
         List<WorkerStandIn> workers = cluster.machines().workers();
         Collections.shuffle(workers, random);
@@ -237,12 +238,16 @@
         return silent;
     }
 
-    /** What silent machines hold stays as it is; what the others run is what a taker can place. */
+    /** Running tasks on reachable machines, which are the ones that a new leader can place. */
     private static int runningHeard(Cluster cluster, Set<String> silent) {
         return cluster.history().runningOn(machine -> !silent.contains(machine));
     }
 
-    /** Waits for something, and keeps up the backlog meanwhile. */
+    /**
+     * Polls a condition and keeps up the backlog meanwhile.
+     *
+     * @throws IllegalStateException if it does not become true in time
+     */
     private void awaitBusy(Cluster cluster, String what, BooleanSupplier condition)
             throws InterruptedException {
         long endMs = nowMs() + Math.round(PATIENCE_S * 1_000);
@@ -262,9 +267,9 @@
                 : line.text().replaceAll(".*promotion: [^,]*, |, \\d+ of.*", "");
     }
 
-    // ---- what it costs, and what must not happen -----------------------------------------------
+    // ---- costs and checks --------------------------------------------------------------------
 
-    /** Prints what controllers hold and use while nothing fails. */
+    /** Prints memory and CPU use of the controllers while nothing fails. */
     private void steady(Cluster cluster) throws InterruptedException {
         List<ControllerProcess> controllers = cluster.controllers();
         List<Double> before = controllers.stream().map(ControllerProcess::processorS).toList();
@@ -297,7 +302,7 @@
         return line == null ? "" : "; " + line.text().replaceAll(".*standby: ", "");
     }
 
-    /** Submits nothing more, and waits until every job is done. */
+    /** Waits until every job is done. */
     private void drain(Cluster cluster) throws InterruptedException {
         for (JobRequest job : jobs) {
             Cluster.await(job.id() + " is done", PATIENCE_S, () -> cluster.done(job.id()));
--- a/src/main/java/org/shoreusher/net/HttpCaller.java
+++ b/src/main/java/org/shoreusher/net/HttpCaller.java
@@ -31,13 +31,20 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * Calls one HTTP service over kept connections, one request at a time on each. Every call ends in
- * exactly one answer; without one in time, with status 0, and its connection is dropped.
+ * HTTP client of one target with a pool of persistent connections and one request at a time on
+ * each. Every call completes exactly once: with the response, or with status 0 on failure or
+ * timeout, after which its connection is closed. Not thread-safe: all methods run on the event
+ * loop.
  */
 public final class HttpCaller {
-    /** Takes the answer. {@code body} is null unless it is a map. */
+    /** Receives the result of a call. */
     public interface Answer {
-        /** Takes the status, 0 if there was no answer, and the body. */
+        /**
+         * Called once for each call.
+         *
+         * @param status the HTTP status; 0 if there was no response
+         * @param body the decoded body; null if it is not a map
+         */
         void answered(int status, Map<String, Object> body);
     }
 
@@ -48,13 +55,15 @@
     private final ArrayDeque<Line> idle = new ArrayDeque<>();
     private int busy;
 
-    /** A caller that keeps the usual number of idle connections. */
+    /** A client that keeps the default number of idle connections. */
     public HttpCaller(EventLoop loop, Address target) {
         this(loop, target, Tuning.POOL_IDLE);
     }
 
     /**
-     * @param keep idle connections to keep
+     * A client with a pool of its own.
+     *
+     * @param keep idle connections to keep at most
      */
     public HttpCaller(EventLoop loop, Address target, int keep) {
         this.keep = keep;
@@ -80,7 +89,10 @@
                                 });
     }
 
-    /** Calls; a null body means GET. To be used on the event loop. */
+    /**
+     * Sends a request: a GET if the body is null, else a POST. Fails at once if too many calls are
+     * in flight.
+     */
     public void call(String path, Map<String, Object> body, long timeoutMs, Answer answer) {
         FullHttpRequest request =
                 body == null
@@ -120,13 +132,13 @@
                 });
     }
 
-    /** Closes the connections that no call uses. */
+    /** Closes the connections that no call is using. */
     public void closeIdle() {
-        // A connection that closes takes itself off the list.
+        // A connection removes itself from the list when it closes.
         List.copyOf(idle).forEach(line -> line.channel.close());
     }
 
-    /** A call in flight, ended once: by its answer, a failure or its timeout. */
+    /** A call in flight, completed once: by its response, a failure or its timeout. */
     private final class Call {
         private final Answer answer;
         private boolean ended;
@@ -144,7 +156,7 @@
         }
     }
 
-    /** One connection. */
+    /** A persistent connection, which handles one call at a time. */
     private final class Line extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final Channel channel;
         private Call current;
--- a/src/main/java/org/shoreusher/peer/HintCodec.java
+++ b/src/main/java/org/shoreusher/peer/HintCodec.java
@@ -13,27 +13,27 @@
 import org.shoreusher.settings.Tuning;
 
 /**
- * Hints in Kryo's form. Only the registered classes are read, so bytes from elsewhere build nothing
- * else.
+ * Encodes and decodes gossip with Kryo. Only registered classes are decoded, so foreign bytes
+ * cannot create other objects. Not thread-safe.
  */
 public final class HintCodec {
     private final Kryo kryo = new Kryo();
 
-    /** A codec; it is not safe for use by several threads. */
+    /** A codec with only the gossip message registered. */
     public HintCodec() {
         kryo.setRegistrationRequired(true);
         kryo.setReferences(false);
         kryo.register(Hint.class, new HintSerializer());
     }
 
-    /** Encodes a hint. */
+    /** Encodes a message. */
     public byte[] write(Hint hint) {
         Output out = new Output(Tuning.HINT_BUFFER, Tuning.MAX_HINT);
         kryo.writeObject(out, hint);
         return out.toBytes();
     }
 
-    /** Reads a hint; null if the bytes are none. */
+    /** Decodes a message; null if the bytes are not a valid one. */
     public Hint read(byte[] bytes) {
         try {
             return kryo.readObject(new Input(bytes), Hint.class);
@@ -42,7 +42,7 @@
         }
     }
 
-    /** The fields of a hint in a fixed order, which all versions share. */
+    /** Encodes the fields in a fixed order, which all versions share. */
     private static final class HintSerializer extends Serializer<Hint> {
         @Override
         public void write(Kryo kryo, Output out, Hint h) {
--- a/src/main/java/org/shoreusher/peer/Peers.java
+++ b/src/main/java/org/shoreusher/peer/Peers.java
@@ -29,8 +29,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tells the other controllers hints, and hears theirs and messages of the warm standby. A hint that
- * can't be sent at once is dropped.
+ * Sends gossip to the other controllers, and receives their gossip and standby messages. Gossip
+ * that cannot be sent at once is dropped. Frames have a length prefix of 4 bytes.
  */
 public final class Peers {
     private static final Logger LOG = LoggerFactory.getLogger("shoreusher");
@@ -42,14 +42,14 @@
     private final Map<String, Channel> lines = new HashMap<>();
     private final Map<String, Boolean> connecting = new HashMap<>();
 
-    /** An adapter that gives the hints it receives to the core. */
+    /** A transport that passes received messages to the core as commands. */
     public Peers(EventLoopGroup loop, Settings settings, Consumer<Command> core) {
         this.loop = loop;
         this.settings = settings;
         this.core = core;
     }
 
-    /** Begins to listen. */
+    /** Binds to the peer address and accepts connections. */
     public void listen() throws InterruptedException {
         new ServerBootstrap()
                 .group(loop)
@@ -71,7 +71,7 @@
                 .sync();
     }
 
-    /** Tells every peer that is connected, and connects to the others. */
+    /** Sends a message to each connected peer, and starts connecting to the others. */
     public void tell(Hint hint) {
         byte[] bytes = codec.write(hint);
         for (Settings.Member member : settings.members()) {
@@ -81,7 +81,7 @@
             } else if (line.isWritable()) {
                 line.writeAndFlush(Unpooled.wrappedBuffer(bytes));
             } else {
-                // Cut off: what is queued would arrive minutes late and be of no use.
+                // The peer is unreachable: queued gossip would arrive minutes late and be useless.
                 line.close();
             }
         }
@@ -112,7 +112,7 @@
                         });
     }
 
-    /** Decodes the frames of a connection and closes it on one that is no hint. */
+    /** Decodes the frames of a connection, and closes it on an invalid one. */
     private final class Hearer extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
@@ -140,7 +140,7 @@
         }
     }
 
-    /** Peers say nothing on a line that this node opened. */
+    /** Peers send nothing on connections that this node opened, so any input closes them. */
     private static final class Closer extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf unexpected) {
--- a/src/main/java/org/shoreusher/peer/StandbyCodec.java
+++ b/src/main/java/org/shoreusher/peer/StandbyCodec.java
@@ -22,15 +22,15 @@
 import org.shoreusher.standby.StandbyMessage;
 
 /**
- * Messages of the warm standby as bytes. They begin with a mark that no hint can begin with: where
- * a hint has its sender's name, Kryo's sign for a missing text. A version that knows hints only
- * closes the connection on it.
+ * Encodes and decodes standby messages. They begin with a marker byte that no gossip message begins
+ * with: gossip has its sender's name there, and the marker is Kryo's encoding of a null string. A
+ * version without the standby feature closes the connection on it.
  */
 final class StandbyCodec {
-    /** Kryo's sign for a missing text, and no first byte of any other text. */
+    /** Kryo's encoding of a null string, and the first byte of no other string. */
     private static final byte MARK = (byte) 0x80;
 
-    /** The form of what follows; a message of any other form is refused. */
+    /** Version of the format that follows; messages of any other version are rejected. */
     private static final int FORM = 1;
 
     private static final int FRAME = 1;
@@ -44,11 +44,12 @@
 
     private StandbyCodec() {}
 
-    /** Whether the bytes are meant to be a message of the warm standby. */
+    /** Whether a message with this first byte is a standby message. */
     static boolean marks(byte first) {
         return first == MARK;
     }
 
+    /** Encodes a message. */
     static byte[] write(StandbyMessage message) {
         Output out = new Output(Tuning.HINT_BUFFER, Tuning.MAX_HINT);
         out.writeByte(MARK);
@@ -67,7 +68,7 @@
         return out.toBytes();
     }
 
-    /** Reads a message; null if the bytes are none of this form. */
+    /** Decodes a message; null if the bytes are not a valid one of this version. */
     static StandbyMessage read(byte[] bytes) {
         try {
             Input in = new Input(bytes);
@@ -117,7 +118,7 @@
 
     // ---- records -----------------------------------------------------------------------------
 
-    /** Names of jobs, machines and teams stand once in a frame; records refer to them. */
+    /** Encodes names of jobs, machines and teams once in a frame; records refer to their index. */
     private static void writeRecords(Output out, List<LogRecord> records) {
         Object2IntOpenHashMap<String> numbers = new Object2IntOpenHashMap<>();
         List<String> names = new ArrayList<>();
--- a/src/main/java/org/shoreusher/peer/StandbyLines.java
+++ b/src/main/java/org/shoreusher/peer/StandbyLines.java
@@ -19,9 +19,9 @@
 import org.shoreusher.standby.StandbyMessage;
 
 /**
- * Sends messages of the warm standby to other controllers, over connections of their own: one that
- * does not know them closes the connection, and hints must not be lost by that. What can't be sent
- * at once is dropped; the sender sends it again, or does without a standby.
+ * Sends standby messages to other controllers. They have their own connections: a controller
+ * without the feature closes the connection on them, which must not lose gossip. Messages that
+ * cannot be sent at once are dropped; the leader sends them again, or gives up its standby.
  */
 public final class StandbyLines {
     private final Map<String, Settings.Address> addresses = new HashMap<>();
@@ -31,7 +31,7 @@
     private long messages;
     private long bytesSent;
 
-    /** An adapter that knows the other members' addresses. */
+    /** A transport to the members in the settings. */
     public StandbyLines(EventLoopGroup loop, Settings settings) {
         settings.members().forEach(member -> addresses.put(member.host(), member.address()));
         bootstrap =
@@ -52,7 +52,7 @@
                                 });
     }
 
-    /** Sends a message to the controller of a host; one that is no member gets nothing. */
+    /** Sends a message to the controller of a host. Ignored if the host is not a member. */
     public void send(String host, StandbyMessage message) {
         Settings.Address address = addresses.get(host);
         if (address == null) {
@@ -71,7 +71,7 @@
         }
     }
 
-    /** What was sent since the last call, as one line; null if nothing was. */
+    /** A line on the traffic since the last call, which resets it; null if nothing was sent. */
     public String sent() {
         if (messages == 0) {
             return null;
@@ -82,7 +82,7 @@
         return line;
     }
 
-    /** Connects; the last message that is to be sent meanwhile goes out first. */
+    /** Connects. Of the messages to be sent meanwhile, only the last one is kept and sent. */
     private void connect(String host, Settings.Address address, byte[] bytes) {
         if (connecting.put(host, bytes) != null) {
             return;
@@ -98,7 +98,7 @@
                 });
     }
 
-    /** The other side says nothing on a connection that this node opened. */
+    /** Peers send nothing on connections that this node opened, so any input closes them. */
     private static final class ClosingHandler extends SimpleChannelInboundHandler<Object> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, Object unexpected) {
--- a/src/main/java/org/shoreusher/settings/FeatureSection.java
+++ b/src/main/java/org/shoreusher/settings/FeatureSection.java
@@ -6,8 +6,8 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * One section of a features file. Every key that is asked for counts as known; {@link #finish}
- * refuses the others.
+ * A section of the features file. Each key that is read becomes known; {@link #finish} rejects the
+ * others. Values are checked for type and range when they are read.
  */
 final class FeatureSection {
     private final String name;
@@ -19,6 +19,7 @@
         this.values = values;
     }
 
+    /** An optional boolean with a default value. */
     boolean flag(String key, boolean otherwise) throws Settings.Invalid {
         Object value = value(key);
         if (value == null) {
@@ -30,6 +31,7 @@
         throw wrong(key, "true or false");
     }
 
+    /** An optional number with inclusive bounds and a default value. */
     double number(String key, double least, double most, double otherwise) throws Settings.Invalid {
         Object value = value(key);
         if (value == null) {
@@ -43,6 +45,7 @@
         throw wrong(key, "a number from " + text(least) + " to " + text(most));
     }
 
+    /** An optional integer with inclusive bounds and a default value. */
     int whole(String key, int least, int most, int otherwise) throws Settings.Invalid {
         Object value = value(key);
         if (value == null) {
@@ -54,7 +57,7 @@
         throw wrong(key, "a whole number from " + least + " to " + most);
     }
 
-    /** A section within this one; null if it is absent. */
+    /** A nested section; null if it is absent. */
     FeatureSection section(String key) throws Settings.Invalid {
         if (value(key) == null) {
             return null;
@@ -66,12 +69,12 @@
         }
     }
 
-    /** The names of all that is in this section. */
+    /** All keys of this section. */
     Set<String> names() {
         return values.keySet();
     }
 
-    /** Refuses keys that nobody has asked for. */
+    /** Rejects keys that have not been read. */
     void finish() throws Settings.Invalid {
         for (String key : values.keySet()) {
             if (!known.contains(key)) {
--- a/src/main/java/org/shoreusher/settings/Features.java
+++ b/src/main/java/org/shoreusher/settings/Features.java
@@ -4,12 +4,12 @@
 import org.shoreusher.standby.StandbySettings;
 
 /**
- * Which optional features a controller uses.
+ * The optional features of a controller.
  *
- * @param balance settings of the balancer; null: it is off
- * @param standby settings of the warm standby; null: it is off
+ * @param balance settings of the balancer; null if it is off
+ * @param standby settings of the warm standby; null if it is off
  */
 public record Features(BalanceSettings balance, StandbySettings standby) {
-    /** No feature at all. */
+    /** All features off. */
     public static final Features NONE = new Features(null, null);
 }
--- a/src/main/java/org/shoreusher/settings/FeaturesFile.java
+++ b/src/main/java/org/shoreusher/settings/FeaturesFile.java
@@ -13,8 +13,9 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * Reads the operators' features file: a TOML section for each feature, which is off when its
- * section is absent or says so. Anything unknown, of a wrong type or out of range is refused.
+ * Parses the operators' features file: one TOML section for each feature. A feature is off if its
+ * section is absent or has {@code enabled = false}. Keys that are unknown, of the wrong type or out
+ * of range are rejected.
  */
 public final class FeaturesFile {
     private static final int MOST_MOVES = 1_000;
@@ -22,23 +23,29 @@
     private static final double LONGEST_COOLDOWN_S = 3_600;
     private static final double HIGHEST_GAIN = 100;
 
-    /** ms; below a few round trips and a resend every standby would be given up at once. */
+    /**
+     * ms; with less than a few round trips and a retry, every standby would be given up at once.
+     */
     private static final int SHORTEST_ACK_TIMEOUT_MS = 500;
 
-    /** ms; workers give up after 4 s, and the answer still has to reach them. */
+    /** ms; workers time out after 4 s, and the response still has to reach them. */
     private static final int LONGEST_ACK_TIMEOUT_MS = 3_000;
 
     private static final int LONGEST_HEAD_START_MS = 5_000;
     private static final int FEWEST_FRAME_RECORDS = 2;
 
-    /** records; names of 100 bytes each keep such a frame below the bound of a message. */
+    /** Records; with names of 100 bytes such a frame stays below the limit of a message. */
     private static final int MOST_FRAME_RECORDS = 500;
 
     private static final int MOST_ATTEMPTS = 1_000_000;
 
     private FeaturesFile() {}
 
-    /** Reads and checks a file. */
+    /**
+     * Reads and validates a file.
+     *
+     * @throws Settings.Invalid with a sentence for the operator
+     */
     public static Features load(Path file, Settings settings) throws Settings.Invalid {
         byte[] bytes;
         try {
@@ -49,7 +56,12 @@
         return parse(bytes, settings);
     }
 
-    /** Checks the bytes of a file; {@code settings} tells which classes of jobs there are. */
+    /**
+     * Parses and validates the bytes of a file.
+     *
+     * @param settings names the classes of jobs of the deployment
+     * @throws Settings.Invalid with a sentence for the operator
+     */
     public static Features parse(byte[] toml, Settings settings) throws Settings.Invalid {
         FieldMap root;
         try {
--- a/src/main/java/org/shoreusher/settings/Settings.java
+++ b/src/main/java/org/shoreusher/settings/Settings.java
@@ -11,10 +11,33 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * The validated settings file that the platform hands over. Unknown fields are ignored. Where the
- * file says which limits the state service will have later, the stricter of both count from the
- * start: nobody tells when the later ones come into force, and what was written above them by then
- * could not be written again.
+ * The validated settings file, which the platform provides. Unknown fields are ignored. If the file
+ * announces later limits of the store ({@code state.next}), the stricter of both applies from the
+ * start: it is not known when the later ones take effect, and records written above them could then
+ * not be written again.
+ *
+ * @param host name of this node
+ * @param zone zone of this node
+ * @param front address for users, workers and the load balancer
+ * @param back address for the other controllers
+ * @param members the other controllers
+ * @param cloud address of the cloud's interface
+ * @param state address of the key-value store
+ * @param nodes number of controllers
+ * @param zones zones in which there are machines
+ * @param teams the teams by name
+ * @param objectives service-level objectives, as the users stated them
+ * @param reportS heartbeat interval of the workers in s
+ * @param workerLeaseS s after its last accepted heartbeat until a worker's lease expires
+ * @param cancelS s within which a cancelled job's tasks must have ended
+ * @param stateRps requests per s that the store allows all nodes together
+ * @param stateWriteRps writes per s that the store allows all nodes together
+ * @param valueBytes size of a stored value at most, in bytes
+ * @param txnOps writes in one transaction at most
+ * @param cloudRps requests per s that the cloud allows all nodes together
+ * @param listLagS s by which the cloud's inventory may lag
+ * @param sockets open sockets of this process at most
+ * @param clockOffMs ms by which a node's wall clock may be off
  */
 public record Settings(
         String host,
@@ -40,7 +63,7 @@
         int sockets,
         long clockOffMs) {
 
-    /** A numeric address. */
+    /** An IP address and port. */
     public record Address(String ip, int port) {
         @Override
         public String toString() {
@@ -48,22 +71,28 @@
         }
     }
 
-    /** Another controller; {@code zone} is empty if the file does not say. */
+    /** Another controller; {@code zone} is empty if the file does not name it. */
     public record Member(String host, Address address, String zone) {}
 
     /**
-     * A team's guarantee and limit. A limit that the file leaves out or gives as 0 is none, here
-     * infinite.
+     * A team's guaranteed share and quota of CPUs and GPUs. A quota that the file omits or gives as
+     * 0 means no quota, which is infinity here.
      */
     public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
 
     /**
-     * An aim on starting or finishing, as the users stated it; {@code times} stretches a deadline.
+     * A service-level objective.
+     *
+     * @param kind such as "wait", "finished", "deadline" or "guarantee"
+     * @param jobClass the class of jobs that it applies to; empty for all classes
+     * @param withinS time limit in s; NaN if it has none
+     * @param share share of the jobs that must meet it; NaN if it has none
+     * @param times factor on the deadline that a user gives
      */
     public record Objective(
             String kind, String jobClass, double withinS, double share, double times) {}
 
-    /** Thrown with one clear sentence when the file can't be used. */
+    /** Thrown for an invalid file; the message is one sentence for the operator. */
     public static final class Invalid extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -72,12 +101,16 @@
         }
     }
 
-    /** The names of all controllers, this one included. */
+    /** The host names of all controllers, including this one. */
     public Stream<String> hosts() {
         return Stream.concat(Stream.of(host), members.stream().map(Member::host)).distinct();
     }
 
-    /** Reads and checks a settings file. */
+    /**
+     * Reads and validates a settings file.
+     *
+     * @throws Invalid with a sentence for the operator
+     */
     public static Settings load(Path file) throws Invalid {
         byte[] bytes;
         try {
@@ -88,7 +121,11 @@
         return parse(bytes);
     }
 
-    /** Checks the bytes of a settings file. */
+    /**
+     * Parses and validates the bytes of a settings file.
+     *
+     * @throws Invalid with a sentence for the operator
+     */
     public static Settings parse(byte[] json) throws Invalid {
         FieldMap root;
         try {
@@ -166,8 +203,8 @@
     }
 
     /**
-     * Changes in one transaction: not more than the state service's burst of one second takes,
-     * since a larger one would be refused with 429 each time.
+     * Writes in one transaction: not more than the store accepts in a burst of one second, since it
+     * would reject a larger transaction with 429 each time.
      */
     private static int txnOps(FieldMap state, FieldMap next) throws FieldMap.Missing, Invalid {
         int limit = (int) stricter(state, next, "txn_ops");
@@ -198,8 +235,8 @@
     }
 
     /**
-     * "0 means none", of guarantees and of limits alike. Taken for no CPUs at all, it had every job
-     * of the team refused for good.
+     * A quota, for which 0 means none (protocol). Taken as 0 CPUs, every job of the team would be
+     * rejected for good.
      */
     private static double limit(FieldMap team, String field) throws FieldMap.Missing {
         double limit = team.numberOr(field, 0);
@@ -257,13 +294,13 @@
                 return new Address(text.substring(0, colon), port);
             }
         } catch (NumberFormatException e) {
-            // told below, with the field's name
+            // Reported below, with the field's name.
         }
         throw new Invalid(
                 "settings: " + field + " is not an address like 10.0.0.1:8080: '" + text + "'");
     }
 
-    /** Reads an address out of a message; null if it is none. */
+    /** Parses the address in a message; null if it is invalid. */
     public static Address addressOrNull(String text) {
         try {
             return address(text, "addr");
--- a/src/main/java/org/shoreusher/settings/Tuning.java
+++ b/src/main/java/org/shoreusher/settings/Tuning.java
@@ -1,606 +1,701 @@
 package org.shoreusher.settings;
 
 /**
- * Every constant of the service, with its unit and the reason for its value. What an operator's
- * deployment decides (rates, leases, limits) comes from the settings file and is not here.
+ * All constants of the service, each with its unit and the reason for its value. Values that depend
+ * on the deployment (rates, leases, limits) are in {@link Settings}.
  */
 public final class Tuning {
     private Tuning() {}
 
-    // ---- part leases -------------------------------------------------------------------------
-    /** ms; how long a part's lease lasts without renewal. The design's value. */
+    // ---- leader leases and failover ---------------------------------------------------------
+    /**
+     * ms; how long a leader's lease on a shard lasts without renewal, unless the workers' leases
+     * demand a shorter one. The design's value.
+     */
     public static final long LEASE_MS = 9_000;
 
     /**
-     * share of the workers' leases that a part's lease takes at most: what is left is for the
-     * takeover and a round of reports.
+     * Largest share of the workers' lease that a leader's lease may take. What is left is for the
+     * failover and one round of heartbeats.
      */
     public static final double LEASE_OF_WORKERS = 0.65;
 
     /**
-     * times the clocks' bound and margin that a part's lease is at least, however short the
-     * workers' are.
+     * A leader's lease is at least this many times the sum of the clock offset bound and the
+     * margin, however short the workers' leases are.
      */
     public static final int LEASE_SLACKS = 6;
 
-    /** ms; a heartbeat that got no answer is tried again after this, well inside the lease. */
+    /** ms; delay before a lease renewal without an answer is tried again, well within the lease. */
     public static final long HEARTBEAT_RETRY_MS = 400;
 
-    /** ms; owner stops this early and taker waits this long on top of the clocks' bound. */
+    /**
+     * ms; on top of the clock offset bound, a leader stops this early, and a successor waits this
+     * long, at the end of a lease.
+     */
     public static final long LEASE_MARGIN_MS = 250;
 
     /**
-     * ms; longest time after a lapse during which an owner keeps its workers alive; takers wait for
-     * silent machines as much longer.
+     * ms; longest time after its lease has expired for which a leader still renews its workers'
+     * leases. Successors wait as much longer for unresponsive machines.
      */
     public static final long GRACE_MAX_MS = LEASE_MS;
 
-    /** share; steady clocks run up to 0.05% apart (protocol); twice that, for two of them. */
+    /**
+     * Share; monotonic clocks drift apart by at most 0.05% (protocol). Twice that, for two clocks.
+     */
     public static final double DRIFT = 0.001;
 
-    /** ms; an owner whose view of the store is older than this acts as if its lease had lapsed. */
+    /** ms; a leader whose store cache is older than this acts as if its lease had expired. */
     public static final long VIEW_STALE_MS = 9_000;
 
     /**
-     * ms; what the sum of a stale view and a worker's lease stays below the time for cancellations:
-     * a batch of commands, an answer's way, a tick.
+     * ms; age of the store cache plus a worker's lease must stay this far below the time limit for
+     * cancellations. Covers a batch of commands, the way of an answer and a tick.
      */
     public static final long CANCEL_MARGIN_MS = 1_500;
 
-    /** ms; wait between two attempts to take a part, and per part already held. */
+    /**
+     * ms; wait between two attempts to acquire a shard, and for each shard that the node already
+     * leads.
+     */
     public static final long TAKE_PAUSE_MS = 700;
 
     /**
-     * ms; wait after a takeover that another one came before; the view needs about this long to
-     * show it.
+     * ms; wait after an acquisition that lost to a concurrent one. The store cache needs about this
+     * long to show it.
      */
     public static final long TAKE_AGAIN_MS = 100;
 
-    /** ms; what a silent machine's tasks are kept beyond the arithmetic bound. */
+    /**
+     * ms; margin on top of the computed bound after which an unresponsive worker's lease has
+     * certainly expired.
+     */
     public static final long SILENT_MARGIN_MS = 500;
 
-    /** share of the value limit that one record of finished tasks may fill; the rest is slack. */
+    /**
+     * Share of the value size limit that one record of completed tasks may fill; the rest is
+     * reserve.
+     */
     public static final double RECORD_FILL = 0.75;
 
     /**
-     * number of parts; the code is for any number, docs/design.md has the figures that make it one.
+     * Number of shards. The code works with any number; docs/design.md has the figures behind 1.
      */
     public static final int PARTS = 1;
 
-    /** ms; how often a node looks whether it holds two parts more than another. */
+    /** ms; how often a node checks whether it leads two shards more than another node. */
     public static final long DEAL_EVERY_MS = 5_000;
 
-    /** s; a peer that is up for less gets no part dealt; it may be in a rolling restart. */
+    /** s; a peer with less uptime is given no shard, since it may be in a rolling restart. */
     public static final double DEAL_TO_UP_S = 10;
 
-    /** ms; how often shares of team limits are weighed. */
+    /** ms; how often the shards' shares of the team quotas are recomputed. */
     public static final long QUOTA_EVERY_MS = 500;
 
     /**
-     * machines' worth of CPUs that must stay free when a machine is to run empty for another part.
+     * CPUs, in machines, that must stay free when a machine is drained to be handed over to another
+     * shard.
      */
     public static final double YIELD_SLACK = 0.5;
 
-    /** weight of a team's CPUs in a part when its next job is dealt out. */
+    /** Weight of a team's CPUs in a shard when the shard of the team's next job is chosen. */
     public static final double TOGETHER = 3;
 
-    /** ms; a machine must have been idle for so long before it is handed to another part. */
+    /** ms; a machine must have been idle this long before it is handed over to another shard. */
     public static final long HANDOVER_IDLE_MS = 1_000;
 
     /**
-     * ms; a worker that can't reach an owner comes to another node about so often: its patience of
-     * 4 s, a pause of 1 s, and the time it is kept waiting.
+     * ms; about how often a worker that cannot reach the leader contacts another node: its response
+     * timeout of 4 s, a pause of 1 s, and the time for which its response is delayed.
      */
     public static final long COMES_BACK_MS = 8_000;
 
     /**
-     * ms; a worker that was kept waiting asks every half second; after a longer pause it has been
-     * with the owner again.
+     * ms; a worker whose response is delayed retries every 500 ms. After a longer gap it has
+     * reached the leader in between, and a new episode begins.
      */
     public static final long CAME_ANEW_MS = 2_000;
 
     /**
-     * ms; a worker that comes from an owner is kept waiting so long for the part to be given up.
+     * ms; longest time for which a redirect is delayed, so that the leader can step down meanwhile.
      */
     public static final long KEPT_WAITING_MS = 3_000;
 
-    /** share of all machines that must come for them to be kept waiting. */
+    /** Share of all machines that must have contacted other nodes before redirects are delayed. */
     public static final double MANY_COME_SHARE = 0.2;
 
     /**
-     * share of its machines that must have come to others before an owner gives the part up: a zone
-     * cut off has about half.
+     * Share of its machines that must have contacted other nodes before a leader steps down. A
+     * partitioned zone has about half of them.
      */
     public static final double UNREACHED_SHARE = 0.6;
 
-    /** ms; who has given a part up for this leaves it to others so long. */
+    /**
+     * ms; a node that has stepped down for this reason does not try to acquire the shard for so
+     * long.
+     */
     public static final long LEAVE_TO_OTHERS_MS = 15_000;
 
     /**
-     * ms; how often an owner looks over all of its machines and jobs; reports are answered in
+     * ms; how often a leader scans all of its machines and jobs. Heartbeats are answered in
      * between.
      */
     public static final long WALK_MS = 100;
 
     /**
-     * machines times jobs that a plan may look at per ms since the last one: one of 300 free
-     * machines and 30 jobs is 5,700 and takes 2.4 ms of a whole core, so it is kept 15 ms.
+     * Placement steps (pairs of machine and job) per ms since the last plan. A plan of 300 free
+     * machines and 30 jobs has 5,700 steps and takes 2.4 ms of a core, so the next one follows
+     * after 15 ms.
      */
     public static final long PLAN_STEPS_PER_MS = 400;
 
-    // ---- state service -----------------------------------------------------------------------
-    /** ms; a watch blocks this long, so the view's age is known to about this. */
+    // ---- store ------------------------------------------------------------------------------
+    /**
+     * ms; how long a watch blocks (long poll). The age of the store cache is known to about this
+     * precision.
+     */
     public static final long WATCH_BLOCK_MS = 2_000;
 
-    /** ms; pause between watches, so that a burst of changes costs one request. */
+    /** ms; shortest interval between watches, so that a burst of changes costs one request. */
     public static final long WATCH_GAP_MS = 40;
 
     /**
-     * share of a node's requests that its watch may take; at 22 a second that is one every 130 ms.
+     * Share of a node's request rate that its watch may take. At 22 requests a second that is one
+     * every 130 ms.
      */
     public static final double WATCH_SHARE = 0.35;
 
     /**
-     * ms; a view that is older when its watch fails is read anew in pages: what a watch would bring
-     * has no bound on its size.
+     * ms; a store cache that is older than this when its watch fails is read again in pages: the
+     * answer of a watch has no bound on its size.
      */
     public static final long RELOAD_AFTER_MS = 20_000;
 
-    /** ms; pause after a failed state call of the view. */
+    /** ms; pause after a failed store call of the store cache. */
     public static final long STATE_RETRY_MS = 300;
 
-    /** ms; a state call is given up after this; answers take 10 ms, now and then some hundred. */
+    /** ms; timeout of a store call. Answers take 10 ms, now and then some hundred. */
     public static final long STATE_TIMEOUT_MS = 1_500;
 
-    /** share of the state service's and cloud's rates that the nodes plan to use together. */
+    /** Share of the rate limits of store and cloud that all nodes together plan to use. */
     public static final double RATE_USE = 0.9;
 
-    /** share of a node's state tokens set aside for heartbeats. */
+    /** Share of a node's store request rate that is reserved for lease renewals. */
     public static final double RENEWAL_SHARE = 0.1;
 
     /**
-     * share of the write rate for owners' background work; users' writes have a node's share each,
-     * and seldom need it.
+     * Share of the store's write rate for the leaders' background writes. Each node also has a
+     * share for user requests, which seldom need all of it.
      */
     public static final double OWNER_WRITE_SHARE = 0.8;
 
     /**
-     * records of finished tasks in one write, so that it stays below the 64 KiB of a transaction.
+     * Completion records in one write, which keeps it below the limit of 64 KiB for a transaction.
      */
     public static final int RECORDS_AT_ONCE = 8;
 
     /**
-     * ms; pause between two writes of machines' records, in which more gather: at most 7 changes of
-     * groups a second and part.
+     * ms; interval between writes of machine records; changes are batched meanwhile. At most 7
+     * writes of groups a second for each shard.
      */
     public static final long RECORDS_EVERY_MS = 150;
 
-    /** changes in a transaction that the state service must allow: a takeover makes three. */
+    /** Writes that the store must allow in one transaction: a leadership change has three. */
     public static final int LEAST_TXN_OPS = 4;
 
     /**
-     * bytes; below this value limit ten machines share a record, else a hundred, which take up to
-     * 4,000.
+     * Bytes; with a lower value size limit, ten machines share a record, else a hundred, which take
+     * up to 4,000 bytes.
      */
     public static final int WIDE_GROUP_BYTES = 6_000;
 
-    /** bytes that a job's name and framing take in such a record. */
+    /** Bytes that framing adds to each job in a record, besides the job's id. */
     public static final int RECORD_FRAME = 24;
 
-    /** bytes per task that a job's ranges may take when every other task is finished. */
+    /**
+     * Bytes that each task of a job takes in a record in the worst case, when every other task is
+     * completed.
+     */
     public static final int RECORD_PER_TASK = 3;
 
     /**
-     * entries per page when the store or the machine list is read; the bounds are 1,000 and 500.
+     * Entries per page when the store or the cloud's inventory is read. The protocol's limits are
+     * 1,000 and 500.
      */
     public static final int PAGE = 500;
 
-    /** ms; a node without a state answer for so long is not ready, so users go elsewhere. */
-    public static final long READY_STATE_MS = 4_500;
-
     /**
-     * reads that validate answers to users in flight at once; further questions gather meanwhile.
+     * ms; a node that has had no answer of the store for this long is not ready, so that users are
+     * sent to other nodes.
      */
+    public static final long READY_STATE_MS = 4_500;
+
+    /** Linearizable reads for user requests in flight; further requests are batched meanwhile. */
     public static final int READS_AT_ONCE = 2;
 
-    /** final job states kept in memory per node; older ones are read from the store. */
+    /** Terminal job states cached by each node; older ones are read from the store. */
     public static final int FINAL_STATES = 20_000;
 
-    // ---- users -------------------------------------------------------------------------------
-    /** s; Retry-After when a request can't be taken just now. */
+    // ---- user requests ----------------------------------------------------------------------
+    /** s; shortest Retry-After of a request that cannot be served now. */
     public static final int RETRY_AFTER_S = 1;
 
     /**
-     * s; requests refused one after the other are told times so far apart, so that they don't all
-     * come back together.
+     * Consecutive rejected requests get this many different Retry-After times, one second apart, so
+     * that they don't all come back together.
      */
     public static final int RETRY_SPREAD_S = 3;
 
-    /** s; the Retry-After of a refused request. */
+    /** The Retry-After of a rejected request in s; spread over the request numbers. */
     public static int retryAfterS(long request) {
         return RETRY_AFTER_S + (int) (request % RETRY_SPREAD_S);
     }
 
-    /** tasks; the protocol's bound on one job. */
+    /** Tasks in one job at most (protocol). */
     public static final int MAX_TASKS = 100_000;
 
-    /** tries; how often a guarded user write is repeated after another change came first. */
+    /**
+     * Attempts of a conditional write for a user when its precondition fails because of a
+     * concurrent change.
+     */
     public static final int WRITE_TRIES = 3;
 
     /**
-     * writes of submissions in flight at once; further ones gather meanwhile and share the next.
+     * Group commits of submissions in flight; further submissions are batched into the next one.
      */
     public static final int ACCEPTS_AT_ONCE = 2;
 
-    /** submissions that may wait for the next writes; four records of 6 KiB hold about as many. */
+    /**
+     * Submissions that may be queued for the next group commits; four records of 6 KiB hold about
+     * as many.
+     */
     public static final int ARRIVALS_WAITING = 64;
 
     /**
-     * ms; a submission that no write has taken by then is refused: a token for one comes within 300
-     * ms at the slowest rate seen.
+     * ms; a submission that has been queued longer is rejected. At the lowest write rate seen, a
+     * token for a write comes within 300 ms.
      */
     public static final long ACCEPT_WAIT_MS = 600;
 
     /**
-     * ms; a question about an unknown job is given up if the view takes longer to show all
-     * arrivals; users wait 2 s.
+     * ms; a read of an unknown job is given up when the store cache takes longer to catch up with
+     * all submissions. Users wait 2 s.
      */
     public static final long UNSEEN_WAIT_MS = 1_000;
 
-    /** ms; how often records of arrivals that nothing needs any more are removed. */
+    /** ms; how often records of submission batches that are no longer needed are removed. */
     public static final long SWEEP_EVERY_MS = 2_000;
 
     /**
-     * times the time for cancellations after which a cancelled job's record leaves the memory:
-     * surely none of its tasks is left.
+     * A cancelled job's record is kept in memory for this many times the time limit for
+     * cancellations, after which none of its tasks can be left.
      */
     public static final double CANCELLED_KEPT = 2;
 
-    /** user requests in work at once per node; more are answered 503 at once. */
+    /** User requests in progress on a node; beyond that, requests are answered with 503 at once. */
     public static final int MAX_USER_WORK = 200;
 
-    // ---- workers -----------------------------------------------------------------------------
-    /** share of report_s after which a machine without report gets no plans. */
+    // ---- workers ----------------------------------------------------------------------------
+    /**
+     * Heartbeat intervals without a heartbeat after which a machine is unresponsive and gets no
+     * tasks.
+     */
     public static final double QUIET_REPORTS = 2.5;
 
-    /** ms; a worker waits so long for an answer before it asks elsewhere (protocol). */
+    /** ms; a worker without a response for this long contacts another node (protocol). */
     public static final long WORKER_PATIENCE_MS = 4_000;
 
     /**
-     * times report_s after which a report is due at the latest; workers give or take a quarter
-     * (protocol).
+     * Heartbeat intervals until the next heartbeat is due at the latest; workers deviate by up to a
+     * quarter (protocol).
      */
     public static final double REPORT_SPREAD = 1.25;
 
     /**
-     * ms; how much later than due a report may be without meaning that its worker had to ask
-     * elsewhere.
+     * ms; a heartbeat that is late by less than this does not mean that its worker had to contact
+     * another node.
      */
     public static final long REPORT_SLACK_MS = 1_000;
 
     /**
-     * answers in a row that a worker seems not to have heard after which it counts as deaf; one may
-     * be lost by chance.
+     * Consecutive responses that a worker has apparently not received until a one-way partition is
+     * assumed; a single one may be lost by chance.
      */
     public static final int DEAF_AFTER = 2;
 
     /**
-     * share of a part's machines that may be deaf before the fault is looked for in this node's
-     * network, not in them.
+     * Share of a shard's machines that may be behind a one-way partition; if there are more, the
+     * fault is in this node's network and not in the machines.
      */
     public static final double DEAF_SHARE = 0.25;
 
     /**
-     * names of machines that are gone which an owner remembers, so that late copies of their
-     * reports bring none back; 6,000 machines replaced three times within minutes, some 2 MB.
+     * Terminated machines that a leader remembers, so that late copies of their heartbeats do not
+     * add them again. Enough for 6,000 machines replaced three times within minutes; some 2 MB.
      */
     public static final int GONE_NAMES = 20_000;
 
     /**
-     * ms; a machine taken for gone that lists still show after this, far beyond their lag, is there
-     * after all.
+     * ms; a machine taken for terminated that the inventory still lists after this time, far beyond
+     * the inventory's lag, still exists.
      */
     public static final long GONE_STILL_LISTED_MS = 60_000;
 
     /**
-     * tasks on a machine, exited ones that it still shows included; 90 bytes each keep report and
-     * answer below 64 KiB.
+     * Tasks on one machine, including exited ones that it still reports. At 90 bytes each,
+     * heartbeat and response stay below 64 KiB.
      */
     public static final int MOST_TASKS_ON_MACHINE = 500;
 
-    /** ms; pause between two direct halts of the same task. */
+    /** ms; interval between two direct stop orders for the same task. */
     public static final long HALT_AGAIN_MS = 2_000;
 
-    /** ms; a direct call to a worker is given up after this. */
+    /** ms; timeout of a direct call to a worker. */
     public static final long ORDERS_TIMEOUT_MS = 3_000;
 
-    /** bits of an attempt number below the term; 16 million starts in one term. */
+    /**
+     * Low bits of an attempt number that count the starts of a term, for 16 million starts; the
+     * bits above are the term.
+     */
     public static final int ATTEMPT_BITS = 24;
 
-    /** failed tasks in a row, of different jobs, that make a machine faulty. */
+    /**
+     * Consecutive failed tasks, of different jobs, after which a machine is quarantined as faulty.
+     */
     public static final int FAULTY_ERRORS = 3;
 
     /**
-     * ms; first pause after a task failed; doubles to FAIL_PAUSE_MAX_MS, for a job that always
-     * fails.
+     * ms; first backoff of a job after a task failed. It doubles with each failure, up to the
+     * maximum, for jobs that always fail.
      */
     public static final long FAIL_PAUSE_MS = 1_000;
 
     /**
-     * ms; a replica that has run for so long did not fail at its start: what failed before is
-     * forgotten.
+     * ms; a replica that has run this long did not fail at its start, so the job's backoff is
+     * reset.
      */
     public static final long STEADY_MS = 20_000;
 
-    /** ms; longest such pause. */
+    /** ms; longest backoff of a job after failed tasks. */
     public static final long FAIL_PAUSE_MAX_MS = 30_000;
 
     /**
-     * share of a part's CPUs that may be kept for larger tasks until machines have room for them.
+     * Share of a shard's CPUs that may be reserved for large tasks until a machine has enough free
+     * capacity for them.
      */
     public static final double KEPT_SHARE = 0.1;
 
     /**
-     * share of a part's CPUs for which tasks are marked as startable beyond those that a plan has
-     * room for: what ends between two plans.
+     * Share of a shard's CPUs for which high-water marks are raised beyond the tasks that a
+     * placement plan has capacity for; covers the tasks that end between two plans.
      */
     public static final double MARKED_AHEAD = 0.05;
 
-    /** share of an owner's changes that marks may take; further ones gather meanwhile. */
+    /**
+     * Share of a leader's writes that high-water marks may take; further marks are batched
+     * meanwhile.
+     */
     public static final double MARKS_SHARE = 0.5;
 
-    /** bytes that a mark takes in its record, besides the job's name. */
+    /** Bytes that a high-water mark takes in its record besides the job's id. */
     public static final int MARK_FRAME = 10;
 
     /**
-     * times the last mark of a job that the next one is at least, so that a large job's tasks cost
-     * a handful of writes.
+     * Each high-water mark of a job is at least this many times the last one, so that a large job
+     * costs only a handful of writes.
      */
     public static final int MARK_GROWTH = 2;
 
-    // ---- policy ------------------------------------------------------------------------------
-    /** weight of one finished task in the correction of its class's estimates. */
-    public static final double ESTIMATE_WEIGHT = 0.05;
-
+    // ---- scheduling -------------------------------------------------------------------------
     /**
-     * s; a job that no aim speaks of, or that has missed all, counts as if it had so long in all.
+     * Weight of one completed task in the moving average that corrects the run time estimates of
+     * its class.
      */
+    public static final double ESTIMATE_WEIGHT = 0.05;
+
+    /** s; total time assumed for a job that has no objective, or has missed all of them. */
     public static final double PATIENCE_S = 600;
 
     /**
-     * s; a job of which nothing has begun for so long goes before all others: even the largest must
-     * begin within 240 s.
+     * s; a job of which no task has started for this long goes before all others. Even the largest
+     * job must start within 240 s.
      */
     public static final double STARVED_S = 150;
 
-    /** CPUs or GB; sums of decimal amounts are compared with this slack. */
+    /** CPUs or GB; tolerance of comparisons between sums of decimal amounts. */
     public static final double EPSILON = 1e-9;
 
-    /** CPUs; a part of which nothing is heard gets jobs only if all others are far behind. */
+    /**
+     * CPUs; headroom assumed for a shard without fresh gossip, which gets jobs only if all others
+     * are far behind.
+     */
     public static final double UNKNOWN_ROOM = -1_000;
 
-    /** s; no task is expected to run shorter. */
+    /** s; shortest expected run time of a task. */
     public static final double LEAST_RUN_S = 1;
 
     /**
-     * s; from the decision to start a task to its running, image aside: about a report and a
-     * command.
+     * s; time from the decision to start a task until it runs, without the image fetch: about one
+     * heartbeat and one order.
      */
     public static final double START_LAG_S = 2;
 
-    /** GB/s; no machine is taken to fetch images slower. */
+    /** GB/s; lowest assumed rate of an image fetch. */
     public static final double LEAST_FETCH = 0.01;
 
     /** ms; how often preemption is considered. */
     public static final long PREEMPT_EVERY_MS = 1_000;
 
     /**
-     * ms; a start counts for the aims only if no command stops the task within 30 s (protocol);
-     * plus a margin.
+     * ms; a start counts for the objectives only if the task is not stopped within 30 s (protocol).
+     * Includes a margin.
      */
     public static final long START_COUNTS_MS = 32_000;
 
-    /** s; a job whose last chance to start is further away can spare a running task. */
+    /** s; a job with more slack than this may have running tasks preempted. */
     public static final double SPARE_SLACK_S = 60;
 
-    /**
-     * s; a job of normal priority whose last chance to start is nearer than this may have tasks of
-     * low priority stopped.
-     */
+    /** s; with less slack than this, a job of normal priority may preempt tasks of low priority. */
     public static final double PRESSING_SLACK_S = 20;
 
-    /** times the save time that a stopped task is given, as machines differ in speed. */
+    /**
+     * Grace period of a stopped task, in multiples of its checkpoint duration; machines differ in
+     * speed.
+     */
     public static final double SAVE_SLACK = 2;
 
     /**
-     * times the mean of their jobs that a machine's tasks take when it is retired as slow; good
-     * ones differ by a tenth, tasks by half.
+     * A machine is cordoned as slow when its tasks take this many times the mean run time of their
+     * jobs. Normal machines differ by a tenth, tasks by half.
      */
     public static final double SLOW_TIMES = 2.5;
 
-    /** tasks that must have finished before a mean or a machine's pace is believed. */
+    /** Completed tasks needed before a mean run time, or a machine's slowdown, is used. */
     public static final int PACE_TASKS = 4;
 
-    /** weight of the newest task in a machine's pace. */
+    /** Weight of the latest task in the moving average of a machine's slowdown. */
     public static final double PACE_WEIGHT = 0.3;
 
-    /** s; shorter tasks say nothing of a pace, since reports are about a second apart. */
+    /**
+     * s; shorter tasks are not used to measure a slowdown, since heartbeats are about a second
+     * apart.
+     */
     public static final double PACE_LEAST_S = 5;
 
-    // ---- cloud -------------------------------------------------------------------------------
-    /** ms; a cloud call is given up after this; answers take 150 ms. */
+    // ---- cloud ------------------------------------------------------------------------------
+    /** ms; timeout of a cloud call. Answers take 150 ms. */
     public static final long CLOUD_TIMEOUT_MS = 4_000;
 
-    /** ms; how often the rental plan is made. */
+    /** ms; how often the autoscaler runs. */
     public static final long RENT_EVERY_MS = 1_000;
 
-    /** ms; how often the machine list is read. */
+    /** ms; how often the cloud's inventory is read. */
     public static final long LIST_EVERY_MS = 5_000;
 
-    /** ms; the same while a part is rebuilt. */
+    /** ms; how often the cloud's inventory is read during reconciliation. */
     public static final long LIST_IN_REBUILD_MS = 1_000;
 
-    /** ms; how often prices are read again. */
+    /** ms; how often machine types and prices are read. */
     public static final long FLAVORS_EVERY_MS = 60_000;
 
-    /** ms; pause after a refused or failed cloud call. */
+    /** ms; pause after a rejected or failed cloud call. */
     public static final long CLOUD_RETRY_MS = 1_000;
 
-    /** ms; a kind of machine refused for capacity is not asked for again for this long. */
+    /**
+     * ms; a kind of machine for which the cloud has no capacity is not requested again for this
+     * long.
+     */
     public static final long NO_CAPACITY_MS = 8_000;
 
-    /** times the nominal boot time after which a machine is held to be dead and deleted. */
+    /**
+     * A machine that has not started within this many times its nominal boot time is terminated.
+     */
     public static final double BOOT_PATIENCE = 4.0;
 
-    /** machines in one rental request at most (protocol: 50). */
+    /** Machines in one provision request at most (protocol). */
     public static final int RENT_AT_ONCE = 50;
 
-    /** machines in one return at most (protocol: 100). */
+    /** Machines in one terminate request at most (protocol). */
     public static final int RETURN_AT_ONCE = 100;
 
-    /** ms; an idle machine is kept this long for work to come. */
+    /** ms; an idle spot machine is kept this long before scale-in. */
     public static final long IDLE_KEEP_MS = 20_000;
 
-    /** ms; the same for an ordinary machine, which costs more to keep. */
+    /**
+     * ms; an idle on-demand machine is kept this long before scale-in, shorter since it costs more.
+     */
     public static final long IDLE_KEEP_ORDINARY_MS = 5_000;
 
     /**
-     * halves of the largest service for which ordinary room is kept in each zone: so many come in
-     * the time of a boot.
+     * On-demand capacity reserved in each zone, in halves of the largest service: as many services
+     * may be submitted in the time that a machine boots.
      */
     public static final int STANDBY_SERVICES = 3;
 
-    /** CPUs kept so before the first service, whose size nobody knows: two of eight replicas. */
+    /**
+     * CPUs reserved before the first service, whose size is not known yet: two of eight replicas.
+     */
     public static final double STANDBY_FIRST_CPUS = 16;
 
-    /** times the spot price up to which an ordinary machine is as good as a spot one. */
+    /**
+     * Price of an on-demand machine, in multiples of the spot price, up to which it is as good as a
+     * spot one.
+     */
     public static final double ORDINARY_FACTOR = 1.5;
 
     /**
-     * shares of a machine, more than any can be free: what stands between ordinary machines and
-     * spot ones in the order in which they are filled.
+     * Added to the rank of expensive on-demand machines in bin packing. Larger than any share of a
+     * machine that can be free, so that spot machines are filled first.
      */
     public static final double DEAR_LAST = 10;
 
-    /** the same for machines on which tasks of the job have failed: tried after all others. */
+    /**
+     * Added to the rank of machines on which tasks of the job have failed, so that they are tried
+     * last.
+     */
     public static final double FAILED_LAST = 100;
 
-    /** CPUs lacking, as a share of those there, above which dearer ordinary ones are rented too. */
+    /**
+     * Missing CPUs, as a share of the existing ones, above which expensive on-demand machines are
+     * provisioned too.
+     */
     public static final double ORDINARY_QUEUE = 0.5;
 
-    /** ms; below this age a machine costs its minimum anyway (protocol: 60 s). */
+    /** ms; the cloud charges at least this long for a machine (protocol). */
     public static final long MIN_CHARGE_MS = 60_000;
 
-    /** s; work without an aim in reach is rented for so that it takes about this long. */
+    /**
+     * s; the autoscaler provisions enough for work without an attainable objective to take about
+     * this long.
+     */
     public static final double RENT_HORIZON_S = 60;
 
     /**
-     * share of the time a job has left that its work should take, so that boot and errors fit into
-     * the rest.
+     * Share of a job's remaining time that its work should take; the rest covers booting and
+     * estimation errors.
      */
     public static final double RENT_TIME_SHARE = 0.5;
 
     /**
-     * ms; a machine that no list shows although it should is gone; slack on twice the list's lag.
+     * ms; margin on twice the inventory's lag, after which a machine that is not listed has been
+     * terminated.
      */
     public static final long LIST_SLACK_MS = 3_000;
 
-    // ---- front -------------------------------------------------------------------------------
-    /** bytes; the protocol's bound on a request body. */
+    // ---- connections and peers --------------------------------------------------------------
+    /** Bytes; longest body of a request (protocol). */
     public static final int MAX_BODY = 64 * 1024;
 
-    /** bytes; a state answer has no bound for watches; one this long is treated as broken. */
+    /**
+     * Bytes; longest body of a response. The protocol sets no bound for watches; a longer response
+     * is treated as broken.
+     */
     public static final int MAX_STATE_BODY = 8 * 1024 * 1024;
 
-    /** s; a connection that sends nothing for so long is closed. */
+    /** s; a connection on which nothing is received for this long is closed. */
     public static final int IDLE_CONNECTION_S = 120;
 
     /**
-     * times report_s after which a worker's connection without a report is closed; they come after
-     * 1.25 at most.
+     * Heartbeat intervals without a heartbeat after which a worker's connection is closed;
+     * heartbeats come after 1.25 intervals at most.
      */
     public static final double IDLE_WORKER_REPORTS = 4;
 
-    /** s; the same at the least, above the worker's patience and its pause. */
+    /**
+     * s; shortest idle timeout of a worker's connection, above the worker's response timeout and
+     * retry pause.
+     */
     public static final double IDLE_WORKER_S = 10;
 
-    /** s; a request that is begun must be complete within this. */
+    /** s; a request must arrive completely within this time of its first byte. */
     public static final int REQUEST_READ_S = 10;
 
-    /** levels; deeper messages are refused, and none of the protocol's goes beyond 5. */
+    /** Levels of nesting; deeper messages are rejected. The protocol's messages have 5 at most. */
     public static final int MAX_DEPTH = 32;
 
     /**
-     * direct commands to workers in flight at once, each on a connection of its own; within
-     * OWN_SOCKETS.
+     * Direct orders to workers in flight, each on a connection of its own; part of the reserved
+     * sockets.
      */
     public static final int ORDERS_AT_ONCE = 50;
 
-    /** bytes; a longer hint of a peer is refused. */
+    /** Bytes; longer gossip and standby messages of peers are rejected. */
     public static final int MAX_HINT = 256 * 1024;
 
-    /** bytes; what the buffer of a hint begins with. */
+    /** Bytes; initial size of the buffer for a message to a peer. */
     public static final int HINT_BUFFER = 512;
 
-    /** entries; a map in a hint said to be longer is refused before it is built. */
+    /**
+     * Entries; a map or list in a peer's message with a higher count is rejected before it is
+     * built.
+     */
     public static final int MOST_HINT_ENTRIES = 10_000;
 
     /**
-     * sockets kept back from the front: 64 calls of the state service and 6 of heartbeats, 30 of
-     * the cloud, 50 direct commands, 8 of peers, and the listeners.
+     * Sockets not available to clients: 64 for store calls and 6 for lease renewals, 30 for the
+     * cloud, 50 for direct orders, 8 for peers, and the listeners.
      */
     public static final int OWN_SOCKETS = 160;
 
-    /** ms; a connection attempt is given up after this. */
+    /** ms; timeout of a connection attempt. */
     public static final int CONNECT_MS = 1_000;
 
-    /** idle connections kept per target. */
+    /** Idle connections kept per target. */
     public static final int POOL_IDLE = 6;
 
-    /** calls in flight per target; more are failed at once. */
+    /** Calls in flight per target; further calls fail at once. */
     public static final int POOL_BUSY = 64;
 
     /**
-     * commands that may wait for the core, at the least; more are refused. With more sockets than
-     * that it is one of each connection, of which none has two requests open.
+     * Smallest capacity of the core's command queue; when it is full, requests are rejected. With
+     * more sockets than this, the capacity is their number, since each connection has at most one
+     * open request.
      */
     public static final int QUEUE = 4_096;
 
-    /** commands per batch; bounds the time between two clock readings. */
+    /** Commands per batch; bounds the time between two clock readings. */
     public static final int BATCH = 64;
 
-    /** s; how often the line on users' waiting is logged, at debug. */
+    /** s; how often the line on user latencies is logged, at debug level. */
     public static final int LATENCY_LINE_S = 60;
 
-    /** ms; how often moves are planned; a move takes seconds, and a plan walks all jobs. */
+    /**
+     * ms; how often task migrations are planned. A migration takes seconds, and a plan scans all
+     * jobs.
+     */
     public static final long BALANCE_EVERY_MS = 1_000;
 
-    /** times report_s in which the target of a move must report, or the task goes to the queue. */
+    /**
+     * Heartbeat intervals within which the target of a migration must report, or the task goes back
+     * to the queue.
+     */
     public static final long MOVE_START_REPORTS = 3;
 
-    /** ms; how often an owner logs where its part stands, at debug. */
+    /** ms; how often a leader logs the status of its shard, at debug level. */
     public static final long STATUS_LINE_MS = 10_000;
 
-    /** ms; the core's tick. */
+    /** ms; interval of the core's tick. */
     public static final long TICK_MS = 50;
 
     /**
-     * ms; a node this far behind its work answers polls 503 at once: users wait 2 s for one, and
-     * workers 4 s.
+     * ms; a node that lags behind its work by more answers polls with 503 at once. Users wait 2 s
+     * for one, and workers 4 s.
      */
     public static final long SHED_POLLS_MS = 500;
 
     /**
-     * ms; a node this far behind refuses submissions and cancellations too: users wait 5 s for one.
+     * ms; a node that lags behind by more also rejects submissions and cancellations. Users wait 5
+     * s for one.
      */
     public static final long SHED_USERS_MS = 1_500;
 
-    /** ms; how often peers are told hints. */
+    /** ms; how often gossip is sent to the peers. */
     public static final long HINT_MS = 500;
 
-    /** ms; a peer whose hints have stopped for this long is quiet; they come every half second. */
+    /** ms; a peer without gossip for this long is unresponsive; gossip comes every 500 ms. */
     public static final long QUIET_PEER_MS = 1_500;
 
-    /** ms; a hint older than this is not used. */
+    /** ms; older gossip is not used. */
     public static final long HINT_STALE_MS = 5_000;
 }
--- a/src/main/java/org/shoreusher/standin/CloudStandIn.java
+++ b/src/main/java/org/shoreusher/standin/CloudStandIn.java
@@ -10,15 +10,18 @@
 import org.shoreusher.standin.StandInServer.Response;
 import org.shoreusher.wire.FieldMap;
 
-/** A small cloud in memory with one type of machine, whose workers run as soon as it is rented. */
+/**
+ * An in-memory cloud with one type of machine. A worker runs on each machine as soon as it is
+ * provisioned. Thread-safe.
+ */
 public final class CloudStandIn {
     private static final String TYPE = "p";
     private static final String FIRST_MACHINE = "";
 
-    /** What the cloud offers. */
+    /** Properties of the machine type and the zones in which it is available. */
     public record Offer(double cpus, double memoryGb, double fetchGbPerS, List<String> zones) {}
 
-    /** Machines by name; each has a worker. */
+    /** The workers by machine name. */
     private final TreeMap<String, WorkerStandIn> machines = new TreeMap<>();
 
     private final TreeMap<String, List<Object>> rentals = new TreeMap<>();
@@ -28,7 +31,10 @@
     private int rented;
 
     /**
-     * @param capacity machines that there are at most
+     * A cloud without machines.
+     *
+     * @param offer properties of its machines
+     * @param capacity machines that exist at once at most
      * @param workers starts the worker of a new machine
      */
     public CloudStandIn(
@@ -38,12 +44,12 @@
         this.workers = workers;
     }
 
-    /** What it offers. */
+    /** Properties of the machine type. */
     public Offer offer() {
         return offer;
     }
 
-    /** Answers one request. */
+    /** Handles a request of a controller. */
     public synchronized Response handle(Request request) throws FieldMap.Missing {
         return switch (request.line()) {
             case "GET /flavors" -> Response.ok(Map.of("presses", List.of(type())));
@@ -95,7 +101,7 @@
         return Response.ok(Map.of());
     }
 
-    /** Takes a machine away at once, with all that runs on it. */
+    /** Removes a machine at once, with all tasks on it. Ignored if it does not exist. */
     public synchronized void take(String id) {
         WorkerStandIn worker = machines.remove(id);
         if (worker != null) {
@@ -103,17 +109,17 @@
         }
     }
 
-    /** Ends all workers. */
+    /** Stops all workers. */
     public synchronized void stop() {
         machines.values().forEach(WorkerStandIn::stop);
     }
 
-    /** The machines that there are, in the order of their names. */
+    /** The workers of all machines, ordered by machine name. */
     public synchronized List<WorkerStandIn> workers() {
         return new ArrayList<>(machines.values());
     }
 
-    /** The machine that runs a task; null if none does. */
+    /** The machine on which a task is active; null if there is none. */
     public synchronized String machineOf(String task) {
         return machines.entrySet().stream()
                 .filter(e -> e.getValue().runs(task))
--- a/src/main/java/org/shoreusher/standin/ControllerClient.java
+++ b/src/main/java/org/shoreusher/standin/ControllerClient.java
@@ -9,22 +9,22 @@
 import org.shoreusher.net.HttpCaller;
 import org.shoreusher.settings.Settings;
 
-/** Calls a controller and waits for the answer; safe for use by several threads. */
+/** Blocking client of a controller. Thread-safe. */
 public final class ControllerClient implements AutoCloseable {
     private static final long TIMEOUT_MS = 2_000;
 
-    /** An answer; status 0 if there was none. */
+    /** A response; status 0 if there was none. */
     public record Reply(int status, Map<String, Object> body) {}
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final HttpCaller caller;
 
-    /** Calls the controller whose front listens on this port of loopback. */
+    /** A client of the controller whose front address has this port on loopback. */
     public ControllerClient(int port) {
         caller = new HttpCaller(group.next(), new Settings.Address("127.0.0.1", port));
     }
 
-    /** A GET without a body, else a POST. */
+    /** Sends a request and waits for the response: a GET if the body is null, else a POST. */
     public Reply call(String path, Map<String, Object> body) throws InterruptedException {
         CompletableFuture<Reply> reply = new CompletableFuture<>();
         if (group.isShuttingDown()) {
--- a/src/main/java/org/shoreusher/standin/JobProfile.java
+++ b/src/main/java/org/shoreusher/standin/JobProfile.java
@@ -3,15 +3,15 @@
 /**
  * How the tasks of a job behave on a machine.
  *
- * @param image the image that a machine must have before a task runs
- * @param fetchS seconds that a machine takes to fetch it
- * @param runS seconds that a task runs; infinite for a service
- * @param saveEveryS seconds of progress after which a task saves by itself; 0: it never saves
- * @param saveS seconds that a task takes to save when it is stopped
+ * @param image the image that a machine must fetch before a task runs
+ * @param fetchS duration of the image fetch in s
+ * @param runS run time of a task in s; infinite for a service
+ * @param saveEveryS progress in s between periodic checkpoints; 0 if tasks never checkpoint
+ * @param saveS duration of the checkpoint of a task that is stopped, in s
  */
 public record JobProfile(
         String image, double fetchS, double runS, double saveEveryS, double saveS) {
-    /** Tasks that are done at once. */
+    /** Tasks that complete at once. */
     public static final JobProfile INSTANT = new JobProfile("", 0, 0, 0, 0);
 
     /** Tasks that run until they are stopped. */
--- a/src/main/java/org/shoreusher/standin/StandInServer.java
+++ b/src/main/java/org/shoreusher/standin/StandInServer.java
@@ -11,9 +11,9 @@
 import java.util.concurrent.Executors;
 import org.shoreusher.wire.FieldMap;
 
-/** An HTTP server on loopback for the stand-ins; each request has a thread. */
+/** HTTP server of a stand-in on loopback, with a thread for each request. */
 public final class StandInServer implements AutoCloseable {
-    /** A request; the body is empty where there is none. */
+    /** A request; its body is empty if it has none. */
     public record Request(String method, String path, Map<String, String> query, FieldMap body) {
         /** Method and path, such as "POST /multi". */
         String line() {
@@ -21,23 +21,24 @@
         }
     }
 
-    /** An answer. */
+    /** A response; its body is sent as CBOR. */
     public record Response(int status, Map<String, Object> body) {
+        /** A response with status 200. */
         static Response ok(Map<String, Object> body) {
             return new Response(200, body);
         }
     }
 
-    /** Answers requests, from several threads at once. */
+    /** Handles requests, on several threads at once. */
     public interface Handler {
-        /** Answers one request. */
+        /** Handles one request; an invalid field is answered with 400. */
         Response handle(Request request) throws FieldMap.Missing, InterruptedException;
     }
 
     private final HttpServer server;
     private final ExecutorService threads = Executors.newCachedThreadPool();
 
-    /** Listens on a free port from now on. */
+    /** Starts listening on a free port. */
     public StandInServer(Handler handler) throws IOException {
         server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
         server.createContext("/", exchange -> answer(handler, exchange));
--- a/src/main/java/org/shoreusher/standin/StandInTask.java
+++ b/src/main/java/org/shoreusher/standin/StandInTask.java
@@ -1,8 +1,8 @@
 package org.shoreusher.standin;
 
-/** A task on a worker of the stand-ins. */
+/** A task on a stand-in worker. */
 final class StandInTask {
-    /** Where a task stands, with the word that reports use for it. */
+    /** State of a task, with its name in heartbeats. */
     enum State {
         FETCHING("pulling"),
         RUNNING("running"),
@@ -31,11 +31,12 @@
         this.profile = profile;
     }
 
+    /** Progress of a running task in s, including that of earlier attempts. */
     double progressS() {
         return startedAtProgressS + (System.nanoTime() - runningSinceNs) / 1e9;
     }
 
-    /** Progress that the task has saved by itself so far. */
+    /** Progress in s that is saved by periodic checkpoints. */
     double savedS() {
         return profile.saveEveryS() <= 0
                 ? 0
--- a/src/main/java/org/shoreusher/standin/StateStandIn.java
+++ b/src/main/java/org/shoreusher/standin/StateStandIn.java
@@ -9,21 +9,21 @@
 import org.shoreusher.standin.StandInServer.Response;
 import org.shoreusher.wire.FieldMap;
 
-/** A small state service in memory: keys with versions, transactions and watches, no limits. */
+/** An in-memory key-value store with versions, transactions and watches, and without limits. */
 public final class StateStandIn {
     private static final String KEY_PATH = "/store/";
 
     /** A stored value with its version. */
     private record Entry(Map<String, Object> value, long version) {}
 
-    /** A change; a null value: the key was removed. */
+    /** A change of a key; the value is null if the key was removed. */
     private record Change(String key, Map<String, Object> value, long revision) {}
 
     private final TreeMap<String, Entry> entries = new TreeMap<>();
     private final List<Change> changes = new ArrayList<>();
     private long revision = 1;
 
-    /** Answers one request. */
+    /** Handles a request of a controller; a watch blocks until a change or its timeout. */
     public synchronized Response handle(Request request)
             throws FieldMap.Missing, InterruptedException {
         if (request.line().equals("POST /multi")) {
--- a/src/main/java/org/shoreusher/standin/TaskHistory.java
+++ b/src/main/java/org/shoreusher/standin/TaskHistory.java
@@ -10,9 +10,9 @@
 import java.util.function.Predicate;
 
 /**
- * What really happened to the tasks of a run on stand-ins: where each is, which are complete, what
- * progress each has saved outside its machine, and how much work had to be repeated. Notes a task
- * that is on two machines at once.
+ * Ground truth about all tasks of a run on stand-ins: the machine of each running task, completed
+ * tasks, checkpointed progress, and repeated work. Records a violation when a task runs on two
+ * machines at once. Thread-safe.
  */
 public final class TaskHistory {
     private final Map<String, String> machines = new HashMap<>();
@@ -25,7 +25,7 @@
     private int starts;
     private int fetches;
 
-    /** A task begins to run; returns the seconds of progress that it goes on from. */
+    /** Records that a task starts to run; returns the checkpointed progress in s. */
     synchronized double started(String task, String machine) {
         starts++;
         long nowMs = System.nanoTime() / 1_000_000;
@@ -38,20 +38,20 @@
         return savedS.getOrDefault(task, 0.0);
     }
 
-    /** A task ends; {@code savedProgressS} is what it has saved, the rest is to be repeated. */
+    /** Records that a task has stopped; progress in s beyond its checkpoint must be repeated. */
     synchronized void ended(String task, String machine, double progressS, double savedProgressS) {
         machines.remove(task, machine);
         savedS.merge(task, savedProgressS, Math::max);
         repeatedS.merge(jobOf(task), Math.max(0, progressS - savedProgressS), Double::sum);
     }
 
-    /** A task has completed. */
+    /** Records that a task has completed. */
     synchronized void completed(String task, String machine) {
         machines.remove(task, machine);
         complete.add(task);
     }
 
-    /** A machine has begun to fetch an image. */
+    /** Records that a machine has started to fetch an image. */
     synchronized void fetched() {
         fetches++;
     }
@@ -60,53 +60,53 @@
         return task.substring(0, task.indexOf('/'));
     }
 
-    /** Tasks that run now. */
+    /** Number of running tasks. */
     public synchronized int running() {
         return machines.size();
     }
 
-    /** Tasks that run now on machines that the predicate accepts. */
+    /** Number of running tasks on matching machines. */
     public synchronized int runningOn(Predicate<String> wanted) {
         return (int) machines.values().stream().filter(wanted).count();
     }
 
-    /** When each task first began, in ms of {@link System#nanoTime}. */
+    /** When each task first started, as {@link System#nanoTime} in ms. */
     public synchronized Map<String, Long> firstStartMs() {
         return new HashMap<>(firstStartMs);
     }
 
-    /** When the first task after a moment began, in ms of {@link System#nanoTime}; -1: none yet. */
+    /** Time of the first start after a point in time, as System.nanoTime in ms; -1 if none. */
     public synchronized long firstStartAfterMs(long afterMs) {
         Long first = startedMs.higher(afterMs);
         return first == null ? -1 : first;
     }
 
-    /** The tasks that have completed. */
+    /** The completed tasks. */
     public synchronized Set<String> completeTasks() {
         return new HashSet<>(complete);
     }
 
-    /** How many tasks have completed. */
+    /** Number of completed tasks. */
     public synchronized int complete() {
         return complete.size();
     }
 
-    /** Tasks that have begun to run, repeats included. */
+    /** Number of starts, including restarts. */
     public synchronized int starts() {
         return starts;
     }
 
-    /** Images that machines have fetched. */
+    /** Number of image fetches. */
     public synchronized int fetches() {
         return fetches;
     }
 
-    /** Seconds of work that had to be repeated, by job. */
+    /** Repeated work in s, by job. */
     public synchronized Map<String, Double> repeatedS() {
         return new HashMap<>(repeatedS);
     }
 
-    /** What must never happen and did. */
+    /** Violations of the rule that a task runs on one machine at a time. */
     public synchronized List<String> violations() {
         return new ArrayList<>(violations);
     }
--- a/src/main/java/org/shoreusher/standin/WorkerStandIn.java
+++ b/src/main/java/org/shoreusher/standin/WorkerStandIn.java
@@ -16,9 +16,9 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * A worker on loopback: it reports to one controller at a time, follows redirections, keeps its
- * lease and session, and runs what it is told as the jobs' profiles say. Thousands of them share
- * one event loop.
+ * A worker that follows the protocol: it sends heartbeats to one controller at a time, follows
+ * redirects, keeps its lease and session, and simulates its tasks according to their job's profile.
+ * Thousands of workers share one event loop. Thread-safe.
  */
 public final class WorkerStandIn {
     private static final long PATIENCE_MS = 4_000;
@@ -27,14 +27,18 @@
     private static final double REPORT_SPREAD = 0.25;
     private static final int CONNECTIONS = 1;
 
-    /** A machine's name, type, zone and kind. */
+    /** A machine's name, type and zone, and whether it is a spot machine. */
     public record Identity(String id, String type, String zone, boolean spot) {}
 
     /**
-     * What the workers of a run share.
+     * Settings that all workers of a run share.
      *
-     * @param controllers the front address of each controller by its host name
-     * @param profiles how the tasks of a job behave
+     * @param loop the event loop of the workers
+     * @param controllers front addresses of the controllers by host name
+     * @param reportMs heartbeat interval in ms
+     * @param leaseMs lease in ms; without an accepted heartbeat, tasks end after it
+     * @param profiles profile of a job by its id
+     * @param history records what the tasks do
      */
     public record Environment(
             EventLoop loop,
@@ -64,7 +68,7 @@
     private long silentUntilNs = System.nanoTime();
     private volatile boolean stopped;
 
-    /** Begins to report. */
+    /** Starts the worker, which sends its first heartbeat after a short random delay. */
     public WorkerStandIn(Identity identity, Environment environment) {
         this.identity = identity;
         this.environment = environment;
@@ -74,23 +78,23 @@
         after(random.nextInt((int) SOONEST_REPORT_MS), this::report);
     }
 
-    /** Its machine's name and kind. */
+    /** The machine's name, type and zone. */
     public Identity identity() {
         return identity;
     }
 
-    /** The machine is gone, with all that is on it. */
+    /** Stops the worker and ends all of its tasks, as when the machine fails. */
     public synchronized void stop() {
         stopped = true;
         endTasks();
     }
 
-    /** Reaches no controller for a while; its tasks go on within their lease. */
+    /** Partitions the worker from all controllers; its tasks go on until the lease expires. */
     public synchronized void mute(long forMs) {
         silentUntilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(forMs);
     }
 
-    /** Tasks that take room on the machine: those that fetch, run or save. */
+    /** Names of the tasks that use resources: those that have not exited. */
     public synchronized List<String> tasksHeld() {
         return tasks.values().stream()
                 .filter(task -> task.state != StandInTask.State.EXITED)
@@ -137,7 +141,7 @@
         }
     }
 
-    // ---- reports -----------------------------------------------------------------------------
+    // ---- heartbeats --------------------------------------------------------------------------
 
     private void report() {
         if (inFlight) {
@@ -201,7 +205,7 @@
                 });
     }
 
-    /** Reports soon, though never more often than the protocol allows. */
+    /** Schedules an early heartbeat, at the shortest interval that the protocol allows. */
     private void change() {
         changed = true;
         if (!inFlight) {
@@ -222,7 +226,7 @@
         tasks.values().forEach(task -> shown.add(shown(task)));
         Map<String, Object> report = new LinkedHashMap<>();
         report.put("box", identity.id());
-        // Nothing listens there: direct commands are lost, as behind a cut.
+        // Nothing listens there: direct orders are lost, as behind a partition.
         report.put("addr", "127.0.0.1:1");
         report.put("press", identity.type());
         report.put("yard", identity.zone());
@@ -263,7 +267,7 @@
         }
     }
 
-    /** A higher token is a change that is reported, at most once in half of a lease. */
+    /** A higher fencing token causes an early heartbeat, at most once per half of the lease. */
     private void tokenSeen(long seen) {
         long sinceMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - tokenReportedNs);
         if (seen > token && (token == 0 || sinceMs >= environment.leaseMs() / 2)) {
--- a/src/main/java/org/shoreusher/standin/package-info.java
+++ b/src/main/java/org/shoreusher/standin/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Stand-ins of the outside systems on loopback: state service, cloud and workers, as the protocol
- * describes them. The build's rehearsal and the measurements run controllers against them; no
- * controller uses them in service.
+ * Stand-ins of the external systems on loopback, which follow the protocol: key-value store, cloud
+ * and workers. The build's smoke check and the measurements run controllers against them;
+ * controllers in production never use them.
  */
 package org.shoreusher.standin;
--- a/src/main/java/org/shoreusher/state/StateClient.java
+++ b/src/main/java/org/shoreusher/state/StateClient.java
@@ -9,25 +9,26 @@
 import org.shoreusher.settings.Tuning;
 import org.shoreusher.wire.StateFormat;
 
-/** Carries calls to the state service and brings back their answers. */
+/** Client of the key-value store: carries out the core's store calls. */
 public final class StateClient {
     private final HttpCaller caller;
 
     /**
-     * Heartbeats have connections of their own, so that nothing that holds the others starves them.
+     * Lease renewals have their own connections, so that slow calls on the others do not delay
+     * them.
      */
     private final HttpCaller renewals;
 
     private final Consumer<Command> core;
 
-    /** A client whose replies go to the core as commands. */
+    /** A client that passes the replies to the core as commands. */
     public StateClient(EventLoop loop, Settings settings, Consumer<Command> core) {
         caller = new HttpCaller(loop, settings.state());
         renewals = new HttpCaller(loop, settings.state());
         this.core = core;
     }
 
-    /** Sends a call; the reply, or a status of 0 without one, goes to the core. */
+    /** Sends a call. The core gets exactly one reply; its status is 0 on failure or timeout. */
     public void call(Effect.StateCall call) {
         StateFormat.Request request = StateFormat.request(call.op());
         long wait = call.op() instanceof Effect.StateOp.Watch w ? w.blockMs() : 0;
--- a/src/main/java/org/shoreusher/user/HttpFrontend.java
+++ b/src/main/java/org/shoreusher/user/HttpFrontend.java
@@ -47,13 +47,16 @@
 import org.shoreusher.wire.UserFormat;
 import org.shoreusher.wire.WorkerFormat;
 
-/** The node's front: users, workers and health checks. Bodies are read here; the core decides. */
+/**
+ * The node's HTTP server for users, workers and the load balancer's readiness checks. Decodes
+ * requests into commands for the core and encodes its responses. Sheds load when the node lags.
+ */
 public final class HttpFrontend {
     private static final String JOBS = "/v2/runs";
     private static final String HELLO = "/hello";
     private static final String CANCEL = "/cancel";
 
-    /** A request that the core has not answered yet. */
+    /** A request to which the core has not responded yet; {@code sinceNs}: when it arrived. */
     private record Waiting(
             ChannelHandlerContext channel, boolean keepAlive, long sinceNs, boolean user) {}
 
@@ -66,18 +69,20 @@
             new Histogram(TimeUnit.SECONDS.toMicros(Tuning.LATENCY_LINE_S), 2);
     private long nextRequest = 1;
 
-    /** Open connections, the one that has been quiet for longest first. */
+    /** Open connections, ordered by their last request, least recent first. */
     private final ObjectLinkedOpenHashSet<Channel> connections = new ObjectLinkedOpenHashSet<>();
 
     /**
-     * s; a worker that has said nothing for so long reports on another connection by now, or is
-     * gone.
+     * s; idle timeout of a worker's connection. A worker without a heartbeat for this long uses
+     * another connection by now, or is gone.
      */
     private final int workerIdleS;
 
     /**
-     * @param core takes a command, or refuses it when too many wait
-     * @param lagMs how far this node is behind its work
+     * A server that is not listening yet.
+     *
+     * @param core accepts a command, or returns false if its queue is full
+     * @param lagMs how far this node lags behind its work, in ms
      */
     public HttpFrontend(
             EventLoopGroup loop, Settings settings, Predicate<Command> core, LongSupplier lagMs) {
@@ -93,7 +98,7 @@
                                         Tuning.IDLE_WORKER_REPORTS * settings.reportS()));
     }
 
-    /** Begins to listen. */
+    /** Binds to the front address and accepts connections. */
     public void listen() throws InterruptedException {
         new ServerBootstrap()
                 .group(loop)
@@ -118,7 +123,7 @@
                 .sync();
     }
 
-    /** Sends the core's answer, if the one who asked is still there. */
+    /** Sends the core's response, unless the connection has been closed meanwhile. */
     public void answer(Effect.Answer answer) {
         Waiting w = waiting.remove(answer.request());
         if (w == null) {
@@ -139,7 +144,7 @@
                 ResponseFormat.retryAfterS(response));
     }
 
-    /** How long users have waited since the last call, as one line. */
+    /** A line on the latencies of user requests since the last call, which are then reset. */
     public String latency() {
         String line =
                 "users: "
@@ -157,7 +162,7 @@
         return line;
     }
 
-    /** Connections that are open. */
+    /** Number of open connections. */
     public int connections() {
         return connections.size();
     }
@@ -190,8 +195,8 @@
     }
 
     /**
-     * Joins a request with its body; one that is too long is malformed like any other, and says so
-     * before it has arrived whole.
+     * Aggregates a request and its body. A body above the limit is answered with 400 before it has
+     * arrived completely.
      */
     private static final class Bodies extends HttpObjectAggregator {
         Bodies() {
@@ -209,7 +214,7 @@
         }
     }
 
-    /** Bounds how long a connection may be idle, and how long a request may take to arrive. */
+    /** Closes connections that are idle, or whose request does not arrive in time. */
     private final class Pace extends ChannelInboundHandlerAdapter {
         private ScheduledFuture<?> limit;
         private boolean inRequest;
@@ -221,7 +226,7 @@
             limit = ctx.executor().schedule(() -> ctx.close(), seconds, TimeUnit.SECONDS);
         }
 
-        /** A request has arrived whole. */
+        /** Restarts the idle timeout after a request has arrived completely. */
         void complete(ChannelHandlerContext ctx, boolean worker) {
             inRequest = false;
             connections.addAndMoveToLast(ctx.channel());
@@ -230,9 +235,9 @@
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            // With all sockets taken the one longest quiet makes room: behind a cut half of the
-            // machines leave connections
-            // that look open, and refusing new ones would shut out all who can be reached.
+            // When all sockets are in use, the least recently used connection is closed. After a
+            // network partition, up to half of the machines leave connections behind that still
+            // look open; rejecting new ones would lock out all reachable clients.
             if (connections.size() >= settings.sockets() - Tuning.OWN_SOCKETS) {
                 connections.removeFirst().close();
             }
@@ -260,7 +265,7 @@
         }
     }
 
-    /** Turns requests into commands. */
+    /** Decodes requests into commands. */
     private final class Requests extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final Pace pace;
         private long current;
@@ -281,7 +286,7 @@
             boolean user = path.startsWith(JOBS);
             current = nextRequest++;
             pace.complete(ctx, path.equals(HELLO));
-            // A node that can't keep up serves its workers first, whose leases run; then
+            // Load shedding: workers are served first, since their leases would expire, then
             // submissions and cancellations, then polls.
             if (user
                     && lagMs.getAsLong()
@@ -296,7 +301,7 @@
                 return;
             }
             waiting.put(current, new Waiting(ctx, keepAlive, System.nanoTime(), user));
-            // One request at a time: nothing is read on until this one is answered.
+            // One request at a time: reading resumes with the response.
             ctx.channel().config().setAutoRead(false);
             if (!core.test(command)) {
                 waiting.remove(current);
--- a/src/main/java/org/shoreusher/wire/CloudFormat.java
+++ b/src/main/java/org/shoreusher/wire/CloudFormat.java
@@ -10,11 +10,14 @@
 import org.shoreusher.core.MachineType;
 import org.shoreusher.settings.Tuning;
 
-/** Requests to the cloud and their answers. */
+/**
+ * Encodes requests to the cloud and decodes its responses. The protocol calls machine types
+ * "presses", zones "yards", machines "boxes" and spot machines "loaners".
+ */
 public final class CloudFormat {
     private CloudFormat() {}
 
-    /** The HTTP request of a call. */
+    /** The HTTP request of a cloud operation. */
     public static StateFormat.Request request(CloudOp op) {
         if (op instanceof CloudOp.Types) {
             return new StateFormat.Request("/flavors", null);
@@ -37,7 +40,7 @@
         return new StateFormat.Request("/rentals", body);
     }
 
-    /** The machine types of an answer. */
+    /** Decodes the machine types of a response. */
     public static List<MachineType> types(FieldMap t) throws FieldMap.Missing {
         List<MachineType> out = new ArrayList<>();
         for (FieldMap m : t.list("presses")) {
@@ -58,12 +61,12 @@
         return out;
     }
 
-    /** The names of the machines that a rental has brought. */
+    /** Decodes the names of the machines that a provision request has created. */
     public static List<String> rented(FieldMap t) throws FieldMap.Missing {
         return t.texts("boxes");
     }
 
-    /** A page of the list of machines. */
+    /** Decodes a page of the inventory. */
     public static ListPage machines(FieldMap t) throws FieldMap.Missing {
         List<Listed> out = new ArrayList<>();
         for (FieldMap m : t.list("boxes")) {
--- a/src/main/java/org/shoreusher/wire/FieldMap.java
+++ b/src/main/java/org/shoreusher/wire/FieldMap.java
@@ -16,9 +16,9 @@
 import org.shoreusher.settings.Tuning;
 
 /**
- * A map of a message, read by field. Messages are plain maps, lists, text, numbers and booleans;
- * only Jackson's streaming part is used, since its data binding costs a small machine a second of
- * start-up.
+ * A map in a message, with typed access to its fields. Messages consist of maps, lists, text,
+ * numbers and booleans. Only Jackson's streaming API is used, since data binding costs a small
+ * machine a second at start-up.
  */
 public final class FieldMap {
     private static final CBORFactory CBOR =
@@ -36,12 +36,14 @@
                                     .build())
                     .build();
 
-    /** A field that is missing or not of its kind. */
+    /** Thrown for a field that is missing, or whose value has the wrong type or is not allowed. */
     public static final class Missing extends Exception {
         private static final long serialVersionUID = 1L;
 
         /**
-         * A failure that names the field; without a stack trace, since bad input may come often.
+         * An exception without a stack trace, since invalid input may be frequent.
+         *
+         * @param message names the field and what it must be
          */
         public Missing(String message) {
             super(message, null, false, false);
@@ -50,28 +52,40 @@
 
     private final Map<String, Object> map;
 
-    /** Reads from a map. */
+    /** A view of a map, which is not copied. */
     public FieldMap(Map<String, Object> map) {
         this.map = map;
     }
 
-    /** The map in a CBOR body; an {@link IOException} if it is no map or goes on behind it. */
+    /**
+     * Decodes CBOR.
+     *
+     * @throws IOException if the bytes are not exactly one map
+     */
     public static FieldMap cbor(byte[] body) throws IOException {
         try (JsonParser p = CBOR.createParser(body)) {
             return whole(p);
         }
     }
 
-    /** The map in a JSON text. */
+    /**
+     * Decodes JSON.
+     *
+     * @throws IOException if the bytes are not exactly one map
+     */
     public static FieldMap json(byte[] body) throws IOException {
         try (JsonParser p = JSON.createParser(body)) {
             return whole(p);
         }
     }
 
-    /** The map in a TOML text. */
+    /**
+     * Decodes TOML.
+     *
+     * @throws IOException if the text is not valid TOML
+     */
     public static FieldMap toml(byte[] text) throws IOException {
-        // Made when it is needed: a controller reads one file of it, at its start.
+        // Not a constant: a controller reads TOML once, at its start.
         try (JsonParser p = new TomlFactory().createParser(text)) {
             return whole(p);
         }
@@ -137,12 +151,16 @@
         }
     }
 
-    /** Encodes a map as CBOR. */
+    /**
+     * Encodes a map as CBOR.
+     *
+     * @throws IllegalStateException if a value has a type that messages do not have
+     */
     public static byte[] toCbor(Map<String, ?> map) {
         return encode(CBOR, map);
     }
 
-    /** Bytes of a map as JSON, by which the protocol counts the sizes of values. */
+    /** Length of a map as JSON in bytes, which is how the protocol measures stored values. */
     public static int jsonLength(Map<String, ?> map) {
         return encode(JSON, map).length;
     }
@@ -188,17 +206,17 @@
         }
     }
 
-    /** The map itself. */
+    /** The underlying map, not a copy. */
     public Map<String, Object> asMap() {
         return map;
     }
 
-    /** Whether a field is there and not null. */
+    /** Whether a field is present and not null. */
     public boolean has(String field) {
         return map.get(field) != null;
     }
 
-    /** A field that must be a map. */
+    /** A required map. */
     public FieldMap map(String field) throws Missing {
         @SuppressWarnings("unchecked")
         Map<String, Object> m =
@@ -209,7 +227,7 @@
         return new FieldMap(m);
     }
 
-    /** The maps of a list; an absent list is empty. */
+    /** A list of maps; empty if the field is absent. */
     public List<FieldMap> list(String field) throws Missing {
         List<FieldMap> out = new ArrayList<>();
         for (Object o : rawList(field)) {
@@ -223,7 +241,7 @@
         return out;
     }
 
-    /** The texts of a list; an absent list is empty. */
+    /** A list of text; empty if the field is absent. */
     public List<String> texts(String field) throws Missing {
         List<String> out = new ArrayList<>();
         for (Object o : rawList(field)) {
@@ -246,7 +264,7 @@
         throw new Missing(field + " must be a list");
     }
 
-    /** A field that must be text. */
+    /** A required text. */
     public String text(String field) throws Missing {
         if (map.get(field) instanceof String s) {
             return s;
@@ -254,12 +272,12 @@
         throw new Missing(field + " must be text");
     }
 
-    /** A field that must be text if it is there. */
+    /** An optional text with a default value. */
     public String textOr(String field, String other) throws Missing {
         return has(field) ? text(field) : other;
     }
 
-    /** A field that must be a finite number. */
+    /** A required finite number. */
     public double number(String field) throws Missing {
         if (map.get(field) instanceof Number n && Double.isFinite(n.doubleValue())) {
             return n.doubleValue();
@@ -267,12 +285,12 @@
         throw new Missing(field + " must be a number");
     }
 
-    /** A field that must be a finite number if it is there. */
+    /** An optional finite number with a default value. */
     public double numberOr(String field, double other) throws Missing {
         return has(field) ? number(field) : other;
     }
 
-    /** A field that must be an integer. */
+    /** A required integer. */
     public long whole(String field) throws Missing {
         Object v = map.get(field);
         if (v instanceof Long || v instanceof Integer) {
@@ -281,12 +299,12 @@
         throw new Missing(field + " must be a whole number");
     }
 
-    /** A field that must be an integer if it is there. */
+    /** An optional integer with a default value. */
     public long wholeOr(String field, long other) throws Missing {
         return has(field) ? whole(field) : other;
     }
 
-    /** A field that must be a boolean. */
+    /** A required boolean. */
     public boolean flag(String field) throws Missing {
         if (map.get(field) instanceof Boolean b) {
             return b;
@@ -294,7 +312,7 @@
         throw new Missing(field + " must be true or false");
     }
 
-    /** A field that must be a boolean if it is there. */
+    /** An optional boolean with a default value. */
     public boolean flagOr(String field, boolean other) throws Missing {
         return has(field) ? flag(field) : other;
     }
--- a/src/main/java/org/shoreusher/wire/ResponseFormat.java
+++ b/src/main/java/org/shoreusher/wire/ResponseFormat.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import org.shoreusher.core.Response;
 
-/** Answers to users, workers and the load balancer on the wire. */
+/** Encodes responses to users, workers and the load balancer. */
 public final class ResponseFormat {
     private static final int OK = 200;
     private static final int CREATED = 201;
@@ -16,7 +16,7 @@
 
     private ResponseFormat() {}
 
-    /** The HTTP status. */
+    /** The HTTP status code of a response. */
     public static int status(Response response) {
         if (response instanceof Response.JobState state) {
             return state.created() ? CREATED : OK;
@@ -34,12 +34,12 @@
         return OK;
     }
 
-    /** Seconds after which the sender should come back; 0: none. */
+    /** Value of the Retry-After header in s; 0 if there is none. */
     public static int retryAfterS(Response response) {
         return response instanceof Response.Unavailable later ? later.retryAfterS() : 0;
     }
 
-    /** The body. */
+    /** The body of a response, to be encoded as CBOR. */
     public static Map<String, Object> body(Response response) {
         if (response instanceof Response.JobState state) {
             return jobState(state);
@@ -55,7 +55,7 @@
         return Map.of();
     }
 
-    /** The body of a refusal. */
+    /** The body of an error response. */
     public static Map<String, Object> error(String problem) {
         return Map.of("error", problem);
     }
--- a/src/main/java/org/shoreusher/wire/StateFormat.java
+++ b/src/main/java/org/shoreusher/wire/StateFormat.java
@@ -7,17 +7,20 @@
 import org.shoreusher.core.Effect.StateOp;
 import org.shoreusher.settings.Tuning;
 
-/** Requests to the state service and entries of its answers. */
+/**
+ * Encodes requests to the key-value store and decodes its responses. The protocol calls an entry's
+ * version "stamp", the store's revision "ledger", and preconditions "guards".
+ */
 public final class StateFormat {
     private StateFormat() {}
 
-    /** A request; a null body means GET. */
+    /** An HTTP request: a GET if the body is null, else a POST. */
     public record Request(String path, Map<String, Object> body) {}
 
-    /** One key as read or as changed; a null value: removed. */
+    /** One key as read or as changed; the value is null if the key was removed. */
     public record Entry(String key, Map<String, Object> value, long version) {}
 
-    /** The HTTP request of a call. */
+    /** The HTTP request of a store operation. */
     public static Request request(StateOp op) {
         if (op instanceof StateOp.Get get) {
             return new Request("/store/" + get.key(), null);
@@ -57,12 +60,12 @@
         return m;
     }
 
-    /** The single key of a read. */
+    /** Decodes the entry of a single read. */
     public static Entry entry(FieldMap t) throws FieldMap.Missing {
         return new Entry(t.text("k"), t.map("value").asMap(), t.whole("stamp"));
     }
 
-    /** The keys of a page. */
+    /** Decodes the entries of a page. */
     public static List<Entry> page(FieldMap t) throws FieldMap.Missing {
         List<Entry> out = new ArrayList<>();
         for (FieldMap e : t.list("entries")) {
@@ -71,17 +74,17 @@
         return out;
     }
 
-    /** Whether further pages follow. */
+    /** Whether more pages follow this one. */
     public static boolean more(FieldMap t) throws FieldMap.Missing {
         return t.flagOr("more", false);
     }
 
-    /** The store's revision that an answer tells. */
+    /** The store's revision at the time of the response. */
     public static long revision(FieldMap t) throws FieldMap.Missing {
         return t.whole("ledger");
     }
 
-    /** The changes a watch saw, in order. */
+    /** Decodes the changes that a watch returned, in order of revision. */
     public static List<Entry> changes(FieldMap t) throws FieldMap.Missing {
         List<Entry> out = new ArrayList<>();
         for (FieldMap e : t.list("log")) {
@@ -93,7 +96,7 @@
         return out;
     }
 
-    /** The keys whose guards failed. */
+    /** The keys whose preconditions failed. */
     public static List<String> failed(FieldMap t) throws FieldMap.Missing {
         return t.texts("failed");
     }
--- a/src/main/java/org/shoreusher/wire/UserFormat.java
+++ b/src/main/java/org/shoreusher/wire/UserFormat.java
@@ -9,18 +9,22 @@
 import org.shoreusher.core.JobSpec.Shape;
 import org.shoreusher.settings.Tuning;
 
-/** Jobs on the wire, and their descriptions in the state service, which are nearly the same. */
+/**
+ * Encodes and decodes job specifications, both as users submit them and as the store keeps them,
+ * which is nearly the same. The protocol calls a job's class "queue", its team "crew", its tasks
+ * "sheets", its image "plate", and a checkpoint "proof".
+ */
 public final class UserFormat {
     private static final String SWEEP = "sweep";
     private static final String SERVICE = "service";
 
     /**
-     * In the state service only: a service is described as a sweep with this mark, since versions
-     * from before there were services can't read another shape.
+     * In the store only: a service is stored as a sweep with this field, since versions that
+     * predate services cannot read any other shape.
      */
     private static final String KEPT_UP = "kept_up";
 
-    /** The fields without which a description can't be read. */
+    /** The fields without which a stored specification cannot be decoded. */
     private static final Set<String> REQUIRED_FIELDS =
             Set.of(
                     "name_id",
@@ -44,15 +48,19 @@
 
     private UserFormat() {}
 
-    /** Reads a job that a user submits; {@link FieldMap.Missing} says what is wrong with it. */
+    /**
+     * Decodes the job of a submission.
+     *
+     * @throws FieldMap.Missing with the first error in the job
+     */
     public static JobSpec job(FieldMap t) throws FieldMap.Missing {
         String shape = t.text("shape");
-        // Gangs and other shapes will get their own reading here; none is specified today.
+        // Gang scheduling and other shapes would be decoded here; the protocol has none today.
         need(shape.equals(SWEEP) || shape.equals(SERVICE), "shape must be sweep or service");
         return job(t, shape.equals(SWEEP) ? Shape.BATCH : Shape.SERVICE);
     }
 
-    /** Reads a job's description in the state service, as {@link #description} writes it. */
+    /** Decodes a specification from the store, as {@link #description} encodes it. */
     public static JobSpec described(FieldMap t) throws FieldMap.Missing {
         return job(t, t.flagOr(KEPT_UP, false) ? Shape.SERVICE : Shape.BATCH);
     }
@@ -125,7 +133,7 @@
         };
     }
 
-    /** The job as its user submits it, such that {@link #job} reads it back. */
+    /** Encodes a job as users submit it, such that {@link #job} decodes it. */
     public static Map<String, Object> map(JobSpec j) {
         Map<String, Object> m = description(j);
         if (m.remove(KEPT_UP) != null) {
@@ -134,7 +142,7 @@
         return m;
     }
 
-    /** The job as the state service has it, such that {@link #described} reads it back. */
+    /** Encodes a job as the store keeps it, such that {@link #described} decodes it. */
     public static Map<String, Object> description(JobSpec j) {
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("name_id", j.id());
@@ -170,8 +178,8 @@
     }
 
     /**
-     * A description in the state service without what only starts need, such that {@link
-     * #described} still reads it: team and resources of the tasks are those of the job.
+     * A stored specification without the fields that only starting tasks needs. {@link #described}
+     * still decodes it, with the job's team and its tasks' resources.
      */
     public static Map<String, Object> resourcesOnly(Map<String, Object> description) {
         Map<String, Object> shorter = new LinkedHashMap<>(description);
--- a/src/main/java/org/shoreusher/wire/WorkerFormat.java
+++ b/src/main/java/org/shoreusher/wire/WorkerFormat.java
@@ -10,11 +10,18 @@
 import org.shoreusher.core.WorkerReport.TaskReport;
 import org.shoreusher.core.WorkerReport.TaskState;
 
-/** Reports and commands on the wire. */
+/**
+ * Decodes heartbeats of workers and encodes orders to them. The protocol calls a task "sheet", a
+ * worker's session "shift", the fencing token "baton", and the sequence number "tally".
+ */
 public final class WorkerFormat {
     private WorkerFormat() {}
 
-    /** Reads a report. */
+    /**
+     * Decodes a heartbeat.
+     *
+     * @throws FieldMap.Missing with the first error in it
+     */
     public static WorkerReport report(FieldMap t) throws FieldMap.Missing {
         List<TaskReport> tasks = new ArrayList<>();
         for (FieldMap s : t.list("sheets")) {
@@ -57,7 +64,7 @@
             case "pulling", "gathering" -> TaskState.FETCHING;
             case "flushing" -> TaskState.SAVING;
             case "exited" -> TaskState.EXITED;
-            // A state not known yet holds the machine's room, like a running task.
+            // An unknown state uses the machine's resources, like a running task.
             default -> TaskState.RUNNING;
         };
     }
@@ -73,7 +80,7 @@
         };
     }
 
-    /** The commands as a list of maps. */
+    /** Encodes orders as a list of maps. */
     public static List<Object> orders(List<WorkerOrder> orders) {
         List<Object> out = new ArrayList<>(orders.size());
         for (WorkerOrder o : orders) {
@@ -95,7 +102,7 @@
         return out;
     }
 
-    /** The answer to a report. */
+    /** The body of the response to an accepted heartbeat. */
     public static Map<String, Object> answer(long term, List<WorkerOrder> orders) {
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("baton", term);
@@ -103,7 +110,7 @@
         return m;
     }
 
-    /** The body of a direct command. */
+    /** The body of a direct call with orders; {@code session} is the worker's session. */
     public static Map<String, Object> direct(long term, long session, List<WorkerOrder> orders) {
         Map<String, Object> m = answer(term, orders);
         m.put("shift", session);
--- a/src/main/java/org/shoreusher/worker/WorkerClient.java
+++ b/src/main/java/org/shoreusher/worker/WorkerClient.java
@@ -8,22 +8,22 @@
 import org.shoreusher.wire.WorkerFormat;
 
 /**
- * Sends direct commands to workers. What came of them, the workers' next reports show. Commands are
- * rare and machines many, so no connection is kept: those kept to hundreds of workers once took
- * every socket of a node.
+ * Sends orders directly to workers. Responses are ignored, since the workers' next heartbeats show
+ * the effect. Direct orders are rare and machines many, so no connection is kept: pooled
+ * connections to hundreds of workers once used up all sockets of a node.
  */
 public final class WorkerClient {
     private final EventLoop loop;
     private int inFlight;
 
-    /** A client on an event loop. */
+    /** A client that runs on an event loop. */
     public WorkerClient(EventLoop loop) {
         this.loop = loop;
     }
 
     /**
-     * Sends commands; beyond a bound on those in flight they are left to the answer of the worker's
-     * next report.
+     * Sends orders without waiting for a response. Dropped if the address is invalid or too many
+     * calls are in flight; the worker then gets them with the response to its next heartbeat.
      */
     public void send(Effect.Orders orders) {
         Settings.Address address = Settings.addressOrNull(orders.address());
