--- a/src/test/java/org/shoreusher/balance/BalancerTest.java
+++ b/src/test/java/org/shoreusher/balance/BalancerTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.Example;
 import org.shoreusher.balance.BalanceSettings.ClassBudget;
 
-/** When tasks are moved, and when not. */
+/** When the balancer migrates tasks, and when it does not. */
 class BalancerTest {
     private static BalanceSettings settings(int atOnce, double cooldownS, ClassBudget budget) {
         return new BalanceSettings(
@@ -84,8 +84,8 @@
     }
 
     /**
-     * For a while nothing leaves a machine that a task was moved to, and none comes to the one that
-     * it left: a load that swings to and fro must not make tasks do so.
+     * A machine that received a task keeps all its tasks for a while, and a machine that lost one
+     * receives none. An oscillating load must not make tasks oscillate.
      */
     @Example
     void machinesRestAfterAMove() {
@@ -116,7 +116,8 @@
     void aMoveMustBeWorthItsCost() {
         TestFleet fleet = new TestFleet(settings(8, 0, AMPLE)).machines(4);
         for (int i = 0; i < 8; i++) {
-            // Fetch of 2 s, save of 1 s and a lag of 2 s, twice, is 10 s.
+            // An image fetch of 2 s, a checkpoint of 1 s and a heartbeat delay of 2 s, times the
+            // gain factor of 2, make 10 s.
             fleet.task(0, 1, 9.9, 0);
         }
         assertEquals(List.of(), fleet.plan());
@@ -130,7 +131,10 @@
         assertEquals(List.of(), fleet.plan());
     }
 
-    /** Work at risk counts until the save is known to have succeeded; repeated work stays. */
+    /**
+     * Unsaved work counts as repeated work until the checkpoint is known to have succeeded; work
+     * that was really repeated stays counted.
+     */
     @Example
     void repeatedWorkIsBoundedByTheWorkDone() {
         TestFleet fleet = new TestFleet(settings(8, 0, new ClassBudget(5, 0.1))).machines(6);
@@ -155,7 +159,9 @@
         assertEquals(1, fleet.plan().size());
     }
 
-    /** A change of owner must not refill a budget: what was begun before is not moved again. */
+    /**
+     * A failover must not refill a budget: jobs that were started before it are not migrated again.
+     */
     @Example
     void jobsBegunUnderAnOwnerBeforeAreNotMoved() {
         TestFleet fleet = crowded(settings(8, 0, AMPLE));
--- a/src/test/java/org/shoreusher/balance/LoadModelTest.java
+++ b/src/test/java/org/shoreusher/balance/LoadModelTest.java
@@ -12,11 +12,11 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 
-/** The load model against sums made anew. */
+/** Compares the load model with sums that are computed from scratch. */
 class LoadModelTest {
     private static final double EPSILON = 1e-9;
 
-    /** A task that the test has booked. */
+    /** A task that the test has added. */
     private record Booked(String machine, String team, double cpus) {}
 
     @Property(tries = 100, seed = "5", shrinking = ShrinkingMode.OFF)
@@ -59,7 +59,7 @@
         }
     }
 
-    /** The formula of the class comment, term by term. */
+    /** The formula of the load model's class comment, term by term. */
     private static double spread(Map<String, Double> machines, List<Booked> tasks, String team) {
         double all = 0;
         double used = 0;
@@ -80,7 +80,7 @@
         return all == 0 ? 0 : Math.max(0, most - used / all);
     }
 
-    /** What names machines or teams that are unknown changes nothing. */
+    /** Calls that name unknown machines or teams change nothing. */
     @Example
     void unknownNamesChangeNothing() {
         LoadModel load = new LoadModel();
--- a/src/test/java/org/shoreusher/balance/MoveTest.java
+++ b/src/test/java/org/shoreusher/balance/MoveTest.java
@@ -9,9 +9,9 @@
 import net.jqwik.api.ShrinkingMode;
 import net.jqwik.api.constraints.Size;
 
-/** The state machine of a move under every order of events. */
+/** The state machine of a migration under every order of events. */
 class MoveTest {
-    /** What can happen to a move. */
+    /** The events that can happen to a migration. */
     enum Event {
         LEFT_SOURCE,
         STARTED,
--- a/src/test/java/org/shoreusher/balance/OptimumTest.java
+++ b/src/test/java/org/shoreusher/balance/OptimumTest.java
@@ -13,15 +13,18 @@
 import org.ojalgo.optimisation.Variable;
 import org.shoreusher.balance.BalanceSettings.ClassBudget;
 
-/** The planner's moves against the best that an integer solver finds for small fleets. */
+/**
+ * Compares the planner's migrations with the optimum that an integer solver finds for small
+ * clusters.
+ */
 class OptimumTest {
     private static final int MACHINES = 5;
     private static final int CASES = 30;
     private static final double MARGIN = 0.05;
 
     /**
-     * The planner ends at most one task's size and the margin above the least largest use that any
-     * assignment of the tasks has.
+     * The highest use of a machine ends at most one task's size and the margin above the lowest
+     * that any assignment of the tasks has.
      */
     @Example
     void endsWithinATaskAndTheMarginOfTheOptimum() {
@@ -47,7 +50,7 @@
         return tasks.stream().filter(t -> t[0] == machine).mapToInt(t -> t[1]).sum();
     }
 
-    /** The largest use of a machine after the planner has nothing left to move. */
+    /** The highest use of a machine, in CPUs, after the planner has nothing left to migrate. */
     private static double planned(List<int[]> tasks) {
         ClassBudget ample = new ClassBudget(100, 1);
         TestFleet fleet =
@@ -69,7 +72,10 @@
         return most;
     }
 
-    /** The least largest use: each task on one machine, the largest use minimised. */
+    /**
+     * The lowest possible highest use, in CPUs: each task is on one machine, and the highest use is
+     * minimised.
+     */
     private static double optimum(List<int[]> tasks) {
         ExpressionsBasedModel model = new ExpressionsBasedModel();
         Variable largest = model.newVariable("largest").lower(0).weight(1);
--- a/src/test/java/org/shoreusher/balance/TestFleet.java
+++ b/src/test/java/org/shoreusher/balance/TestFleet.java
@@ -3,12 +3,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A few machines with tasks of one team, which the balancer moves as it likes. */
+/** A scheduler with a few machines and tasks of one team, all of which the balancer may migrate. */
 final class TestFleet implements FleetView {
     static final String TEAM = "t";
     static final double MACHINE_CPUS = 8;
 
-    /** A task and where it is. */
+    /** A task and the machine that it is on. */
     private static final class Placed {
         private final MovableTask task;
         private String machine;
@@ -39,7 +39,7 @@
         return this;
     }
 
-    /** A running task that has long to go and can save. */
+    /** Adds a running task with a long remaining run time and a short checkpoint. */
     MovableTask task(int machine, double cpus) {
         return task(machine, cpus, 300, 0);
     }
@@ -62,13 +62,13 @@
         return task;
     }
 
-    /** Makes the plan of this moment. */
+    /** Plans migrations for the current time. */
     List<Move> plan() {
         balancer.demand(java.util.Map.of(TEAM, MACHINE_CPUS * 100));
         return balancer.plan(this, nowMs);
     }
 
-    /** Carries a move out to its end. */
+    /** Carries a migration out to its end. */
     void carryOut(Move move) {
         Placed placed = placed(move.task().id());
         balancer.load().taskRemoved(placed.machine, TEAM, placed.task.cpus());
@@ -82,7 +82,7 @@
         return tasks.stream().filter(p -> p.task.id().equals(id)).findFirst().orElseThrow();
     }
 
-    /** CPUs that tasks use on a machine. */
+    /** CPUs that the tasks on a machine use. */
     private double used(String machine) {
         return tasks.stream()
                 .filter(p -> p.machine.equals(machine))
--- a/src/test/java/org/shoreusher/cli/ServiceRehearsalTest.java
+++ b/src/test/java/org/shoreusher/cli/ServiceRehearsalTest.java
@@ -5,7 +5,7 @@
 import org.shoreusher.settings.Features;
 import org.shoreusher.settings.Settings;
 
-/** The story of the build's rehearsal, with a whole controller over loopback. */
+/** The checks that the build runs against a service, with a whole controller over loopback. */
 class ServiceRehearsalTest {
     @Example
     void aServiceComesBackWhenItsMachineIsLostAndEndsWhenItIsCancelled() throws Exception {
--- a/src/test/java/org/shoreusher/core/ArrivalsTest.java
+++ b/src/test/java/org/shoreusher/core/ArrivalsTest.java
@@ -10,7 +10,7 @@
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.SettingsBuilder;
 
-/** Records of jobs that were accepted together, beside what became of the jobs. */
+/** Records of jobs that were accepted in one batch, beside the jobs' own records. */
 class ArrivalsTest {
     private static final Settings SETTINGS =
             new SettingsBuilder(OrderTestData.settings(List.of()))
@@ -19,8 +19,8 @@
                     .build();
 
     /**
-     * The news of a shared record may come into the view after that of a job's end, which has left
-     * it: the job must not be begun again.
+     * The change of a batch record may reach the cache after that of the job's terminal state,
+     * which has already left it: the job must not be started again.
      */
     @Example
     void newsOfAnArrivalAfterThatOfItsEndBeginsNothing() {
--- a/src/test/java/org/shoreusher/core/FinishedRecordsTest.java
+++ b/src/test/java/org/shoreusher/core/FinishedRecordsTest.java
@@ -18,8 +18,8 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * Records of finished tasks: below the limit whatever is finished, and what is durable stays so,
- * from whichever version it comes.
+ * Completion records stay below the value limit whatever has completed, and durable completions
+ * stay durable, whichever version wrote them.
  */
 class FinishedRecordsTest {
 
@@ -59,9 +59,10 @@
     }
 
     /**
-     * A store that an owner before has filled, perhaps under a larger limit and with whole jobs in
-     * one record, some of them in two; then heartbeats of an owner, of which some fail. After each
-     * write everything that was durable is, and at last all that is finished.
+     * The store was filled by a previous leader, perhaps under a higher value limit and with a
+     * job's completions in one record or in two. Then a leader renews its lease, and some of the
+     * writes fail. After each write all durable completions are still in the store, and at the end
+     * all completions are.
      */
     @Property(tries = 150, seed = "12", shrinking = ShrinkingMode.OFF)
     void whatIsDurableStaysSo(@ForAll @LongRange(min = 0) long seed) {
@@ -87,7 +88,7 @@
                 int c = r.nextInt(records);
                 Map<String, Object> record = store.get(c);
                 record.put(job.id, TaskRanges.format(set));
-                // Its taker leaves no part's own record that it may not write again.
+                // A successor splits a shard's own record that is too long to be written again.
                 if (FieldMap.jsonLength(record)
                         > (c == 0 ? Math.min(former, s.valueBytes()) : former) * 0.75) {
                     record.remove(job.id);
@@ -145,8 +146,8 @@
     }
 
     /**
-     * What a part's own record holds is cut into records that may be written, and nothing is lost
-     * or told twice.
+     * The completions of a shard's own record are split into records below the value limit; none is
+     * lost or stored twice.
      */
     @Property(tries = 150, seed = "13", shrinking = ShrinkingMode.OFF)
     void aRecordThatIsTooLongIsCutUp(@ForAll @LongRange(min = 0) long seed) {
--- a/src/test/java/org/shoreusher/core/JobSpecBuilder.java
+++ b/src/test/java/org/shoreusher/core/JobSpecBuilder.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** A job for tests: a high batch job of one small task, but for what a test says. */
+/** Builds a job for tests: by default a batch job of high priority with one small task. */
 public final class JobSpecBuilder {
     private final String id;
     private String jobClass = "class";
@@ -25,126 +25,126 @@
     private double saveS = 0;
     private double deadlineS = Double.NaN;
 
-    /** A job with this id. */
+    /** Starts with a job of this id and default values. */
     public JobSpecBuilder(String id) {
         this.id = id;
     }
 
-    /** Sets one value. */
+    /** Sets the job class. */
     public JobSpecBuilder jobClass(String value) {
         jobClass = value;
         return this;
     }
 
-    /** Sets one value. */
+    /** Sets the team. */
     public JobSpecBuilder team(String value) {
         team = value;
         return this;
     }
 
-    /** Sets one value. */
+    /** Sets the workload type. */
     public JobSpecBuilder shape(JobSpec.Shape value) {
         shape = value;
         return this;
     }
 
-    /** Sets one value. */
+    /** Sets the priority. */
     public JobSpecBuilder priority(JobSpec.Priority value) {
         priority = value;
         return this;
     }
 
-    /** Sets one value. */
+    /** Sets the number of tasks. */
     public JobSpecBuilder tasks(int value) {
         tasks = value;
         return this;
     }
 
-    /** Sets one value. */
+    /** Sets the CPUs of each task. */
     public JobSpecBuilder cpus(double value) {
         cpus = value;
         return this;
     }
 
-    /** Sets one value. */
+    /** Sets the GPUs of each task. */
     public JobSpecBuilder gpus(double value) {
         gpus = value;
         return this;
     }
 
-    /** Sets one value. */
+    /** Sets the memory of each task, in GB. */
     public JobSpecBuilder memGb(double value) {
         memGb = value;
         return this;
     }
 
-    /** Sets one value. */
+    /** Sets the image. */
     public JobSpecBuilder image(String value) {
         image = value;
         return this;
     }
 
-    /** Sets one value. */
+    /** Sets the size of the image, in GB. */
     public JobSpecBuilder imageGb(double value) {
         imageGb = value;
         return this;
     }
 
-    /** Sets one value. */
+    /** Sets the allowed machine types; null allows all. */
     public JobSpecBuilder types(List<String> value) {
         types = value;
         return this;
     }
 
-    /** Sets one value. */
+    /** Sets the zone; null allows all. */
     public JobSpecBuilder zone(String value) {
         zone = value;
         return this;
     }
 
-    /** Sets one value. */
+    /** Sets the flag that all tasks must be in one zone. */
     public JobSpecBuilder oneZone(boolean value) {
         oneZone = value;
         return this;
     }
 
-    /** Sets one value. */
+    /** Sets the flag that tasks are spread across zones. */
     public JobSpecBuilder spread(boolean value) {
         spread = value;
         return this;
     }
 
-    /** Sets one value. */
+    /** Sets the flag that spot machines are allowed. */
     public JobSpecBuilder spot(boolean value) {
         spot = value;
         return this;
     }
 
-    /** Sets one value. */
+    /** Sets the estimated run time, in s. */
     public JobSpecBuilder estimateS(double value) {
         estimateS = value;
         return this;
     }
 
-    /** Sets one value. */
+    /** Sets the interval between checkpoints, in s; 0 means none. */
     public JobSpecBuilder checkpointS(double value) {
         checkpointS = value;
         return this;
     }
 
-    /** Sets one value. */
+    /** Sets the duration of a checkpoint, in s. */
     public JobSpecBuilder saveS(double value) {
         saveS = value;
         return this;
     }
 
-    /** Sets one value. */
+    /** Sets the deadline, in s after the submission; NaN means none. */
     public JobSpecBuilder deadlineS(double value) {
         deadlineS = value;
         return this;
     }
 
-    /** The job. */
+    /** Builds the job. */
     public JobSpec build() {
         return new JobSpec(
                 id,
--- a/src/test/java/org/shoreusher/core/MachineTest.java
+++ b/src/test/java/org/shoreusher/core/MachineTest.java
@@ -8,7 +8,7 @@
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.SettingsBuilder;
 
-/** What an owner concludes from the times of a machine's reports. */
+/** What a leader concludes from the times of a machine's heartbeats. */
 class MachineTest {
     private static final Settings SETTINGS =
             new SettingsBuilder(OrderTestData.settings(List.of()))
@@ -40,9 +40,9 @@
     }
 
     /**
-     * When a cut of longer than a lease ends, the reports that it held up come one after the other,
-     * the later ones of the next session: that tells nothing of whether answers are heard. Ten good
-     * machines of 250 were returned for it.
+     * After a partition that is longer than a lease, the delayed heartbeats arrive one after the
+     * other, the later ones with the next incarnation. That says nothing about whether responses
+     * arrive. Ten healthy machines of 250 were once terminated for it.
      */
     @Example
     void reportsHeldUpByACutMakeNoMachineDeaf() {
@@ -58,8 +58,8 @@
     }
 
     /**
-     * A session that ends although it was answered in time, at a worker that has waited out its
-     * patience, is one of a deaf machine.
+     * An incarnation that ends although its heartbeats were answered in time shows a one-way
+     * partition: the worker did not receive the responses.
      */
     @Example
     void aSessionThatEndsInSpiteOfAnswersIsADeafMachines() {
--- a/src/test/java/org/shoreusher/core/NamedStandbyTest.java
+++ b/src/test/java/org/shoreusher/core/NamedStandbyTest.java
@@ -5,7 +5,7 @@
 
 import net.jqwik.api.Example;
 
-/** Tests of what may stand in a part's record. */
+/** Which standby name a shard's record may contain. */
 class NamedStandbyTest {
     private static final String NAME = "node-1/b";
 
@@ -18,7 +18,8 @@
         assertTrue(standby.surelyNone());
         standby.sending(NAME);
         assertFalse(standby.surelyNone());
-        // The answer is lost; the next write wants no name, and its answer is lost as well.
+        // The response is lost. The next write removes the name, and its response is lost as
+        // well.
         standby.want(null);
         standby.sending(null);
         assertFalse(standby.surelyNone());
--- a/src/test/java/org/shoreusher/core/OrderTestData.java
+++ b/src/test/java/org/shoreusher/core/OrderTestData.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import org.shoreusher.settings.Settings;
 
-/** Settings and jobs for tests of an owner's classes. */
+/** Settings and jobs for tests of a leader's classes. */
 final class OrderTestData {
     private OrderTestData() {}
 
--- a/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
+++ b/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
@@ -21,12 +21,13 @@
 import org.shoreusher.settings.Features;
 import org.shoreusher.settings.Settings;
 
-/** Tests of the classes by which an owner acts. */
+/** Unit tests of the classes that a leader consists of. */
 class OwnerPiecesTest {
 
-    // ---- the view ------------------------------------------------------------------------------
+    // ---- the store cache
+    // -----------------------------------------------------------------------
 
-    /** Reads what the view asks for, and answers it. */
+    /** Returns the first operation that was sent to the store, or null. */
     private static StateOp asked(Outbox outbox) {
         return outbox.drain().stream()
                 .filter(e -> e instanceof Effect.StateCall)
@@ -36,8 +37,8 @@
     }
 
     /**
-     * A done job is dropped from the view by this node's own write; a watch answer from before that
-     * write must not bring it back as open, or its tasks would start again.
+     * This node's own write of a terminal state removes the job from the cache. A watch response
+     * from before that write must not bring the job back as open, or its tasks would start again.
      */
     @Example
     void oldNewsDoesNotBringADoneJobBack() {
@@ -79,8 +80,8 @@
     }
 
     /**
-     * A watch answer that is too long fails each time it is asked for; a view that stays too old is
-     * read in pages instead.
+     * A watch response that is too long fails each time it is requested. A cache that stays
+     * outdated is read in pages instead.
      */
     @Example
     void aViewWhoseWatchKeepsFailingIsReadInPages() {
@@ -109,7 +110,8 @@
         assertTrue(last instanceof StateOp.Page);
     }
 
-    // ---- shares of limits ----------------------------------------------------------------------
+    // ---- quota shares
+    // --------------------------------------------------------------------------
 
     @Property(tries = 300, seed = "21")
     void sharesSumToTheLimit(
@@ -119,11 +121,11 @@
         assertTrue(Arrays.stream(record.cpus()).allMatch(c -> c >= 0));
         QuotaRecord read = QuotaRecord.read(record.write(), parts);
         assertTrue(Arrays.equals(record.cpus(), read.cpus()));
-        // Shares for another number of parts are worth nothing.
+        // Shares for another number of shards are ignored.
         assertEquals(0, Arrays.stream(QuotaRecord.read(record.write(), parts + 1).cpus()).sum());
     }
 
-    /** A part that says nothing keeps its share, and pressing claims come before others. */
+    /** A shard without a demand report keeps its share, and urgent demand is served first. */
     @Property(tries = 300, seed = "22")
     void targetsRespectSilenceAndUrgency(@ForAll @LongRange(min = 0) long seed) {
         Random r = new Random(seed);
@@ -152,12 +154,13 @@
         assertTrue(Arrays.stream(targets).sum() <= max + parts);
     }
 
-    // ---- order ---------------------------------------------------------------------------------
+    // ---- submissions, marks, failures
+    // ----------------------------------------------------------
 
     /**
-     * Two nodes have accepted the same job for different parts. Whichever record a node sees first,
-     * the older one counts: else each owner might take the job for the other's, and nobody would
-     * begin it. Its own record counts before both.
+     * Two nodes have accepted the same job for different shards. Whichever record a node sees
+     * first, the older one counts. Otherwise each leader might leave the job to the other, and
+     * nobody would start it. The job's own record takes precedence over both.
      */
     @Example
     void theOlderOfTwoRecordsOfAnArrivalCounts() {
@@ -194,8 +197,8 @@
     }
 
     /**
-     * Marks of any number of jobs stand in records below the value limit, and a taker finds each
-     * where it was put.
+     * High-water marks of any number of jobs are stored in records below the value limit, and a
+     * successor finds each mark.
      */
     @Property(tries = 30, seed = "11")
     void marksStayBelowTheValueLimit(
@@ -276,7 +279,7 @@
                                         j.id));
     }
 
-    /** A job whose tasks fail on every machine is told apart from a faulty machine. */
+    /** A job whose tasks fail on every machine is distinguished from a faulty machine. */
     @Example
     void aJobThatFailsEverywhereIsSuspectAndTriedRarely() {
         Job job = OrderTestData.job("wk-1", "c", JobSpec.Priority.LOW, 5, 10, Double.NaN, 0);
@@ -289,8 +292,8 @@
     }
 
     /**
-     * One slow task is chance; several in a row, far beyond what machines of a type differ by, are
-     * the machine.
+     * One slow task is chance. Several slow tasks in a row, far beyond the differences between
+     * machines of a type, show a slow machine.
      */
     @Example
     void aSlowMachineIsToldFromASlowTask() {
--- a/src/test/java/org/shoreusher/core/PiecesTest.java
+++ b/src/test/java/org/shoreusher/core/PiecesTest.java
@@ -19,7 +19,7 @@
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.SettingsBuilder;
 
-/** Tests of small classes of the core. */
+/** Unit tests of small classes of the core. */
 class PiecesTest {
     private static final MachineType TYPE =
             new MachineType("t", 8, 2, 16, 10, 1, 1, 0.4, 10, List.of("a", "b"));
@@ -64,7 +64,7 @@
         assertEquals(set, TaskRanges.parse(TaskRanges.format(set)));
     }
 
-    /** Whatever is asked when, no second sees more than the burst and its rate. */
+    /** Whatever the pattern of requests, no second sees more than the burst and the rate. */
     @Property(tries = 200, seed = "8")
     void tokensNeverExceedTheRate(
             @ForAll @IntRange(min = 1, max = 50) int rate,
@@ -86,7 +86,7 @@
         }
     }
 
-    /** At no true moment may one node act for a part that another may already take. */
+    /** At no real time may a leader act for a shard that a successor may already acquire. */
     @Property(tries = 500, seed = "9")
     void ownerStopsBeforeTakersMayStart(@ForAll @IntRange(max = 500) int off, @ForAll long seed) {
         Random r = new Random(seed);
@@ -97,7 +97,8 @@
         lease.confirmed(
                 written + ownerOff + PartLease.leaseMs(s), new ClockReading(0, written + ownerOff));
         for (long t = 0; t < PartLease.leaseMs(s) + 4_000; t += 13) {
-            // The time of day wanders inside its bound; the steady clock may be up to 0.05% fast.
+            // The wall clock deviates within its bound; the monotonic clock may run up to 0.05%
+            // fast.
             long ownerWall = written + t + r.nextInt(2 * off + 1) - off;
             long takerWall = written + t + r.nextInt(2 * off + 1) - off;
             boolean acts = lease.holds(new ClockReading((long) (t * 1.0005), ownerWall));
@@ -110,7 +111,7 @@
         }
     }
 
-    /** A cancellation that the owner can't see comes true in time all the same. */
+    /** A cancellation that the leader cannot see takes effect within its limit all the same. */
     @Property(tries = 200, seed = "10")
     void graceLeavesTimeForCancellations(
             @ForAll @IntRange(min = 2, max = 60) int workerLease,
@@ -125,7 +126,7 @@
                                 <= cancel * 1000L);
     }
 
-    /** Plans exceed no machine and no team limit, and respect zones and kinds. */
+    /** Plans respect the capacity of machines, the quota of teams, zones and machine types. */
     @Property(tries = 400, seed = "11")
     void plansKeepEveryBound(@ForAll @LongRange(min = 0) long seed) {
         Random r = new Random(seed);
@@ -202,9 +203,9 @@
     }
 
     /**
-     * A job that needs a whole machine waits behind smaller tasks that fill each half that comes
-     * free. The emptiest machine is kept for it, and no other job of the plan gets it; a machine
-     * that could never have room is not.
+     * A job that needs a whole machine waits behind smaller tasks that fill each half that becomes
+     * free. The emptiest machine is reserved for it, and no other job of the plan uses that
+     * machine. A machine that is too small for the job is never reserved.
      */
     @Example
     void aMachineIsKeptForALargerTask() {
--- a/src/test/java/org/shoreusher/core/StartMarksTest.java
+++ b/src/test/java/org/shoreusher/core/StartMarksTest.java
@@ -18,16 +18,15 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * Marks of how far jobs have been begun, when their writes fail, get no answer, or are carried out
- * late.
+ * High-water marks of started tasks when their writes fail, get no response, or are executed late.
  */
 class StartMarksTest {
     private static final Settings SETTINGS = OrderTestData.settings(List.of());
 
     /**
-     * A record was assigned to a job when the write was made: after writes that failed others were
-     * assigned the same room, and a record above the value limit is refused for good, so that none
-     * of its jobs ever begins.
+     * A record was once assigned to a job when the write was made. After failed writes other jobs
+     * were assigned the same space. A record above the value limit is rejected for good, so that
+     * none of its jobs would ever start.
      */
     @Property(tries = 100, seed = "431")
     void recordsStayBelowTheValueLimitAlthoughWritesFail(
--- a/src/test/java/org/shoreusher/core/UrgencyTest.java
+++ b/src/test/java/org/shoreusher/core/UrgencyTest.java
@@ -9,7 +9,7 @@
 import net.jqwik.api.Example;
 import org.shoreusher.settings.Settings;
 
-/** Tests of the order in which jobs are served. */
+/** The order in which jobs are scheduled. */
 class UrgencyTest {
     @Example
     void whatCanStillMeetItsAimComesBeforeWhatCannot() {
@@ -30,9 +30,9 @@
     }
 
     /**
-     * With more work than machines, jobs that each got their turn just in time were all late by a
-     * little. Of those that can wait the one with least left goes first; one whose last chance is
-     * near does not wait.
+     * With more work than machines, jobs that were each scheduled just in time were all a little
+     * late. Among jobs with slack the one with the least remaining work goes first; a job that is
+     * near its latest start time does not wait.
      */
     @Example
     void theLeastWorkComesFirstAmongJobsThatCanWait() {
@@ -49,7 +49,7 @@
         List<Job> jobs = new ArrayList<>(List.of(large, small));
         urgency.sort(jobs, 40_000);
         assertEquals("wk-2", jobs.get(0).id);
-        // Without a team's limit all its tasks may run at once: 40 s, so its last chance is at 158
+        // Without a quota all its tasks may run at once: 40 s, so the latest start time is at 158
         // s.
         Job unlimited =
                 OrderTestData.job("wk-3", "rolls", JobSpec.Priority.NORMAL, 8, 40, Double.NaN, 0);
@@ -59,8 +59,8 @@
     }
 
     /**
-     * A job whose team's guarantee says that it should have begun by now does not wait behind
-     * smaller ones; later it does again.
+     * A job that should have started by now according to its team's guarantee does not wait behind
+     * smaller jobs. Once the guarantee is missed, it waits again.
      */
     @Example
     void aGuaranteeAboutToBeMissedDoesNotWaitForSmallerJobs() {
@@ -83,9 +83,7 @@
         }
     }
 
-    /**
-     * Only a job whose last chance is near and not yet gone is worth stopping another's tasks for.
-     */
+    /** Only a job that is shortly before its latest start time justifies preemption. */
     @Example
     void aJobPressesShortlyBeforeItsLastChance() {
         Urgency urgency =
@@ -96,7 +94,7 @@
                                                 "deadline", "rush", Double.NaN, 0.9, 1))),
                         new Estimates());
         Job job = OrderTestData.job("wk-1", "rush", JobSpec.Priority.NORMAL, 1, 30, 100, 0);
-        // It takes 30 s and a start of 2 s, so the last chance is at 68 s.
+        // It takes 30 s and a start of 2 s, so the latest start time is at 68 s.
         assertFalse(urgency.pressing(job, 40_000));
         assertTrue(urgency.pressing(job, 50_000));
         assertTrue(urgency.pressing(job, 67_000));
@@ -104,8 +102,8 @@
     }
 
     /**
-     * Urgent work that keeps coming must not keep a job, however large or low, from beginning
-     * within four minutes.
+     * Urgent work that keeps coming must not delay the start of any job, however large or low in
+     * priority, by more than four minutes.
      */
     @Example
     void whatHasNotBegunForLongComesFirst() {
--- a/src/test/java/org/shoreusher/core/ZoneRuleTest.java
+++ b/src/test/java/org/shoreusher/core/ZoneRuleTest.java
@@ -4,7 +4,7 @@
 
 import net.jqwik.api.Example;
 
-/** Tests of the rule that at most half of a job's tasks, rounded up, are in one zone. */
+/** At most half of a job's tasks, rounded up, are in one zone. */
 class ZoneRuleTest {
     private static Job scattered(int replicas) {
         JobSpec spec =
@@ -29,7 +29,7 @@
         return new Planner.ZoneRule(job).room(zone);
     }
 
-    /** The scarce zone keeps its room for replicas that may be nowhere else. */
+    /** A zone with little capacity keeps it for replicas that cannot run anywhere else. */
     @Example
     void theLargerHalfOfAnOddNumberGoesToTheZoneWithRoom() {
         assertEquals(2, room(3, null, "a"));
--- a/src/test/java/org/shoreusher/measure/MeasurementsTest.java
+++ b/src/test/java/org/shoreusher/measure/MeasurementsTest.java
@@ -8,7 +8,7 @@
 import org.apache.commons.cli.DefaultParser;
 import org.shoreusher.measure.Measurements.BadOption;
 
-/** Tests of the measurements' options; the measurements themselves take minutes. */
+/** The options of the measurements; the measurements themselves take minutes. */
 class MeasurementsTest {
     private static CommandLine parse(String... words) throws Exception {
         return new DefaultParser().parse(TakeoverMeasurement.OPTIONS, words);
--- a/src/test/java/org/shoreusher/model/BusyHour.java
+++ b/src/test/java/org/shoreusher/model/BusyHour.java
@@ -9,24 +9,24 @@
 import org.shoreusher.model.World.Sabotage;
 import org.shoreusher.model.World.Trouble;
 
-/** Three controllers with a warm standby, teams at their limits, and jobs of short tasks. */
+/** Three controllers with a warm standby, teams at their quota, and jobs of short tasks. */
 final class BusyHour {
     static final long TROUBLE_MS = 40_000;
     static final long QUIET_MS = 110_000;
     static final long END_MS = 220_000;
 
-    /** Within the workers' lease of 8 s, and beyond the takeover after 4 to 6 s. */
+    /** Shorter than the workers' lease of 8 s, and longer than a failover, which takes 4 to 6 s. */
     static final long SILENT_MS = 6_700;
 
     /**
-     * For so long after a moment no worker loses a lease that was renewed before it: 8 s less the
-     * longest pause between reports.
+     * For this time, in ms, no worker loses a lease that was renewed before: 8 s less the longest
+     * interval between heartbeats.
      */
     static final long LEASES_HOLD_MS = 6_000;
 
     static final long AWAY_MS = 25_000;
 
-    /** A busy hour: jobs of short tasks that keep both teams at their limits. */
+    /** Runs a simulation with jobs of short tasks that keep both teams at their quota. */
     static World world(long seed, List<Trouble> troubles) {
         World w = new World(seed, ModelSettings.usual(), 1, Sabotage.NONE);
         w.features = StandbyWorlds.FEATURES;
@@ -49,18 +49,18 @@
         return w;
     }
 
-    /** The same with one trouble that hits the owner. */
+    /** The same with one fault that hits the leader. */
     static World world(long seed, BiConsumer<World, World.Process> trouble) {
         return world(seed, List.of(toOwner(TROUBLE_MS, trouble)));
     }
 
-    /** A trouble that hits whoever owns the part then. */
+    /** A fault that hits the current leader of the shard. */
     static Trouble toOwner(long at, BiConsumer<World, World.Process> trouble) {
         return new Trouble(
                 at, w -> List.copyOf(Troubles.owners(w)).forEach(p -> trouble.accept(w, p)));
     }
 
-    /** Every rule was kept, nothing is left, and no report contradicted a log. */
+    /** No invariant was violated, every job has ended, and no heartbeat contradicted a log. */
     static void check(World w) {
         assertEquals(List.of(), w.rules.violations, () -> String.join("\n", w.log));
         assertEquals(List.of(), StandbyWorlds.unfinished(w), () -> String.join("\n", w.log));
@@ -70,12 +70,12 @@
                 () -> String.join("\n", w.log));
     }
 
-    /** How many takeovers went on from the log. */
+    /** How many failovers continued from the replicated log. */
     static int inSync(World w) {
         return StandbyWorlds.promotions(w).getOrDefault("in sync", 0);
     }
 
-    /** The process that the record names as the standby; null if it names none. */
+    /** The controller that the shard's record names as the standby; null if it names none. */
     static World.Process named(World w) {
         Map<String, Object> record = w.state.value("part/0");
         Object standby = record == null ? null : record.get("standby");
@@ -85,7 +85,7 @@
                 .orElse(null);
     }
 
-    /** How many takeovers found that the record names another process, or none. */
+    /** How many failovers found that the record names another incarnation, or none. */
     static int notNamed(World w) {
         return StandbyWorlds.promotions(w).getOrDefault("the record does not name this process", 0);
     }
--- a/src/test/java/org/shoreusher/model/CancellationGapTest.java
+++ b/src/test/java/org/shoreusher/model/CancellationGapTest.java
@@ -16,13 +16,13 @@
 import org.shoreusher.model.World.Trouble;
 
 /**
- * Cancellations that an owner can't see, confirmed by another node: the tasks are gone in time all
- * the same.
+ * Cancellations that are confirmed by another node while the leader cannot see them: the tasks are
+ * stopped in time all the same.
  */
 class CancellationGapTest {
     private static final long GAP_MS = 60_000;
 
-    /** Long tasks of jobs that are all running when the trouble comes. */
+    /** Long tasks of jobs that all run when the fault begins. */
     private static World world(long seed, List<Trouble> troubles) {
         World w = new World(seed, ModelSettings.usual(), 1, Sabotage.NONE);
         for (int i = 0; i < 16; i++) {
@@ -43,7 +43,7 @@
         return w;
     }
 
-    /** Most of the jobs are called off within two seconds. */
+    /** Cancels most of the jobs within two seconds. */
     private static Trouble cancelled(long at) {
         return new Trouble(
                 at,
@@ -68,8 +68,9 @@
     }
 
     /**
-     * The state service refuses the owner alone, other nodes confirm cancellations, and then it is
-     * away for all: for a part's lease, for lease and grace, or for longer than cancellations have.
+     * The store refuses the leader alone, other nodes confirm cancellations, and then the store
+     * fails for all nodes: for the length of a shard's lease, for lease and grace period, or for
+     * longer than the limit of a cancellation.
      */
     @Property(tries = 40, seed = "60", shrinking = ShrinkingMode.OFF)
     void tasksAreGoneInTimeThoughTheirOwnerNeverHears(
@@ -102,8 +103,8 @@
     }
 
     /**
-     * What others write does not reach the owner although its renewals do reach the state service:
-     * it must not go on answering its workers for ever. A renewal shows no cancellation.
+     * Changes by others do not reach the leader, although its lease renewals do reach the store. It
+     * must not answer its workers forever, since a renewal does not show cancellations.
      */
     @Example
     void anOwnerThatSeesNothingLetsItsWorkersGo() {
--- a/src/test/java/org/shoreusher/model/CancellationTest.java
+++ b/src/test/java/org/shoreusher/model/CancellationTest.java
@@ -12,16 +12,16 @@
 import org.shoreusher.core.WorkerReport.TaskReport;
 import org.shoreusher.core.WorkerReport.TaskState;
 
-/** What an owner does about cancellations that other nodes have confirmed. */
+/** What a leader does about cancellations that other nodes have confirmed. */
 class CancellationTest {
     private static final TaskReport RUNNING =
             new TaskReport("wk-1", 0, 1, TaskState.RUNNING, Cause.NONE);
     private final SingleNode node = new SingleNode();
 
     /**
-     * The first answer of a takeover gives no other command, since the report may be old. A
-     * cancelled task it stops all the same: of ten owners in two minutes each may give a worker
-     * just one answer, and each answer renews its lease.
+     * The first heartbeat response after a failover contains no other order, since the heartbeat
+     * may be old. It stops cancelled tasks nevertheless: with ten failovers in two minutes, each
+     * leader may send a worker just one response, and each response renews the worker's lease.
      */
     @Example
     void theFirstAnswerOfATakeoverStopsCancelledTasks() {
@@ -34,8 +34,8 @@
     }
 
     /**
-     * In the grace after a lapse an owner starts nothing, but it stops what it knows to be
-     * cancelled.
+     * In the grace period after its lease has expired, a leader starts nothing, but it stops tasks
+     * of jobs that it knows to be cancelled.
      */
     @Example
     void theGraceStopsCancelledTasks() {
@@ -56,8 +56,8 @@
     }
 
     /**
-     * A lease that lapsed is renewed, as nobody has taken the part; but the view does not yet show
-     * what was confirmed meanwhile. Nothing starts until it does.
+     * An expired lease is renewed, as no successor has acquired the shard. The cache does not yet
+     * contain what was confirmed meanwhile; nothing starts until it does.
      */
     @Example
     void afterALapseNothingStartsBeforeTheViewIsComplete() {
@@ -92,8 +92,8 @@
     }
 
     /**
-     * A cancelled job's record leaves the memory once none of its tasks can be left, and its state
-     * is known all the same.
+     * A cancelled job's record is evicted from memory once none of its tasks can still run. Its
+     * state can be read all the same.
      */
     @Example
     void cancelledJobsLeaveTheMemory() {
--- a/src/test/java/org/shoreusher/model/CloudModel.java
+++ b/src/test/java/org/shoreusher/model/CloudModel.java
@@ -9,9 +9,9 @@
 import org.shoreusher.core.Effect.CloudOp;
 
 /**
- * A stand-in of the cloud with lists that lag and machines that never boot. It has one type of
- * machine; where there are more than two zones also a large one, cheaper by the CPU, few in number,
- * and alone in the last zone.
+ * A simulated cloud with inventories that lag and machines that never boot. It has one machine
+ * type. With more than two zones it also has a large type, which is cheaper per CPU, has little
+ * capacity, and is the only type in the last zone.
  */
 final class CloudModel {
     static final String TYPE = "box";
@@ -19,10 +19,10 @@
     static final String LARGE = "large";
     static final double LARGE_CPUS = 32;
 
-    /** Machines in a page of a list. */
+    /** Machines in a page of an inventory. */
     private static final int PAGE = 500;
 
-    /** ms between the moments that lists describe. */
+    /** Interval between two inventories, in ms. */
     private static final long LIST_EVERY_MS = 500;
 
     private final World world;
@@ -35,7 +35,7 @@
     private int named;
     private int mostMachines;
 
-    /** Whether machines are up within two seconds. */
+    /** Whether machines boot within two seconds. */
     boolean quickBoots;
 
     CloudModel(World world, int capacity) {
@@ -56,12 +56,12 @@
         return new ArrayList<>(machines.values());
     }
 
-    /** The most machines that were rented at one time. */
+    /** The highest number of machines that were provisioned at one time. */
     int mostMachines() {
         return mostMachines;
     }
 
-    /** The machine of that name; null if it is gone. */
+    /** The machine of that name; null if it does not exist. */
     WorkerModel machine(String id) {
         return machines.get(id);
     }
@@ -97,7 +97,9 @@
         return (long) (world.settings.listLagS() * 1000);
     }
 
-    /** A page of a list that may be older than that of the page before. */
+    /**
+     * A page of an inventory, which may be older than the one that the page before was taken from.
+     */
     private Map<String, Object> page(String after) {
         long lag = (long) (listLagMs() * 2 * world.random.nextDouble());
         List<Object> list = lists.floorEntry(Math.max(0, world.now - lag)).getValue();
--- a/src/test/java/org/shoreusher/model/ClusterModelTest.java
+++ b/src/test/java/org/shoreusher/model/ClusterModelTest.java
@@ -15,16 +15,19 @@
 import org.shoreusher.model.World.Trouble;
 
 /**
- * Drives whole clusters through generated troubles and checks every rule of the protocol. The last
- * tests take one guard away each, and expect the checks to notice.
+ * Runs whole clusters through random faults and checks every invariant of the protocol. The last
+ * tests inject one defect each, and expect the checks to detect it.
  */
 class ClusterModelTest {
     private static final long END_MS = 400_000;
 
-    /** The last trouble has come and gone, rolling restarts and late copies included. */
+    /** The last fault has ended by then, rolling restarts and late duplicates included. */
     private static final long QUIET_MS = 215_000;
 
-    /** Troubles in a world of that shape, in which half of the jobs come together at the start. */
+    /**
+     * Random faults with five nodes and few writes; half of the jobs are submitted together at the
+     * start.
+     */
     private static World spreadWorld(long seed) {
         World w = new World(seed, ModelSettings.spread(seed), 1 + (int) (seed % 3), Sabotage.NONE);
         w.users.impatient = 3;
@@ -60,8 +63,8 @@
     }
 
     /**
-     * Forty jobs that come within half a second, at twenty changes a second, are all accepted
-     * within a second.
+     * Forty jobs that are submitted within half a second are all accepted within a second, although
+     * the store takes only twenty changes per second.
      */
     @Example
     void jobsThatComeTogetherAreAcceptedTogether() {
@@ -88,7 +91,10 @@
         return w;
     }
 
-    /** Troubles of every kind, at random times between 10 and 140 s, so that the end is quiet. */
+    /**
+     * Faults of every kind, at random times between 10 and 140 s, so that the end of the run is
+     * free of faults.
+     */
     private static List<Trouble> troubles(long seed) {
         return Troubles.troubles(seed, 3);
     }
@@ -149,8 +155,8 @@
     }
 
     /**
-     * A job far larger than its team's limit, and of low priority, begins within four minutes
-     * although urgent work keeps coming for several times as much as the limit.
+     * A job far larger than its team's quota, and of low priority, starts within four minutes
+     * although urgent jobs of several times the quota keep coming.
      */
     @Example
     void theLargestJobBeginsAlthoughUrgentWorkKeepsComing() {
--- a/src/test/java/org/shoreusher/model/FleetTest.java
+++ b/src/test/java/org/shoreusher/model/FleetTest.java
@@ -12,13 +12,13 @@
 import org.shoreusher.core.Effect.CloudOp;
 import org.shoreusher.settings.SettingsBuilder;
 
-/** What an owner rents, keeps and returns. */
+/** Which machines a leader provisions, keeps and terminates. */
 class FleetTest {
     private final SingleNode node = new SingleNode();
 
     /**
-     * An idle machine whose return was refused works again; one whose return may yet be carried out
-     * does not.
+     * An idle machine whose termination was refused takes work again; one whose termination may
+     * still be executed does not.
      */
     @Example
     void aMachineWhoseReturnWasRefusedTakesWork() {
@@ -50,9 +50,9 @@
     }
 
     /**
-     * Rentals go out side by side; one without an answer may have been carried out, so it is
-     * repeated under its own name, one at a time while they fail, and no name is asked for again
-     * once it is answered.
+     * Provision requests are sent in parallel. A request without a response may have been executed,
+     * so it is repeated under its own name, one at a time while they fail. No name is requested
+     * again once it was answered.
      */
     @Example
     void rentalsKeepTheirNamesUntilAnswered() {
@@ -80,7 +80,7 @@
                 };
         node.left();
         node.steps(20);
-        // A twelfth of its tasks at once, so two machines, in two zones.
+        // A twelfth of its tasks at once needs two machines, in two zones.
         node.openJob("wk-1", 24, 8);
         node.steps(200);
         assertEquals(
@@ -92,9 +92,9 @@
     }
 
     /**
-     * The type that is cheapest for a task is rented first, and when the cloud has none of it the
-     * next one: with the cheapest alone, work waited beside hundreds of small machines that nobody
-     * rented.
+     * The machine type that is cheapest for a task is provisioned first, and the next one when the
+     * cloud has no capacity of it. With the cheapest type alone, work once waited although hundreds
+     * of small machines were available.
      */
     @Example
     void whenTheCheapestTypeIsGoneTheNextIsRented() {
@@ -125,8 +125,8 @@
     }
 
     /**
-     * A machine that was used came up once: a taker that can't hear it does not take it for dead in
-     * its boot, and keeps it for a while.
+     * A machine that has run tasks has booted before: a successor that gets no heartbeat from it
+     * does not take it for one that failed to boot, and keeps it for a while.
      */
     @Example
     void aTakerKeepsUsedMachinesThatAreSilent() {
@@ -156,9 +156,9 @@
     }
 
     /**
-     * A list of 4,200 machines has more pages than the cloud takes calls in a burst; it is read
-     * whole all the same. Begun anew at each page without a token it never was, and machines that
-     * were gone counted for ever.
+     * An inventory of 4,200 machines has more pages than the cloud accepts calls in a burst; it is
+     * read completely all the same. It never was when reading restarted at each page without a
+     * token, and machines that had disappeared counted forever.
      */
     @Example
     void aListLongerThanABurstOfCallsIsReadWhole() {
@@ -188,7 +188,7 @@
         return owner.log.stream().anyMatch(line -> line.startsWith("gone: " + machine));
     }
 
-    /** A page of 500 machines out of so many. */
+    /** A page of 500 machines of an inventory of this size. */
     private static Command.CloudReply page(String after, int machines) {
         int first = after == null ? 1 : 1 + Integer.parseInt(after.substring("host-".length()));
         int last = Math.min(machines, first + 499);
--- a/src/test/java/org/shoreusher/model/FormerFormatsTest.java
+++ b/src/test/java/org/shoreusher/model/FormerFormatsTest.java
@@ -22,9 +22,9 @@
 import org.shoreusher.wire.UserFormat;
 
 /**
- * What the version before services left in the store (values that it wrote itself, in the
- * resource), read and carried on by this one under any limits; and what this one writes, held
- * against what that version can read.
+ * Reads and continues what the version before services left in the store, under any limits. The
+ * resource contains values that that version wrote itself. Also checks that that version can read
+ * what this one writes.
  */
 class FormerFormatsTest {
     private static final String HINT =
@@ -54,8 +54,8 @@
     }
 
     /**
-     * Whatever the limits: nothing that was finished, started, accepted, ended or recorded is lost,
-     * and nothing is written above them.
+     * Whatever the limits, no completion, start, submission, terminal state or machine is lost, and
+     * no value above the limits is written.
      */
     @Example
     void whatTheFormerVersionLeftIsCarriedOn() {
@@ -94,7 +94,8 @@
                 assertEquals("done", node.ask("wk-000009"), limits);
                 assertEquals(404, node.ask("wk-000010"), limits);
                 assertNotNull(node.report("host-000205", 1, 5), "a machine of its records");
-                // Now its record changes, which takes the group apart where it is too long.
+                // Now the machine's record changes, which splits its group where that is too
+                // long.
                 assertEquals(List.of(), node.report("host-000265", 1, 6));
                 for (int step = 0; step < 300; step++) {
                     node.steps(1);
@@ -126,8 +127,8 @@
     }
 
     /**
-     * Each value that this version writes has what the version before needs to read it, also for a
-     * service.
+     * Each value that this version writes has the fields that the previous version needs, also for
+     * a service.
      */
     @Example
     void theFormerVersionReadsWhatThisOneWrites() {
@@ -216,7 +217,7 @@
         }
     }
 
-    /** A cluster of two, of which the other member is not played. */
+    /** A cluster of two nodes, of which the other one is not simulated. */
     private static SingleNode nodeOfTwo() {
         Settings s = limits(2_048, 6);
         Settings of =
@@ -250,8 +251,8 @@
     }
 
     /**
-     * A node can't take a service as long as one of the others may be of the version before,
-     * whatever hints say.
+     * A node rejects services as long as another node may run the previous version, whatever gossip
+     * says.
      */
     @Example
     void noServiceBeforeEveryNodeIsKnownToUnderstandIt() {
@@ -272,9 +273,9 @@
     }
 
     /**
-     * A member that goes back to the version before shows when it takes the part: new services are
-     * refused until it is new again, those that are known are answered, and its new process enables
-     * them by its note.
+     * A member that is downgraded shows when it acquires the shard. New services are refused until
+     * it is upgraded again, known services are still answered, and its new incarnation enables
+     * services by its version record.
      */
     @Example
     void aMemberThatGoesBackStopsNewServices() {
@@ -297,7 +298,10 @@
         assertEquals(2, upgradeLines(node, "all members"));
     }
 
-    /** Each process notes itself, so that a former one of its host does not count for it. */
+    /**
+     * Each incarnation writes a version record, so that one of an earlier incarnation on the same
+     * host does not count.
+     */
     @Example
     void everyProcessNotesItself() {
         SingleNode node = nodeOfTwo();
@@ -305,7 +309,10 @@
                 Map.of("formats", 2L, "process", "node-0/1"), node.state().value("node/node-0"));
     }
 
-    /** An old owner notes a replica that ends with done as finished; it runs again all the same. */
+    /**
+     * A leader of the previous version marks a replica that exits successfully as finished; it runs
+     * again all the same.
+     */
     @Example
     void aReplicaThatAFormerOwnerCalledFinishedRunsAgain() {
         SingleNode node = new SingleNode(limits(8_192, 12));
@@ -348,7 +355,7 @@
         throw new AssertionError("it never ran again\n" + String.join("\n", node.log));
     }
 
-    /** A service that may use any machine. */
+    /** A service without placement constraints. */
     private static JobSpec anywhere(String id) {
         return new JobSpecBuilder(id)
                 .jobClass("gate")
@@ -359,7 +366,7 @@
                 .build();
     }
 
-    /** The form of hints is the same in both versions. */
+    /** The encoding of gossip is the same in both versions. */
     @Example
     void hintsOfTheFormerVersionAreRead() {
         Hint hint = new HintCodec().read(HexFormat.of().parseHex(HINT));
--- a/src/test/java/org/shoreusher/model/FormerJobs.java
+++ b/src/test/java/org/shoreusher/model/FormerJobs.java
@@ -12,7 +12,10 @@
 import org.shoreusher.wire.FieldMap;
 import org.shoreusher.wire.UserFormat;
 
-/** What a node of the version before services writes of jobs: it accepts, ends and cancels them. */
+/**
+ * The job records that a node of the version before services writes: it accepts, completes and
+ * cancels jobs.
+ */
 final class FormerJobs {
     private final World world;
     private final int valueBytes;
@@ -27,7 +30,7 @@
         store = new FormerStore(world.state);
     }
 
-    /** One job gets a record of its own, several that come together share one. */
+    /** One job gets a record of its own; several jobs of one batch share a record. */
     void accept(int count) {
         Map<String, Long> guards = new LinkedHashMap<>();
         Map<String, Object> records = new LinkedHashMap<>();
@@ -44,7 +47,7 @@
             guards.put("job/" + spec.id(), 0L);
             records.put(spec.id(), record);
             wishes.add(new UserModel.Wish(spec, false, 2_000));
-            // The answer may be lost: then the job exists, and its user does not know.
+            // The response may be lost: then the job exists, and its user does not know.
             world.users.wishes.put(spec.id(), wishes.get(i));
         }
         node.send(
@@ -70,7 +73,7 @@
                 : Map.of("jobs", records);
     }
 
-    /** Some have descriptions that are longer than a value may be later. */
+    /** Some jobs have descriptions that are longer than a value may be after the limits drop. */
     private JobSpec job(String id, boolean alone) {
         int types = alone && world.random.nextInt(3) == 0 ? 400 : 1;
         return new JobSpecBuilder(id)
@@ -82,7 +85,7 @@
                 .build();
     }
 
-    /** Jobs whose tasks are all noted as finished get their final state. */
+    /** Jobs with all tasks completed get their terminal state. */
     void finish(long fence) {
         Map<String, BitSet> finished = store.finished();
         store.jobs()
@@ -96,7 +99,7 @@
                         });
     }
 
-    /** A user calls off a job that this node accepted. */
+    /** A user cancels a job that this node accepted. */
     void cancel(String id) {
         UserModel.Wish wish = id == null ? null : world.users.wishes.get(id);
         if (wish == null || !wish.accepted || wish.cancels || world.random.nextBoolean()) {
--- a/src/test/java/org/shoreusher/model/FormerOwner.java
+++ b/src/test/java/org/shoreusher/model/FormerOwner.java
@@ -11,10 +11,11 @@
 import org.shoreusher.model.FormerStore.KnownJob;
 
 /**
- * The traffic of one node of the version before services with the state service: it takes the part,
- * renews it, notes finished and begun tasks and machines, accepts, cancels and finishes jobs, and
- * may stop between any two writes. Its records are placed, filled and keyed by that version's
- * rules, written here anew from its formats. It answers no worker and no user.
+ * The store traffic of one node of the version before services. It acquires the shard, renews the
+ * lease, records completed and started tasks and machines, accepts, cancels and completes jobs, and
+ * may stop between any two writes. The layout, fill level and keys of its records follow that
+ * version's rules and are implemented here independently, from its formats. It answers no worker
+ * and no user.
  */
 final class FormerOwner {
     private static final double FILL = 0.75;
@@ -38,7 +39,7 @@
     private final Map<String, Integer> doneChunk = new HashMap<>();
     private final Map<String, Integer> markChunk = new HashMap<>();
 
-    /** Takeovers whose answer arrived. */
+    /** Failovers to this node whose response arrived. */
     int takeovers;
 
     FormerOwner(World world, String host, int valueBytes, int txnOps) {
@@ -50,7 +51,7 @@
         jobs = new FormerJobs(world, valueBytes, this);
     }
 
-    /** Tries to take the part for a while, and acts as its owner as long as it is. */
+    /** Tries to acquire the shard for a while, and acts as its leader as long as it is. */
     void reign(long forMs) {
         reignEnds = world.now + forMs;
         fence = 0;
@@ -83,7 +84,7 @@
         }
     }
 
-    /** Sends a transaction over the network; an end of the reign does not stop it. */
+    /** Sends a transaction over the network; the end of the leadership does not stop it. */
     void send(Map<String, Long> guards, Map<String, Map<String, Object>> writes, IntConsumer then) {
         StateOp.Multi op = new StateOp.Multi(guards, writes);
         boolean[] answered = {false};
@@ -102,7 +103,7 @@
                                 }));
     }
 
-    /** The name of the process that acts. */
+    /** The incarnation that acts. */
     String owner() {
         return owner;
     }
@@ -215,7 +216,9 @@
         return open.isEmpty() ? null : open.get(world.random.nextInt(open.size()));
     }
 
-    /** A heartbeat with the finished tasks; some more have finished since the last. */
+    /**
+     * Renews the lease with the completed tasks; some more have completed since the last renewal.
+     */
     private void renew() {
         String job = anyOpen();
         Map<String, KnownJob> jobs = store.jobs();
@@ -241,7 +244,10 @@
         send(guards, writes, status -> {});
     }
 
-    /** A job stays in the record it is in; a new one goes to the first with room for its worst. */
+    /**
+     * A job stays in its record; a new one goes to the first record with space for its longest
+     * text.
+     */
     private List<Map<String, Object>> finishedChunks(Map<String, KnownJob> jobs) {
         int limit = (int) (valueBytes * FILL);
         done.keySet().removeIf(id -> !jobs.containsKey(id) || !jobs.get(id).open());
@@ -290,7 +296,10 @@
         return String.join(",", ranges);
     }
 
-    /** A mark goes to the record the job is in, else to the first with room; ended jobs leave. */
+    /**
+     * A mark goes to the record that the job is in, else to the first with space; ended jobs are
+     * removed.
+     */
     private void mark() {
         String job = anyOpen();
         if (job == null) {
@@ -324,7 +333,10 @@
         return marks.keySet().stream().mapToInt(id -> id.length() + MARK_FRAME).sum();
     }
 
-    /** Machines that are up go into groups of a hundred, as used; whatever narrow ones say. */
+    /**
+     * Running machines are recorded in groups of a hundred, as used, whatever smaller groups
+     * contain.
+     */
     private void recordMachines() {
         Map<String, Map<String, Object>> groups = new LinkedHashMap<>();
         for (WorkerModel m : world.cloud.machines()) {
--- a/src/test/java/org/shoreusher/model/FormerStore.java
+++ b/src/test/java/org/shoreusher/model/FormerStore.java
@@ -9,9 +9,9 @@
 import java.util.TreeSet;
 
 /**
- * Reads the state service as the version before services does. Written from the formats of that
- * version alone: it skips keys and fields that the version does not know, and uses nothing of
- * today's code.
+ * Reads the store as the version before services does. It is written from the formats of that
+ * version alone: it skips keys and fields that the version does not know, and uses no code of the
+ * current version.
  */
 final class FormerStore {
     private final StateModel state;
@@ -34,7 +34,10 @@
         return (Map<?, ?>) value.get(field);
     }
 
-    /** Finished tasks by job: the part's own record and the others without a gap. */
+    /**
+     * Completed tasks by job: those of the shard's own record and of the overflow records up to the
+     * first gap.
+     */
     Map<String, BitSet> finished() {
         Map<String, BitSet> all = new HashMap<>();
         for (int c = 0; c == 0 || state.value("part/0/done/" + c) != null; c++) {
@@ -48,7 +51,10 @@
         return all;
     }
 
-    /** From which number on no task was ever started, by job: the larger of two marks. */
+    /**
+     * High-water marks by job: no task from this number on was ever started. The larger of two
+     * marks counts.
+     */
     Map<String, Integer> marks() {
         Map<String, Integer> marks = new HashMap<>();
         for (int c = 0; state.value("part/0/begun/" + c) != null; c++) {
@@ -62,9 +68,8 @@
     }
 
     /**
-     * Machines in any group, and whether each of its records says that it may have been given
-     * tasks. Which of two records that version goes by depends on the order in which it hears of
-     * them.
+     * Machines in any group, and whether all of its records say that it may have run tasks. Which
+     * of two records that version uses depends on the order in which it sees them.
      */
     Map<String, Boolean> machines() {
         Map<String, Boolean> machines = new HashMap<>();
@@ -82,7 +87,10 @@
         return machines;
     }
 
-    /** Machines of which one record says that they may have been given tasks, and another not. */
+    /**
+     * Machines of which one record says that they may have run tasks, and another says that they
+     * have not.
+     */
     Set<String> contradictedMachines() {
         Map<String, Boolean> all = machines();
         Set<String> contradicted = new TreeSet<>();
@@ -113,7 +121,7 @@
         }
     }
 
-    /** All jobs: those of shared records, unless they have one of their own. */
+    /** All jobs: a job's own record takes precedence over a batch record. */
     Map<String, KnownJob> jobs() {
         Map<String, KnownJob> jobs = new TreeMap<>();
         state.all("arrived/")
@@ -134,7 +142,7 @@
         int tasks = ((Number) record.get("tasks")).intValue();
         KnownJob job = new KnownJob((String) record.get("status"), tasks);
         if (job.open()) {
-            // Any other shape would end a process of that version.
+            // Any other workload type would crash a process of that version.
             Object shape = ((Map<?, ?>) record.get("spec")).get("shape");
             if (!"sweep".equals(shape)) {
                 throw new AssertionError("shape " + shape + " in " + record);
--- a/src/test/java/org/shoreusher/model/FormerVersionTest.java
+++ b/src/test/java/org/shoreusher/model/FormerVersionTest.java
@@ -15,20 +15,24 @@
 import org.shoreusher.model.World.Sabotage;
 
 /**
- * A node of this version and one of the version before services take the part from each other, end
- * in the middle of it, and go on with what the other has written; the limits drop at any moment.
+ * A node of this version and one of the version before services acquire the shard from each other,
+ * crash while they do so, and continue from each other's records. The store's limits drop at any
+ * time.
  */
 class FormerVersionTest {
     private static final long UPGRADE_MS = 160_000;
     private static final int FEWEST_WRITES = 5;
 
-    /** Two of today's nodes are back sooner than one, and leave it fewer turns. */
+    /**
+     * Two nodes of the current version recover sooner than one, so the previous version leads less
+     * often.
+     */
     private static final int FEWEST_BESIDE_TWO = 2;
 
     private static final long QUIET_MS = 220_000;
     private static final long END_MS = 400_000;
 
-    /** What the former version reads must not be lost by a write of this one. */
+    /** A write of this version must not lose anything that the previous version reads. */
     private static final class Durable {
         private final World world;
         private final FormerStore store;
@@ -36,7 +40,7 @@
         private final Map<String, Integer> marks = new HashMap<>();
         private final Map<String, Boolean> machines = new HashMap<>();
 
-        /** Transactions of the former version that changed something. */
+        /** Transactions of the previous version that changed something. */
         private int formerWrites;
 
         Durable(World world) {
@@ -44,7 +48,7 @@
             store = new FormerStore(world.state);
         }
 
-        /** What the former version itself has written is as it is. */
+        /** Records what the previous version has written as the state to keep. */
         void take() {
             if (world.state.value("part/0") == null) {
                 return;
@@ -107,8 +111,8 @@
     }
 
     /**
-     * The same with two of today's nodes that keep a warm standby: the former version knows nothing
-     * of it, and drops its field whenever it writes the record.
+     * The same with two nodes of the current version that keep a warm standby. The previous version
+     * does not know the standby's field, and drops it whenever it writes the shard's record.
      */
     @Property(tries = 40, seed = "78", shrinking = ShrinkingMode.OFF)
     void takesThePartFromOwnersThatKeepAStandby(
@@ -142,11 +146,12 @@
         }
         World.Process today = w.processes.get(0);
         for (int i = 0; i < 4; i++) {
-            // Until the other one's lease is over, today's node is away; or both try at once.
+            // The node of the current version is down until the other one's lease has expired, or
+            // both try at once.
             long at = 10_000 + i * 35_000L + w.random.nextInt(10_000);
             w.at(at, () -> today.kill(1_000 + w.random.nextInt(14_000)));
             if (standby) {
-                // The standby as well, so that the former version gets its turn.
+                // The standby is down as well, so that the previous version gets its turn.
                 w.at(at, () -> w.processes.get(2).kill(1_000 + w.random.nextInt(14_000)));
             }
             w.at(at + w.random.nextInt(500), () -> former.reign(8_000 + w.random.nextInt(9_000)));
@@ -156,7 +161,7 @@
         }
         w.at(30_000 + w.random.nextInt(110_000), w.state::lowerLimits);
         if (standby) {
-            // Once more, while the named standby is there and takes over.
+            // Once more, so that the named standby takes over.
             w.at(UPGRADE_MS - 10_000, () -> Troubles.owners(w).forEach(p -> p.kill(20_000)));
         }
         w.at(UPGRADE_MS, () -> w.processes.get(1).upgrade(500));
--- a/src/test/java/org/shoreusher/model/KillPoint.java
+++ b/src/test/java/org/shoreusher/model/KillPoint.java
@@ -9,21 +9,21 @@
 import org.shoreusher.standby.LogFrame;
 import org.shoreusher.standby.LogRecord;
 
-/** Where an owner is killed, by the step that it is about to take or has just taken. */
+/** The effect before or after which a leader crashes. */
 enum KillPoint {
     /** A start is decided, and its frame is not yet sent. */
     BEFORE_FRAME(KillPoint::tellsStart, false),
     /** The frame is sent, and nothing after it. */
     AFTER_FRAME(KillPoint::tellsStart, true),
-    /** The standby has acknowledged, and the answer is not yet sent. */
+    /** The standby has acknowledged, and the response to the worker is not yet sent. */
     BEFORE_ANSWER(KillPoint::isStart, false),
-    /** The answer is sent, and nothing after it. */
+    /** The response to the worker is sent, and nothing after it. */
     AFTER_ANSWER(KillPoint::isStart, true),
     /** The write that names the standby is not yet sent. */
     BEFORE_NAMING(KillPoint::names, false),
     /** The write that names the standby is sent. */
     AFTER_NAMING(KillPoint::names, true),
-    /** A renewal of the lease is sent. */
+    /** A lease renewal is sent. */
     AFTER_RENEWAL(effect -> partRecord(effect) != null, true);
 
     private final Predicate<Effect> step;
@@ -34,7 +34,7 @@
         this.after = after;
     }
 
-    /** The effect before which the owner is to be killed. */
+    /** Matches the effect before which the leader crashes. */
     Predicate<Effect> predicate() {
         boolean[] seen = {false};
         return effect -> {
@@ -56,7 +56,7 @@
                 && orders.orders().stream().anyMatch(o -> o.kind() == WorkerOrder.Kind.START);
     }
 
-    /** The part's record that a call of the state service writes; null if it writes none. */
+    /** The shard's record that a store call writes; null if it writes none. */
     static Map<String, Object> partRecord(Effect effect) {
         return effect instanceof Effect.StateCall call && call.op() instanceof StateOp.Multi multi
                 ? multi.writes().get("part/0")
--- a/src/test/java/org/shoreusher/model/LargerRecordsTest.java
+++ b/src/test/java/org/shoreusher/model/LargerRecordsTest.java
@@ -13,7 +13,7 @@
 import org.shoreusher.wire.FieldMap;
 import org.shoreusher.wire.UserFormat;
 
-/** Jobs that were accepted when values could be longer than they may be now. */
+/** Jobs that were accepted when the store allowed longer values than it does now. */
 class LargerRecordsTest {
     private static final int VALUE_BYTES = 2_048;
     private static final String ID = "wk-000030";
@@ -47,7 +47,9 @@
         node.state().put("job/" + ID, record);
     }
 
-    /** 400 would tell its user that the job does not exist, and break the rule "forgotten". */
+    /**
+     * A 400 would tell the user that the job does not exist, and violate the invariant "forgotten".
+     */
     @Example
     void aRepeatedSubmissionIsAnsweredWithTheStateAlsoByANodeThatLags() {
         node.left();
@@ -67,7 +69,7 @@
         assertEquals(200, node.submit(longJob()));
     }
 
-    /** Written in full, the cancelled job's record would be refused each time. */
+    /** The complete record of the cancelled job would be rejected each time. */
     @Example
     void aLongJobIsCancelled() throws FieldMap.Missing {
         node.left();
--- a/src/test/java/org/shoreusher/model/LargestFleetTest.java
+++ b/src/test/java/org/shoreusher/model/LargestFleetTest.java
@@ -17,8 +17,8 @@
     private static final long TAKEOVER_MS = 60_000;
 
     /**
-     * A zone is cut off from everything, and while it is the owner ends. Half of the machines are
-     * silent during the rebuild; no rule is broken, and everything is finished in the end.
+     * A zone is isolated from everything, and meanwhile the leader crashes. Half of the machines
+     * are unresponsive during reconciliation. No invariant is violated, and every job ends.
      */
     @Example
     void aTakeoverWhileAZoneIsCutOff() {
--- a/src/test/java/org/shoreusher/model/MeetingsTest.java
+++ b/src/test/java/org/shoreusher/model/MeetingsTest.java
@@ -17,7 +17,7 @@
 import org.shoreusher.model.World.Sabotage;
 import org.shoreusher.model.World.Trouble;
 
-/** Troubles that meet: two or three of them within a few seconds, several times in a day. */
+/** Compound failures: two or three faults within a few seconds, several times in a run. */
 class MeetingsTest {
     private static final long QUIET_MS = 200_000;
     private static final long END_MS = 440_000;
@@ -49,7 +49,7 @@
         }
     }
 
-    /** One trouble, of a few seconds up to well over the workers' lease of 8 s. */
+    /** One fault, of a few seconds up to well over the workers' lease of 8 s. */
     private static Consumer<World> trouble(int kind, long length, int node) {
         String host = "node-" + node;
         return switch (kind) {
@@ -74,7 +74,7 @@
             case 11 -> w -> w.network.cutZone("b", host, length);
             case 12 ->
                     w -> {
-                        // Leaders change ten times.
+                        // Ten failovers.
                         for (int i = 0; i < 10; i++) {
                             w.in(i * 8_000L, () -> endOwners(w));
                         }
@@ -119,7 +119,7 @@
         for (int i = 0; i < 36; i++) {
             w.users.submit(i, 1_000 + w.random.nextInt(130_000));
         }
-        // Two lots that come together, so that submissions share writes.
+        // Two groups of simultaneous submissions, so that they share writes.
         for (int i = 36; i < 66; i++) {
             w.users.submit(i, (i < 51 ? 20_000 : 70_000) + w.random.nextInt(20));
         }
@@ -154,8 +154,8 @@
     }
 
     /**
-     * Submissions that can't run, of an unknown team, above a limit or lacking a field are refused
-     * for good, and nothing else is.
+     * Submissions that cannot run, of an unknown team, above a quota or lacking a field are
+     * rejected permanently, and no others are.
      */
     @Example
     void badSubmissionsAreRefusedForGood() {
@@ -166,7 +166,10 @@
                 () -> "refused " + w.users.badRefused + " of " + w.users.badAsked);
     }
 
-    /** Jobs of one task come four a second, a quarter of them cancelled, while the owner ends. */
+    /**
+     * Four jobs of one task are submitted per second and a quarter of them is cancelled, while the
+     * leader crashes.
+     */
     @Example
     void manySmallJobsOfWhichAQuarterIsCancelled() {
         World w = new World(7, ModelSettings.usual(), 1, Sabotage.NONE);
--- a/src/test/java/org/shoreusher/model/ModelSettings.java
+++ b/src/test/java/org/shoreusher/model/ModelSettings.java
@@ -5,11 +5,11 @@
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.SettingsBuilder;
 
-/** Settings of generated worlds. */
+/** Settings of simulations. */
 final class ModelSettings {
     private ModelSettings() {}
 
-    /** Three nodes in two zones, two teams, and limits that allow a busy day. */
+    /** Three nodes in two zones, two teams, and limits that allow a busy cluster. */
     static Settings usual() {
         Map<String, Settings.Team> teams =
                 Map.of(
@@ -43,14 +43,14 @@
                 80);
     }
 
-    /** The same under other limits of the state service. */
+    /** The same under other limits of the store. */
     static Settings limits(double writeRps, int valueBytes, int txnOps) {
         return new SettingsBuilder(usual()).limits(writeRps, valueBytes, txnOps).build();
     }
 
     /**
-     * Five nodes in four zones, a state service of few requests and changes with the shortest
-     * transactions allowed or twice those, a team without bounds, and machines of two sizes.
+     * Five nodes in four zones, a store that allows few requests and changes, with the shortest
+     * transactions allowed or twice those, a team without quota, and machines of two sizes.
      */
     static Settings spread(long seed) {
         double none = Double.POSITIVE_INFINITY;
@@ -66,7 +66,7 @@
                 .build();
     }
 
-    /** Teams with room for more than the machines that a few jobs need. */
+    /** Teams with a quota for more than the machines that a few jobs need. */
     static Settings roomy() {
         return new SettingsBuilder(usual())
                 .teams(
@@ -75,7 +75,7 @@
                 .build();
     }
 
-    /** Two large teams, and workers that report every 5 s. */
+    /** Two large teams, and workers with a heartbeat every 5 s. */
     static Settings large() {
         return new SettingsBuilder(usual())
                 .teams(
--- a/src/test/java/org/shoreusher/model/MoveStepsTest.java
+++ b/src/test/java/org/shoreusher/model/MoveStepsTest.java
@@ -17,9 +17,9 @@
 import org.shoreusher.settings.Features;
 import org.shoreusher.settings.SettingsBuilder;
 
-/** The steps of one move, message by message. */
+/** The steps of one migration, message by message. */
 class MoveStepsTest {
-    /** One move at a time. */
+    /** One migration at a time. */
     private static final Features FEATURES =
             new Features(
                     new BalanceSettings(
@@ -52,9 +52,9 @@
     }
 
     /**
-     * Four machines, the first of which has all tasks of the only job.
+     * Starts four machines, the first of which runs all tasks of the only job.
      *
-     * @param silent machines of the owner before, which never report
+     * @param silent machines that the previous leader used and that never send a heartbeat
      */
     private void crowd(String... silent) {
         node.left(silent);
@@ -72,8 +72,8 @@
     }
 
     /**
-     * The other machines come late: one that is idle for 20 s is returned, and a task is moved only
-     * when it has run for longer.
+     * The other machines come late: one that is idle for 20 s is terminated, and a task is migrated
+     * only when it has run for longer.
      */
     private void addIdleMachines() {
         for (int i = 0; i < 28; i++) {
@@ -84,7 +84,9 @@
         }
     }
 
-    /** Reports until a task of the first machine is told to stop; returns it, or null. */
+    /**
+     * Sends heartbeats until a task of the first machine gets a stop order; returns it, or null.
+     */
     private String awaitStop(int reports) {
         for (int i = 0; i < reports; i++) {
             reportAll();
@@ -118,7 +120,10 @@
         assertEquals(List.of(), startedElsewhere(), "once only");
     }
 
-    /** A copy of an older report no longer shows the task, as it was made before its start. */
+    /**
+     * A duplicate of an older heartbeat does not contain the task, as it was made before the task's
+     * start.
+     */
     @Example
     void anOldReportOfTheSourceStartsNothing() {
         crowd();
@@ -142,7 +147,7 @@
         assertTrue(node.log.contains("move: " + task + " had completed before it was stopped"));
     }
 
-    /** Room at the target is kept: work that comes meanwhile does not take it. */
+    /** Capacity on the target stays reserved: jobs that are submitted meanwhile do not use it. */
     @Example
     void theRoomAtTheTargetIsKept() {
         crowd();
@@ -166,8 +171,8 @@
     }
 
     /**
-     * A machine shows the task under an attempt of long ago. That it ends there says nothing of the
-     * attempt that is being moved: it is still on its source.
+     * A machine reports the task under an attempt of long ago. The end of that attempt says nothing
+     * about the attempt that is being migrated, which is still on its source.
      */
     @Example
     void theEndOfAnotherAttemptStartsNothing() {
@@ -190,7 +195,9 @@
         }
     }
 
-    /** Work of a hot team is spread when it is placed, as far as others have room. */
+    /**
+     * Tasks of a high-demand team are spread on placement, as far as other machines have capacity.
+     */
     @Example
     void aHotTeamsWorkIsSpreadWhenItIsPlaced() {
         node.left();
@@ -207,7 +214,8 @@
         }
         // A quarter of all CPUs and the margin of a tenth are 2.8 of 8.
         assertEquals(List.of(2, 2, 2, 2), workers.stream().map(ScriptedWorker::shown).toList());
-        // The load doubles, and again: the share goes up with it, and nothing waits.
+        // The load doubles, and doubles again: the allowed share rises with it, and nothing
+        // waits.
         node.openJob(new JobSpecBuilder("wk-000002").tasks(8).cpus(1).build());
         for (int i = 0; i < 4; i++) {
             reportAll();
@@ -220,7 +228,7 @@
         assertEquals(List.of(8, 8, 8, 8), workers.stream().map(ScriptedWorker::shown).toList());
     }
 
-    /** Tasks that nobody knows are stopped as ever, and are in no plan. */
+    /** Unknown tasks are stopped as usual, and are not part of any plan. */
     @Example
     void unknownTasksChangeNoPlan() {
         crowd();
@@ -234,7 +242,10 @@
         assertTrue(node.log.stream().noneMatch(l -> l.contains("move: wk-999999")));
     }
 
-    /** What an owner before has begun is not moved: how often it was moved is not known. */
+    /**
+     * Tasks that a previous leader started are not migrated, since the number of their migrations
+     * is unknown.
+     */
     @Example
     void jobsOfAnOwnerBeforeAreNotMoved() {
         node.left("host-1");
@@ -251,8 +262,8 @@
     }
 
     /**
-     * While a machine that may hold tasks is silent, nothing is moved; workers' leases are longer
-     * here than a start must be old to be moved.
+     * Nothing is migrated while a machine that may run tasks is unresponsive. Workers' leases are
+     * longer here than the age at which a task may be migrated.
      */
     @Example
     void nothingIsMovedDuringARebuild() {
--- a/src/test/java/org/shoreusher/model/MovesTest.java
+++ b/src/test/java/org/shoreusher/model/MovesTest.java
@@ -21,21 +21,21 @@
 import org.shoreusher.settings.Features;
 
 /**
- * Generated worlds in which a team crowds onto the first machines that come up, and its tasks are
- * moved while something goes wrong. Each trouble hits the moves that have just begun.
+ * Simulations in which a team fills the first machines that boot, and its tasks are migrated while
+ * faults occur. Each fault hits the migrations that have just begun.
  */
 class MovesTest {
     private static final long QUIET_MS = 170_000;
     private static final long END_MS = 330_000;
 
-    /** Two moves of a task and any repeated work, and many moves at once. */
+    /** Two migrations per task, unlimited repeated work, and many concurrent migrations. */
     private static final Features FEATURES =
             new Features(
                     new BalanceSettings(
                             0.1, 0.02, 0.05, 20, 20, 20, 2, 1, new ClassBudget(2, 1), Map.of()),
                     null);
 
-    /** Where a move goes from and to, read from the line that says that it begins. */
+    /** The task, source and target of a migration, read from the log line of its beginning. */
     private record Begun(String task, String source, String target) {
         static Begun of(String line) {
             String[] words = line.substring(line.indexOf("move: ")).split("[ ,]+");
@@ -52,10 +52,10 @@
     }
 
     /**
-     * A world in which one team's long tasks fill the first machines, while short work of the other
-     * has more of them rented.
+     * Runs a simulation in which one team's long tasks fill the first machines, while short tasks
+     * of the other team cause more machines to be provisioned.
      *
-     * @param onMove what happens to a move just begun
+     * @param onMove what happens to a migration that has just begun
      */
     private static World world(long seed, int parts, BiConsumer<World, Begun> onMove) {
         World w = new World(seed, ModelSettings.roomy(), parts, Sabotage.NONE);
@@ -113,7 +113,10 @@
         assertEquals(List.of(), open, () -> String.join("\n", w.log));
     }
 
-    /** Several worlds with a trouble of each move; all rules hold, and moves were really hit. */
+    /**
+     * Runs several simulations with a fault for each migration. All invariants hold, and migrations
+     * were really hit.
+     */
     private static void worlds(BiConsumer<World, Begun> onMove, String expected) {
         long seen = 0;
         for (long seed = 0; seed < 6; seed++) {
@@ -123,8 +126,8 @@
                             seed,
                             1 + (int) (seed % 2),
                             (x, begun) -> {
-                                // The first of a world, and then one in three. The cloud may
-                                // have taken a machine back that the owner still counts on.
+                                // The first of a run, and then one in three. The cloud may have
+                                // reclaimed a machine that the leader still uses.
                                 boolean there = begun.source(x) != null && begun.target(x) != null;
                                 if (there && (hit[0]++ == 0 || x.random.nextInt(3) == 0)) {
                                     onMove.accept(x, begun);
@@ -218,7 +221,7 @@
                 "takeover: ");
     }
 
-    /** The owner loses its workers and hands the part over while moves are under way. */
+    /** The leader loses its workers and steps down while migrations are in progress. */
     @Example
     void thePartIsHandedOverInTheMiddle() {
         worlds(
@@ -235,7 +238,10 @@
         worlds((w, begun) -> w.state.outage(3_000 + w.random.nextInt(9_000)), "lapse: ");
     }
 
-    /** Late copies of reports are in every world; here every owner gets kept ones as well. */
+    /**
+     * Late duplicates of heartbeats are in every simulation; here every leader gets retained ones
+     * as well.
+     */
     @Example
     void oldReportsComeWhileTheOwnerChanges() {
         worlds(
@@ -246,7 +252,7 @@
                 "takeover: ");
     }
 
-    /** Only some nodes have the feature: the part goes to and fro between both kinds. */
+    /** Only some nodes have the feature: the leadership moves between both kinds. */
     @Property(tries = 6, seed = "23", shrinking = ShrinkingMode.OFF)
     void someNodesHaveTheFeatureAndOthersDoNot(
             @ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
@@ -269,7 +275,7 @@
         check(w);
     }
 
-    /** Every kind of trouble, with the feature on. */
+    /** Faults of every kind, with the feature on. */
     @Property(tries = 30, seed = "29", shrinking = ShrinkingMode.OFF)
     void keepsTheRulesThroughTroubles(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
         World w = new World(seed, ModelSettings.roomy(), 1 + (int) (seed % 2), Sabotage.NONE);
--- a/src/test/java/org/shoreusher/model/Network.java
+++ b/src/test/java/org/shoreusher/model/Network.java
@@ -3,21 +3,21 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The network of a world: it delays, repeats and holds messages. */
+/** The simulated network: it delays, duplicates and holds messages. */
 final class Network {
     private final World world;
 
-    /** Pairs of hosts that a cut separates, with its end. */
+    /** Pairs of partitioned hosts, with the end of the partition in ms. */
     private final Map<String, Long> cuts = new HashMap<>();
 
-    /** Messages of any kind that have come once more. */
+    /** Messages of any kind that were delivered twice. */
     int repeats;
 
     Network(World world) {
         this.world = world;
     }
 
-    /** Cuts two hosts off from each other: what they send is held until the end. */
+    /** Partitions two hosts from each other: their messages are held until the end. */
     void cut(String a, String b, long forMs) {
         cuts.put(pair(a, b), world.now + forMs);
     }
@@ -27,13 +27,14 @@
     }
 
     /**
-     * Delivers a message after some ms; held by a cut, it comes after it. One in 500 comes twice as
-     * late as a timeout, and one in 80 comes once more, up to 40 s later: submissions,
-     * cancellations, transactions, rentals, returns, direct commands, hints, and all their answers.
+     * Delivers a message after some ms, or after the end of a partition. One in 500 is later than a
+     * timeout, and one in 80 arrives once more, up to 40 s later. This covers submissions,
+     * cancellations, transactions, provision and termination requests, direct orders, gossip, and
+     * all their responses.
      */
     void send(String from, String to, Runnable arrive) {
         long delay = 1 + world.random.nextInt(8);
-        // More of them where late answers are to do harm.
+        // More of them where late responses are to do harm.
         if (world.random.nextInt(world.sabotage == World.Sabotage.LATE_ANSWERS_EXECUTED ? 12 : 500)
                 == 0) {
             delay += 2_000 + world.random.nextInt(4_000);
@@ -53,10 +54,7 @@
         }
     }
 
-    /**
-     * Cuts a zone off from everything: its machines and the node that is in it still reach each
-     * other.
-     */
+    /** Isolates a zone from everything else: its machines and its node still reach each other. */
     void cutZone(String zone, String nodeInIt, long forMs) {
         cut(nodeInIt, "state", forMs);
         cut(nodeInIt, "cloud", forMs);
--- a/src/test/java/org/shoreusher/model/OwnerLossTest.java
+++ b/src/test/java/org/shoreusher/model/OwnerLossTest.java
@@ -15,15 +15,18 @@
 import org.shoreusher.model.World.Trouble;
 import org.shoreusher.settings.Settings;
 
-/** Owners that end, or lose what they need, one trouble at a time. */
+/** Leaders that crash, or lose what they need, one fault at a time. */
 class OwnerLossTest {
-    /** A minute after the start each owner of a part is hit. */
+    /** A minute after the start each shard's leader is hit. */
     private static List<Trouble> ownersLose(BiConsumer<World, World.Process> what) {
         return List.of(
                 new Trouble(60_000, w -> Troubles.owners(w).forEach(p -> what.accept(w, p))));
     }
 
-    /** An outage longer than the lease: the owner keeps its workers alive, and its tasks go on. */
+    /**
+     * A store outage that is longer than the lease: the leader keeps its workers' leases alive, and
+     * its tasks keep running.
+     */
     @Example
     void keepsWorkThroughAnOutageLongerThanTheLease() {
         World w =
@@ -38,8 +41,8 @@
     }
 
     /**
-     * One node alone is refused by the state service: its part goes on elsewhere soon, not after
-     * its grace.
+     * The store refuses one node alone: another node leads its shard soon, and not only after its
+     * grace period.
      */
     @Example
     void aNodeRefusedAloneSendsItsWorkersAway() {
@@ -47,19 +50,19 @@
                 ClusterModelTest.world(
                         1, Sabotage.NONE, ownersLose((x, p) -> x.state.refuse(p.host, 40_000)));
         assertEquals(List.of(), w.rules.violations);
-        // Lease 9 s, at most a renewal just before, the taker's wait, and a round of reports from
-        // workers sent away.
+        // The lease of 9 s, at most a renewal just before, the successor's delay, and a round of
+        // heartbeats from redirected workers.
         assertTrue(rebuiltAfter(w, 60_000) < 60_000 + 16_000, () -> String.join("\n", w.log));
     }
 
     /**
-     * An owner loses the network: its workers must not hang there until their leases end, but wait
-     * with nodes that are there, so that the taker finds their tasks.
+     * A leader loses the network. Its workers must not wait for it until their leases expire, but
+     * turn to reachable nodes, so that the successor finds their tasks.
      */
     @Example
     void workersOfACutOffOwnerAreThereForTheTaker() {
         List<Long> rebuilt = new ArrayList<>();
-        // Seeds with one part; in one or the other a single message is late by seconds.
+        // Seeds with one shard; in some run a single message is late by seconds.
         for (long seed : new long[] {0, 3, 6, 9, 12}) {
             World w =
                     ClusterModelTest.world(
@@ -73,15 +76,16 @@
             assertEquals(List.of(), w.rules.violations);
             rebuilt.add(rebuiltAfter(w, 60_000));
         }
-        // Takeover after 7 s and a round of reports at once; workers that hang at the lost owner
-        // make it 12 s.
+        // A failover after 7 s and a round of heartbeats at once; workers that wait for the lost
+        // leader make it 12 s.
         Collections.sort(rebuilt);
         assertTrue(rebuilt.get(2) < 60_000 + 9_500, () -> "rebuilt at " + rebuilt);
     }
 
     /**
-     * A controller loses state service and peers, but not its workers. Nobody can tell it that it
-     * is alone, so it must see for itself: its grace would keep the workers from the next owner.
+     * A controller loses the store and its peers, but not its workers. Nobody can tell it that it
+     * is alone, so it must detect that itself: its grace period would keep the workers from the
+     * next leader.
      */
     @Example
     void aNodeWithNothingButItsWorkersLetsThemGo() {
@@ -96,14 +100,15 @@
             rebuilt.add(rebuiltAfter(w, 60_000));
         }
         Collections.sort(rebuilt);
-        // Lapse after 6 to 9 s, then a round of reports; with the grace it is 15 s and more.
+        // The lease expires after 6 to 9 s, then follows a round of heartbeats; with the grace
+        // period it is 15 s and more.
         assertTrue(rebuilt.get(1) < 60_000 + 13_000, () -> "rebuilt at " + rebuilt);
     }
 
     /**
-     * An owner loses its workers, but neither state service nor peers: it gives the part up when
-     * others tell that its workers come to them, before their leases end. Else all that runs is
-     * lost, and nothing runs until the network is whole.
+     * A leader loses its workers, but neither the store nor its peers. It steps down when its peers
+     * report that its workers contact them, before the workers' leases expire. Otherwise all
+     * running tasks are lost, and nothing runs until the network recovers.
      */
     @Example
     void anOwnerThatItsWorkersDoNotReachGivesThePartUp() {
@@ -120,16 +125,16 @@
                             ? rebuiltAfter(w, 60_000)
                             : Long.MAX_VALUE);
         }
-        // In one or the other a single message is late by seconds, or a machine hangs at the old
-        // owner once more.
+        // In some run a single message is late by seconds, or a machine waits for the old leader
+        // once more.
         Collections.sort(rebuilt);
         assertTrue(rebuilt.get(2) < 60_000 + 14_000, () -> "rebuilt at " + rebuilt);
     }
 
     /**
-     * A thousand machines: owners end while a zone is cut off from everything, a controller stands
-     * still, and many machines stop at once. A few worlds of bounded work; what is lost is made
-     * good, and no rule is broken.
+     * A thousand machines: leaders crash while a zone is isolated, a controller is paused, and many
+     * machines stop at once. A few simulations of bounded work; lost work is repeated, and no
+     * invariant is violated.
      */
     @Example
     void aThousandMachines() {
@@ -190,8 +195,8 @@
     }
 
     /**
-     * An owner ends; whoever takes its part ends in the middle of it, and is back before anybody
-     * else has noticed.
+     * A leader crashes. Each successor crashes while it takes over, and restarts before any other
+     * node has detected it.
      */
     @Example
     void takersThatEndInTheMiddleOfItDoNoHarm() {
@@ -218,7 +223,8 @@
     }
 
     /**
-     * A machine that reports but hears nothing is given up and returned; its tasks run elsewhere.
+     * A machine that sends heartbeats but receives no responses is cordoned and terminated; its
+     * tasks run elsewhere.
      */
     @Example
     void aDeafMachineIsReplaced() {
@@ -242,8 +248,8 @@
             assertEquals(List.of(), w.rules.violations);
             assertEquals(1, deaf.size());
             String id = deaf.get(0).id;
-            // Else starts go to it again and again, since it seems idle, and it is never returned
-            // while there is work.
+            // Otherwise tasks are started on it again and again, since it seems idle, and it is
+            // never terminated while there is work.
             assertTrue(
                     w.log.stream()
                             .anyMatch(
@@ -260,12 +266,12 @@
         }
     }
 
-    /** The time at the start of a line of the world's log. */
+    /** The time at the start of a line of the simulation's log, in ms. */
     private static long timeOf(String line) {
         return Long.parseLong(line.substring(0, line.indexOf(' ')));
     }
 
-    /** When a part was first rebuilt after a moment. */
+    /** When a shard was first reconciled after a time, in ms. */
     private static long rebuiltAfter(World w, long ms) {
         return w.log.stream()
                 .filter(l -> l.contains("rebuilt"))
--- a/src/test/java/org/shoreusher/model/ReplicaTest.java
+++ b/src/test/java/org/shoreusher/model/ReplicaTest.java
@@ -13,7 +13,7 @@
 import org.shoreusher.core.WorkerReport.TaskReport;
 import org.shoreusher.core.WorkerReport.TaskState;
 
-/** What an owner does with the replicas of services. */
+/** What a leader does with the replicas of services. */
 class ReplicaTest {
     private final SingleNode node = new SingleNode();
     private int seq = 1;
@@ -50,8 +50,8 @@
     }
 
     /**
-     * A replica that ends, even with done, runs again under a new attempt; the job is never done,
-     * and its worker may forget it at once.
+     * A replica that exits, even successfully, runs again under a new attempt. The job never
+     * completes, and the worker may forget the old attempt at once.
      */
     @Example
     void aReplicaThatEndsRunsAgain() {
@@ -80,7 +80,7 @@
         assertEquals("running", node.ask("wk-1"));
     }
 
-    /** A replica that fails at once again and again is tried ever more rarely. */
+    /** A replica that fails at once again and again is retried with growing delays. */
     @Example
     void aReplicaThatAlwaysFailsIsTriedEverMoreRarely() {
         machine();
@@ -96,13 +96,13 @@
             starts += started.size();
         }
         int all = starts;
-        // In 96 s: with pauses of 1, 2, 4, 8, 16 and 30 s.
+        // In 96 s: with delays of 1, 2, 4, 8, 16 and 30 s.
         assertTrue(all >= 4 && all <= 12, () -> "starts " + all);
     }
 
     /**
-     * A replica that errors at once on every machine is tried on another one each time, backs off,
-     * and is not held against the machines: none of them is given up.
+     * A replica that fails at once on every machine is tried on another machine each time, with
+     * backoff. It does not count against the machines: none of them is cordoned.
      */
     @Example
     void aReplicaThatFailsEverywhereIsNotHeldAgainstTheMachines() {
@@ -136,8 +136,8 @@
     }
 
     /**
-     * Batch tasks of lower priority give way at once when a replica finds no room; the replica
-     * takes the place as soon as it is free.
+     * Batch tasks of lower priority are preempted at once when a replica finds no capacity. The
+     * replica is placed as soon as that is free.
      */
     @Example
     void batchWorkGivesWayToReplicas() {
--- a/src/test/java/org/shoreusher/model/ReportsTest.java
+++ b/src/test/java/org/shoreusher/model/ReportsTest.java
@@ -17,14 +17,17 @@
 import org.shoreusher.core.WorkerReport.TaskState;
 import org.shoreusher.settings.Tuning;
 
-/** What an owner makes of reports that come late, as copies, or from machines on their way out. */
+/**
+ * What a leader makes of heartbeats that come late, as duplicates, or from machines that are being
+ * terminated.
+ */
 class ReportsTest {
     private final SingleNode node = new SingleNode();
 
     /**
-     * A report that the network held up since before a takeover does not show what the former owner
-     * started after it was made. Taken as fresh, it would let the new owner start a task that is on
-     * a machine already.
+     * A heartbeat that the network delayed since before a failover does not show what the previous
+     * leader started after it was made. If it were taken as current, the new leader could start a
+     * task that is already on a machine.
      */
     @Example
     void aReportFromBeforeTheTakeoverDoesNotCountAsHeard() {
@@ -66,8 +69,8 @@
     }
 
     /**
-     * Returned machines stay gone, whatever copies of their reports come, also for the owner that
-     * did not return them.
+     * Terminated machines stay terminated, whatever duplicates of their heartbeats arrive, also for
+     * a leader that did not terminate them.
      */
     @Example
     void lateCopiesBringNoMachineBack() {
@@ -103,9 +106,9 @@
     }
 
     /**
-     * While a machine is silent, tasks that no owner has ever started begin all the same, in what
-     * the team's limit surely leaves: 24 CPUs less 8 that the silent machine may hold. A task that
-     * may be on the silent machine waits.
+     * While a machine is unresponsive, tasks that no leader has ever started begin all the same,
+     * within the quota that is surely left: 24 CPUs less 8 that the unresponsive machine may use. A
+     * task that may run on the unresponsive machine waits.
      */
     @Example
     void whatWasNeverStartedNeedNotWaitForSilentMachines() {
@@ -122,8 +125,8 @@
     }
 
     /**
-     * A job whose tasks must be in one zone waits: the one that may be on the silent machine is in
-     * some zone, and nobody knows in which.
+     * A job whose tasks must be in one zone waits: the task that may run on the unresponsive
+     * machine is in some zone, and nobody knows in which.
      */
     @Example
     void aJobOfOneZoneWaitsForSilentMachines() {
@@ -137,10 +140,10 @@
     }
 
     /**
-     * The owner before kept a team to its limit, so what a silent machine may hold is no more than
-     * the limit leaves beside what was found: 24 CPUs with 16 found on machines that were heard
-     * leave 8 for three silent ones, not 24. When one of the found tasks has ended, another may
-     * begin.
+     * The previous leader kept a team within its quota. So the tasks on unresponsive machines use
+     * no more than the quota leaves beside the tasks that were found: of 24 CPUs, 16 found on
+     * responsive machines leave 8 for three unresponsive ones, not 24. When one of the found tasks
+     * has ended, another may start.
      */
     @Example
     void silentMachinesHoldNoMoreThanTheLimitLeaves() {
@@ -170,9 +173,9 @@
     }
 
     /**
-     * A machine that has been deaf since before a takeover reports on and on, and never sees the
-     * new term. Once its lease from the owner before has surely ended, what that one started there
-     * is gone and runs elsewhere; copies of one report prove nothing.
+     * A machine with a one-way partition since before a failover keeps sending heartbeats, and
+     * never sees the new term. Once its lease from the previous leader has surely expired, the
+     * tasks of that leader are gone and run elsewhere. Duplicates of one heartbeat prove nothing.
      */
     @Example
     void aMachineThatNeverHearsTheNewOwnerHoldsNothingUp() {
@@ -199,8 +202,8 @@
                 if (owner.report("host-1", seq, 6).contains("run")) {
                     ranAt = owner.now - from;
                 }
-                // The copies come for a while only; each may have been the answer to the report
-                // that its worker waits for.
+                // The duplicates arrive for a while only; each may be the heartbeat whose
+                // response the worker waits for.
                 if (!newer && seq == 30) {
                     break;
                 }
@@ -212,8 +215,9 @@
     }
 
     /**
-     * A new machine that reports at once gets nothing before its record is durable: the next owner,
-     * which reads the records, would not wait for it and start the same tasks elsewhere.
+     * A new machine that sends a heartbeat at once gets no task before its record is durable. The
+     * next leader, which reads the records, would not wait for it and would start the same tasks
+     * elsewhere.
      */
     @Example
     void aNewMachineGetsNothingBeforeItsRecordIsDurable() {
@@ -235,7 +239,7 @@
         }
     }
 
-    /** A task of a former session that a late copy shows counts for nothing. */
+    /** A task of an earlier incarnation that a late duplicate contains does not count. */
     @Example
     void copiesOfAFormerSessionChangeNothing() {
         node.openJob("wk-1", 1);
@@ -265,8 +269,8 @@
     }
 
     /**
-     * The largest job of tiny tasks: what a machine is told at once, and so what it can report,
-     * stays below 64 KiB.
+     * The largest job of tiny tasks: the orders in one response, and so the heartbeat of a machine,
+     * stay below 64 KiB.
      */
     @Example
     void ordersAndReportsStayBelowTheirBound() {
@@ -283,9 +287,9 @@
     }
 
     /**
-     * A taker waits for a silent machine as long as the owner before may have kept it alive:
-     * through the time in which that one may have heard this node say that the state service is
-     * away, here up to its start, and no longer.
+     * A successor waits for an unresponsive machine as long as the previous leader may have kept
+     * its lease alive. That is as long as that leader may have received gossip of this node that
+     * the store is unavailable, here until this node's start, and no longer.
      */
     @Example
     void aTakerWaitsForAGraceItMayHaveAgreedTo() {
--- a/src/test/java/org/shoreusher/model/Rules.java
+++ b/src/test/java/org/shoreusher/model/Rules.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import org.shoreusher.core.JobSpec;
 
-/** Checks the protocol's rules on what really happens in the world. */
+/** Checks the protocol's invariants on what really happens in the simulation. */
 final class Rules {
     private static final long FORGOTTEN_MS = 75_000;
     private static final long WAITING_MS = 90_000;
@@ -19,7 +19,7 @@
     private final Set<String> completed = new HashSet<>();
     final List<String> violations = new ArrayList<>();
 
-    /** When the first task of a job was on a machine. */
+    /** When the first task of a job started to run, in ms. */
     final Map<String, Long> began = new HashMap<>();
 
     int starts;
@@ -27,7 +27,7 @@
     /** Tasks that ran once more after they had completed. */
     int startsAfterEnd;
 
-    /** Tasks that began after their user had been told that the job is cancelled. */
+    /** Tasks that started after the cancellation of their job was confirmed to the user. */
     int startsAfterCancel;
 
     private final Map<String, Long> waitsSince = new HashMap<>();
@@ -40,7 +40,7 @@
         violations.add(world.now + " " + rule + ": " + what);
     }
 
-    /** A task is on its machine from now on. */
+    /** A task runs on its machine from now on. */
     void on(WorkerModel machine, String task) {
         starts++;
         startsAfterEnd += completed.contains(task) ? 1 : 0;
@@ -115,8 +115,8 @@
     }
 
     /**
-     * Once all troubles are over: no job waits for 90 s while a machine that fits has room and its
-     * team is under its limit.
+     * Once all faults are over, no job waits for 90 s while a suitable machine has capacity and the
+     * job's team is below its quota.
      */
     void watchWaiting() {
         for (UserModel.Wish w : world.users.wishes.values()) {
@@ -165,7 +165,10 @@
         return false;
     }
 
-    /** Once all troubles are over, no job goes without an answer for 75 s, however others fare. */
+    /**
+     * Once all faults are over, no job goes without a response for 75 s, whatever happens to
+     * others.
+     */
     private void checkAnswered(UserModel.Wish w) {
         long since = Math.max(w.answeredAt, world.quietFrom);
         if (w.accepted && !w.doneTold && !w.cancelTold && world.now - since > FORGOTTEN_MS) {
@@ -174,8 +177,8 @@
     }
 
     /**
-     * What a user hears about a job; only what was told before the question was asked binds the
-     * answer.
+     * What a user is told about a job. A response must be consistent with everything that was told
+     * before the request was sent.
      */
     void told(UserModel.Wish w, WireAnswer answer, long askedAt) {
         String id = w.spec.id();
@@ -210,7 +213,7 @@
         }
     }
 
-    /** At the end: less than half of a team's jobs, or of its largest ones, served. */
+    /** At the end: at least half of each team's jobs, and of its largest jobs, must be done. */
     void servedByHalf() {
         Map<String, List<UserModel.Wish>> teams = new HashMap<>();
         world.users.wishes.values().stream()
@@ -233,7 +236,9 @@
         }
     }
 
-    /** At the end: what is still on a machine though cancelled, and who waits for an answer. */
+    /**
+     * At the end: tasks of cancelled jobs that still run, and users that still wait for a response.
+     */
     void end() {
         world.users.wishes.values().forEach(this::checkAnswered);
         on.forEach(
--- a/src/test/java/org/shoreusher/model/ScriptedWorker.java
+++ b/src/test/java/org/shoreusher/model/ScriptedWorker.java
@@ -8,9 +8,12 @@
 import org.shoreusher.core.WorkerReport.TaskReport;
 import org.shoreusher.core.WorkerReport.TaskState;
 
-/** A worker that reports when a test says so and notes its orders; nothing happens by itself. */
+/**
+ * A worker that sends heartbeats when a test says so and records its orders; it does nothing by
+ * itself.
+ */
 final class ScriptedWorker {
-    /** A task that was started here, with the attempt. */
+    /** A task that was started here, with its attempt number. */
     record Started(String task, long attempt) {}
 
     private final SingleNode node;
@@ -18,10 +21,10 @@
     private final Map<String, TaskReport> tasks = new LinkedHashMap<>();
     private long sequence;
 
-    /** The token that its reports show. */
+    /** The fencing token in its heartbeats. */
     long token;
 
-    /** What the last report's answer started, and which tasks it told to stop. */
+    /** What the response to the last heartbeat started, and which tasks it ordered to stop. */
     List<Started> started = List.of();
 
     List<String> halted = List.of();
@@ -35,7 +38,10 @@
         return id;
     }
 
-    /** Reports, and carries out starts and the removal of tasks; stops are only noted. */
+    /**
+     * Sends a heartbeat, and executes the start and forget orders of the response; stop orders are
+     * only recorded.
+     */
     void report() {
         node.report(id, ++sequence, token, tasks.values().toArray(new TaskReport[0]));
         started = new ArrayList<>();
@@ -59,17 +65,17 @@
         }
     }
 
-    /** The task has ended here. */
+    /** The task has exited here. */
     void exit(String name, Cause cause, boolean saved) {
         put(name, tasks.get(name).attempt(), TaskState.EXITED, cause, saved);
     }
 
-    /** The task runs here under an attempt of an owner before. */
+    /** The task runs here under an attempt of a previous leader. */
     void runs(String name, long attempt) {
         put(name, attempt, TaskState.RUNNING, Cause.NONE, false);
     }
 
-    /** Tasks that it shows. */
+    /** The number of tasks in its heartbeats. */
     int shown() {
         return tasks.size();
     }
--- a/src/test/java/org/shoreusher/model/ServiceTroublesTest.java
+++ b/src/test/java/org/shoreusher/model/ServiceTroublesTest.java
@@ -13,7 +13,7 @@
 import org.shoreusher.model.World.Sabotage;
 import org.shoreusher.model.World.Trouble;
 
-/** Services alone in a world, in troubles that are hard on them. */
+/** Simulations with services only, under faults that are hard on them. */
 class ServiceTroublesTest {
     private static final long TROUBLE_MS = 60_000;
     private static final long LEASE_MS = 8_000;
@@ -37,7 +37,10 @@
                 1_000);
     }
 
-    /** A scattered service, one of a single zone, and one without a rule on zones. */
+    /**
+     * A service that is spread across zones, one of a single zone, and one without zone
+     * constraints.
+     */
     private static World world(long seed) {
         World w = new World(seed, ModelSettings.usual(), 1, Sabotage.NONE);
         w.users.submit(service(0, "team-0", 4, 2, false, true), 5_000);
@@ -69,7 +72,7 @@
         return machines;
     }
 
-    /** Its replicas may be there yet, and they are: nothing starts elsewhere. */
+    /** The replicas may still run there, and they do: none is started elsewhere. */
     @Example
     void aMachineThatHangsWithinItsLeaseKeepsItsReplicas() {
         for (long seed = 0; seed < SEEDS; seed++) {
@@ -98,7 +101,7 @@
         }
     }
 
-    /** The service of one zone may have to move as a whole, and no rule on zones is broken. */
+    /** The service of one zone may have to move as a whole, and no zone constraint is violated. */
     @Example
     void servicesWithRulesOnZonesComeBackWhenAZoneIsLost() {
         for (long seed = 0; seed < SEEDS; seed++) {
@@ -121,7 +124,9 @@
         }
     }
 
-    /** What the machine may hold counts within the limit until its lease has surely ended. */
+    /**
+     * The possible tasks of the machine count towards the quota until its lease has surely expired.
+     */
     @Example
     void aServiceAtItsTeamsLimitWaitsForTheLeaseOfAMachineThatCantBeAsked() {
         for (long seed = 0; seed < SEEDS; seed++) {
@@ -181,7 +186,10 @@
         }
     }
 
-    /** The owner alone is refused, others confirm, and then nobody is served for too long. */
+    /**
+     * The store refuses the leader alone, others confirm the cancellations, and then the store
+     * fails for all nodes for too long.
+     */
     @Example
     void aServiceIsCancelledInTheGap() {
         for (long seed = 0; seed < SEEDS; seed++) {
@@ -202,7 +210,7 @@
         return answer.status() == 200 && "running".equals(answer.body().get("status"));
     }
 
-    /** A service is polled for as long as it runs: the answers share reads of the state service. */
+    /** A service is polled for as long as it runs: the responses share reads of the store. */
     @Example
     void thousandsOfPollsShareReads() {
         World w = world(1);
--- a/src/test/java/org/shoreusher/model/ServicesTest.java
+++ b/src/test/java/org/shoreusher/model/ServicesTest.java
@@ -17,14 +17,14 @@
 import org.shoreusher.settings.SettingsBuilder;
 
 /**
- * Services: replicas that run until they are called off, beside batch work and through troubles;
- * and the upgrade to the version that has them.
+ * Services: replicas that run until they are cancelled, beside batch jobs and under faults; and the
+ * upgrade to the version that has services.
  */
 class ServicesTest {
     private static final long QUIET_MS = 220_000;
 
     /**
-     * So late that a team at its limit, with services that hold a part of it, is through as well.
+     * Late enough for a team at its quota, part of which its services use, to complete its jobs.
      */
     private static final long END_MS = 470_000;
 
@@ -59,8 +59,8 @@
         World w = new World(seed, ModelSettings.usual(), 1 + (int) (seed % 2), Sabotage.NONE);
         submit(w, 1_000);
         int[] down = {0};
-        // A replica may just have ended; one that is down at three moments in a row is not coming
-        // back.
+        // A replica may just have exited; one that is missing at three times in a row does not
+        // recover.
         for (int i = 0; i < 3; i++) {
             w.at(
                     END_MS - 60_000 + i * 20_000,
@@ -76,9 +76,9 @@
     }
 
     /**
-     * Processes start under larger limits and write what those allow, are killed one after the
-     * other and come back with smaller ones, some end before their turn and come back as they were,
-     * and at some moment the smaller limits come into force for all.
+     * Processes start under higher limits and write values that those allow. They are restarted one
+     * after the other with lower limits, some crash before their turn and come back as they were,
+     * and at some time the lower limits apply to all.
      */
     @Property(tries = 40, seed = "77", shrinking = ShrinkingMode.OFF)
     void anUpgradeToSmallerLimitsKeepsTheRules(
@@ -102,7 +102,7 @@
                 w.at(from + i * 12_000L - 3_000, () -> p.kill(100 + w.random.nextInt(2_000)));
             }
         }
-        // Whatever the former version has written last, it is the owner's until just before.
+        // The previous version's last writes are made by the leader until shortly before.
         w.at(from + 40_000 + w.random.nextInt(5_000), w.state::lowerLimits);
         w.quietFrom = QUIET_MS;
         w.at(QUIET_MS, w.rules::watchWaiting);
@@ -113,7 +113,7 @@
 
     /**
      * The limits drop at any step, before or after a node's upgrade, to the fewest operations, a
-     * small value and a fraction of the rate, while transactions lose their answers: no part is
+     * small value and a fraction of the rate, while responses to transactions are lost. No shard is
      * blocked, and all work is done.
      */
     @Property(tries = 40, seed = "404", shrinking = ShrinkingMode.OFF)
@@ -151,9 +151,9 @@
     }
 
     /**
-     * Nodes and machines by the hundred, and large jobs, so that the former version's records are
-     * far above the limits to come: a taker cuts them up before it takes the part, and what had
-     * been finished does not run again.
+     * Hundreds of machines and large jobs make the previous version's records far longer than the
+     * limits to come. A successor splits them before it acquires the shard, and completed tasks do
+     * not run again.
      */
     @Example
     void aTakerCutsUpRecordsThatAreTooLong() {
@@ -195,7 +195,7 @@
                 0,
                 w.users.wishes.values().stream().filter(x -> !x.doneTold).count(),
                 () -> String.join("\n", w.log));
-        // A tenth would run again at most for what was finished between two renewals.
+        // At most a tenth runs again, for completions between two lease renewals.
         assertTrue(w.rules.starts < 8_000 * 1.15, () -> "starts " + w.rules.starts);
     }
 }
--- a/src/test/java/org/shoreusher/model/SingleNode.java
+++ b/src/test/java/org/shoreusher/model/SingleNode.java
@@ -22,9 +22,9 @@
 import org.shoreusher.settings.Settings;
 import org.shoreusher.wire.UserFormat;
 
-/** One core with a state service, driven message by message. */
+/** One core with a store, driven message by message. */
 final class SingleNode {
-    /** What the cloud answers; status 0 by itself. */
+    /** The cloud's response to an operation; by default status 0, which means none. */
     Function<CloudOp, Command.CloudReply> cloud = op -> new Command.CloudReply(0, 0, null);
 
     private final World world;
@@ -74,7 +74,9 @@
         }
     }
 
-    /** Reports in the first session, and returns the tasks that the answer starts. */
+    /**
+     * Sends a heartbeat of the first incarnation, and returns the tasks that the response starts.
+     */
     List<String> startsOf(String machine, long seq, long token, TaskReport... tasks) {
         report(machine, seq, token, tasks);
         return ((List<?>) answers.get(requests).body().get("orders"))
@@ -86,14 +88,14 @@
     }
 
     /**
-     * Reports in the first session, and returns the verbs of the answer's orders; null if it was
-     * refused.
+     * Sends a heartbeat of the first incarnation, and returns the verbs of the response's orders;
+     * null if it was rejected.
      */
     List<String> report(String machine, long seq, long token, TaskReport... tasks) {
         return reportOf(machine, 1, seq, token, tasks);
     }
 
-    /** The same in any session. */
+    /** The same for any incarnation. */
     List<String> reportOf(String machine, long session, long seq, long token, TaskReport... tasks) {
         long request = ++requests;
         commands.add(
@@ -115,7 +117,7 @@
         return orders == null ? null : orders.stream().map(o -> (String) o.get("verb")).toList();
     }
 
-    /** The orders in the answer to the last report; null if it was refused. */
+    /** The orders in the response to the last heartbeat; null if it was rejected. */
     List<Map<?, ?>> ordersOfLast() {
         WireAnswer answer = answers.get(requests);
         if (answer.status() != 200) {
@@ -133,7 +135,10 @@
                 (status, body) -> assertEquals(200, status));
     }
 
-    /** A part that an owner with term 5 has left, with machines that may have had tasks. */
+    /**
+     * Stores a shard that a previous leader with term 5 has left, with machines that may have run
+     * tasks.
+     */
     void left(String... machines) {
         Map<String, Object> lines = new LinkedHashMap<>();
         for (String machine : machines) {
@@ -162,10 +167,10 @@
         return world.state;
     }
 
-    /** Lines of its log. */
+    /** Lines of the node's log. */
     final List<String> log = new ArrayList<>();
 
-    /** A user cancels through another node. */
+    /** A user cancels a job through another node. */
     void cancelled(String id, int tasks) {
         stored(
                 "job/" + id,
@@ -184,7 +189,9 @@
                         UserFormat.map(spec(id, tasks, 2, false))));
     }
 
-    /** A user asks; the answer's status. */
+    /**
+     * A user polls a job; returns the state in the response, or its status code if it is not 200.
+     */
     Object ask(String id) {
         WireAnswer a = answerAbout(id);
         return a == null ? null : a.status() == 200 ? a.body().get("status") : a.status();
@@ -197,7 +204,9 @@
         return answers.get(request);
     }
 
-    /** A user submits; the answer's status. */
+    /**
+     * A user submits a job; returns the status code of the response, or null without a response.
+     */
     Integer submit(JobSpec spec) {
         long request = ++requests;
         commands.add(new Command.Submit(request, spec.id(), spec, null));
@@ -205,7 +214,9 @@
         return answers.containsKey(request) ? answers.get(request).status() : null;
     }
 
-    /** A user cancels; the answer's status. */
+    /**
+     * A user cancels a job; returns the status code of the response, or null without a response.
+     */
     Integer cancel(String id) {
         long request = ++requests;
         commands.add(new Command.Cancel(request, id));
@@ -213,7 +224,7 @@
         return answers.containsKey(request) ? answers.get(request).status() : null;
     }
 
-    /** An open job of two tasks in the store, the first of which may have been started. */
+    /** Stores an open job of two tasks, the first of which may have been started. */
     void begunJob(String id, boolean oneZone) {
         stored(
                 "job/" + id,
@@ -232,7 +243,7 @@
                         UserFormat.map(spec(id, 2, 2, oneZone))));
     }
 
-    /** An open job of so many tasks in the store, any of which may have been started. */
+    /** Stores an open job with this number of tasks, any of which may have been started. */
     void openJob(String id, int tasks) {
         openJob(id, tasks, 2);
     }
--- a/src/test/java/org/shoreusher/model/StandbyCutsTest.java
+++ b/src/test/java/org/shoreusher/model/StandbyCutsTest.java
@@ -17,9 +17,9 @@
 import net.jqwik.api.Example;
 import org.shoreusher.model.World.Trouble;
 
-/** Standbys and owners that are cut off, stand still, end together or come back. */
+/** Standbys and leaders that are partitioned, paused, crash together or restart. */
 class StandbyCutsTest {
-    /** Plays a trouble that hits the owner in so many worlds, and checks each. */
+    /** Runs a number of simulations with a fault that hits the leader, and checks each. */
     private static List<World> play(int worlds, BiConsumer<World, World.Process> trouble) {
         return play(worlds, TROUBLE_MS, trouble);
     }
@@ -54,7 +54,10 @@
         }
     }
 
-    /** The process comes back within a fraction of a second: its log is gone, its name differs. */
+    /**
+     * The process restarts within a fraction of a second: its log is gone, and its incarnation
+     * differs.
+     */
     @Example
     void aStandbyThatWasRestartedIsNotTakenForTheNamedOne() {
         List<World> worlds =
@@ -80,7 +83,9 @@
         atLeast(6, withoutName(worlds));
     }
 
-    /** Cut off from the standby alone: another is named, and the one before still has its log. */
+    /**
+     * Partitioned from the standby alone: another is named, and the first one still has its log.
+     */
     @Example
     void anOwnerCutOffFromItsStandbyNamesAnother() {
         List<World> worlds =
@@ -105,19 +110,22 @@
         atLeast(5, fromLog(play(6, (w, owner) -> w.network.cut(owner.host, "state", 20_000))));
     }
 
-    /** With its workers only: it can neither remove the name nor start anything. */
+    /** It reaches its workers only: it can neither remove the name nor start anything. */
     @Example
     void anOwnerWithNothingButItsWorkers() {
         atLeast(5, fromLog(play(6, (w, owner) -> Troubles.cutFromStateAndPeers(w, owner, 20_000))));
     }
 
-    /** An owner stands still past its lease and goes on with frames of a term that has ended. */
+    /**
+     * A leader is paused for longer than its lease and then continues with frames of a term that
+     * has ended.
+     */
     @Example
     void anOwnerBackFromAPauseStartsNothing() {
         atLeast(6, fromLog(play(8, (w, owner) -> owner.starve(9_000))));
     }
 
-    /** The standby stands still between its acknowledgement and the end of the owner. */
+    /** The standby is paused between its acknowledgement and the crash of the leader. */
     @Example
     void aStandbyThatIsPausedBeforeItsPromotion() {
         List<World> worlds =
@@ -130,7 +138,10 @@
         atLeast(6, fromLog(worlds));
     }
 
-    /** Naming and removing writes lose their answers, and are carried out at once or much later. */
+    /**
+     * Responses to writes that name or remove a standby are lost, and the writes are executed at
+     * once or much later.
+     */
     @Example
     void writesOfTheRecordLoseTheirAnswers() {
         for (boolean atOnce : new boolean[] {false, true}) {
@@ -144,7 +155,7 @@
         }
     }
 
-    /** A cancellation is confirmed at another node; the owner never sees it and ends. */
+    /** Another node confirms a cancellation; the leader never sees it and crashes. */
     @Example
     void aCancellationThatTheOwnerNeverSaw() {
         List<World> worlds =
--- a/src/test/java/org/shoreusher/model/StandbyHardCasesTest.java
+++ b/src/test/java/org/shoreusher/model/StandbyHardCasesTest.java
@@ -22,9 +22,12 @@
 import org.shoreusher.model.World.Sabotage;
 import org.shoreusher.model.World.Trouble;
 
-/** Owners that end in the middle of a start, of naming a standby, or of giving it up. */
+/** Leaders that crash during a start, while they name a standby, or while they give one up. */
 class StandbyHardCasesTest {
-    /** Kills the owner at a point, and silences the machines that answers have just reached. */
+    /**
+     * Crashes the leader at a point, and blocks the heartbeats of the machines that responses have
+     * just reached.
+     */
     private static void killAt(World w, World.Process owner, KillPoint point) {
         owner.killSwitch.arm(point.predicate(), AWAY_MS);
         w.onKilled = () -> w.cloud.machines().forEach(m -> m.mute(SILENT_MS));
@@ -46,7 +49,7 @@
         }
     }
 
-    /** Killed in the middle of the first naming: the name stands, or it does not. */
+    /** Crashes during the first naming: the name is in the record, or it is not. */
     @Example
     void anOwnerKilledInTheMiddleOfNamingAStandby() {
         int[] promoted = new int[2];
@@ -71,7 +74,10 @@
                 };
     }
 
-    /** The owner gives a dead standby up, and is killed before or after the write that says so. */
+    /**
+     * The leader gives up an unreachable standby, and crashes before or after the write that says
+     * so.
+     */
     @Example
     void anOwnerKilledInTheMiddleOfRemovingAStandby() {
         int rebuilt = 0;
@@ -104,7 +110,10 @@
         };
     }
 
-    /** Starts go on while the standby's link is slow; the owner ends before it has caught up. */
+    /**
+     * Starts continue while the standby's link is slow; the leader crashes before the standby has
+     * caught up.
+     */
     @Example
     void noStartLeavesBeforeTheStandbyKnowsIt() {
         for (long seed = 0; seed < 12; seed++) {
@@ -126,8 +135,8 @@
     }
 
     /**
-     * Completions are seen and not yet durable when their owner ends, just before its next renewal;
-     * half of the machines stay silent, and the others have room.
+     * Completions are seen and not yet durable when their leader crashes, just before its next
+     * renewal. Half of the machines stay unresponsive, and the others have capacity.
      */
     @Example
     void aCompletedTaskIsNotStartedAgainBeforeItsMachineHasReported() {
@@ -163,7 +172,7 @@
         }
     }
 
-    /** Half of the machines are silent at the promotion: the others get work at once. */
+    /** Half of the machines are unresponsive at the promotion: the others get work at once. */
     @Example
     void silentMachinesHoldNothingUp() {
         int startsWith = 0;
@@ -177,7 +186,10 @@
         assertTrue(with > 2 * without, () -> with + " starts with, " + without + " without");
     }
 
-    /** Tasks that begin from the kill on until silent machines may have lost their leases. */
+    /**
+     * Tasks that start between the crash and the earliest expiry of the unresponsive machines'
+     * leases.
+     */
     private static int startsBesideSilentMachines(long seed, boolean standby) {
         int[] starts = new int[2];
         World w = new World(seed, ModelSettings.usual(), 1, Sabotage.NONE);
--- a/src/test/java/org/shoreusher/model/StandbyKillsTest.java
+++ b/src/test/java/org/shoreusher/model/StandbyKillsTest.java
@@ -9,11 +9,11 @@
 import net.jqwik.api.Example;
 
 /**
- * Active controllers are killed at points drawn over their steps: in the middle of a batch, between
- * any two effects. No job is dropped, none is doubled, and the standby takes over from its log.
+ * Leaders crash at random points: in the middle of a batch, between any two effects. No job is
+ * lost, none is duplicated, and the standby takes over from its log.
  */
 class StandbyKillsTest {
-    /** Worlds in each run; {@code -Dstandby.worlds=N} plays more. */
+    /** Simulations in each run; {@code -Dstandby.worlds=N} runs more. */
     private static final int WORLDS = Integer.getInteger("standby.worlds", 60);
 
     @Example
--- a/src/test/java/org/shoreusher/model/StandbyTroublesTest.java
+++ b/src/test/java/org/shoreusher/model/StandbyTroublesTest.java
@@ -11,8 +11,8 @@
 import org.shoreusher.settings.Settings;
 
 /**
- * The generated troubles of the other tests with a warm standby: on all controllers, on some, and
- * beside processes with the limits of a former version that are upgraded one after the other.
+ * The random faults of the other tests with a warm standby: on all controllers, on some, and beside
+ * processes with the limits of a previous version that are upgraded one after the other.
  */
 class StandbyTroublesTest {
     private static final int WORLDS = 24;
@@ -59,7 +59,9 @@
         checkPromotions(WORLDS / 4);
     }
 
-    /** Controllers with and without the feature take the part from each other in every order. */
+    /**
+     * Controllers with and without the feature acquire the shard from each other in every order.
+     */
     @Example
     void nodesWithAndWithoutTheFeature() {
         for (long seed = 0; seed < WORLDS; seed++) {
@@ -73,7 +75,7 @@
         checkPromotions(WORLDS / 2);
     }
 
-    /** The limits drop while owners end, and processes are upgraded one after the other. */
+    /** The limits drop while leaders crash, and processes are upgraded one after the other. */
     @Example
     void limitsThatDropBeforeAndAfterPromotions() {
         Settings former = ModelSettings.limits(100, 8_192, 20);
--- a/src/test/java/org/shoreusher/model/StandbyWorlds.java
+++ b/src/test/java/org/shoreusher/model/StandbyWorlds.java
@@ -11,7 +11,7 @@
 import org.shoreusher.settings.Settings;
 import org.shoreusher.standby.StandbySettings;
 
-/** Generated worlds whose controllers keep a warm standby, and what became of their takeovers. */
+/** Simulations whose controllers keep a warm standby, and the outcomes of their failovers. */
 final class StandbyWorlds {
     /** Small frames, so that snapshots take several. */
     static final Features FEATURES =
@@ -24,7 +24,7 @@
     private static final long FIRST_KILL_MS = 25_000;
     private static final long LAST_KILL_MS = 140_000;
 
-    /** Effects of an owner within some seconds: reports, state calls, frames, lines. */
+    /** Effects of a leader within some seconds: responses, store calls, frames, log lines. */
     private static final int MOST_EFFECTS = 600;
 
     private StandbyWorlds() {}
@@ -36,7 +36,7 @@
         return w;
     }
 
-    /** Lets users submit as on the other days, and plays the day. */
+    /** Submits jobs as in the other simulations, and runs to the end. */
     static void submit(World w, List<Trouble> troubles) {
         w.users.closeLooks = true;
         for (int i = 0; i < 50; i++) {
@@ -50,7 +50,8 @@
     }
 
     /**
-     * Owners end after a drawn number of steps, in half of the worlds while machines are silent.
+     * Leaders crash after a random number of effects, in half of the simulations while machines are
+     * unresponsive.
      */
     static List<Trouble> kills(long seed) {
         Random r = new Random(seed * 7919 + 3);
@@ -72,7 +73,7 @@
         return list;
     }
 
-    /** A third of the machines reaches no controller for a while. */
+    /** The heartbeats of a third of the machines reach no controller for a while. */
     static void silence(World w, long lengthMs) {
         for (WorkerModel m : w.cloud.machines()) {
             if (w.random.nextInt(3) == 0) {
@@ -81,7 +82,7 @@
         }
     }
 
-    /** How many takeovers came out how, by the reason in their line. */
+    /** The number of failovers by outcome, as their log lines name it. */
     static Map<String, Integer> promotions(World w) {
         Map<String, Integer> counts = new HashMap<>();
         for (String line : w.log) {
@@ -94,7 +95,7 @@
         return counts;
     }
 
-    /** How the first takeover from another owner came out. */
+    /** The log line of the first failover from another leader. */
     static String firstPromotion(World w) {
         return w.log.stream()
                 .filter(line -> line.contains("promotion: "))
--- a/src/test/java/org/shoreusher/model/StateModel.java
+++ b/src/test/java/org/shoreusher/model/StateModel.java
@@ -14,8 +14,8 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * A stand-in of the state service, as the protocol describes it; it keeps few changes, so that 410
- * comes up.
+ * A simulated key-value store that follows the protocol. It keeps few changes, so that 410
+ * responses occur.
  */
 final class StateModel {
     private static final int LOG = 300;
@@ -23,7 +23,7 @@
     /** A stored value with its version. */
     private record Item(Map<String, Object> value, long version) {}
 
-    /** A change in the log; a null value: the key was removed. */
+    /** A change in the log; a null value means that the key was removed. */
     private record Change(long revision, String key, Map<String, Object> value) {}
 
     /** An open watch. */
@@ -44,10 +44,10 @@
     private long slowUntil;
     private int slowMs;
 
-    /** Told of every transaction that has changed something, with the host it came from. */
+    /** Called for every transaction that has changed something, with the host that sent it. */
     Consumer<String> onWrite = host -> {};
 
-    /** Transactions that got no answer: executed at once, or late. */
+    /** Transactions that got no response: executed at once, or late. */
     int answersLost;
 
     private Settings inForce;
@@ -57,10 +57,10 @@
     /** Requests of any kind. */
     int handled;
 
-    /** Requests refused for the limits on rates. */
+    /** Requests that were refused because of the rate limits. */
     int refused;
 
-    /** Records written that hold jobs accepted together. */
+    /** Batch records written, which hold jobs that were accepted together. */
     int sharedArrivals;
 
     StateModel(World world) {
@@ -74,15 +74,15 @@
         outageUntil = world.now + forMs;
     }
 
-    /** The limits of today's settings come into force. */
+    /** The current version's limits come into force. */
     void lowerLimits() {
         inForce = world.settings;
         writes = new TokenBucket(inForce.stateWriteRps(), inForce.stateWriteRps());
     }
 
     /**
-     * Whether a transaction keeps to the limits. Today's version keeps to today's from its first
-     * write, whatever is in force.
+     * Whether a transaction respects the limits. The current version respects its limits from its
+     * first write, whatever is in force.
      */
     private boolean within(String host, StateOp.Multi op) {
         Settings s = world.old(host) ? inForce : world.settings;
@@ -104,8 +104,8 @@
     }
 
     /**
-     * So many transactions of ten get no answer for a while: carried out at once, or 2 to 12 s
-     * later, after newer ones.
+     * This number of transactions in ten gets no response for a while. They are executed at once,
+     * or 2 to 12 s later, after newer ones.
      */
     void loseAnswers(int ofTen, boolean atOnce, long forMs) {
         answersLostOfTen = ofTen;
@@ -113,13 +113,15 @@
         answersLostUntil = world.now + forMs;
     }
 
-    /** Answers come later for a while, each by up to so many ms. */
+    /** Responses are delayed for a while, each by up to this number of ms. */
     void slow(int byMs, long forMs) {
         slowMs = byMs;
         slowUntil = world.now + forMs;
     }
 
-    /** A node's watches and pages get no answer for a while, though everything else does. */
+    /**
+     * A node's watch and page requests get no response for a while, though all other requests do.
+     */
     void stallViews(String host, long forMs) {
         viewsStalledUntil.put(host, world.now + forMs);
     }
@@ -132,14 +134,14 @@
         return world.now < viewsStalledUntil.getOrDefault(host, 0L);
     }
 
-    /** A value that was there before, whatever today's limits. */
+    /** Stores a value that was there before, whatever the current limits. */
     void put(String key, Map<String, Object> value) {
         revision++;
         items.put(key, new Item(World.copy(value), revision));
         changes.add(new Change(revision, key, value));
     }
 
-    /** All keys that begin so, with their values. */
+    /** All keys with this prefix, with their values. */
     Map<String, Map<String, Object>> all(String prefix) {
         Map<String, Map<String, Object>> all = new TreeMap<>();
         items.subMap(prefix, prefix + Character.MAX_VALUE)
@@ -147,12 +149,12 @@
         return all;
     }
 
-    /** Bytes of the longest value. */
+    /** The length of the longest value in bytes. */
     int longest() {
         return items.values().stream().mapToInt(i -> FieldMap.jsonLength(i.value)).max().orElse(0);
     }
 
-    /** How many keys begin so. */
+    /** The number of keys with this prefix. */
     int count(String prefix) {
         return items.subMap(prefix, prefix + Character.MAX_VALUE).size();
     }
@@ -192,7 +194,7 @@
                 && world.now < answersLostUntil
                 && world.random.nextInt(10) < answersLostOfTen) {
             answersLost++;
-            // Whatever the limits on rates: carried out is what may do harm.
+            // Regardless of the rate limits: only an execution may do harm.
             world.in(
                     lostAtOnce ? 0 : 2_000 + world.random.nextInt(10_000),
                     () -> multi(host, m, (status, body) -> {}));
@@ -220,7 +222,7 @@
         }
     }
 
-    /** Bursts are worth one second, so a transaction of more changes never gets through. */
+    /** A burst is worth one second, so a transaction of more changes never succeeds. */
     private boolean mayWrite(int changes) {
         return changes <= Math.max(1, inForce.stateWriteRps()) && writes.take(changes, world.now);
     }
@@ -319,7 +321,7 @@
     private void expire(Waiter w) {
         if (waiters.contains(w)) {
             if (away(w.host) || viewStalled(w.host)) {
-                // Open watches stay open during an outage; the caller's patience ends first.
+                // Open watches stay open during an outage; the caller's timeout comes first.
                 world.in(Tuning.WATCH_BLOCK_MS, () -> expire(w));
             } else {
                 waiters.remove(w);
--- a/src/test/java/org/shoreusher/model/Troubles.java
+++ b/src/test/java/org/shoreusher/model/Troubles.java
@@ -8,11 +8,11 @@
 import java.util.function.Consumer;
 import org.shoreusher.model.World.Trouble;
 
-/** Troubles of generated worlds, one at a time, and who is hit by them. */
+/** Random faults of simulations, one at a time, and the processes and machines that they hit. */
 final class Troubles {
     private static final int KINDS = 18;
 
-    /** Kinds from here on cut something off, or end nodes one after the other. */
+    /** Kinds from here on are partitions, or end nodes one after the other. */
     private static final int FIRST_CUT = 9;
 
     private Troubles() {}
@@ -31,7 +31,7 @@
         return list;
     }
 
-    /** One trouble of some kind, which hits a node or some machines, and its length in ms. */
+    /** One fault of some kind, which hits a node or some machines, and its duration in ms. */
     private static Consumer<World> trouble(int kind, int node, int nodes, long length) {
         return kind < FIRST_CUT ? simple(kind, node, length) : cut(kind, node, nodes, length);
     }
@@ -85,7 +85,7 @@
                     };
             case 12 ->
                     w -> {
-                        // Back within a fraction of a second, and ended again.
+                        // Restarts within a fraction of a second, and crashes again.
                         w.processes.get(node).kill(100);
                         w.in(600, () -> w.processes.get(node).kill(50));
                     };
@@ -99,7 +99,7 @@
                     };
             case 14 ->
                     w -> {
-                        // Without state service and peers, but with its workers.
+                        // Without store and peers, but with its workers.
                         w.network.cut(host, "state", length);
                         w.processes.forEach(p -> w.network.cut(host, p.host, length));
                     };
@@ -120,7 +120,7 @@
         };
     }
 
-    /** The next takers each end in the middle of it, and are back at once. */
+    /** The next successors each crash while they take over, and restart at once. */
     static void endNextTakers(World w, int takers) {
         int[] left = {takers};
         w.onTakeover =
@@ -140,7 +140,7 @@
         w.cloud.machines().forEach(machine -> w.network.cut(process.host, machine.id, forMs));
     }
 
-    /** For each part, the process that took it last. */
+    /** For each shard, the process that acquired it last. */
     static List<World.Process> owners(World w) {
         Map<String, String> last = new HashMap<>();
         w.log.stream()
--- a/src/test/java/org/shoreusher/model/Usage.java
+++ b/src/test/java/org/shoreusher/model/Usage.java
@@ -5,7 +5,7 @@
 import org.shoreusher.core.JobSpec;
 
 /**
- * What is on machines at one moment, summed by team and by job and zone, so that a world of
+ * The resources that running tasks use, summed by team and by job and zone, so that a simulation of
  * thousands of machines need not count every task at every start.
  */
 final class Usage {
@@ -14,7 +14,7 @@
     private final Map<String, Map<String, Integer>> zones = new HashMap<>();
     private final Map<String, Double> machines = new HashMap<>();
 
-    /** So many more tasks of a job are on a machine; less than 0: so many fewer. */
+    /** Adds this number of running tasks of a job on a machine; a negative number removes them. */
     void count(JobSpec spec, WorkerModel machine, int tasks) {
         String zone = machine.zone;
         machines.merge(machine.id, tasks * spec.cpus(), Double::sum);
--- a/src/test/java/org/shoreusher/model/UserModel.java
+++ b/src/test/java/org/shoreusher/model/UserModel.java
@@ -11,8 +11,7 @@
 import org.shoreusher.core.JobSpecBuilder;
 
 /**
- * Users: they submit, poll and cancel at any node, and try again when they are refused or hear
- * nothing.
+ * Users submit, poll and cancel at any node, and retry when they are refused or get no response.
  */
 final class UserModel {
     /** A job as its user knows it. */
@@ -38,21 +37,23 @@
     private final World world;
 
     /**
-     * How many users of ten send each submission to two nodes at the same time, as a retry does
-     * whose first try is on its way.
+     * How many submissions in ten are sent to two nodes at the same time, like a retry whose first
+     * attempt is still in flight.
      */
     int impatient;
 
     /**
-     * Whether users ask at all nodes at once, and submit again, right after a job was accepted,
-     * ended or confirmed as cancelled; some cancel at once.
+     * Whether users poll all nodes at once, and submit again, right after a job was accepted, has
+     * ended or was confirmed as cancelled; some cancel at once.
      */
     boolean closeLooks;
 
-    /** How many of ten jobs that end are called off at the moment of the end of their last task. */
+    /** How many batch jobs in ten are cancelled when their last task completes. */
     int cancelAtEnd;
 
-    /** Submissions that can't run or lack a field, and how many of them were refused for good. */
+    /**
+     * Submissions that cannot run or lack a field, and how many of them were rejected permanently.
+     */
     int badAsked;
 
     int badRefused;
@@ -68,7 +69,7 @@
         return w == null || w.spec.shape().ends();
     }
 
-    /** A service of some replicas, which its user may call off after a while. */
+    /** Submits a service with some replicas, which its user may cancel after a while. */
     void submitService(int number, long at, int replicas, boolean cancels) {
         JobSpec spec =
                 new JobSpecBuilder(String.format("wk-%06d", number))
@@ -84,7 +85,7 @@
         submit(new Wish(spec, cancels, 1_000), at);
     }
 
-    /** Services that nobody called off and of which not every replica runs. */
+    /** Replicas that do not run, of services that nobody cancelled. */
     List<String> servicesDown() {
         List<String> down = new ArrayList<>();
         for (Wish w : wishes.values()) {
@@ -104,7 +105,7 @@
         return w == null ? 1_000 : w.runMs / 2 + world.random.nextInt((int) w.runMs);
     }
 
-    /** One user's job, from its submission on. */
+    /** Submits a random job. */
     void submit(int number, long at) {
         String id = String.format("wk-%06d", number);
         var r = world.random;
@@ -251,7 +252,7 @@
         }
     }
 
-    /** Questions at all nodes within a few ms, and the submission once more. */
+    /** Polls all nodes within a few ms, and repeats the submission. */
     private void lookClosely(Wish w) {
         if (!closeLooks) {
             return;
@@ -280,7 +281,7 @@
                                     world.rules.told(w, answer, askedAt);
                                 },
                                 () -> {});
-                        // A body that can't be used makes no difference to a job that is known.
+                        // An invalid body makes no difference to a job that is known.
                         ask(
                                 node,
                                 n -> new Command.Submit(n, w.spec.id(), null, "sheets is missing"),
@@ -299,7 +300,7 @@
         }
     }
 
-    /** The last task of the job has just ended. */
+    /** The last task of the job has just completed. */
     void ended(String job) {
         Wish w = wishes.get(job);
         if (w != null && world.random.nextInt(10) < cancelAtEnd) {
@@ -308,8 +309,8 @@
     }
 
     /**
-     * A submission that fits no machine, of a team that nobody knows, above its team's limit, or
-     * without a field; it must be refused for good.
+     * Sends a submission that fits no machine, of an unknown team, above its team's quota, or
+     * without a field; it must be rejected permanently.
      */
     void submitBad(int number) {
         badAsked++;
@@ -344,7 +345,7 @@
                 .build();
     }
 
-    /** A question about a job that nobody submitted. */
+    /** Polls a job that nobody submitted. */
     void askUnknown() {
         ask(
                 n -> new Command.Poll(n, "wk-999999"),
--- a/src/test/java/org/shoreusher/model/WireAnswer.java
+++ b/src/test/java/org/shoreusher/model/WireAnswer.java
@@ -4,7 +4,7 @@
 import org.shoreusher.core.Effect;
 import org.shoreusher.wire.ResponseFormat;
 
-/** An answer as its receiver sees it on the wire. */
+/** A response as its receiver sees it on the wire. */
 record WireAnswer(long request, int status, Map<String, Object> body, int retryAfterS) {
     static WireAnswer of(Effect.Answer answer) {
         return new WireAnswer(
--- a/src/test/java/org/shoreusher/model/WorkerModel.java
+++ b/src/test/java/org/shoreusher/model/WorkerModel.java
@@ -13,15 +13,15 @@
 import org.shoreusher.core.WorkerReport.TaskState;
 import org.shoreusher.wire.WorkerFormat;
 
-/** A stand-in of a worker: sessions, leases, tokens, and answers dropped when they come late. */
+/** A simulated worker with incarnations, leases and fencing tokens. */
 final class WorkerModel {
     private static final long PATIENCE_MS = 4_000;
     private static final long RESULT_KEPT = -1;
 
-    /** One save in so many fails. */
+    /** One save in this number fails. */
     private static final int SAVES_FAIL = 4;
 
-    /** One report in so many has a late copy. */
+    /** One heartbeat in this number has a late duplicate. */
     private static final int COPIED = 12;
 
     final String id;
@@ -39,7 +39,7 @@
     private long deafUntil;
     private long muteUntil;
 
-    /** When the cloud takes the machine back; 0: it has said nothing. */
+    /** When the cloud reclaims the machine, in ms; 0 without a notice. */
     private long takenAt;
 
     private long session = 1;
@@ -85,29 +85,29 @@
         tasks.clear();
     }
 
-    /** Executes nothing and says nothing for a while. */
+    /** The machine executes nothing and sends nothing for a while. */
     void hang(long forMs) {
         hangingUntil = world.now + forMs;
     }
 
-    /** Goes on reporting, but no answer and no command reaches it for a while. */
+    /** A one-way partition: nothing sent to the machine arrives for a while. */
     void deafen(long forMs) {
         deafUntil = world.now + forMs;
     }
 
-    /** Reaches no controller for a while, though direct commands reach it. */
+    /** A one-way partition: heartbeats reach no controller for a while. */
     void mute(long forMs) {
         muteUntil = world.now + forMs;
     }
 
-    /** The cloud announces that it takes the machine back, and does so. */
+    /** The cloud gives an interruption notice, and reclaims the machine at its end. */
     void notice(long inMs) {
         takenAt = world.now + inMs;
         change();
         world.in(inMs, () -> world.cloud.take(this));
     }
 
-    /** Whether it is up and nothing is wrong with it. */
+    /** Whether the machine is up and no fault affects it. */
     boolean well() {
         return up
                 && !gone
@@ -124,7 +124,7 @@
         if (gone) {
             return;
         }
-        // Also while it hangs: what a machine holds past its lease counts as gone.
+        // Also while it hangs: tasks on a machine whose lease has expired count as stopped.
         lease();
         if (world.now >= hangingUntil) {
             if (!inFlight && world.now >= nextReportAt && world.now - lastReportAt >= 500) {
@@ -162,7 +162,7 @@
                 id, address(), type, zone, spot, session, ++seq, token, noticeS, list);
     }
 
-    /** An answer arrives at the machine. */
+    /** A response arrives at the machine. */
     private void heard(WireAnswer answer, long sentAt, long ofSession, long ofFlight) {
         if (world.now < deafUntil) {
             return;
@@ -177,10 +177,7 @@
         }
     }
 
-    /**
-     * A copy may come late, from seconds to well over a lease, perhaps when the machine is long
-     * gone; nobody hears its answer.
-     */
+    /** A duplicate may come late, even after the machine's end; its response is dropped. */
     private void copyLater(WorkerReport report) {
         if (world.random.nextInt(COPIED) > 0) {
             return;
@@ -275,7 +272,7 @@
         nextReportAt = world.now + pause;
     }
 
-    /** A direct command arrives, perhaps late. */
+    /** Direct orders arrive, perhaps late. */
     void direct(Effect.Orders o) {
         if (gone || !up || world.now < deafUntil) {
             return;
@@ -331,7 +328,7 @@
         world.in(200 + world.random.nextInt(800), () -> progress(name, t, () -> run(name, t)));
     }
 
-    /** Goes on with a task, unless it is gone; not while the machine hangs. */
+    /** Continues with a task unless it is gone; not while the machine hangs. */
     private void progress(String name, WorkerTask t, Runnable go) {
         if (gone || tasks.get(name) != t || t.state == TaskState.EXITED) {
             return;
@@ -351,7 +348,7 @@
         world.rules.on(this, name);
         change();
         if (!world.users.ends(t.job)) {
-            // A replica; a few end all the same, failed or not.
+            // A replica; a few exit all the same, with or without an error.
             if (world.random.nextInt(6) == 0) {
                 world.in(
                         world.random.nextInt(40_000),
@@ -378,7 +375,7 @@
                                 t,
                                 () -> {
                                     if (t.state == TaskState.SAVING) {
-                                        // It was stopped, and ends with its save.
+                                        // It was stopped, and exits after its checkpoint.
                                         return;
                                     }
                                     if (world.random.nextInt(60) == 0) {
@@ -391,7 +388,7 @@
                                 }));
     }
 
-    /** A running task that can save does so if there is time; one save in so many fails. */
+    /** A running task writes a checkpoint if it can; one in some fails. */
     private void halt(String name, WorkerTask t, double windDownS) {
         UserModel.Wish w = world.users.wishes.get(t.job);
         if (w == null
--- a/src/test/java/org/shoreusher/model/WorkerTask.java
+++ b/src/test/java/org/shoreusher/model/WorkerTask.java
@@ -4,7 +4,7 @@
 import org.shoreusher.core.WorkerReport.TaskReport;
 import org.shoreusher.core.WorkerReport.TaskState;
 
-/** A task on a machine of the model. */
+/** A task on a simulated machine. */
 final class WorkerTask {
     final String job;
     final int index;
@@ -19,7 +19,7 @@
         this.attempt = attempt;
     }
 
-    /** What a report says of it. */
+    /** Its status in a heartbeat. */
     TaskReport report() {
         return new TaskReport(job, index, attempt, state, cause, saved);
     }
--- a/src/test/java/org/shoreusher/model/World.java
+++ b/src/test/java/org/shoreusher/model/World.java
@@ -22,12 +22,12 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * A small deterministic world: several cores, a state service, a cloud, workers and users, joined
- * by a network that delays, holds and loses messages. Time is counted, nothing sleeps, and one seed
- * decides everything.
+ * A small deterministic simulation of a cluster: several cores, a store, a cloud, workers and
+ * users, connected by a network that delays, holds and loses messages. Time is simulated, nothing
+ * sleeps, and one seed decides everything.
  */
 final class World {
-    /** What a test takes away to see whether the checks notice. */
+    /** A defect that a test injects to see whether the checks detect it. */
     enum Sabotage {
         NONE,
         GUARDS_IGNORED,
@@ -35,7 +35,7 @@
         LATE_ANSWERS_EXECUTED
     }
 
-    /** Times at which troubles come, in ms, with what they do. */
+    /** A fault and the time at which it occurs, in ms. */
     record Trouble(long at, Consumer<World> what) {}
 
     /** Something that happens at a time; events of the same time keep their order. */
@@ -48,8 +48,8 @@
     final Settings settings;
 
     /**
-     * The limits under which processes start until their upgrade; null: all are of the same version
-     * from the start.
+     * The limits under which processes start until their upgrade; null if all run the current
+     * version from the start.
      */
     final Settings former;
 
@@ -66,18 +66,18 @@
     private long orders;
     long now;
 
-    /** Late copies of reports that have come. */
+    /** Late duplicates of heartbeats that were delivered. */
     int copies;
 
-    /** Whether copies of reports are kept until a new owner begins, and then come to every node. */
+    /** Whether heartbeats are retained until a failover, and then delivered to every node. */
     boolean keepReports;
 
     final List<WorkerReport> kept = new ArrayList<>();
 
-    /** From here on no trouble goes on, and every question must find its answer. */
+    /** From this time on there are no faults, and every request must get its response; in ms. */
     long quietFrom = Long.MAX_VALUE;
 
-    /** Told of every line that a process logs. */
+    /** Called for every line that a process logs. */
     Consumer<String> onLog = line -> {};
 
     /** The features of the processes that use any. */
@@ -86,12 +86,12 @@
     /** Which processes, by number, use features. */
     IntPredicate withFeatures = process -> true;
 
-    /** Processes that were killed between two effects, and what happens then. */
+    /** Processes that crashed between two effects, and what happens then. */
     int kills;
 
     Runnable onKilled = () -> {};
 
-    /** Told of every takeover, with the process that took the part. */
+    /** Called for every failover, with the process that acquired the shard. */
     Consumer<Process> onTakeover = p -> {};
 
     World(long seed, Settings settings, int parts, Sabotage sabotage) {
@@ -106,8 +106,8 @@
     }
 
     /**
-     * A world in which processes start with the limits of a former version, and come back with
-     * today's when they are upgraded.
+     * A simulation in which processes start with the limits of a previous version, and restart with
+     * the current ones when they are upgraded.
      */
     World(
             long seed,
@@ -141,7 +141,7 @@
         now = untilMs;
     }
 
-    /** Whether a host runs the former version. */
+    /** Whether a host runs the previous version. */
     boolean old(String host) {
         return processes.stream().anyMatch(p -> p.host.equals(host) && p.old());
     }
@@ -154,7 +154,7 @@
         at(now + delay, what);
     }
 
-    /** Copies of reports come to every node just as a new owner begins. */
+    /** Delivers duplicates of heartbeats to every node just as a new leader starts. */
     private void deliverKept() {
         for (WorkerReport r : List.copyOf(kept)) {
             copies++;
@@ -175,7 +175,7 @@
         }
     }
 
-    /** One controller: a core with clocks, killed and started again at will. */
+    /** One controller: a core with clocks, which can crash and restart. */
     final class Process {
         final String host;
         private final int index;
@@ -235,18 +235,19 @@
             in(backAfterMs, this::start);
         }
 
-        /** Whether it runs the former version, by its limits. */
+        /** Whether it runs the previous version, with that version's limits. */
         boolean old() {
             return former != null && !upgraded;
         }
 
-        /** Runs today's version from its first start on. */
+        /** Runs the current version from its first start on. */
         void startUpgraded() {
             upgraded = true;
         }
 
         /**
-         * Killed, and back with today's limits; one that ends before its turn comes back as it was.
+         * Restarts with the current limits; a process that crashes before its upgrade restarts as
+         * it was.
          */
         void upgrade(long backAfterMs) {
             upgraded = true;
@@ -312,7 +313,7 @@
             return settings.zones().get(index % settings.zones().size());
         }
 
-        /** A request comes in; the consumer gets the answer, unless the process dies first. */
+        /** A request arrives; the consumer gets the response, unless the process crashes first. */
         void request(
                 java.util.function.LongFunction<Command> command, Consumer<WireAnswer> answer) {
             if (node == null) {
@@ -379,7 +380,7 @@
             }
         }
 
-        /** A call: it may be executed after its caller has given up, and the answer may be lost. */
+        /** A call may be executed after its caller has given up, and its response may be lost. */
         private void call(
                 int ofLife, String to, long timeout, Reply back, Consumer<Reply> execute) {
             boolean[] ended = {false};
@@ -411,7 +412,7 @@
         }
     }
 
-    /** An answer to a call. */
+    /** Receives the response to a call. */
     interface Reply {
         void answer(int status, Map<String, Object> body);
     }
--- a/src/test/java/org/shoreusher/net/ConnectionsTest.java
+++ b/src/test/java/org/shoreusher/net/ConnectionsTest.java
@@ -21,13 +21,13 @@
 import org.shoreusher.worker.WorkerClient;
 
 /**
- * Connections to workers: on loopback, with a stand-in that answers and waits for the other side to
- * hang up.
+ * Connections on loopback, with a simulated peer that answers and waits for the other side to close
+ * the connection.
  */
 class ConnectionsTest {
     /**
-     * Kept connections to hundreds of workers took every socket of a node, and users were turned
-     * away.
+     * Open connections to hundreds of workers once took every socket of a node, and users were
+     * refused.
      */
     @Example
     void directCommandsLeaveNoConnectionOpen() throws Exception {
@@ -60,8 +60,8 @@
                                         .getBytes(StandardCharsets.US_ASCII));
                 int read = 0;
                 while (read >= 0) {
-                    // The rest of the request, then the end: the caller has hung up, though the
-                    // answer would keep the line.
+                    // The rest of the request, then the end of the stream: the caller has closed
+                    // the connection, though the response would keep it open.
                     read = in.read(new byte[4_096]);
                 }
                 assertEquals(-1, read);
@@ -72,9 +72,9 @@
     }
 
     /**
-     * Behind a cut half of the machines leave connections that look open. The one longest quiet
-     * makes room when the sockets are taken; new ones were once refused, so that nobody could be
-     * served.
+     * Behind a partition half of the machines leave connections that look open. The longest idle
+     * one is closed when all sockets are in use. New connections were once refused instead, so that
+     * nobody could be served.
      */
     @Example
     void theConnectionLongestQuietMakesRoom() throws Exception {
@@ -100,7 +100,7 @@
         }
     }
 
-    /** A body above the protocol's bound is malformed, which users don't try again. */
+    /** A body above the protocol's limit is malformed, so that users do not retry. */
     @Example
     void aBodyThatIsTooLongIsMalformed() throws Exception {
         NioEventLoopGroup group = new NioEventLoopGroup(1);
@@ -139,8 +139,7 @@
                                 .getBytes(StandardCharsets.US_ASCII));
         byte[] bytes = new byte[4_096];
         StringBuilder answer = new StringBuilder();
-        // The body ends with the message it holds, so that nothing of it is left for the next
-        // answer.
+        // The body ends with this message, so that nothing of it is left for the next response.
         while (!answer.toString().endsWith("no such path or method")) {
             int read = socket.getInputStream().read(bytes);
             assertTrue(read > 0, "hung up after: " + answer);
--- a/src/test/java/org/shoreusher/peer/HintCodecTest.java
+++ b/src/test/java/org/shoreusher/peer/HintCodecTest.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.constraints.Size;
 import org.shoreusher.core.Hint;
 
-/** Tests of the encoding of hints. */
+/** The encoding of gossip. */
 class HintCodecTest {
     private final HintCodec codec = new HintCodec();
 
@@ -37,7 +37,10 @@
         assertEquals(hint, codec.read(codec.write(hint)));
     }
 
-    /** Bytes from elsewhere are a hint or null, and cost no memory beyond their own size. */
+    /**
+     * Arbitrary bytes are read as a gossip message or null, and cost no memory beyond their own
+     * size.
+     */
     @Property(tries = 500, seed = "6")
     void otherBytesAreRefused(@ForAll byte[] bytes) {
         Hint hint = codec.read(bytes);
--- a/src/test/java/org/shoreusher/peer/StandbyCodecTest.java
+++ b/src/test/java/org/shoreusher/peer/StandbyCodecTest.java
@@ -29,7 +29,7 @@
 import org.shoreusher.standby.LogRecord.Started;
 import org.shoreusher.standby.LogStream;
 
-/** Tests of the warm standby's messages as bytes. */
+/** The encoding of the warm standby's messages. */
 class StandbyCodecTest {
     private static final LogStream STREAM = new LogStream(0, 9, "node-0/a", "node-1/b", 3);
 
@@ -62,7 +62,10 @@
         assertTrue(bytes.length < Tuning.MAX_HINT, () -> "bytes " + bytes.length);
     }
 
-    /** A version that knows hints only takes no such message for a hint, and this one no hint. */
+    /**
+     * A version that knows gossip only reads no standby message as gossip, and this version reads
+     * no gossip as a standby message.
+     */
     @Example
     void neitherIsTakenForTheOther() {
         Hint hint = new Hint("node-0", 5, true, 1, Map.of(), Map.of(), Map.of(), Map.of());
@@ -86,7 +89,7 @@
         }
     }
 
-    /** Bytes with errors are refused or read as some message; they do nothing else. */
+    /** Corrupted bytes are rejected or read as some message; they have no other effect. */
     @Property(tries = 2_000, seed = "17", shrinking = ShrinkingMode.OFF)
     void bytesWithErrorsDoNoHarm(@ForAll long seed) {
         Random random = new Random(seed);
--- a/src/test/java/org/shoreusher/settings/FeaturesFileTest.java
+++ b/src/test/java/org/shoreusher/settings/FeaturesFileTest.java
@@ -11,7 +11,7 @@
 import org.shoreusher.balance.BalanceSettings.ClassBudget;
 import org.shoreusher.standby.StandbySettings;
 
-/** Tests of the features file. */
+/** The features file. */
 class FeaturesFileTest {
     private static Features parse(String text) throws Settings.Invalid {
         Settings settings = SettingsTest.parse(SettingsTest.GOOD.replace("guarantee\"", KNOWN));
--- a/src/test/java/org/shoreusher/settings/SettingsBuilder.java
+++ b/src/test/java/org/shoreusher/settings/SettingsBuilder.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Settings like given ones but for some values. */
+/** Builds settings from given ones with some values changed. */
 public final class SettingsBuilder {
     private final Settings base;
     private String host;
@@ -24,7 +24,7 @@
     private int sockets;
     private long clockOffMs;
 
-    /** Settings like these to begin with. */
+    /** Starts with the values of these settings. */
     public SettingsBuilder(Settings base) {
         this.base = base;
         host = base.host();
@@ -45,26 +45,26 @@
         clockOffMs = base.clockOffMs();
     }
 
-    /** Sets this alone. */
+    /** Sets the host and the other members. */
     public SettingsBuilder host(String name, List<Settings.Member> others) {
         host = name;
         members = others;
         return this;
     }
 
-    /** Sets this alone. */
+    /** Sets the number of nodes. */
     public SettingsBuilder nodes(int count) {
         nodes = count;
         return this;
     }
 
-    /** Sets this alone. */
+    /** Sets the zones. */
     public SettingsBuilder zones(String... names) {
         zones = List.of(names);
         return this;
     }
 
-    /** Sets this alone. */
+    /** Sets the teams. */
     public SettingsBuilder teams(Settings.Team... list) {
         teams = new LinkedHashMap<>();
         for (Settings.Team team : list) {
@@ -73,7 +73,7 @@
         return this;
     }
 
-    /** How often workers report, how long their leases last, and what a cancellation may take. */
+    /** Sets the heartbeat interval, the worker lease and the cancellation limit, all in s. */
     public SettingsBuilder workers(double report, double lease, double cancel) {
         reportS = report;
         workerLeaseS = lease;
@@ -81,13 +81,15 @@
         return this;
     }
 
-    /** Sets this alone. */
+    /** Sets the store's requests per second. */
     public SettingsBuilder stateRps(double requests) {
         stateRps = requests;
         return this;
     }
 
-    /** The limits on changes, values and transactions of the state service. */
+    /**
+     * Sets the store's limits: changes per second, bytes of a value and changes in a transaction.
+     */
     public SettingsBuilder limits(double writeRps, int bytes, int ops) {
         stateWriteRps = writeRps;
         valueBytes = bytes;
@@ -95,31 +97,31 @@
         return this;
     }
 
-    /** Sets this alone. */
+    /** Sets the cloud's calls per second. */
     public SettingsBuilder cloudRps(double calls) {
         cloudRps = calls;
         return this;
     }
 
-    /** Sets this alone. */
+    /** Sets the lag of machine inventories, in s. */
     public SettingsBuilder listLagS(double seconds) {
         listLagS = seconds;
         return this;
     }
 
-    /** Sets this alone. */
+    /** Sets the number of sockets. */
     public SettingsBuilder sockets(int count) {
         sockets = count;
         return this;
     }
 
-    /** Sets this alone. */
+    /** Sets the maximum clock offset, in ms. */
     public SettingsBuilder clockOffMs(long ms) {
         clockOffMs = ms;
         return this;
     }
 
-    /** The settings. */
+    /** Builds the settings. */
     public Settings build() {
         return new Settings(
                 host,
--- a/src/test/java/org/shoreusher/settings/SettingsTest.java
+++ b/src/test/java/org/shoreusher/settings/SettingsTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** Tests of the settings file. */
+/** The settings file. */
 class SettingsTest {
     static final String GOOD =
             """
@@ -39,8 +39,8 @@
     }
 
     /**
-     * A deployment stated its only team with 0 throughout; taken for no CPUs at all, every job was
-     * refused for good.
+     * A deployment stated its only team with 0 throughout. When that was taken for no CPUs at all,
+     * every job was rejected permanently.
      */
     @Example
     void aLimitOfZeroOrNoneIsNoLimit() throws Settings.Invalid {
@@ -83,9 +83,7 @@
         }
     }
 
-    /**
-     * The state service's burst is a second's worth: a larger transaction would never get through.
-     */
+    /** The store's burst is a second's worth: a larger transaction would never succeed. */
     @Example
     void aTransactionFitsTheBurstOfTheStateService() throws Settings.Invalid {
         assertEquals(20, parse(GOOD).txnOps());
@@ -95,7 +93,7 @@
     }
 
     /**
-     * Limits to come count from the start where they are stricter, and only there; absent or null
+     * Future limits apply from the start where they are stricter, and only there; absent or null
      * they change nothing.
      */
     @Example
--- a/src/test/java/org/shoreusher/standby/AttemptLogTest.java
+++ b/src/test/java/org/shoreusher/standby/AttemptLogTest.java
@@ -18,7 +18,10 @@
 import org.shoreusher.standby.LogRecord.SnapshotBegin;
 import org.shoreusher.standby.LogRecord.Started;
 
-/** Tests of the log's two sides, joined by a network that repeats, loses and reorders. */
+/**
+ * The sender and receiver of the log, connected by a network that duplicates, loses and reorders
+ * messages.
+ */
 class AttemptLogTest {
     private static final String OWNER = "node-0/a";
     private static final String STANDBY = "node-1/b";
@@ -70,7 +73,7 @@
         assertEquals(19, receiver.attempts());
     }
 
-    /** Whatever the network repeats, loses or delivers late, both tables end up the same. */
+    /** Whatever the network duplicates, loses or delivers late, both tables end up the same. */
     @Property(tries = 200, seed = "41", shrinking = ShrinkingMode.OFF)
     void bothTablesAgreeOverABadNetwork(@ForAll long seed) {
         Random random = new Random(seed);
@@ -171,7 +174,7 @@
         assertFalse(small.receive(new LogFrame(stream(TERM, 1), 1, records)).accepted());
     }
 
-    /** Frames of a term or stream that has been replaced change nothing, and get no answer. */
+    /** Frames of an outdated term or stream change nothing, and get no response. */
     @Example
     void framesOfFormerStreamsChangeNothing() {
         LogFrame former = new LogFrame(stream(TERM, 1), 1, List.of(new SnapshotBegin()));
@@ -185,7 +188,7 @@
         assertEquals(PromotionOutcome.OTHER_TERM, outcome());
     }
 
-    /** Acknowledgements of a former stream, or of records that came before, are void. */
+    /** Acknowledgements of an earlier stream, or of earlier records, are ignored. */
     @Example
     void acknowledgementsOfFormerStreamsChangeNothing() {
         sender.started(attempt(1));
--- a/src/test/java/org/shoreusher/wire/FormatsTest.java
+++ b/src/test/java/org/shoreusher/wire/FormatsTest.java
@@ -22,7 +22,7 @@
 import org.shoreusher.core.WorkerOrder;
 import org.shoreusher.core.WorkerReport;
 
-/** Tests of the formats of users, workers, cloud and state service. */
+/** The formats of users, workers, cloud and store. */
 class FormatsTest {
     @Provide
     Arbitrary<Map<String, Object>> maps() {
@@ -58,9 +58,7 @@
         }
     }
 
-    /**
-     * A message with one byte changed is read or refused, too, and never brings the reader down.
-     */
+    /** A message with one changed byte is read or rejected, and never crashes the reader. */
     @Property(tries = 500, seed = "3")
     void aSpoiledJobIsReadOrRefused(
             @ForAll("jobs") JobSpec job, @ForAll int at, @ForAll byte value) {
@@ -145,8 +143,8 @@
     }
 
     /**
-     * Only what may be null may be left out; a job that lacks anything else, or holds no number
-     * where one belongs, is refused.
+     * Only nullable fields may be left out; a job that lacks any other field, or has no number
+     * where one belongs, is rejected.
      */
     @Example
     void everyFieldThatMayNotBeNullIsNeeded() {
