--- /dev/null
+++ b/src/test/java/org/shoreusher/model/EffectHash.java
@@ -0,0 +1,103 @@
+package org.shoreusher.model;
+
+import com.dynatrace.hash4j.hashing.HashStream64;
+import com.dynatrace.hash4j.hashing.Hashing;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import org.shoreusher.core.Effect;
+import org.shoreusher.peer.HintCodec;
+import org.shoreusher.peer.MessageBytes;
+import org.shoreusher.wire.CloudFormat;
+import org.shoreusher.wire.FieldMap;
+import org.shoreusher.wire.ResponseFormat;
+import org.shoreusher.wire.StateFormat;
+import org.shoreusher.wire.WorkerFormat;
+
+/**
+ * One hash over effects in their order, as they leave the process: paths, statuses and bytes of
+ * bodies and messages. Log lines and names of Java classes, fields and enum constants do not count.
+ *
+ * <p>The fields of a body are hashed by name, because bodies are made with {@link Map#of} too,
+ * whose order differs from one virtual machine to the next. Lists keep their order.
+ */
+final class EffectHash {
+    private static final int ANSWER = 1;
+    private static final int STATE = 2;
+    private static final int CLOUD = 3;
+    private static final int ORDERS = 4;
+    private static final int HINT = 5;
+    private static final int STANDBY = 6;
+
+    private final HashStream64 stream = Hashing.xxh3_64().hashStream();
+    private final HintCodec hints = new HintCodec();
+    private long effects;
+
+    void take(String host, Effect effect) {
+        if (effect instanceof Effect.Answer a) {
+            begin(ANSWER, host).putLong(a.request());
+            stream.putInt(ResponseFormat.status(a.response()));
+            stream.putInt(ResponseFormat.retryAfterS(a.response()));
+            body(ResponseFormat.body(a.response()));
+        } else if (effect instanceof Effect.StateCall c) {
+            begin(STATE, host).putLong(c.call()).putBoolean(c.urgent());
+            request(StateFormat.request(c.op()));
+        } else if (effect instanceof Effect.CloudCall c) {
+            begin(CLOUD, host).putLong(c.call());
+            request(CloudFormat.request(c.op()));
+        } else if (effect instanceof Effect.Orders o) {
+            begin(ORDERS, host).putString(o.address());
+            body(WorkerFormat.direct(o.token(), o.session(), o.orders()));
+        } else if (effect instanceof Effect.Tell t) {
+            begin(HINT, host);
+            bytes(hints.write(t.hint()));
+        } else if (effect instanceof Effect.SendToPeer s) {
+            begin(STANDBY, host).putString(s.host());
+            bytes(MessageBytes.of(s.message()));
+        }
+    }
+
+    /** The hash, and how many effects it covers. */
+    String text() {
+        return String.format("%016x %d", stream.getAsLong(), effects);
+    }
+
+    private HashStream64 begin(int kind, String host) {
+        effects++;
+        return stream.putByte((byte) kind).putString(host);
+    }
+
+    private void request(StateFormat.Request request) {
+        stream.putString(request.body() == null ? "GET" : "POST").putString(request.path());
+        if (request.body() != null) {
+            body(request.body());
+        }
+    }
+
+    private void body(Map<String, Object> body) {
+        bytes(FieldMap.toCbor(byName(body)));
+    }
+
+    private void bytes(byte[] bytes) {
+        stream.putByteArray(bytes);
+    }
+
+    private static Map<String, Object> byName(Map<?, ?> map) {
+        Map<String, Object> sorted = new TreeMap<>();
+        map.forEach((key, value) -> sorted.put((String) key, inOrder(value)));
+        return sorted;
+    }
+
+    private static Object inOrder(Object value) {
+        if (value instanceof Map<?, ?> map) {
+            return byName(map);
+        }
+        if (value instanceof List<?> list) {
+            List<Object> out = new ArrayList<>(list.size());
+            list.forEach(entry -> out.add(inOrder(entry)));
+            return out;
+        }
+        return value;
+    }
+}
--- a/src/test/java/org/shoreusher/model/ModelSettings.java
+++ b/src/test/java/org/shoreusher/model/ModelSettings.java
@@ -1,5 +1,6 @@
 package org.shoreusher.model;
 
+import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import org.shoreusher.settings.Settings;
@@ -11,12 +12,10 @@
 
     /** Three nodes in two zones, two teams, and limits that allow a busy day. */
     static Settings usual() {
-        Map<String, Settings.Team> teams =
-                Map.of(
-                        "team-0",
-                        new Settings.Team("team-0", 16, 24, 0, 0),
-                        "team-1",
-                        new Settings.Team("team-1", 8, 16, 0, 0));
+        // In this order in every run, since the core goes through the teams.
+        Map<String, Settings.Team> teams = new LinkedHashMap<>();
+        teams.put("team-0", new Settings.Team("team-0", 16, 24, 0, 0));
+        teams.put("team-1", new Settings.Team("team-1", 8, 16, 0, 0));
         Settings.Address nowhere = new Settings.Address("127.0.0.1", 1);
         return new Settings(
                 "node",
--- a/src/test/java/org/shoreusher/model/SingleNode.java
+++ b/src/test/java/org/shoreusher/model/SingleNode.java
@@ -54,6 +54,7 @@
             List<Command> batch = new ArrayList<>(commands);
             commands.clear();
             for (Effect e : node.step(new ClockReading(now, now), batch)) {
+                world.onEffect.accept("node-0", e);
                 if (e instanceof Effect.StateCall c) {
                     world.state.handle(
                             "node-0",
--- a/src/test/java/org/shoreusher/model/World.java
+++ b/src/test/java/org/shoreusher/model/World.java
@@ -8,8 +8,10 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Random;
+import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.function.IntPredicate;
+import java.util.function.ObjLongConsumer;
 import org.shoreusher.core.ClockReading;
 import org.shoreusher.core.Command;
 import org.shoreusher.core.Effect;
@@ -80,6 +82,13 @@
     /** Told of every line that a process logs. */
     Consumer<String> onLog = line -> {};
 
+    /** Told of every effect that is carried out, with the host whose core wanted it. */
+    BiConsumer<String, Effect> onEffect = (host, effect) -> {};
+
+    /** Told of every world that this thread makes, with its seed, before it begins. */
+    static final ThreadLocal<ObjLongConsumer<World>> ON_NEW =
+            ThreadLocal.withInitial(() -> (world, seed) -> {});
+
     /** The features of the processes that use any. */
     Features features = Features.NONE;
 
@@ -128,6 +137,7 @@
         for (int i = 0; i < settings.nodes(); i++) {
             processes.add(new Process("node-" + i, i));
         }
+        ON_NEW.get().accept(this, seed);
     }
 
     void run(long untilMs, List<Trouble> troubles) {
@@ -325,6 +335,7 @@
 
         private void carryOut(Effect effect) {
             int ofLife = life;
+            onEffect.accept(host, effect);
             if (effect instanceof Effect.Answer a) {
                 Consumer<WireAnswer> to = waiting.remove(a.request());
                 if (to != null) {
--- /dev/null
+++ b/src/test/java/org/shoreusher/peer/MessageBytes.java
@@ -0,0 +1,13 @@
+package org.shoreusher.peer;
+
+import org.shoreusher.standby.StandbyMessage;
+
+/** The bytes of messages of the warm standby, for tests of other packages. */
+public final class MessageBytes {
+    private MessageBytes() {}
+
+    /** The message as it is sent to another controller. */
+    public static byte[] of(StandbyMessage message) {
+        return StandbyCodec.write(message);
+    }
+}
