--- a/src/main/java/org/shoreusher/cli/Service.java
+++ b/src/main/java/org/shoreusher/cli/Service.java
@@ -160,7 +160,7 @@
     }
 
     private void carryOut(Effect effect) {
-        if (effect instanceof Effect.Answer e) {
+        if (effect instanceof Effect.Respond e) {
             front.answer(e);
         } else if (effect instanceof Effect.StateCall e) {
             state.call(e);
@@ -169,11 +169,11 @@
         } else if (effect instanceof Effect.Orders e) {
             workers.send(e);
         } else if (effect instanceof Effect.Tell e) {
-            peers.tell(e.hint());
+            peers.tell(e.message());
         } else if (effect instanceof Effect.SendToPeer e) {
             standbyLines.send(e.host(), e.message());
         } else if (effect instanceof Effect.Log e) {
-            if (e.detail()) {
+            if (e.debugOnly()) {
                 LOG.debug(e.line());
             } else {
                 LOG.info(e.line());
--- a/src/main/java/org/shoreusher/cloud/CloudClient.java
+++ b/src/main/java/org/shoreusher/cloud/CloudClient.java
@@ -23,11 +23,11 @@
 
     /** Sends a call. The core gets exactly one reply; its status is 0 on failure or timeout. */
     public void call(Effect.CloudCall call) {
-        StateFormat.Request request = CloudFormat.request(call.op());
+        StateFormat.Request request = CloudFormat.request(call.operation());
         caller.call(
                 request.path(),
                 request.body(),
                 Tuning.CLOUD_TIMEOUT_MS,
-                (status, body) -> core.accept(new Command.CloudReply(call.call(), status, body)));
+                (status, body) -> core.accept(new Command.CloudReply(call.callId(), status, body)));
     }
 }
--- a/src/main/java/org/shoreusher/core/Acceptance.java
+++ b/src/main/java/org/shoreusher/core/Acceptance.java
@@ -84,11 +84,11 @@
             return;
         }
         if (queue.size() >= Tuning.ARRIVALS_WAITING) {
-            outbox.answerUnavailable(request);
+            outbox.respondUnavailable(request);
             return;
         }
         Map<String, Object> record =
-                JobRecord.open(roomiestPart.applyAsInt(spec), spec, outbox.now.wallMs()).write();
+                JobRecord.open(roomiestPart.applyAsInt(spec), spec, outbox.now.wallMs()).toMap();
         int bytes = FieldMap.jsonLength(record);
         if (bytes > settings.valueBytes()) {
             tooLong.accept(request, spec.id());
@@ -98,7 +98,7 @@
                 spec.id(),
                 new Arriving(
                         spec,
-                        outbox.now.steadyMs(),
+                        outbox.now.monotonicMs(),
                         record,
                         bytes + Tuning.RECORD_FRAME,
                         new ArrayList<>(List.of(request))));
@@ -114,9 +114,9 @@
                 .removeIf(
                         a -> {
                             boolean late =
-                                    outbox.now.steadyMs() - a.sinceMs > Tuning.ACCEPT_WAIT_MS;
+                                    outbox.now.monotonicMs() - a.sinceMs > Tuning.ACCEPT_WAIT_MS;
                             if (late) {
-                                a.requests.forEach(outbox::answerUnavailable);
+                                a.requests.forEach(outbox::respondUnavailable);
                             }
                             return late;
                         });
@@ -137,19 +137,19 @@
         }
         Map<String, Long> guards = new LinkedHashMap<>();
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
-        batch.forEach(a -> guards.put(StoreSchema.job(a.spec.id()), 0L));
+        batch.forEach(a -> guards.put(StoreSchema.jobKey(a.spec.id()), 0L));
         if (batch.size() == 1) {
-            writes.put(StoreSchema.job(batch.get(0).spec.id()), batch.get(0).record);
+            writes.put(StoreSchema.jobKey(batch.get(0).spec.id()), batch.get(0).record);
         } else {
             // The name of this process is unique, so no batch record is ever overwritten.
-            String key = StoreSchema.arrived(owner, nextRecord++);
+            String key = StoreSchema.submissionBatchKey(owner, nextRecord++);
             guards.put(key, 0L);
             Map<String, Map<String, Object>> jobs = new LinkedHashMap<>();
             batch.forEach(a -> jobs.put(a.spec.id(), a.record));
-            writes.put(key, ArrivalRecord.write(jobs));
+            writes.put(key, ArrivalRecord.toMap(jobs));
         }
         boolean sent =
-                outbox.stateForUser(
+                outbox.callStoreForUser(
                         new StateOp.Multi(guards, writes),
                         reply -> {
                             writing--;
@@ -165,12 +165,12 @@
     private void replied(
             StateReply reply, List<Arriving> batch, Map<String, Map<String, Object>> writes) {
         if (reply.status() == 200) {
-            view.applied(reply, writes);
+            view.applyOwnWrites(reply, writes);
             batch.forEach(
                     a ->
                             a.requests.forEach(
                                     r ->
-                                            outbox.answer(
+                                            outbox.respond(
                                                     r,
                                                     new Response.JobState(
                                                             a.spec.id(),
@@ -180,7 +180,7 @@
         } else if (reply.status() == 409) {
             Set<String> failed = failed(reply);
             for (Arriving a : batch) {
-                if (failed.contains(StoreSchema.job(a.spec.id()))) {
+                if (failed.contains(StoreSchema.jobKey(a.spec.id()))) {
                     a.requests.forEach(r -> alreadyKnown.accept(r, a.spec.id()));
                 } else {
                     again(a);
@@ -189,7 +189,7 @@
         } else if (reply.status() == 429) {
             batch.forEach(this::again);
         } else {
-            batch.forEach(a -> a.requests.forEach(outbox::answerUnavailable));
+            batch.forEach(a -> a.requests.forEach(outbox::respondUnavailable));
         }
     }
 
--- a/src/main/java/org/shoreusher/core/Arrivals.java
+++ b/src/main/java/org/shoreusher/core/Arrivals.java
@@ -55,9 +55,9 @@
      * there is neither.
      */
     JobRecord record(String id) {
-        StoreView.Entry own = view.get(StoreSchema.job(id));
+        StoreView.Entry own = view.get(StoreSchema.jobKey(id));
         if (own != null) {
-            return JobRecord.read(own.value());
+            return JobRecord.fromMap(own.value());
         }
         Arrived arrived = waiting.get(id);
         return arrived == null ? null : arrived.record;
@@ -84,13 +84,13 @@
             }
             return;
         }
-        Map<String, JobRecord> jobs = ArrivalRecord.read(after.value()).jobs();
+        Map<String, JobRecord> jobs = ArrivalRecord.fromMap(after.value()).jobs();
         Set<String> left = new HashSet<>();
         jobs.forEach(
                 (id, record) -> {
                     // A completed job has been evicted from the cache; the watch may still deliver
                     // the older event of its submission.
-                    if (!view.hasOrHad(StoreSchema.job(id))) {
+                    if (!view.containsOrRecentlyRemoved(StoreSchema.jobKey(id))) {
                         left.add(id);
                     }
                 });
@@ -114,11 +114,11 @@
 
     /** Removes batches all of whose jobs have records of their own, from time to time. */
     void sweep(PartOwnership ownership) {
-        if (removing || outbox.now.steadyMs() < nextMs) {
+        if (removing || outbox.now.monotonicMs() < nextMs) {
             return;
         }
-        nextMs = outbox.now.steadyMs() + Tuning.SWEEP_EVERY_MS;
-        Map<String, Long> guards = new LinkedHashMap<>(ownership.fence());
+        nextMs = outbox.now.monotonicMs() + Tuning.SWEEP_EVERY_MS;
+        Map<String, Long> guards = new LinkedHashMap<>(ownership.fencingPrecondition());
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
         shared.forEach(
                 (key, ids) -> {
@@ -129,12 +129,12 @@
                 });
         if (!writes.isEmpty()) {
             removing =
-                    outbox.state(
+                    outbox.callStore(
                             new StateOp.Multi(guards, writes),
                             reply -> {
                                 removing = false;
                                 if (reply.status() == 200) {
-                                    view.applied(reply, writes);
+                                    view.applyOwnWrites(reply, writes);
                                 }
                             });
         }
--- a/src/main/java/org/shoreusher/core/AttemptReplicas.java
+++ b/src/main/java/org/shoreusher/core/AttemptReplicas.java
@@ -34,7 +34,7 @@
         settings = context.settings();
         standbySettings = context.features().standby();
         outbox = context.outbox();
-        view = context.view();
+        view = context.storeCache();
         this.process = process;
         receivers = new AttemptLogReceiver[parts];
     }
@@ -89,7 +89,7 @@
 
     /** The shard's fencing record in the store cache; null if there is none. */
     Fence fence(int part) {
-        StoreView.Entry entry = view.get(StoreSchema.fence(part));
+        StoreView.Entry entry = view.get(StoreSchema.fencingKey(part));
         if (entry == null
                 || !(entry.value().get("owner") instanceof String owner)
                 || !(entry.value().get("term") instanceof Number term)) {
@@ -122,7 +122,7 @@
     /** Counts and logs the outcome of a promotion. */
     void count(int part, PromotionOutcome outcome) {
         int times = outcomes.merge(outcome, 1, Integer::sum);
-        outbox.log(
+        outbox.logInfo(
                 "promotion: part "
                         + part
                         + (outcome == PromotionOutcome.IN_SYNC
--- a/src/main/java/org/shoreusher/core/AttemptReplication.java
+++ b/src/main/java/org/shoreusher/core/AttemptReplication.java
@@ -80,16 +80,16 @@
         this.others = others;
         this.ownership = ownership;
         outbox = context.outbox();
-        formats = context.formats();
+        formats = context.versionNegotiation();
         settings = context.features().standby();
         chooser = new StandbyChooser(context.settings().zone());
         sender =
                 settings == null
                         ? null
                         : new AttemptLogSender(
-                                part.number,
-                                ownership.takenTerm(),
-                                ownership.owner(),
+                                part.shardNumber,
+                                ownership.acquisitionTerm(),
+                                ownership.processName(),
                                 settings.frameRecords());
     }
 
@@ -164,7 +164,7 @@
     void newReport(Machine m) {
         HeldAnswer late = held.remove(m);
         if (late != null) {
-            outbox.answerUnavailable(late.request);
+            outbox.respondUnavailable(late.request);
         }
     }
 
@@ -185,9 +185,9 @@
     }
 
     private void send(long request, Machine m, List<WorkerOrder> orders) {
-        m.repliedAtMs = outbox.now.steadyMs();
-        m.answeredAtMs = outbox.now.steadyMs();
-        outbox.answer(request, new Response.Orders(part.term(), orders));
+        m.repliedAtMs = outbox.now.monotonicMs();
+        m.answeredAtMs = outbox.now.monotonicMs();
+        outbox.respond(request, new Response.Orders(part.term(), orders));
     }
 
     /**
@@ -207,10 +207,10 @@
             heldMs.recordValue(Math.min(LONGEST_HELD_MS, nowMs() - answer.sinceMs));
             // Time has passed since the starts were decided, so the lease, the store cache and the
             // jobs are checked again.
-            if (part.mayAnswer()) {
+            if (part.canAnswerHeartbeats()) {
                 send(answer.request, e.getKey(), stillDue(e.getKey(), answer, withStarts));
             } else {
-                outbox.answerUnavailable(answer.request);
+                outbox.respondUnavailable(answer.request);
             }
         }
     }
@@ -222,7 +222,7 @@
     private List<WorkerOrder> stillDue(Machine m, HeldAnswer answer, boolean withStarts) {
         boolean mayStart =
                 withStarts
-                        && part.mayStart()
+                        && part.canStartTasks()
                         && nowMs() - answer.sinceMs <= settings.ackTimeoutMs();
         return answer.orders.stream()
                 .filter(order -> !isStart(order) || (mayStart && wanted(m, order)))
@@ -256,7 +256,7 @@
         // A heartbeat that contradicted the previous leader's log restarts reconciliation. Until it
         // is complete this leader's own attempt table is not complete either.
         boolean follows = phase != Phase.ALONE && phase != Phase.REMOVING;
-        if (follows && (!part.rebuilt() || sender.failed(nowMs(), settings.ackTimeoutMs()))) {
+        if (follows && (!part.isReconciled() || sender.failed(nowMs(), settings.ackTimeoutMs()))) {
             giveUp();
         }
         switch (phase) {
@@ -279,7 +279,7 @@
     }
 
     private void line() {
-        outbox.detail(
+        outbox.logDebug(
                 "standby: held "
                         + heldMs.getTotalCount()
                         + " answers with starts, median "
@@ -295,7 +295,7 @@
     }
 
     private long nowMs() {
-        return outbox.now.steadyMs();
+        return outbox.now.monotonicMs();
     }
 
     /** Replicates the ends of completed attempts whose completion has become durable. */
@@ -312,10 +312,13 @@
 
     /** Begins to replicate to the best candidate, once all attempts on machines are known. */
     private void attach() {
-        if (!part.rebuilt() || !part.holds() || sender.attempts() > settings.mostAttempts()) {
+        if (!part.isReconciled()
+                || !part.isLeader()
+                || sender.attempts() > settings.mostAttempts()) {
             return;
         }
-        StandbyChooser.Candidate candidate = chooser.choose(formats.standbys(others::up), nowMs());
+        StandbyChooser.Candidate candidate =
+                chooser.choose(formats.standbyCandidates(others::isResponsive), nowMs());
         if (candidate != null) {
             sender.attach(candidate.process(), nowMs());
             phase = Phase.SNAPSHOT;
@@ -336,9 +339,9 @@
             phase = Phase.NAMED;
             namedAtMs = nowMs();
             ownership.nameStandby(sender.standby());
-            outbox.log(
+            outbox.logInfo(
                     "standby: part "
-                            + part.number
+                            + part.shardNumber
                             + " term "
                             + part.term()
                             + ", "
@@ -351,9 +354,9 @@
 
     /** Stops replicating to the standby, and removes its name from the record if it was named. */
     private void giveUp() {
-        outbox.log(
+        outbox.logInfo(
                 "standby: part "
-                        + part.number
+                        + part.shardNumber
                         + " gives "
                         + sender.standby()
                         + " up, "
@@ -373,14 +376,14 @@
      * Sends starts without a standby again once the store has confirmed the removal of its name.
      */
     private void goOnAlone() {
-        if (ownership.surelyNoStandby()) {
+        if (ownership.hasDefinitelyNoStandby()) {
             phase = Phase.ALONE;
         }
     }
 
     /** Drops all held answers, because leadership of the shard is lost. */
     void close() {
-        held.values().forEach(answer -> outbox.answerUnavailable(answer.request));
+        held.values().forEach(answer -> outbox.respondUnavailable(answer.request));
         held.clear();
     }
 }
--- a/src/main/java/org/shoreusher/core/Balancing.java
+++ b/src/main/java/org/shoreusher/core/Balancing.java
@@ -67,7 +67,7 @@
         // reports soon after.
         long reportMs = Math.round(context.settings().reportS() * 1_000);
         return new Balancer.Patience(
-                PartLease.workerLeaseMs(context.settings()) + 2 * reportMs,
+                PartLease.workerLeaseBoundMs(context.settings()) + 2 * reportMs,
                 Tuning.MOVE_START_REPORTS * reportMs);
     }
 
@@ -110,7 +110,7 @@
         if (!off()) {
             JobSpec spec = live.job.spec;
             balancer.load().taskAdded(live.machine.id, spec.team(), spec.cpus(), spec.image());
-            balancer.budget().taskAdded(spec.jobClass(), outbox.now.steadyMs());
+            balancer.budget().taskAdded(spec.jobClass(), outbox.now.monotonicMs());
         }
     }
 
@@ -121,19 +121,19 @@
         }
         JobSpec spec = live.job.spec;
         balancer.load().taskRemoved(live.machine.id, spec.team(), spec.cpus());
-        balancer.budget().taskRemoved(spec.jobClass(), outbox.now.steadyMs());
+        balancer.budget().taskRemoved(spec.jobClass(), outbox.now.monotonicMs());
         Reservation r = reservations.get(new TaskId(live.job.id, live.index));
         if (r == null || r.source != live) {
             return;
         }
         if (live.job.done.get(live.index)) {
             release(r);
-            balancer.completed(r.move, outbox.now.steadyMs());
-            outbox.log("move: " + r.move.task().id() + " had completed before it was stopped");
+            balancer.completed(r.move, outbox.now.monotonicMs());
+            outbox.logInfo("move: " + r.move.task().id() + " had completed before it was stopped");
         } else if (live.job.closed) {
             abandon(r, Move.Reason.JOB_CLOSED);
         } else {
-            balancer.leftSource(r.move, live.saved, outbox.now.steadyMs());
+            balancer.leftSource(r.move, live.saved, outbox.now.monotonicMs());
             r.left = true;
             live.job.setWaiting(live.index, false);
             ledger.hold(spec);
@@ -195,18 +195,18 @@
             }
             if (r.source.job.closed) {
                 abandon(r, Move.Reason.JOB_CLOSED);
-            } else if (part.teamRoom().cpusLeft(r.spec().team()) < -Tuning.EPSILON) {
+            } else if (part.quotaHeadroom().cpusLeft(r.spec().team()) < -Tuning.EPSILON) {
                 // The quota share may have been lowered since the task left its source.
                 abandon(r, Move.Reason.TEAM_LIMIT);
             } else {
                 release(r);
-                balancer.started(r.move, outbox.now.steadyMs());
-                outbox.log(
+                balancer.started(r.move, outbox.now.monotonicMs());
+                outbox.logInfo(
                         "moved: %s to %s after %.1f s%s"
                                 .formatted(
                                         r.move.task().id(),
                                         m.id,
-                                        (outbox.now.steadyMs() - r.move.begunMs()) / 1000.0,
+                                        (outbox.now.monotonicMs() - r.move.begunMs()) / 1000.0,
                                         r.source.saved ? ", saved" : ""));
                 ready.add(r.move.task().id());
             }
@@ -218,22 +218,23 @@
 
     /** Checks the migrations in progress and begins new ones. */
     void step() {
-        if (off() || outbox.now.steadyMs() < nextStepMs) {
+        if (off() || outbox.now.monotonicMs() < nextStepMs) {
             return;
         }
-        nextStepMs = outbox.now.steadyMs() + Tuning.BALANCE_EVERY_MS;
+        nextStepMs = outbox.now.monotonicMs() + Tuning.BALANCE_EVERY_MS;
         for (Reservation r : List.copyOf(reservations.values())) {
             check(r);
         }
         // No migration begins before all machines have reported, after a lease expiry, or with a
         // stale store cache: the known state of the machines may then be wrong.
-        if (part.rebuilt() && part.mayStart()) {
+        if (part.isReconciled() && part.canStartTasks()) {
             balancer.demand(demand());
-            balancer.plan(this, outbox.now.steadyMs()).forEach(this::begin);
+            balancer.plan(this, outbox.now.monotonicMs()).forEach(this::begin);
         }
-        if (outbox.now.steadyMs() >= nextLineMs && balancer.statistics().moves() > 0) {
-            nextLineMs = outbox.now.steadyMs() + Tuning.STATUS_LINE_MS;
-            outbox.detail("balance: part " + part.number + " " + balancer.statistics().line());
+        if (outbox.now.monotonicMs() >= nextLineMs && balancer.statistics().moves() > 0) {
+            nextLineMs = outbox.now.monotonicMs() + Tuning.STATUS_LINE_MS;
+            outbox.logDebug(
+                    "balance: part " + part.shardNumber + " " + balancer.statistics().line());
         }
     }
 
@@ -246,15 +247,15 @@
             }
         }
         wanted.replaceAll(
-                (team, cpus) -> Math.max(0, Math.min(cpus, part.teamRoom().cpusLeft(team))));
+                (team, cpus) -> Math.max(0, Math.min(cpus, part.quotaHeadroom().cpusLeft(team))));
         return wanted;
     }
 
     private void check(Reservation r) {
-        Move.Reason late = balancer.overdue(r.move, outbox.now.steadyMs());
+        Move.Reason late = balancer.overdue(r.move, outbox.now.monotonicMs());
         if (r.source.job.closed) {
             abandon(r, Move.Reason.JOB_CLOSED);
-        } else if (part.machines().get(r.target.id) != r.target || !part.available(r.target)) {
+        } else if (part.machines().get(r.target.id) != r.target || !part.isAvailable(r.target)) {
             abandon(r, Move.Reason.TARGET_LOST);
         } else if (late != null) {
             abandon(r, late);
@@ -268,8 +269,8 @@
         reservations.put(move.task().id(), r);
         r.target.reserve(r.spec(), 1);
         live.stopping = true;
-        part.stops().halt(live, TaskStops.graceS(live));
-        outbox.log(
+        part.taskEviction().halt(live, TaskStops.graceS(live));
+        outbox.logInfo(
                 "move: %s from %s to %s, spread of %s %.2f, gain %.0f s"
                         .formatted(
                                 move.task().id(),
@@ -287,8 +288,8 @@
 
     private void abandon(Reservation r, Move.Reason reason) {
         release(r);
-        balancer.abandon(r.move, reason, outbox.now.steadyMs());
-        outbox.log(
+        balancer.abandon(r.move, reason, outbox.now.monotonicMs());
+        outbox.logInfo(
                 "move: "
                         + r.move.task().id()
                         + " abandoned, "
@@ -316,7 +317,7 @@
     public List<MovableTask> movableTasks(String machine, String team) {
         List<MovableTask> movable = new ArrayList<>();
         Machine m = part.machines().get(machine);
-        if (m == null || !part.available(m)) {
+        if (m == null || !part.isAvailable(m)) {
             return movable;
         }
         for (TaskAttempt live : m.tasks.values()) {
@@ -339,13 +340,13 @@
                 && !spec.oneZone()
                 && !spec.spread()
                 && live.job.live.get(live.index) == live
-                && outbox.now.steadyMs() - live.sinceMs > Tuning.START_COUNTS_MS
-                && part.urgency().canSpare(live.job, outbox.now.wallMs());
+                && outbox.now.monotonicMs() - live.sinceMs > Tuning.START_COUNTS_MS
+                && part.schedulingOrder().canSpare(live.job, outbox.now.wallMs());
     }
 
     private MovableTask task(TaskAttempt live) {
         JobSpec spec = live.job.spec;
-        double ranS = (outbox.now.steadyMs() - live.runningSinceMs) / 1000.0;
+        double ranS = (outbox.now.monotonicMs() - live.runningSinceMs) / 1000.0;
         return new MovableTask(
                 new TaskId(live.job.id, live.index),
                 spec.jobClass(),
@@ -354,7 +355,7 @@
                 spec.image(),
                 spec.imageGb(),
                 live.machine.id,
-                part.estimates().runS(live.job) - ranS,
+                part.runTimeEstimates().runS(live.job) - ranS,
                 Math.min(spec.checkpointS(), ranS),
                 spec.saveS());
     }
@@ -363,7 +364,7 @@
     public boolean takes(String machine, MovableTask task) {
         Machine m = part.machines().get(machine);
         Job job = part.jobs().get(task.id().job());
-        if (m == null || job == null || !part.available(m) || !m.recordedUsed) {
+        if (m == null || job == null || !part.isAvailable(m) || !m.recordedUsed) {
             return false;
         }
         Planner.Slot slot = new Planner.Slot(m);
--- a/src/main/java/org/shoreusher/core/ClockReading.java
+++ b/src/main/java/org/shoreusher/core/ClockReading.java
@@ -3,8 +3,8 @@
 /**
  * A reading of both clocks of a process.
  *
- * @param steadyMs the monotonic clock in ms, for elapsed times; its origin is arbitrary
+ * @param monotonicMs the monotonic clock in ms, for elapsed times; its origin is arbitrary
  * @param wallMs the wall clock in ms since the Unix epoch, for lease expiries, which nodes compare
  *     with each other
  */
-public record ClockReading(long steadyMs, long wallMs) {}
+public record ClockReading(long monotonicMs, long wallMs) {}
--- a/src/main/java/org/shoreusher/core/ConfirmedReads.java
+++ b/src/main/java/org/shoreusher/core/ConfirmedReads.java
@@ -28,77 +28,80 @@
      * A pending read of a job. The callback receives the record of the job, or null if there is no
      * such job.
      */
-    private record Question(long request, String id, Consumer<JobRecord> then) {}
+    private record PendingRead(long requestId, String jobId, Consumer<JobRecord> callback) {}
 
     /**
      * A read of a job that has no record of its own. It is answered once the store cache shows all
      * submission batches up to a revision.
      */
-    private record Unseen(Question question, long revision, long sinceMs) {}
+    private record ReadAwaitingRevision(PendingRead read, long revision, long sinceMs) {}
 
     private final Settings settings;
     private final Outbox outbox;
-    private final StoreView view;
-    private final Arrivals arrivals;
-    private final EndedJobs ended;
+    private final StoreView storeCache;
+    private final Arrivals submissionBatches;
+    private final EndedJobs terminalJobs;
 
     /** Rejects a request if this node is overloaded; returns whether it did. */
-    private final LongPredicate refuse;
+    private final LongPredicate rejectIfOverloaded;
 
-    private final List<Question> questions = new ArrayList<>();
-    private final List<Unseen> unseen = new ArrayList<>();
-    private int readsInFlight;
-    private int readingAlone;
+    private final List<PendingRead> pendingReads = new ArrayList<>();
+    private final List<ReadAwaitingRevision> awaitingRevision = new ArrayList<>();
+    private int batchesInFlight;
+    private int singleReadsInFlight;
 
     /**
      * Creates the reads without any pending one.
      *
      * @param settings the deployment's settings
      * @param outbox sends the calls to the store
-     * @param view the store cache
-     * @param arrivals jobs that were accepted together and share a stored record
-     * @param ended recently terminated jobs
-     * @param refuse rejects a request if this node is overloaded, and returns whether it did
+     * @param storeCache the store cache
+     * @param submissionBatches jobs that were accepted together and share a stored record
+     * @param terminalJobs recently terminated jobs
+     * @param rejectIfOverloaded rejects a request if this node is overloaded, and returns whether
+     *     it did
      */
     ConfirmedReads(
             Settings settings,
             Outbox outbox,
-            StoreView view,
-            Arrivals arrivals,
-            EndedJobs ended,
-            LongPredicate refuse) {
+            StoreView storeCache,
+            Arrivals submissionBatches,
+            EndedJobs terminalJobs,
+            LongPredicate rejectIfOverloaded) {
         this.settings = settings;
         this.outbox = outbox;
-        this.view = view;
-        this.arrivals = arrivals;
-        this.ended = ended;
-        this.refuse = refuse;
+        this.storeCache = storeCache;
+        this.submissionBatches = submissionBatches;
+        this.terminalJobs = terminalJobs;
+        this.rejectIfOverloaded = rejectIfOverloaded;
     }
 
     /** Returns how many reads are pending. */
-    int waiting() {
-        return readingAlone + questions.size() + unseen.size();
+    int pendingCount() {
+        return singleReadsInFlight + pendingReads.size() + awaitingRevision.size();
     }
 
     /**
      * Reads the current record of a job. A terminal state is answered from memory, since it never
-     * changes; anything else is confirmed by a shared call that {@link #send} issues later.
+     * changes; anything else is confirmed by a shared call that {@link #sendBatch} issues later.
      *
-     * @param request the request, which is rejected if this node is overloaded or the store does
+     * @param requestId the request, which is rejected if this node is overloaded or the store does
      *     not answer
-     * @param id the id of the job
-     * @param then receives the record, or null if there is no such job
+     * @param jobId the id of the job
+     * @param callback receives the record, or null if there is no such job
      */
-    void ask(long request, String id, Consumer<JobRecord> then) {
-        JobRecord last = ended.get(id);
-        JobRecord shown = arrivals.record(id);
-        if (last == null && shown != null && shown.status() != JobStatus.OPEN) {
-            last = shown;
+    void readBatched(long requestId, String jobId, Consumer<JobRecord> callback) {
+        JobRecord terminalRecord = terminalJobs.get(jobId);
+        JobRecord batchedRecord = submissionBatches.record(jobId);
+        if (terminalRecord == null
+                && batchedRecord != null
+                && batchedRecord.status() != JobStatus.OPEN) {
+            terminalRecord = batchedRecord;
         }
-        if (last != null) {
-            then.accept(last);
-        } else if (!refuse.test(request)) {
-            questions.add(new Question(request, id, then));
+        if (terminalRecord != null) {
+            callback.accept(terminalRecord);
+        } else if (!rejectIfOverloaded.test(requestId)) {
+            pendingReads.add(new PendingRead(requestId, jobId, callback));
         }
     }
 
@@ -106,81 +109,86 @@
      * Sends the reads collected so far in one call. While enough calls are in flight, reads are
      * collected further.
      */
-    void send() {
-        if (questions.isEmpty() || readsInFlight >= Tuning.READS_AT_ONCE) {
+    void sendBatch() {
+        if (pendingReads.isEmpty() || batchesInFlight >= Tuning.READS_AT_ONCE) {
             return;
         }
-        Map<String, Long> guards = new LinkedHashMap<>();
-        List<Question> batch = new ArrayList<>();
-        for (Question q : questions) {
-            if (guards.size() >= 4 * settings.txnOps()) {
+        Map<String, Long> preconditions = new LinkedHashMap<>();
+        List<PendingRead> batch = new ArrayList<>();
+        for (PendingRead read : pendingReads) {
+            if (preconditions.size() >= 4 * settings.txnOps()) {
                 break;
             }
-            guards.put(StoreSchema.job(q.id()), view.version(StoreSchema.job(q.id())));
-            batch.add(q);
+            preconditions.put(
+                    StoreSchema.jobKey(read.jobId()),
+                    storeCache.version(StoreSchema.jobKey(read.jobId())));
+            batch.add(read);
         }
-        questions.subList(0, batch.size()).clear();
-        boolean sent =
-                outbox.stateForUser(
-                        new StateOp.Multi(guards, Map.of()),
+        pendingReads.subList(0, batch.size()).clear();
+        boolean isSent =
+                outbox.callStoreForUser(
+                        new StateOp.Multi(preconditions, Map.of()),
                         reply -> {
-                            readsInFlight--;
-                            confirmed(reply, batch, guards);
+                            batchesInFlight--;
+                            onBatchReply(reply, batch, preconditions);
                         });
-        if (sent) {
-            readsInFlight++;
+        if (isSent) {
+            batchesInFlight++;
         } else {
-            batch.forEach(q -> outbox.answerUnavailable(q.request()));
+            batch.forEach(read -> outbox.respondUnavailable(read.requestId()));
         }
     }
 
-    private void confirmed(StateReply reply, List<Question> batch, Map<String, Long> guards) {
-        Set<String> changed = new HashSet<>();
+    private void onBatchReply(
+            StateReply reply, List<PendingRead> batch, Map<String, Long> preconditions) {
+        Set<String> changedKeys = new HashSet<>();
         if (reply.status() == 409) {
             try {
-                changed.addAll(StateFormat.failed(new FieldMap(reply.body())));
+                changedKeys.addAll(StateFormat.failed(new FieldMap(reply.body())));
             } catch (FieldMap.Missing e) {
-                batch.forEach(q -> changed.add(StoreSchema.job(q.id())));
+                batch.forEach(read -> changedKeys.add(StoreSchema.jobKey(read.jobId())));
             }
         } else if (reply.status() != 200) {
-            batch.forEach(q -> outbox.answerUnavailable(q.request()));
+            batch.forEach(read -> outbox.respondUnavailable(read.requestId()));
             return;
         }
-        for (Question q : batch) {
-            boolean forgotten = guards.get(StoreSchema.job(q.id())) > 0 && seen(q.id()) == null;
-            if (changed.contains(StoreSchema.job(q.id())) || forgotten) {
+        for (PendingRead read : batch) {
+            boolean isEvicted =
+                    preconditions.get(StoreSchema.jobKey(read.jobId())) > 0
+                            && cachedRecord(read.jobId()) == null;
+            if (changedKeys.contains(StoreSchema.jobKey(read.jobId())) || isEvicted) {
                 // The job has been completed meanwhile and its terminal state evicted from memory.
                 // Its record exists all the same.
-                read(q);
+                readIndividually(read);
             } else {
-                unlessUnseen(q, reply);
+                answerOrAwaitRevision(read, reply);
             }
         }
     }
 
-    private JobRecord seen(String id) {
-        JobRecord last = ended.get(id);
-        return last != null ? last : arrivals.record(id);
+    private JobRecord cachedRecord(String jobId) {
+        JobRecord terminalRecord = terminalJobs.get(jobId);
+        return terminalRecord != null ? terminalRecord : submissionBatches.record(jobId);
     }
 
     /**
      * Continues a read after the store has confirmed that the job has no record of its own. There
      * is no such job, unless a submission batch contains it at the revision of this answer.
      */
-    private void unlessUnseen(Question q, StateReply reply) {
-        JobRecord seen = seen(q.id());
-        if (seen != null) {
-            q.then().accept(seen);
+    private void answerOrAwaitRevision(PendingRead read, StateReply reply) {
+        JobRecord cached = cachedRecord(read.jobId());
+        if (cached != null) {
+            read.callback().accept(cached);
             return;
         }
         try {
-            unseen.add(
-                    new Unseen(
-                            q,
+            awaitingRevision.add(
+                    new ReadAwaitingRevision(
+                            read,
                             StateFormat.revision(new FieldMap(reply.body())),
-                            outbox.now.steadyMs()));
+                            outbox.now.monotonicMs()));
         } catch (FieldMap.Missing e) {
-            outbox.answerUnavailable(q.request());
+            outbox.respondUnavailable(read.requestId());
         }
     }
 
@@ -188,59 +196,60 @@
      * Answers the reads whose revision the store cache has reached, and rejects those that have
      * waited too long.
      */
-    void answerUnseen() {
-        for (Unseen u : List.copyOf(unseen)) {
-            if (view.revision() >= u.revision()) {
-                unseen.remove(u);
-                u.question().then().accept(seen(u.question().id()));
-            } else if (outbox.now.steadyMs() - u.sinceMs() > Tuning.UNSEEN_WAIT_MS) {
-                unseen.remove(u);
-                outbox.answerUnavailable(u.question().request());
+    void answerCaughtUpReads() {
+        for (ReadAwaitingRevision awaiting : List.copyOf(awaitingRevision)) {
+            if (storeCache.revision() >= awaiting.revision()) {
+                awaitingRevision.remove(awaiting);
+                awaiting.read().callback().accept(cachedRecord(awaiting.read().jobId()));
+            } else if (outbox.now.monotonicMs() - awaiting.sinceMs() > Tuning.UNSEEN_WAIT_MS) {
+                awaitingRevision.remove(awaiting);
+                outbox.respondUnavailable(awaiting.read().requestId());
             }
         }
     }
 
     /**
-     * Like {@link #ask}, by a read of this job alone that is issued at once.
+     * Like {@link #readBatched}, by a read of this job alone that is issued at once.
      *
-     * @param request the request, which is rejected if this node is overloaded or the store does
+     * @param requestId the request, which is rejected if this node is overloaded or the store does
      *     not answer
-     * @param id the id of the job
-     * @param then receives the record, or null if there is no such job
+     * @param jobId the id of the job
+     * @param callback receives the record, or null if there is no such job
      */
-    void read(long request, String id, Consumer<JobRecord> then) {
-        read(new Question(request, id, then));
+    void readIndividually(long requestId, String jobId, Consumer<JobRecord> callback) {
+        readIndividually(new PendingRead(requestId, jobId, callback));
     }
 
-    private void read(Question q) {
-        if (refuse.test(q.request())) {
+    private void readIndividually(PendingRead read) {
+        if (rejectIfOverloaded.test(read.requestId())) {
             return;
         }
-        readingAlone++;
-        boolean sent =
-                outbox.stateForUser(
-                        new StateOp.Get(StoreSchema.job(q.id())),
+        singleReadsInFlight++;
+        boolean isSent =
+                outbox.callStoreForUser(
+                        new StateOp.Get(StoreSchema.jobKey(read.jobId())),
                         reply -> {
-                            readingAlone--;
+                            singleReadsInFlight--;
                             if (reply.status() == 404) {
-                                unlessUnseen(q, reply);
+                                answerOrAwaitRevision(read, reply);
                                 return;
                             }
                             if (reply.status() != 200) {
-                                outbox.answerUnavailable(q.request());
+                                outbox.respondUnavailable(read.requestId());
                                 return;
                             }
                             try {
-                                StateFormat.Entry e = StateFormat.entry(new FieldMap(reply.body()));
-                                view.apply(e.key(), e.value(), e.version());
-                                q.then().accept(JobRecord.read(e.value()));
+                                StateFormat.Entry entry =
+                                        StateFormat.entry(new FieldMap(reply.body()));
+                                storeCache.apply(entry.key(), entry.value(), entry.version());
+                                read.callback().accept(JobRecord.fromMap(entry.value()));
                             } catch (FieldMap.Missing x) {
-                                outbox.answerUnavailable(q.request());
+                                outbox.respondUnavailable(read.requestId());
                             }
                         });
-        if (!sent) {
-            readingAlone--;
-            outbox.answerUnavailable(q.request());
+        if (!isSent) {
+            singleReadsInFlight--;
+            outbox.respondUnavailable(read.requestId());
         }
     }
 }
--- a/src/main/java/org/shoreusher/core/Effect.java
+++ b/src/main/java/org/shoreusher/core/Effect.java
@@ -10,49 +10,53 @@
     /**
      * Answers a request.
      *
-     * @param request the id of the request
+     * @param requestId the id of the request
      * @param response the answer
      */
-    record Answer(long request, Response response) implements Effect {}
+    record Respond(long requestId, Response response) implements Effect {}
 
     /**
      * Calls the key-value store. The answer arrives as a {@link Command.StateReply}.
      *
-     * @param call the id under which the answer is expected
-     * @param op the operation
+     * @param callId the id under which the answer is expected
+     * @param operation the operation
      * @param urgent whether the call renews or acquires a leader's lease, and so must not queue
      *     behind other calls
      */
-    record StateCall(long call, StateOp op, boolean urgent) implements Effect {}
+    record StateCall(long callId, StateOp operation, boolean urgent) implements Effect {}
 
     /**
      * Calls the cloud. The answer arrives as a {@link Command.CloudReply}.
      *
-     * @param call the id under which the answer is expected
-     * @param op the operation
+     * @param callId the id under which the answer is expected
+     * @param operation the operation
      */
-    record CloudCall(long call, CloudOp op) implements Effect {}
+    record CloudCall(long callId, CloudOp operation) implements Effect {}
 
     /**
      * Sends orders directly to a worker, without waiting for its next heartbeat. No answer is
      * expected, and the message may be lost.
      *
-     * @param address the worker's network address
-     * @param token the fencing token: the leader's term. A worker rejects a token lower than the
-     *     highest one it has seen
-     * @param session the worker incarnation for which the orders are meant; in any other
+     * @param workerAddress the worker's network address
+     * @param fencingToken the fencing token: the leader's term. A worker rejects a token lower than
+     *     the highest one it has seen
+     * @param workerIncarnation the worker incarnation for which the orders are meant; in any other
      *     incarnation the worker drops them
      * @param orders the orders
      */
-    record Orders(String address, long token, long session, List<WorkerOrder> orders)
+    record Orders(
+            String workerAddress,
+            long fencingToken,
+            long workerIncarnation,
+            List<WorkerOrder> orders)
             implements Effect {}
 
     /**
      * Sends gossip to all other controllers; it may be lost.
      *
-     * @param hint the gossip message
+     * @param message the gossip message
      */
-    record Tell(Hint hint) implements Effect {}
+    record Tell(Hint message) implements Effect {}
 
     /**
      * Sends a message of the standby replication to one controller; it may be lost.
@@ -66,9 +70,9 @@
      * Writes one line to the log for operators.
      *
      * @param line the text
-     * @param detail whether the line is logged at debug level only
+     * @param debugOnly whether the line is logged at debug level only
      */
-    record Log(String line, boolean detail) implements Effect {}
+    record Log(String line, boolean debugOnly) implements Effect {}
 
     /** An operation of the key-value store. */
     sealed interface StateOp {
@@ -82,28 +86,29 @@
         /**
          * Reads a page of all entries in the order of their keys.
          *
-         * @param after the last key of the previous page; null for the first page
+         * @param afterKey the last key of the previous page; null for the first page
          */
-        record Page(String after) implements StateOp {}
+        record Page(String afterKey) implements StateOp {}
 
         /**
          * Writes several keys atomically, if all preconditions are met; otherwise nothing is
          * written and the answer is 409.
          *
-         * @param guards by key, the version that the key must have; 0: the key must be absent
+         * @param preconditions by key, the version that the key must have; 0: the key must be
+         *     absent
          * @param writes the new values by key; a null value removes the key. If empty, the
          *     operation is a linearizable check of the preconditions
          */
-        record Multi(Map<String, Long> guards, Map<String, Map<String, Object>> writes)
+        record Multi(Map<String, Long> preconditions, Map<String, Map<String, Object>> writes)
                 implements StateOp {}
 
         /**
          * Waits for changes and reads them.
          *
-         * @param after the revision after which changes are wanted
+         * @param afterRevision the revision after which changes are wanted
          * @param blockMs how long the store waits for a first change, in ms; 0: not at all
          */
-        record Watch(long after, long blockMs) implements StateOp {}
+        record Watch(long afterRevision, long blockMs) implements StateOp {}
     }
 
     /** An operation of the cloud. */
@@ -126,15 +131,15 @@
         /**
          * Terminates machines.
          *
-         * @param machines the ids of the machines
+         * @param machineIds the ids of the machines
          */
-        record Return(List<String> machines) implements CloudOp {}
+        record Return(List<String> machineIds) implements CloudOp {}
 
         /**
          * Lists the provisioned machines, page by page.
          *
-         * @param after the last machine id of the previous page; null for the first page
+         * @param afterMachineId the last machine id of the previous page; null for the first page
          */
-        record Listing(String after) implements CloudOp {}
+        record Listing(String afterMachineId) implements CloudOp {}
     }
 }
--- a/src/main/java/org/shoreusher/core/EndedJobs.java
+++ b/src/main/java/org/shoreusher/core/EndedJobs.java
@@ -41,7 +41,7 @@
     /** A job has completed: moves its record from the cache of the store to this one. */
     void done(String id, JobRecord record) {
         ended.put(id, record);
-        view.evict(StoreSchema.job(id));
+        view.evict(StoreSchema.jobKey(id));
     }
 
     /**
@@ -52,7 +52,7 @@
         leaving.add(
                 new Leaving(
                         id,
-                        outbox.now.steadyMs()
+                        outbox.now.monotonicMs()
                                 + (long) (settings.cancelS() * 1000 * Tuning.CANCELLED_KEPT)));
     }
 
@@ -60,21 +60,21 @@
      * Evicts the records of cancelled jobs that are due, and keeps them here without their specs.
      */
     void step() {
-        while (!leaving.isEmpty() && leaving.peek().atMs() <= outbox.now.steadyMs()) {
+        while (!leaving.isEmpty() && leaving.peek().atMs() <= outbox.now.monotonicMs()) {
             String id = leaving.poll().id();
-            StoreView.Entry entry = view.get(StoreSchema.job(id));
+            StoreView.Entry entry = view.get(StoreSchema.jobKey(id));
             if (entry != null) {
-                JobRecord record = JobRecord.read(entry.value());
+                JobRecord record = JobRecord.fromMap(entry.value());
                 ended.put(
                         id,
                         new JobRecord(
-                                record.part(),
+                                record.shardNumber(),
                                 record.status(),
-                                record.tasks(),
-                                record.acceptedMs(),
-                                record.begun(),
+                                record.taskCount(),
+                                record.acceptedWallMs(),
+                                record.highWaterMark(),
                                 null));
-                view.evict(StoreSchema.job(id));
+                view.evict(StoreSchema.jobKey(id));
             }
         }
     }
--- a/src/main/java/org/shoreusher/core/FinalStates.java
+++ b/src/main/java/org/shoreusher/core/FinalStates.java
@@ -42,7 +42,7 @@
      * node is the leader.
      */
     void write() {
-        if (complete.isEmpty() || !ownership.holds()) {
+        if (complete.isEmpty() || !ownership.isLeader()) {
             return;
         }
         complete.removeIf(job -> job.closed);
@@ -52,19 +52,19 @@
                 continue;
             }
             Map<String, Map<String, Object>> writes =
-                    Map.of(StoreSchema.job(job.id), record.done().write());
+                    Map.of(StoreSchema.jobKey(job.id), record.asDone().toMap());
             // A failed precondition means that a cancellation came first; the watch will show it.
             job.finishing =
-                    outbox.state(
+                    outbox.callStore(
                             new StateOp.Multi(
-                                    ownership.guards(
-                                            StoreSchema.job(job.id),
-                                            view.version(StoreSchema.job(job.id))),
+                                    ownership.preconditions(
+                                            StoreSchema.jobKey(job.id),
+                                            view.version(StoreSchema.jobKey(job.id))),
                                     writes),
                             reply -> {
                                 job.finishing = false;
                                 if (reply.status() == 200) {
-                                    view.applied(reply, writes);
+                                    view.applyOwnWrites(reply, writes);
                                 }
                             });
             if (!job.finishing) {
--- a/src/main/java/org/shoreusher/core/Fleet.java
+++ b/src/main/java/org/shoreusher/core/Fleet.java
@@ -52,17 +52,17 @@
      * While reconciliation is incomplete, machines are only added.
      */
     void step() {
-        if (!part.holds() || !types.known()) {
+        if (!part.isLeader() || !types.known()) {
             return;
         }
         rentals.step();
-        if (outbox.now.steadyMs() >= nextPlanMs) {
-            nextPlanMs = outbox.now.steadyMs() + Tuning.RENT_EVERY_MS;
-            if (part.rebuilt()) {
+        if (outbox.now.monotonicMs() >= nextPlanMs) {
+            nextPlanMs = outbox.now.monotonicMs() + Tuning.RENT_EVERY_MS;
+            if (part.isReconciled()) {
                 retirement.step();
             }
             plan();
-            if (part.rebuilt()) {
+            if (part.isReconciled()) {
                 handOver();
             }
         }
@@ -81,7 +81,7 @@
      * @param askedWallMs wall-clock ms at which the request was sent
      */
     void rented(String id, CloudOp.Rent rent, long askedWallMs) {
-        if (!part.lost() && !part.machines().containsKey(id) && !list.isGone(id)) {
+        if (!part.isLeadershipLost() && !part.machines().containsKey(id) && !list.isGone(id)) {
             part.lifecycle().add(id, types.get(rent.type()), rent.zone(), rent.spot(), askedWallMs);
         }
     }
@@ -91,7 +91,7 @@
      * answered, because the next one may want more machines.
      */
     void planSoon() {
-        nextPlanMs = outbox.now.steadyMs();
+        nextPlanMs = outbox.now.monotonicMs();
     }
 
     // ---- scale out ---------------------------------------------------------------------------
@@ -100,7 +100,8 @@
         List<Planner.Slot> room = slots();
         room.addAll(rentals.coming());
         Planner planner =
-                new Planner(room, part.teamRoom()::cpusRentable, part.teamRoom()::gpusLeft);
+                new Planner(
+                        room, part.quotaHeadroom()::cpusRentable, part.quotaHeadroom()::gpusLeft);
         List<Job> jobs = part.openJobs().ordered();
         int most = rentals.room();
         List<Planner.Slot> wanting = new ArrayList<>();
@@ -119,12 +120,12 @@
         }
         Set<Machine> needed = new HashSet<>();
         planner.placed().forEach(p -> needed.add(p.slot().machine));
-        if (part.rebuilt()) {
+        if (part.isReconciled()) {
             returnIdle(needed);
         }
         spare.clear();
         for (Machine m : part.machines().values()) {
-            if (part.available(m) && m.unused() && !needed.contains(m)) {
+            if (part.isAvailable(m) && m.unused() && !needed.contains(m)) {
                 spare.add(m);
             }
         }
@@ -132,7 +133,7 @@
         // Surplus machines of other shards are handed over, which is faster and cheaper than a
         // boot.
         wanting.subList(
-                        Math.max(0, wanting.size() - part.otherParts().idleElsewhere()),
+                        Math.max(0, wanting.size() - part.shardDemand().idleElsewhere()),
                         wanting.size())
                 .clear();
         rentals.ask(wanting);
@@ -172,7 +173,7 @@
         for (Machine m : part.machines().values()) {
             // A machine that a previous leader used has no capacity until it is reconciled: it may
             // hold tasks, or be unreachable.
-            if (part.available(m) || (m.state == Machine.State.BOOTING && !m.used)) {
+            if (part.isAvailable(m) || (m.state == Machine.State.BOOTING && !m.used)) {
                 slots.add(new Planner.Slot(m));
             }
         }
@@ -185,7 +186,10 @@
      */
     private void lack(List<Job> jobs) {
         Planner planner =
-                new Planner(slots(), part.teamRoom()::cpusRentable, part.teamRoom()::gpusLeft);
+                new Planner(
+                        slots(),
+                        part.quotaHeadroom()::cpusRentable,
+                        part.quotaHeadroom()::gpusLeft);
         double machines = 0;
         lacksCpus = 0;
         for (Job job : jobs) {
@@ -224,8 +228,8 @@
 
     /** Hands surplus machines over to the shard with the largest shortfall. */
     private void handOver() {
-        int to = part.otherParts().neediest();
-        int most = to < 0 ? 0 : part.otherParts().lacksOf(to);
+        int to = part.shardDemand().neediest();
+        int most = to < 0 ? 0 : part.shardDemand().lacksOf(to);
         runEmpty(most);
         for (Machine m : new ArrayList<>(part.machines().values())) {
             if (most > 0
@@ -233,8 +237,8 @@
                     && m.unused()
                     && m.state == Machine.State.UP
                     && m.recordedUsed
-                    && outbox.now.steadyMs() - m.idleSinceMs > Tuning.HANDOVER_IDLE_MS) {
-                part.records().handOver(m, to);
+                    && outbox.now.monotonicMs() - m.idleSinceMs > Tuning.HANDOVER_IDLE_MS) {
+                part.machineRecords().handOver(m, to);
                 most--;
                 spare.remove(m);
             }
@@ -255,7 +259,7 @@
             if (m.yielding) {
                 yielding++;
                 m.yielding = lackedElsewhere > 0;
-            } else if (part.available(m)) {
+            } else if (part.isAvailable(m)) {
                 free += m.cpusFree();
                 size = Math.max(size, m.type.cpus());
                 least =
@@ -283,8 +287,8 @@
         if (!job.spec.shape().ends()) {
             return job.waitingCount;
         }
-        double run = part.estimates().runS(job);
-        double left = part.urgency().leftS(job, outbox.now.wallMs());
+        double run = part.runTimeEstimates().runS(job);
+        double left = part.schedulingOrder().leftS(job, outbox.now.wallMs());
         // A job that can't meet its deadline on a machine that has yet to boot gains nothing from
         // more parallelism.
         boolean tooLate = left < type.bootS() + run;
@@ -355,7 +359,7 @@
      * a multiple, which only a long queue justifies.
      */
     private boolean worthOrdinary(MachineType type) {
-        return !type.dear() || lacksCpus > part.cpus() * Tuning.ORDINARY_QUEUE;
+        return !type.dear() || lacksCpus > part.totalCpus() * Tuning.ORDINARY_QUEUE;
     }
 
     // ---- scale in ----------------------------------------------------------------------------
@@ -368,7 +372,7 @@
                     && !needed.contains(m)
                     && m.idleSinceMs >= 0
                     && !standby.needs(m)
-                    && outbox.now.steadyMs() - m.idleSinceMs
+                    && outbox.now.monotonicMs() - m.idleSinceMs
                             > (m.spot ? Tuning.IDLE_KEEP_MS : Tuning.IDLE_KEEP_ORDINARY_MS)) {
                 m.state = Machine.State.DRAINING;
                 m.unneeded = true;
--- a/src/main/java/org/shoreusher/core/MachineIndex.java
+++ b/src/main/java/org/shoreusher/core/MachineIndex.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.BiConsumer;
-import org.shoreusher.core.StoreSchema.MachineGroup;
+import org.shoreusher.core.StoreSchema.MachineGroupRecord;
 import org.shoreusher.core.StoreSchema.MachineRecord;
 
 /**
@@ -46,7 +46,9 @@
      */
     void changed(String key, StoreView.Entry after, BiConsumer<String, MachineRecord> changed) {
         Map<String, MachineRecord> now =
-                after == null ? Map.of() : MachineGroup.read(key, after.value()).machines();
+                after == null
+                        ? Map.of()
+                        : MachineGroupRecord.fromMap(key, after.value()).machines();
         Set<String> touched = new HashSet<>(group(key).keySet());
         touched.addAll(now.keySet());
         if (now.isEmpty()) {
@@ -65,8 +67,10 @@
     }
 
     private MachineRecord merged(String id) {
-        MachineRecord narrow = group(StoreSchema.machine(id, false)).get(id);
-        MachineRecord wide = group(StoreSchema.machine(id, true)).get(id);
-        return narrow == null ? wide : wide != null && wide.used() ? narrow.asUsed() : narrow;
+        MachineRecord narrow = group(StoreSchema.machineGroupKey(id, false)).get(id);
+        MachineRecord wide = group(StoreSchema.machineGroupKey(id, true)).get(id);
+        return narrow == null
+                ? wide
+                : wide != null && wide.mayHaveRunTasks() ? narrow.withRunTasks() : narrow;
     }
 }
--- a/src/main/java/org/shoreusher/core/MachineLifecycle.java
+++ b/src/main/java/org/shoreusher/core/MachineLifecycle.java
@@ -37,8 +37,8 @@
         this.ledger = ledger;
         settings = context.settings();
         outbox = context.outbox();
-        index = context.index();
-        types = context.types();
+        index = context.machineIndex();
+        types = context.machineTypes();
     }
 
     /**
@@ -51,19 +51,20 @@
         if (type == null) {
             return null;
         }
-        Machine m = new Machine(id, type, record.zone(), record.spot(), record.rentedMs());
-        m.used = record.used();
-        m.recordedUsed = record.used();
+        Machine m = new Machine(id, type, record.zone(), record.spot(), record.provisionedWallMs());
+        m.used = record.mayHaveRunTasks();
+        m.recordedUsed = record.mayHaveRunTasks();
         // During an outage of the store the previous leader may have renewed the worker's lease in
         // its grace period, as long as gossip told it that this node could not reach the store
         // either.
         m.answeredAtMs =
-                ownership.takenAtMs()
+                ownership.acquiredAtMs()
                         + Math.max(
                                 0,
                                 Math.min(
-                                        PartLease.graceMs(settings),
-                                        others.saidStateAwayUntilMs() - ownership.takenAtMs()));
+                                        PartLease.gracePeriodMs(settings),
+                                        others.storeOutageGossipValidUntilMs()
+                                                - ownership.acquiredAtMs()));
         m.inheritedAnswerMs = m.answeredAtMs;
         part.machines().put(id, m);
         return m;
@@ -81,9 +82,9 @@
             return null;
         }
         Machine m = new Machine(id, type, zone, spot, rentedWallMs);
-        m.answeredAtMs = outbox.now.steadyMs();
+        m.answeredAtMs = outbox.now.monotonicMs();
         part.machines().put(id, m);
-        part.records().changed(id);
+        part.machineRecords().changed(id);
         return m;
     }
 
@@ -93,12 +94,12 @@
      */
     void endSilent() {
         for (Machine m : part.machines().values()) {
-            if (!m.tasks.isEmpty() && part.leaseEnded(m)) {
-                outbox.log(
+            if (!m.tasks.isEmpty() && part.hasWorkerLeaseExpired(m)) {
+                outbox.logInfo(
                         "silent: "
                                 + m.id
                                 + " of part "
-                                + part.number
+                                + part.shardNumber
                                 + " lost its lease with "
                                 + m.tasks.size()
                                 + " tasks");
@@ -112,11 +113,11 @@
      * Removes a machine that no longer exists, with its tasks and its record. The reason is logged.
      */
     void gone(Machine m, String why) {
-        outbox.log("gone: " + m.id + " of part " + part.number + ", " + why);
+        outbox.logInfo("gone: " + m.id + " of part " + part.shardNumber + ", " + why);
         m.tasksNow().forEach(ledger::remove);
         part.removeMachine(m.id);
-        part.records().changed(m.id);
-        part.fleet().list().forget(m.id);
+        part.machineRecords().changed(m.id);
+        part.autoscaler().list().forget(m.id);
     }
 
     /**
@@ -133,7 +134,7 @@
      * Whether this shard, by the hash of the name, is the one to adopt a machine without a record.
      */
     boolean strayHere(String id) {
-        return index.get(id) == null && Math.floorMod(id.hashCode(), parts) == part.number;
+        return index.get(id) == null && Math.floorMod(id.hashCode(), parts) == part.shardNumber;
     }
 
     /**
@@ -143,12 +144,12 @@
     void machineChanged(String id, MachineRecord record) {
         Machine m = part.machines().get(id);
         // A write made before the machine was terminated may reach the cache after that.
-        if (part.loaded()
+        if (part.isLoaded()
                 && m == null
-                && record.part() == part.number
-                && !part.fleet().list().isGone(id)) {
+                && record.shardNumber() == part.shardNumber
+                && !part.autoscaler().list().isGone(id)) {
             addMachine(id, record);
-        } else if (m != null && m.tasks.isEmpty() && record.part() != part.number) {
+        } else if (m != null && m.tasks.isEmpty() && record.shardNumber() != part.shardNumber) {
             part.removeMachine(id);
         }
     }
--- a/src/main/java/org/shoreusher/core/MachineList.java
+++ b/src/main/java/org/shoreusher/core/MachineList.java
@@ -49,7 +49,7 @@
     private record Reading(ClockReading askedAt, List<Listed> machines) {
         /** The last machine so far, after which the next page begins; null for the first page. */
         String lastName() {
-            return machines.isEmpty() ? null : machines.get(machines.size() - 1).id();
+            return machines.isEmpty() ? null : machines.get(machines.size() - 1).machineId();
         }
     }
 
@@ -92,12 +92,12 @@
             return;
         }
         if (reading == null) {
-            if (outbox.now.steadyMs() < nextListMs) {
+            if (outbox.now.monotonicMs() < nextListMs) {
                 return;
             }
             reading = new Reading(outbox.now, new ArrayList<>());
         }
-        awaitingReply = outbox.cloud(new CloudOp.Listing(reading.lastName()), this::replied);
+        awaitingReply = outbox.callCloud(new CloudOp.Listing(reading.lastName()), this::replied);
     }
 
     private void replied(CloudReply reply) {
@@ -105,40 +105,40 @@
         Reading current = reading;
         // Reconciliation waits for machines until a list shows that they are terminated.
         nextListMs =
-                outbox.now.steadyMs()
-                        + (part.rebuilt() ? Tuning.LIST_EVERY_MS : Tuning.LIST_IN_REBUILD_MS);
+                outbox.now.monotonicMs()
+                        + (part.isReconciled() ? Tuning.LIST_EVERY_MS : Tuning.LIST_IN_REBUILD_MS);
         reading = null;
-        if (reply.status() != 200 || part.lost()) {
+        if (reply.status() != 200 || part.isLeadershipLost()) {
             return;
         }
         try {
             ListPage page = CloudFormat.machines(new FieldMap(reply.body()));
             current.machines().addAll(page.machines());
-            if (page.more() && !page.machines().isEmpty()) {
+            if (page.hasMore() && !page.machines().isEmpty()) {
                 reading = current;
                 step();
             } else {
                 listed(current.machines(), current.askedAt());
             }
         } catch (FieldMap.Missing e) {
-            outbox.log("cloud: machine list not understood: " + e.getMessage());
+            outbox.logInfo("cloud: machine list not understood: " + e.getMessage());
         }
     }
 
     private void listed(List<Listed> all, ClockReading askedAt) {
         Set<String> names = new HashSet<>();
         for (Listed l : all) {
-            names.add(l.id());
-            Machine m = part.machines().get(l.id());
+            names.add(l.machineId());
+            Machine m = part.machines().get(l.machineId());
             if (m != null && l.state().equals("failed")) {
                 part.lifecycle().stopped(m);
             }
-            if (m == null && part.lifecycle().strayHere(l.id())) {
+            if (m == null && part.lifecycle().strayHere(l.machineId())) {
                 stray(l);
             } else {
                 // Otherwise a machine that is terminated later, and that a lagging list still has,
                 // would count as seen before.
-                strays.removeLong(l.id());
+                strays.removeLong(l.machineId());
             }
         }
         strays.keySet().retainAll(names);
@@ -159,18 +159,18 @@
      * reply to a provisioning request can still be on its way.
      */
     private void stray(Listed l) {
-        if (!strays.containsKey(l.id())) {
-            strays.put(l.id(), outbox.now.steadyMs());
-        } else if (outbox.now.steadyMs() - strays.getLong(l.id())
-                > (gone.contains(l.id())
+        if (!strays.containsKey(l.machineId())) {
+            strays.put(l.machineId(), outbox.now.monotonicMs());
+        } else if (outbox.now.monotonicMs() - strays.getLong(l.machineId())
+                > (gone.contains(l.machineId())
                         ? Tuning.GONE_STILL_LISTED_MS
                         : 2 * Tuning.LIST_EVERY_MS)) {
-            strays.removeLong(l.id());
-            gone.remove(l.id());
-            outbox.log("adopted: " + l.id() + " in part " + part.number);
+            strays.removeLong(l.machineId());
+            gone.remove(l.machineId());
+            outbox.logInfo("adopted: " + l.machineId() + " in part " + part.shardNumber);
             part.lifecycle()
                     .add(
-                            l.id(),
+                            l.machineId(),
                             types.get(l.type()),
                             l.zone(),
                             l.spot(),
--- a/src/main/java/org/shoreusher/core/MachineRecords.java
+++ b/src/main/java/org/shoreusher/core/MachineRecords.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.shoreusher.core.Effect.StateOp;
-import org.shoreusher.core.StoreSchema.MachineGroup;
+import org.shoreusher.core.StoreSchema.MachineGroupRecord;
 import org.shoreusher.core.StoreSchema.MachineRecord;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
@@ -59,9 +59,9 @@
         this.partNumber = partNumber;
         settings = context.settings();
         outbox = context.outbox();
-        view = context.view();
-        index = context.index();
-        formats = context.formats();
+        view = context.storeCache();
+        index = context.machineIndex();
+        formats = context.versionNegotiation();
         this.ownership = ownership;
         this.machines = machines;
     }
@@ -92,7 +92,7 @@
         boolean handing = m.state == Machine.State.HANDING;
         // A node of the previous version would write a wide group beside the narrow one, and later
         // read "not used" in the narrow one.
-        boolean mixed = narrow() && !formats.services();
+        boolean mixed = narrow() && !formats.areServicesSupported();
         return new MachineRecord(
                 handing ? m.handTo : partNumber,
                 m.type.name(),
@@ -114,21 +114,21 @@
     void write() {
         if (recording
                 || (dirty.isEmpty() && splitting.isEmpty())
-                || !ownership.holds()
-                || outbox.now.steadyMs() < nextMs) {
+                || !ownership.isLeader()
+                || outbox.now.monotonicMs() < nextMs) {
             return;
         }
         split();
         Map<String, Map<String, MachineRecord>> groups = new LinkedHashMap<>();
         List<String> batch = gather(groups);
         batch.forEach(dirty::remove);
-        Map<String, Long> guards = new LinkedHashMap<>(ownership.fence());
+        Map<String, Long> guards = new LinkedHashMap<>(ownership.fencingPrecondition());
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
         groups.forEach(
                 (key, group) -> {
                     if (!group.equals(index.group(key))) {
                         guards.put(key, view.version(key));
-                        writes.put(key, MachineGroup.write(key, group));
+                        writes.put(key, MachineGroupRecord.toMap(key, group));
                     }
                 });
         for (String wide : splitting) {
@@ -143,20 +143,20 @@
             return;
         }
         recording =
-                outbox.state(
+                outbox.callStore(
                         new StateOp.Multi(guards, writes),
                         reply -> {
                             recording = false;
-                            if (ownership.lost()) {
+                            if (ownership.isLost()) {
                                 return;
                             }
                             if (reply.status() == 200) {
-                                view.applied(reply, writes);
+                                view.applyOwnWrites(reply, writes);
                             }
                             settle(batch);
                         });
         if (recording) {
-            nextMs = outbox.now.steadyMs() + Tuning.RECORDS_EVERY_MS;
+            nextMs = outbox.now.monotonicMs() + Tuning.RECORDS_EVERY_MS;
         } else {
             dirty.addAll(batch);
         }
@@ -171,7 +171,7 @@
     private List<String> gather(Map<String, Map<String, MachineRecord>> groups) {
         List<String> batch = new ArrayList<>();
         for (String id : dirty) {
-            String key = StoreSchema.machine(id, settings.valueBytes());
+            String key = StoreSchema.machineGroupKey(id, settings.valueBytes());
             Map<String, MachineRecord> group = groups.get(key);
             if (group == null) {
                 if (groups.size() >= Math.max(1, settings.txnOps() / 2)) {
@@ -184,9 +184,9 @@
             MachineRecord wanted = wanted(id);
             MachineRecord known = group.get(id);
             // A record that assigns the machine to another shard is that shard's to change.
-            if (wanted == null && known != null && known.part() == partNumber) {
+            if (wanted == null && known != null && known.shardNumber() == partNumber) {
                 group.remove(id);
-            } else if (wanted != null && (known == null || known.part() == partNumber)) {
+            } else if (wanted != null && (known == null || known.shardNumber() == partNumber)) {
                 group.put(id, wanted);
             }
         }
@@ -198,8 +198,9 @@
      * has been terminated.
      */
     private boolean standsElsewhere(String id) {
-        return index.group(StoreSchema.machine(id, false)).containsKey(id)
-                || (index.group(StoreSchema.machine(id, true)).get(id).part() == partNumber
+        return index.group(StoreSchema.machineGroupKey(id, false)).containsKey(id)
+                || (index.group(StoreSchema.machineGroupKey(id, true)).get(id).shardNumber()
+                                == partNumber
                         && !machines.containsKey(id));
     }
 
@@ -212,12 +213,12 @@
             return;
         }
         for (String id : dirty.toArray(new String[0])) {
-            String wide = StoreSchema.machine(id, true);
+            String wide = StoreSchema.machineGroupKey(id, true);
             if (index.group(wide).containsKey(id) && splitting.add(wide)) {
                 index.group(wide)
                         .forEach(
                                 (other, record) -> {
-                                    if (record.part() == partNumber
+                                    if (record.shardNumber() == partNumber
                                             && machines.containsKey(other)) {
                                         dirty.add(other);
                                     }
@@ -235,29 +236,29 @@
         for (String id : batch) {
             Machine m = machines.get(id);
             MachineRecord record = index.get(id);
-            if (m != null && record != null && record.part() != partNumber) {
+            if (m != null && record != null && record.shardNumber() != partNumber) {
                 if (m.state == Machine.State.HANDING) {
-                    outbox.log(
+                    outbox.logInfo(
                             "handover: "
                                     + id
                                     + " from part "
                                     + partNumber
                                     + " to part "
-                                    + record.part());
+                                    + record.shardNumber());
                 }
                 handedOver.accept(id);
-            } else if (record != null && record.part() != partNumber) {
+            } else if (record != null && record.shardNumber() != partNumber) {
                 continue;
             } else if (m == null
                     && record != null
-                    && !index.group(StoreSchema.machine(id, settings.valueBytes()))
+                    && !index.group(StoreSchema.machineGroupKey(id, settings.valueBytes()))
                             .containsKey(id)) {
                 // Terminated, and only its wide group still has it, which is about to be removed.
                 continue;
             } else if (record == null ? m != null : !record.equals(wanted(id))) {
                 dirty.add(id);
             } else if (m != null) {
-                m.recordedUsed = record.used();
+                m.recordedUsed = record.mayHaveRunTasks();
             }
         }
     }
--- a/src/main/java/org/shoreusher/core/MachineTypes.java
+++ b/src/main/java/org/shoreusher/core/MachineTypes.java
@@ -58,26 +58,30 @@
      * @param renting whether this node leads a shard, and so provisions machines
      */
     void step(boolean renting) {
-        if (!view.loaded() || busy || outbox.now.steadyMs() < nextMs || (known() && !renting)) {
+        if (!view.isLoaded()
+                || busy
+                || outbox.now.monotonicMs() < nextMs
+                || (known() && !renting)) {
             return;
         }
-        busy = outbox.cloud(new CloudOp.Types(), this::replied);
+        busy = outbox.callCloud(new CloudOp.Types(), this::replied);
     }
 
     private void replied(CloudReply reply) {
         busy = false;
-        nextMs = outbox.now.steadyMs() + Tuning.CLOUD_RETRY_MS;
+        nextMs = outbox.now.monotonicMs() + Tuning.CLOUD_RETRY_MS;
         if (reply.status() != 200) {
             return;
         }
-        nextMs = outbox.now.steadyMs() + Tuning.FLAVORS_EVERY_MS;
+        nextMs = outbox.now.monotonicMs() + Tuning.FLAVORS_EVERY_MS;
         boolean first =
-                view.get(StoreSchema.TYPES) == null
+                view.get(StoreSchema.MACHINE_TYPES_KEY) == null
                         && FieldMap.jsonLength(reply.body()) <= settings.valueBytes();
         if (read(reply.body()) && first) {
-            outbox.state(
+            outbox.callStore(
                     new StateOp.Multi(
-                            Map.of(StoreSchema.TYPES, 0L), Map.of(StoreSchema.TYPES, reply.body())),
+                            Map.of(StoreSchema.MACHINE_TYPES_KEY, 0L),
+                            Map.of(StoreSchema.MACHINE_TYPES_KEY, reply.body())),
                     stored -> {});
         }
     }
@@ -95,7 +99,7 @@
             list.forEach(t -> types.put(t.name(), t));
             return !list.isEmpty();
         } catch (FieldMap.Missing e) {
-            outbox.log("cloud: types not understood: " + e.getMessage());
+            outbox.logInfo("cloud: types not understood: " + e.getMessage());
             return false;
         }
     }
--- a/src/main/java/org/shoreusher/core/MemberFormats.java
+++ b/src/main/java/org/shoreusher/core/MemberFormats.java
@@ -27,33 +27,33 @@
      * The first format with services, with narrow machine groups, and with completion records of a
      * job in several overflow records.
      */
-    static final long SERVICES = 2;
+    static final long FORMAT_WITH_SERVICES = 2;
 
-    private static final String FORMATS = "formats";
-    private static final String PROCESS = "process";
+    private static final String FORMAT_FIELD = "formats";
+    private static final String PROCESS_NAME_FIELD = "process";
 
     /** The format of the attempt log that the process supports as a standby; absent: none. */
-    private static final String STANDBY = "standby";
+    private static final String STANDBY_LOG_FIELD = "standby";
 
-    private static final long STANDBY_LOG = 1;
+    private static final long STANDBY_LOG_FORMAT = 1;
 
     private final Settings settings;
     private final Features features;
     private final Outbox outbox;
-    private final StoreView view;
-    private final String process;
-    private final int parts;
-    private boolean writing;
-    private long nextMs;
+    private final StoreView storeCache;
+    private final String processName;
+    private final int shardCount;
+    private boolean writeInFlight;
+    private long nextWriteMs;
 
     /**
      * The members that are not known to support services, including this one; null if the store
      * cache has changed since they were determined.
      */
-    private List<String> oldMembers;
+    private List<String> membersWithoutServices;
 
     /** The members without services as last logged; null before the first line. */
-    private List<String> loggedOld;
+    private List<String> loggedMembersWithoutServices;
 
     /**
      * Creates the negotiation; {@link #step} writes the version record of this process.
@@ -61,29 +61,29 @@
      * @param settings the deployment's settings
      * @param features the optional features that this node uses
      * @param outbox sends the calls to the store
-     * @param view the store cache
-     * @param process the name of this process, HOST/SUFFIX
-     * @param parts the number of shards
+     * @param storeCache the store cache
+     * @param processName the name of this process, HOST/SUFFIX
+     * @param shardCount the number of shards
      */
     MemberFormats(
             Settings settings,
             Features features,
             Outbox outbox,
-            StoreView view,
-            String process,
-            int parts) {
+            StoreView storeCache,
+            String processName,
+            int shardCount) {
         this.settings = settings;
         this.features = features;
         this.outbox = outbox;
-        this.view = view;
-        this.process = process;
-        this.parts = parts;
+        this.storeCache = storeCache;
+        this.processName = processName;
+        this.shardCount = shardCount;
     }
 
     /** Called for each change of a key in the store cache. */
-    void changed(String key) {
-        if (key.startsWith(StoreSchema.NODE) || StoreSchema.isFence(key)) {
-            oldMembers = null;
+    void onStoreChange(String key) {
+        if (key.startsWith(StoreSchema.NODE_PREFIX) || StoreSchema.isFencingKey(key)) {
+            membersWithoutServices = null;
         }
     }
 
@@ -92,37 +92,40 @@
      * or disabled.
      */
     void step() {
-        if (!view.loaded()) {
+        if (!storeCache.isLoaded()) {
             return;
         }
-        logChange();
-        if (!writing && outbox.now.steadyMs() >= nextMs && !noted()) {
-            note();
+        logServicesSupport();
+        if (!writeInFlight
+                && outbox.now.monotonicMs() >= nextWriteMs
+                && !hasCurrentVersionRecord()) {
+            writeVersionRecord();
         }
     }
 
-    private boolean noted() {
-        StoreView.Entry note = view.get(StoreSchema.node(settings.host()));
-        return note != null && process.equals(note.value().get(PROCESS));
+    private boolean hasCurrentVersionRecord() {
+        StoreView.Entry versionRecord = storeCache.get(StoreSchema.nodeKey(settings.host()));
+        return versionRecord != null
+                && processName.equals(versionRecord.value().get(PROCESS_NAME_FIELD));
     }
 
-    private void note() {
-        nextMs = outbox.now.steadyMs() + Tuning.STATE_RETRY_MS;
-        String key = StoreSchema.node(settings.host());
-        Map<String, Object> note = new LinkedHashMap<>();
-        note.put(FORMATS, SERVICES);
-        note.put(PROCESS, process);
+    private void writeVersionRecord() {
+        nextWriteMs = outbox.now.monotonicMs() + Tuning.STATE_RETRY_MS;
+        String key = StoreSchema.nodeKey(settings.host());
+        Map<String, Object> versionRecord = new LinkedHashMap<>();
+        versionRecord.put(FORMAT_FIELD, FORMAT_WITH_SERVICES);
+        versionRecord.put(PROCESS_NAME_FIELD, processName);
         if (features.standby() != null) {
-            note.put(STANDBY, STANDBY_LOG);
+            versionRecord.put(STANDBY_LOG_FIELD, STANDBY_LOG_FORMAT);
         }
-        Map<String, Map<String, Object>> writes = Map.of(key, note);
-        writing =
-                outbox.state(
-                        new StateOp.Multi(Map.of(key, view.version(key)), writes),
+        Map<String, Map<String, Object>> writes = Map.of(key, versionRecord);
+        writeInFlight =
+                outbox.callStore(
+                        new StateOp.Multi(Map.of(key, storeCache.version(key)), writes),
                         reply -> {
-                            writing = false;
+                            writeInFlight = false;
                             if (reply.status() == 200) {
-                                view.applied(reply, writes);
+                                storeCache.applyOwnWrites(reply, writes);
                             }
                         });
     }
@@ -130,18 +133,19 @@
     /**
      * Returns the processes of other members that support the attempt log format of this version.
      *
-     * @param up whether gossip from the controller of a host has arrived recently
+     * @param isResponsive whether gossip from the controller of a host has arrived recently
      */
-    List<StandbyChooser.Candidate> standbys(Predicate<String> up) {
+    List<StandbyChooser.Candidate> standbyCandidates(Predicate<String> isResponsive) {
         List<StandbyChooser.Candidate> candidates = new ArrayList<>();
         for (Settings.Member member : settings.members()) {
-            StoreView.Entry note = view.get(StoreSchema.node(member.host()));
-            if (note != null
-                    && note.value().get(STANDBY) instanceof Number log
-                    && log.longValue() == STANDBY_LOG
-                    && note.value().get(PROCESS) instanceof String noted
-                    && up.test(member.host())) {
-                candidates.add(new StandbyChooser.Candidate(noted, member.zone()));
+            StoreView.Entry versionRecord = storeCache.get(StoreSchema.nodeKey(member.host()));
+            if (versionRecord != null
+                    && versionRecord.value().get(STANDBY_LOG_FIELD) instanceof Number logFormat
+                    && logFormat.longValue() == STANDBY_LOG_FORMAT
+                    && versionRecord.value().get(PROCESS_NAME_FIELD)
+                            instanceof String recordedProcess
+                    && isResponsive.test(member.host())) {
+                candidates.add(new StandbyChooser.Candidate(recordedProcess, member.zone()));
             }
         }
         return candidates;
@@ -151,24 +155,28 @@
      * Returns whether every member is known to support services. Only stored records count, not
      * gossip.
      */
-    boolean services() {
-        return oldMembers().isEmpty();
+    boolean areServicesSupported() {
+        return membersWithoutServices().isEmpty();
     }
 
-    private List<String> oldMembers() {
-        if (oldMembers == null) {
-            oldMembers =
-                    settings.hosts().filter(host -> understood(host) < SERVICES).sorted().toList();
+    private List<String> membersWithoutServices() {
+        if (membersWithoutServices == null) {
+            membersWithoutServices =
+                    settings.hosts()
+                            .filter(host -> supportedFormat(host) < FORMAT_WITH_SERVICES)
+                            .sorted()
+                            .toList();
         }
-        return oldMembers;
+        return membersWithoutServices;
     }
 
-    private long understood(String host) {
-        StoreView.Entry note = view.get(StoreSchema.node(host));
-        if (note == null || !(note.value().get(FORMATS) instanceof Number formats)) {
+    private long supportedFormat(String host) {
+        StoreView.Entry versionRecord = storeCache.get(StoreSchema.nodeKey(host));
+        if (versionRecord == null
+                || !(versionRecord.value().get(FORMAT_FIELD) instanceof Number format)) {
             return 1;
         }
-        return wentBack(host, note) ? 1 : formats.longValue();
+        return isDowngraded(host, versionRecord) ? 1 : format.longValue();
     }
 
     /**
@@ -176,15 +184,17 @@
      * without having written one itself. Each process of this version writes its record at its
      * start, so a later leader without one runs an old version.
      */
-    private boolean wentBack(String host, StoreView.Entry note) {
-        Object noted = note.value().get(PROCESS);
-        for (int n = 0; n < parts && noted != null; n++) {
-            StoreView.Entry fence = view.get(StoreSchema.fence(n));
-            if (fence != null
-                    && fence.version() > note.version()
-                    && fence.value().get("owner") instanceof String owner
-                    && owner.startsWith(host + "/")
-                    && !owner.equals(noted)) {
+    private boolean isDowngraded(String host, StoreView.Entry versionRecord) {
+        Object recordedProcess = versionRecord.value().get(PROCESS_NAME_FIELD);
+        for (int shardNumber = 0;
+                shardNumber < shardCount && recordedProcess != null;
+                shardNumber++) {
+            StoreView.Entry fencingEntry = storeCache.get(StoreSchema.fencingKey(shardNumber));
+            if (fencingEntry != null
+                    && fencingEntry.version() > versionRecord.version()
+                    && fencingEntry.value().get("owner") instanceof String leader
+                    && leader.startsWith(host + "/")
+                    && !leader.equals(recordedProcess)) {
                 return true;
             }
         }
@@ -195,20 +205,23 @@
      * Logs which members do not support services, each time that changes, once the version record
      * of this process is written.
      */
-    private void logChange() {
-        if (!noted()) {
+    private void logServicesSupport() {
+        if (!hasCurrentVersionRecord()) {
             return;
         }
-        List<String> old = oldMembers();
-        if (old.equals(loggedOld)) {
+        List<String> membersLacking = membersWithoutServices();
+        if (membersLacking.equals(loggedMembersWithoutServices)) {
             return;
         }
-        loggedOld = old;
-        if (old.isEmpty()) {
-            outbox.log("upgrade: all members understand services, which are accepted from now on");
+        loggedMembersWithoutServices = membersLacking;
+        if (membersLacking.isEmpty()) {
+            outbox.logInfo(
+                    "upgrade: all members understand services, which are accepted from now on");
         } else {
-            outbox.log(
-                    "upgrade: services are refused until the members " + old + " run this version");
+            outbox.logInfo(
+                    "upgrade: services are refused until the members "
+                            + membersLacking
+                            + " run this version");
         }
     }
 }
--- a/src/main/java/org/shoreusher/core/NamedStandby.java
+++ b/src/main/java/org/shoreusher/core/NamedStandby.java
@@ -13,24 +13,24 @@
  * later version of the record is known.
  */
 final class NamedStandby {
-    private String wanted;
-    private String known;
-    private final Set<String> mayStand = new HashSet<>();
+    private String desired;
+    private String stored;
+    private final Set<String> possible = new HashSet<>();
 
     /** The name that the next write of the record contains; null: none. */
-    String wanted() {
-        return wanted;
+    String desired() {
+        return desired;
     }
 
     /** Sets the name that the next write of the record contains; null: none. */
-    void want(String process) {
-        wanted = process;
+    void setDesired(String standbyProcess) {
+        desired = standbyProcess;
     }
 
     /** Records that a write of the record with this name is about to be sent; null: none. */
-    void sending(String process) {
-        if (process != null) {
-            mayStand.add(process);
+    void onWriteSent(String standbyProcess) {
+        if (standbyProcess != null) {
+            possible.add(standbyProcess);
         }
     }
 
@@ -38,19 +38,19 @@
      * Records that the record contains this name at a version that no earlier write can change;
      * null: none.
      */
-    void settled(String process) {
-        known = process;
-        mayStand.clear();
-        sending(process);
+    void onRecordConfirmed(String standbyProcess) {
+        stored = standbyProcess;
+        possible.clear();
+        onWriteSent(standbyProcess);
     }
 
     /** Returns whether the record is known to contain the desired name. */
-    boolean asWanted() {
-        return Objects.equals(wanted, known) && mayStand.size() <= 1;
+    boolean isDesiredStored() {
+        return Objects.equals(desired, stored) && possible.size() <= 1;
     }
 
     /** Returns whether the record names no standby and no write in flight can still name one. */
-    boolean surelyNone() {
-        return mayStand.isEmpty();
+    boolean isDefinitelyNone() {
+        return possible.isEmpty();
     }
 }
--- a/src/main/java/org/shoreusher/core/Node.java
+++ b/src/main/java/org/shoreusher/core/Node.java
@@ -24,45 +24,56 @@
 public final class Node {
     private final Settings settings;
     private final Outbox outbox;
-    private final StoreView view;
-    private final MachineIndex index = new MachineIndex();
-    private final Arrivals arrivals;
-    private final MachineTypes types;
-    private final MemberFormats formats;
-    private final Parts parts;
-    private final UserRequests users;
-    private final PeerHints peers;
+    private final StoreView storeCache;
+    private final MachineIndex machineIndex = new MachineIndex();
+    private final Arrivals submissionBatches;
+    private final MachineTypes machineTypes;
+    private final MemberFormats versionNegotiation;
+    private final Parts shards;
+    private final UserRequests userRequests;
+    private final PeerHints peerGossip;
 
     /** CPUs of jobs assigned to each shard since this node last sent gossip. */
-    private final double[] dealt;
+    private final double[] assignedCpus;
 
     /**
      * Creates a node that leads no shard yet.
      *
      * @param settings the deployment's settings
      * @param features the optional features that this node uses; other nodes may use different ones
-     * @param owner the name of this process: the host name, a slash, and a suffix that no other
-     *     process has ever used
-     * @param count the number of shards; the same on all nodes and for the lifetime of the stored
-     *     data
+     * @param processName the name of this process: the host name, a slash, and a suffix that no
+     *     other process has ever used
+     * @param shardCount the number of shards; the same on all nodes and for the lifetime of the
+     *     stored data
      */
-    public Node(Settings settings, Features features, String owner, int count) {
+    public Node(Settings settings, Features features, String processName, int shardCount) {
         this.settings = settings;
-        dealt = new double[count];
-        outbox = new Outbox(settings, count);
-        view = new StoreView(outbox, settings, this::changed);
-        arrivals = new Arrivals(settings, outbox, view);
-        types = new MachineTypes(settings, outbox, view);
-        formats = new MemberFormats(settings, features, outbox, view, owner, count);
-        peers = new PeerHints(settings, outbox, count, this::ownedPart);
+        assignedCpus = new double[shardCount];
+        outbox = new Outbox(settings, shardCount);
+        storeCache = new StoreView(outbox, settings, this::onStoreChange);
+        submissionBatches = new Arrivals(settings, outbox, storeCache);
+        machineTypes = new MachineTypes(settings, outbox, storeCache);
+        versionNegotiation =
+                new MemberFormats(settings, features, outbox, storeCache, processName, shardCount);
+        peerGossip = new PeerHints(settings, outbox, shardCount, this::ledShard);
         NodeContext context =
-                new NodeContext(settings, features, outbox, view, arrivals, index, types, formats);
-        parts = new Parts(count, context, peers, owner);
-        users = new UserRequests(context, owner, this::counts, this::roomiestPart);
+                new NodeContext(
+                        settings,
+                        features,
+                        outbox,
+                        storeCache,
+                        submissionBatches,
+                        machineIndex,
+                        machineTypes,
+                        versionNegotiation);
+        shards = new Parts(shardCount, context, peerGossip, processName);
+        userRequests =
+                new UserRequests(
+                        context, processName, this::taskCounts, this::shardWithMostHeadroom);
     }
 
-    private Part ownedPart(int n) {
-        return parts.owned(n);
+    private Part ledShard(int shardNumber) {
+        return shards.ledShard(shardNumber);
     }
 
     /**
@@ -75,54 +86,54 @@
      */
     public List<Effect> step(ClockReading now, List<Command> batch) {
         outbox.now = now;
-        peers.started();
+        peerGossip.started();
         for (Command command : batch) {
             handle(command);
         }
-        view.step();
-        formats.step();
-        types.step(parts.ownedCount() > 0);
-        parts.step();
-        users.step();
-        if (peers.tell()) {
-            Arrays.fill(dealt, 0);
+        storeCache.step();
+        versionNegotiation.step();
+        machineTypes.step(shards.ledShardCount() > 0);
+        shards.step();
+        userRequests.step();
+        if (peerGossip.tell()) {
+            Arrays.fill(assignedCpus, 0);
         }
-        return outbox.drain();
+        return outbox.drainEffects();
     }
 
     private void handle(Command command) {
         if (command instanceof Command.Report r) {
-            report(r);
+            handleHeartbeat(r);
         } else if (command instanceof Command.StateReply r) {
-            outbox.replied(r);
+            outbox.onReply(r);
         } else if (command instanceof Command.Poll p) {
-            users.poll(p.request(), p.id());
+            userRequests.poll(p.requestId(), p.jobId());
         } else if (command instanceof Command.Submit s) {
-            users.submit(s.request(), s.id(), s.spec(), s.problem());
+            userRequests.submit(s.requestId(), s.jobId(), s.spec(), s.validationError());
         } else if (command instanceof Command.Cancel c) {
-            users.cancel(c.request(), c.id());
+            userRequests.cancel(c.requestId(), c.jobId());
         } else if (command instanceof Command.Ready r) {
-            if (ready()) {
-                outbox.answer(r.request(), new Response.Ready());
+            if (isReady()) {
+                outbox.respond(r.requestId(), new Response.Ready());
             } else {
-                outbox.answerUnavailable(r.request());
+                outbox.respondUnavailable(r.requestId());
             }
         } else if (command instanceof Command.CloudReply r) {
-            outbox.replied(r);
+            outbox.onReply(r);
         } else if (command instanceof Command.PeerHint p) {
-            peers.heard(p.hint());
+            peerGossip.heard(p.message());
         } else if (command instanceof Command.FromPeer p) {
-            standbyMessage(p.message());
+            handleStandbyMessage(p.message());
         }
     }
 
-    private void standbyMessage(StandbyMessage message) {
+    private void handleStandbyMessage(StandbyMessage message) {
         if (message instanceof LogFrame frame) {
-            parts.replicas().receive(frame);
-        } else if (message instanceof LogAcknowledgement answer) {
-            Part part = parts.owned(answer.stream().part());
-            if (part != null) {
-                part.replication().acknowledged(answer);
+            shards.standbyReplicas().receive(frame);
+        } else if (message instanceof LogAcknowledgement acknowledgement) {
+            Part shard = shards.ledShard(acknowledgement.stream().part());
+            if (shard != null) {
+                shard.standbyReplication().acknowledged(acknowledgement);
             }
         }
     }
@@ -132,38 +143,50 @@
      * reach the key-value store reports that it is not ready. If no node reaches the store, this
      * one stays ready, because the load balancer takes seconds to bring a node back.
      */
-    private boolean ready() {
-        if (!view.loaded() || !types.known()) {
+    private boolean isReady() {
+        if (!storeCache.isLoaded() || !machineTypes.known()) {
             return false;
         }
-        return outbox.stateSilenceMs() < Tuning.READY_STATE_MS || !peers.anyWithStateService();
+        return outbox.sinceStoreReplyMs() < Tuning.READY_STATE_MS
+                || !peerGossip.anyWithStateService();
     }
 
-    private void report(Command.Report r) {
-        String machine = r.report().machine();
-        MachineRecord known = index.get(machine);
-        int n = known == null ? unrecorded(machine) : known.part();
-        Part part = parts.owned(n);
-        if (part != null) {
-            part.reports().report(r.request(), r.report());
+    private void handleHeartbeat(Command.Report command) {
+        String machineId = command.workerHeartbeat().machine();
+        MachineRecord machineRecord = machineIndex.get(machineId);
+        int shardNumber =
+                machineRecord == null
+                        ? shardOfUnrecordedMachine(machineId)
+                        : machineRecord.shardNumber();
+        Part shard = shards.ledShard(shardNumber);
+        if (shard != null) {
+            shard.heartbeatHandler().report(command.requestId(), command.workerHeartbeat());
             return;
         }
-        PartRecord record = view.loaded() ? parts.record(n) : null;
-        if (record == null) {
-            outbox.answerUnavailable(r.request());
-        } else if (record.host().equals(settings.host()) || peers.suspect(record)) {
-            String host = peers.meanwhile(record.host());
-            if (host == null) {
-                outbox.answerUnavailable(r.request());
+        PartRecord shardRecord = storeCache.isLoaded() ? shards.shardRecord(shardNumber) : null;
+        if (shardRecord == null) {
+            outbox.respondUnavailable(command.requestId());
+        } else if (shardRecord.leaderHost().equals(settings.host())
+                || peerGossip.suspect(shardRecord)) {
+            String redirectHost = peerGossip.meanwhile(shardRecord.leaderHost());
+            if (redirectHost == null) {
+                outbox.respondUnavailable(command.requestId());
             } else {
-                outbox.answer(r.request(), new Response.Elsewhere(host));
+                outbox.respond(command.requestId(), new Response.Elsewhere(redirectHost));
             }
         } else {
-            boolean wait =
-                    r.report().token() >= record.term()
-                            && peers.cameBackHere(n, r.report(), index.all().size());
-            String host = wait ? peers.meanwhile(record.host()) : null;
-            outbox.answer(r.request(), new Response.Elsewhere(host == null ? record.host() : host));
+            boolean awaitFailover =
+                    command.workerHeartbeat().token() >= shardRecord.term()
+                            && peerGossip.cameBackHere(
+                                    shardNumber,
+                                    command.workerHeartbeat(),
+                                    machineIndex.all().size());
+            String redirectHost =
+                    awaitFailover ? peerGossip.meanwhile(shardRecord.leaderHost()) : null;
+            outbox.respond(
+                    command.requestId(),
+                    new Response.Elsewhere(
+                            redirectHost == null ? shardRecord.leaderHost() : redirectHost));
         }
     }
 
@@ -171,104 +194,106 @@
      * Returns the shard of a machine without a record: the led shard that provisioned it, or else
      * the shard that the hash of its name selects.
      */
-    private int unrecorded(String machine) {
-        for (int n = 0; n < parts.count(); n++) {
-            if (parts.owned(n) != null && parts.owned(n).machines().containsKey(machine)) {
-                return n;
+    private int shardOfUnrecordedMachine(String machineId) {
+        for (int shardNumber = 0; shardNumber < shards.shardCount(); shardNumber++) {
+            if (shards.ledShard(shardNumber) != null
+                    && shards.ledShard(shardNumber).machines().containsKey(machineId)) {
+                return shardNumber;
             }
         }
-        return parts.partOf(machine);
+        return shards.shardByHash(machineId);
     }
 
-    private void changed(String key, StoreView.Entry before, StoreView.Entry after) {
-        formats.changed(key);
-        if (key.startsWith(StoreSchema.JOB)) {
+    private void onStoreChange(String key, StoreView.Entry before, StoreView.Entry after) {
+        versionNegotiation.onStoreChange(key);
+        if (key.startsWith(StoreSchema.JOB_PREFIX)) {
             if (after != null) {
-                String id = key.substring(StoreSchema.JOB.length());
-                arrivals.settled(id);
-                jobChanged(id, JobRecord.read(after.value()));
+                String jobId = key.substring(StoreSchema.JOB_PREFIX.length());
+                submissionBatches.settled(jobId);
+                onJobRecordChange(jobId, JobRecord.fromMap(after.value()));
             }
-        } else if (key.startsWith(StoreSchema.ARRIVED)) {
-            arrivals.changed(key, after, this::jobChanged);
-        } else if (key.startsWith(StoreSchema.PART)
-                && key.indexOf('/', StoreSchema.PART.length()) < 0
+        } else if (key.startsWith(StoreSchema.SUBMISSION_BATCH_PREFIX)) {
+            submissionBatches.changed(key, after, this::onJobRecordChange);
+        } else if (key.startsWith(StoreSchema.SHARD_PREFIX)
+                && key.indexOf('/', StoreSchema.SHARD_PREFIX.length()) < 0
                 && after != null) {
-            int n = Integer.parseInt(key.substring(StoreSchema.PART.length()));
-            PartRecord record = PartRecord.read(after.value());
-            if (before == null || !PartRecord.read(before.value()).owner().equals(record.owner())) {
-                peers.ownerChanged(n);
+            int shardNumber = Integer.parseInt(key.substring(StoreSchema.SHARD_PREFIX.length()));
+            PartRecord shardRecord = PartRecord.fromMap(after.value());
+            if (before == null
+                    || !PartRecord.fromMap(before.value()).leader().equals(shardRecord.leader())) {
+                peerGossip.ownerChanged(shardNumber);
             }
-            parts.recordChanged(n, record);
-        } else if (key.startsWith(StoreSchema.MACHINE)) {
-            index.changed(key, after, this::machineChanged);
-        } else if (key.equals(StoreSchema.TYPES) && after != null) {
-            types.stored(after.value());
+            shards.onShardRecordChange(shardNumber, shardRecord);
+        } else if (key.startsWith(StoreSchema.MACHINE_PREFIX)) {
+            machineIndex.changed(key, after, this::onMachineRecordChange);
+        } else if (key.equals(StoreSchema.MACHINE_TYPES_KEY) && after != null) {
+            machineTypes.stored(after.value());
         }
     }
 
-    private void machineChanged(String id, MachineRecord record) {
-        for (int n = 0; n < parts.count(); n++) {
-            if (parts.owned(n) != null) {
-                parts.owned(n).lifecycle().machineChanged(id, record);
+    private void onMachineRecordChange(String machineId, MachineRecord record) {
+        for (int shardNumber = 0; shardNumber < shards.shardCount(); shardNumber++) {
+            if (shards.ledShard(shardNumber) != null) {
+                shards.ledShard(shardNumber).lifecycle().machineChanged(machineId, record);
             }
         }
     }
 
-    private void jobChanged(String id, JobRecord record) {
-        for (int n = 0; n < parts.count(); n++) {
-            Part part = parts.owned(n);
-            if (part != null && n == record.part()) {
-                part.openJobs().changed(id, record);
-            } else if (part != null) {
+    private void onJobRecordChange(String jobId, JobRecord record) {
+        for (int shardNumber = 0; shardNumber < shards.shardCount(); shardNumber++) {
+            Part shard = shards.ledShard(shardNumber);
+            if (shard != null && shardNumber == record.shardNumber()) {
+                shard.openJobs().changed(jobId, record);
+            } else if (shard != null) {
                 // Two nodes may have accepted the job for different shards; the job's own record
                 // decides.
-                part.openJobs().close(id);
+                shard.openJobs().close(jobId);
             }
         }
         if (record.status() == JobStatus.DONE) {
-            users.ended().done(id, record);
+            userRequests.ended().done(jobId, record);
         } else if (record.status() == JobStatus.CANCELLED) {
-            users.ended().cancelled(id);
+            userRequests.ended().cancelled(jobId);
         }
     }
 
     // ---- gossip ------------------------------------------------------------------------------
 
-    private Response.Counts counts(String id) {
-        for (int n = 0; n < parts.count(); n++) {
-            Part part = parts.owned(n);
-            Job job = part == null ? null : part.jobs().get(id);
+    private Response.TaskCounts taskCounts(String jobId) {
+        for (int shardNumber = 0; shardNumber < shards.shardCount(); shardNumber++) {
+            Part shard = shards.ledShard(shardNumber);
+            Job job = shard == null ? null : shard.jobs().get(jobId);
             if (job != null) {
-                return new Response.Counts(job.done.cardinality(), job.live.size());
+                return new Response.TaskCounts(job.done.cardinality(), job.live.size());
             }
         }
-        return peers.counts(id);
+        return peerGossip.counts(jobId);
     }
 
     /**
      * Returns the shard with the most headroom for a new job, and counts the job against that
      * headroom until the next gossip round.
      */
-    private int roomiestPart(JobSpec spec) {
-        int best = 0;
-        double most = Double.NEGATIVE_INFINITY;
-        for (int n = 0; n < parts.count(); n++) {
-            PartHint hint = peers.hint(n);
-            Hint.Claim claim = hint == null ? null : hint.claims().get(spec.team());
+    private int shardWithMostHeadroom(JobSpec spec) {
+        int bestShard = 0;
+        double mostHeadroom = Double.NEGATIVE_INFINITY;
+        for (int shardNumber = 0; shardNumber < shards.shardCount(); shardNumber++) {
+            PartHint summary = peerGossip.shardSummary(shardNumber);
+            Hint.Claim teamDemand = summary == null ? null : summary.claims().get(spec.team());
             // Jobs of one team are kept in one shard where possible, so that the team's quota is
             // not split.
-            double room =
-                    (hint == null ? Tuning.UNKNOWN_ROOM : hint.room())
-                            - dealt[n]
-                            + (claim == null
+            double headroom =
+                    (summary == null ? Tuning.UNKNOWN_ROOM : summary.room())
+                            - assignedCpus[shardNumber]
+                            + (teamDemand == null
                                     ? 0
-                                    : Tuning.TOGETHER * (claim.urgent() + claim.other()));
-            if (room > most) {
-                most = room;
-                best = n;
+                                    : Tuning.TOGETHER * (teamDemand.urgent() + teamDemand.other()));
+            if (headroom > mostHeadroom) {
+                mostHeadroom = headroom;
+                bestShard = shardNumber;
             }
         }
-        dealt[best] += spec.tasks() * spec.cpus();
-        return best;
+        assignedCpus[bestShard] += spec.tasks() * spec.cpus();
+        return bestShard;
     }
 }
--- a/src/main/java/org/shoreusher/core/NodeContext.java
+++ b/src/main/java/org/shoreusher/core/NodeContext.java
@@ -9,18 +9,18 @@
  * @param settings the deployment's settings
  * @param features the optional features that this node uses
  * @param outbox collects effects, and tracks calls to the store and to the cloud
- * @param view the cached contents of the key-value store
- * @param arrivals jobs that were accepted together and share a stored record
- * @param index the machine records of all shards, by machine
- * @param types the machine types that the cloud offers
- * @param formats the stored formats that every member supports
+ * @param storeCache the cached contents of the key-value store
+ * @param submissionBatches jobs that were accepted together and share a stored record
+ * @param machineIndex the machine records of all shards, by machine
+ * @param machineTypes the machine types that the cloud offers
+ * @param versionNegotiation the stored formats that every member supports
  */
 record NodeContext(
         Settings settings,
         Features features,
         Outbox outbox,
-        StoreView view,
-        Arrivals arrivals,
-        MachineIndex index,
-        MachineTypes types,
-        MemberFormats formats) {}
+        StoreView storeCache,
+        Arrivals submissionBatches,
+        MachineIndex machineIndex,
+        MachineTypes machineTypes,
+        MemberFormats versionNegotiation) {}
--- a/src/main/java/org/shoreusher/core/OpenJobs.java
+++ b/src/main/java/org/shoreusher/core/OpenJobs.java
@@ -30,7 +30,7 @@
      * until the shard's state has been loaded, which reads all records.
      */
     void changed(String id, JobRecord record) {
-        if (!part.loaded()) {
+        if (!part.isLoaded()) {
             return;
         }
         if (record.status() != JobStatus.OPEN) {
@@ -39,15 +39,15 @@
             // The job was accepted while this node was the leader: no task has been started.
             add(id, record).waitFrom(0);
         } else {
-            jobs.get(id).startBelow = Math.max(jobs.get(id).startBelow, record.begun());
+            jobs.get(id).startBelow = Math.max(jobs.get(id).startBelow, record.highWaterMark());
         }
     }
 
     /** Adds a job of this shard. One in a terminal state is returned but not kept. */
     Job add(String id, JobRecord record) {
-        Job job = new Job(id, record.description(), record.acceptedMs());
+        Job job = new Job(id, record.parseSpec(), record.acceptedWallMs());
         job.closed = record.status() != JobStatus.OPEN;
-        job.startBelow = record.begun();
+        job.startBelow = record.highWaterMark();
         if (!job.closed) {
             jobs.put(id, job);
         }
@@ -64,12 +64,12 @@
             return;
         }
         job.closed = true;
-        part.balancing().jobEnded(job);
+        part.taskMigration().jobEnded(job);
         job.waiting.clear();
         job.waitingCount = 0;
         for (TaskAttempt live : new ArrayList<>(job.live.values())) {
             live.mustStop = true;
-            part.stops().halt(live, 0);
+            part.taskEviction().halt(live, 0);
         }
     }
 
@@ -83,11 +83,11 @@
             if (job.waitingCount > 0
                     && !job.closed
                     && !job.zonesUnknown
-                    && !job.paused(outbox.now.steadyMs())) {
+                    && !job.paused(outbox.now.monotonicMs())) {
                 list.add(job);
             }
         }
-        part.urgency().sort(list, outbox.now.wallMs());
+        part.schedulingOrder().sort(list, outbox.now.wallMs());
         return list;
     }
 }
--- a/src/main/java/org/shoreusher/core/OtherParts.java
+++ b/src/main/java/org/shoreusher/core/OtherParts.java
@@ -34,7 +34,7 @@
     double claimed(String team) {
         double cpus = 0;
         for (int m = 0; m < parts; m++) {
-            PartHint hint = m == partNumber ? null : others.hint(m);
+            PartHint hint = m == partNumber ? null : others.shardSummary(m);
             Claim claim = hint == null ? null : hint.claims().get(team);
             cpus += claim == null ? 0 : claim.urgent() + claim.other();
         }
@@ -45,7 +45,7 @@
     Claim[] claims(String team) {
         Claim[] claims = new Claim[parts];
         for (int m = 0; m < parts; m++) {
-            PartHint hint = m == partNumber ? null : others.hint(m);
+            PartHint hint = m == partNumber ? null : others.shardSummary(m);
             claims[m] =
                     m == partNumber
                             ? claim(team)
@@ -108,7 +108,7 @@
     int idleElsewhere() {
         int idle = 0;
         for (int m = 0; m < parts; m++) {
-            PartHint hint = m == partNumber ? null : others.hint(m);
+            PartHint hint = m == partNumber ? null : others.shardSummary(m);
             idle += hint == null ? 0 : hint.idle();
         }
         return idle;
@@ -116,7 +116,7 @@
 
     /** The number of further machines that another shard could use now. */
     int lacksOf(int part) {
-        PartHint hint = others.hint(part);
+        PartHint hint = others.shardSummary(part);
         return hint == null ? 0 : hint.lacks();
     }
 
--- a/src/main/java/org/shoreusher/core/Outbox.java
+++ b/src/main/java/org/shoreusher/core/Outbox.java
@@ -16,119 +16,125 @@
  * within the rate limits of the key-value store and the cloud by token buckets.
  */
 final class Outbox {
-    private final Long2ObjectOpenHashMap<Consumer<StateReply>> stateCalls =
+    private final Long2ObjectOpenHashMap<Consumer<StateReply>> pendingStoreCalls =
             new Long2ObjectOpenHashMap<>();
-    private final Long2ObjectOpenHashMap<Consumer<CloudReply>> cloudCalls =
+    private final Long2ObjectOpenHashMap<Consumer<CloudReply>> pendingCloudCalls =
             new Long2ObjectOpenHashMap<>();
-    private final TokenBucket stateTokens;
-    private final TokenBucket writeTokens;
+    private final TokenBucket storeCallTokens;
+    private final TokenBucket leaderWriteTokens;
     private final TokenBucket userWriteTokens;
     private final TokenBucket renewalTokens;
-    private final TokenBucket cloudTokens;
+    private final TokenBucket cloudCallTokens;
     private List<Effect> effects = new ArrayList<>();
-    private long nextCall = 1;
-    private long stateAnsweredAt = Long.MIN_VALUE / 2;
-    private long stateFailedAt = Long.MIN_VALUE / 2;
+    private long nextCallId = 1;
+    private long storeAnsweredAtMs = Long.MIN_VALUE / 2;
+    private long storeFailedAtMs = Long.MIN_VALUE / 2;
     ClockReading now = new ClockReading(0, 0);
 
     /**
      * Creates an empty outbox with full token buckets.
      *
-     * @param s the deployment's settings, which give the rate limits of all nodes together
-     * @param parts the number of shards
+     * @param settings the deployment's settings, which give the rate limits of all nodes together
+     * @param shardCount the number of shards
      */
-    Outbox(Settings s, int parts) {
-        int owners = Math.min(s.nodes(), parts);
+    Outbox(Settings settings, int shardCount) {
+        int leaders = Math.min(settings.nodes(), shardCount);
         // The shares of leaders' and users' writes add up to a little more than the rate limit,
         // because they rarely coincide. If they do, the store answers 429, and the write is tried
         // again later like after any other failure.
-        double rate = s.stateRps() * Tuning.RATE_USE / s.nodes();
-        double writes = s.stateWriteRps() * Tuning.RATE_USE;
-        double owner = ownerWrites(s, parts);
-        stateTokens = new TokenBucket(rate * (1 - Tuning.RENEWAL_SHARE), rate / 2);
+        double callsPerS = settings.stateRps() * Tuning.RATE_USE / settings.nodes();
+        double writes = settings.stateWriteRps() * Tuning.RATE_USE;
+        double leaderWritesPerS = leaderWritesPerS(settings, shardCount);
+        storeCallTokens = new TokenBucket(callsPerS * (1 - Tuning.RENEWAL_SHARE), callsPerS / 2);
         renewalTokens =
                 new TokenBucket(
-                        Math.max(2, rate * Tuning.RENEWAL_SHARE),
-                        Math.max(4, rate * Tuning.RENEWAL_SHARE));
-        writeTokens = new TokenBucket(owner, owner);
-        userWriteTokens = new TokenBucket(writes / s.nodes(), writes / s.nodes());
-        cloudTokens =
-                new TokenBucket(s.cloudRps() * Tuning.RATE_USE / owners, s.cloudRps() / owners);
+                        Math.max(2, callsPerS * Tuning.RENEWAL_SHARE),
+                        Math.max(4, callsPerS * Tuning.RENEWAL_SHARE));
+        leaderWriteTokens = new TokenBucket(leaderWritesPerS, leaderWritesPerS);
+        userWriteTokens = new TokenBucket(writes / settings.nodes(), writes / settings.nodes());
+        cloudCallTokens =
+                new TokenBucket(
+                        settings.cloudRps() * Tuning.RATE_USE / leaders,
+                        settings.cloudRps() / leaders);
     }
 
     /** Returns the writes per second that a shard's leader plans to make at most. */
-    static double ownerWrites(Settings s, int parts) {
-        return s.stateWriteRps()
+    static double leaderWritesPerS(Settings settings, int shardCount) {
+        return settings.stateWriteRps()
                 * Tuning.RATE_USE
                 * Tuning.OWNER_WRITE_SHARE
-                / Math.min(s.nodes(), parts);
+                / Math.min(settings.nodes(), shardCount);
     }
 
     /** Returns the effects collected since the last call, in order, and starts an empty list. */
-    List<Effect> drain() {
-        List<Effect> out = effects;
+    List<Effect> drainEffects() {
+        List<Effect> drained = effects;
         effects = new ArrayList<>();
-        return out;
+        return drained;
     }
 
     /** Adds an effect. */
-    void add(Effect e) {
-        effects.add(e);
+    void add(Effect effect) {
+        effects.add(effect);
     }
 
     /** Logs a line for operators. */
-    void log(String line) {
+    void logInfo(String line) {
         effects.add(new Effect.Log(line, false));
     }
 
     /** Logs a line at debug level. */
-    void detail(String line) {
+    void logDebug(String line) {
         effects.add(new Effect.Log(line, true));
     }
 
     /** Answers a request. */
-    void answer(long request, Response response) {
-        effects.add(new Effect.Answer(request, response));
+    void respond(long requestId, Response response) {
+        effects.add(new Effect.Respond(requestId, response));
     }
 
     /**
      * Answers at once that a request can't be served now. The suggested retry delay depends on the
      * request, so that not all senders retry at the same time.
      */
-    void answerUnavailable(long request) {
-        answer(request, new Response.Unavailable(Tuning.retryAfterS(request)));
+    void respondUnavailable(long requestId) {
+        respond(requestId, new Response.Unavailable(Tuning.retryAfterS(requestId)));
     }
 
     /**
      * Calls the key-value store for background work.
      *
-     * @param op the operation
-     * @param then called with the answer, or with status 0 if there is none
+     * @param operation the operation
+     * @param callback called with the answer, or with status 0 if there is none
      * @return false if the rate limit leaves no token; then nothing is sent
      */
-    boolean state(StateOp op, Consumer<StateReply> then) {
-        return call(op, writeTokens, then);
+    boolean callStore(StateOp operation, Consumer<StateReply> callback) {
+        return tryCallStore(operation, leaderWriteTokens, callback);
     }
 
     /**
      * Calls the key-value store for a user's request. Such calls draw on a write budget of their
-     * own; otherwise like {@link #state}.
+     * own; otherwise like {@link #callStore}.
      *
      * @return false if the rate limit leaves no token; then nothing is sent
      */
-    boolean stateForUser(StateOp op, Consumer<StateReply> then) {
-        return call(op, userWriteTokens, then);
+    boolean callStoreForUser(StateOp operation, Consumer<StateReply> callback) {
+        return tryCallStore(operation, userWriteTokens, callback);
     }
 
-    private boolean call(StateOp op, TokenBucket writes, Consumer<StateReply> then) {
-        int changes = op instanceof StateOp.Multi m ? m.writes().size() : 0;
-        if (!stateTokens.take(1, now.steadyMs())) {
+    private boolean tryCallStore(
+            StateOp operation, TokenBucket writeBucket, Consumer<StateReply> callback) {
+        int writeCount =
+                operation instanceof StateOp.Multi compareAndSwap
+                        ? compareAndSwap.writes().size()
+                        : 0;
+        if (!storeCallTokens.tryAcquire(1, now.monotonicMs())) {
             return false;
         }
-        if (changes > 0 && !writes.take(changes, now.steadyMs())) {
+        if (writeCount > 0 && !writeBucket.tryAcquire(writeCount, now.monotonicMs())) {
             return false;
         }
-        send(op, false, then);
+        sendStoreCall(operation, false, callback);
         return true;
     }
 
@@ -139,70 +145,71 @@
      *
      * @return false if the rate limit leaves no token; then nothing is sent
      */
-    boolean renewal(StateOp.Multi op, Consumer<StateReply> then) {
-        if (!renewalTokens.take(1, now.steadyMs())) {
+    boolean callStoreForLease(StateOp.Multi operation, Consumer<StateReply> callback) {
+        if (!renewalTokens.tryAcquire(1, now.monotonicMs())) {
             return false;
         }
-        writeTokens.force(op.writes().size(), now.steadyMs());
-        send(op, true, then);
+        leaderWriteTokens.overdraw(operation.writes().size(), now.monotonicMs());
+        sendStoreCall(operation, true, callback);
         return true;
     }
 
-    private void send(StateOp op, boolean urgent, Consumer<StateReply> then) {
-        long call = nextCall++;
-        stateCalls.put(call, then);
-        effects.add(new Effect.StateCall(call, op, urgent));
+    private void sendStoreCall(StateOp operation, boolean urgent, Consumer<StateReply> callback) {
+        long callId = nextCallId++;
+        pendingStoreCalls.put(callId, callback);
+        effects.add(new Effect.StateCall(callId, operation, urgent));
     }
 
     /**
      * Calls the cloud.
      *
-     * @param op the operation
-     * @param then called with the answer, or with status 0 if there is none
+     * @param operation the operation
+     * @param callback called with the answer, or with status 0 if there is none
      * @return false if the rate limit leaves no token; then nothing is sent
      */
-    boolean cloud(CloudOp op, Consumer<CloudReply> then) {
-        if (!cloudTokens.take(1, now.steadyMs())) {
+    boolean callCloud(CloudOp operation, Consumer<CloudReply> callback) {
+        if (!cloudCallTokens.tryAcquire(1, now.monotonicMs())) {
             return false;
         }
-        long call = nextCall++;
-        cloudCalls.put(call, then);
-        effects.add(new Effect.CloudCall(call, op));
+        long callId = nextCallId++;
+        pendingCloudCalls.put(callId, callback);
+        effects.add(new Effect.CloudCall(callId, operation));
         return true;
     }
 
     /** Passes an answer of the key-value store to the callback of its call. */
-    void replied(StateReply reply) {
+    void onReply(StateReply reply) {
         // A 429 shows that the store is available; only a missing answer and 503 count as failures.
         if (reply.status() == 0 || reply.status() == 503) {
-            stateFailedAt = now.steadyMs();
+            storeFailedAtMs = now.monotonicMs();
         } else {
-            stateAnsweredAt = now.steadyMs();
+            storeAnsweredAtMs = now.monotonicMs();
         }
-        Consumer<StateReply> then = stateCalls.remove(reply.call());
-        if (then != null) {
-            then.accept(reply);
+        Consumer<StateReply> callback = pendingStoreCalls.remove(reply.callId());
+        if (callback != null) {
+            callback.accept(reply);
         }
     }
 
     /** Passes an answer of the cloud to the callback of its call. */
-    void replied(CloudReply reply) {
-        Consumer<CloudReply> then = cloudCalls.remove(reply.call());
-        if (then != null) {
-            then.accept(reply);
+    void onReply(CloudReply reply) {
+        Consumer<CloudReply> callback = pendingCloudCalls.remove(reply.callId());
+        if (callback != null) {
+            callback.accept(reply);
         }
     }
 
     /** Returns the ms since the last successful answer of the key-value store. */
-    long stateSilenceMs() {
-        return now.steadyMs() - stateAnsweredAt;
+    long sinceStoreReplyMs() {
+        return now.monotonicMs() - storeAnsweredAtMs;
     }
 
     /**
      * Returns whether the key-value store is unavailable: the latest call failed, and no call has
      * succeeded for longer than the call timeout.
      */
-    boolean stateAway() {
-        return stateFailedAt >= stateAnsweredAt && stateSilenceMs() > Tuning.STATE_TIMEOUT_MS;
+    boolean isStoreUnavailable() {
+        return storeFailedAtMs >= storeAnsweredAtMs
+                && sinceStoreReplyMs() > Tuning.STATE_TIMEOUT_MS;
     }
 }
--- a/src/main/java/org/shoreusher/core/Part.java
+++ b/src/main/java/org/shoreusher/core/Part.java
@@ -22,13 +22,13 @@
      */
     interface Others {
         /** Returns the latest summary of a shard, or null if there is no recent one. */
-        PartHint hint(int part);
+        PartHint shardSummary(int shardNumber);
 
         /**
          * Returns whether every other member has just reported that the key-value store does not
          * answer it either.
          */
-        boolean stateAwayEverywhere();
+        boolean isStoreUnavailableToAllPeers();
 
         /**
          * Returns how many workers have recently returned to another controller after it had
@@ -36,166 +36,184 @@
          * the largest of their counts is returned. A high count indicates a partition between the
          * leader and its workers.
          */
-        int cameBack(int part);
+        int workersUnableToReachLeader(int shardNumber);
 
         /** Returns whether gossip from the host's controller has arrived recently. */
-        boolean up(String host);
+        boolean isResponsive(String host);
 
         /**
          * Returns the monotonic time in ms until which another node may still rely on this node's
          * gossip that the key-value store does not answer it.
          */
-        long saidStateAwayUntilMs();
+        long storeOutageGossipValidUntilMs();
     }
 
-    final int number;
-    private final int parts;
-    private final Others others;
-    private final Quota quota;
+    final int shardNumber;
+    private final int shardCount;
+    private final Others peerView;
+    private final Quota quotaShares;
     private final Settings settings;
     private final Outbox outbox;
-    private final StoreView view;
-    private final MachineTypes types;
-    private final PartOwnership ownership;
-    private final Fleet fleet;
-    private final Estimates estimates = new Estimates();
-    private final Urgency urgency;
+    private final StoreView storeCache;
+    private final MachineTypes machineTypes;
+    private final PartOwnership leadership;
+    private final Fleet autoscaler;
+    private final Estimates runTimeEstimates = new Estimates();
+    private final Urgency schedulingOrder;
     private final OpenJobs openJobs;
     private final Object2ObjectOpenHashMap<String, Machine> machines =
             new Object2ObjectOpenHashMap<>();
-    private final ResourceLedger ledger = new ResourceLedger();
-    private final Arrivals arrivals;
-    private final MachineIndex index;
-    private final MachineRecords records;
-    private final OtherParts otherParts;
-    private final StartMarks marks;
-    private final Reports reports;
-
-    private final FinalStates finalStates;
-    private final TaskStops stops;
-
-    private final Rebuild rebuild;
-    private final TeamRoom teamRoom;
-    private final Balancing balancing;
-    private final AttemptReplication replication;
+    private final ResourceLedger resourceLedger = new ResourceLedger();
+    private final Arrivals submissionBatches;
+    private final MachineIndex machineIndex;
+    private final MachineRecords machineRecords;
+    private final OtherParts shardDemand;
+    private final StartMarks highWaterMarks;
+    private final Reports heartbeatHandler;
+
+    private final FinalStates terminalStateWriter;
+    private final TaskStops taskEviction;
+
+    private final Rebuild reconciliation;
+    private final TeamRoom quotaHeadroom;
+    private final Balancing taskMigration;
+    private final AttemptReplication standbyReplication;
     private final MachineLifecycle lifecycle;
-    private long nextWalkMs;
-    private long nextStatusMs;
+    private long nextSchedulingPassMs;
+    private long nextStatusLineMs;
 
     /**
      * Creates the shard after its leadership was acquired. Its jobs and machines are loaded later,
      * by {@link #step}.
      *
-     * @param number the shard's number
-     * @param parts the number of shards
+     * @param shardNumber the shard's number
+     * @param shardCount the number of shards
      * @param context the node's shared collaborators
-     * @param others what gossip tells about other controllers and shards
-     * @param ownership the leadership that was acquired
-     * @param inheritance the attempt log of the previous leader, if this node was its standby
+     * @param peerView what gossip tells about other controllers and shards
+     * @param leadership the leadership that was acquired
+     * @param promotedAttempts the attempt log of the previous leader, if this node was its standby
      */
     Part(
-            int number,
-            int parts,
+            int shardNumber,
+            int shardCount,
             NodeContext context,
-            Others others,
-            PartOwnership ownership,
-            Inheritance inheritance) {
-        this.number = number;
-        this.parts = parts;
-        this.others = others;
+            Others peerView,
+            PartOwnership leadership,
+            Inheritance promotedAttempts) {
+        this.shardNumber = shardNumber;
+        this.shardCount = shardCount;
+        this.peerView = peerView;
         this.settings = context.settings();
         this.outbox = context.outbox();
-        this.view = context.view();
-        this.types = context.types();
-        this.arrivals = context.arrivals();
-        this.index = context.index();
-        this.ownership = ownership;
-        this.quota = new Quota(number, parts, settings, outbox, view, ownership.fence());
-        this.records =
-                new MachineRecords(number, context, ownership, machines, this::removeMachine);
-        this.urgency = new Urgency(settings, estimates);
+        this.storeCache = context.storeCache();
+        this.machineTypes = context.machineTypes();
+        this.submissionBatches = context.submissionBatches();
+        this.machineIndex = context.machineIndex();
+        this.leadership = leadership;
+        this.quotaShares =
+                new Quota(
+                        shardNumber,
+                        shardCount,
+                        settings,
+                        outbox,
+                        storeCache,
+                        leadership.fencingPrecondition());
+        this.machineRecords =
+                new MachineRecords(shardNumber, context, leadership, machines, this::removeMachine);
+        this.schedulingOrder = new Urgency(settings, runTimeEstimates);
         this.openJobs = new OpenJobs(this, outbox);
         Map<String, Job> jobs = openJobs.byId();
-        this.fleet = new Fleet(this, settings, outbox, types);
-        this.otherParts = new OtherParts(number, parts, others, jobs, machines);
-        this.marks = new StartMarks(number, parts, context, ownership, jobs);
-        this.finalStates = new FinalStates(outbox, view, arrivals, ownership);
-        this.stops = new TaskStops(this, outbox);
-        this.balancing = new Balancing(this, context, ledger);
-        ledger.listen(balancing);
-        this.replication = new AttemptReplication(this, context, others, ownership);
-        ledger.listen(replication);
-        this.rebuild = new Rebuild(this, context, ownership, marks, ledger, inheritance);
-        this.lifecycle = new MachineLifecycle(this, parts, context, others, ownership, ledger);
-        this.teamRoom = new TeamRoom(settings, quota, ledger, rebuild, otherParts);
-        this.reports = new Reports(this, context, ledger, marks);
+        this.autoscaler = new Fleet(this, settings, outbox, machineTypes);
+        this.shardDemand = new OtherParts(shardNumber, shardCount, peerView, jobs, machines);
+        this.highWaterMarks = new StartMarks(shardNumber, shardCount, context, leadership, jobs);
+        this.terminalStateWriter =
+                new FinalStates(outbox, storeCache, submissionBatches, leadership);
+        this.taskEviction = new TaskStops(this, outbox);
+        this.taskMigration = new Balancing(this, context, resourceLedger);
+        resourceLedger.listen(taskMigration);
+        this.standbyReplication = new AttemptReplication(this, context, peerView, leadership);
+        resourceLedger.listen(standbyReplication);
+        this.reconciliation =
+                new Rebuild(
+                        this,
+                        context,
+                        leadership,
+                        highWaterMarks,
+                        resourceLedger,
+                        promotedAttempts);
+        this.lifecycle =
+                new MachineLifecycle(
+                        this, shardCount, context, peerView, leadership, resourceLedger);
+        this.quotaHeadroom =
+                new TeamRoom(settings, quotaShares, resourceLedger, reconciliation, shardDemand);
+        this.heartbeatHandler = new Reports(this, context, resourceLedger, highWaterMarks);
     }
 
     // ---- collaborators and state -------------------------------------------------------------
 
     /** The stored records of the shard's machines. */
-    MachineRecords records() {
-        return records;
+    MachineRecords machineRecords() {
+        return machineRecords;
     }
 
     /** Handles the heartbeats of the shard's workers. */
-    Reports reports() {
-        return reports;
+    Reports heartbeatHandler() {
+        return heartbeatHandler;
     }
 
     /** The demand of the other shards. */
-    OtherParts otherParts() {
-        return otherParts;
+    OtherParts shardDemand() {
+        return shardDemand;
     }
 
     /** Writes the terminal states of jobs. */
-    FinalStates finalStates() {
-        return finalStates;
+    FinalStates terminalStateWriter() {
+        return terminalStateWriter;
     }
 
     /** Evicts running tasks. */
-    TaskStops stops() {
-        return stops;
+    TaskStops taskEviction() {
+        return taskEviction;
     }
 
     /** Returns the summary of this shard that gossip carries to the other nodes. */
-    PartHint hint() {
-        return otherParts.hint(fleet);
+    PartHint summary() {
+        return shardDemand.hint(autoscaler);
     }
 
     /** Decides when machines are added and removed. */
-    Fleet fleet() {
-        return fleet;
+    Fleet autoscaler() {
+        return autoscaler;
     }
 
     /** The leadership of this shard. */
-    PartOwnership ownership() {
-        return ownership;
+    PartOwnership leadership() {
+        return leadership;
     }
 
     /** Returns whether the leadership has ended for good. */
-    boolean lost() {
-        return ownership.lost();
+    boolean isLeadershipLost() {
+        return leadership.isLost();
     }
 
     /** Returns whether this node is the leader and its lease is valid. */
-    boolean holds() {
-        return ownership.holds();
+    boolean isLeader() {
+        return leadership.isLeader();
     }
 
     /** The leader's current term, which workers receive as the fencing token. */
     long term() {
-        return ownership.term();
+        return leadership.term();
     }
 
     /**
      * Gives up the leadership so that another node can take over at once. Does nothing while a
      * lease renewal is in flight.
      *
-     * @param why the reason, for the log
+     * @param reason the reason, for the log
      */
-    void release(String why) {
-        ownership.release(why, finished());
+    void stepDown(String reason) {
+        leadership.stepDown(reason, completionRecords());
     }
 
     /**
@@ -203,37 +221,37 @@
      * one-way partition: after being redirected here they have returned to other nodes. A leader
      * that stayed until the partition ends would lose all tasks that run on those machines.
      */
-    boolean unreachable() {
-        if (!rebuild.loaded()
-                || !holds()
-                || outbox.now.steadyMs() - ownership.sinceMs() < Tuning.COMES_BACK_MS) {
+    boolean isUnreachableFromWorkers() {
+        if (!reconciliation.loaded()
+                || !isLeader()
+                || outbox.now.monotonicMs() - leadership.leaderSinceMs() < Tuning.COMES_BACK_MS) {
             return false;
         }
         // This runs in every batch, so machines are counted only if some workers have returned to
         // other nodes.
-        int cameBack = others.cameBack(number);
-        if (cameBack <= 1) {
+        int unreachableWorkers = peerView.workersUnableToReachLeader(shardNumber);
+        if (unreachableWorkers <= 1) {
             return false;
         }
-        int up = 0;
-        for (Machine m : machines.values()) {
-            up += m.state == Machine.State.UP ? 1 : 0;
+        int runningMachines = 0;
+        for (Machine machine : machines.values()) {
+            runningMachines += machine.state == Machine.State.UP ? 1 : 0;
         }
-        return cameBack > Math.max(1, up * Tuning.UNREACHED_SHARE);
+        return unreachableWorkers > Math.max(1, runningMachines * Tuning.UNREACHED_SHARE);
     }
 
-    private FinishedRecords finished() {
-        return FinishedRecords.of(jobs().values(), settings, ownership::storedDone);
+    private FinishedRecords completionRecords() {
+        return FinishedRecords.of(jobs().values(), settings, leadership::storedCompletions);
     }
 
     /** Estimates of the run times of tasks. */
-    Estimates estimates() {
-        return estimates;
+    Estimates runTimeEstimates() {
+        return runTimeEstimates;
     }
 
     /** The order in which jobs are scheduled. */
-    Urgency urgency() {
-        return urgency;
+    Urgency schedulingOrder() {
+        return schedulingOrder;
     }
 
     /** The shard's open jobs, by id. */
@@ -247,13 +265,13 @@
     }
 
     /** Reconciles the state of the shard with its workers after a leadership change. */
-    Rebuild rebuild() {
-        return rebuild;
+    Rebuild reconciliation() {
+        return reconciliation;
     }
 
     /** Replicates the log of task attempts to the standby. */
-    AttemptReplication replication() {
-        return replication;
+    AttemptReplication standbyReplication() {
+        return standbyReplication;
     }
 
     /** The shard's machines, by id. */
@@ -262,16 +280,16 @@
     }
 
     /** Returns whether the shard's stored state has been loaded. */
-    boolean loaded() {
-        return rebuild.loaded();
+    boolean isLoaded() {
+        return reconciliation.loaded();
     }
 
     /**
      * Returns whether reconciliation is complete: it is known of every task whether it runs, and
      * where.
      */
-    boolean rebuilt() {
-        return rebuild.complete();
+    boolean isReconciled() {
+        return reconciliation.complete();
     }
 
     /** Follows the machines from provisioning to termination. */
@@ -280,36 +298,36 @@
     }
 
     /** What the teams may still use of their quotas. */
-    TeamRoom teamRoom() {
-        return teamRoom;
+    TeamRoom quotaHeadroom() {
+        return quotaHeadroom;
     }
 
     /** Migrates tasks between machines. */
-    Balancing balancing() {
-        return balancing;
+    Balancing taskMigration() {
+        return taskMigration;
     }
 
     /** Forgets a machine that is gone or belongs to another shard. */
-    void removeMachine(String id) {
-        machines.remove(id);
-        balancing.machineGone(id);
+    void removeMachine(String machineId) {
+        machines.remove(machineId);
+        taskMigration.machineGone(machineId);
     }
 
     /**
      * Returns whether a machine may be given new tasks: it sends heartbeats, receives its orders,
      * and is neither reserved for another shard nor under an interruption notice.
      */
-    boolean available(Machine m) {
-        return m.state == Machine.State.UP
-                && m.heard
-                && !m.yielding
-                && !m.deaf()
-                && Double.isNaN(m.noticeS)
-                && outbox.now.steadyMs() - m.reportedAtMs < quietMs();
+    boolean isAvailable(Machine machine) {
+        return machine.state == Machine.State.UP
+                && machine.heard
+                && !machine.yielding
+                && !machine.deaf()
+                && Double.isNaN(machine.noticeS)
+                && outbox.now.monotonicMs() - machine.reportedAtMs < heartbeatTimeoutMs();
     }
 
     /** The time in ms after its last heartbeat from which a machine counts as unresponsive. */
-    double quietMs() {
+    double heartbeatTimeoutMs() {
         return settings.reportS() * 1000 * Tuning.QUIET_REPORTS;
     }
 
@@ -326,11 +344,13 @@
      * The next leader relies on this: it does not wait for a grace period that it has not itself
      * confirmed by gossip.
      */
-    boolean mayAnswer() {
-        return !lost()
-                && rebuild.loaded()
-                && view.ageMs() < PartLease.answerableViewMs(settings)
-                && (holds() || (ownership.keepsAlive() && others.stateAwayEverywhere()));
+    boolean canAnswerHeartbeats() {
+        return !isLeadershipLost()
+                && reconciliation.loaded()
+                && storeCache.ageMs() < PartLease.maxStoreCacheAgeMs(settings)
+                && (isLeader()
+                        || (leadership.mayExtendWorkerLeases()
+                                && peerView.isStoreUnavailableToAllPeers()));
     }
 
     /**
@@ -340,11 +360,11 @@
      * cache must first have caught up with what others wrote meanwhile, which may include a
      * cancellation that was confirmed to a user.
      */
-    boolean mayStart() {
-        return rebuild.loaded()
-                && holds()
-                && view.ageMs() < Tuning.VIEW_STALE_MS
-                && ownership.viewComplete();
+    boolean canStartTasks() {
+        return reconciliation.loaded()
+                && isLeader()
+                && storeCache.ageMs() < Tuning.VIEW_STALE_MS
+                && leadership.isStoreCacheCaughtUp();
     }
 
     // ---- time --------------------------------------------------------------------------------
@@ -354,48 +374,48 @@
      * writes records, and at fixed intervals runs a scheduling pass.
      */
     void step() {
-        if (lost()) {
+        if (isLeadershipLost()) {
             return;
         }
-        ownership.watchLapse();
-        ownership.heartbeat(() -> rebuild.loaded() ? finished() : null);
-        if (!rebuild.loaded()) {
-            if (view.revision() < ownership.takenRevision() || !types.known()) {
+        leadership.logLeaseExpiry();
+        leadership.renewLease(() -> reconciliation.loaded() ? completionRecords() : null);
+        if (!reconciliation.loaded()) {
+            if (storeCache.revision() < leadership.acquisitionRevision() || !machineTypes.known()) {
                 return;
             }
-            rebuild.load();
+            reconciliation.load();
         }
-        marks.write();
-        records.write();
-        finalStates.write();
-        replication.step();
-        if (holds()) {
-            arrivals.sweep(ownership);
+        highWaterMarks.write();
+        machineRecords.write();
+        terminalStateWriter.write();
+        standbyReplication.step();
+        if (isLeader()) {
+            submissionBatches.sweep(leadership);
         }
-        if (outbox.now.steadyMs() < nextWalkMs) {
+        if (outbox.now.monotonicMs() < nextSchedulingPassMs) {
             return;
         }
-        nextWalkMs = outbox.now.steadyMs() + Tuning.WALK_MS;
+        nextSchedulingPassMs = outbox.now.monotonicMs() + Tuning.WALK_MS;
         lifecycle.endSilent();
-        rebuild.step();
-        quota.step(teamRoom::used, otherParts::claims, otherParts::quantum);
-        fleet.step();
-        stops.displace();
-        stops.preempt();
-        balancing.step();
-        if (outbox.now.steadyMs() >= nextStatusMs) {
-            nextStatusMs = outbox.now.steadyMs() + Tuning.STATUS_LINE_MS;
-            outbox.detail(PartStatus.line(this, view.size()));
+        reconciliation.step();
+        quotaShares.step(quotaHeadroom::used, shardDemand::claims, shardDemand::quantum);
+        autoscaler.step();
+        taskEviction.displace();
+        taskEviction.preempt();
+        taskMigration.step();
+        if (outbox.now.monotonicMs() >= nextStatusLineMs) {
+            nextStatusLineMs = outbox.now.monotonicMs() + Tuning.STATUS_LINE_MS;
+            outbox.logDebug(PartStatus.statusLine(this, storeCache.size()));
         }
     }
 
     /** Returns the CPUs of all running machines. */
-    double cpus() {
-        double all = 0;
-        for (Machine m : machines.values()) {
-            all += m.state == Machine.State.UP ? m.type.cpus() : 0;
+    double totalCpus() {
+        double totalCpus = 0;
+        for (Machine machine : machines.values()) {
+            totalCpus += machine.state == Machine.State.UP ? machine.type.cpus() : 0;
         }
-        return all;
+        return totalCpus;
     }
 
     // ---- failover ----------------------------------------------------------------------------
@@ -404,23 +424,28 @@
      * Returns whether a machine's worker lease has certainly expired, so that its worker has
      * stopped all tasks.
      */
-    boolean leaseEnded(Machine m) {
-        return outbox.now.steadyMs() > m.answeredAtMs + PartLease.workerLeaseMs(settings);
+    boolean hasWorkerLeaseExpired(Machine machine) {
+        return outbox.now.monotonicMs()
+                > machine.answeredAtMs + PartLease.workerLeaseBoundMs(settings);
     }
 
     // ---- placement ---------------------------------------------------------------------------
 
     /** Returns a bin packer over all available machines that have free capacity now. */
-    Planner planner() {
-        List<Planner.Slot> slots = new ArrayList<>();
-        for (Machine m : machines.values()) {
-            if (available(m)) {
-                Planner.Slot slot = new Planner.Slot(m);
-                if (!slot.full()) {
-                    slots.add(slot);
+    Planner binPacker() {
+        List<Planner.Slot> capacities = new ArrayList<>();
+        for (Machine machine : machines.values()) {
+            if (isAvailable(machine)) {
+                Planner.Slot capacity = new Planner.Slot(machine);
+                if (!capacity.full()) {
+                    capacities.add(capacity);
                 }
             }
         }
-        return new Planner(slots, teamRoom::cpusLeft, teamRoom::gpusLeft, balancing.spreadLimit());
+        return new Planner(
+                capacities,
+                quotaHeadroom::cpusLeft,
+                quotaHeadroom::gpusLeft,
+                taskMigration.spreadLimit());
     }
 }
--- a/src/main/java/org/shoreusher/core/PartLease.java
+++ b/src/main/java/org/shoreusher/core/PartLease.java
@@ -10,19 +10,19 @@
  * back extends nothing.
  */
 final class PartLease {
-    private final long slackMs;
-    private final long graceMs;
+    private final long safetyMarginMs;
+    private final long gracePeriodMs;
     private long expiryWallMs;
-    private long steadyEndMs;
+    private long expiryMonotonicMs;
 
     /**
-     * Creates a lease that is not valid until the first {@link #confirmed}.
+     * Creates a lease that is not valid until the first {@link #onConfirmed}.
      *
-     * @param s the deployment's settings
+     * @param settings the deployment's settings
      */
-    PartLease(Settings s) {
-        slackMs = s.clockOffMs() + Tuning.LEASE_MARGIN_MS;
-        graceMs = graceMs(s);
+    PartLease(Settings settings) {
+        safetyMarginMs = settings.clockOffMs() + Tuning.LEASE_MARGIN_MS;
+        gracePeriodMs = gracePeriodMs(settings);
     }
 
     /**
@@ -32,14 +32,14 @@
      * lease, the grace period and the worker's lease together stay below the time limit of a
      * cancellation.
      */
-    static long graceMs(Settings s) {
-        double ms =
-                s.cancelS() * 1000
-                        - leaseMs(s)
+    static long gracePeriodMs(Settings settings) {
+        double gracePeriodMs =
+                settings.cancelS() * 1000
+                        - durationMs(settings)
                         - Tuning.VIEW_STALE_MS / 3.0
-                        - workerLeaseMs(s)
-                        - 2 * s.clockOffMs();
-        return Math.max(0, Math.min(Tuning.GRACE_MAX_MS, (long) ms));
+                        - workerLeaseBoundMs(settings)
+                        - 2 * settings.clockOffMs();
+        return Math.max(0, Math.min(Tuning.GRACE_MAX_MS, (long) gracePeriodMs));
     }
 
     /**
@@ -53,9 +53,9 @@
      * lease), the drift of both clocks, and a margin for the confirmation's way to the user. A
      * lease renewal shows no cancellations, so it is irrelevant here.
      */
-    static long answerableViewMs(Settings s) {
-        return (long) (s.cancelS() * 1000 * (1 - Tuning.DRIFT))
-                - workerLeaseMs(s)
+    static long maxStoreCacheAgeMs(Settings settings) {
+        return (long) (settings.cancelS() * 1000 * (1 - Tuning.DRIFT))
+                - workerLeaseBoundMs(settings)
                 - Tuning.CANCEL_MARGIN_MS;
     }
 
@@ -65,41 +65,42 @@
      * expire. (With worker leases of 10 s, a leader's lease of 9 s made every crash of a leader
      * kill its tasks.)
      */
-    static long leaseMs(Settings s) {
-        double belowWorkers = s.workerLeaseS() * 1000 * Tuning.LEASE_OF_WORKERS;
+    static long durationMs(Settings settings) {
+        double workerLeaseShareMs = settings.workerLeaseS() * 1000 * Tuning.LEASE_OF_WORKERS;
         return (long)
                 Math.min(
                         Tuning.LEASE_MS,
                         Math.max(
-                                belowWorkers,
-                                Tuning.LEASE_SLACKS * (s.clockOffMs() + Tuning.LEASE_MARGIN_MS)));
+                                workerLeaseShareMs,
+                                Tuning.LEASE_SLACKS
+                                        * (settings.clockOffMs() + Tuning.LEASE_MARGIN_MS)));
     }
 
     /** Returns the ms between renewals: a third of the lease, so that two renewals may fail. */
-    static long heartbeatMs(Settings s) {
-        return leaseMs(s) / 3;
+    static long renewalIntervalMs(Settings settings) {
+        return durationMs(settings) / 3;
     }
 
     /**
      * Returns the ms after the last valid answer at which a worker's lease has certainly expired,
      * whatever the clock drift.
      */
-    static long workerLeaseMs(Settings s) {
-        return (long) Math.ceil(s.workerLeaseS() * 1000 * (1 + Tuning.DRIFT))
+    static long workerLeaseBoundMs(Settings settings) {
+        return (long) Math.ceil(settings.workerLeaseS() * 1000 * (1 + Tuning.DRIFT))
                 + Tuning.SILENT_MARGIN_MS;
     }
 
     /**
      * Records that the store has confirmed an expiry.
      *
-     * @param expiryWall the expiry that was written, in wall-clock ms
-     * @param writtenAt the clocks when the write was sent
+     * @param confirmedExpiryWallMs the expiry that was written, in wall-clock ms
+     * @param sentAt the clocks when the write was sent
      */
-    void confirmed(long expiryWall, ClockReading writtenAt) {
-        expiryWallMs = expiryWall;
-        steadyEndMs =
-                writtenAt.steadyMs()
-                        + (long) ((expiryWall - writtenAt.wallMs()) * (1 - Tuning.DRIFT));
+    void onConfirmed(long confirmedExpiryWallMs, ClockReading sentAt) {
+        expiryWallMs = confirmedExpiryWallMs;
+        expiryMonotonicMs =
+                sentAt.monotonicMs()
+                        + (long) ((confirmedExpiryWallMs - sentAt.wallMs()) * (1 - Tuning.DRIFT));
     }
 
     /** The last confirmed expiry in wall-clock ms. */
@@ -108,28 +109,29 @@
     }
 
     /** Returns whether the leader may give orders. */
-    boolean holds(ClockReading now) {
-        return left(now) > 0;
+    boolean isValid(ClockReading now) {
+        return remainingMs(now) > 0;
     }
 
     /** Returns whether the leader may still extend its workers' leases. */
-    boolean keepsAlive(ClockReading now) {
-        return left(now) + graceMs > 0;
+    boolean isWithinGracePeriod(ClockReading now) {
+        return remainingMs(now) + gracePeriodMs > 0;
     }
 
-    private long left(ClockReading now) {
+    private long remainingMs(ClockReading now) {
         return Math.min(
-                expiryWallMs - slackMs - now.wallMs(), steadyEndMs - slackMs - now.steadyMs());
+                expiryWallMs - safetyMarginMs - now.wallMs(),
+                expiryMonotonicMs - safetyMarginMs - now.monotonicMs());
     }
 
     /**
      * Returns whether another node may acquire a shard.
      *
-     * @param s the deployment's settings
-     * @param expiryWall the expiry in the shard's record, in wall-clock ms
+     * @param settings the deployment's settings
+     * @param recordedExpiryWallMs the expiry in the shard's record, in wall-clock ms
      * @param now the clocks
      */
-    static boolean free(Settings s, long expiryWall, ClockReading now) {
-        return now.wallMs() > expiryWall + s.clockOffMs() + Tuning.LEASE_MARGIN_MS;
+    static boolean isAcquirable(Settings settings, long recordedExpiryWallMs, ClockReading now) {
+        return now.wallMs() > recordedExpiryWallMs + settings.clockOffMs() + Tuning.LEASE_MARGIN_MS;
     }
 }
--- a/src/main/java/org/shoreusher/core/PartOwnership.java
+++ b/src/main/java/org/shoreusher/core/PartOwnership.java
@@ -21,105 +21,105 @@
  * version as a precondition, so the writes of a previous leader fail, however late they arrive.
  */
 final class PartOwnership {
-    private final int partNumber;
+    private final int shardNumber;
     private final Settings settings;
     private final Outbox outbox;
-    private final StoreView view;
-    private final String owner;
+    private final StoreView storeCache;
+    private final String processName;
     private final PartLease lease;
     private final NamedStandby standby = new NamedStandby();
-    private final long fenceVersion;
-    private final long takenAtMs;
-    private final long takenTerm;
-    private long sinceMs;
+    private final long fencingVersion;
+    private final long acquiredAtMs;
+    private final long acquisitionTerm;
+    private long leaderSinceMs;
     private long recordVersion;
     private long term;
-    private boolean lost;
-    private boolean renewing;
-    private boolean lapsedLogged;
+    private boolean isLost;
+    private boolean renewalInFlight;
+    private boolean expiryLogged;
 
     /** The revision that the store cache must reach after the last lease expiry; 0: it has. */
-    private long viewNeeded;
+    private long requiredRevision;
 
-    private long nextRenewMs;
+    private long nextRenewalMs;
 
     /** The last chunk of completed tasks that was written. */
-    private int lastChunk;
+    private int lastWrittenChunk;
 
     /**
      * Creates the leadership after the store has confirmed the acquisition.
      *
-     * @param partNumber the shard's number
+     * @param shardNumber the shard's number
      * @param settings the deployment's settings
      * @param outbox sends the calls to the store
-     * @param view the store cache
+     * @param storeCache the store cache
      * @param record the shard's record as written by the acquisition
-     * @param writtenAt the clocks when the acquisition was sent
+     * @param sentAt the clocks when the acquisition was sent
      * @param version the revision at which the store applied it
      */
     PartOwnership(
-            int partNumber,
+            int shardNumber,
             Settings settings,
             Outbox outbox,
-            StoreView view,
+            StoreView storeCache,
             PartRecord record,
-            ClockReading writtenAt,
+            ClockReading sentAt,
             long version) {
-        this.partNumber = partNumber;
+        this.shardNumber = shardNumber;
         this.settings = settings;
         this.outbox = outbox;
-        this.view = view;
-        owner = record.owner();
+        this.storeCache = storeCache;
+        processName = record.leader();
         term = record.term();
-        takenTerm = term;
-        fenceVersion = version;
+        acquisitionTerm = term;
+        fencingVersion = version;
         recordVersion = version;
-        takenAtMs = outbox.now.steadyMs();
-        sinceMs = takenAtMs;
+        acquiredAtMs = outbox.now.monotonicMs();
+        leaderSinceMs = acquiredAtMs;
         lease = new PartLease(settings);
-        lease.confirmed(record.expiryMs(), writtenAt);
-        nextRenewMs = writtenAt.steadyMs() + PartLease.heartbeatMs(settings);
+        lease.onConfirmed(record.leaseExpiryWallMs(), sentAt);
+        nextRenewalMs = sentAt.monotonicMs() + PartLease.renewalIntervalMs(settings);
     }
 
     /** The name of the leading process, HOST/SUFFIX. */
-    String owner() {
-        return owner;
+    String processName() {
+        return processName;
     }
 
     /** Returns whether the leadership has ended for good. */
-    boolean lost() {
-        return lost;
+    boolean isLost() {
+        return isLost;
     }
 
     /**
      * Has the shard's record name a standby as soon as possible.
      *
-     * @param process the standby's process name; null: none
+     * @param standbyProcess the standby's process name; null: none
      */
-    void nameStandby(String process) {
-        standby.want(process);
-        nextRenewMs = Math.min(nextRenewMs, outbox.now.steadyMs());
+    void nameStandby(String standbyProcess) {
+        standby.setDesired(standbyProcess);
+        nextRenewalMs = Math.min(nextRenewalMs, outbox.now.monotonicMs());
     }
 
     /** Returns whether the record names no standby and no write in flight can still name one. */
-    boolean surelyNoStandby() {
-        return standby.surelyNone();
+    boolean hasDefinitelyNoStandby() {
+        return standby.isDefinitelyNone();
     }
 
     /**
      * Returns whether this node is the leader and its lease is valid, so that it may give orders
      * and change the stored state.
      */
-    boolean holds() {
-        return !lost && lease.holds(outbox.now);
+    boolean isLeader() {
+        return !isLost && lease.isValid(outbox.now);
     }
 
     /**
      * Returns whether heartbeats may be answered without orders, which extends the leases of the
      * workers: while the lease is valid and for a grace period after its expiry.
      */
-    boolean keepsAlive() {
-        return !lost && lease.keepsAlive(outbox.now);
+    boolean mayExtendWorkerLeases() {
+        return !isLost && lease.isWithinGracePeriod(outbox.now);
     }
 
     /**
@@ -134,50 +134,50 @@
      * The term of the acquisition. A worker that has seen it, or a higher one, has been answered by
      * this leader.
      */
-    long takenTerm() {
-        return takenTerm;
+    long acquisitionTerm() {
+        return acquisitionTerm;
     }
 
     /**
      * The revision of the acquisition. A store cache that has reached it shows all writes of
      * previous leaders.
      */
-    long takenRevision() {
-        return fenceVersion;
+    long acquisitionRevision() {
+        return fencingVersion;
     }
 
     /** The monotonic time in ms since which the lease has been valid without interruption. */
-    long sinceMs() {
-        return sinceMs;
+    long leaderSinceMs() {
+        return leaderSinceMs;
     }
 
     /** The monotonic time in ms at which the acquisition was confirmed. */
-    long takenAtMs() {
-        return takenAtMs;
+    long acquiredAtMs() {
+        return acquiredAtMs;
     }
 
     /** Returns the precondition that fails after a later leadership change. */
-    Map<String, Long> fence() {
-        return Map.of(StoreSchema.fence(partNumber), fenceVersion);
+    Map<String, Long> fencingPrecondition() {
+        return Map.of(StoreSchema.fencingKey(shardNumber), fencingVersion);
     }
 
     /**
      * Returns whether the store cache shows everything that was written before the renewal that
      * ended the last lease expiry.
      */
-    boolean viewComplete() {
-        if (viewNeeded > 0 && view.revision() >= viewNeeded) {
-            viewNeeded = 0;
+    boolean isStoreCacheCaughtUp() {
+        if (requiredRevision > 0 && storeCache.revision() >= requiredRevision) {
+            requiredRevision = 0;
         }
-        return viewNeeded == 0;
+        return requiredRevision == 0;
     }
 
     /** Logs an expiry of the lease, once. */
-    void watchLapse() {
-        if (!holds() && !lost && !lapsedLogged) {
-            lapsedLogged = true;
-            outbox.log(
-                    "lapse: part " + partNumber + " term " + term + ", lease not renewed in time");
+    void logLeaseExpiry() {
+        if (!isLeader() && !isLost && !expiryLogged) {
+            expiryLogged = true;
+            outbox.logInfo(
+                    "lapse: part " + shardNumber + " term " + term + ", lease not renewed in time");
         }
     }
 
@@ -185,47 +185,53 @@
      * Renews the lease when that is due. The same write stores completed tasks and the name of the
      * standby.
      *
-     * @param finished supplies the completion records to write; supplies null as long as they are
-     *     not loaded
+     * @param completionSupplier supplies the completion records to write; supplies null as long as
+     *     they are not loaded
      */
-    void heartbeat(Supplier<FinishedRecords> finished) {
-        if (renewing || outbox.now.steadyMs() < nextRenewMs) {
+    void renewLease(Supplier<FinishedRecords> completionSupplier) {
+        if (renewalInFlight || outbox.now.monotonicMs() < nextRenewalMs) {
             return;
         }
         ClockReading sentAt = outbox.now;
-        long expiry = Math.max(lease.expiryWallMs(), sentAt.wallMs() + PartLease.leaseMs(settings));
-        FinishedRecords records = finished.get();
+        long expiryWallMs =
+                Math.max(lease.expiryWallMs(), sentAt.wallMs() + PartLease.durationMs(settings));
+        FinishedRecords completions = completionSupplier.get();
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
         PartRecord record =
                 new PartRecord(
-                        owner,
-                        expiry,
+                        processName,
+                        expiryWallMs,
                         term,
-                        records == null ? doneInStore() : records.chunk(0),
-                        standby.wanted());
-        writes.put(StoreSchema.part(partNumber), record.write());
+                        completions == null ? completionsInShardRecord() : completions.chunk(0),
+                        standby.desired());
+        writes.put(StoreSchema.shardKey(shardNumber), record.toMap());
         // The chunks take turns: with many jobs every chunk changes between renewals, and the last
         // ones must become durable as well.
-        int spilled = records == null ? 0 : records.chunks() - 1;
-        int from = lastChunk;
-        for (int i = 1;
-                i <= spilled && writes.size() < Math.min(settings.txnOps(), Tuning.RECORDS_AT_ONCE);
-                i++) {
-            int c = 1 + (from + i - 1) % spilled;
-            Map<String, Object> done = records.chunk(c);
-            if (!done.equals(storedDone(c)) || view.get(StoreSchema.done(partNumber, c)) == null) {
-                writes.put(StoreSchema.done(partNumber, c), new FinishedRecord(done).write());
-                lastChunk = c;
+        int overflowChunks = completions == null ? 0 : completions.chunks() - 1;
+        int previousChunk = lastWrittenChunk;
+        for (int offset = 1;
+                offset <= overflowChunks
+                        && writes.size() < Math.min(settings.txnOps(), Tuning.RECORDS_AT_ONCE);
+                offset++) {
+            int chunk = 1 + (previousChunk + offset - 1) % overflowChunks;
+            Map<String, Object> completedRanges = completions.chunk(chunk);
+            if (!completedRanges.equals(storedCompletions(chunk))
+                    || storeCache.get(StoreSchema.completionKey(shardNumber, chunk)) == null) {
+                writes.put(
+                        StoreSchema.completionKey(shardNumber, chunk),
+                        new FinishedRecord(completedRanges).toMap());
+                lastWrittenChunk = chunk;
             }
         }
-        standby.sending(record.standby());
-        renewing =
-                outbox.renewal(
+        standby.onWriteSent(record.standby());
+        renewalInFlight =
+                outbox.callStoreForLease(
                         new StateOp.Multi(
-                                guards(StoreSchema.part(partNumber), recordVersion), writes),
+                                preconditions(StoreSchema.shardKey(shardNumber), recordVersion),
+                                writes),
                         reply -> {
-                            renewing = false;
-                            renewed(reply, record, sentAt, records, writes);
+                            renewalInFlight = false;
+                            onRenewalReply(reply, record, sentAt, completions, writes);
                         });
     }
 
@@ -235,16 +241,17 @@
      *
      * @param chunk 0 for the shard's own record, a higher number for an overflow record
      */
-    Map<String, Object> storedDone(int chunk) {
+    Map<String, Object> storedCompletions(int chunk) {
         if (chunk == 0) {
-            return doneInStore();
+            return completionsInShardRecord();
         }
-        StoreView.Entry entry = view.get(StoreSchema.done(partNumber, chunk));
-        return entry == null ? Map.of() : FinishedRecord.read(entry.value()).ranges();
+        StoreView.Entry entry = storeCache.get(StoreSchema.completionKey(shardNumber, chunk));
+        return entry == null ? Map.of() : FinishedRecord.fromMap(entry.value()).completedRanges();
     }
 
-    private Map<String, Object> doneInStore() {
-        return PartRecord.read(view.get(StoreSchema.part(partNumber)).value()).done();
+    private Map<String, Object> completionsInShardRecord() {
+        return PartRecord.fromMap(storeCache.get(StoreSchema.shardKey(shardNumber)).value())
+                .completedRanges();
     }
 
     /**
@@ -254,88 +261,90 @@
      * @param version the version that the key must have; 0: the key must be absent
      * @return that precondition and the fencing precondition
      */
-    Map<String, Long> guards(String key, long version) {
-        Map<String, Long> guards = new LinkedHashMap<>();
-        guards.put(StoreSchema.fence(partNumber), fenceVersion);
-        guards.put(key, version);
-        return guards;
+    Map<String, Long> preconditions(String key, long version) {
+        Map<String, Long> preconditions = new LinkedHashMap<>();
+        preconditions.put(StoreSchema.fencingKey(shardNumber), fencingVersion);
+        preconditions.put(key, version);
+        return preconditions;
     }
 
-    private void renewed(
+    private void onRenewalReply(
             StateReply reply,
             PartRecord record,
             ClockReading sentAt,
-            FinishedRecords records,
+            FinishedRecords completions,
             Map<String, Map<String, Object>> writes) {
-        if (lost) {
+        if (isLost) {
             return;
         }
         if (reply.status() == 200) {
-            recordVersion = view.applied(reply, writes);
-            confirmed(record.expiryMs(), sentAt);
-            standby.settled(record.standby());
-            nextRenewMs =
-                    standby.asWanted()
-                            ? sentAt.steadyMs() + PartLease.heartbeatMs(settings)
-                            : outbox.now.steadyMs();
-            if (lapsedLogged && holds()) {
-                lapsedLogged = false;
-                sinceMs = outbox.now.steadyMs();
-                outbox.log(
+            recordVersion = storeCache.applyOwnWrites(reply, writes);
+            onLeaseConfirmed(record.leaseExpiryWallMs(), sentAt);
+            standby.onRecordConfirmed(record.standby());
+            nextRenewalMs =
+                    standby.isDesiredStored()
+                            ? sentAt.monotonicMs() + PartLease.renewalIntervalMs(settings)
+                            : outbox.now.monotonicMs();
+            if (expiryLogged && isLeader()) {
+                expiryLogged = false;
+                leaderSinceMs = outbox.now.monotonicMs();
+                outbox.logInfo(
                         "renewed: part "
-                                + partNumber
+                                + shardNumber
                                 + " term "
                                 + term
                                 + " after a lapse, nobody had taken it");
             }
-            if (records != null) {
-                records.markDurable();
+            if (completions != null) {
+                completions.markDurable();
             }
             return;
         }
-        nextRenewMs = outbox.now.steadyMs() + Tuning.HEARTBEAT_RETRY_MS;
+        nextRenewalMs = outbox.now.monotonicMs() + Tuning.HEARTBEAT_RETRY_MS;
         if (reply.status() == 409) {
             // Either another node has become the leader, or an earlier renewal that got no answer
             // was applied.
-            renewing =
-                    outbox.renewal(
+            renewalInFlight =
+                    outbox.callStoreForLease(
                             new StateOp.Multi(
-                                    Map.of(StoreSchema.fence(partNumber), fenceVersion), Map.of()),
-                            fence -> {
-                                renewing = false;
-                                if (fence.status() == 409) {
-                                    lose("its fence has changed");
+                                    Map.of(StoreSchema.fencingKey(shardNumber), fencingVersion),
+                                    Map.of()),
+                            fencingReply -> {
+                                renewalInFlight = false;
+                                if (fencingReply.status() == 409) {
+                                    loseLeadership("its fence has changed");
                                 }
                             });
-            outbox.state(new StateOp.Get(StoreSchema.part(partNumber)), this::rereadRecord);
+            outbox.callStore(
+                    new StateOp.Get(StoreSchema.shardKey(shardNumber)), this::onShardRecordRead);
         }
     }
 
-    private void confirmed(long expiryMs, ClockReading writtenAt) {
-        if (!holds()) {
-            viewNeeded = recordVersion;
+    private void onLeaseConfirmed(long expiryWallMs, ClockReading sentAt) {
+        if (!isLeader()) {
+            requiredRevision = recordVersion;
         }
-        lease.confirmed(expiryMs, writtenAt);
+        lease.onConfirmed(expiryWallMs, sentAt);
     }
 
-    private void rereadRecord(StateReply reply) {
-        if (lost || reply.status() != 200) {
+    private void onShardRecordRead(StateReply reply) {
+        if (isLost || reply.status() != 200) {
             return;
         }
         try {
-            StateFormat.Entry e = StateFormat.entry(new FieldMap(reply.body()));
-            PartRecord record = PartRecord.read(e.value());
-            if (!record.owner().equals(owner)) {
-                lose("taken by " + record.owner());
-            } else if (e.version() > recordVersion) {
-                recordVersion = e.version();
-                standby.settled(record.standby());
+            StateFormat.Entry entry = StateFormat.entry(new FieldMap(reply.body()));
+            PartRecord record = PartRecord.fromMap(entry.value());
+            if (!record.leader().equals(processName)) {
+                loseLeadership("taken by " + record.leader());
+            } else if (entry.version() > recordVersion) {
+                recordVersion = entry.version();
+                standby.onRecordConfirmed(record.standby());
                 term = Math.max(term, record.term());
-                confirmed(record.expiryMs(), outbox.now);
-                nextRenewMs = outbox.now.steadyMs();
+                onLeaseConfirmed(record.leaseExpiryWallMs(), outbox.now);
+                nextRenewalMs = outbox.now.monotonicMs();
             }
-        } catch (FieldMap.Missing x) {
-            outbox.log("state: part record not understood: " + x.getMessage());
+        } catch (FieldMap.Missing missing) {
+            outbox.logInfo("state: part record not understood: " + missing.getMessage());
         }
     }
 
@@ -343,41 +352,48 @@
      * Raises the term above a fencing token that a worker has seen: the worker would reject answers
      * with a lower token. Does nothing while a renewal is in flight.
      *
-     * @param above the token that the worker has seen
+     * @param observedToken the token that the worker has seen
      */
-    void raise(long above) {
-        if (renewing || !holds()) {
+    void raiseTerm(long observedToken) {
+        if (renewalInFlight || !isLeader()) {
             return;
         }
-        StoreView.Entry counter = view.get(StoreSchema.TERM);
-        long counted = counter == null ? 0 : ((Number) counter.value().get("term")).longValue();
-        long next = Math.max(counted, above) + 1;
-        Map<String, Long> guards = guards(StoreSchema.part(partNumber), recordVersion);
-        guards.put(StoreSchema.TERM, counter == null ? 0 : counter.version());
+        StoreView.Entry termEntry = storeCache.get(StoreSchema.TERM_KEY);
+        long storedTerm =
+                termEntry == null ? 0 : ((Number) termEntry.value().get("term")).longValue();
+        long raisedTerm = Math.max(storedTerm, observedToken) + 1;
+        Map<String, Long> preconditions =
+                preconditions(StoreSchema.shardKey(shardNumber), recordVersion);
+        preconditions.put(StoreSchema.TERM_KEY, termEntry == null ? 0 : termEntry.version());
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
         PartRecord record =
-                new PartRecord(owner, lease.expiryWallMs(), next, doneInStore(), standby.wanted());
-        writes.put(StoreSchema.part(partNumber), record.write());
-        writes.put(StoreSchema.TERM, Map.of("term", next));
-        standby.sending(record.standby());
-        renewing =
-                outbox.renewal(
-                        new StateOp.Multi(guards, writes),
+                new PartRecord(
+                        processName,
+                        lease.expiryWallMs(),
+                        raisedTerm,
+                        completionsInShardRecord(),
+                        standby.desired());
+        writes.put(StoreSchema.shardKey(shardNumber), record.toMap());
+        writes.put(StoreSchema.TERM_KEY, Map.of("term", raisedTerm));
+        standby.onWriteSent(record.standby());
+        renewalInFlight =
+                outbox.callStoreForLease(
+                        new StateOp.Multi(preconditions, writes),
                         reply -> {
-                            renewing = false;
-                            if (reply.status() == 200 && !lost) {
-                                recordVersion = view.applied(reply, writes);
-                                standby.settled(record.standby());
-                                term = next;
-                                outbox.log(
+                            renewalInFlight = false;
+                            if (reply.status() == 200 && !isLost) {
+                                recordVersion = storeCache.applyOwnWrites(reply, writes);
+                                standby.onRecordConfirmed(record.standby());
+                                term = raisedTerm;
+                                outbox.logInfo(
                                         "term: part "
-                                                + partNumber
+                                                + shardNumber
                                                 + " raised to "
-                                                + next
+                                                + raisedTerm
                                                 + " for a worker that has seen "
-                                                + above);
+                                                + observedToken);
                             } else {
-                                nextRenewMs = outbox.now.steadyMs();
+                                nextRenewalMs = outbox.now.monotonicMs();
                             }
                         });
     }
@@ -387,9 +403,9 @@
      *
      * @param record the record that the store cache now shows
      */
-    void recordChanged(PartRecord record) {
-        if (!record.owner().equals(owner)) {
-            lose("taken by " + record.owner());
+    void onShardRecordChange(PartRecord record) {
+        if (!record.leader().equals(processName)) {
+            loseLeadership("taken by " + record.leader());
         }
     }
 
@@ -399,28 +415,29 @@
      * after a crash. Does nothing while a renewal is in flight, because the write would then fail
      * for the version of the record.
      *
-     * @param why the reason, for the log
-     * @param done the completed tasks to store with the record
+     * @param reason the reason, for the log
+     * @param completions the completed tasks to store with the record
      */
-    void release(String why, FinishedRecords done) {
-        if (renewing) {
+    void stepDown(String reason, FinishedRecords completions) {
+        if (renewalInFlight) {
             return;
         }
         // The standby takes over at once, and it knows every order that left this leader.
-        PartRecord record = new PartRecord(owner, 0, term, done.chunk(0), standby.wanted());
-        if (outbox.renewal(
+        PartRecord record =
+                new PartRecord(processName, 0, term, completions.chunk(0), standby.desired());
+        if (outbox.callStoreForLease(
                 new StateOp.Multi(
-                        guards(StoreSchema.part(partNumber), recordVersion),
-                        Map.of(StoreSchema.part(partNumber), record.write())),
+                        preconditions(StoreSchema.shardKey(shardNumber), recordVersion),
+                        Map.of(StoreSchema.shardKey(shardNumber), record.toMap())),
                 reply -> {})) {
-            lose("released: " + why);
+            loseLeadership("released: " + reason);
         }
     }
 
-    private void lose(String why) {
-        if (!lost) {
-            lost = true;
-            outbox.log("lost: part " + partNumber + " term " + term + ", " + why);
+    private void loseLeadership(String reason) {
+        if (!isLost) {
+            isLost = true;
+            outbox.logInfo("lost: part " + shardNumber + " term " + term + ", " + reason);
         }
     }
 }
--- a/src/main/java/org/shoreusher/core/PartStatus.java
+++ b/src/main/java/org/shoreusher/core/PartStatus.java
@@ -9,38 +9,40 @@
     /**
      * Returns one line for the log: machines by state, CPUs in use, and tasks waiting by job class.
      *
-     * @param part the shard
-     * @param keys the number of keys in the store cache
+     * @param shard the shard
+     * @param keysInMemory the number of keys in the store cache
      */
-    static String line(Part part, int keys) {
-        int[] states = new int[Machine.State.values().length];
-        double used = 0;
-        for (Machine m : part.machines().values()) {
-            states[m.state.ordinal()]++;
-            used += m.cpusUsed;
+    static String statusLine(Part shard, int keysInMemory) {
+        int[] machinesByState = new int[Machine.State.values().length];
+        double usedCpus = 0;
+        for (Machine machine : shard.machines().values()) {
+            machinesByState[machine.state.ordinal()]++;
+            usedCpus += machine.cpusUsed;
         }
-        Object2IntOpenHashMap<String> waiting = new Object2IntOpenHashMap<>();
-        part.jobs().values().forEach(j -> waiting.addTo(j.spec.jobClass(), j.waitingCount));
+        Object2IntOpenHashMap<String> waitingByClass = new Object2IntOpenHashMap<>();
+        shard.jobs()
+                .values()
+                .forEach(job -> waitingByClass.addTo(job.spec.jobClass(), job.waitingCount));
         return "status: part "
-                + part.number
+                + shard.shardNumber
                 + " term "
-                + part.term()
+                + shard.term()
                 + ", machines "
-                + states[0]
+                + machinesByState[0]
                 + " booting "
-                + states[1]
+                + machinesByState[1]
                 + " up "
-                + (states[2] + states[3] + states[4])
+                + (machinesByState[2] + machinesByState[3] + machinesByState[4])
                 + " leaving, CPUs "
-                + used
+                + usedCpus
                 + " of "
-                + part.cpus()
+                + shard.totalCpus()
                 + ", "
-                + part.jobs().size()
+                + shard.jobs().size()
                 + " jobs, waiting "
-                + waiting
+                + waitingByClass
                 + ", "
-                + keys
+                + keysInMemory
                 + " keys in memory";
     }
 }
