--- a/src/main/java/org/shoreusher/core/Parts.java
+++ b/src/main/java/org/shoreusher/core/Parts.java
@@ -24,94 +24,97 @@
          * Returns how many peers should be the first to try for a shard without a leader: those
          * that lead fewer shards than this node, or as many and have been up for a shorter time.
          *
-         * @param ownedCount how many shards this node leads
+         * @param ledShardCount how many shards this node leads
          */
-        int before(int ownedCount);
+        int peersWithPriority(int ledShardCount);
 
         /**
          * Returns whether a peer that has been up for some time leads at least two shards fewer
          * than this node.
          *
-         * @param ownedCount how many shards this node leads
+         * @param ledShardCount how many shards this node leads
          */
-        boolean anyWithTwoLess(int ownedCount);
+        boolean isAnyPeerLeadingTwoFewer(int ledShardCount);
     }
 
     private final Settings settings;
     private final Outbox outbox;
-    private final StoreView view;
+    private final StoreView storeCache;
     private final NodeContext context;
-    private final String owner;
-    private final Peers peers;
-    private final AttemptReplicas replicas;
-    private final Part[] owned;
-    private final int first;
-    private final long[] freeSinceMs;
-    private long nextDealMs;
-    private boolean taking;
-    private long nextTakeMs;
+    private final String processName;
+    private final Peers peerView;
+    private final AttemptReplicas standbyReplicas;
+    private final Part[] ledShards;
+    private final int firstCandidate;
+    private final long[] vacantSinceMs;
+    private long nextRebalanceMs;
+    private boolean acquisitionInFlight;
+    private long nextAcquisitionMs;
 
     /**
      * Creates the set of shards, none of which this node leads yet.
      *
      * @param count the number of shards
      * @param context the node's shared collaborators
-     * @param peers what gossip tells about other nodes
-     * @param owner the name of this process, HOST/SUFFIX
+     * @param peerView what gossip tells about other nodes
+     * @param processName the name of this process, HOST/SUFFIX
      */
-    Parts(int count, NodeContext context, Peers peers, String owner) {
+    Parts(int count, NodeContext context, Peers peerView, String processName) {
         settings = context.settings();
         outbox = context.outbox();
-        view = context.view();
+        storeCache = context.storeCache();
         this.context = context;
-        this.peers = peers;
-        replicas = new AttemptReplicas(context, owner, count);
-        owned = new Part[count];
-        first =
+        this.peerView = peerView;
+        standbyReplicas = new AttemptReplicas(context, processName, count);
+        ledShards = new Part[count];
+        firstCandidate =
                 (int)
                                 settings.members().stream()
-                                        .filter(m -> m.host().compareTo(settings.host()) < 0)
+                                        .filter(
+                                                member ->
+                                                        member.host().compareTo(settings.host())
+                                                                < 0)
                                         .count()
                         % count;
-        freeSinceMs = new long[count];
-        this.owner = owner;
+        vacantSinceMs = new long[count];
+        this.processName = processName;
     }
 
     /** Returns the shard if this node leads it, or null. */
-    Part owned(int n) {
-        return n >= 0 && n < owned.length ? owned[n] : null;
+    Part ledShard(int shardNumber) {
+        return shardNumber >= 0 && shardNumber < ledShards.length ? ledShards[shardNumber] : null;
     }
 
     /** Returns how many shards this node leads. */
-    int ownedCount() {
+    int ledShardCount() {
         int count = 0;
-        for (Part p : owned) {
-            count += p != null ? 1 : 0;
+        for (Part shard : ledShards) {
+            count += shard != null ? 1 : 0;
         }
         return count;
     }
 
     /** Returns a shard's record from the store cache, or null if there is none. */
-    PartRecord record(int n) {
-        StoreView.Entry e = view.get(StoreSchema.part(n));
-        return e == null ? null : PartRecord.read(e.value());
+    PartRecord shardRecord(int shardNumber) {
+        StoreView.Entry entry = storeCache.get(StoreSchema.shardKey(shardNumber));
+        return entry == null ? null : PartRecord.fromMap(entry.value());
     }
 
     /**
      * Returns the shard to which the hash of an id assigns a machine or job that no record assigns.
      */
-    int partOf(String id) {
-        return Math.floorMod(id.hashCode(), owned.length);
+    int shardByHash(String machineOrJobId) {
+        return Math.floorMod(machineOrJobId.hashCode(), ledShards.length);
     }
 
     /** The number of shards. */
-    int count() {
-        return owned.length;
+    int shardCount() {
+        return ledShards.length;
     }
 
     /** The attempt logs that this node receives as a standby. */
-    AttemptReplicas replicas() {
-        return replicas;
+    AttemptReplicas standbyReplicas() {
+        return standbyReplicas;
     }
 
     /**
@@ -119,47 +122,52 @@
      * has no leader.
      */
     void step() {
-        for (int n = 0; n < owned.length; n++) {
-            if (owned[n] != null) {
-                owned[n].step();
-                if (owned[n].unreachable()) {
-                    owned[n].release("most of its workers reach others, not this node");
-                    nextTakeMs = outbox.now.steadyMs() + Tuning.LEAVE_TO_OTHERS_MS;
+        for (int shardNumber = 0; shardNumber < ledShards.length; shardNumber++) {
+            if (ledShards[shardNumber] != null) {
+                ledShards[shardNumber].step();
+                if (ledShards[shardNumber].isUnreachableFromWorkers()) {
+                    ledShards[shardNumber].stepDown(
+                            "most of its workers reach others, not this node");
+                    nextAcquisitionMs = outbox.now.monotonicMs() + Tuning.LEAVE_TO_OTHERS_MS;
                 }
-                if (owned[n].lost()) {
-                    owned[n].replication().close();
-                    owned[n] = null;
+                if (ledShards[shardNumber].isLeadershipLost()) {
+                    ledShards[shardNumber].standbyReplication().close();
+                    ledShards[shardNumber] = null;
                 }
             }
         }
-        dealOut();
-        if (!view.loaded()
-                || taking
-                || view.ageMs() > Tuning.VIEW_STALE_MS
-                || outbox.now.steadyMs() < nextTakeMs) {
+        rebalanceLeadership();
+        if (!storeCache.isLoaded()
+                || acquisitionInFlight
+                || storeCache.ageMs() > Tuning.VIEW_STALE_MS
+                || outbox.now.monotonicMs() < nextAcquisitionMs) {
             return;
         }
-        for (int i = 0; i < owned.length && !taking; i++) {
+        for (int offset = 0; offset < ledShards.length && !acquisitionInFlight; offset++) {
             // Each node begins with a different shard, so that nodes that start together do not
             // compete for the same one.
-            int n = (first + i) % owned.length;
-            PartRecord record = record(n);
+            int shardNumber = (firstCandidate + offset) % ledShards.length;
+            PartRecord record = shardRecord(shardNumber);
             // An acquisition by this process that got no answer may have been applied; no node acts
             // on that leadership.
-            boolean ownTrace = record != null && record.owner().equals(owner);
-            if (owned[n] != null
+            boolean isOwnUnconfirmedAcquisition =
+                    record != null && record.leader().equals(processName);
+            if (ledShards[shardNumber] != null
                     || (record != null
-                            && !ownTrace
-                            && !PartLease.free(settings, record.expiryMs(), outbox.now))) {
-                freeSinceMs[n] = 0;
-            } else if (freeSinceMs[n] == 0) {
-                freeSinceMs[n] = outbox.now.steadyMs();
+                            && !isOwnUnconfirmedAcquisition
+                            && !PartLease.isAcquirable(
+                                    settings, record.leaseExpiryWallMs(), outbox.now))) {
+                vacantSinceMs[shardNumber] = 0;
+            } else if (vacantSinceMs[shardNumber] == 0) {
+                vacantSinceMs[shardNumber] = outbox.now.monotonicMs();
             }
             // Nodes that lead fewer shards come first, which spreads the shards evenly. Among
             // equals the node that started last comes first: a rolling restart will return to it
             // last.
-            if (freeSinceMs[n] > 0 && outbox.now.steadyMs() - freeSinceMs[n] >= pauseMs(record)) {
-                take(n, record);
+            if (vacantSinceMs[shardNumber] > 0
+                    && outbox.now.monotonicMs() - vacantSinceMs[shardNumber]
+                            >= acquisitionDelayMs(record)) {
+                acquireLeadership(shardNumber, record);
             }
         }
     }
@@ -169,29 +177,32 @@
      * the shard's record names tries first. The other nodes grant it a head start as long as gossip
      * from it arrives; if it has failed unnoticed, no more than the head start is lost.
      */
-    private long pauseMs(PartRecord record) {
-        String named = record == null ? null : record.standby();
-        if (named != null && named.equals(owner)) {
+    private long acquisitionDelayMs(PartRecord record) {
+        String namedStandby = record == null ? null : record.standby();
+        if (namedStandby != null && namedStandby.equals(processName)) {
             return 0;
         }
-        StandbySettings standby = context.features().standby();
-        boolean headStart = named != null && standby != null && peers.up(LogStream.hostOf(named));
-        return peers.before(ownedCount()) * Tuning.TAKE_PAUSE_MS
-                + (headStart ? standby.headStartMs() : 0);
+        StandbySettings standbySettings = context.features().standby();
+        boolean grantsHeadStart =
+                namedStandby != null
+                        && standbySettings != null
+                        && peerView.isResponsive(LogStream.hostOf(namedStandby));
+        return peerView.peersWithPriority(ledShardCount()) * Tuning.TAKE_PAUSE_MS
+                + (grantsHeadStart ? standbySettings.headStartMs() : 0);
     }
 
     /** Steps down from one shard if a peer leads at least two shards fewer. */
-    private void dealOut() {
-        if (outbox.now.steadyMs() < nextDealMs) {
+    private void rebalanceLeadership() {
+        if (outbox.now.monotonicMs() < nextRebalanceMs) {
             return;
         }
-        nextDealMs = outbox.now.steadyMs() + Tuning.DEAL_EVERY_MS;
-        if (!peers.anyWithTwoLess(ownedCount())) {
+        nextRebalanceMs = outbox.now.monotonicMs() + Tuning.DEAL_EVERY_MS;
+        if (!peerView.isAnyPeerLeadingTwoFewer(ledShardCount())) {
             return;
         }
-        for (Part part : owned) {
-            if (part != null && part.holds() && part.rebuilt()) {
-                part.release("for a node that holds fewer");
+        for (Part shard : ledShards) {
+            if (shard != null && shard.isLeader() && shard.isReconciled()) {
+                shard.stepDown("for a node that holds fewer");
                 return;
             }
         }
@@ -201,23 +212,30 @@
      * Returns the completed tasks in the shard's own record that are in none of its overflow
      * records, split into records of a size that may be written.
      */
-    private List<Map<String, Object>> uncovered(int n, PartRecord before) {
-        return FinishedRecords.split(before.done(), settings, id -> finishedElsewhere(n, id));
+    private List<Map<String, Object>> completionsWithoutOverflowRecord(
+            int shardNumber, PartRecord previousRecord) {
+        return FinishedRecords.split(
+                previousRecord.completedRanges(),
+                settings,
+                jobId -> completionsInOverflowRecords(shardNumber, jobId));
     }
 
     /**
      * Returns a job's completed tasks that are in overflow records rather than in the shard's own
      * record.
      */
-    private BitSet finishedElsewhere(int n, String id) {
-        BitSet finished = new BitSet();
+    private BitSet completionsInOverflowRecords(int shardNumber, String jobId) {
+        BitSet completed = new BitSet();
         StoreView.Entry entry;
-        for (int c = 1; (entry = view.get(StoreSchema.done(n, c))) != null; c++) {
-            if (FinishedRecord.read(entry.value()).ranges().get(id) instanceof String ranges) {
-                finished.or(TaskRanges.parse(ranges));
+        for (int chunk = 1;
+                (entry = storeCache.get(StoreSchema.completionKey(shardNumber, chunk))) != null;
+                chunk++) {
+            if (FinishedRecord.fromMap(entry.value()).completedRanges().get(jobId)
+                    instanceof String ranges) {
+                completed.or(TaskRanges.parse(ranges));
             }
         }
-        return finished;
+        return completed;
     }
 
     /**
@@ -225,111 +243,140 @@
      * is acquired, if the own record is longer than this version may write. The copies are made
      * from one version of the record, and remain true whichever node becomes the leader.
      */
-    private void spill(int n, List<Map<String, Object>> pieces) {
-        Map<String, Long> guards =
-                new LinkedHashMap<>(Map.of(StoreSchema.part(n), view.version(StoreSchema.part(n))));
+    private void writeOverflowRecords(int shardNumber, List<Map<String, Object>> pieces) {
+        Map<String, Long> preconditions =
+                new LinkedHashMap<>(
+                        Map.of(
+                                StoreSchema.shardKey(shardNumber),
+                                storeCache.version(StoreSchema.shardKey(shardNumber))));
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
-        int c = 1;
-        while (view.get(StoreSchema.done(n, c)) != null) {
-            c++;
+        int chunk = 1;
+        while (storeCache.get(StoreSchema.completionKey(shardNumber, chunk)) != null) {
+            chunk++;
         }
-        for (int i = 0; i < pieces.size() && i < settings.txnOps(); i++) {
-            guards.put(StoreSchema.done(n, c + i), 0L);
-            writes.put(StoreSchema.done(n, c + i), new FinishedRecord(pieces.get(i)).write());
+        for (int offset = 0; offset < pieces.size() && offset < settings.txnOps(); offset++) {
+            preconditions.put(StoreSchema.completionKey(shardNumber, chunk + offset), 0L);
+            writes.put(
+                    StoreSchema.completionKey(shardNumber, chunk + offset),
+                    new FinishedRecord(pieces.get(offset)).toMap());
         }
-        taking =
-                outbox.renewal(
-                        new StateOp.Multi(guards, writes),
+        acquisitionInFlight =
+                outbox.callStoreForLease(
+                        new StateOp.Multi(preconditions, writes),
                         reply -> {
-                            taking = false;
+                            acquisitionInFlight = false;
                             if (reply.status() == 200) {
-                                view.applied(reply, writes);
-                                nextTakeMs = outbox.now.steadyMs();
+                                storeCache.applyOwnWrites(reply, writes);
+                                nextAcquisitionMs = outbox.now.monotonicMs();
                             }
                         });
     }
 
-    private void take(int n, PartRecord before) {
-        nextTakeMs = outbox.now.steadyMs() + Tuning.TAKE_PAUSE_MS;
-        boolean tooLong =
-                before != null
-                        && FieldMap.jsonLength(before.write())
+    private void acquireLeadership(int shardNumber, PartRecord previousRecord) {
+        nextAcquisitionMs = outbox.now.monotonicMs() + Tuning.TAKE_PAUSE_MS;
+        boolean exceedsSizeLimit =
+                previousRecord != null
+                        && FieldMap.jsonLength(previousRecord.toMap())
                                 > settings.valueBytes() * Tuning.RECORD_FILL;
-        List<Map<String, Object>> pieces = tooLong ? uncovered(n, before) : List.of();
+        List<Map<String, Object>> pieces =
+                exceedsSizeLimit
+                        ? completionsWithoutOverflowRecord(shardNumber, previousRecord)
+                        : List.of();
         if (!pieces.isEmpty()) {
-            spill(n, pieces);
+            writeOverflowRecords(shardNumber, pieces);
             return;
         }
-        StoreView.Entry counter = view.get(StoreSchema.TERM);
-        long term = 1 + (counter == null ? 0 : ((Number) counter.value().get("term")).longValue());
+        StoreView.Entry termEntry = storeCache.get(StoreSchema.TERM_KEY);
+        long term =
+                1 + (termEntry == null ? 0 : ((Number) termEntry.value().get("term")).longValue());
         ClockReading sentAt = outbox.now;
-        AttemptReplicas.Fence replaced = replicas.fence(n);
+        AttemptReplicas.Fence replaced = standbyReplicas.fence(shardNumber);
         PartRecord record =
                 new PartRecord(
-                        owner,
-                        sentAt.wallMs() + PartLease.leaseMs(settings),
+                        processName,
+                        sentAt.wallMs() + PartLease.durationMs(settings),
                         term,
-                        before == null || tooLong ? Map.of() : before.done(),
+                        previousRecord == null || exceedsSizeLimit
+                                ? Map.of()
+                                : previousRecord.completedRanges(),
                         null);
-        Map<String, Long> guards = new LinkedHashMap<>();
-        guards.put(StoreSchema.part(n), view.version(StoreSchema.part(n)));
-        guards.put(StoreSchema.TERM, view.version(StoreSchema.TERM));
+        Map<String, Long> preconditions = new LinkedHashMap<>();
+        preconditions.put(
+                StoreSchema.shardKey(shardNumber),
+                storeCache.version(StoreSchema.shardKey(shardNumber)));
+        preconditions.put(StoreSchema.TERM_KEY, storeCache.version(StoreSchema.TERM_KEY));
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
-        writes.put(StoreSchema.part(n), record.write());
-        writes.put(StoreSchema.fence(n), Map.of("owner", owner, "term", term));
-        writes.put(StoreSchema.TERM, Map.of("term", term));
-        taking =
-                outbox.renewal(
-                        new StateOp.Multi(guards, writes),
+        writes.put(StoreSchema.shardKey(shardNumber), record.toMap());
+        writes.put(StoreSchema.fencingKey(shardNumber), Map.of("owner", processName, "term", term));
+        writes.put(StoreSchema.TERM_KEY, Map.of("term", term));
+        acquisitionInFlight =
+                outbox.callStoreForLease(
+                        new StateOp.Multi(preconditions, writes),
                         reply -> {
-                            taking = false;
+                            acquisitionInFlight = false;
                             if (reply.status() == 200) {
-                                long revision = view.applied(reply, writes);
-                                PartOwnership ownership =
+                                long revision = storeCache.applyOwnWrites(reply, writes);
+                                PartOwnership leadership =
                                         new PartOwnership(
-                                                n, settings, outbox, view, record, sentAt,
+                                                shardNumber,
+                                                settings,
+                                                outbox,
+                                                storeCache,
+                                                record,
+                                                sentAt,
                                                 revision);
-                                taken(n, before, replaced, ownership);
+                                onLeadershipAcquired(
+                                        shardNumber, previousRecord, replaced, leadership);
                             } else if (reply.status() == 409) {
                                 // Another node acquired this shard, or incremented the term counter
                                 // for a different one.
-                                nextTakeMs = outbox.now.steadyMs() + Tuning.TAKE_AGAIN_MS;
-                            } else if (before != null && before.standby() != null) {
+                                nextAcquisitionMs = outbox.now.monotonicMs() + Tuning.TAKE_AGAIN_MS;
+                            } else if (previousRecord != null && previousRecord.standby() != null) {
                                 // During an outage of the store the standby had no chance either,
                                 // so its head start begins again.
-                                freeSinceMs[n] = 0;
+                                vacantSinceMs[shardNumber] = 0;
                             }
                         });
     }
 
     /** Starts to act as the leader after the store has confirmed the acquisition. */
-    private void taken(
-            int n, PartRecord before, AttemptReplicas.Fence replaced, PartOwnership ownership) {
-        nextTakeMs = outbox.now.steadyMs();
-        outbox.log(
+    private void onLeadershipAcquired(
+            int shardNumber,
+            PartRecord previousRecord,
+            AttemptReplicas.Fence replaced,
+            PartOwnership leadership) {
+        nextAcquisitionMs = outbox.now.monotonicMs();
+        outbox.logInfo(
                 "takeover: part "
-                        + n
+                        + shardNumber
                         + " term "
-                        + ownership.term()
-                        + (before == null ? ", new" : " from " + before.owner()));
-        String named = before == null ? null : before.standby();
-        Inheritance inheritance =
+                        + leadership.term()
+                        + (previousRecord == null ? ", new" : " from " + previousRecord.leader()));
+        String namedStandby = previousRecord == null ? null : previousRecord.standby();
+        Inheritance promotedAttempts =
                 new Inheritance(
-                        replicas.promoted(n, named, replaced),
-                        outcome -> replicas.count(n, outcome));
-        owned[n] = new Part(n, owned.length, context, peers, ownership, inheritance);
+                        standbyReplicas.promoted(shardNumber, namedStandby, replaced),
+                        outcome -> standbyReplicas.count(shardNumber, outcome));
+        ledShards[shardNumber] =
+                new Part(
+                        shardNumber,
+                        ledShards.length,
+                        context,
+                        peerView,
+                        leadership,
+                        promotedAttempts);
     }
 
     /**
      * Tells the leadership of a shard that the store cache shows a new record of it.
      *
-     * @param n the shard's number
+     * @param shardNumber the shard's number
      * @param record the new record
      */
-    void recordChanged(int n, PartRecord record) {
-        Part part = owned(n);
-        if (part != null) {
-            part.ownership().recordChanged(record);
+    void onShardRecordChange(int shardNumber, PartRecord record) {
+        Part shard = ledShard(shardNumber);
+        if (shard != null) {
+            shard.leadership().onShardRecordChange(record);
         }
     }
 }
--- a/src/main/java/org/shoreusher/core/PeerHints.java
+++ b/src/main/java/org/shoreusher/core/PeerHints.java
@@ -50,7 +50,7 @@
     /** Notes when the first batch of commands is handled; later calls do nothing. */
     void started() {
         if (startedMs < 0) {
-            startedMs = outbox.now.steadyMs();
+            startedMs = outbox.now.monotonicMs();
             // An earlier process on this host may have said so until it ended.
             saidStateAwayMs = startedMs;
         }
@@ -59,7 +59,7 @@
     /** A message from a peer has arrived. */
     void heard(Hint hint) {
         hints.put(hint.from(), hint);
-        hintedAt.put(hint.from(), outbox.now.steadyMs());
+        hintedAt.put(hint.from(), outbox.now.monotonicMs());
     }
 
     /** Whether any peer has lately said that it reaches the store. */
@@ -74,7 +74,7 @@
      * @return whether the worker should be kept away from the shard's leader for now
      */
     boolean cameBackHere(int part, WorkerReport report, int machines) {
-        return redirected[part].came(report, machines, outbox.now.steadyMs());
+        return redirected[part].came(report, machines, outbox.now.monotonicMs());
     }
 
     /** The shard has another leader than before. */
@@ -86,14 +86,14 @@
      * The task counts of a job in the shard of another leader, for display; zeros if no message
      * names the job.
      */
-    Response.Counts counts(String id) {
+    Response.TaskCounts counts(String id) {
         for (Hint h : hints.values()) {
             if (h.running().containsKey(id) || h.done().containsKey(id)) {
-                return new Response.Counts(
+                return new Response.TaskCounts(
                         h.done().getOrDefault(id, 0), h.running().getOrDefault(id, 0));
             }
         }
-        return new Response.Counts(0, 0);
+        return new Response.TaskCounts(0, 0);
     }
 
     /**
@@ -103,7 +103,7 @@
      * clock. A peer that sends nothing is assumed to reach the store.
      */
     @Override
-    public boolean stateAwayEverywhere() {
+    public boolean isStoreUnavailableToAllPeers() {
         return settings.members().stream()
                 .map(m -> hints.get(m.host()))
                 .allMatch(
@@ -116,13 +116,13 @@
     }
 
     @Override
-    public boolean up(String host) {
+    public boolean isResponsive(String host) {
         Hint hint = hints.get(host);
         return hint != null && fresh(hint);
     }
 
     @Override
-    public long saidStateAwayUntilMs() {
+    public long storeOutageGossipValidUntilMs() {
         return saidStateAwayMs
                 + Tuning.HINT_STALE_MS
                 + 2 * settings.clockOffMs()
@@ -130,7 +130,7 @@
     }
 
     @Override
-    public int cameBack(int part) {
+    public int workersUnableToReachLeader(int part) {
         int workers = 0;
         for (Hint h : hints.values()) {
             // The largest count, not the sum: a redirected worker goes back and forth between
@@ -143,7 +143,7 @@
 
     /** Whether the message is recent enough to be used. */
     private boolean fresh(Hint h) {
-        return outbox.now.steadyMs() - hintedAt.get(h.from()) < Tuning.HINT_STALE_MS;
+        return outbox.now.monotonicMs() - hintedAt.get(h.from()) < Tuning.HINT_STALE_MS;
     }
 
     /**
@@ -151,17 +151,17 @@
      * renewal and its gossip has stopped.
      */
     boolean suspect(PartRecord record) {
-        long leftMs = record.expiryMs() - outbox.now.wallMs();
-        Hint hint = hints.get(record.host());
+        long leftMs = record.leaseExpiryWallMs() - outbox.now.wallMs();
+        Hint hint = hints.get(record.leaderHost());
         boolean quiet =
                 hint == null
-                        || outbox.now.steadyMs() - hintedAt.get(record.host())
+                        || outbox.now.monotonicMs() - hintedAt.get(record.leaderHost())
                                 > Tuning.QUIET_PEER_MS;
         return leftMs < 0
                 || (quiet
                         && leftMs
-                                < PartLease.leaseMs(settings)
-                                        - PartLease.heartbeatMs(settings)
+                                < PartLease.durationMs(settings)
+                                        - PartLease.renewalIntervalMs(settings)
                                         - Tuning.QUIET_PEER_MS);
     }
 
@@ -177,7 +177,7 @@
                         h ->
                                 h.stateOk()
                                         && !h.from().equals(owner)
-                                        && outbox.now.steadyMs() - hintedAt.get(h.from())
+                                        && outbox.now.monotonicMs() - hintedAt.get(h.from())
                                                 < Tuning.QUIET_PEER_MS)
                 .map(Hint::from)
                 .sorted()
@@ -186,9 +186,9 @@
     }
 
     @Override
-    public PartHint hint(int part) {
+    public PartHint shardSummary(int part) {
         if (ownParts.apply(part) != null) {
-            return ownParts.apply(part).holds() ? ownParts.apply(part).hint() : null;
+            return ownParts.apply(part).isLeader() ? ownParts.apply(part).summary() : null;
         }
         for (Hint h : hints.values()) {
             if (fresh(h) && h.parts().containsKey(part)) {
@@ -199,7 +199,7 @@
     }
 
     @Override
-    public int before(int ownedCount) {
+    public int peersWithPriority(int ownedCount) {
         // A peer that has sent nothing yet may be starting: a node that leads no shard leaves one
         // shard to each such peer.
         int before =
@@ -212,7 +212,7 @@
                                                         !hints.containsKey(m.host())
                                                                 || !fresh(hints.get(m.host())))
                                         .count();
-        double up = (outbox.now.steadyMs() - startedMs) / 1000.0;
+        double up = (outbox.now.monotonicMs() - startedMs) / 1000.0;
         for (Hint h : hints.values()) {
             if (fresh(h)
                     && h.stateOk()
@@ -225,7 +225,7 @@
     }
 
     @Override
-    public boolean anyWithTwoLess(int ownedCount) {
+    public boolean isAnyPeerLeadingTwoFewer(int ownedCount) {
         return hints.values().stream()
                 .anyMatch(
                         h ->
@@ -237,37 +237,37 @@
 
     /** Sends a message to the peers if one is due; returns whether it did. */
     boolean tell() {
-        if (outbox.now.steadyMs() < nextHintMs) {
+        if (outbox.now.monotonicMs() < nextHintMs) {
             return false;
         }
-        nextHintMs = outbox.now.steadyMs() + Tuning.HINT_MS;
+        nextHintMs = outbox.now.monotonicMs() + Tuning.HINT_MS;
         HashMap<Integer, PartHint> held = new HashMap<>();
         HashMap<Integer, Integer> back = new HashMap<>();
         HashMap<String, Integer> running = new HashMap<>();
         HashMap<String, Integer> finished = new HashMap<>();
         for (int n = 0; n < redirected.length; n++) {
             Part part = ownParts.apply(n);
-            int workers = redirected[n].count(outbox.now.steadyMs());
+            int workers = redirected[n].count(outbox.now.monotonicMs());
             if (workers > 0) {
                 back.put(n, workers);
             }
-            if (part != null && part.holds()) {
-                held.put(n, part.hint());
+            if (part != null && part.isLeader()) {
+                held.put(n, part.summary());
                 for (Job job : part.jobs().values()) {
                     running.put(job.id, job.live.size());
                     finished.put(job.id, job.done.cardinality());
                 }
             }
         }
-        boolean stateOk = outbox.stateSilenceMs() < Tuning.READY_STATE_MS;
-        saidStateAwayMs = stateOk ? saidStateAwayMs : outbox.now.steadyMs();
+        boolean stateOk = outbox.sinceStoreReplyMs() < Tuning.READY_STATE_MS;
+        saidStateAwayMs = stateOk ? saidStateAwayMs : outbox.now.monotonicMs();
         outbox.add(
                 new Effect.Tell(
                         new Hint(
                                 settings.host(),
                                 outbox.now.wallMs(),
                                 stateOk,
-                                (outbox.now.steadyMs() - startedMs) / 1000.0,
+                                (outbox.now.monotonicMs() - startedMs) / 1000.0,
                                 held,
                                 back,
                                 running,
--- a/src/main/java/org/shoreusher/core/Placement.java
+++ b/src/main/java/org/shoreusher/core/Placement.java
@@ -43,7 +43,7 @@
      * them from the plan.
      */
     List<Planner.Placed> forMachine(Machine m) {
-        if (outbox.now.steadyMs() >= nextMs) {
+        if (outbox.now.monotonicMs() >= nextMs) {
             plan();
         }
         List<Planner.Placed> share = shares.remove(m);
@@ -56,8 +56,8 @@
         Planner now =
                 new Planner(
                         new ArrayList<>(List.of(new Planner.Slot(m))),
-                        part.teamRoom()::cpusLeft,
-                        part.teamRoom()::gpusLeft);
+                        part.quotaHeadroom()::cpusLeft,
+                        part.quotaHeadroom()::gpusLeft);
         Set<Job> tried = new HashSet<>();
         if (share != null) {
             for (Planner.Placed p : share) {
@@ -123,8 +123,8 @@
         if (jobs.isEmpty()) {
             return;
         }
-        Planner planner = part.planner();
-        double cpus = part.cpus();
+        Planner planner = part.binPacker();
+        double cpus = part.totalCpus();
         double keepable = cpus * Tuning.KEPT_SHARE;
         double ahead = cpus * Tuning.MARKED_AHEAD;
         for (Job job : jobs) {
@@ -158,7 +158,7 @@
         }
         planner.placed().forEach(this::share);
         nextMs =
-                outbox.now.steadyMs()
+                outbox.now.monotonicMs()
                         + (planner.steps() + part.machines().size() + jobs.size())
                                 / Tuning.PLAN_STEPS_PER_MS;
     }
--- a/src/main/java/org/shoreusher/core/Preemption.java
+++ b/src/main/java/org/shoreusher/core/Preemption.java
@@ -35,8 +35,8 @@
                     relief += live.job.spec.cpus();
                 } else if (live.job.spec.checkpointS() > 0
                         && live.state == TaskAttempt.State.RUNNING
-                        && now.steadyMs() - live.sinceMs > Tuning.START_COUNTS_MS
-                        && part.available(m)
+                        && now.monotonicMs() - live.sinceMs > Tuning.START_COUNTS_MS
+                        && part.isAvailable(m)
                         && urgency.canSpare(live.job, now.wallMs())) {
                     victims.add(live);
                 }
--- a/src/main/java/org/shoreusher/core/Quota.java
+++ b/src/main/java/org/shoreusher/core/Quota.java
@@ -112,8 +112,8 @@
     }
 
     private QuotaRecord stored(String team) {
-        StoreView.Entry e = view.get(StoreSchema.quota(team));
-        return e == null ? null : QuotaRecord.read(e.value(), parts);
+        StoreView.Entry e = view.get(StoreSchema.quotaKey(team));
+        return e == null ? null : QuotaRecord.fromMap(e.value(), parts);
     }
 
     /**
@@ -127,10 +127,10 @@
             Function<String, Double> used,
             Function<String, Claim[]> claims,
             Function<String, Double> quantum) {
-        if (parts == 1 || outbox.now.steadyMs() < nextMs) {
+        if (parts == 1 || outbox.now.monotonicMs() < nextMs) {
             return;
         }
-        nextMs = outbox.now.steadyMs() + Tuning.QUOTA_EVERY_MS;
+        nextMs = outbox.now.monotonicMs() + Tuning.QUOTA_EVERY_MS;
         create();
         for (Settings.Team team : settings.teams().values()) {
             if (!Double.isInfinite(team.cpusMax())
@@ -149,23 +149,24 @@
         Map<String, Long> guards = new LinkedHashMap<>(fence);
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
         for (Settings.Team team : settings.teams().values()) {
-            if (view.get(StoreSchema.quota(team.name())) == null
+            if (view.get(StoreSchema.quotaKey(team.name())) == null
                     && writes.size() < settings.txnOps()) {
-                guards.put(StoreSchema.quota(team.name()), 0L);
+                guards.put(StoreSchema.quotaKey(team.name()), 0L);
                 writes.put(
-                        StoreSchema.quota(team.name()),
-                        QuotaRecord.split(shared(team.cpusMax()), shared(team.gpusMax()), parts)
-                                .write());
+                        StoreSchema.quotaKey(team.name()),
+                        QuotaRecord.splitEvenly(
+                                        shared(team.cpusMax()), shared(team.gpusMax()), parts)
+                                .toMap());
             }
         }
         if (!writes.isEmpty() && !creating) {
             creating =
-                    outbox.state(
+                    outbox.callStore(
                             new StateOp.Multi(guards, writes),
                             reply -> {
                                 creating = false;
                                 if (reply.status() == 200) {
-                                    view.applied(reply, writes);
+                                    view.applyOwnWrites(reply, writes);
                                 }
                             });
         }
@@ -178,7 +179,7 @@
     private void weigh(Settings.Team team, double used, Claim[] claims, double quantum) {
         QuotaRecord stored = stored(team.name());
         Give open = giving.get(team.name());
-        if (open != null && view.version(StoreSchema.quota(team.name())) == open.version) {
+        if (open != null && view.version(StoreSchema.quotaKey(team.name())) == open.version) {
             // The outcome is unknown: repeating the same write is safe, since it succeeds or the
             // record has changed.
             send(team.name(), open);
@@ -220,24 +221,26 @@
         gpus[partNumber] -= moved;
         gpus[to] += moved;
         Give give =
-                new Give(view.version(StoreSchema.quota(team.name())), new QuotaRecord(cpus, gpus));
+                new Give(
+                        view.version(StoreSchema.quotaKey(team.name())),
+                        new QuotaRecord(cpus, gpus));
         giving.put(team.name(), give);
         send(team.name(), give);
     }
 
     private void send(String team, Give give) {
         Map<String, Long> guards = new LinkedHashMap<>(fence);
-        guards.put(StoreSchema.quota(team), give.version);
+        guards.put(StoreSchema.quotaKey(team), give.version);
         Map<String, Map<String, Object>> writes =
-                Map.of(StoreSchema.quota(team), give.record.write());
+                Map.of(StoreSchema.quotaKey(team), give.record.toMap());
         boolean sent =
-                outbox.state(
+                outbox.callStore(
                         new StateOp.Multi(guards, writes),
                         reply -> {
                             inFlight.remove(team);
                             if (reply.status() == 200) {
                                 giving.remove(team);
-                                view.applied(reply, writes);
+                                view.applyOwnWrites(reply, writes);
                             }
                         });
         if (sent) {
--- a/src/main/java/org/shoreusher/core/Rebuild.java
+++ b/src/main/java/org/shoreusher/core/Rebuild.java
@@ -61,9 +61,9 @@
         this.inheritance = inheritance;
         settings = context.settings();
         outbox = context.outbox();
-        view = context.view();
-        arrivals = context.arrivals();
-        index = context.index();
+        view = context.storeCache();
+        arrivals = context.submissionBatches();
+        index = context.machineIndex();
         this.ownership = ownership;
         this.marks = marks;
     }
@@ -98,41 +98,44 @@
      */
     void load() {
         loaded = true;
-        view.under(StoreSchema.JOB)
+        view.entriesWithPrefix(StoreSchema.JOB_PREFIX)
                 .forEach(
                         (key, entry) -> {
-                            JobRecord record = JobRecord.read(entry.value());
-                            if (record.part() == part.number && record.status() == JobStatus.OPEN) {
+                            JobRecord record = JobRecord.fromMap(entry.value());
+                            if (record.shardNumber() == part.shardNumber
+                                    && record.status() == JobStatus.OPEN) {
                                 part.openJobs()
-                                        .add(key.substring(StoreSchema.JOB.length()), record);
+                                        .add(
+                                                key.substring(StoreSchema.JOB_PREFIX.length()),
+                                                record);
                             }
                         });
         arrivals.each(
                 (id, record) -> {
-                    if (record.part() == part.number) {
+                    if (record.shardNumber() == part.shardNumber) {
                         part.openJobs().add(id, record);
                     }
                 });
-        readDone(ownership.storedDone(0), 0);
-        for (int c = 1; view.get(StoreSchema.done(part.number, c)) != null; c++) {
-            readDone(ownership.storedDone(c), c);
+        readDone(ownership.storedCompletions(0), 0);
+        for (int c = 1; view.get(StoreSchema.completionKey(part.shardNumber, c)) != null; c++) {
+            readDone(ownership.storedCompletions(c), c);
         }
         index.all()
                 .forEach(
                         (id, record) -> {
-                            if (record.part() == part.number) {
+                            if (record.shardNumber() == part.shardNumber) {
                                 Machine m = part.lifecycle().addMachine(id, record);
                                 if (m != null) {
-                                    m.inherited = record.used();
+                                    m.inherited = record.mayHaveRunTasks();
                                 }
                             }
                         });
         marks.load();
         for (Job job : part.jobs().values()) {
             if (job.startBelow > 0) {
-                part.balancing().begunBefore(job);
+                part.taskMigration().begunBefore(job);
             }
-            part.finalStates().finished(job);
+            part.terminalStateWriter().finished(job);
         }
         if (inheritance.attempts() != null) {
             inherit(inheritance.attempts().attempts());
@@ -174,7 +177,7 @@
 
     private boolean recordedHere(String machine) {
         MachineRecord record = index.get(machine);
-        return record != null && record.part() == part.number;
+        return record != null && record.shardNumber() == part.shardNumber;
     }
 
     /**
@@ -198,7 +201,7 @@
                         id.attempt(),
                         m,
                         TaskAttempt.State.ASKED,
-                        outbox.now.steadyMs());
+                        outbox.now.monotonicMs());
         live.mustStop = !wanted;
         ledger.add(live, wanted);
     }
@@ -227,15 +230,16 @@
      *     heartbeat
      */
     void unknownAttempt(Machine m, TaskReport task, long token) {
-        boolean ofOwnerBefore = task.attempt() >>> Tuning.ATTEMPT_BITS < ownership.takenTerm();
-        if (!fromLog || !ofOwnerBefore || token < ownership.takenTerm()) {
+        boolean ofOwnerBefore =
+                task.attempt() >>> Tuning.ATTEMPT_BITS < ownership.acquisitionTerm();
+        if (!fromLog || !ofOwnerBefore || token < ownership.acquisitionTerm()) {
             return;
         }
-        outbox.log(
+        outbox.logInfo(
                 "standby: "
                         + m.id
                         + " of part "
-                        + part.number
+                        + part.shardNumber
                         + " shows "
                         + Machine.taskKey(task.job(), task.index())
                         + ", attempt "
@@ -244,7 +248,7 @@
         inheritance.distrusted().accept(PromotionOutcome.CONTRADICTED);
         fromLog = false;
         complete = false;
-        part.balancing().abandonAll();
+        part.taskMigration().abandonAll();
         part.jobs().values().forEach(this::holdBack);
         countUnheard();
     }
@@ -280,7 +284,7 @@
         unknownCpus = 0;
         unknownGpus = 0;
         for (Machine m : part.machines().values()) {
-            if (m.used && !m.heard && !part.leaseEnded(m)) {
+            if (m.used && !m.heard && !part.hasWorkerLeaseExpired(m)) {
                 unheard++;
                 unknownCpus += m.type.cpus();
                 unknownGpus += m.type.gpus();
@@ -298,9 +302,9 @@
             job.zonesUnknown = false;
             live += job.live.size();
         }
-        outbox.log(
+        outbox.logInfo(
                 "rebuilt: part "
-                        + part.number
+                        + part.shardNumber
                         + " term "
                         + part.term()
                         + " "
@@ -312,7 +316,7 @@
                         + " machines, "
                         + live
                         + " tasks on them, after "
-                        + (outbox.now.steadyMs() - ownership.takenAtMs())
+                        + (outbox.now.monotonicMs() - ownership.acquiredAtMs())
                         + " ms");
     }
 }
--- a/src/main/java/org/shoreusher/core/Rentals.java
+++ b/src/main/java/org/shoreusher/core/Rentals.java
@@ -71,7 +71,7 @@
 
     /** Whether the cloud has recently had no capacity for this kind of machine. */
     boolean refused(Kind kind) {
-        return refusedUntil.getLong(kind) > outbox.now.steadyMs();
+        return refusedUntil.getLong(kind) > outbox.now.monotonicMs();
     }
 
     /** How many more machines can be requested now. */
@@ -109,7 +109,7 @@
                         CloudOp.Rent rent =
                                 new CloudOp.Rent(
                                         "part-"
-                                                + part.number
+                                                + part.shardNumber
                                                 + "-"
                                                 + part.term()
                                                 + "-"
@@ -126,7 +126,7 @@
 
     /** Sends the pending requests that are due, new ones and those to be repeated. */
     void step() {
-        if (outbox.now.steadyMs() < againMs
+        if (outbox.now.monotonicMs() < againMs
                 || (failing && pending.stream().anyMatch(p -> p.inFlight))) {
             return;
         }
@@ -134,7 +134,7 @@
             if (!p.inFlight) {
                 p.askedWallMs = outbox.now.wallMs();
                 p.inFlight =
-                        outbox.cloud(
+                        outbox.callCloud(
                                 p.rent,
                                 reply -> {
                                     p.inFlight = false;
@@ -157,7 +157,7 @@
         failing = reply.status() != 200 && reply.status() != 400 && !capacity;
         if (failing) {
             // A request without an answer may have taken effect: it is repeated under its name.
-            againMs = outbox.now.steadyMs() + Tuning.CLOUD_RETRY_MS;
+            againMs = outbox.now.monotonicMs() + Tuning.CLOUD_RETRY_MS;
             return;
         }
         pending.remove(p);
@@ -167,9 +167,9 @@
         if (reply.status() == 200) {
             rented(rent, kind, reply, p.askedWallMs);
         } else if (capacity) {
-            refusedUntil.put(kind, outbox.now.steadyMs() + Tuning.NO_CAPACITY_MS);
+            refusedUntil.put(kind, outbox.now.monotonicMs() + Tuning.NO_CAPACITY_MS);
         } else {
-            outbox.log(
+            outbox.logInfo(
                     "cloud: refused the rental of "
                             + rent.type()
                             + " in "
@@ -181,7 +181,7 @@
     private void rented(CloudOp.Rent rent, Kind kind, CloudReply reply, long askedWallMs) {
         try {
             List<String> names = CloudFormat.rented(new FieldMap(reply.body()));
-            outbox.log(
+            outbox.logInfo(
                     "rented: "
                             + names.size()
                             + " of "
@@ -192,15 +192,15 @@
                             + rent.zone()
                             + (rent.spot() ? ", spot" : ", ordinary")
                             + " for part "
-                            + part.number);
+                            + part.shardNumber);
             if (names.size() < rent.count()) {
-                refusedUntil.put(kind, outbox.now.steadyMs() + Tuning.NO_CAPACITY_MS);
+                refusedUntil.put(kind, outbox.now.monotonicMs() + Tuning.NO_CAPACITY_MS);
             }
             for (String id : names) {
                 fleet.rented(id, rent, askedWallMs);
             }
         } catch (FieldMap.Missing e) {
-            outbox.log("cloud: rental not understood: " + e.getMessage());
+            outbox.logInfo("cloud: rental not understood: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/org/shoreusher/core/ReplicaPreemption.java
+++ b/src/main/java/org/shoreusher/core/ReplicaPreemption.java
@@ -57,7 +57,7 @@
         this.part = part;
         this.now = now;
         for (Machine m : part.machines().values()) {
-            if (part.available(m)) {
+            if (part.isAvailable(m)) {
                 Room room = new Room(m);
                 for (TaskAttempt live : m.tasks.values()) {
                     if (live.mustStop || live.stopping) {
@@ -81,13 +81,14 @@
      * a penalty if its start would not yet count for the objectives.
      */
     private double loss(TaskAttempt live) {
-        double ranS = live.runningSinceMs < 0 ? 0 : (now.steadyMs() - live.runningSinceMs) / 1000.0;
+        double ranS =
+                live.runningSinceMs < 0 ? 0 : (now.monotonicMs() - live.runningSinceMs) / 1000.0;
         double lostS =
                 live.job.spec.checkpointS() > 0
                         ? Math.min(ranS, live.job.spec.checkpointS())
                         : ranS;
         double early =
-                now.steadyMs() - live.sinceMs < Tuning.START_COUNTS_MS
+                now.monotonicMs() - live.sinceMs < Tuning.START_COUNTS_MS
                         ? Tuning.START_COUNTS_MS / 1000.0
                         : 0;
         return live.job.spec.cpus() * (lostS + early);
@@ -107,8 +108,8 @@
                             job.waitingCount,
                             new Planner(
                                             new ArrayList<>(),
-                                            part.teamRoom()::cpusLeft,
-                                            part.teamRoom()::gpusLeft)
+                                            part.quotaHeadroom()::cpusLeft,
+                                            part.quotaHeadroom()::gpusLeft)
                                     .allowedByTeam(spec));
             while (left-- > 0) {
                 Room best = null;
--- a/src/main/java/org/shoreusher/core/ReportReader.java
+++ b/src/main/java/org/shoreusher/core/ReportReader.java
@@ -22,7 +22,7 @@
         this.part = part;
         this.ledger = ledger;
         outbox = context.outbox();
-        arrivals = context.arrivals();
+        arrivals = context.submissionBatches();
     }
 
     /**
@@ -34,7 +34,7 @@
         m.seq = r.seq();
         m.address = r.address();
         m.noticeS = r.noticeS();
-        m.reportedAtMs = outbox.now.steadyMs();
+        m.reportedAtMs = outbox.now.monotonicMs();
         boolean found = m.inherited && !m.heard;
         m.heard = true;
         if (m.state == Machine.State.BOOTING) {
@@ -42,9 +42,9 @@
         }
         if (!m.used) {
             m.used = true;
-            part.records().changed(m.id);
+            part.machineRecords().changed(m.id);
         }
-        part.balancing().reported(m);
+        part.taskMigration().reported(m);
         m.shown = r.tasks().size();
         ObjectOpenHashSet<String> shown = new ObjectOpenHashSet<>();
         for (TaskReport t : r.tasks()) {
@@ -82,7 +82,9 @@
             }
         }
         m.idleSinceMs =
-                !m.tasks.isEmpty() ? -1 : m.idleSinceMs < 0 ? outbox.now.steadyMs() : m.idleSinceMs;
+                !m.tasks.isEmpty()
+                        ? -1
+                        : m.idleSinceMs < 0 ? outbox.now.monotonicMs() : m.idleSinceMs;
     }
 
     /**
@@ -95,7 +97,7 @@
             live = null;
         }
         if (live == null) {
-            part.rebuild().unknownAttempt(m, t, token);
+            part.reconciliation().unknownAttempt(m, t, token);
             Job job = part.jobs().get(t.job());
             boolean wanted =
                     job != null
@@ -110,7 +112,7 @@
                             t.attempt(),
                             m,
                             TaskAttempt.State.RUNNING,
-                            outbox.now.steadyMs());
+                            outbox.now.monotonicMs());
             live.mustStop = !wanted;
             ledger.add(live, wanted);
         }
@@ -121,11 +123,11 @@
                     default -> TaskAttempt.State.RUNNING;
                 };
         if (live.state == TaskAttempt.State.RUNNING && live.runningSinceMs < 0) {
-            live.runningSinceMs = outbox.now.steadyMs();
+            live.runningSinceMs = outbox.now.monotonicMs();
         }
         if (!live.job.spec.shape().ends()
                 && live.runningSinceMs >= 0
-                && outbox.now.steadyMs() - live.runningSinceMs >= Tuning.STEADY_MS) {
+                && outbox.now.monotonicMs() - live.runningSinceMs >= Tuning.STEADY_MS) {
             live.job.steady();
         }
     }
@@ -137,8 +139,8 @@
     private Job unwanted(Machine m, String id) {
         JobRecord record = arrivals.record(id);
         JobSpec spec =
-                record != null && record.spec() != null
-                        ? record.description()
+                record != null && record.specFields() != null
+                        ? record.parseSpec()
                         : JobSpec.ofRoom(id, "", m.type.cpus(), m.type.gpus(), m.type.memGb());
         Job job = new Job(id, spec, outbox.now.wallMs());
         job.closed = true;
@@ -162,12 +164,12 @@
         if (t.cause() == Cause.DONE) {
             m.failedJobs.clear();
             if (ours && job != null && live.runningSinceMs >= 0) {
-                double ranS = (outbox.now.steadyMs() - live.runningSinceMs) / 1000.0;
+                double ranS = (outbox.now.monotonicMs() - live.runningSinceMs) / 1000.0;
                 if (job.observedCount() >= Tuning.PACE_TASKS
                         && job.observedMeanS() >= Tuning.PACE_LEAST_S) {
                     m.ran(ranS / job.observedMeanS());
                 }
-                part.estimates().observed(job, ranS);
+                part.runTimeEstimates().observed(job, ranS);
             }
             if (job != null
                     && t.index() >= 0
@@ -175,11 +177,11 @@
                     && !job.done.get(t.index())) {
                 job.done.set(t.index());
                 job.setWaiting(t.index(), false);
-                part.finalStates().finished(job);
+                part.terminalStateWriter().finished(job);
                 TaskAttempt elsewhere = job.live.get(t.index());
                 if (elsewhere != null && elsewhere != live) {
                     elsewhere.mustStop = true;
-                    part.stops().halt(elsewhere, 0);
+                    part.taskEviction().halt(elsewhere, 0);
                 }
             }
         }
@@ -187,14 +189,14 @@
             return;
         }
         if (t.cause() == Cause.ERROR && job != null) {
-            job.failed(m.id, outbox.now.steadyMs());
+            job.failed(m.id, outbox.now.monotonicMs());
             if (job.suspect()) {
                 part.machines().values().forEach(other -> other.failedJobs.remove(job.id));
             } else {
                 m.failedJobs.add(job.id);
             }
         } else if (t.cause() == Cause.UNKNOWN && job != null) {
-            job.failed(m.id, outbox.now.steadyMs());
+            job.failed(m.id, outbox.now.monotonicMs());
         }
         ledger.remove(live);
     }
@@ -206,10 +208,10 @@
     private void replicaEnded(Machine m, Job job, TaskAttempt live, Cause cause) {
         if (cause == Cause.ERROR || cause == Cause.DONE || cause == Cause.UNKNOWN) {
             if (live.runningSinceMs >= 0
-                    && outbox.now.steadyMs() - live.runningSinceMs >= Tuning.STEADY_MS) {
+                    && outbox.now.monotonicMs() - live.runningSinceMs >= Tuning.STEADY_MS) {
                 job.steady();
             }
-            job.failed(m.id, outbox.now.steadyMs());
+            job.failed(m.id, outbox.now.monotonicMs());
             if (cause == Cause.ERROR && !job.suspect()) {
                 m.failedJobs.add(job.id);
             } else if (job.suspect()) {
--- a/src/main/java/org/shoreusher/core/Reports.java
+++ b/src/main/java/org/shoreusher/core/Reports.java
@@ -35,9 +35,9 @@
         this.part = part;
         settings = context.settings();
         outbox = context.outbox();
-        arrivals = context.arrivals();
-        index = context.index();
-        types = context.types();
+        arrivals = context.submissionBatches();
+        index = context.machineIndex();
+        types = context.machineTypes();
         this.ledger = ledger;
         reader = new ReportReader(part, context, ledger);
         placement = new Placement(part, outbox, marks);
@@ -50,11 +50,11 @@
      * worker tries another node.
      */
     void report(long request, WorkerReport r) {
-        if (!part.mayAnswer() || r.token() > part.term()) {
-            if (!part.lost() && r.token() > part.term()) {
-                part.ownership().raise(r.token());
+        if (!part.canAnswerHeartbeats() || r.token() > part.term()) {
+            if (!part.isLeadershipLost() && r.token() > part.term()) {
+                part.leadership().raiseTerm(r.token());
             }
-            outbox.answerUnavailable(request);
+            outbox.respondUnavailable(request);
             return;
         }
         Machine m = part.machines().get(r.machine());
@@ -67,10 +67,10 @@
         if (m != null
                 && m.inherited
                 && !m.heard
-                && r.token() < part.ownership().takenTerm()
+                && r.token() < part.leadership().acquisitionTerm()
                 && !deafSinceTakeover(m, r)) {
-            m.answeredAtMs = Math.max(m.answeredAtMs, outbox.now.steadyMs());
-            outbox.answer(request, new Response.Orders(part.term(), stopsOfCancelled(r)));
+            m.answeredAtMs = Math.max(m.answeredAtMs, outbox.now.monotonicMs());
+            outbox.respond(request, new Response.Orders(part.term(), stopsOfCancelled(r)));
             return;
         }
         // The worker no longer waits for the answer to a delayed or duplicated heartbeat, and the
@@ -80,28 +80,28 @@
                 || m.state == Machine.State.HANDING
                 || r.session() <= m.endedSession
                 || (m.heard && !r.newerThan(m.session, m.seq))) {
-            outbox.answerUnavailable(request);
+            outbox.respondUnavailable(request);
             return;
         }
-        part.replication().newReport(m);
-        m.reported(r, outbox.now.steadyMs(), settings);
+        part.standbyReplication().newReport(m);
+        m.reported(r, outbox.now.monotonicMs(), settings);
         reader.read(m, r);
         List<WorkerOrder> orders = new ArrayList<>();
-        if (part.holds()) {
+        if (part.isLeader()) {
             settle(m, r, orders);
             if (m.recordedUsed
                     && (m.cpusFree() > Tuning.EPSILON
                             || m.gpusFree() > Tuning.EPSILON
-                            || part.balancing().hasReady(m))
-                    && part.mayStart()
-                    && part.replication().mayStart()
-                    && part.available(m)) {
+                            || part.taskMigration().hasReady(m))
+                    && part.canStartTasks()
+                    && part.standbyReplication().mayStart()
+                    && part.isAvailable(m)) {
                 start(m, orders);
             }
         } else {
             orders.addAll(stopsOfCancelled(r));
         }
-        part.replication().answer(request, m, orders);
+        part.standbyReplication().answer(request, m, orders);
     }
 
     /**
@@ -118,24 +118,25 @@
             m.seq = r.seq();
         }
         return newer
-                && outbox.now.steadyMs() > m.inheritedAnswerMs + PartLease.workerLeaseMs(settings);
+                && outbox.now.monotonicMs()
+                        > m.inheritedAnswerMs + PartLease.workerLeaseBoundMs(settings);
     }
 
     private Machine adopt(WorkerReport r) {
         // A delayed heartbeat must not register a terminated machine again, whether its record
         // still exists or not.
-        if (part.fleet().list().isGone(r.machine())) {
+        if (part.autoscaler().list().isGone(r.machine())) {
             return null;
         }
         MachineRecord record = index.get(r.machine());
         if (record != null) {
-            return record.part() == part.number
+            return record.shardNumber() == part.shardNumber
                     ? part.lifecycle().addMachine(r.machine(), record)
                     : null;
         }
         // Nor a machine that a previous leader terminated. A machine that has a fencing token but
         // no record is registered only if the cloud lists it.
-        if (r.token() > 0 && !part.fleet().list().isListed(r.machine())) {
+        if (r.token() > 0 && !part.autoscaler().list().isListed(r.machine())) {
             return null;
         }
         return part.lifecycle()
@@ -204,7 +205,7 @@
     /** Starts the migrated tasks that wait for this machine, then as many planned tasks as fit. */
     private void start(Machine m, List<WorkerOrder> orders) {
         // Migrated tasks go first: the machine's resources are already reserved for them.
-        for (TaskId moved : part.balancing().takeReady(m)) {
+        for (TaskId moved : part.taskMigration().takeReady(m)) {
             start(part.jobs().get(moved.job()), moved.index(), m, orders);
         }
         // Answer and heartbeat are limited in size, however many small tasks would fit.
@@ -232,7 +233,7 @@
                         part.term() << Tuning.ATTEMPT_BITS | nextAttempt++,
                         m,
                         TaskAttempt.State.ASKED,
-                        outbox.now.steadyMs());
+                        outbox.now.monotonicMs());
         ledger.add(live, true);
         job.startedCount++;
         orders.add(new WorkerOrder(WorkerOrder.Kind.START, job.id, index, live.attempt, 0));
--- a/src/main/java/org/shoreusher/core/Response.java
+++ b/src/main/java/org/shoreusher/core/Response.java
@@ -11,12 +11,13 @@
     /**
      * The state of a job as shown to users.
      *
-     * @param id the job's id
-     * @param shown the state
-     * @param counts task counts for display; null where they were not asked for
+     * @param jobId the job's id
+     * @param displayState the state
+     * @param taskCounts task counts for display; null where they were not asked for
      * @param created whether this request created the job
      */
-    record JobState(String id, Shown shown, Counts counts, boolean created) implements Response {
+    record JobState(String jobId, Shown displayState, TaskCounts taskCounts, boolean created)
+            implements Response {
         /** A job that this request did not create, without task counts. */
         JobState(String id, Shown shown) {
             this(id, shown, null, false);
@@ -26,10 +27,10 @@
     /**
      * Task counts of a job, for display only.
      *
-     * @param done completed tasks
+     * @param completed completed tasks
      * @param running running tasks
      */
-    record Counts(int done, int running) {}
+    record TaskCounts(int completed, int running) {}
 
     /** The states of a job as users see them. */
     enum Shown {
@@ -45,16 +46,16 @@
     /**
      * The request is malformed.
      *
-     * @param problem the reason, for the user
+     * @param reason the reason, for the user
      */
-    record Malformed(String problem) implements Response {}
+    record Malformed(String reason) implements Response {}
 
     /**
      * The job can never run, for example because no machine type is large enough.
      *
-     * @param problem the reason, for the user
+     * @param reason the reason, for the user
      */
-    record CannotRun(String problem) implements Response {}
+    record CannotRun(String reason) implements Response {}
 
     /**
      * The request can't be served now.
@@ -66,10 +67,10 @@
     /**
      * A worker's heartbeat is accepted, which extends the worker's lease.
      *
-     * @param term the fencing token: the leader's term
+     * @param fencingToken the fencing token: the leader's term
      * @param orders the orders for the worker
      */
-    record Orders(long term, List<WorkerOrder> orders) implements Response {}
+    record Orders(long fencingToken, List<WorkerOrder> orders) implements Response {}
 
     /**
      * A worker should send its heartbeats to another controller.
--- a/src/main/java/org/shoreusher/core/Retirement.java
+++ b/src/main/java/org/shoreusher/core/Retirement.java
@@ -26,7 +26,7 @@
         for (Machine m : part.machines().values()) {
             String fault = fault(m, deafAreFaulty);
             if (fault != null) {
-                outbox.log("retired: " + m.id + fault);
+                outbox.logInfo("retired: " + m.id + fault);
                 m.state = Machine.State.DRAINING;
             } else if (m.state == Machine.State.UP
                     && !Double.isNaN(m.noticeS)
@@ -80,7 +80,7 @@
     }
 
     private long silenceMs(Machine m) {
-        return outbox.now.steadyMs() - m.answeredAtMs;
+        return outbox.now.monotonicMs() - m.answeredAtMs;
     }
 
     /**
@@ -90,7 +90,7 @@
         return m.used
                 && (m.state == Machine.State.UP || m.state == Machine.State.BOOTING)
                 && m.tasks.isEmpty()
-                && silenceMs(m) > PartLease.workerLeaseMs(settings) + Tuning.MIN_CHARGE_MS;
+                && silenceMs(m) > PartLease.workerLeaseBoundMs(settings) + Tuning.MIN_CHARGE_MS;
     }
 
     /**
@@ -101,7 +101,7 @@
         for (TaskAttempt live : m.tasks.values()) {
             if (!live.job.spec.shape().ends() && !live.mustStop) {
                 live.mustStop = true;
-                part.stops().halt(live, 0);
+                part.taskEviction().halt(live, 0);
             }
         }
     }
--- a/src/main/java/org/shoreusher/core/Returns.java
+++ b/src/main/java/org/shoreusher/core/Returns.java
@@ -20,7 +20,7 @@
 
     /** Requests the next termination when it is due. */
     void step() {
-        if (returning || outbox.now.steadyMs() < nextReturnMs) {
+        if (returning || outbox.now.monotonicMs() < nextReturnMs) {
             return;
         }
         List<String> ids = new ArrayList<>();
@@ -37,12 +37,12 @@
             return;
         }
         returning =
-                outbox.cloud(
+                outbox.callCloud(
                         new CloudOp.Return(List.copyOf(ids)),
                         reply -> {
                             returning = false;
                             if (reply.status() != 200) {
-                                nextReturnMs = outbox.now.steadyMs() + Tuning.CLOUD_RETRY_MS;
+                                nextReturnMs = outbox.now.monotonicMs() + Tuning.CLOUD_RETRY_MS;
                                 ids.forEach(
                                         id -> stillThere(part.machines().get(id), reply.status()));
                                 return;
--- a/src/main/java/org/shoreusher/core/StandbyCapacity.java
+++ b/src/main/java/org/shoreusher/core/StandbyCapacity.java
@@ -57,7 +57,7 @@
             return;
         }
         for (Machine m : part.machines().values()) {
-            if (!m.spot && (part.available(m) || (m.state == Machine.State.BOOTING && !m.used))) {
+            if (!m.spot && (part.isAvailable(m) || (m.state == Machine.State.BOOTING && !m.used))) {
                 double held = 0;
                 for (TaskAttempt live : m.tasks.values()) {
                     held += live.job.spec.shape().ends() ? 0 : live.job.spec.cpus();
--- a/src/main/java/org/shoreusher/core/StartMarks.java
+++ b/src/main/java/org/shoreusher/core/StartMarks.java
@@ -61,16 +61,16 @@
         this.parts = parts;
         settings = context.settings();
         outbox = context.outbox();
-        view = context.view();
-        arrivals = context.arrivals();
+        view = context.storeCache();
+        arrivals = context.submissionBatches();
         this.ownership = ownership;
         this.jobs = jobs;
-        gapMs = (long) (1000 / (Outbox.ownerWrites(settings, parts) * Tuning.MARKS_SHARE));
+        gapMs = (long) (1000 / (Outbox.leaderWritesPerS(settings, parts) * Tuning.MARKS_SHARE));
     }
 
     /** Reads the marks that previous leaders have written. */
     void load() {
-        for (int c = 0; view.get(StoreSchema.begun(partNumber, c)) != null; c++) {
+        for (int c = 0; view.get(StoreSchema.highWaterMarkKey(partNumber, c)) != null; c++) {
             int chunk = c;
             stored(c)
                     .forEach(
@@ -97,10 +97,13 @@
      * flight.
      */
     void write() {
-        if (writing || wanted.isEmpty() || !ownership.holds() || outbox.now.steadyMs() < nextMs) {
+        if (writing
+                || wanted.isEmpty()
+                || !ownership.isLeader()
+                || outbox.now.monotonicMs() < nextMs) {
             return;
         }
-        Map<String, Long> guards = new LinkedHashMap<>(ownership.fence());
+        Map<String, Long> guards = new LinkedHashMap<>(ownership.fencingPrecondition());
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
         Map<Integer, Map<String, Integer>> chunks = new LinkedHashMap<>();
         List<Marked> marked = new ArrayList<>();
@@ -119,9 +122,9 @@
                 // record of its own. In this transaction it would block all other marks for good.
                 continue;
             }
-            if (parts > 1 && view.get(StoreSchema.job(job.id)) == null) {
-                guards.put(StoreSchema.job(job.id), 0L);
-                writes.put(StoreSchema.job(job.id), record.write());
+            if (parts > 1 && view.get(StoreSchema.jobKey(job.id)) == null) {
+                guards.put(StoreSchema.jobKey(job.id), 0L);
+                writes.put(StoreSchema.jobKey(job.id), record.toMap());
             }
             marked.add(mark(job, next, chunks));
         }
@@ -131,21 +134,22 @@
         chunks.forEach(
                 (c, marks) -> {
                     guards.put(
-                            StoreSchema.begun(partNumber, c),
-                            view.version(StoreSchema.begun(partNumber, c)));
-                    writes.put(StoreSchema.begun(partNumber, c), MarkRecord.write(marks));
+                            StoreSchema.highWaterMarkKey(partNumber, c),
+                            view.version(StoreSchema.highWaterMarkKey(partNumber, c)));
+                    writes.put(
+                            StoreSchema.highWaterMarkKey(partNumber, c), MarkRecord.toMap(marks));
                 });
         writing =
-                outbox.state(
+                outbox.callStore(
                         new StateOp.Multi(guards, writes),
                         reply -> {
                             writing = false;
-                            if (reply.status() == 200 && !ownership.lost()) {
-                                view.applied(reply, writes);
+                            if (reply.status() == 200 && !ownership.isLost()) {
+                                view.applyOwnWrites(reply, writes);
                                 marked.forEach(StartMarks::written);
                             }
                         });
-        nextMs = writing ? outbox.now.steadyMs() + gapMs : nextMs;
+        nextMs = writing ? outbox.now.monotonicMs() + gapMs : nextMs;
     }
 
     /** Adds a job's next mark to a record that is about to be written. */
@@ -172,12 +176,12 @@
     }
 
     private boolean writable(JobRecord record) {
-        return FieldMap.jsonLength(record.write()) <= settings.valueBytes();
+        return FieldMap.jsonLength(record.toMap()) <= settings.valueBytes();
     }
 
     private Map<String, Integer> stored(int chunk) {
-        StoreView.Entry entry = view.get(StoreSchema.begun(partNumber, chunk));
-        return entry == null ? Map.of() : MarkRecord.read(entry.value()).below();
+        StoreView.Entry entry = view.get(StoreSchema.highWaterMarkKey(partNumber, chunk));
+        return entry == null ? Map.of() : MarkRecord.fromMap(entry.value()).highWaterMarks();
     }
 
     /** The stored marks of a record, without those of jobs that are no longer open. */
--- a/src/main/java/org/shoreusher/core/StoreSchema.java
+++ b/src/main/java/org/shoreusher/core/StoreSchema.java
@@ -16,134 +16,139 @@
  */
 final class StoreSchema {
     /** The key of the term counter, which every change of a leader increments. */
-    static final String TERM = "term";
+    static final String TERM_KEY = "term";
 
     /** The key of the last known machine types. */
-    static final String TYPES = "types";
+    static final String MACHINE_TYPES_KEY = "types";
 
     /**
      * The prefix of the records of jobs that were accepted together. It sorts before the prefix of
      * jobs: a cache that is loaded page by page then learns of submissions first, and of their
      * jobs' progress afterwards.
      */
-    static final String ARRIVED = "arrived/";
+    static final String SUBMISSION_BATCH_PREFIX = "arrived/";
 
     /** The prefix of jobs' records. */
-    static final String JOB = "job/";
+    static final String JOB_PREFIX = "job/";
 
     /** The prefix of the records of machine groups. */
-    static final String MACHINE = "machine/";
+    static final String MACHINE_PREFIX = "machine/";
 
     /** The prefix of all keys of a shard. */
-    static final String PART = "part/";
+    static final String SHARD_PREFIX = "part/";
 
     /** The prefix of the keys under which nodes record the formats that they support. */
-    static final String NODE = "node/";
+    static final String NODE_PREFIX = "node/";
 
-    private static final String FENCE = "/fence";
+    private static final String FENCING_SUFFIX = "/fence";
 
     private StoreSchema() {}
 
     /** The key of a shard's record. */
-    static String part(int n) {
-        return PART + n;
+    static String shardKey(int shardNumber) {
+        return SHARD_PREFIX + shardNumber;
     }
 
     /**
      * The fencing key of a shard. It is written only when the leader changes, and its version is a
      * precondition of all writes for the shard.
      */
-    static String fence(int n) {
-        return PART + n + FENCE;
+    static String fencingKey(int shardNumber) {
+        return SHARD_PREFIX + shardNumber + FENCING_SUFFIX;
     }
 
     /** Returns whether a key is the fencing key of some shard. */
-    static boolean isFence(String key) {
-        return key.startsWith(PART) && key.endsWith(FENCE);
+    static boolean isFencingKey(String key) {
+        return key.startsWith(SHARD_PREFIX) && key.endsWith(FENCING_SUFFIX);
     }
 
     /** The key of an overflow record of completed tasks. */
-    static String done(int n, int chunk) {
-        return PART + n + "/done/" + chunk;
+    static String completionKey(int shardNumber, int chunk) {
+        return SHARD_PREFIX + shardNumber + "/done/" + chunk;
     }
 
     /** The key of a record of high-water marks. */
-    static String begun(int n, int chunk) {
-        return PART + n + "/begun/" + chunk;
+    static String highWaterMarkKey(int shardNumber, int chunk) {
+        return SHARD_PREFIX + shardNumber + "/begun/" + chunk;
     }
 
     /** The key of a job's own record. */
-    static String job(String id) {
-        return JOB + id;
+    static String jobKey(String jobId) {
+        return JOB_PREFIX + jobId;
     }
 
     /**
      * The key of a record of jobs that were accepted together.
      *
-     * @param owner the name of the accepting process
-     * @param n counts the records of that process
+     * @param processName the name of the accepting process
+     * @param sequenceNumber counts the records of that process
      */
-    static String arrived(String owner, long n) {
-        return ARRIVED + owner + "/" + n;
+    static String submissionBatchKey(String processName, long sequenceNumber) {
+        return SUBMISSION_BATCH_PREFIX + processName + "/" + sequenceNumber;
     }
 
     /**
      * The key of the record that contains a machine, together with the machines whose names differ
      * in the last characters only.
      *
-     * @param id the machine's id
+     * @param machineId the machine's id
      * @param valueBytes the size limit of values in the store, which decides between wide and
      *     narrow groups
      */
-    static String machine(String id, int valueBytes) {
-        return machine(id, valueBytes >= Tuning.WIDE_GROUP_BYTES);
+    static String machineGroupKey(String machineId, int valueBytes) {
+        return machineGroupKey(machineId, valueBytes >= Tuning.WIDE_GROUP_BYTES);
     }
 
     /**
      * The key of the group that contains a machine.
      *
-     * @param id the machine's id
+     * @param machineId the machine's id
      * @param wide whether the wide group of up to a hundred machines is meant, or the narrow one of
      *     up to ten
      */
-    static String machine(String id, boolean wide) {
-        int signs = wide ? 2 : 1;
-        return MACHINE + id.substring(0, Math.max(0, id.length() - signs));
+    static String machineGroupKey(String machineId, boolean wide) {
+        int suffixLength = wide ? 2 : 1;
+        return MACHINE_PREFIX
+                + machineId.substring(0, Math.max(0, machineId.length() - suffixLength));
     }
 
     /** The key under which a node records the formats that it supports. */
-    static String node(String host) {
-        return NODE + host;
+    static String nodeKey(String host) {
+        return NODE_PREFIX + host;
     }
 
     /** The key of a team's quota shares. */
-    static String quota(String team) {
+    static String quotaKey(String team) {
         return "quota/" + team;
     }
 
     /**
      * A shard's own record.
      *
-     * @param owner the name of the leading process, HOST/SUFFIX
-     * @param expiryMs when the leader's lease expires, in wall-clock ms
+     * @param leader the name of the leading process, HOST/SUFFIX
+     * @param leaseExpiryWallMs when the leader's lease expires, in wall-clock ms
      * @param term the leader's term
-     * @param done completed tasks of the first chunk of jobs, as ranges by job
+     * @param completedRanges completed tasks of the first chunk of jobs, as ranges by job
      * @param standby the name of the process that knows every attempt that may be on a machine;
      *     null: none. Versions from before the standby replication drop this field when they
      *     acquire the shard
      */
     record PartRecord(
-            String owner, long expiryMs, long term, Map<String, Object> done, String standby) {
+            String leader,
+            long leaseExpiryWallMs,
+            long term,
+            Map<String, Object> completedRanges,
+            String standby) {
         /** Reads the record from its stored fields. */
-        static PartRecord read(Map<String, Object> value) {
+        static PartRecord fromMap(Map<String, Object> value) {
             try {
-                FieldMap t = new FieldMap(value);
+                FieldMap fields = new FieldMap(value);
                 return new PartRecord(
-                        t.text("owner"),
-                        t.whole("expiry"),
-                        t.whole("term"),
-                        t.map("done").asMap(),
-                        t.textOr("standby", null));
+                        fields.text("owner"),
+                        fields.whole("expiry"),
+                        fields.whole("term"),
+                        fields.map("done").asMap(),
+                        fields.textOr("standby", null));
             } catch (FieldMap.Missing e) {
                 throw new IllegalStateException(
                         "a part record of this service can't be read: " + e.getMessage());
@@ -151,22 +156,22 @@
         }
 
         /** Returns the stored fields of the record. */
-        Map<String, Object> write() {
-            Map<String, Object> m = new LinkedHashMap<>();
-            m.put("owner", owner);
-            m.put("expiry", expiryMs);
-            m.put("term", term);
-            m.put("done", done);
+        Map<String, Object> toMap() {
+            Map<String, Object> fields = new LinkedHashMap<>();
+            fields.put("owner", leader);
+            fields.put("expiry", leaseExpiryWallMs);
+            fields.put("term", term);
+            fields.put("done", completedRanges);
             if (standby != null) {
-                m.put("standby", standby);
+                fields.put("standby", standby);
             }
-            return m;
+            return fields;
         }
 
         /** Returns the leader's host. */
-        String host() {
-            int slash = owner.lastIndexOf('/');
-            return slash < 0 ? owner : owner.substring(0, slash);
+        String leaderHost() {
+            int slash = leader.lastIndexOf('/');
+            return slash < 0 ? leader : leader.substring(0, slash);
         }
     }
 
@@ -182,37 +187,37 @@
      * kept, because its tasks count against their team's quota until they have stopped, also under
      * the next leader.
      *
-     * @param part the shard of the job
+     * @param shardNumber the shard of the job
      * @param status the durable status
-     * @param tasks the number of tasks
-     * @param acceptedMs when the job was accepted, in wall-clock ms
-     * @param begun 0 for a job whose high-water mark is in the shard's records of marks, see {@link
-     *     StartMarks}. In records from before there were such, no task from this number on had ever
-     *     been started
-     * @param spec the fields of the job's description; null for a completed job
+     * @param taskCount the number of tasks
+     * @param acceptedWallMs when the job was accepted, in wall-clock ms
+     * @param highWaterMark 0 for a job whose high-water mark is in the shard's records of marks,
+     *     see {@link StartMarks}. In records from before there were such, no task from this number
+     *     on had ever been started
+     * @param specFields the fields of the job's description; null for a completed job
      */
     record JobRecord(
-            int part,
+            int shardNumber,
             JobStatus status,
-            int tasks,
-            long acceptedMs,
-            int begun,
-            Map<String, Object> spec) {
+            int taskCount,
+            long acceptedWallMs,
+            int highWaterMark,
+            Map<String, Object> specFields) {
         /** Reads the record from its stored fields. */
-        static JobRecord read(Map<String, Object> value) {
+        static JobRecord fromMap(Map<String, Object> value) {
             try {
-                FieldMap t = new FieldMap(value);
-                int tasks = (int) t.whole("tasks");
+                FieldMap fields = new FieldMap(value);
+                int taskCount = (int) fields.whole("tasks");
                 // A record from before there were high-water marks: any of its tasks may have been
                 // started.
-                int begun = t.has("begun") ? (int) t.whole("begun") : tasks;
+                int highWaterMark = fields.has("begun") ? (int) fields.whole("begun") : taskCount;
                 return new JobRecord(
-                        (int) t.whole("part"),
-                        JobStatus.valueOf(t.text("status")),
-                        tasks,
-                        t.whole("accepted"),
-                        begun,
-                        t.has("spec") ? t.map("spec").asMap() : null);
+                        (int) fields.whole("part"),
+                        JobStatus.valueOf(fields.text("status")),
+                        taskCount,
+                        fields.whole("accepted"),
+                        highWaterMark,
+                        fields.has("spec") ? fields.map("spec").asMap() : null);
             } catch (FieldMap.Missing e) {
                 throw new IllegalStateException(
                         "a job record of this service can't be read: " + e.getMessage());
@@ -220,19 +225,20 @@
         }
 
         /** Returns the record of a newly accepted job; the time is in wall-clock ms. */
-        static JobRecord open(int part, JobSpec spec, long acceptedMs) {
+        static JobRecord open(int shardNumber, JobSpec spec, long acceptedWallMs) {
             return new JobRecord(
-                    part,
+                    shardNumber,
                     JobStatus.OPEN,
                     spec.tasks(),
-                    acceptedMs,
+                    acceptedWallMs,
                     0,
                     UserFormat.description(spec));
         }
 
         /** Returns the record of the job once it is completed. */
-        JobRecord done() {
-            return new JobRecord(part, JobStatus.DONE, tasks, acceptedMs, begun, null);
+        JobRecord asDone() {
+            return new JobRecord(
+                    shardNumber, JobStatus.DONE, taskCount, acceptedWallMs, highWaterMark, null);
         }
 
         /**
@@ -241,22 +247,34 @@
          * needed to start tasks: otherwise the store would refuse the write each time, and the job
          * could never be cancelled.
          *
-         * @param valueBytes the size limit of a value in bytes
+         * @param maxValueBytes the size limit of a value in bytes
          */
-        JobRecord cancelled(int valueBytes) {
+        JobRecord asCancelled(int maxValueBytes) {
             JobRecord full =
-                    new JobRecord(part, JobStatus.CANCELLED, tasks, acceptedMs, begun, spec);
-            if (spec == null || FieldMap.jsonLength(full.write()) <= valueBytes) {
+                    new JobRecord(
+                            shardNumber,
+                            JobStatus.CANCELLED,
+                            taskCount,
+                            acceptedWallMs,
+                            highWaterMark,
+                            specFields);
+            if (specFields == null || FieldMap.jsonLength(full.toMap()) <= maxValueBytes) {
                 return full;
             }
-            Map<String, Object> resources = UserFormat.resourcesOnly(spec);
-            return new JobRecord(part, JobStatus.CANCELLED, tasks, acceptedMs, begun, resources);
+            Map<String, Object> resources = UserFormat.resourcesOnly(specFields);
+            return new JobRecord(
+                    shardNumber,
+                    JobStatus.CANCELLED,
+                    taskCount,
+                    acceptedWallMs,
+                    highWaterMark,
+                    resources);
         }
 
         /** Parses the job's description; the record must have one. */
-        JobSpec description() {
+        JobSpec parseSpec() {
             try {
-                return UserFormat.described(new FieldMap(spec));
+                return UserFormat.described(new FieldMap(specFields));
             } catch (FieldMap.Missing e) {
                 throw new IllegalStateException(
                         "a job description of this service can't be read: " + e.getMessage());
@@ -264,17 +282,17 @@
         }
 
         /** Returns the stored fields of the record. */
-        Map<String, Object> write() {
-            Map<String, Object> m = new LinkedHashMap<>();
-            m.put("part", (long) part);
-            m.put("status", status.name());
-            m.put("tasks", (long) tasks);
-            m.put("accepted", acceptedMs);
-            m.put("begun", (long) begun);
-            if (spec != null) {
-                m.put("spec", spec);
+        Map<String, Object> toMap() {
+            Map<String, Object> fields = new LinkedHashMap<>();
+            fields.put("part", (long) shardNumber);
+            fields.put("status", status.name());
+            fields.put("tasks", (long) taskCount);
+            fields.put("accepted", acceptedWallMs);
+            fields.put("begun", (long) highWaterMark);
+            if (specFields != null) {
+                fields.put("spec", specFields);
             }
-            return m;
+            return fields;
         }
     }
 
@@ -282,11 +300,11 @@
      * A completion record: completed tasks that would make the shard's own record exceed the size
      * limit of values.
      *
-     * @param ranges completed tasks as ranges by job
+     * @param completedRanges completed tasks as ranges by job
      */
-    record FinishedRecord(Map<String, Object> ranges) {
+    record FinishedRecord(Map<String, Object> completedRanges) {
         /** Reads the record from its stored fields. */
-        static FinishedRecord read(Map<String, Object> value) {
+        static FinishedRecord fromMap(Map<String, Object> value) {
             try {
                 return new FinishedRecord(new FieldMap(value).map("done").asMap());
             } catch (FieldMap.Missing e) {
@@ -297,37 +315,38 @@
         }
 
         /** Returns the stored fields of the record. */
-        Map<String, Object> write() {
-            return Map.of("done", ranges);
+        Map<String, Object> toMap() {
+            return Map.of("done", completedRanges);
         }
     }
 
     /**
      * High-water marks of a shard's jobs.
      *
-     * @param below by job, the task number from which on no task has ever been started
+     * @param highWaterMarks by job, the task number from which on no task has ever been started
      */
-    record MarkRecord(Map<String, Integer> below) {
+    record MarkRecord(Map<String, Integer> highWaterMarks) {
         /** Reads the record from its stored fields. */
-        static MarkRecord read(Map<String, Object> value) {
-            Map<String, Integer> below = new LinkedHashMap<>();
+        static MarkRecord fromMap(Map<String, Object> value) {
+            Map<String, Integer> highWaterMarks = new LinkedHashMap<>();
             try {
-                FieldMap t = new FieldMap(value).map("begun");
-                for (String id : t.asMap().keySet()) {
-                    below.put(id, (int) t.whole(id));
+                FieldMap fields = new FieldMap(value).map("begun");
+                for (String jobId : fields.asMap().keySet()) {
+                    highWaterMarks.put(jobId, (int) fields.whole(jobId));
                 }
             } catch (FieldMap.Missing e) {
                 throw new IllegalStateException(
                         "a record of marks of this service can't be read: " + e.getMessage());
             }
-            return new MarkRecord(below);
+            return new MarkRecord(highWaterMarks);
         }
 
         /** Returns the stored fields of a record of these marks. */
-        static Map<String, Object> write(Map<String, Integer> below) {
-            Map<String, Object> marks = new LinkedHashMap<>();
-            below.forEach((id, number) -> marks.put(id, (long) number));
-            return Map.of("begun", marks);
+        static Map<String, Object> toMap(Map<String, Integer> highWaterMarks) {
+            Map<String, Object> fields = new LinkedHashMap<>();
+            highWaterMarks.forEach(
+                    (jobId, highWaterMark) -> fields.put(jobId, (long) highWaterMark));
+            return Map.of("begun", fields);
         }
     }
 
@@ -338,11 +357,13 @@
      */
     record ArrivalRecord(Map<String, JobRecord> jobs) {
         /** Reads the record from its stored fields. */
-        static ArrivalRecord read(Map<String, Object> value) {
+        static ArrivalRecord fromMap(Map<String, Object> value) {
             Map<String, JobRecord> jobs = new LinkedHashMap<>();
             try {
-                for (String id : new FieldMap(value).map("jobs").asMap().keySet()) {
-                    jobs.put(id, JobRecord.read(new FieldMap(value).map("jobs").map(id).asMap()));
+                for (String jobId : new FieldMap(value).map("jobs").asMap().keySet()) {
+                    jobs.put(
+                            jobId,
+                            JobRecord.fromMap(new FieldMap(value).map("jobs").map(jobId).asMap()));
                 }
             } catch (FieldMap.Missing e) {
                 throw new IllegalStateException(
@@ -354,7 +375,7 @@
         /**
          * Returns the stored fields of a record of these jobs, which are already in stored form.
          */
-        static Map<String, Object> write(Map<String, Map<String, Object>> jobs) {
+        static Map<String, Object> toMap(Map<String, Map<String, Object>> jobs) {
             return Map.of("jobs", jobs);
         }
     }
@@ -370,63 +391,70 @@
          * Reads the record from its stored fields.
          *
          * @param value the stored fields
-         * @param parts the number of shards
+         * @param shardCount the number of shards
          */
-        static QuotaRecord read(Map<String, Object> value, int parts) {
+        static QuotaRecord fromMap(Map<String, Object> value, int shardCount) {
             return new QuotaRecord(
-                    amounts(value.get("cpus"), parts), amounts(value.get("gpus"), parts));
+                    sharesFrom(value.get("cpus"), shardCount),
+                    sharesFrom(value.get("gpus"), shardCount));
         }
 
         /**
          * Reads the shares of one resource. Shares for another number of shards are read as zeros,
          * which is safe.
          */
-        private static double[] amounts(Object list, int parts) {
-            double[] out = new double[parts];
-            if (list instanceof List<?> l && l.size() == parts) {
-                for (int i = 0; i < parts; i++) {
-                    out[i] = ((Number) l.get(i)).doubleValue();
+        private static double[] sharesFrom(Object list, int shardCount) {
+            double[] shares = new double[shardCount];
+            if (list instanceof List<?> numbers && numbers.size() == shardCount) {
+                for (int i = 0; i < shardCount; i++) {
+                    shares[i] = ((Number) numbers.get(i)).doubleValue();
                 }
             }
-            return out;
+            return shares;
         }
 
         /** Returns equal shares in whole units; the first shard also gets the remainder. */
-        static QuotaRecord split(double cpus, double gpus, int parts) {
-            return new QuotaRecord(split(cpus, parts), split(gpus, parts));
+        static QuotaRecord splitEvenly(double cpus, double gpus, int shardCount) {
+            return new QuotaRecord(splitEvenly(cpus, shardCount), splitEvenly(gpus, shardCount));
         }
 
-        private static double[] split(double amount, int parts) {
-            double[] out = new double[parts];
-            Arrays.fill(out, Math.floor(amount / parts));
-            out[0] = amount - out[parts - 1] * (parts - 1);
-            return out;
+        private static double[] splitEvenly(double amount, int shardCount) {
+            double[] shares = new double[shardCount];
+            Arrays.fill(shares, Math.floor(amount / shardCount));
+            shares[0] = amount - shares[shardCount - 1] * (shardCount - 1);
+            return shares;
         }
 
         /** Returns the stored fields of the record. */
-        Map<String, Object> write() {
-            Map<String, Object> m = new LinkedHashMap<>();
-            m.put("cpus", Arrays.stream(cpus).boxed().toList());
-            m.put("gpus", Arrays.stream(gpus).boxed().toList());
-            return m;
+        Map<String, Object> toMap() {
+            Map<String, Object> fields = new LinkedHashMap<>();
+            fields.put("cpus", Arrays.stream(cpus).boxed().toList());
+            fields.put("gpus", Arrays.stream(gpus).boxed().toList());
+            return fields;
         }
     }
 
     /**
-     * A machine's record, stored in a {@link MachineGroup}.
+     * A machine's record, stored in a {@link MachineGroupRecord}.
      *
-     * @param part the shard of the machine
+     * @param shardNumber the shard of the machine
      * @param type the name of its machine type
      * @param zone its zone
      * @param spot whether it is a spot machine
-     * @param rentedMs when it was provisioned, in wall-clock ms
-     * @param used whether tasks may have been started on it; written before the first start
+     * @param provisionedWallMs when it was provisioned, in wall-clock ms
+     * @param mayHaveRunTasks whether tasks may have been started on it; written before the first
+     *     start
      */
     record MachineRecord(
-            int part, String type, String zone, boolean spot, long rentedMs, boolean used) {
+            int shardNumber,
+            String type,
+            String zone,
+            boolean spot,
+            long provisionedWallMs,
+            boolean mayHaveRunTasks) {
         /** Returns the record with the mark that tasks may have been started on the machine. */
-        MachineRecord asUsed() {
-            return new MachineRecord(part, type, zone, spot, rentedMs, true);
+        MachineRecord withRunTasks() {
+            return new MachineRecord(shardNumber, type, zone, spot, provisionedWallMs, true);
         }
     }
 
@@ -437,39 +465,39 @@
      *
      * @param machines the records by machine id
      */
-    record MachineGroup(Map<String, MachineRecord> machines) {
+    record MachineGroupRecord(Map<String, MachineRecord> machines) {
         /**
          * Reads the group from its stored fields.
          *
          * @param key the key of the group, from which the machine ids are completed
          * @param value the stored fields
          */
-        static MachineGroup read(String key, Map<String, Object> value) {
+        static MachineGroupRecord fromMap(String key, Map<String, Object> value) {
             try {
-                FieldMap t = new FieldMap(value);
-                List<String> names = t.texts("names");
+                FieldMap fields = new FieldMap(value);
+                List<String> names = fields.texts("names");
                 Map<String, MachineRecord> machines = new TreeMap<>();
-                for (Map.Entry<String, Object> e : t.map("machines").asMap().entrySet()) {
-                    List<?> f = (List<?>) e.getValue();
+                for (Map.Entry<String, Object> e : fields.map("machines").asMap().entrySet()) {
+                    List<?> machineFields = (List<?>) e.getValue();
                     machines.put(
-                            key.substring(MACHINE.length()) + e.getKey(),
+                            key.substring(MACHINE_PREFIX.length()) + e.getKey(),
                             new MachineRecord(
-                                    (int) whole(f, 0),
-                                    names.get((int) whole(f, 1)),
-                                    names.get((int) whole(f, 2)),
-                                    whole(f, 3) == 1,
-                                    whole(f, 4),
-                                    whole(f, 5) == 1));
+                                    (int) wholeNumber(machineFields, 0),
+                                    names.get((int) wholeNumber(machineFields, 1)),
+                                    names.get((int) wholeNumber(machineFields, 2)),
+                                    wholeNumber(machineFields, 3) == 1,
+                                    wholeNumber(machineFields, 4),
+                                    wholeNumber(machineFields, 5) == 1));
                 }
-                return new MachineGroup(machines);
+                return new MachineGroupRecord(machines);
             } catch (FieldMap.Missing | ClassCastException | IndexOutOfBoundsException e) {
                 throw new IllegalStateException(
                         "a record of machines of this service can't be read: " + e.getMessage());
             }
         }
 
-        private static long whole(List<?> fields, int i) {
-            return ((Number) fields.get(i)).longValue();
+        private static long wholeNumber(List<?> fields, int index) {
+            return ((Number) fields.get(index)).longValue();
         }
 
         /**
@@ -479,27 +507,27 @@
          * @param machines the records by machine id
          * @return the fields; null, which removes the key, if there are no machines
          */
-        static Map<String, Object> write(String key, Map<String, MachineRecord> machines) {
+        static Map<String, Object> toMap(String key, Map<String, MachineRecord> machines) {
             if (machines.isEmpty()) {
                 return null;
             }
             List<String> names = new ArrayList<>();
-            Map<String, Object> lines = new LinkedHashMap<>();
+            Map<String, Object> machineFields = new LinkedHashMap<>();
             machines.forEach(
-                    (id, m) ->
-                            lines.put(
-                                    id.substring(key.length() - MACHINE.length()),
+                    (machineId, machine) ->
+                            machineFields.put(
+                                    machineId.substring(key.length() - MACHINE_PREFIX.length()),
                                     List.of(
-                                            (long) m.part,
-                                            name(names, m.type),
-                                            name(names, m.zone),
-                                            m.spot ? 1L : 0L,
-                                            m.rentedMs,
-                                            m.used ? 1L : 0L)));
-            return Map.of("names", names, "machines", lines);
+                                            (long) machine.shardNumber,
+                                            nameIndex(names, machine.type),
+                                            nameIndex(names, machine.zone),
+                                            machine.spot ? 1L : 0L,
+                                            machine.provisionedWallMs,
+                                            machine.mayHaveRunTasks ? 1L : 0L)));
+            return Map.of("names", names, "machines", machineFields);
         }
 
-        private static long name(List<String> names, String name) {
+        private static long nameIndex(List<String> names, String name) {
             if (!names.contains(name)) {
                 names.add(name);
             }
--- a/src/main/java/org/shoreusher/core/StoreView.java
+++ b/src/main/java/org/shoreusher/core/StoreView.java
@@ -34,27 +34,27 @@
          * @param before the previous entry; null: there was none
          * @param after the new entry; null: the key was removed
          */
-        void changed(String key, Entry before, Entry after);
+        void onChange(String key, Entry before, Entry after);
     }
 
     private final Outbox outbox;
     private final Listener listener;
-    private final long watchGapMs;
+    private final long watchIntervalMs;
     private final TreeMap<String, Entry> entries = new TreeMap<>();
 
     /** Versions at which keys were removed, kept until the watch has passed them. */
-    private final Object2LongOpenHashMap<String> removed = new Object2LongOpenHashMap<>();
+    private final Object2LongOpenHashMap<String> removalVersions = new Object2LongOpenHashMap<>();
 
     private boolean loading = true;
-    private boolean loaded;
-    private boolean busy;
-    private String page;
-    private TreeMap<String, Entry> incoming = new TreeMap<>();
-    private long startRevision;
+    private boolean isLoaded;
+    private boolean requestInFlight;
+    private String lastPageKey;
+    private TreeMap<String, Entry> pagedEntries = new TreeMap<>();
+    private long firstPageRevision;
     private long revision;
-    private long needRevision;
-    private long freshAt = Long.MIN_VALUE / 2;
-    private long nextAt;
+    private long requiredRevision;
+    private long completeAtMs = Long.MIN_VALUE / 2;
+    private long nextRequestMs;
 
     /**
      * Creates an empty cache; {@link #step} loads it.
@@ -66,17 +66,18 @@
     StoreView(Outbox outbox, Settings settings, Listener listener) {
         // A change wakes the watches of all nodes. Under a low rate limit they would use up all
         // calls.
-        double share = settings.stateRps() * Tuning.RATE_USE / settings.nodes();
-        watchGapMs =
+        double callsPerS = settings.stateRps() * Tuning.RATE_USE / settings.nodes();
+        watchIntervalMs =
                 Math.max(
-                        Tuning.WATCH_GAP_MS, (long) Math.ceil(1000 / (share * Tuning.WATCH_SHARE)));
+                        Tuning.WATCH_GAP_MS,
+                        (long) Math.ceil(1000 / (callsPerS * Tuning.WATCH_SHARE)));
         this.outbox = outbox;
         this.listener = listener;
     }
 
     /** Returns whether the cache has been complete once. */
-    boolean loaded() {
-        return loaded;
+    boolean isLoaded() {
+        return isLoaded;
     }
 
     /**
@@ -89,7 +90,7 @@
 
     /** Returns the ms since the last moment at which the cache was known to be complete. */
     long ageMs() {
-        return outbox.now.steadyMs() - freshAt;
+        return outbox.now.monotonicMs() - completeAtMs;
     }
 
     /** Returns the entry of a key, or null. */
@@ -101,16 +102,16 @@
      * Returns the version of a key; 0 if it is absent. This is the form that preconditions have.
      */
     long version(String key) {
-        Entry e = entries.get(key);
-        return e == null ? 0 : e.version();
+        Entry entry = entries.get(key);
+        return entry == null ? 0 : entry.version();
     }
 
     /**
      * Returns whether the cache contains the key, or contained it at a revision that the watch has
      * not passed yet.
      */
-    boolean hasOrHad(String key) {
-        return entries.containsKey(key) || removed.containsKey(key);
+    boolean containsOrRecentlyRemoved(String key) {
+        return entries.containsKey(key) || removalVersions.containsKey(key);
     }
 
     /** Returns the number of keys in memory. */
@@ -119,7 +120,7 @@
     }
 
     /** Returns a live view of the entries whose keys start with a prefix. */
-    SortedMap<String, Entry> under(String prefix) {
+    SortedMap<String, Entry> entriesWithPrefix(String prefix) {
         return entries.subMap(prefix, prefix + Character.MAX_VALUE);
     }
 
@@ -132,20 +133,21 @@
      */
     void apply(String key, Map<String, Object> value, long version) {
         Entry before = entries.get(key);
-        if ((before != null && before.version() >= version) || removed.getLong(key) >= version) {
+        if ((before != null && before.version() >= version)
+                || removalVersions.getLong(key) >= version) {
             return;
         }
         Entry after = value == null ? null : new Entry(value, version);
         if (after == null) {
             entries.remove(key);
             if (version > revision) {
-                removed.put(key, version);
+                removalVersions.put(key, version);
             }
         } else {
             entries.put(key, after);
         }
         if (before != null || after != null) {
-            listener.changed(key, before, after);
+            listener.onChange(key, before, after);
         }
     }
 
@@ -156,16 +158,16 @@
      * @param writes the values that were written
      * @return the revision at which the store applied the write
      */
-    long applied(StateReply reply, Map<String, Map<String, Object>> writes) {
-        long at;
+    long applyOwnWrites(StateReply reply, Map<String, Map<String, Object>> writes) {
+        long appliedRevision;
         try {
-            at = StateFormat.revision(new FieldMap(reply.body()));
+            appliedRevision = StateFormat.revision(new FieldMap(reply.body()));
         } catch (FieldMap.Missing e) {
             throw new IllegalStateException(
                     "the state service confirmed a write without its revision: " + e.getMessage());
         }
-        writes.forEach((key, value) -> apply(key, value, at));
-        return at;
+        writes.forEach((key, value) -> apply(key, value, appliedRevision));
+        return appliedRevision;
     }
 
     /**
@@ -173,39 +175,41 @@
      * version; they must not restore the key, or a completed job would count as open.
      */
     void evict(String key) {
-        Entry e = entries.remove(key);
-        if (e != null && e.version() > revision) {
-            removed.put(key, e.version());
+        Entry entry = entries.remove(key);
+        if (entry != null && entry.version() > revision) {
+            removalVersions.put(key, entry.version());
         }
     }
 
     /** Requests the next page or the next watch when it is due. */
     void step() {
-        if (busy || outbox.now.steadyMs() < nextAt) {
+        if (requestInFlight || outbox.now.monotonicMs() < nextRequestMs) {
             return;
         }
-        long sentAt = outbox.now.steadyMs();
-        StateOp op =
+        long sentAt = outbox.now.monotonicMs();
+        StateOp operation =
                 loading
-                        ? new StateOp.Page(page)
+                        ? new StateOp.Page(lastPageKey)
                         : new StateOp.Watch(
                                 revision,
-                                loaded && revision >= needRevision ? Tuning.WATCH_BLOCK_MS : 0);
-        busy =
-                outbox.state(
-                        op,
+                                isLoaded && revision >= requiredRevision
+                                        ? Tuning.WATCH_BLOCK_MS
+                                        : 0);
+        requestInFlight =
+                outbox.callStore(
+                        operation,
                         reply -> {
-                            busy = false;
+                            requestInFlight = false;
                             try {
-                                replied(reply, sentAt);
+                                onReply(reply, sentAt);
                             } catch (FieldMap.Missing e) {
-                                outbox.log("state: answer not understood: " + e.getMessage());
-                                retry();
+                                outbox.logInfo("state: answer not understood: " + e.getMessage());
+                                scheduleRetry();
                             }
                         });
     }
 
-    private void replied(StateReply reply, long sentAt) throws FieldMap.Missing {
+    private void onReply(StateReply reply, long sentAt) throws FieldMap.Missing {
         if (reply.status() == 410) {
             reload();
             return;
@@ -213,66 +217,68 @@
         if (reply.status() != 200) {
             // An answer that exceeds the size limit fails like a lost one, and would fail each
             // time.
-            if (loaded && !loading && ageMs() > Tuning.RELOAD_AFTER_MS) {
+            if (isLoaded && !loading && ageMs() > Tuning.RELOAD_AFTER_MS) {
                 reload();
             }
-            retry();
+            scheduleRetry();
             return;
         }
         FieldMap body = new FieldMap(reply.body());
         if (loading) {
-            paged(body);
+            onPage(body);
             return;
         }
         for (StateFormat.Entry change : StateFormat.changes(body)) {
             apply(change.key(), change.value(), change.version());
         }
         revision = Math.max(revision, StateFormat.revision(body));
-        removed.object2LongEntrySet().removeIf(e -> e.getLongValue() <= revision);
-        if (revision >= needRevision) {
+        removalVersions
+                .object2LongEntrySet()
+                .removeIf(removal -> removal.getLongValue() <= revision);
+        if (revision >= requiredRevision) {
             // The answer contains all changes up to the moment of the request, so the cache was
             // complete then.
-            freshAt = sentAt;
-            loaded = true;
+            completeAtMs = sentAt;
+            isLoaded = true;
         }
-        nextAt = outbox.now.steadyMs() + watchGapMs;
+        nextRequestMs = outbox.now.monotonicMs() + watchIntervalMs;
     }
 
-    private void paged(FieldMap body) throws FieldMap.Missing {
-        long at = StateFormat.revision(body);
-        if (page == null) {
-            startRevision = at;
+    private void onPage(FieldMap body) throws FieldMap.Missing {
+        long pageRevision = StateFormat.revision(body);
+        if (lastPageKey == null) {
+            firstPageRevision = pageRevision;
         }
-        for (StateFormat.Entry e : StateFormat.page(body)) {
-            incoming.put(e.key(), new Entry(e.value(), e.version()));
-            page = e.key();
+        for (StateFormat.Entry entry : StateFormat.page(body)) {
+            pagedEntries.put(entry.key(), new Entry(entry.value(), entry.version()));
+            lastPageKey = entry.key();
         }
-        if (StateFormat.more(body) && page != null) {
+        if (StateFormat.more(body) && lastPageKey != null) {
             return;
         }
         // Pages are read at different revisions. Watching from the first page's revision on makes
         // the cache consistent.
         for (String key : entries.keySet().toArray(new String[0])) {
-            if (!incoming.containsKey(key) && entries.get(key).version() <= startRevision) {
+            if (!pagedEntries.containsKey(key) && entries.get(key).version() <= firstPageRevision) {
                 Entry before = entries.remove(key);
-                listener.changed(key, before, null);
+                listener.onChange(key, before, null);
             }
         }
-        TreeMap<String, Entry> all = incoming;
-        incoming = new TreeMap<>();
+        TreeMap<String, Entry> loadedEntries = pagedEntries;
+        pagedEntries = new TreeMap<>();
         loading = false;
-        revision = startRevision;
-        needRevision = at;
-        all.forEach((key, e) -> apply(key, e.value(), e.version()));
+        revision = firstPageRevision;
+        requiredRevision = pageRevision;
+        loadedEntries.forEach((key, entry) -> apply(key, entry.value(), entry.version()));
     }
 
     private void reload() {
         loading = true;
-        page = null;
-        incoming = new TreeMap<>();
+        lastPageKey = null;
+        pagedEntries = new TreeMap<>();
     }
 
-    private void retry() {
-        nextAt = outbox.now.steadyMs() + Tuning.STATE_RETRY_MS;
+    private void scheduleRetry() {
+        nextRequestMs = outbox.now.monotonicMs() + Tuning.STATE_RETRY_MS;
     }
 }
--- a/src/main/java/org/shoreusher/core/TaskStops.java
+++ b/src/main/java/org/shoreusher/core/TaskStops.java
@@ -23,7 +23,7 @@
      * happens at once, without a grace period, and also during reconciliation.
      */
     void displace() {
-        if (!part.mayStart()
+        if (!part.canStartTasks()
                 || part.jobs().values().stream()
                         .allMatch(job -> job.spec.shape().ends() || job.waitingCount == 0)) {
             return;
@@ -40,16 +40,19 @@
     void preempt() {
         // Until all machines have reported, the tasks that they may still be running limit the
         // headroom, and stopping known tasks would not change that.
-        if (outbox.now.steadyMs() < nextPreemptMs || !part.rebuilt() || !part.mayStart()) {
+        if (outbox.now.monotonicMs() < nextPreemptMs
+                || !part.isReconciled()
+                || !part.canStartTasks()) {
             return;
         }
-        nextPreemptMs = outbox.now.steadyMs() + Tuning.PREEMPT_EVERY_MS;
+        nextPreemptMs = outbox.now.monotonicMs() + Tuning.PREEMPT_EVERY_MS;
         List<Job> ordered = part.openJobs().ordered();
         if (ordered.isEmpty()) {
             return;
         }
         for (TaskAttempt live :
-                new Preemption(part, part.urgency(), outbox.now).choose(ordered, part.planner())) {
+                new Preemption(part, part.schedulingOrder(), outbox.now)
+                        .choose(ordered, part.binPacker())) {
             live.stopping = true;
             halt(live, graceS(live));
         }
@@ -80,12 +83,12 @@
         Machine m = live.machine;
         // An unresponsive machine most likely cannot be reached: its lease expires, or its next
         // heartbeat is answered with the order.
-        if (part.holds()
+        if (part.isLeader()
                 && m.address != null
                 && m.heard
-                && outbox.now.steadyMs() - m.reportedAtMs < part.quietMs()
-                && outbox.now.steadyMs() - live.haltedAtMs > Tuning.HALT_AGAIN_MS) {
-            live.haltedAtMs = outbox.now.steadyMs();
+                && outbox.now.monotonicMs() - m.reportedAtMs < part.heartbeatTimeoutMs()
+                && outbox.now.monotonicMs() - live.haltedAtMs > Tuning.HALT_AGAIN_MS) {
+            live.haltedAtMs = outbox.now.monotonicMs();
             outbox.add(
                     new Effect.Orders(
                             m.address, part.term(), m.session, List.of(stop(live, graceS))));
--- a/src/main/java/org/shoreusher/core/TokenBucket.java
+++ b/src/main/java/org/shoreusher/core/TokenBucket.java
@@ -2,19 +2,19 @@
 
 /** A token bucket: limits a rate of calls and allows bursts. */
 public final class TokenBucket {
-    private final double perMs;
+    private final double tokensPerMs;
     private final double burst;
     private double tokens;
-    private long at = Long.MIN_VALUE;
+    private long refilledAtMs = Long.MIN_VALUE;
 
     /**
      * Creates a full bucket.
      *
-     * @param perSecond tokens gained per second
+     * @param tokensPerS tokens gained per second
      * @param burst the capacity; at least 1
      */
-    public TokenBucket(double perSecond, double burst) {
-        this.perMs = perSecond / 1000;
+    public TokenBucket(double tokensPerS, double burst) {
+        this.tokensPerMs = tokensPerS / 1000;
         this.burst = Math.max(1, burst);
         this.tokens = this.burst;
     }
@@ -23,11 +23,11 @@
      * Takes tokens if they are available. A request above the capacity is granted by a full bucket.
      *
      * @param count how many tokens are taken
-     * @param steadyMs the monotonic clock in ms
+     * @param nowMs the monotonic clock in ms
      * @return whether the tokens were taken
      */
-    public boolean take(double count, long steadyMs) {
-        refill(steadyMs);
+    public boolean tryAcquire(double count, long nowMs) {
+        refill(nowMs);
         if (tokens < Math.min(count, burst)) {
             return false;
         }
@@ -39,17 +39,17 @@
      * Takes tokens unconditionally. The balance may become negative, so that later requests wait.
      *
      * @param count how many tokens are taken
-     * @param steadyMs the monotonic clock in ms
+     * @param nowMs the monotonic clock in ms
      */
-    public void force(double count, long steadyMs) {
-        refill(steadyMs);
+    public void overdraw(double count, long nowMs) {
+        refill(nowMs);
         tokens -= count;
     }
 
-    private void refill(long steadyMs) {
-        if (at != Long.MIN_VALUE && steadyMs > at) {
-            tokens = Math.min(burst, tokens + (steadyMs - at) * perMs);
+    private void refill(long nowMs) {
+        if (refilledAtMs != Long.MIN_VALUE && nowMs > refilledAtMs) {
+            tokens = Math.min(burst, tokens + (nowMs - refilledAtMs) * tokensPerMs);
         }
-        at = Math.max(at, steadyMs);
+        refilledAtMs = Math.max(refilledAtMs, nowMs);
     }
 }
--- a/src/main/java/org/shoreusher/core/UserRequests.java
+++ b/src/main/java/org/shoreusher/core/UserRequests.java
@@ -25,7 +25,7 @@
     /** The source of task counts, which are for display only. */
     interface CountSource {
         /** The completed and running tasks of a job, as far as this node knows. */
-        Response.Counts counts(String id);
+        Response.TaskCounts counts(String id);
     }
 
     private final Settings settings;
@@ -56,11 +56,11 @@
             ToIntFunction<JobSpec> roomiestPart) {
         settings = context.settings();
         outbox = context.outbox();
-        view = context.view();
-        types = context.types();
-        formats = context.formats();
+        view = context.storeCache();
+        types = context.machineTypes();
+        formats = context.versionNegotiation();
         this.counts = counts;
-        arrivals = context.arrivals();
+        arrivals = context.submissionBatches();
         ended = new EndedJobs(settings, outbox, view);
         reads = new ConfirmedReads(settings, outbox, view, arrivals, ended, this::refuse);
         acceptance =
@@ -71,7 +71,8 @@
                         owner,
                         roomiestPart,
                         (request, id) ->
-                                answerIfKnown(request, id, () -> outbox.answerUnavailable(request)),
+                                answerIfKnown(
+                                        request, id, () -> outbox.respondUnavailable(request)),
                         (request, id) -> answerIfKnown(request, id, () -> refuseLong(request)));
     }
 
@@ -80,31 +81,31 @@
     /** A user asks for the state of a job. */
     void poll(long request, String id) {
         if (!JobSpec.isId(id)) {
-            outbox.answer(request, new Response.NotFound());
+            outbox.respond(request, new Response.NotFound());
             return;
         }
-        reads.ask(
+        reads.readBatched(
                 request,
                 id,
                 record -> {
                     if (record == null) {
-                        outbox.answer(request, new Response.NotFound());
+                        outbox.respond(request, new Response.NotFound());
                     } else {
-                        outbox.answer(request, polled(id, record));
+                        outbox.respond(request, polled(id, record));
                     }
                 });
     }
 
     private Response polled(String id, JobRecord record) {
-        Response.Counts c = counts.counts(id);
+        Response.TaskCounts c = counts.counts(id);
         return switch (record.status()) {
-            case DONE -> state(id, Shown.DONE, new Response.Counts(record.tasks(), 0));
-            case CANCELLED -> state(id, Shown.CANCELLED, new Response.Counts(c.done(), 0));
+            case DONE -> state(id, Shown.DONE, new Response.TaskCounts(record.taskCount(), 0));
+            case CANCELLED -> state(id, Shown.CANCELLED, new Response.TaskCounts(c.completed(), 0));
             case OPEN -> state(id, c.running() > 0 ? Shown.RUNNING : Shown.PENDING, c);
         };
     }
 
-    private static Response state(String id, Shown shown, Response.Counts counts) {
+    private static Response state(String id, Shown shown, Response.TaskCounts counts) {
         return new Response.JobState(id, shown, counts, false);
     }
 
@@ -116,32 +117,32 @@
      */
     void submit(long request, String id, JobSpec spec, String problem) {
         if (!JobSpec.isId(id)) {
-            outbox.answer(request, new Response.Malformed(problem == null ? NO_ID : problem));
+            outbox.respond(request, new Response.Malformed(problem == null ? NO_ID : problem));
             return;
         }
         // A known job is answered with its state, whether or not the body is valid.
         if (spec != null
-                && view.loaded()
+                && view.isLoaded()
                 && arrivals.record(id) == null
                 && ended.get(id) == null
                 && verdict(spec) == Verdict.RUNS) {
             accept(request, spec);
             return;
         }
-        reads.ask(
+        reads.readBatched(
                 request,
                 id,
                 record -> {
                     if (record != null) {
                         known(request, id, record);
                     } else if (spec == null) {
-                        outbox.answer(request, new Response.Malformed(problem));
+                        outbox.respond(request, new Response.Malformed(problem));
                     } else {
                         switch (verdict(spec)) {
                             case RUNS -> accept(request, spec);
                             case NEVER ->
-                                    outbox.answer(request, new Response.CannotRun(NEVER_RUNS));
-                            case UNKNOWN -> outbox.answerUnavailable(request);
+                                    outbox.respond(request, new Response.CannotRun(NEVER_RUNS));
+                            case UNKNOWN -> outbox.respondUnavailable(request);
                         }
                     }
                 });
@@ -149,7 +150,7 @@
 
     /** Reads the job from the store, and answers with its state if there is one. */
     private void answerIfKnown(long request, String id, Runnable otherwise) {
-        reads.read(
+        reads.readIndividually(
                 request,
                 id,
                 record -> {
@@ -166,11 +167,11 @@
      * job that was accepted under a higher limit must be found even if this node's cache lags.
      */
     private void refuseLong(long request) {
-        outbox.answer(request, new Response.Malformed(TOO_LONG));
+        outbox.respond(request, new Response.Malformed(TOO_LONG));
     }
 
     private void known(long request, String id, JobRecord record) {
-        outbox.answer(
+        outbox.respond(
                 request,
                 new Response.JobState(
                         id,
@@ -202,7 +203,7 @@
         }
         // A node of a version without services would treat a replica as a batch task and complete
         // the job when the replica exits.
-        if (!types.known() || (!spec.shape().ends() && !formats.services())) {
+        if (!types.known() || (!spec.shape().ends() && !formats.areServicesSupported())) {
             return Verdict.UNKNOWN;
         }
         return types.all().stream().anyMatch(t -> t.fits(spec)) ? Verdict.RUNS : Verdict.NEVER;
@@ -217,34 +218,38 @@
     /** A user cancels a job. */
     void cancel(long request, String id) {
         if (!JobSpec.isId(id)) {
-            outbox.answer(request, new Response.NotFound());
+            outbox.respond(request, new Response.NotFound());
             return;
         }
-        reads.ask(request, id, record -> cancel(request, id, record, Tuning.WRITE_TRIES));
+        reads.readBatched(request, id, record -> cancel(request, id, record, Tuning.WRITE_TRIES));
     }
 
     private void cancel(long request, String id, JobRecord record, int tries) {
         if (record == null) {
-            outbox.answer(request, new Response.NotFound());
+            outbox.respond(request, new Response.NotFound());
         } else if (record.status() == JobStatus.DONE) {
-            outbox.answer(request, new Response.JobState(id, Shown.DONE));
+            outbox.respond(request, new Response.JobState(id, Shown.DONE));
         } else if (record.status() == JobStatus.CANCELLED) {
-            outbox.answer(request, new Response.JobState(id, Shown.CANCELLED));
+            outbox.respond(request, new Response.JobState(id, Shown.CANCELLED));
         } else {
             Map<String, Map<String, Object>> writes =
-                    Map.of(StoreSchema.job(id), record.cancelled(settings.valueBytes()).write());
+                    Map.of(
+                            StoreSchema.jobKey(id),
+                            record.asCancelled(settings.valueBytes()).toMap());
             write(
                     request,
                     new StateOp.Multi(
-                            Map.of(StoreSchema.job(id), view.version(StoreSchema.job(id))), writes),
+                            Map.of(StoreSchema.jobKey(id), view.version(StoreSchema.jobKey(id))),
+                            writes),
                     Tuning.WRITE_TRIES,
                     reply -> {
                         if (reply.status() == 200) {
-                            outbox.answer(request, new Response.JobState(id, Shown.CANCELLED));
+                            outbox.respond(request, new Response.JobState(id, Shown.CANCELLED));
                         } else if (tries > 1) {
-                            reads.read(request, id, now -> cancel(request, id, now, tries - 1));
+                            reads.readIndividually(
+                                    request, id, now -> cancel(request, id, now, tries - 1));
                         } else {
-                            outbox.answerUnavailable(request);
+                            outbox.respondUnavailable(request);
                         }
                     });
         }
@@ -260,33 +265,33 @@
         }
         writing++;
         boolean sent =
-                outbox.stateForUser(
+                outbox.callStoreForUser(
                         op,
                         reply -> {
                             writing--;
                             if (reply.status() == 200) {
-                                view.applied(reply, op.writes());
+                                view.applyOwnWrites(reply, op.writes());
                                 then.accept(reply);
                             } else if (reply.status() == 409) {
                                 then.accept(reply);
                             } else if (reply.status() == 429 && tries > 1) {
                                 write(request, op, tries - 1, then);
                             } else {
-                                outbox.answerUnavailable(request);
+                                outbox.respondUnavailable(request);
                             }
                         });
         if (!sent) {
             writing--;
-            outbox.answerUnavailable(request);
+            outbox.respondUnavailable(request);
         }
     }
 
     /** Sends the writes and reads that have gathered, and gives the answers that are due. */
     void step() {
         acceptance.step();
-        reads.answerUnseen();
+        reads.answerCaughtUpReads();
         ended.step();
-        reads.send();
+        reads.sendBatch();
     }
 
     /** The jobs in a terminal state, which the cache of the store evicts. */
@@ -296,10 +301,10 @@
 
     /** Refuses the request if this node can't serve it now; returns whether it did. */
     private boolean refuse(long request) {
-        if (!view.loaded()
-                || outbox.stateAway()
-                || writing + reads.waiting() >= Tuning.MAX_USER_WORK) {
-            outbox.answerUnavailable(request);
+        if (!view.isLoaded()
+                || outbox.isStoreUnavailable()
+                || writing + reads.pendingCount() >= Tuning.MAX_USER_WORK) {
+            outbox.respondUnavailable(request);
             return true;
         }
         return false;
--- a/src/main/java/org/shoreusher/state/StateClient.java
+++ b/src/main/java/org/shoreusher/state/StateClient.java
@@ -30,13 +30,13 @@
 
     /** Sends a call. The core gets exactly one reply; its status is 0 on failure or timeout. */
     public void call(Effect.StateCall call) {
-        StateFormat.Request request = StateFormat.request(call.op());
-        long wait = call.op() instanceof Effect.StateOp.Watch w ? w.blockMs() : 0;
+        StateFormat.Request request = StateFormat.request(call.operation());
+        long wait = call.operation() instanceof Effect.StateOp.Watch w ? w.blockMs() : 0;
         HttpCaller line = call.urgent() ? renewals : caller;
         line.call(
                 request.path(),
                 request.body(),
                 Tuning.STATE_TIMEOUT_MS + wait,
-                (status, body) -> core.accept(new Command.StateReply(call.call(), status, body)));
+                (status, body) -> core.accept(new Command.StateReply(call.callId(), status, body)));
     }
 }
--- a/src/main/java/org/shoreusher/user/HttpFrontend.java
+++ b/src/main/java/org/shoreusher/user/HttpFrontend.java
@@ -124,8 +124,8 @@
     }
 
     /** Sends the core's response, unless the connection has been closed meanwhile. */
-    public void answer(Effect.Answer answer) {
-        Waiting w = waiting.remove(answer.request());
+    public void answer(Effect.Respond answer) {
+        Waiting w = waiting.remove(answer.requestId());
         if (w == null) {
             return;
         }
--- a/src/main/java/org/shoreusher/wire/CloudFormat.java
+++ b/src/main/java/org/shoreusher/wire/CloudFormat.java
@@ -23,12 +23,13 @@
             return new StateFormat.Request("/flavors", null);
         }
         if (op instanceof CloudOp.Listing list) {
-            String after = list.after() == null ? "" : "after=" + list.after() + "&";
+            String after =
+                    list.afterMachineId() == null ? "" : "after=" + list.afterMachineId() + "&";
             return new StateFormat.Request("/rentals?" + after + "most=" + Tuning.PAGE, null);
         }
         Map<String, Object> body = new LinkedHashMap<>();
         if (op instanceof CloudOp.Return back) {
-            body.put("boxes", back.machines());
+            body.put("boxes", back.machineIds());
             return new StateFormat.Request("/rentals/return", body);
         }
         CloudOp.Rent rent = (CloudOp.Rent) op;
--- a/src/main/java/org/shoreusher/wire/ResponseFormat.java
+++ b/src/main/java/org/shoreusher/wire/ResponseFormat.java
@@ -44,13 +44,13 @@
         if (response instanceof Response.JobState state) {
             return jobState(state);
         } else if (response instanceof Response.Orders orders) {
-            return WorkerFormat.answer(orders.term(), orders.orders());
+            return WorkerFormat.answer(orders.fencingToken(), orders.orders());
         } else if (response instanceof Response.Elsewhere elsewhere) {
             return Map.of("foreman", elsewhere.host());
         } else if (response instanceof Response.Malformed malformed) {
-            return error(malformed.problem());
+            return error(malformed.reason());
         } else if (response instanceof Response.CannotRun cannot) {
-            return error(cannot.problem());
+            return error(cannot.reason());
         }
         return Map.of();
     }
@@ -62,18 +62,18 @@
 
     private static Map<String, Object> jobState(Response.JobState state) {
         Map<String, Object> body = new LinkedHashMap<>();
-        body.put("name_id", state.id());
+        body.put("name_id", state.jobId());
         body.put(
                 "status",
-                switch (state.shown()) {
+                switch (state.displayState()) {
                     case PENDING -> "pending";
                     case RUNNING -> "running";
                     case DONE -> "done";
                     case CANCELLED -> "aborted";
                 });
-        if (state.counts() != null) {
-            body.put("done", (long) state.counts().done());
-            body.put("running", (long) state.counts().running());
+        if (state.taskCounts() != null) {
+            body.put("done", (long) state.taskCounts().completed());
+            body.put("running", (long) state.taskCounts().running());
         }
         return body;
     }
--- a/src/main/java/org/shoreusher/wire/StateFormat.java
+++ b/src/main/java/org/shoreusher/wire/StateFormat.java
@@ -26,16 +26,21 @@
             return new Request("/store/" + get.key(), null);
         }
         if (op instanceof StateOp.Page page) {
-            String after = page.after() == null ? "" : "&after=" + page.after();
+            String after = page.afterKey() == null ? "" : "&after=" + page.afterKey();
             return new Request("/store?prefix=" + after + "&most=" + Tuning.PAGE, null);
         }
         if (op instanceof StateOp.Watch watch) {
             return new Request(
-                    "/watch?prefix=&after=" + watch.after() + "&block_ms=" + watch.blockMs(), null);
+                    "/watch?prefix=&after="
+                            + watch.afterRevision()
+                            + "&block_ms="
+                            + watch.blockMs(),
+                    null);
         }
         StateOp.Multi multi = (StateOp.Multi) op;
         List<Object> guards = new ArrayList<>();
-        multi.guards().forEach((key, version) -> guards.add(map("k", key, "stamp", version)));
+        multi.preconditions()
+                .forEach((key, version) -> guards.add(map("k", key, "stamp", version)));
         List<Object> writes = new ArrayList<>();
         multi.writes()
                 .forEach(
--- a/src/main/java/org/shoreusher/worker/WorkerClient.java
+++ b/src/main/java/org/shoreusher/worker/WorkerClient.java
@@ -26,7 +26,7 @@
      * calls are in flight; the worker then gets them with the response to its next heartbeat.
      */
     public void send(Effect.Orders orders) {
-        Settings.Address address = Settings.addressOrNull(orders.address());
+        Settings.Address address = Settings.addressOrNull(orders.workerAddress());
         if (address == null || inFlight >= Tuning.ORDERS_AT_ONCE) {
             return;
         }
@@ -34,7 +34,8 @@
         new HttpCaller(loop, address, 0)
                 .call(
                         "/orders",
-                        WorkerFormat.direct(orders.token(), orders.session(), orders.orders()),
+                        WorkerFormat.direct(
+                                orders.fencingToken(), orders.workerIncarnation(), orders.orders()),
                         Tuning.ORDERS_TIMEOUT_MS,
                         (status, body) -> inFlight--);
     }
--- a/src/test/java/org/shoreusher/core/ArrivalsTest.java
+++ b/src/test/java/org/shoreusher/core/ArrivalsTest.java
@@ -41,22 +41,22 @@
                             outbox,
                             SETTINGS,
                             (key, before, after) -> {
-                                if (key.startsWith(StoreSchema.ARRIVED)) {
+                                if (key.startsWith(StoreSchema.SUBMISSION_BATCH_PREFIX)) {
                                     arrivals[0].changed(key, after, (id, record) -> told.add(id));
                                 }
                             });
             arrivals[0] = new Arrivals(SETTINGS, outbox, view);
             if (ended) {
                 view.apply(
-                        StoreSchema.job("wk-1"),
-                        StoreSchema.JobRecord.open(0, spec, 0).done().write(),
+                        StoreSchema.jobKey("wk-1"),
+                        StoreSchema.JobRecord.open(0, spec, 0).asDone().toMap(),
                         9);
-                view.evict(StoreSchema.job("wk-1"));
+                view.evict(StoreSchema.jobKey("wk-1"));
             }
             view.apply(
-                    StoreSchema.arrived("n/1", 1),
-                    StoreSchema.ArrivalRecord.write(
-                            Map.of("wk-1", StoreSchema.JobRecord.open(0, spec, 0).write())),
+                    StoreSchema.submissionBatchKey("n/1", 1),
+                    StoreSchema.ArrivalRecord.toMap(
+                            Map.of("wk-1", StoreSchema.JobRecord.open(0, spec, 0).toMap())),
                     6);
             assertEquals(ended ? List.of() : List.of("wk-1"), told);
             if (ended) {
--- a/src/test/java/org/shoreusher/core/NamedStandbyTest.java
+++ b/src/test/java/org/shoreusher/core/NamedStandbyTest.java
@@ -13,29 +13,29 @@
 
     @Example
     void aNameMayStandFromBeforeItsWriteUntilALaterVersionIsKnown() {
-        assertTrue(standby.surelyNone());
-        standby.want(NAME);
-        assertTrue(standby.surelyNone());
-        standby.sending(NAME);
-        assertFalse(standby.surelyNone());
+        assertTrue(standby.isDefinitelyNone());
+        standby.setDesired(NAME);
+        assertTrue(standby.isDefinitelyNone());
+        standby.onWriteSent(NAME);
+        assertFalse(standby.isDefinitelyNone());
         // The response is lost. The next write removes the name, and its response is lost as
         // well.
-        standby.want(null);
-        standby.sending(null);
-        assertFalse(standby.surelyNone());
-        standby.settled(null);
-        assertTrue(standby.surelyNone());
+        standby.setDesired(null);
+        standby.onWriteSent(null);
+        assertFalse(standby.isDefinitelyNone());
+        standby.onRecordConfirmed(null);
+        assertTrue(standby.isDefinitelyNone());
     }
 
     @Example
     void aRecordReadAnewThatHoldsTheNameKeepsIt() {
-        standby.want(NAME);
-        standby.sending(NAME);
-        standby.want(null);
-        standby.settled(NAME);
-        assertFalse(standby.surelyNone());
-        assertFalse(standby.asWanted());
-        standby.want(NAME);
-        assertTrue(standby.asWanted());
+        standby.setDesired(NAME);
+        standby.onWriteSent(NAME);
+        standby.setDesired(null);
+        standby.onRecordConfirmed(NAME);
+        assertFalse(standby.isDefinitelyNone());
+        assertFalse(standby.isDesiredStored());
+        standby.setDesired(NAME);
+        assertTrue(standby.isDesiredStored());
     }
 }
--- a/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
+++ b/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
@@ -29,9 +29,9 @@
 
     /** Returns the first operation that was sent to the store, or null. */
     private static StateOp asked(Outbox outbox) {
-        return outbox.drain().stream()
+        return outbox.drainEffects().stream()
                 .filter(e -> e instanceof Effect.StateCall)
-                .map(e -> ((Effect.StateCall) e).op())
+                .map(e -> ((Effect.StateCall) e).operation())
                 .findFirst()
                 .orElse(null);
     }
@@ -52,13 +52,13 @@
         outbox.now = new ClockReading(1_000, 1_000);
         view.step();
         assertTrue(asked(outbox) instanceof StateOp.Page);
-        outbox.replied(
+        outbox.onReply(
                 new StateReply(1, 200, Map.of("entries", List.of(), "more", false, "ledger", 5L)));
         view.apply("job/wk-1", Map.of("status", "DONE"), 9);
         view.evict("job/wk-1");
         view.step();
         assertEquals(new StateOp.Watch(5, 0), asked(outbox));
-        outbox.replied(
+        outbox.onReply(
                 new StateReply(
                         2,
                         200,
@@ -76,7 +76,7 @@
                                                 6L)))));
         assertNull(view.get("job/wk-1"));
         assertEquals(List.of("job/wk-1"), seen);
-        assertTrue(view.loaded());
+        assertTrue(view.isLoaded());
     }
 
     /**
@@ -92,20 +92,21 @@
         outbox.now = new ClockReading(1_000, 1_000);
         view.step();
         asked(outbox);
-        outbox.replied(
+        outbox.onReply(
                 new StateReply(1, 200, Map.of("entries", List.of(), "more", false, "ledger", 5L)));
         view.step();
         asked(outbox);
-        outbox.replied(new StateReply(2, 200, Map.of("ledger", 5L, "log", List.of())));
+        outbox.onReply(new StateReply(2, 200, Map.of("ledger", 5L, "log", List.of())));
         StateOp last = null;
         for (int call = 3; call < 100 && !(last instanceof StateOp.Page); call++) {
-            outbox.now = new ClockReading(outbox.now.steadyMs() + 500, outbox.now.wallMs() + 500);
+            outbox.now =
+                    new ClockReading(outbox.now.monotonicMs() + 500, outbox.now.wallMs() + 500);
             view.step();
             last = asked(outbox);
             assertTrue(
-                    last instanceof StateOp.Page == outbox.now.steadyMs() > 21_000 + 500,
-                    "at " + outbox.now.steadyMs() + " asked for " + last);
-            outbox.replied(new StateReply(call, 0, null));
+                    last instanceof StateOp.Page == outbox.now.monotonicMs() > 21_000 + 500,
+                    "at " + outbox.now.monotonicMs() + " asked for " + last);
+            outbox.onReply(new StateReply(call, 0, null));
         }
         assertTrue(last instanceof StateOp.Page);
     }
@@ -116,13 +117,13 @@
     @Property(tries = 300, seed = "21")
     void sharesSumToTheLimit(
             @ForAll @IntRange(max = 500) int limit, @ForAll @IntRange(min = 1, max = 5) int parts) {
-        QuotaRecord record = QuotaRecord.split(limit, 0, parts);
+        QuotaRecord record = QuotaRecord.splitEvenly(limit, 0, parts);
         assertEquals(limit, Arrays.stream(record.cpus()).sum(), 1e-9);
         assertTrue(Arrays.stream(record.cpus()).allMatch(c -> c >= 0));
-        QuotaRecord read = QuotaRecord.read(record.write(), parts);
+        QuotaRecord read = QuotaRecord.fromMap(record.toMap(), parts);
         assertTrue(Arrays.equals(record.cpus(), read.cpus()));
         // Shares for another number of shards are ignored.
-        assertEquals(0, Arrays.stream(QuotaRecord.read(record.write(), parts + 1).cpus()).sum());
+        assertEquals(0, Arrays.stream(QuotaRecord.fromMap(record.toMap(), parts + 1).cpus()).sum());
     }
 
     /** A shard without a demand report keeps its share, and urgent demand is served first. */
@@ -176,23 +177,26 @@
                             outbox,
                             s,
                             (key, before, after) -> {
-                                if (key.startsWith(StoreSchema.ARRIVED)) {
+                                if (key.startsWith(StoreSchema.SUBMISSION_BATCH_PREFIX)) {
                                     arrivals[0].changed(
-                                            key, after, (id, record) -> told.add(record.part()));
+                                            key,
+                                            after,
+                                            (id, record) -> told.add(record.shardNumber()));
                                 }
                             });
             arrivals[0] = new Arrivals(s, outbox, view);
             for (int part : olderFirst ? new int[] {1, 0} : new int[] {0, 1}) {
                 view.apply(
-                        StoreSchema.arrived("n/" + part, 1),
-                        StoreSchema.ArrivalRecord.write(
-                                Map.of("wk-1", StoreSchema.JobRecord.open(part, spec, 0).write())),
+                        StoreSchema.submissionBatchKey("n/" + part, 1),
+                        StoreSchema.ArrivalRecord.toMap(
+                                Map.of("wk-1", StoreSchema.JobRecord.open(part, spec, 0).toMap())),
                         part == 1 ? 5 : 6);
             }
-            assertEquals(1, arrivals[0].record("wk-1").part());
+            assertEquals(1, arrivals[0].record("wk-1").shardNumber());
             assertEquals(1, told.get(told.size() - 1));
-            view.apply(StoreSchema.job("wk-1"), StoreSchema.JobRecord.open(0, spec, 0).write(), 7);
-            assertEquals(0, arrivals[0].record("wk-1").part());
+            view.apply(
+                    StoreSchema.jobKey("wk-1"), StoreSchema.JobRecord.open(0, spec, 0).toMap(), 7);
+            assertEquals(0, arrivals[0].record("wk-1").shardNumber());
         }
     }
 
@@ -232,7 +236,9 @@
                             0);
             jobs.put(job.id, job);
             view.apply(
-                    StoreSchema.job(job.id), StoreSchema.JobRecord.open(0, job.spec, 0).write(), 1);
+                    StoreSchema.jobKey(job.id),
+                    StoreSchema.JobRecord.open(0, job.spec, 0).toMap(),
+                    1);
         }
         StartMarks marks =
                 new StartMarks(
@@ -246,11 +252,11 @@
                 round < 200 && jobs.values().stream().anyMatch(j -> j.startBelow == 0);
                 round++) {
             jobs.values().forEach(j -> marks.want(j, j.startBelow == 0 ? 1 : 0));
-            outbox.now = new ClockReading(outbox.now.steadyMs() + 300, outbox.now.wallMs() + 10);
+            outbox.now = new ClockReading(outbox.now.monotonicMs() + 300, outbox.now.wallMs() + 10);
             marks.write();
-            for (Effect e : outbox.drain()) {
+            for (Effect e : outbox.drainEffects()) {
                 Effect.StateCall call = (Effect.StateCall) e;
-                ((StateOp.Multi) call.op())
+                ((StateOp.Multi) call.operation())
                         .writes()
                         .forEach(
                                 (key, value) ->
@@ -258,7 +264,7 @@
                                                 org.shoreusher.wire.FieldMap.jsonLength(value)
                                                         <= s.valueBytes(),
                                                 key));
-                outbox.replied(new StateReply(call.call(), 200, Map.of("ledger", ++revision)));
+                outbox.onReply(new StateReply(call.callId(), 200, Map.of("ledger", ++revision)));
             }
         }
         Map<String, Job> taken = new java.util.LinkedHashMap<>();
--- a/src/test/java/org/shoreusher/core/PiecesTest.java
+++ b/src/test/java/org/shoreusher/core/PiecesTest.java
@@ -75,7 +75,7 @@
         for (int pause : pauses) {
             now += pause;
             for (int i = 0; i < 20; i++) {
-                if (bucket.take(1, now)) {
+                if (bucket.tryAcquire(1, now)) {
                     taken.add(now);
                 }
             }
@@ -94,18 +94,19 @@
         PartLease lease = new PartLease(s);
         long written = 1_000_000;
         long ownerOff = r.nextInt(2 * off + 1) - off;
-        lease.confirmed(
-                written + ownerOff + PartLease.leaseMs(s), new ClockReading(0, written + ownerOff));
-        for (long t = 0; t < PartLease.leaseMs(s) + 4_000; t += 13) {
+        lease.onConfirmed(
+                written + ownerOff + PartLease.durationMs(s),
+                new ClockReading(0, written + ownerOff));
+        for (long t = 0; t < PartLease.durationMs(s) + 4_000; t += 13) {
             // The wall clock deviates within its bound; the monotonic clock may run up to 0.05%
             // fast.
             long ownerWall = written + t + r.nextInt(2 * off + 1) - off;
             long takerWall = written + t + r.nextInt(2 * off + 1) - off;
-            boolean acts = lease.holds(new ClockReading((long) (t * 1.0005), ownerWall));
+            boolean acts = lease.isValid(new ClockReading((long) (t * 1.0005), ownerWall));
             boolean taken =
-                    PartLease.free(
+                    PartLease.isAcquirable(
                             s,
-                            written + ownerOff + PartLease.leaseMs(s),
+                            written + ownerOff + PartLease.durationMs(s),
                             new ClockReading(0, takerWall));
             assertFalse(acts && taken, "both at " + t);
         }
@@ -118,11 +119,14 @@
             @ForAll @IntRange(min = 1, max = 120) int cancel,
             @ForAll @IntRange(max = 500) int off) {
         Settings s = settings(off, workerLease, cancel);
-        long grace = PartLease.graceMs(s);
+        long grace = PartLease.gracePeriodMs(s);
         assertTrue(grace >= 0);
         assertTrue(
                 grace == 0
-                        || PartLease.leaseMs(s) + grace + PartLease.workerLeaseMs(s) + 2 * off
+                        || PartLease.durationMs(s)
+                                        + grace
+                                        + PartLease.workerLeaseBoundMs(s)
+                                        + 2 * off
                                 <= cancel * 1000L);
     }
 
--- a/src/test/java/org/shoreusher/core/StartMarksTest.java
+++ b/src/test/java/org/shoreusher/core/StartMarksTest.java
@@ -58,7 +58,9 @@
                             .build();
             jobs.put(spec.id(), new Job(spec.id(), spec, 0));
             view.apply(
-                    StoreSchema.job(spec.id()), StoreSchema.JobRecord.open(0, spec, 0).write(), 1);
+                    StoreSchema.jobKey(spec.id()),
+                    StoreSchema.JobRecord.open(0, spec, 0).toMap(),
+                    1);
         }
         StartMarks marks =
                 new StartMarks(
@@ -82,11 +84,11 @@
             jobs.values().stream()
                     .filter(j -> j.startBelow == 0 && random.nextInt(3) == 0)
                     .forEach(j -> marks.want(j, 1));
-            outbox.now = new ClockReading(outbox.now.steadyMs() + 300, outbox.now.wallMs() + 10);
+            outbox.now = new ClockReading(outbox.now.monotonicMs() + 300, outbox.now.wallMs() + 10);
             marks.write();
-            for (Effect e : outbox.drain()) {
+            for (Effect e : outbox.drainEffects()) {
                 Effect.StateCall call = (Effect.StateCall) e;
-                ((StateOp.Multi) call.op())
+                ((StateOp.Multi) call.operation())
                         .writes()
                         .forEach(
                                 (key, value) ->
@@ -94,9 +96,9 @@
                                                 FieldMap.jsonLength(value) <= SETTINGS.valueBytes(),
                                                 key));
                 boolean fails = round < 20 || (round < 100 && random.nextInt(3) > 0);
-                outbox.replied(
+                outbox.onReply(
                         new StateReply(
-                                call.call(),
+                                call.callId(),
                                 fails ? new int[] {0, 503, 429}[random.nextInt(3)] : 200,
                                 fails ? null : Map.of("ledger", ++revision)));
             }
--- a/src/test/java/org/shoreusher/model/CloudModel.java
+++ b/src/test/java/org/shoreusher/model/CloudModel.java
@@ -123,9 +123,9 @@
         } else if (op instanceof CloudOp.Types) {
             reply.answer(200, Map.of("presses", types()));
         } else if (op instanceof CloudOp.Listing listing) {
-            reply.answer(200, page(listing.after()));
+            reply.answer(200, page(listing.afterMachineId()));
         } else if (op instanceof CloudOp.Return back) {
-            for (String id : back.machines()) {
+            for (String id : back.machineIds()) {
                 WorkerModel w = machines.get(id);
                 if (w != null) {
                     take(w);
--- a/src/test/java/org/shoreusher/model/EffectHash.java
+++ b/src/test/java/org/shoreusher/model/EffectHash.java
@@ -35,23 +35,23 @@
     private long effects;
 
     void take(String host, Effect effect) {
-        if (effect instanceof Effect.Answer a) {
-            begin(ANSWER, host).putLong(a.request());
+        if (effect instanceof Effect.Respond a) {
+            begin(ANSWER, host).putLong(a.requestId());
             stream.putInt(ResponseFormat.status(a.response()));
             stream.putInt(ResponseFormat.retryAfterS(a.response()));
             body(ResponseFormat.body(a.response()));
         } else if (effect instanceof Effect.StateCall c) {
-            begin(STATE, host).putLong(c.call()).putBoolean(c.urgent());
-            request(StateFormat.request(c.op()));
+            begin(STATE, host).putLong(c.callId()).putBoolean(c.urgent());
+            request(StateFormat.request(c.operation()));
         } else if (effect instanceof Effect.CloudCall c) {
-            begin(CLOUD, host).putLong(c.call());
-            request(CloudFormat.request(c.op()));
+            begin(CLOUD, host).putLong(c.callId());
+            request(CloudFormat.request(c.operation()));
         } else if (effect instanceof Effect.Orders o) {
-            begin(ORDERS, host).putString(o.address());
-            body(WorkerFormat.direct(o.token(), o.session(), o.orders()));
+            begin(ORDERS, host).putString(o.workerAddress());
+            body(WorkerFormat.direct(o.fencingToken(), o.workerIncarnation(), o.orders()));
         } else if (effect instanceof Effect.Tell t) {
             begin(HINT, host);
-            bytes(hints.write(t.hint()));
+            bytes(hints.write(t.message()));
         } else if (effect instanceof Effect.SendToPeer s) {
             begin(STANDBY, host).putString(s.host());
             bytes(MessageBytes.of(s.message()));
--- a/src/test/java/org/shoreusher/model/FleetTest.java
+++ b/src/test/java/org/shoreusher/model/FleetTest.java
@@ -135,7 +135,7 @@
         node.cloud =
                 op -> {
                     if (op instanceof CloudOp.Return back) {
-                        returned.addAll(back.machines());
+                        returned.addAll(back.machineIds());
                         at[0] = node.now;
                     }
                     return new Command.CloudReply(
@@ -170,8 +170,8 @@
                     if (!(op instanceof CloudOp.Listing listing)) {
                         return new Command.CloudReply(0, 0, null);
                     }
-                    pages.add(String.valueOf(listing.after()));
-                    return page(listing.after(), 4_200);
+                    pages.add(String.valueOf(listing.afterMachineId()));
+                    return page(listing.afterMachineId(), 4_200);
                 };
         owner.left("host-9");
         for (int i = 0; i < 600 && !gone(owner, "host-9"); i++) {
--- a/src/test/java/org/shoreusher/model/KillPoint.java
+++ b/src/test/java/org/shoreusher/model/KillPoint.java
@@ -51,14 +51,15 @@
     }
 
     private static boolean isStart(Effect effect) {
-        return effect instanceof Effect.Answer answer
+        return effect instanceof Effect.Respond answer
                 && answer.response() instanceof Response.Orders orders
                 && orders.orders().stream().anyMatch(o -> o.kind() == WorkerOrder.Kind.START);
     }
 
     /** The shard's record that a store call writes; null if it writes none. */
     static Map<String, Object> partRecord(Effect effect) {
-        return effect instanceof Effect.StateCall call && call.op() instanceof StateOp.Multi multi
+        return effect instanceof Effect.StateCall call
+                        && call.operation() instanceof StateOp.Multi multi
                 ? multi.writes().get("part/0")
                 : null;
     }
--- a/src/test/java/org/shoreusher/model/ReportsTest.java
+++ b/src/test/java/org/shoreusher/model/ReportsTest.java
@@ -85,7 +85,7 @@
         node.cloud =
                 op -> {
                     if (op instanceof CloudOp.Return back) {
-                        returned.addAll(back.machines());
+                        returned.addAll(back.machineIds());
                     }
                     return new Command.CloudReply(
                             0, op instanceof CloudOp.Return ? 200 : 0, Map.of());
--- a/src/test/java/org/shoreusher/model/SingleNode.java
+++ b/src/test/java/org/shoreusher/model/SingleNode.java
@@ -58,18 +58,18 @@
                 if (e instanceof Effect.StateCall c) {
                     world.state.handle(
                             "node-0",
-                            c.op(),
+                            c.operation(),
                             (status, body) ->
                                     commands.add(
                                             new Command.StateReply(
-                                                    c.call(), status, World.copy(body))));
+                                                    c.callId(), status, World.copy(body))));
                 } else if (e instanceof Effect.CloudCall c) {
-                    Command.CloudReply reply = cloud.apply(c.op());
-                    commands.add(new Command.CloudReply(c.call(), reply.status(), reply.body()));
+                    Command.CloudReply reply = cloud.apply(c.operation());
+                    commands.add(new Command.CloudReply(c.callId(), reply.status(), reply.body()));
                 } else if (e instanceof Effect.Log l) {
                     log.add(l.line());
-                } else if (e instanceof Effect.Answer a) {
-                    answers.put(a.request(), WireAnswer.of(a));
+                } else if (e instanceof Effect.Respond a) {
+                    answers.put(a.requestId(), WireAnswer.of(a));
                 }
             }
         }
--- a/src/test/java/org/shoreusher/model/StateModel.java
+++ b/src/test/java/org/shoreusher/model/StateModel.java
@@ -88,7 +88,7 @@
         Settings s = world.old(host) ? inForce : world.settings;
         boolean ok =
                 op.writes().size() <= s.txnOps()
-                        && op.guards().size() <= 4 * s.txnOps()
+                        && op.preconditions().size() <= 4 * s.txnOps()
                         && op.writes().values().stream()
                                 .allMatch(
                                         v -> v == null || FieldMap.jsonLength(v) <= s.valueBytes());
@@ -198,7 +198,7 @@
             world.in(
                     lostAtOnce ? 0 : 2_000 + world.random.nextInt(10_000),
                     () -> multi(host, m, (status, body) -> {}));
-        } else if (!requests.take(1, world.now)
+        } else if (!requests.tryAcquire(1, world.now)
                 || (op instanceof StateOp.Multi m && !mayWrite(m.writes().size()))) {
             refused++;
             reply.answer(429, null);
@@ -224,7 +224,8 @@
 
     /** A burst is worth one second, so a transaction of more changes never succeeds. */
     private boolean mayWrite(int changes) {
-        return changes <= Math.max(1, inForce.stateWriteRps()) && writes.take(changes, world.now);
+        return changes <= Math.max(1, inForce.stateWriteRps())
+                && writes.tryAcquire(changes, world.now);
     }
 
     private static Map<String, Object> entry(String key, Item i) {
@@ -240,9 +241,9 @@
         boolean more = false;
         // Pages of 20 keys, so that every reading takes several and other writes come between.
         for (Map.Entry<String, Item> e :
-                page.after() == null
+                page.afterKey() == null
                         ? items.entrySet()
-                        : items.tailMap(page.after(), false).entrySet()) {
+                        : items.tailMap(page.afterKey(), false).entrySet()) {
             if (entries.size() == 20) {
                 more = true;
                 break;
@@ -254,7 +255,7 @@
 
     private void multi(String host, StateOp.Multi op, World.Reply reply) {
         List<Object> failed = new ArrayList<>();
-        op.guards()
+        op.preconditions()
                 .forEach(
                         (key, version) -> {
                             Item i = items.get(key);
@@ -295,13 +296,13 @@
     }
 
     private boolean answer(Waiter w) {
-        if (w.watch.after() < forgotten) {
+        if (w.watch.afterRevision() < forgotten) {
             w.reply.answer(410, null);
             return true;
         }
         List<Object> log = new ArrayList<>();
         for (Change c : changes) {
-            if (c.revision > w.watch.after()) {
+            if (c.revision > w.watch.afterRevision()) {
                 Map<String, Object> m = new LinkedHashMap<>();
                 m.put(c.value == null ? "remove" : "write", c.key);
                 if (c.value != null) {
--- a/src/test/java/org/shoreusher/model/WireAnswer.java
+++ b/src/test/java/org/shoreusher/model/WireAnswer.java
@@ -6,9 +6,9 @@
 
 /** A response as its receiver sees it on the wire. */
 record WireAnswer(long request, int status, Map<String, Object> body, int retryAfterS) {
-    static WireAnswer of(Effect.Answer answer) {
+    static WireAnswer of(Effect.Respond answer) {
         return new WireAnswer(
-                answer.request(),
+                answer.requestId(),
                 ResponseFormat.status(answer.response()),
                 World.copy(ResponseFormat.body(answer.response())),
                 ResponseFormat.retryAfterS(answer.response()));
--- a/src/test/java/org/shoreusher/model/WorkerModel.java
+++ b/src/test/java/org/shoreusher/model/WorkerModel.java
@@ -282,10 +282,10 @@
             return;
         }
         lease();
-        if (o.token() >= token && o.session() == session) {
-            token = o.token();
+        if (o.fencingToken() >= token && o.workerIncarnation() == session) {
+            token = o.fencingToken();
             seq++;
-            orders(WorkerFormat.direct(o.token(), o.session(), o.orders()));
+            orders(WorkerFormat.direct(o.fencingToken(), o.workerIncarnation(), o.orders()));
         }
     }
 
--- a/src/test/java/org/shoreusher/model/World.java
+++ b/src/test/java/org/shoreusher/model/World.java
@@ -337,37 +337,39 @@
         private void carryOut(Effect effect) {
             int ofLife = life;
             onEffect.accept(host, effect);
-            if (effect instanceof Effect.Answer a) {
-                Consumer<WireAnswer> to = waiting.remove(a.request());
+            if (effect instanceof Effect.Respond a) {
+                Consumer<WireAnswer> to = waiting.remove(a.requestId());
                 if (to != null) {
                     to.accept(WireAnswer.of(a));
                 }
             } else if (effect instanceof Effect.StateCall c) {
                 long timeout =
                         Tuning.STATE_TIMEOUT_MS
-                                + (c.op() instanceof Effect.StateOp.Watch w ? w.blockMs() : 0);
+                                + (c.operation() instanceof Effect.StateOp.Watch w
+                                        ? w.blockMs()
+                                        : 0);
                 call(
                         ofLife,
                         "state",
                         timeout,
-                        (status, body) -> take(new Command.StateReply(c.call(), status, body)),
-                        reply -> state.handle(host, c.op(), reply));
+                        (status, body) -> take(new Command.StateReply(c.callId(), status, body)),
+                        reply -> state.handle(host, c.operation(), reply));
             } else if (effect instanceof Effect.CloudCall c) {
                 call(
                         ofLife,
                         "cloud",
                         Tuning.CLOUD_TIMEOUT_MS,
-                        (status, body) -> take(new Command.CloudReply(c.call(), status, body)),
-                        reply -> cloud.handle(c.op(), reply));
+                        (status, body) -> take(new Command.CloudReply(c.callId(), status, body)),
+                        reply -> cloud.handle(c.operation(), reply));
             } else if (effect instanceof Effect.Orders o) {
-                WorkerModel w = cloud.byAddress(o.address());
+                WorkerModel w = cloud.byAddress(o.workerAddress());
                 if (w != null) {
                     network.send(host, w.id, () -> w.direct(o));
                 }
             } else if (effect instanceof Effect.Tell t) {
                 for (Process p : processes) {
                     if (p != this) {
-                        network.send(host, p.host, () -> p.take(new Command.PeerHint(t.hint())));
+                        network.send(host, p.host, () -> p.take(new Command.PeerHint(t.message())));
                     }
                 }
             } else if (effect instanceof Effect.SendToPeer s) {
