--- a/src/main/java/org/shoreusher/core/AttemptReplicas.java
+++ b/src/main/java/org/shoreusher/core/AttemptReplicas.java
@@ -19,27 +19,28 @@
     private final Settings settings;
     private final StandbySettings standbySettings;
     private final Outbox outbox;
-    private final StoreView view;
-    private final String process;
+    private final StoreView storeCache;
+    private final String processName;
     private final AttemptLogReceiver[] receivers;
-    private final Map<PromotionOutcome, Integer> outcomes = new EnumMap<>(PromotionOutcome.class);
+    private final Map<PromotionOutcome, Integer> outcomeCounts =
+            new EnumMap<>(PromotionOutcome.class);
 
     /**
      * Creates replicas for all shards, without any log.
      *
-     * @param process the name of this process, HOST/SUFFIX; no other process ever had it
-     * @param parts the number of shards
+     * @param processName the name of this process, HOST/SUFFIX; no other process ever had it
+     * @param shardCount the number of shards
      */
-    AttemptReplicas(NodeContext context, String process, int parts) {
+    AttemptReplicas(NodeContext context, String processName, int shardCount) {
         settings = context.settings();
         standbySettings = context.features().standby();
         outbox = context.outbox();
-        view = context.storeCache();
-        this.process = process;
-        receivers = new AttemptLogReceiver[parts];
+        storeCache = context.storeCache();
+        this.processName = processName;
+        receivers = new AttemptLogReceiver[shardCount];
     }
 
-    private boolean off() {
+    private boolean isDisabled() {
         return standbySettings == null;
     }
 
@@ -50,87 +51,92 @@
      */
     void receive(LogFrame frame) {
         LogStream stream = frame.stream();
-        if (off() || stream.part() < 0 || stream.part() >= receivers.length) {
+        if (isDisabled() || stream.shardNumber() < 0 || stream.shardNumber() >= receivers.length) {
             return;
         }
-        LogAcknowledgement answer;
-        if (stream.standby().equals(process)) {
-            answer = ofFormerTerm(stream) ? null : receiver(stream.part()).receive(frame);
+        LogAcknowledgement acknowledgement;
+        if (stream.standby().equals(processName)) {
+            acknowledgement =
+                    isFromFormerTerm(stream)
+                            ? null
+                            : receiverFor(stream.shardNumber()).receive(frame);
         } else if (LogStream.hostOf(stream.standby()).equals(settings.host())) {
-            answer = new LogAcknowledgement(stream, 0, false);
+            acknowledgement = new LogAcknowledgement(stream, 0, false);
         } else {
             return;
         }
-        if (answer != null) {
-            outbox.add(new Effect.SendToPeer(LogStream.hostOf(stream.owner()), answer));
+        if (acknowledgement != null) {
+            outbox.add(new Effect.SendToPeer(LogStream.hostOf(stream.leader()), acknowledgement));
         }
     }
 
     /** Whether the store cache shows a newer leadership term of the shard. */
-    private boolean ofFormerTerm(LogStream stream) {
-        Fence fence = fence(stream.part());
-        return fence != null && fence.term > stream.term();
+    private boolean isFromFormerTerm(LogStream stream) {
+        FencingRecord fencingRecord = fencingRecord(stream.shardNumber());
+        return fencingRecord != null && fencingRecord.term > stream.term();
     }
 
-    private AttemptLogReceiver receiver(int part) {
-        if (receivers[part] == null) {
-            receivers[part] = new AttemptLogReceiver(standbySettings.mostAttempts());
+    private AttemptLogReceiver receiverFor(int shardNumber) {
+        if (receivers[shardNumber] == null) {
+            receivers[shardNumber] = new AttemptLogReceiver(standbySettings.mostAttempts());
         }
-        return receivers[part];
+        return receivers[shardNumber];
     }
 
     /**
      * The fencing record of a shard: who acquired its leadership last.
      *
-     * @param owner the leader process, HOST/SUFFIX
+     * @param leader the leader process, HOST/SUFFIX
      * @param term the leadership term as acquired
      */
-    record Fence(String owner, long term) {}
+    record FencingRecord(String leader, long term) {}
 
     /** The shard's fencing record in the store cache; null if there is none. */
-    Fence fence(int part) {
-        StoreView.Entry entry = view.get(StoreSchema.fencingKey(part));
+    FencingRecord fencingRecord(int shardNumber) {
+        StoreView.Entry entry = storeCache.get(StoreSchema.fencingKey(shardNumber));
         if (entry == null
-                || !(entry.value().get("owner") instanceof String owner)
+                || !(entry.value().get("owner") instanceof String leader)
                 || !(entry.value().get("term") instanceof Number term)) {
             return null;
         }
-        return new Fence(owner, term.longValue());
+        return new FencingRecord(leader, term.longValue());
     }
 
     /**
      * Promotes the log of a shard whose leadership this process has just acquired.
      *
-     * @param named the standby named in the shard record that the failover replaced; null if none
-     * @param before the fencing record that the failover replaced; null if the shard is new
+     * @param namedStandby the standby named in the shard record that the failover replaced; null if
+     *     none
+     * @param previous the fencing record that the failover replaced; null if the shard is new
      * @return the attempts that may be on the shard's machines; null if the log can't be used and
      *     they have to be learnt from heartbeats
      */
-    AttemptTable promoted(int part, String named, Fence before) {
-        AttemptLogReceiver receiver = receivers[part];
-        receivers[part] = null;
-        if (off() || before == null) {
+    AttemptTable promote(int shardNumber, String namedStandby, FencingRecord previous) {
+        AttemptLogReceiver receiver = receivers[shardNumber];
+        receivers[shardNumber] = null;
+        if (isDisabled() || previous == null) {
             return null;
         }
         PromotionOutcome outcome =
-                (receiver == null ? receiver(part) : receiver)
-                        .outcome(process, named, before.owner, before.term);
-        count(part, outcome);
+                (receiver == null ? receiverFor(shardNumber) : receiver)
+                        .promotionOutcome(
+                                processName, namedStandby, previous.leader, previous.term);
+        recordOutcome(shardNumber, outcome);
         return outcome == PromotionOutcome.IN_SYNC ? receiver.takeTable() : null;
     }
 
     /** Counts and logs the outcome of a promotion. */
-    void count(int part, PromotionOutcome outcome) {
-        int times = outcomes.merge(outcome, 1, Integer::sum);
+    void recordOutcome(int shardNumber, PromotionOutcome outcome) {
+        int occurrences = outcomeCounts.merge(outcome, 1, Integer::sum);
         outbox.logInfo(
                 "promotion: part "
-                        + part
+                        + shardNumber
                         + (outcome == PromotionOutcome.IN_SYNC
                                 ? " goes on from its log, "
                                 : " is rebuilt, ")
                         + outcome.reason()
                         + ", "
-                        + times
+                        + occurrences
                         + " of this kind");
     }
 }
--- a/src/main/java/org/shoreusher/core/AttemptReplication.java
+++ b/src/main/java/org/shoreusher/core/AttemptReplication.java
@@ -28,86 +28,87 @@
  */
 final class AttemptReplication implements ResourceLedger.Listener {
     /** ms; longer durations are recorded as this one. */
-    private static final long LONGEST_HELD_MS = 10_000;
+    private static final long MAX_HELD_MS = 10_000;
 
     /** The phases of replication to a standby. */
     private enum Phase {
         /** There is no standby; starts are sent at once. */
-        ALONE,
+        NO_STANDBY,
         /** A snapshot is being sent; starts are sent at once. */
-        SNAPSHOT,
+        SENDING_SNAPSHOT,
         /** The snapshot is acknowledged; starts are held, earlier starts await acknowledgement. */
-        CONFIRMING,
+        CONFIRMING_STARTS,
         /** The shard record may name the standby; starts are held until acknowledged. */
         NAMED,
         /** The name is being removed from the shard record; nothing is started. */
-        REMOVING
+        REMOVING_NAME
     }
 
     /**
      * An answer with starts that waits for the standby's acknowledgement.
      *
-     * @param change the number of the change up to which all changes must be acknowledged
-     * @param sinceMs steady ms at which it was held
+     * @param lastChange the number of the change up to which all changes must be acknowledged
+     * @param heldSinceMs steady ms at which it was held
      */
-    private record HeldAnswer(long request, List<WorkerOrder> orders, long change, long sinceMs) {}
+    private record HeldAnswer(
+            long requestId, List<WorkerOrder> orders, long lastChange, long heldSinceMs) {}
 
-    private final Part part;
+    private final Part shard;
     private final Outbox outbox;
-    private final PartOwnership ownership;
-    private final MemberFormats formats;
-    private final Part.Others others;
+    private final PartOwnership leadership;
+    private final MemberFormats versionNegotiation;
+    private final Part.Others peerView;
     private final StandbySettings settings;
-    private final AttemptLogSender sender;
-    private final StandbyChooser chooser;
-    private final Map<Machine, HeldAnswer> held = new LinkedHashMap<>();
+    private final AttemptLogSender logSender;
+    private final StandbyChooser standbyChooser;
+    private final Map<Machine, HeldAnswer> heldAnswers = new LinkedHashMap<>();
 
     /** Completed attempts whose completion record is not durable yet. */
-    private final List<TaskAttempt> notDurable = new ArrayList<>();
+    private final List<TaskAttempt> completedNotDurable = new ArrayList<>();
 
-    private Phase phase = Phase.ALONE;
-    private long confirmChange;
+    private Phase phase = Phase.NO_STANDBY;
+    private long changeToConfirm;
     private long namedAtMs;
-    private long nextLineMs;
+    private long nextStatisticsMs;
 
     /** ms for which answers with starts were held, since the last statistics in the log. */
-    private final Histogram heldMs = new Histogram(LONGEST_HELD_MS, 2);
+    private final Histogram heldDurationMs = new Histogram(MAX_HELD_MS, 2);
 
     /** Creates the replication of a shard that this process leads, without a standby at first. */
     AttemptReplication(
-            Part part, NodeContext context, Part.Others others, PartOwnership ownership) {
-        this.part = part;
-        this.others = others;
-        this.ownership = ownership;
+            Part shard, NodeContext context, Part.Others peerView, PartOwnership leadership) {
+        this.shard = shard;
+        this.peerView = peerView;
+        this.leadership = leadership;
         outbox = context.outbox();
-        formats = context.versionNegotiation();
+        versionNegotiation = context.versionNegotiation();
         settings = context.features().standby();
-        chooser = new StandbyChooser(context.settings().zone());
-        sender =
+        standbyChooser = new StandbyChooser(context.settings().zone());
+        logSender =
                 settings == null
                         ? null
                         : new AttemptLogSender(
-                                part.shardNumber,
-                                ownership.acquisitionTerm(),
-                                ownership.processName(),
+                                shard.shardNumber,
+                                leadership.acquisitionTerm(),
+                                leadership.processName(),
                                 settings.frameRecords());
     }
 
-    private boolean off() {
-        return sender == null;
+    private boolean isDisabled() {
+        return logSender == null;
     }
 
     // ---- changes of the shard's attempts -----------------------------------------------------
 
     /** Replicates the start of an attempt. */
     @Override
-    public void added(TaskAttempt live) {
-        if (!off()) {
-            JobSpec spec = live.job.spec;
-            sender.started(
+    public void added(TaskAttempt attempt) {
+        if (!isDisabled()) {
+            JobSpec spec = attempt.job.spec;
+            logSender.recordStart(
                     new Attempt(
-                            idOf(live),
-                            live.machine.id,
+                            attemptIdOf(attempt),
+                            attempt.machine.id,
                             spec.team(),
                             spec.cpus(),
                             spec.gpus(),
@@ -123,60 +124,61 @@
      * completion is durable.
      */
     @Override
-    public void removed(TaskAttempt live) {
-        if (off()) {
+    public void removed(TaskAttempt attempt) {
+        if (isDisabled()) {
             return;
         }
-        if (durable(live)) {
-            sender.ended(idOf(live));
+        if (isEndDurable(attempt)) {
+            logSender.recordEnd(attemptIdOf(attempt));
         } else {
-            notDurable.add(live);
+            completedNotDurable.add(attempt);
         }
     }
 
     /**
      * Whether the end can be replicated: the task did not complete, or its completion is durable.
      */
-    private static boolean durable(TaskAttempt live) {
-        Job job = live.job;
-        return !job.done.get(live.index) || job.durable.get(live.index) || job.closed;
+    private static boolean isEndDurable(TaskAttempt attempt) {
+        Job job = attempt.job;
+        return !job.done.get(attempt.index) || job.durable.get(attempt.index) || job.closed;
     }
 
-    private static AttemptId idOf(TaskAttempt live) {
-        return new AttemptId(live.job.id, live.index, live.attempt);
+    private static AttemptId attemptIdOf(TaskAttempt attempt) {
+        return new AttemptId(attempt.job.id, attempt.index, attempt.attempt);
     }
 
     // ---- answers to heartbeats ---------------------------------------------------------------
 
     /** Whether the state of replication permits starts, held or not. */
-    boolean mayStart() {
-        return phase != Phase.REMOVING;
+    boolean canStartTasks() {
+        return phase != Phase.REMOVING_NAME;
     }
 
-    private boolean holdsStarts() {
-        return phase == Phase.CONFIRMING || phase == Phase.NAMED;
+    private boolean requiresAcknowledgement() {
+        return phase == Phase.CONFIRMING_STARTS || phase == Phase.NAMED;
     }
 
     /**
      * Discards the held answer to a machine's previous heartbeat. A newer heartbeat has arrived, so
      * the worker does not wait for that answer any more.
      */
-    void newReport(Machine m) {
-        HeldAnswer late = held.remove(m);
-        if (late != null) {
-            outbox.respondUnavailable(late.request);
+    void discardHeldAnswer(Machine machine) {
+        HeldAnswer superseded = heldAnswers.remove(machine);
+        if (superseded != null) {
+            outbox.respondUnavailable(superseded.requestId);
         }
     }
 
     /**
      * Answers a heartbeat: at once, or as soon as the standby has acknowledged the starts in it.
      */
-    void answer(long request, Machine m, List<WorkerOrder> orders) {
-        boolean starts = orders.stream().anyMatch(AttemptReplication::isStart);
-        if (starts && holdsStarts()) {
-            held.put(m, new HeldAnswer(request, orders, sender.changes(), nowMs()));
+    void answerOrHold(long requestId, Machine machine, List<WorkerOrder> orders) {
+        boolean containsStarts = orders.stream().anyMatch(AttemptReplication::isStart);
+        if (containsStarts && requiresAcknowledgement()) {
+            heldAnswers.put(
+                    machine, new HeldAnswer(requestId, orders, logSender.changeCount(), nowMs()));
         } else {
-            send(request, m, orders);
+            sendAnswer(requestId, machine, orders);
         }
     }
 
@@ -184,33 +186,38 @@
         return order.kind() == WorkerOrder.Kind.START;
     }
 
-    private void send(long request, Machine m, List<WorkerOrder> orders) {
-        m.repliedAtMs = outbox.now.monotonicMs();
-        m.answeredAtMs = outbox.now.monotonicMs();
-        outbox.respond(request, new Response.Orders(part.term(), orders));
+    private void sendAnswer(long requestId, Machine machine, List<WorkerOrder> orders) {
+        machine.lastReplyAtMs = outbox.now.monotonicMs();
+        machine.leaseRenewedAtMs = outbox.now.monotonicMs();
+        outbox.respond(requestId, new Response.Orders(shard.term(), orders));
     }
 
     /**
      * Sends held answers.
      *
-     * @param withStarts true: those whose starts are acknowledged or need no acknowledgement;
+     * @param includeStarts true: those whose starts are acknowledged or need no acknowledgement;
      *     false: all of them, without their starts
      */
-    private void release(boolean withStarts) {
-        for (Map.Entry<Machine, HeldAnswer> e : List.copyOf(held.entrySet())) {
-            HeldAnswer answer = e.getValue();
-            boolean known = !holdsStarts() || answer.change <= sender.changesAcknowledged();
-            if (withStarts && !known) {
+    private void releaseHeldAnswers(boolean includeStarts) {
+        for (Map.Entry<Machine, HeldAnswer> entry : List.copyOf(heldAnswers.entrySet())) {
+            HeldAnswer heldAnswer = entry.getValue();
+            boolean isReplicated =
+                    !requiresAcknowledgement()
+                            || heldAnswer.lastChange <= logSender.acknowledgedChangeCount();
+            if (includeStarts && !isReplicated) {
                 continue;
             }
-            held.remove(e.getKey());
-            heldMs.recordValue(Math.min(LONGEST_HELD_MS, nowMs() - answer.sinceMs));
+            heldAnswers.remove(entry.getKey());
+            heldDurationMs.recordValue(Math.min(MAX_HELD_MS, nowMs() - heldAnswer.heldSinceMs));
             // Time has passed since the starts were decided, so the lease, the store cache and the
             // jobs are checked again.
-            if (part.canAnswerHeartbeats()) {
-                send(answer.request, e.getKey(), stillDue(e.getKey(), answer, withStarts));
+            if (shard.canAnswerHeartbeats()) {
+                sendAnswer(
+                        heldAnswer.requestId,
+                        entry.getKey(),
+                        ordersStillValid(entry.getKey(), heldAnswer, includeStarts));
             } else {
-                outbox.respondUnavailable(answer.request);
+                outbox.respondUnavailable(heldAnswer.requestId);
             }
         }
     }
@@ -219,79 +226,84 @@
      * The orders of a held answer that are still valid. After a long pause of this process the
      * answer may be older than the acknowledgement timeout; then its starts are dropped.
      */
-    private List<WorkerOrder> stillDue(Machine m, HeldAnswer answer, boolean withStarts) {
-        boolean mayStart =
-                withStarts
-                        && part.canStartTasks()
-                        && nowMs() - answer.sinceMs <= settings.ackTimeoutMs();
-        return answer.orders.stream()
-                .filter(order -> !isStart(order) || (mayStart && wanted(m, order)))
+    private List<WorkerOrder> ordersStillValid(
+            Machine machine, HeldAnswer heldAnswer, boolean includeStarts) {
+        boolean canStartTasks =
+                includeStarts
+                        && shard.canStartTasks()
+                        && nowMs() - heldAnswer.heldSinceMs <= settings.ackTimeoutMs();
+        return heldAnswer.orders.stream()
+                .filter(
+                        order ->
+                                !isStart(order) || (canStartTasks && isStillWanted(machine, order)))
                 .toList();
     }
 
-    private static boolean wanted(Machine m, WorkerOrder start) {
-        TaskAttempt live = m.tasks.get(Machine.taskKey(start.job(), start.index()));
-        return live != null
-                && live.attempt == start.attempt()
-                && !live.mustStop
-                && !live.stopping
-                && !live.job.closed;
+    private static boolean isStillWanted(Machine machine, WorkerOrder start) {
+        TaskAttempt attempt = machine.tasks.get(Machine.taskKey(start.jobId(), start.taskIndex()));
+        return attempt != null
+                && attempt.attempt == start.attemptNumber()
+                && !attempt.mustStop
+                && !attempt.stopping
+                && !attempt.job.closed;
     }
 
     // ---- the standby -------------------------------------------------------------------------
 
     /** Handles an acknowledgement of the standby. */
-    void acknowledged(LogAcknowledgement answer) {
-        if (!off()) {
-            sender.acknowledged(answer);
+    void handleAcknowledgement(LogAcknowledgement acknowledgement) {
+        if (!isDisabled()) {
+            logSender.handleAcknowledgement(acknowledgement);
         }
     }
 
     /** Advances the phase, sends the next frame, and sends held answers that are acknowledged. */
     void step() {
-        if (off()) {
+        if (isDisabled()) {
             return;
         }
-        tellDurable();
+        replicateDurableEnds();
         // A heartbeat that contradicted the previous leader's log restarts reconciliation. Until it
         // is complete this leader's own attempt table is not complete either.
-        boolean follows = phase != Phase.ALONE && phase != Phase.REMOVING;
-        if (follows && (!part.isReconciled() || sender.failed(nowMs(), settings.ackTimeoutMs()))) {
-            giveUp();
+        boolean hasStandby = phase != Phase.NO_STANDBY && phase != Phase.REMOVING_NAME;
+        if (hasStandby
+                && (!shard.isReconciled()
+                        || logSender.hasFailed(nowMs(), settings.ackTimeoutMs()))) {
+            abandonStandby();
         }
         switch (phase) {
-            case ALONE -> attach();
-            case SNAPSHOT -> confirm();
-            case CONFIRMING -> name();
-            case NAMED -> chooser.standing(nowMs() - namedAtMs);
-            case REMOVING -> goOnAlone();
+            case NO_STANDBY -> tryAttach();
+            case SENDING_SNAPSHOT -> awaitSnapshot();
+            case CONFIRMING_STARTS -> awaitConfirmation();
+            case NAMED -> standbyChooser.recordNamedFor(nowMs() - namedAtMs);
+            case REMOVING_NAME -> awaitRemoval();
         }
-        release(true);
-        LogFrame frame = sender.poll(nowMs());
+        releaseHeldAnswers(true);
+        LogFrame frame = logSender.nextFrame(nowMs());
         if (frame != null) {
             String host = LogStream.hostOf(frame.stream().standby());
             outbox.add(new Effect.SendToPeer(host, frame));
         }
-        if (nowMs() >= nextLineMs) {
-            nextLineMs = nowMs() + Tuning.STATUS_LINE_MS;
-            line();
+        if (nowMs() >= nextStatisticsMs) {
+            nextStatisticsMs = nowMs() + Tuning.STATUS_LINE_MS;
+            logStatistics();
         }
     }
 
-    private void line() {
+    private void logStatistics() {
         outbox.logDebug(
                 "standby: held "
-                        + heldMs.getTotalCount()
+                        + heldDurationMs.getTotalCount()
                         + " answers with starts, median "
-                        + heldMs.getValueAtPercentile(50)
+                        + heldDurationMs.getValueAtPercentile(50)
                         + " ms, 99% "
-                        + heldMs.getValueAtPercentile(99)
+                        + heldDurationMs.getValueAtPercentile(99)
                         + " ms, most "
-                        + heldMs.getMaxValue()
+                        + heldDurationMs.getMaxValue()
                         + " ms; "
-                        + sender.attempts()
+                        + logSender.attemptCount()
                         + " attempts in the log");
-        heldMs.reset();
+        heldDurationMs.reset();
     }
 
     private long nowMs() {
@@ -299,91 +311,92 @@
     }
 
     /** Replicates the ends of completed attempts whose completion has become durable. */
-    private void tellDurable() {
-        notDurable.removeIf(
-                live -> {
-                    boolean durable = durable(live);
-                    if (durable) {
-                        sender.ended(idOf(live));
+    private void replicateDurableEnds() {
+        completedNotDurable.removeIf(
+                attempt -> {
+                    boolean isDurable = isEndDurable(attempt);
+                    if (isDurable) {
+                        logSender.recordEnd(attemptIdOf(attempt));
                     }
-                    return durable;
+                    return isDurable;
                 });
     }
 
     /** Begins to replicate to the best candidate, once all attempts on machines are known. */
-    private void attach() {
-        if (!part.isReconciled()
-                || !part.isLeader()
-                || sender.attempts() > settings.mostAttempts()) {
+    private void tryAttach() {
+        if (!shard.isReconciled()
+                || !shard.isLeader()
+                || logSender.attemptCount() > settings.mostAttempts()) {
             return;
         }
         StandbyChooser.Candidate candidate =
-                chooser.choose(formats.standbyCandidates(others::isResponsive), nowMs());
+                standbyChooser.choose(
+                        versionNegotiation.standbyCandidates(peerView::isResponsive), nowMs());
         if (candidate != null) {
-            sender.attach(candidate.process(), nowMs());
-            phase = Phase.SNAPSHOT;
+            logSender.attach(candidate.processName(), nowMs());
+            phase = Phase.SENDING_SNAPSHOT;
         }
     }
 
     /** Holds starts once the snapshot is acknowledged. */
-    private void confirm() {
-        if (sender.snapshotAcknowledged()) {
-            phase = Phase.CONFIRMING;
-            confirmChange = sender.changes();
+    private void awaitSnapshot() {
+        if (logSender.isSnapshotAcknowledged()) {
+            phase = Phase.CONFIRMING_STARTS;
+            changeToConfirm = logSender.changeCount();
         }
     }
 
     /** Names the standby in the shard record once all earlier starts are acknowledged. */
-    private void name() {
-        if (sender.changesAcknowledged() >= confirmChange) {
+    private void awaitConfirmation() {
+        if (logSender.acknowledgedChangeCount() >= changeToConfirm) {
             phase = Phase.NAMED;
             namedAtMs = nowMs();
-            ownership.nameStandby(sender.standby());
+            leadership.nameStandby(logSender.standby());
             outbox.logInfo(
                     "standby: part "
-                            + part.shardNumber
+                            + shard.shardNumber
                             + " term "
-                            + part.term()
+                            + shard.term()
                             + ", "
-                            + sender.standby()
+                            + logSender.standby()
                             + " is in sync with "
-                            + sender.attempts()
+                            + logSender.attemptCount()
                             + " attempts");
         }
     }
 
     /** Stops replicating to the standby, and removes its name from the record if it was named. */
-    private void giveUp() {
+    private void abandonStandby() {
         outbox.logInfo(
                 "standby: part "
-                        + part.shardNumber
+                        + shard.shardNumber
                         + " gives "
-                        + sender.standby()
+                        + logSender.standby()
                         + " up, "
                         + (phase == Phase.NAMED ? "it was in sync" : "it was not yet in sync"));
-        chooser.failed(sender.standby(), nowMs());
-        sender.detach();
+        standbyChooser.recordFailure(logSender.standby(), nowMs());
+        logSender.detach();
         if (phase == Phase.NAMED) {
-            phase = Phase.REMOVING;
-            ownership.nameStandby(null);
-            release(false);
+            phase = Phase.REMOVING_NAME;
+            leadership.nameStandby(null);
+            releaseHeldAnswers(false);
         } else {
-            phase = Phase.ALONE;
+            phase = Phase.NO_STANDBY;
         }
     }
 
     /**
      * Sends starts without a standby again once the store has confirmed the removal of its name.
      */
-    private void goOnAlone() {
-        if (ownership.hasDefinitelyNoStandby()) {
-            phase = Phase.ALONE;
+    private void awaitRemoval() {
+        if (leadership.hasDefinitelyNoStandby()) {
+            phase = Phase.NO_STANDBY;
         }
     }
 
     /** Drops all held answers, because leadership of the shard is lost. */
     void close() {
-        held.values().forEach(answer -> outbox.respondUnavailable(answer.request));
-        held.clear();
+        heldAnswers.values().forEach(heldAnswer -> outbox.respondUnavailable(heldAnswer.requestId));
+        heldAnswers.clear();
     }
 }
--- a/src/main/java/org/shoreusher/core/Balancing.java
+++ b/src/main/java/org/shoreusher/core/Balancing.java
@@ -80,7 +80,7 @@
     /** A machine has sent a heartbeat. */
     void reported(Machine m) {
         if (!off()) {
-            balancer.load().machine(m.id, m.zone, m.type.cpus(), m.type.fetchGbPerS());
+            balancer.load().machine(m.id, m.zone, m.type.cpus(), m.type.imageFetchGbPerS());
         }
     }
 
@@ -161,7 +161,7 @@
             return Double.POSITIVE_INFINITY;
         }
         boolean limited = pass == Planner.SpreadPass.WITHIN_LIMIT;
-        if (!limited && !m.images.contains(spec.image())) {
+        if (!limited && !m.cachedImages.contains(spec.image())) {
             return 0;
         }
         boolean beyond = pass == Planner.SpreadPass.IMAGE_BEYOND_LIMIT;
@@ -176,7 +176,7 @@
 
     /** Whether a migrated task waits for this machine's heartbeat. */
     boolean hasReady(Machine m) {
-        return m.reservations > 0
+        return m.reservedTaskCount > 0
                 && reservations.values().stream().anyMatch(r -> r.target == m && r.left);
     }
 
@@ -364,13 +364,13 @@
     public boolean takes(String machine, MovableTask task) {
         Machine m = part.machines().get(machine);
         Job job = part.jobs().get(task.id().job());
-        if (m == null || job == null || !part.isAvailable(m) || !m.recordedUsed) {
+        if (m == null || job == null || !part.isAvailable(m) || !m.hasDurableUseRecord) {
             return false;
         }
         Planner.Slot slot = new Planner.Slot(m);
         return !slot.dear
                 && !job.failedOn.contains(machine)
-                && m.tasks.size() + m.reservations < Tuning.MOST_TASKS_ON_MACHINE
+                && m.tasks.size() + m.reservedTaskCount < Tuning.MOST_TASKS_ON_MACHINE
                 && job.spec.allows(m.type.name(), m.zone, m.spot)
                 && slot.fits(job.spec) > 0;
     }
--- a/src/main/java/org/shoreusher/core/Fleet.java
+++ b/src/main/java/org/shoreusher/core/Fleet.java
@@ -15,36 +15,36 @@
  * hand over to other shards, and runs the calls to the cloud that follow from it.
  */
 final class Fleet {
-    private final Part part;
+    private final Part shard;
     private final Settings settings;
     private final Outbox outbox;
-    private final MachineTypes types;
-    private final Rentals rentals;
-    private final MachineList list;
-    private final StandbyCapacity standby;
-    private final Retirement retirement;
-    private final Returns returns;
+    private final MachineTypes typeCatalog;
+    private final Rentals scaleOut;
+    private final MachineList inventory;
+    private final StandbyCapacity reservedReplicaCapacity;
+    private final Retirement machineCordon;
+    private final Returns scaleIn;
 
     /** Usable machines that the last plan had no tasks for. */
-    private final Set<Machine> spare = new HashSet<>();
+    private final Set<Machine> surplusMachines = new HashSet<>();
 
     /** Machines that the last plan could have filled beyond the existing ones, and their CPUs. */
-    private int lacks;
+    private int machineShortfall;
 
-    private double lacksCpus;
+    private double cpuShortfall;
     private long nextPlanMs;
 
     /** Creates the autoscaler of a shard. */
-    Fleet(Part part, Settings settings, Outbox outbox, MachineTypes types) {
-        this.part = part;
+    Fleet(Part shard, Settings settings, Outbox outbox, MachineTypes typeCatalog) {
+        this.shard = shard;
         this.settings = settings;
         this.outbox = outbox;
-        this.types = types;
-        rentals = new Rentals(part, settings, outbox, this);
-        list = new MachineList(part, settings, outbox, types);
-        standby = new StandbyCapacity(part, settings, types, rentals);
-        retirement = new Retirement(part, settings, outbox);
-        returns = new Returns(part, outbox);
+        this.typeCatalog = typeCatalog;
+        scaleOut = new Rentals(shard, settings, outbox, this);
+        inventory = new MachineList(shard, settings, outbox, typeCatalog);
+        reservedReplicaCapacity = new StandbyCapacity(shard, settings, typeCatalog, scaleOut);
+        machineCordon = new Retirement(shard, settings, outbox);
+        scaleIn = new Returns(shard, outbox);
     }
 
     /**
@@ -52,37 +52,45 @@
      * While reconciliation is incomplete, machines are only added.
      */
     void step() {
-        if (!part.isLeader() || !types.known()) {
+        if (!shard.isLeader() || !typeCatalog.isLoaded()) {
             return;
         }
-        rentals.step();
+        scaleOut.step();
         if (outbox.now.monotonicMs() >= nextPlanMs) {
             nextPlanMs = outbox.now.monotonicMs() + Tuning.RENT_EVERY_MS;
-            if (part.isReconciled()) {
-                retirement.step();
+            if (shard.isReconciled()) {
+                machineCordon.step();
             }
             plan();
-            if (part.isReconciled()) {
-                handOver();
+            if (shard.isReconciled()) {
+                handOverSurplus();
             }
         }
-        returns.step();
-        list.step();
+        scaleIn.step();
+        inventory.step();
     }
 
     /** The cloud's machine list as last read. */
-    MachineList list() {
-        return list;
+    MachineList inventory() {
+        return inventory;
     }
 
     /**
      * Adds a machine that the cloud has provisioned, unless it is known or terminated already.
      *
-     * @param askedWallMs wall-clock ms at which the request was sent
+     * @param requestedWallMs wall-clock ms at which the request was sent
      */
-    void rented(String id, CloudOp.Rent rent, long askedWallMs) {
-        if (!part.isLeadershipLost() && !part.machines().containsKey(id) && !list.isGone(id)) {
-            part.lifecycle().add(id, types.get(rent.type()), rent.zone(), rent.spot(), askedWallMs);
+    void addProvisioned(String id, CloudOp.Rent request, long requestedWallMs) {
+        if (!shard.isLeadershipLost()
+                && !shard.machines().containsKey(id)
+                && !inventory.isTerminated(id)) {
+            shard.lifecycle()
+                    .addNewMachine(
+                            id,
+                            typeCatalog.get(request.type()),
+                            request.zone(),
+                            request.spot(),
+                            requestedWallMs);
         }
     }
 
@@ -90,157 +98,165 @@
      * Has the next plan made in the next step. Called when all requests of the last one are
      * answered, because the next one may want more machines.
      */
-    void planSoon() {
+    void replanNow() {
         nextPlanMs = outbox.now.monotonicMs();
     }
 
     // ---- scale out ---------------------------------------------------------------------------
 
     private void plan() {
-        List<Planner.Slot> room = slots();
-        room.addAll(rentals.coming());
-        Planner planner =
+        List<Planner.Slot> capacities = machineCapacities();
+        capacities.addAll(scaleOut.pendingCapacity());
+        Planner binPacker =
                 new Planner(
-                        room, part.quotaHeadroom()::cpusRentable, part.quotaHeadroom()::gpusLeft);
-        List<Job> jobs = part.openJobs().ordered();
-        int most = rentals.room();
-        List<Planner.Slot> wanting = new ArrayList<>();
-        Object2IntOpenHashMap<String> perZone = perZone();
+                        capacities,
+                        shard.quotaHeadroom()::cpusRentable,
+                        shard.quotaHeadroom()::gpusLeft);
+        List<Job> jobs = shard.openJobs().ordered();
+        int maxNewMachines = scaleOut.maxNewMachines();
+        List<Planner.Slot> toProvision = new ArrayList<>();
+        Object2IntOpenHashMap<String> machinesPerZone = countPerZone();
         for (Job job : jobs) {
-            MachineType cheapest = cheapest(job.spec);
-            if (job.suspect() || cheapest == null) {
+            MachineType cheapestType = cheapestType(job.spec);
+            if (job.suspect() || cheapestType == null) {
                 continue;
             }
-            int left = planner.place(job, wantedAtOnce(job, cheapest));
-            rentFor(job, left, planner, wanting, most, perZone);
+            int unplaced = binPacker.place(job, targetParallelism(job, cheapestType));
+            provisionFor(job, unplaced, binPacker, toProvision, maxNewMachines, machinesPerZone);
         }
-        standby.step(wanting, most);
+        reservedReplicaCapacity.step(toProvision, maxNewMachines);
         for (Job job : jobs) {
-            job.largerHalfZone = standby.zoneForLargerHalf(job.spec);
+            job.largerHalfZone = reservedReplicaCapacity.zoneForLargerHalf(job.spec);
         }
-        Set<Machine> needed = new HashSet<>();
-        planner.placed().forEach(p -> needed.add(p.slot().machine));
-        if (part.isReconciled()) {
-            returnIdle(needed);
+        Set<Machine> neededMachines = new HashSet<>();
+        binPacker.placed().forEach(placed -> neededMachines.add(placed.slot().machine));
+        if (shard.isReconciled()) {
+            drainIdle(neededMachines);
         }
-        spare.clear();
-        for (Machine m : part.machines().values()) {
-            if (part.isAvailable(m) && m.unused() && !needed.contains(m)) {
-                spare.add(m);
+        surplusMachines.clear();
+        for (Machine machine : shard.machines().values()) {
+            if (shard.isAvailable(machine)
+                    && machine.isIdle()
+                    && !neededMachines.contains(machine)) {
+                surplusMachines.add(machine);
             }
         }
-        lack(jobs);
+        measureShortfall(jobs);
         // Surplus machines of other shards are handed over, which is faster and cheaper than a
         // boot.
-        wanting.subList(
-                        Math.max(0, wanting.size() - part.shardDemand().idleElsewhere()),
-                        wanting.size())
+        toProvision
+                .subList(
+                        Math.max(0, toProvision.size() - shard.shardDemand().idleElsewhere()),
+                        toProvision.size())
                 .clear();
-        rentals.ask(wanting);
+        scaleOut.requestMachines(toProvision);
     }
 
     /** Adds machines to provision until all tasks of a job are placed or none can be had. */
-    private void rentFor(
+    private void provisionFor(
             Job job,
-            int tasks,
-            Planner planner,
-            List<Planner.Slot> wanting,
-            int most,
-            Object2IntOpenHashMap<String> perZone) {
-        int left = tasks;
-        while (left > 0 && wanting.size() < most) {
-            Rentals.Kind kind = kindFor(job.spec, perZone);
+            int taskCount,
+            Planner binPacker,
+            List<Planner.Slot> toProvision,
+            int maxNewMachines,
+            Object2IntOpenHashMap<String> machinesPerZone) {
+        int unplaced = taskCount;
+        while (unplaced > 0 && toProvision.size() < maxNewMachines) {
+            Rentals.MachineKind kind = chooseKind(job.spec, machinesPerZone);
             if (kind == null) {
                 return;
             }
-            MachineType type = types.get(kind.type());
+            MachineType type = typeCatalog.get(kind.type());
             // In rounds over the zones, so that no zone gets all of them.
-            int share = left / Math.max(1, fits(type, job.spec)) / type.zones().size();
-            int count = Math.max(1, Math.min(share, most - wanting.size()));
+            int machinesPerRound =
+                    unplaced / Math.max(1, tasksPerMachine(type, job.spec)) / type.zones().size();
+            int count =
+                    Math.max(1, Math.min(machinesPerRound, maxNewMachines - toProvision.size()));
             for (int i = 0; i < count; i++) {
-                Planner.Slot slot = new Planner.Slot(type, kind.zone(), kind.spot());
-                wanting.add(slot);
-                planner.addRoom(slot);
+                Planner.Slot capacity = new Planner.Slot(type, kind.zone(), kind.spot());
+                toProvision.add(capacity);
+                binPacker.addRoom(capacity);
             }
-            perZone.addTo(kind.zone(), count);
-            left = planner.place(job, left);
+            machinesPerZone.addTo(kind.zone(), count);
+            unplaced = binPacker.place(job, unplaced);
         }
     }
 
     /** The free capacity of machines that can start tasks or are booting. */
-    private List<Planner.Slot> slots() {
-        List<Planner.Slot> slots = new ArrayList<>();
-        for (Machine m : part.machines().values()) {
+    private List<Planner.Slot> machineCapacities() {
+        List<Planner.Slot> capacities = new ArrayList<>();
+        for (Machine machine : shard.machines().values()) {
             // A machine that a previous leader used has no capacity until it is reconciled: it may
             // hold tasks, or be unreachable.
-            if (part.isAvailable(m) || (m.state == Machine.State.BOOTING && !m.used)) {
-                slots.add(new Planner.Slot(m));
+            if (shard.isAvailable(machine)
+                    || (machine.state == Machine.State.BOOTING && !machine.mayHaveRunTasks)) {
+                capacities.add(new Planner.Slot(machine));
             }
         }
-        return slots;
+        return capacities;
     }
 
     /**
      * Computes the machines and CPUs that the shard would need beyond the existing ones to run
      * every waiting task at once.
      */
-    private void lack(List<Job> jobs) {
-        Planner planner =
+    private void measureShortfall(List<Job> jobs) {
+        Planner binPacker =
                 new Planner(
-                        slots(),
-                        part.quotaHeadroom()::cpusRentable,
-                        part.quotaHeadroom()::gpusLeft);
-        double machines = 0;
-        lacksCpus = 0;
+                        machineCapacities(),
+                        shard.quotaHeadroom()::cpusRentable,
+                        shard.quotaHeadroom()::gpusLeft);
+        double missingMachines = 0;
+        cpuShortfall = 0;
         for (Job job : jobs) {
-            int left = planner.place(job, job.waitingCount);
-            MachineType type = cheapest(job.spec);
-            if (left > 0 && type != null) {
-                machines += left / (double) Math.max(1, fits(type, job.spec));
-                lacksCpus += left * job.spec.cpus();
+            int unplaced = binPacker.place(job, job.waitingCount);
+            MachineType type = cheapestType(job.spec);
+            if (unplaced > 0 && type != null) {
+                missingMachines += unplaced / (double) Math.max(1, tasksPerMachine(type, job.spec));
+                cpuShortfall += unplaced * job.spec.cpus();
             }
         }
-        lacks = (int) Math.ceil(machines);
+        machineShortfall = (int) Math.ceil(missingMachines);
     }
 
     /** Tasks of a job that fit on an empty machine. */
-    private static int fits(MachineType type, JobSpec spec) {
+    private static int tasksPerMachine(MachineType type, JobSpec spec) {
         return new Planner.Slot(type, "", true).fits(spec);
     }
 
     /** The shard's machines in each zone, requested ones included. */
-    private Object2IntOpenHashMap<String> perZone() {
-        Object2IntOpenHashMap<String> count = new Object2IntOpenHashMap<>();
-        part.machines().values().forEach(m -> count.addTo(m.zone, 1));
-        rentals.coming().forEach(s -> count.addTo(s.zone, 1));
-        return count;
+    private Object2IntOpenHashMap<String> countPerZone() {
+        Object2IntOpenHashMap<String> counts = new Object2IntOpenHashMap<>();
+        shard.machines().values().forEach(machine -> counts.addTo(machine.zone, 1));
+        scaleOut.pendingCapacity().forEach(capacity -> counts.addTo(capacity.zone, 1));
+        return counts;
     }
 
     /** Whether the last plan had no tasks for this machine. */
-    boolean spare(Machine m) {
-        return spare.contains(m);
+    boolean isSurplus(Machine machine) {
+        return surplusMachines.contains(machine);
     }
 
     /** How many more machines the shard could fill at once. */
-    int lacks() {
-        return lacks;
+    int machineShortfall() {
+        return machineShortfall;
     }
 
     /** Hands surplus machines over to the shard with the largest shortfall. */
-    private void handOver() {
-        int to = part.shardDemand().neediest();
-        int most = to < 0 ? 0 : part.shardDemand().lacksOf(to);
-        runEmpty(most);
-        for (Machine m : new ArrayList<>(part.machines().values())) {
-            if (most > 0
-                    && (spare.contains(m) || m.yielding)
-                    && m.unused()
-                    && m.state == Machine.State.UP
-                    && m.recordedUsed
-                    && outbox.now.monotonicMs() - m.idleSinceMs > Tuning.HANDOVER_IDLE_MS) {
-                part.machineRecords().handOver(m, to);
-                most--;
-                spare.remove(m);
+    private void handOverSurplus() {
+        int targetShard = shard.shardDemand().neediest();
+        int remaining = targetShard < 0 ? 0 : shard.shardDemand().lacksOf(targetShard);
+        updateEvacuation(remaining);
+        for (Machine machine : new ArrayList<>(shard.machines().values())) {
+            if (remaining > 0
+                    && (surplusMachines.contains(machine) || machine.evacuating)
+                    && machine.isIdle()
+                    && machine.state == Machine.State.UP
+                    && machine.hasDurableUseRecord
+                    && outbox.now.monotonicMs() - machine.idleSinceMs > Tuning.HANDOVER_IDLE_MS) {
+                shard.machineRecords().handOver(machine, targetShard);
+                remaining--;
+                surplusMachines.remove(machine);
             }
         }
     }
@@ -250,32 +266,32 @@
      * could run its tasks on fewer machines. A handover needs an empty machine, and without this a
      * shard keeps many half-full ones.
      */
-    private void runEmpty(int lackedElsewhere) {
-        double free = 0;
-        double size = 0;
-        Machine least = null;
-        int yielding = 0;
-        for (Machine m : part.machines().values()) {
-            if (m.yielding) {
-                yielding++;
-                m.yielding = lackedElsewhere > 0;
-            } else if (part.isAvailable(m)) {
-                free += m.cpusFree();
-                size = Math.max(size, m.type.cpus());
-                least =
-                        least == null
-                                        || m.cpusUsed < least.cpusUsed
-                                        || (m.cpusUsed == least.cpusUsed
-                                                && m.id.compareTo(least.id) < 0)
-                                ? m
-                                : least;
+    private void updateEvacuation(int shortfallElsewhere) {
+        double freeCpus = 0;
+        double largestMachineCpus = 0;
+        Machine leastUsed = null;
+        int evacuatingCount = 0;
+        for (Machine machine : shard.machines().values()) {
+            if (machine.evacuating) {
+                evacuatingCount++;
+                machine.evacuating = shortfallElsewhere > 0;
+            } else if (shard.isAvailable(machine)) {
+                freeCpus += machine.cpusFree();
+                largestMachineCpus = Math.max(largestMachineCpus, machine.type.cpus());
+                leastUsed =
+                        leastUsed == null
+                                        || machine.cpusUsed < leastUsed.cpusUsed
+                                        || (machine.cpusUsed == leastUsed.cpusUsed
+                                                && machine.id.compareTo(leastUsed.id) < 0)
+                                ? machine
+                                : leastUsed;
             }
         }
-        if (lackedElsewhere > yielding
-                && lacks == 0
-                && least != null
-                && free - least.cpusFree() > size * Tuning.YIELD_SLACK) {
-            least.yielding = true;
+        if (shortfallElsewhere > evacuatingCount
+                && machineShortfall == 0
+                && leastUsed != null
+                && freeCpus - leastUsed.cpusFree() > largestMachineCpus * Tuning.YIELD_SLACK) {
+            leastUsed.evacuating = true;
         }
     }
 
@@ -283,29 +299,29 @@
      * How many of a job's waiting tasks should run in parallel, so that the job needs only a share
      * of its slack.
      */
-    private int wantedAtOnce(Job job, MachineType type) {
+    private int targetParallelism(Job job, MachineType type) {
         if (!job.spec.shape().ends()) {
             return job.waitingCount;
         }
-        double run = part.runTimeEstimates().runS(job);
-        double left = part.schedulingOrder().leftS(job, outbox.now.wallMs());
+        double runTimeS = shard.runTimeEstimates().runS(job);
+        double slackS = shard.schedulingOrder().leftS(job, outbox.now.wallMs());
         // A job that can't meet its deadline on a machine that has yet to boot gains nothing from
         // more parallelism.
-        boolean tooLate = left < type.bootS() + run;
-        double horizon =
+        boolean isTooLate = slackS < type.bootS() + runTimeS;
+        double horizonS =
                 Math.max(
-                        run,
-                        left == Double.MAX_VALUE || tooLate
+                        runTimeS,
+                        slackS == Double.MAX_VALUE || isTooLate
                                 ? Tuning.RENT_HORIZON_S
-                                : left * Tuning.RENT_TIME_SHARE);
-        return (int) Math.ceil(job.waitingCount * Math.min(1, run / horizon));
+                                : slackS * Tuning.RENT_TIME_SHARE);
+        return (int) Math.ceil(job.waitingCount * Math.min(1, runTimeS / horizonS));
     }
 
     /** The type with the lowest spot price per task of a job; null if none can run it. */
-    private MachineType cheapest(JobSpec spec) {
-        return types.all().stream()
-                .filter(t -> t.fits(spec))
-                .min(Comparator.comparingDouble(t -> pricePerTask(t, true, spec)))
+    private MachineType cheapestType(JobSpec spec) {
+        return typeCatalog.all().stream()
+                .filter(type -> type.canFit(spec))
+                .min(Comparator.comparingDouble(type -> pricePerTask(type, true, spec)))
                 .orElse(null);
     }
 
@@ -314,7 +330,8 @@
      * is paid for as well.
      */
     private static double pricePerTask(MachineType type, boolean spot, JobSpec spec) {
-        return (spot ? type.spotPrice() : type.price()) / Math.max(1, fits(type, spec));
+        return (spot ? type.spotPricePerHour() : type.onDemandPricePerHour())
+                / Math.max(1, tasksPerMachine(type, spec));
     }
 
     /**
@@ -323,31 +340,35 @@
      * cheapest type was considered, tasks waited in a deployment with few large machines although
      * hundreds of small ones were available.
      */
-    private Rentals.Kind kindFor(JobSpec spec, Object2IntOpenHashMap<String> perZone) {
-        Rentals.Kind spot = kindFor(spec, true, perZone);
-        return spot != null ? spot : kindFor(spec, false, perZone);
+    private Rentals.MachineKind chooseKind(
+            JobSpec spec, Object2IntOpenHashMap<String> machinesPerZone) {
+        Rentals.MachineKind spot = chooseKind(spec, true, machinesPerZone);
+        return spot != null ? spot : chooseKind(spec, false, machinesPerZone);
     }
 
-    private Rentals.Kind kindFor(
-            JobSpec spec, boolean spot, Object2IntOpenHashMap<String> perZone) {
-        Rentals.Kind best = null;
-        double least = Double.MAX_VALUE;
-        for (MachineType type : types.all()) {
+    private Rentals.MachineKind chooseKind(
+            JobSpec spec, boolean spot, Object2IntOpenHashMap<String> machinesPerZone) {
+        Rentals.MachineKind best = null;
+        double lowestPrice = Double.MAX_VALUE;
+        for (MachineType type : typeCatalog.all()) {
             double price = pricePerTask(type, spot, spec);
-            if (price > least
-                    || !type.fits(spec)
-                    || (!spot && spec.spot() && !worthOrdinary(type))) {
+            if (price > lowestPrice
+                    || !type.canFit(spec)
+                    || (!spot && spec.spot() && !isOnDemandWorthwhile(type))) {
                 continue;
             }
             for (String zone : type.zones()) {
-                Rentals.Kind kind = new Rentals.Kind(type.name(), zone, spot);
+                Rentals.MachineKind kind = new Rentals.MachineKind(type.name(), zone, spot);
                 boolean better =
                         best == null
-                                || price < least
-                                || perZone.getInt(zone) < perZone.getInt(best.zone());
-                if (better && spec.allows(type.name(), zone, spot) && !rentals.refused(kind)) {
+                                || price < lowestPrice
+                                || machinesPerZone.getInt(zone)
+                                        < machinesPerZone.getInt(best.zone());
+                if (better
+                        && spec.allows(type.name(), zone, spot)
+                        && !scaleOut.isUnavailable(kind)) {
                     best = kind;
-                    least = price;
+                    lowestPrice = price;
                 }
             }
         }
@@ -358,24 +379,25 @@
      * Whether tasks that may run on spot machines should get on-demand ones of this type. They cost
      * a multiple, which only a long queue justifies.
      */
-    private boolean worthOrdinary(MachineType type) {
-        return !type.dear() || lacksCpus > part.totalCpus() * Tuning.ORDINARY_QUEUE;
+    private boolean isOnDemandWorthwhile(MachineType type) {
+        return !type.isOnDemandExpensive()
+                || cpuShortfall > shard.totalCpus() * Tuning.ORDINARY_QUEUE;
     }
 
     // ---- scale in ----------------------------------------------------------------------------
 
     /** Drains machines that have been idle for too long, except those reserved for replicas. */
-    private void returnIdle(Set<Machine> needed) {
-        for (Machine m : part.machines().values()) {
-            if (m.state == Machine.State.UP
-                    && m.unused()
-                    && !needed.contains(m)
-                    && m.idleSinceMs >= 0
-                    && !standby.needs(m)
-                    && outbox.now.monotonicMs() - m.idleSinceMs
-                            > (m.spot ? Tuning.IDLE_KEEP_MS : Tuning.IDLE_KEEP_ORDINARY_MS)) {
-                m.state = Machine.State.DRAINING;
-                m.unneeded = true;
+    private void drainIdle(Set<Machine> neededMachines) {
+        for (Machine machine : shard.machines().values()) {
+            if (machine.state == Machine.State.UP
+                    && machine.isIdle()
+                    && !neededMachines.contains(machine)
+                    && machine.idleSinceMs >= 0
+                    && !reservedReplicaCapacity.needs(machine)
+                    && outbox.now.monotonicMs() - machine.idleSinceMs
+                            > (machine.spot ? Tuning.IDLE_KEEP_MS : Tuning.IDLE_KEEP_ORDINARY_MS)) {
+                machine.state = Machine.State.DRAINING;
+                machine.drainedAsIdle = true;
             }
         }
     }
--- a/src/main/java/org/shoreusher/core/Inheritance.java
+++ b/src/main/java/org/shoreusher/core/Inheritance.java
@@ -7,8 +7,8 @@
 /**
  * What a new leader has from the attempt log that the previous leader replicated to it.
  *
- * @param attempts the attempts that may be on machines; null if there is no usable log and the
+ * @param attemptTable the attempts that may be on machines; null if there is no usable log and the
  *     attempts have to be learnt from heartbeats
- * @param distrusted called with the reason when the log turns out to be wrong after all
+ * @param onRejected called with the reason when the log turns out to be wrong after all
  */
-record Inheritance(AttemptTable attempts, Consumer<PromotionOutcome> distrusted) {}
+record Inheritance(AttemptTable attemptTable, Consumer<PromotionOutcome> onRejected) {}
--- a/src/main/java/org/shoreusher/core/Machine.java
+++ b/src/main/java/org/shoreusher/core/Machine.java
@@ -22,11 +22,11 @@
         /** Its worker has sent a heartbeat to this leader. */
         UP,
         /** Its handover to another shard is being written to the store and is not confirmed yet. */
-        HANDING,
+        HANDING_OVER,
         /** No task is started on it any more; it is terminated once empty. */
         DRAINING,
         /** Its termination has been requested from the cloud and is not confirmed yet. */
-        RETURNING
+        TERMINATING
     }
 
     /** The cloud's name of the machine; never used again for another one. */
@@ -40,7 +40,7 @@
      * Wall-clock ms at which it was requested from the cloud, or its age in the cloud's list says
      * so.
      */
-    final long rentedWallMs;
+    final long provisionedWallMs;
 
     State state = State.BOOTING;
 
@@ -51,102 +51,102 @@
     long session;
 
     /** Sequence number of the newest heartbeat within its session. */
-    long seq;
+    long sequenceNumber;
 
     /** Steady ms of the newest heartbeat that this leader has received in its term. */
-    long reportedAtMs = Long.MIN_VALUE / 2;
+    long lastHeartbeatAtMs = Long.MIN_VALUE / 2;
 
     /**
      * Steady ms of the latest moment at which a reply, of this leader or a previous one, may have
      * renewed the worker's lease. The lease expires one worker lease after it.
      */
-    long answeredAtMs;
+    long leaseRenewedAtMs;
 
     /**
      * Steady ms of the latest moment at which a previous leader may have renewed the worker's
      * lease.
      */
-    long inheritedAnswerMs;
+    long previousLeaderRenewalAtMs;
 
     /** Steady ms of the last reply that this leader sent; -1 if none. */
-    long repliedAtMs = -1;
+    long lastReplyAtMs = -1;
 
     /** Replies in a row that seem not to have reached the worker. */
-    private int unheard;
+    private int unacknowledgedReplies;
 
     /**
      * Whether this leader has accepted a heartbeat of the worker, so that its task list replaces
      * what was inferred from the store.
      */
-    boolean heard;
+    boolean reconciled;
 
     /**
      * Whether a previous leader may have started tasks on it. Then only a heartbeat made after the
      * failover reconciles it.
      */
-    boolean inherited;
+    boolean usedByPreviousLeader;
 
     /**
      * Newest worker session whose lease has expired. A heartbeat of this session or an older one
      * arrives late and lists tasks that no longer run.
      */
-    long endedSession;
+    long lastExpiredSession;
 
     /**
      * Whether tasks may have been started on it, by this leader or a previous one. Never false
      * again once true.
      */
-    boolean used;
+    boolean mayHaveRunTasks;
 
     /** Whether its record in the store says so too. No task starts on it before. */
-    boolean recordedUsed;
+    boolean hasDurableUseRecord;
 
     /**
      * Whether it gets no more tasks, so that it becomes empty and can be handed over to a shard
      * that has too few machines.
      */
-    boolean yielding;
+    boolean evacuating;
 
     /**
      * Whether it is drained only because it was idle; then a refused termination makes it usable.
      */
-    boolean unneeded;
+    boolean drainedAsIdle;
 
     /** Whether a termination request without an answer may still take effect. */
-    boolean returnUnknown;
+    boolean terminationOutcomeUnknown;
 
-    /** Number of the shard it is handed over to; valid in state {@link State#HANDING}. */
-    int handTo;
+    /** Number of the shard it is handed over to; valid in state {@link State#HANDING_OVER}. */
+    int handoverTargetShard;
 
     /**
      * Seconds until the cloud interrupts this spot machine, as of the newest heartbeat; NaN without
      * an interruption notice.
      */
-    double noticeS = Double.NaN;
+    double interruptionNoticeS = Double.NaN;
 
     /** Steady ms since which heartbeats have listed no task; -1 while there are tasks. */
     long idleSinceMs = -1;
 
     /** Moving average of its tasks' run times, each divided by the mean of its job. */
-    private double pace = 1;
+    private double relativeRunTime = 1;
 
-    private int paced;
+    private int runTimeSamples;
 
     /** Tasks in its newest heartbeat, exited ones included. */
-    int shown;
+    int reportedTaskCount;
 
     /** Tasks on their way here by task migration, for which the capacity below is reserved. */
-    int reservations;
+    int reservedTaskCount;
 
     private double cpusReserved;
     private double gpusReserved;
-    private double memReserved;
+    private double memGbReserved;
 
     /** CPUs, GPUs and GB of memory that the tasks on it occupy. */
     double cpusUsed;
 
     double gpusUsed;
-    double memUsed;
+    double memGbUsed;
 
     /**
      * The attempts that are or may be on it, by {@link #taskKey}. Only {@link ResourceLedger}
@@ -155,22 +155,22 @@
     final Object2ObjectOpenHashMap<String, TaskAttempt> tasks = new Object2ObjectOpenHashMap<>();
 
     /** Container images of tasks that ran on it; most likely in its cache still. */
-    final ObjectOpenHashSet<String> images = new ObjectOpenHashSet<>();
+    final ObjectOpenHashSet<String> cachedImages = new ObjectOpenHashSet<>();
 
     /** Jobs of which a task failed on it since a task last succeeded on it. */
-    final ObjectOpenHashSet<String> failedJobs = new ObjectOpenHashSet<>();
+    final ObjectOpenHashSet<String> failedJobIds = new ObjectOpenHashSet<>();
 
     /**
      * Creates a machine in state {@link State#BOOTING}.
      *
-     * @param rentedWallMs wall-clock ms at which it was requested
+     * @param provisionedWallMs wall-clock ms at which it was requested
      */
-    Machine(String id, MachineType type, String zone, boolean spot, long rentedWallMs) {
+    Machine(String id, MachineType type, String zone, boolean spot, long provisionedWallMs) {
         this.id = id;
         this.type = type;
         this.zone = zone;
         this.spot = spot;
-        this.rentedWallMs = rentedWallMs;
+        this.provisionedWallMs = provisionedWallMs;
     }
 
     /**
@@ -179,28 +179,29 @@
      * in the end its session ends although the replies were sent in time. To be called before the
      * heartbeat's session is taken over.
      */
-    void reported(WorkerReport r, long nowMs, Settings settings) {
-        if (repliedAtMs < 0) {
+    void inferReplyDelivery(WorkerReport heartbeat, long nowMs, Settings settings) {
+        if (lastReplyAtMs < 0) {
             return;
         }
-        long since = nowMs - repliedAtMs;
-        if (r.session() > session && since < Tuning.WORKER_PATIENCE_MS - Tuning.REPORT_SLACK_MS) {
+        long sinceReplyMs = nowMs - lastReplyAtMs;
+        if (heartbeat.incarnation() > session
+                && sinceReplyMs < Tuning.WORKER_PATIENCE_MS - Tuning.REPORT_SLACK_MS) {
             // Delayed by a network partition and delivered together with the previous heartbeat: a
             // worker without a reply would have waited for its timeout first. Without this check,
             // sound machines were cordoned half a second after a partition had healed.
             return;
         }
-        if (r.session() > session && since < settings.workerLeaseS() * 1000) {
-            unheard = Math.max(unheard + 1, Tuning.DEAF_AFTER);
-        } else if (r.session() > session
-                || since
+        if (heartbeat.incarnation() > session && sinceReplyMs < settings.workerLeaseS() * 1000) {
+            unacknowledgedReplies = Math.max(unacknowledgedReplies + 1, Tuning.DEAF_AFTER);
+        } else if (heartbeat.incarnation() > session
+                || sinceReplyMs
                         > Math.max(
                                 Tuning.WORKER_PATIENCE_MS,
                                 settings.reportS() * 1000 * Tuning.REPORT_SPREAD
                                         + Tuning.REPORT_SLACK_MS)) {
-            unheard++;
+            unacknowledgedReplies++;
         } else {
-            unheard = 0;
+            unacknowledgedReplies = 0;
         }
     }
 
@@ -208,24 +209,27 @@
      * Whether there seems to be a one-way partition: its heartbeats arrive, but replies don't reach
      * it. It gets no tasks until a heartbeat shows that a reply did.
      */
-    boolean deaf() {
-        return unheard >= Tuning.DEAF_AFTER;
+    boolean hasOneWayPartition() {
+        return unacknowledgedReplies >= Tuning.DEAF_AFTER;
     }
 
     /** Records that a task took so many times the mean run time of its job's finished tasks. */
-    void ran(double timesTheMean) {
-        pace = paced == 0 ? timesTheMean : pace + (timesTheMean - pace) * Tuning.PACE_WEIGHT;
-        paced++;
+    void recordRunTime(double ratioToMean) {
+        relativeRunTime =
+                runTimeSamples == 0
+                        ? ratioToMean
+                        : relativeRunTime + (ratioToMean - relativeRunTime) * Tuning.PACE_WEIGHT;
+        runTimeSamples++;
     }
 
     /** Whether its tasks take so much longer than elsewhere that it should get no more of them. */
-    boolean slow() {
-        return paced >= Tuning.PACE_TASKS && pace > Tuning.SLOW_TIMES;
+    boolean isSlow() {
+        return runTimeSamples >= Tuning.PACE_TASKS && relativeRunTime > Tuning.SLOW_TIMES;
     }
 
     /** The key of a task in {@link #tasks}: job and array index. */
-    static String taskKey(String job, int index) {
-        return job + "/" + index;
+    static String taskKey(String jobId, int index) {
+        return jobId + "/" + index;
     }
 
     /** CPUs neither used nor reserved; may be negative. */
@@ -239,25 +243,25 @@
     }
 
     /** GB of memory neither used nor reserved; may be negative. */
-    double memFree() {
-        return type.memGb() - memUsed - memReserved;
+    double memGbFree() {
+        return type.memGb() - memGbUsed - memGbReserved;
     }
 
     /** Reserves capacity for so many tasks that migrate here; a negative number releases it. */
-    void reserve(JobSpec spec, int tasks) {
-        reservations += tasks;
-        cpusReserved = reservations == 0 ? 0 : cpusReserved + tasks * spec.cpus();
-        gpusReserved = reservations == 0 ? 0 : gpusReserved + tasks * spec.gpus();
-        memReserved = reservations == 0 ? 0 : memReserved + tasks * spec.memGb();
+    void reserve(JobSpec spec, int taskCount) {
+        reservedTaskCount += taskCount;
+        cpusReserved = reservedTaskCount == 0 ? 0 : cpusReserved + taskCount * spec.cpus();
+        gpusReserved = reservedTaskCount == 0 ? 0 : gpusReserved + taskCount * spec.gpus();
+        memGbReserved = reservedTaskCount == 0 ? 0 : memGbReserved + taskCount * spec.memGb();
     }
 
     /** Whether it has no tasks and no capacity is reserved on it. */
-    boolean unused() {
-        return tasks.isEmpty() && reservations == 0;
+    boolean isIdle() {
+        return tasks.isEmpty() && reservedTaskCount == 0;
     }
 
     /** Returns a copy of the tasks, for callers that add or remove some while they iterate. */
-    List<TaskAttempt> tasksNow() {
+    List<TaskAttempt> snapshotTasks() {
         return new ArrayList<>(tasks.values());
     }
 }
--- a/src/main/java/org/shoreusher/core/MachineIndex.java
+++ b/src/main/java/org/shoreusher/core/MachineIndex.java
@@ -15,58 +15,59 @@
  * counts as used if either says so.
  */
 final class MachineIndex {
-    private final Object2ObjectOpenHashMap<String, MachineRecord> records =
+    private final Object2ObjectOpenHashMap<String, MachineRecord> recordsById =
             new Object2ObjectOpenHashMap<>();
-    private final Object2ObjectOpenHashMap<String, Map<String, MachineRecord>> groups =
+    private final Object2ObjectOpenHashMap<String, Map<String, MachineRecord>> groupsByKey =
             new Object2ObjectOpenHashMap<>();
 
     /** Returns the machine's record, or null. */
     MachineRecord get(String id) {
-        return records.get(id);
+        return recordsById.get(id);
     }
 
     /** The records of all machines by machine name; not to be changed. */
-    Map<String, MachineRecord> all() {
-        return records;
+    Map<String, MachineRecord> recordsById() {
+        return recordsById;
     }
 
     /**
      * The records in the group under a store key, by machine name; empty if there is no such group.
      */
     Map<String, MachineRecord> group(String key) {
-        return groups.getOrDefault(key, Map.of());
+        return groupsByKey.getOrDefault(key, Map.of());
     }
 
     /**
      * Applies the new value of a group.
      *
-     * @param after the group's new entry in the store; null if it was removed
-     * @param changed called with each machine whose record is new or different now
+     * @param entry the group's new entry in the store; null if it was removed
+     * @param onRecordChange called with each machine whose record is new or different now
      * @throws IllegalStateException if the value can't be parsed
      */
-    void changed(String key, StoreView.Entry after, BiConsumer<String, MachineRecord> changed) {
-        Map<String, MachineRecord> now =
-                after == null
+    void updateGroup(
+            String key, StoreView.Entry entry, BiConsumer<String, MachineRecord> onRecordChange) {
+        Map<String, MachineRecord> updatedGroup =
+                entry == null
                         ? Map.of()
-                        : MachineGroupRecord.fromMap(key, after.value()).machines();
-        Set<String> touched = new HashSet<>(group(key).keySet());
-        touched.addAll(now.keySet());
-        if (now.isEmpty()) {
-            groups.remove(key);
+                        : MachineGroupRecord.fromMap(key, entry.value()).machines();
+        Set<String> affectedIds = new HashSet<>(group(key).keySet());
+        affectedIds.addAll(updatedGroup.keySet());
+        if (updatedGroup.isEmpty()) {
+            groupsByKey.remove(key);
         } else {
-            groups.put(key, now);
+            groupsByKey.put(key, updatedGroup);
         }
-        for (String id : touched) {
-            MachineRecord record = merged(id);
+        for (String id : affectedIds) {
+            MachineRecord record = mergeRecords(id);
             if (record == null) {
-                records.remove(id);
-            } else if (!record.equals(records.put(id, record))) {
-                changed.accept(id, record);
+                recordsById.remove(id);
+            } else if (!record.equals(recordsById.put(id, record))) {
+                onRecordChange.accept(id, record);
             }
         }
     }
 
-    private MachineRecord merged(String id) {
+    private MachineRecord mergeRecords(String id) {
         MachineRecord narrow = group(StoreSchema.machineGroupKey(id, false)).get(id);
         MachineRecord wide = group(StoreSchema.machineGroupKey(id, true)).get(id);
         return narrow == null
--- a/src/main/java/org/shoreusher/core/MachineLifecycle.java
+++ b/src/main/java/org/shoreusher/core/MachineLifecycle.java
@@ -8,37 +8,37 @@
  * each shard that this node leads.
  */
 final class MachineLifecycle {
-    private final Part part;
-    private final int parts;
+    private final Part shard;
+    private final int shardCount;
     private final Settings settings;
     private final Outbox outbox;
-    private final MachineIndex index;
-    private final MachineTypes types;
-    private final Part.Others others;
-    private final PartOwnership ownership;
+    private final MachineIndex machineIndex;
+    private final MachineTypes typeCatalog;
+    private final Part.Others peerView;
+    private final PartOwnership leadership;
     private final ResourceLedger ledger;
 
     /**
      * Creates the lifecycle of a shard's machines.
      *
-     * @param parts number of shards of the cluster
+     * @param shardCount number of shards of the cluster
      */
     MachineLifecycle(
-            Part part,
-            int parts,
+            Part shard,
+            int shardCount,
             NodeContext context,
-            Part.Others others,
-            PartOwnership ownership,
+            Part.Others peerView,
+            PartOwnership leadership,
             ResourceLedger ledger) {
-        this.part = part;
-        this.parts = parts;
-        this.others = others;
-        this.ownership = ownership;
+        this.shard = shard;
+        this.shardCount = shardCount;
+        this.peerView = peerView;
+        this.leadership = leadership;
         this.ledger = ledger;
         settings = context.settings();
         outbox = context.outbox();
-        index = context.machineIndex();
-        types = context.machineTypes();
+        machineIndex = context.machineIndex();
+        typeCatalog = context.machineTypes();
     }
 
     /**
@@ -46,65 +46,67 @@
      *
      * @return the machine; null if its type is unknown
      */
-    Machine addMachine(String id, MachineRecord record) {
-        MachineType type = types.get(record.type());
+    Machine addRecordedMachine(String id, MachineRecord record) {
+        MachineType type = typeCatalog.get(record.type());
         if (type == null) {
             return null;
         }
-        Machine m = new Machine(id, type, record.zone(), record.spot(), record.provisionedWallMs());
-        m.used = record.mayHaveRunTasks();
-        m.recordedUsed = record.mayHaveRunTasks();
+        Machine machine =
+                new Machine(id, type, record.zone(), record.spot(), record.provisionedWallMs());
+        machine.mayHaveRunTasks = record.mayHaveRunTasks();
+        machine.hasDurableUseRecord = record.mayHaveRunTasks();
         // During an outage of the store the previous leader may have renewed the worker's lease in
         // its grace period, as long as gossip told it that this node could not reach the store
         // either.
-        m.answeredAtMs =
-                ownership.acquiredAtMs()
+        machine.leaseRenewedAtMs =
+                leadership.acquiredAtMs()
                         + Math.max(
                                 0,
                                 Math.min(
                                         PartLease.gracePeriodMs(settings),
-                                        others.storeOutageGossipValidUntilMs()
-                                                - ownership.acquiredAtMs()));
-        m.inheritedAnswerMs = m.answeredAtMs;
-        part.machines().put(id, m);
-        return m;
+                                        peerView.storeOutageGossipValidUntilMs()
+                                                - leadership.acquiredAtMs()));
+        machine.previousLeaderRenewalAtMs = machine.leaseRenewedAtMs;
+        shard.machines().put(id, machine);
+        return machine;
     }
 
     /**
      * Adds a machine that has no record, hence has never been given a task, and has its record
      * written.
      *
-     * @param rentedWallMs wall-clock ms at which it was requested
+     * @param provisionedWallMs wall-clock ms at which it was requested
      * @return the machine; null if {@code type} is null
      */
-    Machine add(String id, MachineType type, String zone, boolean spot, long rentedWallMs) {
+    Machine addNewMachine(
+            String id, MachineType type, String zone, boolean spot, long provisionedWallMs) {
         if (type == null) {
             return null;
         }
-        Machine m = new Machine(id, type, zone, spot, rentedWallMs);
-        m.answeredAtMs = outbox.now.monotonicMs();
-        part.machines().put(id, m);
-        part.machineRecords().changed(id);
-        return m;
+        Machine machine = new Machine(id, type, zone, spot, provisionedWallMs);
+        machine.leaseRenewedAtMs = outbox.now.monotonicMs();
+        shard.machines().put(id, machine);
+        shard.machineRecords().markDirty(id);
+        return machine;
     }
 
     /**
      * Puts the tasks of machines whose worker leases have expired back into the queue. The worker
      * has killed them by then.
      */
-    void endSilent() {
-        for (Machine m : part.machines().values()) {
-            if (!m.tasks.isEmpty() && part.hasWorkerLeaseExpired(m)) {
+    void expireWorkerLeases() {
+        for (Machine machine : shard.machines().values()) {
+            if (!machine.tasks.isEmpty() && shard.hasWorkerLeaseExpired(machine)) {
                 outbox.logInfo(
                         "silent: "
-                                + m.id
+                                + machine.id
                                 + " of part "
-                                + part.shardNumber
+                                + shard.shardNumber
                                 + " lost its lease with "
-                                + m.tasks.size()
+                                + machine.tasks.size()
                                 + " tasks");
-                m.tasksNow().forEach(ledger::remove);
-                m.endedSession = m.session;
+                machine.snapshotTasks().forEach(ledger::remove);
+                machine.lastExpiredSession = machine.session;
             }
         }
     }
@@ -112,45 +114,48 @@
     /**
      * Removes a machine that no longer exists, with its tasks and its record. The reason is logged.
      */
-    void gone(Machine m, String why) {
-        outbox.logInfo("gone: " + m.id + " of part " + part.shardNumber + ", " + why);
-        m.tasksNow().forEach(ledger::remove);
-        part.removeMachine(m.id);
-        part.machineRecords().changed(m.id);
-        part.autoscaler().list().forget(m.id);
+    void removeTerminated(Machine machine, String reason) {
+        outbox.logInfo("gone: " + machine.id + " of part " + shard.shardNumber + ", " + reason);
+        machine.snapshotTasks().forEach(ledger::remove);
+        shard.removeMachine(machine.id);
+        shard.machineRecords().markDirty(machine.id);
+        shard.autoscaler().inventory().recordTermination(machine.id);
     }
 
     /**
      * Handles a machine that the cloud reports as failed: nothing runs on it, and it is drained.
      */
-    void stopped(Machine m) {
-        m.tasksNow().forEach(ledger::remove);
-        if (m.state == Machine.State.BOOTING || m.state == Machine.State.UP) {
-            m.state = Machine.State.DRAINING;
+    void handleMachineFailure(Machine machine) {
+        machine.snapshotTasks().forEach(ledger::remove);
+        if (machine.state == Machine.State.BOOTING || machine.state == Machine.State.UP) {
+            machine.state = Machine.State.DRAINING;
         }
     }
 
     /**
      * Whether this shard, by the hash of the name, is the one to adopt a machine without a record.
      */
-    boolean strayHere(String id) {
-        return index.get(id) == null && Math.floorMod(id.hashCode(), parts) == part.shardNumber;
+    boolean shouldAdopt(String id) {
+        return machineIndex.get(id) == null
+                && Math.floorMod(id.hashCode(), shardCount) == shard.shardNumber;
     }
 
     /**
      * Applies a changed machine record: adds a machine that was handed over to this shard, and
      * removes an empty one that belongs to another shard now.
      */
-    void machineChanged(String id, MachineRecord record) {
-        Machine m = part.machines().get(id);
+    void applyRecord(String id, MachineRecord record) {
+        Machine machine = shard.machines().get(id);
         // A write made before the machine was terminated may reach the cache after that.
-        if (part.isLoaded()
-                && m == null
-                && record.shardNumber() == part.shardNumber
-                && !part.autoscaler().list().isGone(id)) {
-            addMachine(id, record);
-        } else if (m != null && m.tasks.isEmpty() && record.shardNumber() != part.shardNumber) {
-            part.removeMachine(id);
+        if (shard.isLoaded()
+                && machine == null
+                && record.shardNumber() == shard.shardNumber
+                && !shard.autoscaler().inventory().isTerminated(id)) {
+            addRecordedMachine(id, record);
+        } else if (machine != null
+                && machine.tasks.isEmpty()
+                && record.shardNumber() != shard.shardNumber) {
+            shard.removeMachine(id);
         }
     }
 }
--- a/src/main/java/org/shoreusher/core/MachineList.java
+++ b/src/main/java/org/shoreusher/core/MachineList.java
@@ -20,66 +20,66 @@
  * of its machines have been terminated, and which machines have no record and need to be adopted.
  */
 final class MachineList {
-    private final Part part;
+    private final Part shard;
     private final Settings settings;
     private final Outbox outbox;
-    private final MachineTypes types;
+    private final MachineTypes typeCatalog;
 
     /** Listed machines without a record, with the steady ms at which they were first seen. */
-    private final Object2LongOpenHashMap<String> strays = new Object2LongOpenHashMap<>();
+    private final Object2LongOpenHashMap<String> unrecordedSinceMs = new Object2LongOpenHashMap<>();
 
     /** Names of the machines in the newest complete list. */
-    private Set<String> listed = Set.of();
+    private Set<String> listedIds = Set.of();
 
     /** Machines that have been terminated, oldest first; the cloud never uses a name again. */
-    private final ObjectLinkedOpenHashSet<String> gone = new ObjectLinkedOpenHashSet<>();
+    private final ObjectLinkedOpenHashSet<String> terminatedIds = new ObjectLinkedOpenHashSet<>();
 
     private long nextListMs;
 
     /** The list that is being read page by page; null between two lists. */
-    private Reading reading;
+    private PartialList partialList;
 
     private boolean awaitingReply;
 
     /**
      * The pages of a list read so far.
      *
-     * @param askedAt when the first page was requested
+     * @param requestedAt when the first page was requested
      */
-    private record Reading(ClockReading askedAt, List<Listed> machines) {
+    private record PartialList(ClockReading requestedAt, List<Listed> machines) {
         /** The last machine so far, after which the next page begins; null for the first page. */
-        String lastName() {
+        String lastMachineId() {
             return machines.isEmpty() ? null : machines.get(machines.size() - 1).machineId();
         }
     }
 
     /** Creates the inventory of a shard; nothing is listed yet. */
-    MachineList(Part part, Settings settings, Outbox outbox, MachineTypes types) {
-        this.part = part;
+    MachineList(Part shard, Settings settings, Outbox outbox, MachineTypes typeCatalog) {
+        this.shard = shard;
         this.settings = settings;
         this.outbox = outbox;
-        this.types = types;
+        this.typeCatalog = typeCatalog;
     }
 
     /**
      * Remembers that a machine of the shard has been terminated, so that late messages add it not
      * again.
      */
-    void forget(String id) {
-        gone.add(id);
-        if (gone.size() > Tuning.GONE_NAMES) {
-            gone.removeFirst();
+    void recordTermination(String id) {
+        terminatedIds.add(id);
+        if (terminatedIds.size() > Tuning.GONE_NAMES) {
+            terminatedIds.removeFirst();
         }
     }
 
     /** Whether the machine is known to have been terminated. */
-    boolean isGone(String id) {
-        return gone.contains(id);
+    boolean isTerminated(String id) {
+        return terminatedIds.contains(id);
     }
 
     /** Whether the newest complete list has the machine. */
     boolean isListed(String id) {
-        return listed.contains(id);
+        return listedIds.contains(id);
     }
 
     /**
@@ -91,65 +91,68 @@
         if (awaitingReply) {
             return;
         }
-        if (reading == null) {
+        if (partialList == null) {
             if (outbox.now.monotonicMs() < nextListMs) {
                 return;
             }
-            reading = new Reading(outbox.now, new ArrayList<>());
+            partialList = new PartialList(outbox.now, new ArrayList<>());
         }
-        awaitingReply = outbox.callCloud(new CloudOp.Listing(reading.lastName()), this::replied);
+        awaitingReply =
+                outbox.callCloud(
+                        new CloudOp.Listing(partialList.lastMachineId()), this::handlePage);
     }
 
-    private void replied(CloudReply reply) {
+    private void handlePage(CloudReply reply) {
         awaitingReply = false;
-        Reading current = reading;
+        PartialList current = partialList;
         // Reconciliation waits for machines until a list shows that they are terminated.
         nextListMs =
                 outbox.now.monotonicMs()
-                        + (part.isReconciled() ? Tuning.LIST_EVERY_MS : Tuning.LIST_IN_REBUILD_MS);
-        reading = null;
-        if (reply.status() != 200 || part.isLeadershipLost()) {
+                        + (shard.isReconciled() ? Tuning.LIST_EVERY_MS : Tuning.LIST_IN_REBUILD_MS);
+        partialList = null;
+        if (reply.status() != 200 || shard.isLeadershipLost()) {
             return;
         }
         try {
             ListPage page = CloudFormat.machines(new FieldMap(reply.body()));
             current.machines().addAll(page.machines());
             if (page.hasMore() && !page.machines().isEmpty()) {
-                reading = current;
+                partialList = current;
                 step();
             } else {
-                listed(current.machines(), current.askedAt());
+                applyList(current.machines(), current.requestedAt());
             }
         } catch (FieldMap.Missing e) {
             outbox.logInfo("cloud: machine list not understood: " + e.getMessage());
         }
     }
 
-    private void listed(List<Listed> all, ClockReading askedAt) {
-        Set<String> names = new HashSet<>();
-        for (Listed l : all) {
-            names.add(l.machineId());
-            Machine m = part.machines().get(l.machineId());
-            if (m != null && l.state().equals("failed")) {
-                part.lifecycle().stopped(m);
+    private void applyList(List<Listed> listedMachines, ClockReading requestedAt) {
+        Set<String> ids = new HashSet<>();
+        for (Listed listedMachine : listedMachines) {
+            ids.add(listedMachine.machineId());
+            Machine machine = shard.machines().get(listedMachine.machineId());
+            if (machine != null && listedMachine.state().equals("failed")) {
+                shard.lifecycle().handleMachineFailure(machine);
             }
-            if (m == null && part.lifecycle().strayHere(l.machineId())) {
-                stray(l);
+            if (machine == null && shard.lifecycle().shouldAdopt(listedMachine.machineId())) {
+                adoptIfStillListed(listedMachine);
             } else {
                 // Otherwise a machine that is terminated later, and that a lagging list still has,
                 // would count as seen before.
-                strays.removeLong(l.machineId());
+                unrecordedSinceMs.removeLong(listedMachine.machineId());
             }
         }
-        strays.keySet().retainAll(names);
-        listed = names;
+        unrecordedSinceMs.keySet().retainAll(ids);
+        listedIds = ids;
         // Lists are at most twice their lag old, and a machine once listed stays in them until it
         // is
         // terminated.
-        long shown = (long) (2 * settings.listLagS() * 1000) + Tuning.LIST_SLACK_MS;
-        for (Machine m : new ArrayList<>(part.machines().values())) {
-            if (!names.contains(m.id) && askedAt.wallMs() - m.rentedWallMs > shown) {
-                part.lifecycle().gone(m, "no longer in the cloud's list");
+        long maxListDelayMs = (long) (2 * settings.listLagS() * 1000) + Tuning.LIST_SLACK_MS;
+        for (Machine machine : new ArrayList<>(shard.machines().values())) {
+            if (!ids.contains(machine.id)
+                    && requestedAt.wallMs() - machine.provisionedWallMs > maxListDelayMs) {
+                shard.lifecycle().removeTerminated(machine, "no longer in the cloud's list");
             }
         }
     }
@@ -158,23 +161,24 @@
      * Adopts a listed machine without a record once it has been listed for long enough that no
      * reply to a provisioning request can still be on its way.
      */
-    private void stray(Listed l) {
-        if (!strays.containsKey(l.machineId())) {
-            strays.put(l.machineId(), outbox.now.monotonicMs());
-        } else if (outbox.now.monotonicMs() - strays.getLong(l.machineId())
-                > (gone.contains(l.machineId())
+    private void adoptIfStillListed(Listed listedMachine) {
+        if (!unrecordedSinceMs.containsKey(listedMachine.machineId())) {
+            unrecordedSinceMs.put(listedMachine.machineId(), outbox.now.monotonicMs());
+        } else if (outbox.now.monotonicMs() - unrecordedSinceMs.getLong(listedMachine.machineId())
+                > (terminatedIds.contains(listedMachine.machineId())
                         ? Tuning.GONE_STILL_LISTED_MS
                         : 2 * Tuning.LIST_EVERY_MS)) {
-            strays.removeLong(l.machineId());
-            gone.remove(l.machineId());
-            outbox.logInfo("adopted: " + l.machineId() + " in part " + part.shardNumber);
-            part.lifecycle()
-                    .add(
-                            l.machineId(),
-                            types.get(l.type()),
-                            l.zone(),
-                            l.spot(),
-                            outbox.now.wallMs() - (long) (l.ageS() * 1000));
+            unrecordedSinceMs.removeLong(listedMachine.machineId());
+            terminatedIds.remove(listedMachine.machineId());
+            outbox.logInfo(
+                    "adopted: " + listedMachine.machineId() + " in part " + shard.shardNumber);
+            shard.lifecycle()
+                    .addNewMachine(
+                            listedMachine.machineId(),
+                            typeCatalog.get(listedMachine.type()),
+                            listedMachine.zone(),
+                            listedMachine.spot(),
+                            outbox.now.wallMs() - (long) (listedMachine.ageS() * 1000));
         }
     }
 }
--- a/src/main/java/org/shoreusher/core/MachineRecords.java
+++ b/src/main/java/org/shoreusher/core/MachineRecords.java
@@ -20,89 +20,90 @@
  * writes, and a previous leader can't write at all.
  */
 final class MachineRecords {
-    private final int partNumber;
+    private final int shardNumber;
     private final Settings settings;
     private final Outbox outbox;
-    private final StoreView view;
-    private final MachineIndex index;
-    private final MemberFormats formats;
-    private final PartOwnership ownership;
+    private final StoreView storeCache;
+    private final MachineIndex machineIndex;
+    private final MemberFormats versionNegotiation;
+    private final PartOwnership leadership;
     private final Map<String, Machine> machines;
 
     /** Called with a machine that belongs to another shard now. */
-    private final Consumer<String> handedOver;
+    private final Consumer<String> onHandedOver;
 
-    /** Machines whose records may differ from {@link #wanted}, oldest first. */
-    private final ObjectLinkedOpenHashSet<String> dirty = new ObjectLinkedOpenHashSet<>();
+    /** Machines whose records may differ from {@link #desiredRecord}, oldest first. */
+    private final ObjectLinkedOpenHashSet<String> dirtyIds = new ObjectLinkedOpenHashSet<>();
 
     /**
      * Keys of wide groups, written under a larger value limit, whose machines move to narrow ones.
      */
-    private final ObjectLinkedOpenHashSet<String> splitting = new ObjectLinkedOpenHashSet<>();
+    private final ObjectLinkedOpenHashSet<String> wideGroupsToSplit =
+            new ObjectLinkedOpenHashSet<>();
 
-    private boolean recording;
-    private long nextMs;
+    private boolean writeInFlight;
+    private long nextWriteMs;
 
     /**
      * Creates the records of a shard.
      *
      * @param machines the shard's machines by name; read, never changed
-     * @param handedOver called with each machine that belongs to another shard now
+     * @param onHandedOver called with each machine that belongs to another shard now
      */
     MachineRecords(
-            int partNumber,
+            int shardNumber,
             NodeContext context,
-            PartOwnership ownership,
+            PartOwnership leadership,
             Map<String, Machine> machines,
-            Consumer<String> handedOver) {
-        this.handedOver = handedOver;
-        this.partNumber = partNumber;
+            Consumer<String> onHandedOver) {
+        this.onHandedOver = onHandedOver;
+        this.shardNumber = shardNumber;
         settings = context.settings();
         outbox = context.outbox();
-        view = context.storeCache();
-        index = context.machineIndex();
-        formats = context.versionNegotiation();
-        this.ownership = ownership;
+        storeCache = context.storeCache();
+        machineIndex = context.machineIndex();
+        versionNegotiation = context.versionNegotiation();
+        this.leadership = leadership;
         this.machines = machines;
     }
 
     /** Has the record of a machine that is new, used or terminated written or removed. */
-    void changed(String id) {
-        dirty.add(id);
+    void markDirty(String id) {
+        dirtyIds.add(id);
     }
 
     /**
      * Hands an idle machine over to another shard. From now on no task starts on it. The write is
      * repeated until it succeeds or the machine's record has been changed by another leader.
      *
-     * @param to number of the other shard
+     * @param targetShard number of the other shard
      */
-    void handOver(Machine m, int to) {
-        m.state = Machine.State.HANDING;
-        m.handTo = to;
-        dirty.add(m.id);
+    void handOver(Machine machine, int targetShard) {
+        machine.state = Machine.State.HANDING_OVER;
+        machine.handoverTargetShard = targetShard;
+        dirtyIds.add(machine.id);
     }
 
     /** The record that a machine should have; null if none. */
-    private MachineRecord wanted(String id) {
-        Machine m = machines.get(id);
-        if (m == null) {
+    private MachineRecord desiredRecord(String id) {
+        Machine machine = machines.get(id);
+        if (machine == null) {
             return null;
         }
-        boolean handing = m.state == Machine.State.HANDING;
+        boolean handingOver = machine.state == Machine.State.HANDING_OVER;
         // A node of the previous version would write a wide group beside the narrow one, and later
         // read "not used" in the narrow one.
-        boolean mixed = narrow() && !formats.areServicesSupported();
+        boolean mixedVersions = usesNarrowGroups() && !versionNegotiation.areServicesSupported();
         return new MachineRecord(
-                handing ? m.handTo : partNumber,
-                m.type.name(),
-                m.zone,
-                m.spot,
-                m.rentedWallMs,
-                handing || mixed || m.used);
+                handingOver ? machine.handoverTargetShard : shardNumber,
+                machine.type.name(),
+                machine.zone,
+                machine.spot,
+                machine.provisionedWallMs,
+                handingOver || mixedVersions || machine.mayHaveRunTasks);
     }
 
-    private boolean narrow() {
+    private boolean usesNarrowGroups() {
         return settings.valueBytes() < Tuning.WIDE_GROUP_BYTES;
     }
 
@@ -112,53 +113,54 @@
      * the store's rate limit. At most one write is in flight.
      */
     void write() {
-        if (recording
-                || (dirty.isEmpty() && splitting.isEmpty())
-                || !ownership.isLeader()
-                || outbox.now.monotonicMs() < nextMs) {
+        if (writeInFlight
+                || (dirtyIds.isEmpty() && wideGroupsToSplit.isEmpty())
+                || !leadership.isLeader()
+                || outbox.now.monotonicMs() < nextWriteMs) {
             return;
         }
-        split();
+        splitWideGroups();
         Map<String, Map<String, MachineRecord>> groups = new LinkedHashMap<>();
-        List<String> batch = gather(groups);
-        batch.forEach(dirty::remove);
-        Map<String, Long> guards = new LinkedHashMap<>(ownership.fencingPrecondition());
+        List<String> batch = collectBatch(groups);
+        batch.forEach(dirtyIds::remove);
+        Map<String, Long> preconditions = new LinkedHashMap<>(leadership.fencingPrecondition());
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
         groups.forEach(
                 (key, group) -> {
-                    if (!group.equals(index.group(key))) {
-                        guards.put(key, view.version(key));
+                    if (!group.equals(machineIndex.group(key))) {
+                        preconditions.put(key, storeCache.version(key));
                         writes.put(key, MachineGroupRecord.toMap(key, group));
                     }
                 });
-        for (String wide : splitting) {
+        for (String wideKey : wideGroupsToSplit) {
             if (writes.size() < settings.txnOps()
-                    && index.group(wide).keySet().stream().allMatch(this::standsElsewhere)) {
-                guards.put(wide, view.version(wide));
-                writes.put(wide, null);
+                    && machineIndex.group(wideKey).keySet().stream()
+                            .allMatch(this::isRecordedElsewhere)) {
+                preconditions.put(wideKey, storeCache.version(wideKey));
+                writes.put(wideKey, null);
             }
         }
         if (writes.isEmpty()) {
-            settle(batch);
+            applyWriteResult(batch);
             return;
         }
-        recording =
+        writeInFlight =
                 outbox.callStore(
-                        new StateOp.Multi(guards, writes),
+                        new StateOp.Multi(preconditions, writes),
                         reply -> {
-                            recording = false;
-                            if (ownership.isLost()) {
+                            writeInFlight = false;
+                            if (leadership.isLost()) {
                                 return;
                             }
                             if (reply.status() == 200) {
-                                view.applyOwnWrites(reply, writes);
+                                storeCache.applyOwnWrites(reply, writes);
                             }
-                            settle(batch);
+                            applyWriteResult(batch);
                         });
-        if (recording) {
-            nextMs = outbox.now.monotonicMs() + Tuning.RECORDS_EVERY_MS;
+        if (writeInFlight) {
+            nextWriteMs = outbox.now.monotonicMs() + Tuning.RECORDS_EVERY_MS;
         } else {
-            dirty.addAll(batch);
+            dirtyIds.addAll(batch);
         }
     }
 
@@ -168,26 +170,27 @@
      * @param groups receives the new groups by key
      * @return the machines whose groups are among them
      */
-    private List<String> gather(Map<String, Map<String, MachineRecord>> groups) {
+    private List<String> collectBatch(Map<String, Map<String, MachineRecord>> groups) {
         List<String> batch = new ArrayList<>();
-        for (String id : dirty) {
+        for (String id : dirtyIds) {
             String key = StoreSchema.machineGroupKey(id, settings.valueBytes());
             Map<String, MachineRecord> group = groups.get(key);
             if (group == null) {
                 if (groups.size() >= Math.max(1, settings.txnOps() / 2)) {
                     continue;
                 }
-                group = new TreeMap<>(index.group(key));
+                group = new TreeMap<>(machineIndex.group(key));
                 groups.put(key, group);
             }
             batch.add(id);
-            MachineRecord wanted = wanted(id);
-            MachineRecord known = group.get(id);
+            MachineRecord desired = desiredRecord(id);
+            MachineRecord current = group.get(id);
             // A record that assigns the machine to another shard is that shard's to change.
-            if (wanted == null && known != null && known.shardNumber() == partNumber) {
+            if (desired == null && current != null && current.shardNumber() == shardNumber) {
                 group.remove(id);
-            } else if (wanted != null && (known == null || known.shardNumber() == partNumber)) {
-                group.put(id, wanted);
+            } else if (desired != null
+                    && (current == null || current.shardNumber() == shardNumber)) {
+                group.put(id, desired);
             }
         }
         return batch;
@@ -197,10 +200,10 @@
      * Whether a machine's entry in a wide group is no longer needed: its narrow group has it, or it
      * has been terminated.
      */
-    private boolean standsElsewhere(String id) {
-        return index.group(StoreSchema.machineGroupKey(id, false)).containsKey(id)
-                || (index.group(StoreSchema.machineGroupKey(id, true)).get(id).shardNumber()
-                                == partNumber
+    private boolean isRecordedElsewhere(String id) {
+        return machineIndex.group(StoreSchema.machineGroupKey(id, false)).containsKey(id)
+                || (machineIndex.group(StoreSchema.machineGroupKey(id, true)).get(id).shardNumber()
+                                == shardNumber
                         && !machines.containsKey(id));
     }
 
@@ -208,57 +211,59 @@
      * When a machine in a wide group changes, moves the whole group to narrow ones, a few of them a
      * write: the wide group may be larger than this node's value limit, so it can't be rewritten.
      */
-    private void split() {
-        if (!narrow()) {
+    private void splitWideGroups() {
+        if (!usesNarrowGroups()) {
             return;
         }
-        for (String id : dirty.toArray(new String[0])) {
-            String wide = StoreSchema.machineGroupKey(id, true);
-            if (index.group(wide).containsKey(id) && splitting.add(wide)) {
-                index.group(wide)
+        for (String id : dirtyIds.toArray(new String[0])) {
+            String wideKey = StoreSchema.machineGroupKey(id, true);
+            if (machineIndex.group(wideKey).containsKey(id) && wideGroupsToSplit.add(wideKey)) {
+                machineIndex
+                        .group(wideKey)
                         .forEach(
-                                (other, record) -> {
-                                    if (record.shardNumber() == partNumber
-                                            && machines.containsKey(other)) {
-                                        dirty.add(other);
+                                (otherId, record) -> {
+                                    if (record.shardNumber() == shardNumber
+                                            && machines.containsKey(otherId)) {
+                                        dirtyIds.add(otherId);
                                     }
                                 });
             }
         }
-        splitting.removeIf(wide -> index.group(wide).isEmpty());
+        wideGroupsToSplit.removeIf(wideKey -> machineIndex.group(wideKey).isEmpty());
     }
 
     /**
      * Compares the machines of a write with what the cache shows after it: notes which are durable
      * or handed over, and marks those still different as changed, so that they are written again.
      */
-    private void settle(List<String> batch) {
+    private void applyWriteResult(List<String> batch) {
         for (String id : batch) {
-            Machine m = machines.get(id);
-            MachineRecord record = index.get(id);
-            if (m != null && record != null && record.shardNumber() != partNumber) {
-                if (m.state == Machine.State.HANDING) {
+            Machine machine = machines.get(id);
+            MachineRecord record = machineIndex.get(id);
+            if (machine != null && record != null && record.shardNumber() != shardNumber) {
+                if (machine.state == Machine.State.HANDING_OVER) {
                     outbox.logInfo(
                             "handover: "
                                     + id
                                     + " from part "
-                                    + partNumber
+                                    + shardNumber
                                     + " to part "
                                     + record.shardNumber());
                 }
-                handedOver.accept(id);
-            } else if (record != null && record.shardNumber() != partNumber) {
+                onHandedOver.accept(id);
+            } else if (record != null && record.shardNumber() != shardNumber) {
                 continue;
-            } else if (m == null
+            } else if (machine == null
                     && record != null
-                    && !index.group(StoreSchema.machineGroupKey(id, settings.valueBytes()))
+                    && !machineIndex
+                            .group(StoreSchema.machineGroupKey(id, settings.valueBytes()))
                             .containsKey(id)) {
                 // Terminated, and only its wide group still has it, which is about to be removed.
                 continue;
-            } else if (record == null ? m != null : !record.equals(wanted(id))) {
-                dirty.add(id);
-            } else if (m != null) {
-                m.recordedUsed = record.mayHaveRunTasks();
+            } else if (record == null ? machine != null : !record.equals(desiredRecord(id))) {
+                dirtyIds.add(id);
+            } else if (machine != null) {
+                machine.hasDurableUseRecord = record.mayHaveRunTasks();
             }
         }
     }
--- a/src/main/java/org/shoreusher/core/MachineTypes.java
+++ b/src/main/java/org/shoreusher/core/MachineTypes.java
@@ -20,64 +20,64 @@
 final class MachineTypes {
     private final Settings settings;
     private final Outbox outbox;
-    private final StoreView view;
-    private final Object2ObjectOpenHashMap<String, MachineType> types =
+    private final StoreView storeCache;
+    private final Object2ObjectOpenHashMap<String, MachineType> typesByName =
             new Object2ObjectOpenHashMap<>();
-    private boolean busy;
-    private long nextMs;
+    private boolean requestInFlight;
+    private long nextRequestMs;
 
     /** Creates an empty catalog. */
-    MachineTypes(Settings settings, Outbox outbox, StoreView view) {
+    MachineTypes(Settings settings, Outbox outbox, StoreView storeCache) {
         this.settings = settings;
         this.outbox = outbox;
-        this.view = view;
+        this.storeCache = storeCache;
     }
 
     /**
      * Whether the types are known, from the cloud or the store. Without them no machine can be
      * used.
      */
-    boolean known() {
-        return !types.isEmpty();
+    boolean isLoaded() {
+        return !typesByName.isEmpty();
     }
 
     /** Returns the type of this name, or null. */
     MachineType get(String name) {
-        return types.get(name);
+        return typesByName.get(name);
     }
 
     /** All types, in no particular order. */
     Collection<MachineType> all() {
-        return types.values();
+        return typesByName.values();
     }
 
     /**
      * Reads the types from the cloud if that is due: while they are unknown, and regularly on a
      * node that provisions machines, because prices change.
      *
-     * @param renting whether this node leads a shard, and so provisions machines
+     * @param provisioning whether this node leads a shard, and so provisions machines
      */
-    void step(boolean renting) {
-        if (!view.isLoaded()
-                || busy
-                || outbox.now.monotonicMs() < nextMs
-                || (known() && !renting)) {
+    void step(boolean provisioning) {
+        if (!storeCache.isLoaded()
+                || requestInFlight
+                || outbox.now.monotonicMs() < nextRequestMs
+                || (isLoaded() && !provisioning)) {
             return;
         }
-        busy = outbox.callCloud(new CloudOp.Types(), this::replied);
+        requestInFlight = outbox.callCloud(new CloudOp.Types(), this::handleReply);
     }
 
-    private void replied(CloudReply reply) {
-        busy = false;
-        nextMs = outbox.now.monotonicMs() + Tuning.CLOUD_RETRY_MS;
+    private void handleReply(CloudReply reply) {
+        requestInFlight = false;
+        nextRequestMs = outbox.now.monotonicMs() + Tuning.CLOUD_RETRY_MS;
         if (reply.status() != 200) {
             return;
         }
-        nextMs = outbox.now.monotonicMs() + Tuning.FLAVORS_EVERY_MS;
-        boolean first =
-                view.get(StoreSchema.MACHINE_TYPES_KEY) == null
+        nextRequestMs = outbox.now.monotonicMs() + Tuning.FLAVORS_EVERY_MS;
+        boolean shouldStore =
+                storeCache.get(StoreSchema.MACHINE_TYPES_KEY) == null
                         && FieldMap.jsonLength(reply.body()) <= settings.valueBytes();
-        if (read(reply.body()) && first) {
+        if (parse(reply.body()) && shouldStore) {
             outbox.callStore(
                     new StateOp.Multi(
                             Map.of(StoreSchema.MACHINE_TYPES_KEY, 0L),
@@ -87,17 +87,17 @@
     }
 
     /** Takes the types from the store unless they are known already. */
-    void stored(Map<String, Object> value) {
-        if (!known()) {
-            read(value);
+    void loadFromStore(Map<String, Object> value) {
+        if (!isLoaded()) {
+            parse(value);
         }
     }
 
-    private boolean read(Map<String, Object> body) {
+    private boolean parse(Map<String, Object> body) {
         try {
-            List<MachineType> list = CloudFormat.types(new FieldMap(body));
-            list.forEach(t -> types.put(t.name(), t));
-            return !list.isEmpty();
+            List<MachineType> parsedTypes = CloudFormat.types(new FieldMap(body));
+            parsedTypes.forEach(type -> typesByName.put(type.name(), type));
+            return !parsedTypes.isEmpty();
         } catch (FieldMap.Missing e) {
             outbox.logInfo("cloud: types not understood: " + e.getMessage());
             return false;
--- a/src/main/java/org/shoreusher/core/Node.java
+++ b/src/main/java/org/shoreusher/core/Node.java
@@ -131,9 +131,9 @@
         if (message instanceof LogFrame frame) {
             shards.standbyReplicas().receive(frame);
         } else if (message instanceof LogAcknowledgement acknowledgement) {
-            Part shard = shards.ledShard(acknowledgement.stream().part());
+            Part shard = shards.ledShard(acknowledgement.stream().shardNumber());
             if (shard != null) {
-                shard.standbyReplication().acknowledged(acknowledgement);
+                shard.standbyReplication().handleAcknowledgement(acknowledgement);
             }
         }
     }
@@ -144,7 +144,7 @@
      * one stays ready, because the load balancer takes seconds to bring a node back.
      */
     private boolean isReady() {
-        if (!storeCache.isLoaded() || !machineTypes.known()) {
+        if (!storeCache.isLoaded() || !machineTypes.isLoaded()) {
             return false;
         }
         return outbox.sinceStoreReplyMs() < Tuning.READY_STATE_MS
@@ -152,7 +152,7 @@
     }
 
     private void handleHeartbeat(Command.Report command) {
-        String machineId = command.workerHeartbeat().machine();
+        String machineId = command.workerHeartbeat().machineId();
         MachineRecord machineRecord = machineIndex.get(machineId);
         int shardNumber =
                 machineRecord == null
@@ -160,7 +160,7 @@
                         : machineRecord.shardNumber();
         Part shard = shards.ledShard(shardNumber);
         if (shard != null) {
-            shard.heartbeatHandler().report(command.requestId(), command.workerHeartbeat());
+            shard.heartbeatHandler().handle(command.requestId(), command.workerHeartbeat());
             return;
         }
         PartRecord shardRecord = storeCache.isLoaded() ? shards.shardRecord(shardNumber) : null;
@@ -176,11 +176,11 @@
             }
         } else {
             boolean awaitFailover =
-                    command.workerHeartbeat().token() >= shardRecord.term()
+                    command.workerHeartbeat().fencingToken() >= shardRecord.term()
                             && peerGossip.cameBackHere(
                                     shardNumber,
                                     command.workerHeartbeat(),
-                                    machineIndex.all().size());
+                                    machineIndex.recordsById().size());
             String redirectHost =
                     awaitFailover ? peerGossip.meanwhile(shardRecord.leaderHost()) : null;
             outbox.respond(
@@ -225,16 +225,16 @@
             }
             shards.onShardRecordChange(shardNumber, shardRecord);
         } else if (key.startsWith(StoreSchema.MACHINE_PREFIX)) {
-            machineIndex.changed(key, after, this::onMachineRecordChange);
+            machineIndex.updateGroup(key, after, this::onMachineRecordChange);
         } else if (key.equals(StoreSchema.MACHINE_TYPES_KEY) && after != null) {
-            machineTypes.stored(after.value());
+            machineTypes.loadFromStore(after.value());
         }
     }
 
     private void onMachineRecordChange(String machineId, MachineRecord record) {
         for (int shardNumber = 0; shardNumber < shards.shardCount(); shardNumber++) {
             if (shards.ledShard(shardNumber) != null) {
-                shards.ledShard(shardNumber).lifecycle().machineChanged(machineId, record);
+                shards.ledShard(shardNumber).lifecycle().applyRecord(machineId, record);
             }
         }
     }
--- a/src/main/java/org/shoreusher/core/OtherParts.java
+++ b/src/main/java/org/shoreusher/core/OtherParts.java
@@ -94,14 +94,14 @@
                     m.state == Machine.State.UP || m.state == Machine.State.BOOTING
                             ? m.cpusFree()
                             : 0;
-            idle += fleet.spare(m) ? 1 : 0;
+            idle += fleet.isSurplus(m) ? 1 : 0;
         }
         Map<String, Claim> claims = new HashMap<>();
         for (Job job : jobs.values()) {
             room -= job.waitingCount * job.spec.cpus();
             claims.computeIfAbsent(job.spec.team(), this::claim);
         }
-        return new PartHint(room, idle, fleet.lacks(), claims);
+        return new PartHint(room, idle, fleet.machineShortfall(), claims);
     }
 
     /** The number of machines for which the other shards have no work. */
--- a/src/main/java/org/shoreusher/core/Part.java
+++ b/src/main/java/org/shoreusher/core/Part.java
@@ -222,7 +222,7 @@
      * that stayed until the partition ends would lose all tasks that run on those machines.
      */
     boolean isUnreachableFromWorkers() {
-        if (!reconciliation.loaded()
+        if (!reconciliation.isLoaded()
                 || !isLeader()
                 || outbox.now.monotonicMs() - leadership.leaderSinceMs() < Tuning.COMES_BACK_MS) {
             return false;
@@ -281,7 +281,7 @@
 
     /** Returns whether the shard's stored state has been loaded. */
     boolean isLoaded() {
-        return reconciliation.loaded();
+        return reconciliation.isLoaded();
     }
 
     /**
@@ -289,7 +289,7 @@
      * where.
      */
     boolean isReconciled() {
-        return reconciliation.complete();
+        return reconciliation.isComplete();
     }
 
     /** Follows the machines from provisioning to termination. */
@@ -319,11 +319,11 @@
      */
     boolean isAvailable(Machine machine) {
         return machine.state == Machine.State.UP
-                && machine.heard
-                && !machine.yielding
-                && !machine.deaf()
-                && Double.isNaN(machine.noticeS)
-                && outbox.now.monotonicMs() - machine.reportedAtMs < heartbeatTimeoutMs();
+                && machine.reconciled
+                && !machine.evacuating
+                && !machine.hasOneWayPartition()
+                && Double.isNaN(machine.interruptionNoticeS)
+                && outbox.now.monotonicMs() - machine.lastHeartbeatAtMs < heartbeatTimeoutMs();
     }
 
     /** The time in ms after its last heartbeat from which a machine counts as unresponsive. */
@@ -346,7 +346,7 @@
      */
     boolean canAnswerHeartbeats() {
         return !isLeadershipLost()
-                && reconciliation.loaded()
+                && reconciliation.isLoaded()
                 && storeCache.ageMs() < PartLease.maxStoreCacheAgeMs(settings)
                 && (isLeader()
                         || (leadership.mayExtendWorkerLeases()
@@ -361,7 +361,7 @@
      * cancellation that was confirmed to a user.
      */
     boolean canStartTasks() {
-        return reconciliation.loaded()
+        return reconciliation.isLoaded()
                 && isLeader()
                 && storeCache.ageMs() < Tuning.VIEW_STALE_MS
                 && leadership.isStoreCacheCaughtUp();
@@ -378,12 +378,13 @@
             return;
         }
         leadership.logLeaseExpiry();
-        leadership.renewLease(() -> reconciliation.loaded() ? completionRecords() : null);
-        if (!reconciliation.loaded()) {
-            if (storeCache.revision() < leadership.acquisitionRevision() || !machineTypes.known()) {
+        leadership.renewLease(() -> reconciliation.isLoaded() ? completionRecords() : null);
+        if (!reconciliation.isLoaded()) {
+            if (storeCache.revision() < leadership.acquisitionRevision()
+                    || !machineTypes.isLoaded()) {
                 return;
             }
-            reconciliation.load();
+            reconciliation.loadFromStore();
         }
         highWaterMarks.write();
         machineRecords.write();
@@ -396,7 +397,7 @@
             return;
         }
         nextSchedulingPassMs = outbox.now.monotonicMs() + Tuning.WALK_MS;
-        lifecycle.endSilent();
+        lifecycle.expireWorkerLeases();
         reconciliation.step();
         quotaShares.step(quotaHeadroom::used, shardDemand::claims, shardDemand::quantum);
         autoscaler.step();
@@ -426,7 +427,7 @@
      */
     boolean hasWorkerLeaseExpired(Machine machine) {
         return outbox.now.monotonicMs()
-                > machine.answeredAtMs + PartLease.workerLeaseBoundMs(settings);
+                > machine.leaseRenewedAtMs + PartLease.workerLeaseBoundMs(settings);
     }
 
     // ---- placement ---------------------------------------------------------------------------
--- a/src/main/java/org/shoreusher/core/Parts.java
+++ b/src/main/java/org/shoreusher/core/Parts.java
@@ -290,7 +290,7 @@
         long term =
                 1 + (termEntry == null ? 0 : ((Number) termEntry.value().get("term")).longValue());
         ClockReading sentAt = outbox.now;
-        AttemptReplicas.Fence replaced = standbyReplicas.fence(shardNumber);
+        AttemptReplicas.FencingRecord replaced = standbyReplicas.fencingRecord(shardNumber);
         PartRecord record =
                 new PartRecord(
                         processName,
@@ -343,7 +343,7 @@
     private void onLeadershipAcquired(
             int shardNumber,
             PartRecord previousRecord,
-            AttemptReplicas.Fence replaced,
+            AttemptReplicas.FencingRecord replaced,
             PartOwnership leadership) {
         nextAcquisitionMs = outbox.now.monotonicMs();
         outbox.logInfo(
@@ -355,8 +355,8 @@
         String namedStandby = previousRecord == null ? null : previousRecord.standby();
         Inheritance promotedAttempts =
                 new Inheritance(
-                        standbyReplicas.promoted(shardNumber, namedStandby, replaced),
-                        outcome -> standbyReplicas.count(shardNumber, outcome));
+                        standbyReplicas.promote(shardNumber, namedStandby, replaced),
+                        outcome -> standbyReplicas.recordOutcome(shardNumber, outcome));
         ledShards[shardNumber] =
                 new Part(
                         shardNumber,
--- a/src/main/java/org/shoreusher/core/PeerHints.java
+++ b/src/main/java/org/shoreusher/core/PeerHints.java
@@ -74,7 +74,7 @@
      * @return whether the worker should be kept away from the shard's leader for now
      */
     boolean cameBackHere(int part, WorkerReport report, int machines) {
-        return redirected[part].came(report, machines, outbox.now.monotonicMs());
+        return redirected[part].recordRedirect(report, machines, outbox.now.monotonicMs());
     }
 
     /** The shard has another leader than before. */
@@ -247,7 +247,7 @@
         HashMap<String, Integer> finished = new HashMap<>();
         for (int n = 0; n < redirected.length; n++) {
             Part part = ownParts.apply(n);
-            int workers = redirected[n].count(outbox.now.monotonicMs());
+            int workers = redirected[n].countRepeatedlyRedirected(outbox.now.monotonicMs());
             if (workers > 0) {
                 back.put(n, workers);
             }
--- a/src/main/java/org/shoreusher/core/Planner.java
+++ b/src/main/java/org/shoreusher/core/Planner.java
@@ -42,7 +42,7 @@
 
         /** The capacity of an existing machine that is free now. */
         Slot(Machine m) {
-            this(m, m.type, m.zone, m.spot, m.cpusFree(), m.gpusFree(), m.memFree());
+            this(m, m.type, m.zone, m.spot, m.cpusFree(), m.gpusFree(), m.memGbFree());
         }
 
         /** The capacity of an empty machine that has not been provisioned yet. */
@@ -62,7 +62,7 @@
             this.type = type;
             this.zone = zone;
             this.spot = spot;
-            dear = !spot && type.dear();
+            dear = !spot && type.isOnDemandExpensive();
             this.cpus = cpus;
             this.gpus = gpus;
             this.mem = mem;
@@ -353,7 +353,7 @@
             Slot slot = slots.get(i);
             if (slot.machine != null
                     && spec.allows(slot.type.name(), slot.zone, slot.spot)
-                    && slot.type.fits(spec)
+                    && slot.type.canFit(spec)
                     && slot.fits(spec) == 0) {
                 kept.add(slot.machine);
                 slots.remove(i);
@@ -368,7 +368,7 @@
      * the image is preferred.
      */
     private static double fetchCost(Slot slot, JobSpec spec) {
-        if (slot.machine != null && slot.machine.images.contains(spec.image())) {
+        if (slot.machine != null && slot.machine.cachedImages.contains(spec.image())) {
             return 0;
         }
         return spec.cpus() * fetchShare(slot.type, spec);
@@ -379,7 +379,7 @@
      * 1.
      */
     static double fetchShare(MachineType type, JobSpec spec) {
-        double fetchS = spec.imageGb() / Math.max(Tuning.LEAST_FETCH, type.fetchGbPerS());
+        double fetchS = spec.imageGb() / Math.max(Tuning.LEAST_FETCH, type.imageFetchGbPerS());
         return fetchS / (fetchS + Math.max(Tuning.LEAST_RUN_S, spec.estimateS()));
     }
 
--- a/src/main/java/org/shoreusher/core/Rebuild.java
+++ b/src/main/java/org/shoreusher/core/Rebuild.java
@@ -25,51 +25,51 @@
  * arrives or the worker lease has certainly expired.
  */
 final class Rebuild {
-    private final Part part;
+    private final Part shard;
     private final Settings settings;
     private final Outbox outbox;
-    private final StoreView view;
-    private final Arrivals arrivals;
-    private final MachineIndex index;
-    private final PartOwnership ownership;
-    private final StartMarks marks;
+    private final StoreView storeCache;
+    private final Arrivals submissionBatches;
+    private final MachineIndex machineIndex;
+    private final PartOwnership leadership;
+    private final StartMarks highWaterMarks;
     private final ResourceLedger ledger;
 
-    private final Inheritance inheritance;
+    private final Inheritance promotedLog;
 
     /** Whether the attempts come from the replicated log of the previous leader. */
-    private boolean fromLog;
+    private boolean usesPromotedLog;
 
     private boolean loaded;
     private boolean complete;
 
     /** CPUs of machines that are not reconciled; tasks of any team may use them. */
-    private double unknownCpus;
+    private double unreconciledCpus;
 
-    private double unknownGpus;
+    private double unreconciledGpus;
 
     /** Creates the reconciliation of a shard whose leadership this process has just acquired. */
     Rebuild(
-            Part part,
+            Part shard,
             NodeContext context,
-            PartOwnership ownership,
-            StartMarks marks,
+            PartOwnership leadership,
+            StartMarks highWaterMarks,
             ResourceLedger ledger,
-            Inheritance inheritance) {
-        this.part = part;
+            Inheritance promotedLog) {
+        this.shard = shard;
         this.ledger = ledger;
-        this.inheritance = inheritance;
+        this.promotedLog = promotedLog;
         settings = context.settings();
         outbox = context.outbox();
-        view = context.storeCache();
-        arrivals = context.submissionBatches();
-        index = context.machineIndex();
-        this.ownership = ownership;
-        this.marks = marks;
+        storeCache = context.storeCache();
+        submissionBatches = context.submissionBatches();
+        machineIndex = context.machineIndex();
+        this.leadership = leadership;
+        this.highWaterMarks = highWaterMarks;
     }
 
     /** Whether the stored state of the shard has been loaded. */
-    boolean loaded() {
+    boolean isLoaded() {
         return loaded;
     }
 
@@ -77,18 +77,18 @@
      * Whether all attempts on machines are known: from the replicated log, or because every machine
      * has sent a heartbeat or its worker lease has certainly expired.
      */
-    boolean complete() {
+    boolean isComplete() {
         return complete;
     }
 
     /** CPUs of machines whose tasks are unknown; tasks of any team may use them. */
-    double unknownCpus() {
-        return unknownCpus;
+    double unreconciledCpus() {
+        return unreconciledCpus;
     }
 
     /** GPUs of machines whose tasks are unknown; tasks of any team may use them. */
-    double unknownGpus() {
-        return unknownGpus;
+    double unreconciledGpus() {
+        return unreconciledGpus;
     }
 
     /**
@@ -96,71 +96,75 @@
      * store cache must have reached the revision at which leadership was acquired. Then restores
      * the attempts from the replicated log if there is one that can be used.
      */
-    void load() {
+    void loadFromStore() {
         loaded = true;
-        view.entriesWithPrefix(StoreSchema.JOB_PREFIX)
+        storeCache
+                .entriesWithPrefix(StoreSchema.JOB_PREFIX)
                 .forEach(
                         (key, entry) -> {
                             JobRecord record = JobRecord.fromMap(entry.value());
-                            if (record.shardNumber() == part.shardNumber
+                            if (record.shardNumber() == shard.shardNumber
                                     && record.status() == JobStatus.OPEN) {
-                                part.openJobs()
+                                shard.openJobs()
                                         .add(
                                                 key.substring(StoreSchema.JOB_PREFIX.length()),
                                                 record);
                             }
                         });
-        arrivals.each(
+        submissionBatches.each(
                 (id, record) -> {
-                    if (record.shardNumber() == part.shardNumber) {
-                        part.openJobs().add(id, record);
+                    if (record.shardNumber() == shard.shardNumber) {
+                        shard.openJobs().add(id, record);
                     }
                 });
-        readDone(ownership.storedCompletions(0), 0);
-        for (int c = 1; view.get(StoreSchema.completionKey(part.shardNumber, c)) != null; c++) {
-            readDone(ownership.storedCompletions(c), c);
+        loadCompletedTasks(leadership.storedCompletions(0), 0);
+        for (int chunk = 1;
+                storeCache.get(StoreSchema.completionKey(shard.shardNumber, chunk)) != null;
+                chunk++) {
+            loadCompletedTasks(leadership.storedCompletions(chunk), chunk);
         }
-        index.all()
+        machineIndex
+                .recordsById()
                 .forEach(
                         (id, record) -> {
-                            if (record.shardNumber() == part.shardNumber) {
-                                Machine m = part.lifecycle().addMachine(id, record);
-                                if (m != null) {
-                                    m.inherited = record.mayHaveRunTasks();
+                            if (record.shardNumber() == shard.shardNumber) {
+                                Machine machine = shard.lifecycle().addRecordedMachine(id, record);
+                                if (machine != null) {
+                                    machine.usedByPreviousLeader = record.mayHaveRunTasks();
                                 }
                             }
                         });
-        marks.load();
-        for (Job job : part.jobs().values()) {
+        highWaterMarks.load();
+        for (Job job : shard.jobs().values()) {
             if (job.startBelow > 0) {
-                part.taskMigration().begunBefore(job);
+                shard.taskMigration().begunBefore(job);
             }
-            part.terminalStateWriter().finished(job);
+            shard.terminalStateWriter().finished(job);
         }
-        if (inheritance.attempts() != null) {
-            inherit(inheritance.attempts().attempts());
+        if (promotedLog.attemptTable() != null) {
+            restoreFromLog(promotedLog.attemptTable().copyAttempts());
         }
-        if (!fromLog) {
-            part.jobs().values().forEach(this::holdBack);
+        if (!usesPromotedLog) {
+            shard.jobs().values().forEach(this::withholdPossiblyRunningTasks);
         }
     }
 
     /** Restores all attempts of the log, unless it names a machine that could not be loaded. */
-    private void inherit(List<Attempt> attempts) {
-        if (!allMachinesKnown(attempts)) {
-            inheritance.distrusted().accept(PromotionOutcome.UNKNOWN_MACHINE);
+    private void restoreFromLog(List<Attempt> attempts) {
+        if (!areAllMachinesKnown(attempts)) {
+            promotedLog.onRejected().accept(PromotionOutcome.UNKNOWN_MACHINE);
             return;
         }
-        fromLog = true;
-        attempts.forEach(this::inherit);
-        complete("from the log");
+        usesPromotedLog = true;
+        attempts.forEach(this::restoreFromLog);
+        isComplete("from the log");
     }
 
     /**
      * Makes only those tasks of a job eligible to start that were certainly never started: the ones
      * from the high-water mark on.
      */
-    private void holdBack(Job job) {
+    private void withholdPossiblyRunningTasks(Job job) {
         job.waiting.clear();
         job.waitingCount = 0;
         job.waitFrom(job.startBelow);
@@ -168,54 +172,59 @@
     }
 
     /** Whether each machine of the log that still has a record in this shard could be loaded. */
-    private boolean allMachinesKnown(List<Attempt> attempts) {
+    private boolean areAllMachinesKnown(List<Attempt> attempts) {
         return attempts.stream()
-                .map(Attempt::machine)
+                .map(Attempt::machineId)
                 .distinct()
-                .allMatch(id -> !recordedHere(id) || part.machines().containsKey(id));
+                .allMatch(
+                        machineId ->
+                                !isRecordedInShard(machineId)
+                                        || shard.machines().containsKey(machineId));
     }
 
-    private boolean recordedHere(String machine) {
-        MachineRecord record = index.get(machine);
-        return record != null && record.shardNumber() == part.shardNumber;
+    private boolean isRecordedInShard(String machineId) {
+        MachineRecord record = machineIndex.get(machineId);
+        return record != null && record.shardNumber() == shard.shardNumber;
     }
 
     /**
      * Restores one attempt of the log, which may be on its machine. An attempt on a machine without
      * a record is gone: the previous leader removed the record only after it knew that.
      */
-    private void inherit(Attempt attempt) {
-        Machine m = part.machines().get(attempt.machine());
-        if (m == null) {
+    private void restoreFromLog(Attempt attempt) {
+        Machine machine = shard.machines().get(attempt.machineId());
+        if (machine == null) {
             return;
         }
         AttemptId id = attempt.id();
-        Job known = part.jobs().get(id.job());
-        boolean wanted =
-                known != null && !known.done.get(id.task()) && known.live.get(id.task()) == null;
-        Job job = known != null ? known : closedJob(attempt);
-        TaskAttempt live =
+        Job knownJob = shard.jobs().get(id.jobId());
+        boolean shouldRun =
+                knownJob != null
+                        && !knownJob.done.get(id.taskIndex())
+                        && knownJob.live.get(id.taskIndex()) == null;
+        Job job = knownJob != null ? knownJob : placeholderJob(attempt);
+        TaskAttempt restoredAttempt =
                 new TaskAttempt(
                         job,
-                        id.task(),
-                        id.attempt(),
-                        m,
+                        id.taskIndex(),
+                        id.attemptNumber(),
+                        machine,
                         TaskAttempt.State.ASKED,
                         outbox.now.monotonicMs());
-        live.mustStop = !wanted;
-        ledger.add(live, wanted);
+        restoredAttempt.mustStop = !shouldRun;
+        ledger.add(restoredAttempt, shouldRun);
     }
 
     /** A closed job that stands in for a terminal one whose tasks may still be on machines. */
-    private Job closedJob(Attempt attempt) {
+    private Job placeholderJob(Attempt attempt) {
         JobSpec spec =
                 JobSpec.ofRoom(
-                        attempt.id().job(),
+                        attempt.id().jobId(),
                         attempt.team(),
                         attempt.cpus(),
                         attempt.gpus(),
                         attempt.memGb());
-        Job job = new Job(attempt.id().job(), spec, outbox.now.wallMs());
+        Job job = new Job(attempt.id().jobId(), spec, outbox.now.wallMs());
         job.closed = true;
         return job;
     }
@@ -226,44 +235,46 @@
      * from heartbeats. A heartbeat with a fencing token from before this leadership proves nothing:
      * it may be a delayed copy that shows tasks which have ended since.
      *
-     * @param token the fencing token: the highest term that the worker had seen when it sent the
-     *     heartbeat
+     * @param fencingToken the fencing token: the highest term that the worker had seen when it sent
+     *     the heartbeat
      */
-    void unknownAttempt(Machine m, TaskReport task, long token) {
-        boolean ofOwnerBefore =
-                task.attempt() >>> Tuning.ATTEMPT_BITS < ownership.acquisitionTerm();
-        if (!fromLog || !ofOwnerBefore || token < ownership.acquisitionTerm()) {
+    void handleUnknownAttempt(Machine machine, TaskReport task, long fencingToken) {
+        boolean fromPreviousLeader =
+                task.attemptNumber() >>> Tuning.ATTEMPT_BITS < leadership.acquisitionTerm();
+        if (!usesPromotedLog
+                || !fromPreviousLeader
+                || fencingToken < leadership.acquisitionTerm()) {
             return;
         }
         outbox.logInfo(
                 "standby: "
-                        + m.id
+                        + machine.id
                         + " of part "
-                        + part.shardNumber
+                        + shard.shardNumber
                         + " shows "
-                        + Machine.taskKey(task.job(), task.index())
+                        + Machine.taskKey(task.jobId(), task.taskIndex())
                         + ", attempt "
-                        + task.attempt()
+                        + task.attemptNumber()
                         + ", which the log does not have");
-        inheritance.distrusted().accept(PromotionOutcome.CONTRADICTED);
-        fromLog = false;
+        promotedLog.onRejected().accept(PromotionOutcome.CONTRADICTED_BY_HEARTBEAT);
+        usesPromotedLog = false;
         complete = false;
-        part.taskMigration().abandonAll();
-        part.jobs().values().forEach(this::holdBack);
-        countUnheard();
+        shard.taskMigration().abandonAll();
+        shard.jobs().values().forEach(this::withholdPossiblyRunningTasks);
+        countUnreconciled();
     }
 
     /** Loads one chunk of completed tasks, as index ranges by job id. */
-    private void readDone(Map<String, Object> done, int chunk) {
-        done.forEach(
-                (id, ranges) -> {
-                    Job job = part.jobs().get(id);
+    private void loadCompletedTasks(Map<String, Object> completedByJob, int chunk) {
+        completedByJob.forEach(
+                (jobId, ranges) -> {
+                    Job job = shard.jobs().get(jobId);
                     // A version that did not know services may have stored a replica as completed.
                     if (job != null && job.spec.shape().ends()) {
-                        BitSet set = TaskRanges.parse((String) ranges);
-                        job.done.or(set);
-                        job.durable.or(set);
-                        FinishedRecords.found(job, set, chunk, settings);
+                        BitSet completedTasks = TaskRanges.parse((String) ranges);
+                        job.done.or(completedTasks);
+                        job.durable.or(completedTasks);
+                        FinishedRecords.found(job, completedTasks, chunk, settings);
                     }
                 });
     }
@@ -273,50 +284,52 @@
      * its worker lease has certainly expired.
      */
     void step() {
-        if (!complete && countUnheard() == 0) {
-            complete("from reports");
+        if (!complete && countUnreconciled() == 0) {
+            isComplete("from reports");
         }
     }
 
     /** Counts the machines whose tasks are unknown, and sums up their CPUs and GPUs. */
-    private int countUnheard() {
-        int unheard = 0;
-        unknownCpus = 0;
-        unknownGpus = 0;
-        for (Machine m : part.machines().values()) {
-            if (m.used && !m.heard && !part.hasWorkerLeaseExpired(m)) {
-                unheard++;
-                unknownCpus += m.type.cpus();
-                unknownGpus += m.type.gpus();
+    private int countUnreconciled() {
+        int unreconciled = 0;
+        unreconciledCpus = 0;
+        unreconciledGpus = 0;
+        for (Machine machine : shard.machines().values()) {
+            if (machine.mayHaveRunTasks
+                    && !machine.reconciled
+                    && !shard.hasWorkerLeaseExpired(machine)) {
+                unreconciled++;
+                unreconciledCpus += machine.type.cpus();
+                unreconciledGpus += machine.type.gpus();
             }
         }
-        return unheard;
+        return unreconciled;
     }
 
     /** Ends the reconciliation: all tasks without a live attempt may be started from here on. */
-    private void complete(String how) {
+    private void isComplete(String source) {
         complete = true;
-        int live = 0;
-        for (Job job : part.jobs().values()) {
+        int activeTasks = 0;
+        for (Job job : shard.jobs().values()) {
             job.waitFrom(0);
             job.zonesUnknown = false;
-            live += job.live.size();
+            activeTasks += job.live.size();
         }
         outbox.logInfo(
                 "rebuilt: part "
-                        + part.shardNumber
+                        + shard.shardNumber
                         + " term "
-                        + part.term()
+                        + shard.term()
                         + " "
-                        + how
+                        + source
                         + ", "
-                        + part.jobs().size()
+                        + shard.jobs().size()
                         + " jobs, "
-                        + part.machines().size()
+                        + shard.machines().size()
                         + " machines, "
-                        + live
+                        + activeTasks
                         + " tasks on them, after "
-                        + (outbox.now.monotonicMs() - ownership.acquiredAtMs())
+                        + (outbox.now.monotonicMs() - leadership.acquiredAtMs())
                         + " ms");
     }
 }
--- a/src/main/java/org/shoreusher/core/RedirectedWorkers.java
+++ b/src/main/java/org/shoreusher/core/RedirectedWorkers.java
@@ -11,20 +11,21 @@
  */
 final class RedirectedWorkers {
     /** The heartbeats of one worker that arrived here. */
-    private static final class Visit {
-        long firstMs;
-        long lastMs;
-        long session;
-        long seq;
+    private static final class RedirectHistory {
+        long firstRedirectMs;
+        long lastRedirectMs;
+        long incarnation;
+        long sequenceNumber;
 
         /**
          * Whether it came more than once lately, each time with a newer heartbeat. Delayed copies
          * of an old heartbeat don't count.
          */
-        boolean again;
+        boolean isRepeated;
     }
 
-    private final Object2ObjectOpenHashMap<String, Visit> visits = new Object2ObjectOpenHashMap<>();
+    private final Object2ObjectOpenHashMap<String, RedirectHistory> historyByMachine =
+            new Object2ObjectOpenHashMap<>();
 
     /**
      * Records a heartbeat of a worker that belongs to another node's shard. Returns whether to
@@ -33,28 +34,31 @@
      * there for its full request timeout. Returns true only if many workers come, because a single
      * worker may just have missed one answer.
      *
-     * @param machines the number of machines of all shards
+     * @param machineCount the number of machines of all shards
      * @param nowMs steady clock, ms
      */
-    boolean came(WorkerReport r, int machines, long nowMs) {
-        Visit v = visits.computeIfAbsent(r.machine(), id -> new Visit());
-        if (!r.newerThan(v.session, v.seq)) {
+    boolean recordRedirect(WorkerReport heartbeat, int machineCount, long nowMs) {
+        RedirectHistory history =
+                historyByMachine.computeIfAbsent(
+                        heartbeat.machineId(), machineId -> new RedirectHistory());
+        if (!heartbeat.isNewerThan(history.incarnation, history.sequenceNumber)) {
             return false;
         }
-        v.again = v.session > 0 && nowMs - v.lastMs < Tuning.COMES_BACK_MS;
-        if (nowMs - v.lastMs > Tuning.CAME_ANEW_MS) {
-            v.firstMs = nowMs;
+        history.isRepeated =
+                history.incarnation > 0 && nowMs - history.lastRedirectMs < Tuning.COMES_BACK_MS;
+        if (nowMs - history.lastRedirectMs > Tuning.CAME_ANEW_MS) {
+            history.firstRedirectMs = nowMs;
         }
-        v.lastMs = nowMs;
-        v.session = r.session();
-        v.seq = r.seq();
-        return nowMs - v.firstMs < Tuning.KEPT_WAITING_MS
-                && visits.size() > Math.max(2, machines * Tuning.MANY_COME_SHARE);
+        history.lastRedirectMs = nowMs;
+        history.incarnation = heartbeat.incarnation();
+        history.sequenceNumber = heartbeat.sequenceNumber();
+        return nowMs - history.firstRedirectMs < Tuning.KEPT_WAITING_MS
+                && historyByMachine.size() > Math.max(2, machineCount * Tuning.MANY_COME_SHARE);
     }
 
     /** Forgets all workers, because the shard has another leader. */
     void clear() {
-        visits.clear();
+        historyByMachine.clear();
     }
 
     /**
@@ -63,11 +67,13 @@
      *
      * @param nowMs steady clock, ms
      */
-    int count(long nowMs) {
-        visits.values().removeIf(v -> nowMs - v.lastMs >= Tuning.COMES_BACK_MS);
+    int countRepeatedlyRedirected(long nowMs) {
+        historyByMachine
+                .values()
+                .removeIf(history -> nowMs - history.lastRedirectMs >= Tuning.COMES_BACK_MS);
         int count = 0;
-        for (Visit v : visits.values()) {
-            count += v.again ? 1 : 0;
+        for (RedirectHistory history : historyByMachine.values()) {
+            count += history.isRepeated ? 1 : 0;
         }
         return count;
     }
--- a/src/main/java/org/shoreusher/core/Rentals.java
+++ b/src/main/java/org/shoreusher/core/Rentals.java
@@ -27,98 +27,103 @@
      * @param type name of the machine type
      * @param spot whether a spot machine, else an on-demand one
      */
-    record Kind(String type, String zone, boolean spot) {}
+    record MachineKind(String type, String zone, boolean spot) {}
 
     /** A request that has no final answer yet. */
-    private static final class Pending {
-        final CloudOp.Rent rent;
-        final Planner.Slot example;
+    private static final class PendingRequest {
+        final CloudOp.Rent request;
+        final Planner.Slot emptyCapacity;
         boolean inFlight;
-        long askedWallMs;
+        long requestedWallMs;
 
-        Pending(CloudOp.Rent rent, Planner.Slot example) {
-            this.rent = rent;
-            this.example = example;
+        PendingRequest(CloudOp.Rent request, Planner.Slot emptyCapacity) {
+            this.request = request;
+            this.emptyCapacity = emptyCapacity;
         }
     }
 
-    private final Part part;
+    private final Part shard;
     private final Outbox outbox;
-    private final Fleet fleet;
-    private final int atOnce;
+    private final Fleet autoscaler;
+    private final int maxPendingRequests;
 
     /** Steady ms until which a kind that had no capacity is not requested again. */
-    private final Object2LongOpenHashMap<Kind> refusedUntil = new Object2LongOpenHashMap<>();
+    private final Object2LongOpenHashMap<MachineKind> unavailableUntilMs =
+            new Object2LongOpenHashMap<>();
 
-    private final List<Pending> pending = new ArrayList<>();
-    private long nextHire = 1;
+    private final List<PendingRequest> pendingRequests = new ArrayList<>();
+    private long nextRequestNumber = 1;
 
     /**
      * Whether the last call failed. Then requests are sent one at a time until one succeeds, since
      * all of them together would use up the rate limit during an outage.
      */
-    private boolean failing;
+    private boolean cloudFailing;
 
-    private long againMs;
+    private long nextAttemptMs;
 
     /** Creates the scale-out of a shard; nothing is requested yet. */
-    Rentals(Part part, Settings settings, Outbox outbox, Fleet fleet) {
-        this.part = part;
+    Rentals(Part shard, Settings settings, Outbox outbox, Fleet autoscaler) {
+        this.shard = shard;
         this.outbox = outbox;
-        this.fleet = fleet;
-        atOnce = Math.max(1, (int) (settings.cloudRps() * Tuning.RATE_USE));
+        this.autoscaler = autoscaler;
+        maxPendingRequests = Math.max(1, (int) (settings.cloudRps() * Tuning.RATE_USE));
     }
 
     /** Whether the cloud has recently had no capacity for this kind of machine. */
-    boolean refused(Kind kind) {
-        return refusedUntil.getLong(kind) > outbox.now.monotonicMs();
+    boolean isUnavailable(MachineKind kind) {
+        return unavailableUntilMs.getLong(kind) > outbox.now.monotonicMs();
     }
 
     /** How many more machines can be requested now. */
-    int room() {
-        return (atOnce - pending.size()) * Tuning.RENT_AT_ONCE;
+    int maxNewMachines() {
+        return (maxPendingRequests - pendingRequests.size()) * Tuning.RENT_AT_ONCE;
     }
 
     /** The capacity of the machines that have been requested and not been provisioned yet. */
-    List<Planner.Slot> coming() {
-        List<Planner.Slot> slots = new ArrayList<>();
-        for (Pending p : pending) {
-            for (int i = 0; i < p.rent.count(); i++) {
-                slots.add(new Planner.Slot(p.example.type, p.example.zone, p.example.spot));
+    List<Planner.Slot> pendingCapacity() {
+        List<Planner.Slot> capacities = new ArrayList<>();
+        for (PendingRequest pendingRequest : pendingRequests) {
+            for (int i = 0; i < pendingRequest.request.count(); i++) {
+                capacities.add(
+                        new Planner.Slot(
+                                pendingRequest.emptyCapacity.type,
+                                pendingRequest.emptyCapacity.zone,
+                                pendingRequest.emptyCapacity.spot));
             }
         }
-        return slots;
+        return capacities;
     }
 
-    /** Requests machines like these, at most {@link #room} of them. */
-    void ask(List<Planner.Slot> wanting) {
-        Map<Kind, Integer> counts = new LinkedHashMap<>();
-        Map<Kind, Planner.Slot> examples = new LinkedHashMap<>();
-        for (Planner.Slot s : wanting) {
-            Kind kind = new Kind(s.type.name(), s.zone, s.spot);
-            counts.merge(kind, 1, Integer::sum);
-            examples.putIfAbsent(kind, s);
+    /** Requests machines like these, at most {@link #maxNewMachines} of them. */
+    void requestMachines(List<Planner.Slot> toProvision) {
+        Map<MachineKind, Integer> countByKind = new LinkedHashMap<>();
+        Map<MachineKind, Planner.Slot> capacityByKind = new LinkedHashMap<>();
+        for (Planner.Slot capacity : toProvision) {
+            MachineKind kind = new MachineKind(capacity.type.name(), capacity.zone, capacity.spot);
+            countByKind.merge(kind, 1, Integer::sum);
+            capacityByKind.putIfAbsent(kind, capacity);
         }
-        counts.forEach(
+        countByKind.forEach(
                 (kind, count) -> {
-                    for (int left = count;
-                            left > 0 && pending.size() < atOnce;
-                            left -= Tuning.RENT_AT_ONCE) {
+                    for (int remaining = count;
+                            remaining > 0 && pendingRequests.size() < maxPendingRequests;
+                            remaining -= Tuning.RENT_AT_ONCE) {
                         // The name contains the term, so that no other leader uses it, nor this
                         // node after a restart.
-                        CloudOp.Rent rent =
+                        CloudOp.Rent request =
                                 new CloudOp.Rent(
                                         "part-"
-                                                + part.shardNumber
+                                                + shard.shardNumber
                                                 + "-"
-                                                + part.term()
+                                                + shard.term()
                                                 + "-"
-                                                + nextHire++,
+                                                + nextRequestNumber++,
                                         kind.type,
                                         kind.zone,
                                         kind.spot,
-                                        Math.min(left, Tuning.RENT_AT_ONCE));
-                        pending.add(new Pending(rent, examples.get(kind)));
+                                        Math.min(remaining, Tuning.RENT_AT_ONCE));
+                        pendingRequests.add(new PendingRequest(request, capacityByKind.get(kind)));
                     }
                 });
         step();
@@ -126,78 +131,81 @@
 
     /** Sends the pending requests that are due, new ones and those to be repeated. */
     void step() {
-        if (outbox.now.monotonicMs() < againMs
-                || (failing && pending.stream().anyMatch(p -> p.inFlight))) {
+        if (outbox.now.monotonicMs() < nextAttemptMs
+                || (cloudFailing
+                        && pendingRequests.stream()
+                                .anyMatch(pendingRequest -> pendingRequest.inFlight))) {
             return;
         }
-        for (Pending p : pending) {
-            if (!p.inFlight) {
-                p.askedWallMs = outbox.now.wallMs();
-                p.inFlight =
+        for (PendingRequest pendingRequest : pendingRequests) {
+            if (!pendingRequest.inFlight) {
+                pendingRequest.requestedWallMs = outbox.now.wallMs();
+                pendingRequest.inFlight =
                         outbox.callCloud(
-                                p.rent,
+                                pendingRequest.request,
                                 reply -> {
-                                    p.inFlight = false;
-                                    replied(p, reply);
+                                    pendingRequest.inFlight = false;
+                                    handleReply(pendingRequest, reply);
                                 });
-                if (!p.inFlight || failing) {
+                if (!pendingRequest.inFlight || cloudFailing) {
                     return;
                 }
             }
         }
     }
 
-    private void replied(Pending p, CloudReply reply) {
-        CloudOp.Rent rent = p.rent;
-        Kind kind = new Kind(rent.type(), rent.zone(), rent.spot());
-        boolean capacity =
+    private void handleReply(PendingRequest pendingRequest, CloudReply reply) {
+        CloudOp.Rent request = pendingRequest.request;
+        MachineKind kind = new MachineKind(request.type(), request.zone(), request.spot());
+        boolean isOutOfCapacity =
                 reply.status() == 503
                         && reply.body() != null
                         && "no capacity".equals(reply.body().get("error"));
-        failing = reply.status() != 200 && reply.status() != 400 && !capacity;
-        if (failing) {
+        cloudFailing = reply.status() != 200 && reply.status() != 400 && !isOutOfCapacity;
+        if (cloudFailing) {
             // A request without an answer may have taken effect: it is repeated under its name.
-            againMs = outbox.now.monotonicMs() + Tuning.CLOUD_RETRY_MS;
+            nextAttemptMs = outbox.now.monotonicMs() + Tuning.CLOUD_RETRY_MS;
             return;
         }
-        pending.remove(p);
-        if (pending.isEmpty()) {
-            fleet.planSoon();
+        pendingRequests.remove(pendingRequest);
+        if (pendingRequests.isEmpty()) {
+            autoscaler.replanNow();
         }
         if (reply.status() == 200) {
-            rented(rent, kind, reply, p.askedWallMs);
-        } else if (capacity) {
-            refusedUntil.put(kind, outbox.now.monotonicMs() + Tuning.NO_CAPACITY_MS);
+            handleProvisioned(request, kind, reply, pendingRequest.requestedWallMs);
+        } else if (isOutOfCapacity) {
+            unavailableUntilMs.put(kind, outbox.now.monotonicMs() + Tuning.NO_CAPACITY_MS);
         } else {
             outbox.logInfo(
                     "cloud: refused the rental of "
-                            + rent.type()
+                            + request.type()
                             + " in "
-                            + rent.zone()
+                            + request.zone()
                             + " as malformed");
         }
     }
 
-    private void rented(CloudOp.Rent rent, Kind kind, CloudReply reply, long askedWallMs) {
+    private void handleProvisioned(
+            CloudOp.Rent request, MachineKind kind, CloudReply reply, long requestedWallMs) {
         try {
-            List<String> names = CloudFormat.rented(new FieldMap(reply.body()));
+            List<String> machineIds = CloudFormat.rented(new FieldMap(reply.body()));
             outbox.logInfo(
                     "rented: "
-                            + names.size()
+                            + machineIds.size()
                             + " of "
-                            + rent.count()
+                            + request.count()
                             + " "
-                            + rent.type()
+                            + request.type()
                             + " in "
-                            + rent.zone()
-                            + (rent.spot() ? ", spot" : ", ordinary")
+                            + request.zone()
+                            + (request.spot() ? ", spot" : ", ordinary")
                             + " for part "
-                            + part.shardNumber);
-            if (names.size() < rent.count()) {
-                refusedUntil.put(kind, outbox.now.monotonicMs() + Tuning.NO_CAPACITY_MS);
+                            + shard.shardNumber);
+            if (machineIds.size() < request.count()) {
+                unavailableUntilMs.put(kind, outbox.now.monotonicMs() + Tuning.NO_CAPACITY_MS);
             }
-            for (String id : names) {
-                fleet.rented(id, rent, askedWallMs);
+            for (String id : machineIds) {
+                autoscaler.addProvisioned(id, request, requestedWallMs);
             }
         } catch (FieldMap.Missing e) {
             outbox.logInfo("cloud: rental not understood: " + e.getMessage());
--- a/src/main/java/org/shoreusher/core/ReplicaPreemption.java
+++ b/src/main/java/org/shoreusher/core/ReplicaPreemption.java
@@ -23,7 +23,7 @@
             this.machine = machine;
             cpus = machine.cpusFree();
             gpus = machine.gpusFree();
-            mem = machine.memFree();
+            mem = machine.memGbFree();
         }
 
         void freed(JobSpec spec) {
@@ -124,10 +124,11 @@
                     }
                     List<TaskAttempt> victims = victims(room, spec);
                     double fetchS =
-                            m.images.contains(spec.image())
+                            m.cachedImages.contains(spec.image())
                                     ? 0
                                     : spec.imageGb()
-                                            / Math.max(Tuning.LEAST_FETCH, m.type.fetchGbPerS());
+                                            / Math.max(
+                                                    Tuning.LEAST_FETCH, m.type.imageFetchGbPerS());
                     double loss =
                             victims == null
                                     ? Double.MAX_VALUE
--- a/src/main/java/org/shoreusher/core/ReportReader.java
+++ b/src/main/java/org/shoreusher/core/ReportReader.java
@@ -2,7 +2,7 @@
 
 import it.unimi.dsi.fastutil.objects.ObjectOpenHashSet;
 import org.shoreusher.core.StoreSchema.JobRecord;
-import org.shoreusher.core.WorkerReport.Cause;
+import org.shoreusher.core.WorkerReport.ExitCause;
 import org.shoreusher.core.WorkerReport.TaskReport;
 import org.shoreusher.core.WorkerReport.TaskState;
 import org.shoreusher.settings.Tuning;
@@ -12,123 +12,124 @@
  * their jobs.
  */
 final class ReportReader {
-    private final Part part;
+    private final Part shard;
     private final Outbox outbox;
-    private final Arrivals arrivals;
+    private final Arrivals submissionBatches;
     private final ResourceLedger ledger;
 
     /** Creates the reader of one shard that this process leads. */
-    ReportReader(Part part, NodeContext context, ResourceLedger ledger) {
-        this.part = part;
+    ReportReader(Part shard, NodeContext context, ResourceLedger ledger) {
+        this.shard = shard;
         this.ledger = ledger;
         outbox = context.outbox();
-        arrivals = context.submissionBatches();
+        submissionBatches = context.submissionBatches();
     }
 
     /**
      * Applies a heartbeat. The caller has checked that it is newer than all heartbeats applied
      * before. Attempts that it does not show are removed, since they never started or have ended.
      */
-    void read(Machine m, WorkerReport r) {
-        m.session = r.session();
-        m.seq = r.seq();
-        m.address = r.address();
-        m.noticeS = r.noticeS();
-        m.reportedAtMs = outbox.now.monotonicMs();
-        boolean found = m.inherited && !m.heard;
-        m.heard = true;
-        if (m.state == Machine.State.BOOTING) {
-            m.state = Machine.State.UP;
-        }
-        if (!m.used) {
-            m.used = true;
-            part.machineRecords().changed(m.id);
-        }
-        part.taskMigration().reported(m);
-        m.shown = r.tasks().size();
-        ObjectOpenHashSet<String> shown = new ObjectOpenHashSet<>();
-        for (TaskReport t : r.tasks()) {
-            String key = Machine.taskKey(t.job(), t.index());
-            if (t.state() == TaskState.EXITED) {
-                exited(m, key, t);
+    void apply(Machine machine, WorkerReport heartbeat) {
+        machine.session = heartbeat.incarnation();
+        machine.sequenceNumber = heartbeat.sequenceNumber();
+        machine.address = heartbeat.address();
+        machine.interruptionNoticeS = heartbeat.interruptionNoticeS();
+        machine.lastHeartbeatAtMs = outbox.now.monotonicMs();
+        boolean isFirstSinceFailover = machine.usedByPreviousLeader && !machine.reconciled;
+        machine.reconciled = true;
+        if (machine.state == Machine.State.BOOTING) {
+            machine.state = Machine.State.UP;
+        }
+        if (!machine.mayHaveRunTasks) {
+            machine.mayHaveRunTasks = true;
+            shard.machineRecords().markDirty(machine.id);
+        }
+        shard.taskMigration().reported(machine);
+        machine.reportedTaskCount = heartbeat.tasks().size();
+        ObjectOpenHashSet<String> presentTaskKeys = new ObjectOpenHashSet<>();
+        for (TaskReport task : heartbeat.tasks()) {
+            String taskKey = Machine.taskKey(task.jobId(), task.taskIndex());
+            if (task.state() == TaskState.EXITED) {
+                recordExitedTask(machine, taskKey, task);
             } else {
-                shown.add(key);
-                present(m, key, t, r.token());
+                presentTaskKeys.add(taskKey);
+                recordPresentTask(machine, taskKey, task, heartbeat.fencingToken());
             }
         }
-        if (found) {
-            m.tasks.values().forEach(ledger::found);
+        if (isFirstSinceFailover) {
+            machine.tasks.values().forEach(ledger::found);
         }
-        if (m.tasks.size() > shown.size()) {
-            for (TaskAttempt live : m.tasksNow()) {
+        if (machine.tasks.size() > presentTaskKeys.size()) {
+            for (TaskAttempt attempt : machine.snapshotTasks()) {
                 // The start order went out in the answer to an older heartbeat. The worker has
                 // either started the task, which this heartbeat would show, or never will.
-                if (!shown.contains(Machine.taskKey(live.job.id, live.index))) {
-                    ledger.remove(live);
+                if (!presentTaskKeys.contains(Machine.taskKey(attempt.job.id, attempt.index))) {
+                    ledger.remove(attempt);
                 }
             }
         }
-        if (!Double.isNaN(m.noticeS)) {
+        if (!Double.isNaN(machine.interruptionNoticeS)) {
             // Interruption notice: the cloud reclaims the machine soon. Service replicas, and tasks
             // with enough time to save a checkpoint, are evicted gracefully and run elsewhere.
-            for (TaskAttempt live : m.tasks.values()) {
-                JobSpec spec = live.job.spec;
+            for (TaskAttempt attempt : machine.tasks.values()) {
+                JobSpec spec = attempt.job.spec;
                 if (!spec.shape().ends()
                         || (spec.checkpointS() > 0
-                                && live.state == TaskAttempt.State.RUNNING
-                                && spec.saveS() < m.noticeS)) {
-                    live.stopping = true;
+                                && attempt.state == TaskAttempt.State.RUNNING
+                                && spec.saveS() < machine.interruptionNoticeS)) {
+                    attempt.stopping = true;
                 }
             }
         }
-        m.idleSinceMs =
-                !m.tasks.isEmpty()
+        machine.idleSinceMs =
+                !machine.tasks.isEmpty()
                         ? -1
-                        : m.idleSinceMs < 0 ? outbox.now.monotonicMs() : m.idleSinceMs;
+                        : machine.idleSinceMs < 0 ? outbox.now.monotonicMs() : machine.idleSinceMs;
     }
 
     /**
      * Records a task that is on the machine, and marks it to be stopped if it must not run there.
      */
-    private void present(Machine m, String key, TaskReport t, long token) {
-        TaskAttempt live = m.tasks.get(key);
-        if (live != null && live.attempt != t.attempt()) {
-            ledger.remove(live);
-            live = null;
-        }
-        if (live == null) {
-            part.reconciliation().unknownAttempt(m, t, token);
-            Job job = part.jobs().get(t.job());
-            boolean wanted =
+    private void recordPresentTask(
+            Machine machine, String taskKey, TaskReport task, long fencingToken) {
+        TaskAttempt attempt = machine.tasks.get(taskKey);
+        if (attempt != null && attempt.attempt != task.attemptNumber()) {
+            ledger.remove(attempt);
+            attempt = null;
+        }
+        if (attempt == null) {
+            shard.reconciliation().handleUnknownAttempt(machine, task, fencingToken);
+            Job job = shard.jobs().get(task.jobId());
+            boolean shouldRun =
                     job != null
-                            && t.index() >= 0
-                            && t.index() < job.spec.tasks()
-                            && !job.done.get(t.index())
-                            && job.live.get(t.index()) == null;
-            live =
+                            && task.taskIndex() >= 0
+                            && task.taskIndex() < job.spec.tasks()
+                            && !job.done.get(task.taskIndex())
+                            && job.live.get(task.taskIndex()) == null;
+            attempt =
                     new TaskAttempt(
-                            job != null ? job : unwanted(m, t.job()),
-                            t.index(),
-                            t.attempt(),
-                            m,
+                            job != null ? job : placeholderJob(machine, task.jobId()),
+                            task.taskIndex(),
+                            task.attemptNumber(),
+                            machine,
                             TaskAttempt.State.RUNNING,
                             outbox.now.monotonicMs());
-            live.mustStop = !wanted;
-            ledger.add(live, wanted);
+            attempt.mustStop = !shouldRun;
+            ledger.add(attempt, shouldRun);
         }
-        live.state =
-                switch (t.state()) {
+        attempt.state =
+                switch (task.state()) {
                     case FETCHING -> TaskAttempt.State.FETCHING;
-                    case SAVING -> TaskAttempt.State.SAVING;
+                    case CHECKPOINTING -> TaskAttempt.State.SAVING;
                     default -> TaskAttempt.State.RUNNING;
                 };
-        if (live.state == TaskAttempt.State.RUNNING && live.runningSinceMs < 0) {
-            live.runningSinceMs = outbox.now.monotonicMs();
+        if (attempt.state == TaskAttempt.State.RUNNING && attempt.runningSinceMs < 0) {
+            attempt.runningSinceMs = outbox.now.monotonicMs();
         }
-        if (!live.job.spec.shape().ends()
-                && live.runningSinceMs >= 0
-                && outbox.now.monotonicMs() - live.runningSinceMs >= Tuning.STEADY_MS) {
-            live.job.steady();
+        if (!attempt.job.spec.shape().ends()
+                && attempt.runningSinceMs >= 0
+                && outbox.now.monotonicMs() - attempt.runningSinceMs >= Tuning.STEADY_MS) {
+            attempt.job.steady();
         }
     }
 
@@ -136,88 +137,100 @@
      * A closed job that stands in for one that is terminal or unknown. Tasks of an unknown job are
      * assumed to use the whole machine, so that nothing else is started beside them.
      */
-    private Job unwanted(Machine m, String id) {
-        JobRecord record = arrivals.record(id);
+    private Job placeholderJob(Machine machine, String jobId) {
+        JobRecord record = submissionBatches.record(jobId);
         JobSpec spec =
                 record != null && record.specFields() != null
                         ? record.parseSpec()
-                        : JobSpec.ofRoom(id, "", m.type.cpus(), m.type.gpus(), m.type.memGb());
-        Job job = new Job(id, spec, outbox.now.wallMs());
+                        : JobSpec.ofRoom(
+                                jobId,
+                                "",
+                                machine.type.cpus(),
+                                machine.type.gpus(),
+                                machine.type.memGb());
+        Job job = new Job(jobId, spec, outbox.now.wallMs());
         job.closed = true;
         return job;
     }
 
     /** Records a task that has exited, with its completion or its failure. */
-    private void exited(Machine m, String key, TaskReport t) {
-        TaskAttempt live = m.tasks.get(key);
-        boolean ours = live != null && live.attempt == t.attempt();
-        if (ours) {
-            live.saved = t.saved();
+    private void recordExitedTask(Machine machine, String taskKey, TaskReport task) {
+        TaskAttempt attempt = machine.tasks.get(taskKey);
+        boolean isCurrentAttempt = attempt != null && attempt.attempt == task.attemptNumber();
+        if (isCurrentAttempt) {
+            attempt.saved = task.checkpointed();
         }
-        Job job = part.jobs().get(t.job());
+        Job job = shard.jobs().get(task.jobId());
         if (job != null && !job.spec.shape().ends()) {
-            if (ours) {
-                replicaEnded(m, job, live, t.cause());
+            if (isCurrentAttempt) {
+                recordExitedReplica(machine, job, attempt, task.exitCause());
             }
             return;
         }
-        if (t.cause() == Cause.DONE) {
-            m.failedJobs.clear();
-            if (ours && job != null && live.runningSinceMs >= 0) {
-                double ranS = (outbox.now.monotonicMs() - live.runningSinceMs) / 1000.0;
+        if (task.exitCause() == ExitCause.COMPLETED) {
+            machine.failedJobIds.clear();
+            if (isCurrentAttempt && job != null && attempt.runningSinceMs >= 0) {
+                double runTimeS = (outbox.now.monotonicMs() - attempt.runningSinceMs) / 1000.0;
                 if (job.observedCount() >= Tuning.PACE_TASKS
                         && job.observedMeanS() >= Tuning.PACE_LEAST_S) {
-                    m.ran(ranS / job.observedMeanS());
+                    machine.recordRunTime(runTimeS / job.observedMeanS());
                 }
-                part.runTimeEstimates().observed(job, ranS);
+                shard.runTimeEstimates().observed(job, runTimeS);
             }
             if (job != null
-                    && t.index() >= 0
-                    && t.index() < job.spec.tasks()
-                    && !job.done.get(t.index())) {
-                job.done.set(t.index());
-                job.setWaiting(t.index(), false);
-                part.terminalStateWriter().finished(job);
-                TaskAttempt elsewhere = job.live.get(t.index());
-                if (elsewhere != null && elsewhere != live) {
-                    elsewhere.mustStop = true;
-                    part.taskEviction().halt(elsewhere, 0);
+                    && task.taskIndex() >= 0
+                    && task.taskIndex() < job.spec.tasks()
+                    && !job.done.get(task.taskIndex())) {
+                job.done.set(task.taskIndex());
+                job.setWaiting(task.taskIndex(), false);
+                shard.terminalStateWriter().finished(job);
+                TaskAttempt attemptElsewhere = job.live.get(task.taskIndex());
+                if (attemptElsewhere != null && attemptElsewhere != attempt) {
+                    attemptElsewhere.mustStop = true;
+                    shard.taskEviction().halt(attemptElsewhere, 0);
                 }
             }
         }
-        if (!ours) {
+        if (!isCurrentAttempt) {
             return;
         }
-        if (t.cause() == Cause.ERROR && job != null) {
-            job.failed(m.id, outbox.now.monotonicMs());
+        if (task.exitCause() == ExitCause.ERROR && job != null) {
+            job.failed(machine.id, outbox.now.monotonicMs());
             if (job.suspect()) {
-                part.machines().values().forEach(other -> other.failedJobs.remove(job.id));
+                shard.machines()
+                        .values()
+                        .forEach(otherMachine -> otherMachine.failedJobIds.remove(job.id));
             } else {
-                m.failedJobs.add(job.id);
+                machine.failedJobIds.add(job.id);
             }
-        } else if (t.cause() == Cause.UNKNOWN && job != null) {
-            job.failed(m.id, outbox.now.monotonicMs());
+        } else if (task.exitCause() == ExitCause.UNKNOWN_TASK && job != null) {
+            job.failed(machine.id, outbox.now.monotonicMs());
         }
-        ledger.remove(live);
+        ledger.remove(attempt);
     }
 
     /**
      * Records that a service replica has exited. It is always restarted: promptly if it had run for
      * long, and with increasing backoff if it keeps exiting early.
      */
-    private void replicaEnded(Machine m, Job job, TaskAttempt live, Cause cause) {
-        if (cause == Cause.ERROR || cause == Cause.DONE || cause == Cause.UNKNOWN) {
-            if (live.runningSinceMs >= 0
-                    && outbox.now.monotonicMs() - live.runningSinceMs >= Tuning.STEADY_MS) {
+    private void recordExitedReplica(
+            Machine machine, Job job, TaskAttempt attempt, ExitCause exitCause) {
+        if (exitCause == ExitCause.ERROR
+                || exitCause == ExitCause.COMPLETED
+                || exitCause == ExitCause.UNKNOWN_TASK) {
+            if (attempt.runningSinceMs >= 0
+                    && outbox.now.monotonicMs() - attempt.runningSinceMs >= Tuning.STEADY_MS) {
                 job.steady();
             }
-            job.failed(m.id, outbox.now.monotonicMs());
-            if (cause == Cause.ERROR && !job.suspect()) {
-                m.failedJobs.add(job.id);
+            job.failed(machine.id, outbox.now.monotonicMs());
+            if (exitCause == ExitCause.ERROR && !job.suspect()) {
+                machine.failedJobIds.add(job.id);
             } else if (job.suspect()) {
-                part.machines().values().forEach(other -> other.failedJobs.remove(job.id));
+                shard.machines()
+                        .values()
+                        .forEach(otherMachine -> otherMachine.failedJobIds.remove(job.id));
             }
         }
-        ledger.remove(live);
+        ledger.remove(attempt);
     }
 }
--- a/src/main/java/org/shoreusher/core/Reports.java
+++ b/src/main/java/org/shoreusher/core/Reports.java
@@ -6,7 +6,7 @@
 import org.shoreusher.core.StoreSchema.JobRecord;
 import org.shoreusher.core.StoreSchema.JobStatus;
 import org.shoreusher.core.StoreSchema.MachineRecord;
-import org.shoreusher.core.WorkerReport.Cause;
+import org.shoreusher.core.WorkerReport.ExitCause;
 import org.shoreusher.core.WorkerReport.TaskReport;
 import org.shoreusher.core.WorkerReport.TaskState;
 import org.shoreusher.settings.Settings;
@@ -19,28 +19,28 @@
  * while the leader's lease is valid, and only if no machine can be running the task.
  */
 final class Reports {
-    private final Part part;
+    private final Part shard;
     private final Settings settings;
     private final Outbox outbox;
-    private final Arrivals arrivals;
-    private final MachineIndex index;
-    private final MachineTypes types;
+    private final Arrivals submissionBatches;
+    private final MachineIndex machineIndex;
+    private final MachineTypes machineTypes;
     private final ResourceLedger ledger;
-    private final ReportReader reader;
-    private final Placement placement;
-    private long nextAttempt = 1;
+    private final ReportReader heartbeatReader;
+    private final Placement placementPlan;
+    private long nextAttemptNumber = 1;
 
     /** Creates the handler of one shard that this process leads. */
-    Reports(Part part, NodeContext context, ResourceLedger ledger, StartMarks marks) {
-        this.part = part;
+    Reports(Part shard, NodeContext context, ResourceLedger ledger, StartMarks highWaterMarks) {
+        this.shard = shard;
         settings = context.settings();
         outbox = context.outbox();
-        arrivals = context.submissionBatches();
-        index = context.machineIndex();
-        types = context.machineTypes();
+        submissionBatches = context.submissionBatches();
+        machineIndex = context.machineIndex();
+        machineTypes = context.machineTypes();
         this.ledger = ledger;
-        reader = new ReportReader(part, context, ledger);
-        placement = new Placement(part, outbox, marks);
+        heartbeatReader = new ReportReader(shard, context, ledger);
+        placementPlan = new Placement(shard, outbox, highWaterMarks);
     }
 
     /**
@@ -49,59 +49,62 @@
      * emitted later. Heartbeats that must not be answered get an "unavailable" answer, and the
      * worker tries another node.
      */
-    void report(long request, WorkerReport r) {
-        if (!part.canAnswerHeartbeats() || r.token() > part.term()) {
-            if (!part.isLeadershipLost() && r.token() > part.term()) {
-                part.leadership().raiseTerm(r.token());
+    void handle(long requestId, WorkerReport heartbeat) {
+        if (!shard.canAnswerHeartbeats() || heartbeat.fencingToken() > shard.term()) {
+            if (!shard.isLeadershipLost() && heartbeat.fencingToken() > shard.term()) {
+                shard.leadership().raiseTerm(heartbeat.fencingToken());
             }
-            outbox.respondUnavailable(request);
+            outbox.respondUnavailable(requestId);
             return;
         }
-        Machine m = part.machines().get(r.machine());
-        if (m == null) {
-            m = adopt(r);
+        Machine machine = shard.machines().get(heartbeat.machineId());
+        if (machine == null) {
+            machine = registerMachine(heartbeat);
         }
         // A heartbeat may have been delayed since before the failover and lack tasks that the
         // previous leader started after it. Only a heartbeat with a fencing token of this leader is
         // certain to be newer than those starts.
-        if (m != null
-                && m.inherited
-                && !m.heard
-                && r.token() < part.leadership().acquisitionTerm()
-                && !deafSinceTakeover(m, r)) {
-            m.answeredAtMs = Math.max(m.answeredAtMs, outbox.now.monotonicMs());
-            outbox.respond(request, new Response.Orders(part.term(), stopsOfCancelled(r)));
+        if (machine != null
+                && machine.usedByPreviousLeader
+                && !machine.reconciled
+                && heartbeat.fencingToken() < shard.leadership().acquisitionTerm()
+                && !hasPreviousLeaseExpired(machine, heartbeat)) {
+            machine.leaseRenewedAtMs = Math.max(machine.leaseRenewedAtMs, outbox.now.monotonicMs());
+            outbox.respond(
+                    requestId,
+                    new Response.Orders(shard.term(), stopOrdersForCancelledJobs(heartbeat)));
             return;
         }
         // The worker no longer waits for the answer to a delayed or duplicated heartbeat, and the
         // task list in it is stale. A machine that is being transferred to another shard may
         // already run tasks of that shard's leader, which must not be stopped here.
-        if (m == null
-                || m.state == Machine.State.HANDING
-                || r.session() <= m.endedSession
-                || (m.heard && !r.newerThan(m.session, m.seq))) {
-            outbox.respondUnavailable(request);
+        if (machine == null
+                || machine.state == Machine.State.HANDING_OVER
+                || heartbeat.incarnation() <= machine.lastExpiredSession
+                || (machine.reconciled
+                        && !heartbeat.isNewerThan(machine.session, machine.sequenceNumber))) {
+            outbox.respondUnavailable(requestId);
             return;
         }
-        part.standbyReplication().newReport(m);
-        m.reported(r, outbox.now.monotonicMs(), settings);
-        reader.read(m, r);
+        shard.standbyReplication().discardHeldAnswer(machine);
+        machine.inferReplyDelivery(heartbeat, outbox.now.monotonicMs(), settings);
+        heartbeatReader.apply(machine, heartbeat);
         List<WorkerOrder> orders = new ArrayList<>();
-        if (part.isLeader()) {
-            settle(m, r, orders);
-            if (m.recordedUsed
-                    && (m.cpusFree() > Tuning.EPSILON
-                            || m.gpusFree() > Tuning.EPSILON
-                            || part.taskMigration().hasReady(m))
-                    && part.canStartTasks()
-                    && part.standbyReplication().mayStart()
-                    && part.isAvailable(m)) {
-                start(m, orders);
+        if (shard.isLeader()) {
+            addForgetAndStopOrders(machine, heartbeat, orders);
+            if (machine.hasDurableUseRecord
+                    && (machine.cpusFree() > Tuning.EPSILON
+                            || machine.gpusFree() > Tuning.EPSILON
+                            || shard.taskMigration().hasReady(machine))
+                    && shard.canStartTasks()
+                    && shard.standbyReplication().canStartTasks()
+                    && shard.isAvailable(machine)) {
+                startTasks(machine, orders);
             }
         } else {
-            orders.addAll(stopsOfCancelled(r));
+            orders.addAll(stopOrdersForCancelledJobs(heartbeat));
         }
-        part.standbyReplication().answer(request, m, orders);
+        shard.standbyReplication().answerOrHold(requestId, machine, orders);
     }
 
     /**
@@ -111,55 +114,67 @@
      * previous leader. Without this check a one-way partition between one worker and the leader
      * delayed the reconciliation of the whole shard for as long as the partition lasted.
      */
-    private boolean deafSinceTakeover(Machine m, WorkerReport r) {
-        boolean newer = r.newerThan(m.session, m.seq);
-        if (newer) {
-            m.session = r.session();
-            m.seq = r.seq();
+    private boolean hasPreviousLeaseExpired(Machine machine, WorkerReport heartbeat) {
+        boolean isNewer = heartbeat.isNewerThan(machine.session, machine.sequenceNumber);
+        if (isNewer) {
+            machine.session = heartbeat.incarnation();
+            machine.sequenceNumber = heartbeat.sequenceNumber();
         }
-        return newer
+        return isNewer
                 && outbox.now.monotonicMs()
-                        > m.inheritedAnswerMs + PartLease.workerLeaseBoundMs(settings);
+                        > machine.previousLeaderRenewalAtMs
+                                + PartLease.workerLeaseBoundMs(settings);
     }
 
-    private Machine adopt(WorkerReport r) {
+    private Machine registerMachine(WorkerReport heartbeat) {
         // A delayed heartbeat must not register a terminated machine again, whether its record
         // still exists or not.
-        if (part.autoscaler().list().isGone(r.machine())) {
+        if (shard.autoscaler().inventory().isTerminated(heartbeat.machineId())) {
             return null;
         }
-        MachineRecord record = index.get(r.machine());
+        MachineRecord record = machineIndex.get(heartbeat.machineId());
         if (record != null) {
-            return record.shardNumber() == part.shardNumber
-                    ? part.lifecycle().addMachine(r.machine(), record)
+            return record.shardNumber() == shard.shardNumber
+                    ? shard.lifecycle().addRecordedMachine(heartbeat.machineId(), record)
                     : null;
         }
         // Nor a machine that a previous leader terminated. A machine that has a fencing token but
         // no record is registered only if the cloud lists it.
-        if (r.token() > 0 && !part.autoscaler().list().isListed(r.machine())) {
+        if (heartbeat.fencingToken() > 0
+                && !shard.autoscaler().inventory().isListed(heartbeat.machineId())) {
             return null;
         }
-        return part.lifecycle()
-                .add(r.machine(), types.get(r.type()), r.zone(), r.spot(), outbox.now.wallMs());
+        return shard.lifecycle()
+                .addNewMachine(
+                        heartbeat.machineId(),
+                        machineTypes.get(heartbeat.machineType()),
+                        heartbeat.zone(),
+                        heartbeat.spot(),
+                        outbox.now.wallMs());
     }
 
     /**
      * Adds the orders that follow from the reported tasks: to forget exited tasks whose result is
      * durable, and to stop tasks that must not run or are being evicted.
      */
-    private void settle(Machine m, WorkerReport r, List<WorkerOrder> orders) {
-        for (TaskReport t : r.tasks()) {
-            if (t.state() == TaskState.EXITED && forgettable(t)) {
+    private void addForgetAndStopOrders(
+            Machine machine, WorkerReport heartbeat, List<WorkerOrder> orders) {
+        for (TaskReport task : heartbeat.tasks()) {
+            if (task.state() == TaskState.EXITED && canForget(task)) {
                 orders.add(
                         new WorkerOrder(
-                                WorkerOrder.Kind.FORGET, t.job(), t.index(), t.attempt(), 0));
+                                WorkerOrder.Kind.FORGET,
+                                task.jobId(),
+                                task.taskIndex(),
+                                task.attemptNumber(),
+                                0));
             }
         }
-        for (TaskAttempt live : m.tasks.values()) {
-            if (live.mustStop) {
-                orders.add(TaskStops.stop(live, 0));
-            } else if (live.stopping && live.state != TaskAttempt.State.SAVING) {
-                orders.add(TaskStops.stop(live, TaskStops.graceS(live)));
+        for (TaskAttempt attempt : machine.tasks.values()) {
+            if (attempt.mustStop) {
+                orders.add(TaskStops.stop(attempt, 0));
+            } else if (attempt.stopping && attempt.state != TaskAttempt.State.SAVING) {
+                orders.add(TaskStops.stop(attempt, TaskStops.graceS(attempt)));
             }
         }
     }
@@ -170,15 +185,19 @@
      * given as early as possible because leadership may change so often that a leader answers a
      * worker only once (seen with ten leaders in two minutes).
      */
-    private List<WorkerOrder> stopsOfCancelled(WorkerReport r) {
+    private List<WorkerOrder> stopOrdersForCancelledJobs(WorkerReport heartbeat) {
         List<WorkerOrder> orders = new ArrayList<>();
-        for (TaskReport t : r.tasks()) {
-            if (t.state() != TaskState.EXITED && part.jobs().get(t.job()) == null) {
-                JobRecord record = arrivals.record(t.job());
+        for (TaskReport task : heartbeat.tasks()) {
+            if (task.state() != TaskState.EXITED && shard.jobs().get(task.jobId()) == null) {
+                JobRecord record = submissionBatches.record(task.jobId());
                 if (record != null && record.status() == JobStatus.CANCELLED) {
                     orders.add(
                             new WorkerOrder(
-                                    WorkerOrder.Kind.STOP, t.job(), t.index(), t.attempt(), 0));
+                                    WorkerOrder.Kind.STOP,
+                                    task.jobId(),
+                                    task.taskIndex(),
+                                    task.attemptNumber(),
+                                    0));
                 }
             }
         }
@@ -189,53 +208,55 @@
      * Whether the worker may forget an exited task: always after a failure or a stop, and after a
      * completion once the completion record or the job's terminal state is in the store.
      */
-    private boolean forgettable(TaskReport t) {
-        if (t.cause() != Cause.DONE) {
+    private boolean canForget(TaskReport task) {
+        if (task.exitCause() != ExitCause.COMPLETED) {
             return true;
         }
-        Job job = part.jobs().get(t.job());
+        Job job = shard.jobs().get(task.jobId());
         if (job != null) {
-            return !job.spec.shape().ends() || job.durable.get(t.index());
+            return !job.spec.shape().ends() || job.durable.get(task.taskIndex());
         }
         // Completed jobs are no longer open.
-        JobRecord record = arrivals.record(t.job());
+        JobRecord record = submissionBatches.record(task.jobId());
         return record == null || record.status() != JobStatus.OPEN;
     }
 
     /** Starts the migrated tasks that wait for this machine, then as many planned tasks as fit. */
-    private void start(Machine m, List<WorkerOrder> orders) {
+    private void startTasks(Machine machine, List<WorkerOrder> orders) {
         // Migrated tasks go first: the machine's resources are already reserved for them.
-        for (TaskId moved : part.taskMigration().takeReady(m)) {
-            start(part.jobs().get(moved.job()), moved.index(), m, orders);
+        for (TaskId migrated : shard.taskMigration().takeReady(machine)) {
+            startTasks(shard.jobs().get(migrated.job()), migrated.index(), machine, orders);
         }
         // Answer and heartbeat are limited in size, however many small tasks would fit.
-        int room = Tuning.MOST_TASKS_ON_MACHINE - Math.max(m.tasks.size(), m.shown);
-        for (Planner.Placed p : placement.forMachine(m)) {
-            int index = -1;
-            for (int i = 0; i < p.count() && room > 0; i++, room--) {
-                index = p.job().waiting.nextSetBit(index + 1);
-                if (index < 0 || index >= p.job().startBelow) {
+        int remainingTasks =
+                Tuning.MOST_TASKS_ON_MACHINE
+                        - Math.max(machine.tasks.size(), machine.reportedTaskCount);
+        for (Planner.Placed placed : placementPlan.forMachine(machine)) {
+            int taskIndex = -1;
+            for (int i = 0; i < placed.count() && remainingTasks > 0; i++, remainingTasks--) {
+                taskIndex = placed.job().waiting.nextSetBit(taskIndex + 1);
+                if (taskIndex < 0 || taskIndex >= placed.job().startBelow) {
                     // The raised high-water mark is not durable yet. The next plan has the task
                     // again.
                     break;
                 }
-                start(p.job(), index, m, orders);
+                startTasks(placed.job(), taskIndex, machine, orders);
             }
         }
     }
 
     /** Starts a pending task with an attempt number that was never used: term and counter. */
-    private void start(Job job, int index, Machine m, List<WorkerOrder> orders) {
-        TaskAttempt live =
+    private void startTasks(Job job, int taskIndex, Machine machine, List<WorkerOrder> orders) {
+        TaskAttempt attempt =
                 new TaskAttempt(
                         job,
-                        index,
-                        part.term() << Tuning.ATTEMPT_BITS | nextAttempt++,
-                        m,
+                        taskIndex,
+                        shard.term() << Tuning.ATTEMPT_BITS | nextAttemptNumber++,
+                        machine,
                         TaskAttempt.State.ASKED,
                         outbox.now.monotonicMs());
-        ledger.add(live, true);
+        ledger.add(attempt, true);
         job.startedCount++;
-        orders.add(new WorkerOrder(WorkerOrder.Kind.START, job.id, index, live.attempt, 0));
+        orders.add(new WorkerOrder(WorkerOrder.Kind.START, job.id, taskIndex, attempt.attempt, 0));
     }
 }
--- a/src/main/java/org/shoreusher/core/ResourceLedger.java
+++ b/src/main/java/org/shoreusher/core/ResourceLedger.java
@@ -87,8 +87,8 @@
         live.machine.tasks.put(Machine.taskKey(live.job.id, live.index), live);
         live.machine.cpusUsed += spec.cpus();
         live.machine.gpusUsed += spec.gpus();
-        live.machine.memUsed += spec.memGb();
-        live.machine.images.add(spec.image());
+        live.machine.memGbUsed += spec.memGb();
+        live.machine.cachedImages.add(spec.image());
         live.machine.idleSinceMs = -1;
         hold(spec);
         if (placed) {
@@ -112,7 +112,7 @@
         }
         m.cpusUsed = m.tasks.isEmpty() ? 0 : m.cpusUsed - spec.cpus();
         m.gpusUsed = m.tasks.isEmpty() ? 0 : m.gpusUsed - spec.gpus();
-        m.memUsed = m.tasks.isEmpty() ? 0 : m.memUsed - spec.memGb();
+        m.memGbUsed = m.tasks.isEmpty() ? 0 : m.memGbUsed - spec.memGb();
         letGo(spec);
         Job job = live.job;
         if (job.live.get(live.index) == live) {
