--- a/src/main/java/org/shoreusher/core/Retirement.java
+++ b/src/main/java/org/shoreusher/core/Retirement.java
@@ -9,32 +9,32 @@
  * drained and then terminated.
  */
 final class Retirement {
-    private final Part part;
+    private final Part shard;
     private final Settings settings;
     private final Outbox outbox;
 
     /** Creates the cordon of a shard. */
-    Retirement(Part part, Settings settings, Outbox outbox) {
-        this.part = part;
+    Retirement(Part shard, Settings settings, Outbox outbox) {
+        this.shard = shard;
         this.settings = settings;
         this.outbox = outbox;
     }
 
     /** Checks all machines of the shard and sets those to be cordoned to draining. */
     void step() {
-        boolean deafAreFaulty = deafAreFaulty();
-        for (Machine m : part.machines().values()) {
-            String fault = fault(m, deafAreFaulty);
+        boolean partitionedMachinesAreFaulty = arePartitionedMachinesFaulty();
+        for (Machine machine : shard.machines().values()) {
+            String fault = findFault(machine, partitionedMachinesAreFaulty);
             if (fault != null) {
-                outbox.logInfo("retired: " + m.id + fault);
-                m.state = Machine.State.DRAINING;
-            } else if (m.state == Machine.State.UP
-                    && !Double.isNaN(m.noticeS)
-                    && m.tasks.isEmpty()) {
-                m.state = Machine.State.DRAINING;
+                outbox.logInfo("retired: " + machine.id + fault);
+                machine.state = Machine.State.DRAINING;
+            } else if (machine.state == Machine.State.UP
+                    && !Double.isNaN(machine.interruptionNoticeS)
+                    && machine.tasks.isEmpty()) {
+                machine.state = Machine.State.DRAINING;
             }
-            if (m.state == Machine.State.DRAINING) {
-                moveReplicas(m);
+            if (machine.state == Machine.State.DRAINING) {
+                evictReplicas(machine);
             }
         }
     }
@@ -43,31 +43,39 @@
      * Whether machines behind a one-way partition are themselves at fault. If many are, the fault
      * is more likely in this node's network.
      */
-    private boolean deafAreFaulty() {
-        long deaf = part.machines().values().stream().filter(Machine::deaf).count();
-        return deaf <= Math.max(1, part.machines().size() * Tuning.DEAF_SHARE);
+    private boolean arePartitionedMachinesFaulty() {
+        long partitionedCount =
+                shard.machines().values().stream().filter(Machine::hasOneWayPartition).count();
+        return partitionedCount <= Math.max(1, shard.machines().size() * Tuning.DEAF_SHARE);
     }
 
     /** The reason to cordon a machine, as the rest of a log line; null if there is none. */
-    private String fault(Machine m, boolean deafAreFaulty) {
-        if (m.state == Machine.State.BOOTING && neverCameUp(m)) {
-            return " did not come up in " + ageMs(m) / 1000 + " s";
+    private String findFault(Machine machine, boolean partitionedMachinesAreFaulty) {
+        if (machine.state == Machine.State.BOOTING && hasFailedToBoot(machine)) {
+            return " did not come up in " + ageMs(machine) / 1000 + " s";
         }
-        if (m.state == Machine.State.UP && m.failedJobs.size() >= Tuning.FAULTY_ERRORS) {
-            return ", tasks of " + m.failedJobs.size() + " jobs failed on it";
+        if (machine.state == Machine.State.UP
+                && machine.failedJobIds.size() >= Tuning.FAULTY_ERRORS) {
+            return ", tasks of " + machine.failedJobIds.size() + " jobs failed on it";
         }
-        if (m.state == Machine.State.UP && m.slow()) {
+        if (machine.state == Machine.State.UP && machine.isSlow()) {
             return ", its tasks take far longer than others of their jobs";
         }
-        if (m.state == Machine.State.UP && m.deaf() && m.tasks.isEmpty() && deafAreFaulty) {
+        if (machine.state == Machine.State.UP
+                && machine.hasOneWayPartition()
+                && machine.tasks.isEmpty()
+                && partitionedMachinesAreFaulty) {
             return " reports but hears nothing";
         }
-        boolean noticed = m.state == Machine.State.UP && !Double.isNaN(m.noticeS);
-        return !noticed && silent(m) ? " has been silent for " + silenceMs(m) / 1000 + " s" : null;
+        boolean hasInterruptionNotice =
+                machine.state == Machine.State.UP && !Double.isNaN(machine.interruptionNoticeS);
+        return !hasInterruptionNotice && isUnresponsive(machine)
+                ? " has been silent for " + sinceLeaseRenewalMs(machine) / 1000 + " s"
+                : null;
     }
 
-    private long ageMs(Machine m) {
-        return outbox.now.wallMs() - m.rentedWallMs;
+    private long ageMs(Machine machine) {
+        return outbox.now.wallMs() - machine.provisionedWallMs;
     }
 
     /**
@@ -75,33 +83,35 @@
      * without that check, a successor terminated all machines behind a network partition, and their
      * replacements had empty image caches.
      */
-    private boolean neverCameUp(Machine m) {
-        return !m.used && ageMs(m) > Tuning.BOOT_PATIENCE * m.type.bootS() * 1000;
+    private boolean hasFailedToBoot(Machine machine) {
+        return !machine.mayHaveRunTasks
+                && ageMs(machine) > Tuning.BOOT_PATIENCE * machine.type.bootS() * 1000;
     }
 
-    private long silenceMs(Machine m) {
-        return outbox.now.monotonicMs() - m.answeredAtMs;
+    private long sinceLeaseRenewalMs(Machine machine) {
+        return outbox.now.monotonicMs() - machine.leaseRenewedAtMs;
     }
 
     /**
      * Whether an empty machine's lease expired long enough ago that it has cost its minimum charge.
      */
-    private boolean silent(Machine m) {
-        return m.used
-                && (m.state == Machine.State.UP || m.state == Machine.State.BOOTING)
-                && m.tasks.isEmpty()
-                && silenceMs(m) > PartLease.workerLeaseBoundMs(settings) + Tuning.MIN_CHARGE_MS;
+    private boolean isUnresponsive(Machine machine) {
+        return machine.mayHaveRunTasks
+                && (machine.state == Machine.State.UP || machine.state == Machine.State.BOOTING)
+                && machine.tasks.isEmpty()
+                && sinceLeaseRenewalMs(machine)
+                        > PartLease.workerLeaseBoundMs(settings) + Tuning.MIN_CHARGE_MS;
     }
 
     /**
      * Evicts service replicas from a draining machine, since they never end by themselves; they are
      * started again elsewhere.
      */
-    private void moveReplicas(Machine m) {
-        for (TaskAttempt live : m.tasks.values()) {
-            if (!live.job.spec.shape().ends() && !live.mustStop) {
-                live.mustStop = true;
-                part.taskEviction().halt(live, 0);
+    private void evictReplicas(Machine machine) {
+        for (TaskAttempt attempt : machine.tasks.values()) {
+            if (!attempt.job.spec.shape().ends() && !attempt.mustStop) {
+                attempt.mustStop = true;
+                shard.taskEviction().halt(attempt, 0);
             }
         }
     }
--- a/src/main/java/org/shoreusher/core/Returns.java
+++ b/src/main/java/org/shoreusher/core/Returns.java
@@ -7,50 +7,54 @@
 
 /** Terminates the drained machines of a shard once they are empty; one call at a time. */
 final class Returns {
-    private final Part part;
+    private final Part shard;
     private final Outbox outbox;
-    private boolean returning;
-    private long nextReturnMs;
+    private boolean terminationInFlight;
+    private long nextTerminationMs;
 
     /** Creates the scale-in of a shard. */
-    Returns(Part part, Outbox outbox) {
-        this.part = part;
+    Returns(Part shard, Outbox outbox) {
+        this.shard = shard;
         this.outbox = outbox;
     }
 
     /** Requests the next termination when it is due. */
     void step() {
-        if (returning || outbox.now.monotonicMs() < nextReturnMs) {
+        if (terminationInFlight || outbox.now.monotonicMs() < nextTerminationMs) {
             return;
         }
         List<String> ids = new ArrayList<>();
-        for (Machine m : part.machines().values()) {
-            if ((m.state == Machine.State.DRAINING || m.state == Machine.State.RETURNING)
-                    && m.tasks.isEmpty()
+        for (Machine machine : shard.machines().values()) {
+            if ((machine.state == Machine.State.DRAINING
+                            || machine.state == Machine.State.TERMINATING)
+                    && machine.tasks.isEmpty()
                     && ids.size() < Tuning.RETURN_AT_ONCE) {
                 // From now on no task may start on it, whatever the outcome of the call.
-                m.state = Machine.State.RETURNING;
-                ids.add(m.id);
+                machine.state = Machine.State.TERMINATING;
+                ids.add(machine.id);
             }
         }
         if (ids.isEmpty()) {
             return;
         }
-        returning =
+        terminationInFlight =
                 outbox.callCloud(
                         new CloudOp.Return(List.copyOf(ids)),
                         reply -> {
-                            returning = false;
+                            terminationInFlight = false;
                             if (reply.status() != 200) {
-                                nextReturnMs = outbox.now.monotonicMs() + Tuning.CLOUD_RETRY_MS;
+                                nextTerminationMs =
+                                        outbox.now.monotonicMs() + Tuning.CLOUD_RETRY_MS;
                                 ids.forEach(
-                                        id -> stillThere(part.machines().get(id), reply.status()));
+                                        id ->
+                                                handleUnconfirmedTermination(
+                                                        shard.machines().get(id), reply.status()));
                                 return;
                             }
                             for (String id : ids) {
-                                Machine m = part.machines().get(id);
-                                if (m != null) {
-                                    part.lifecycle().gone(m, "returned");
+                                Machine machine = shard.machines().get(id);
+                                if (machine != null) {
+                                    shard.lifecycle().removeTerminated(machine, "returned");
                                 }
                             }
                         });
@@ -62,17 +66,17 @@
      * otherwise tasks would wait during an outage of the cloud's API beside machines that wait for
      * their termination.
      *
-     * @param m the machine; null if it is known to be terminated
+     * @param machine the machine; null if it is known to be terminated
      * @param status HTTP status of the reply; 503 and 429 mean that nothing was done
      */
-    private void stillThere(Machine m, int status) {
-        if (m == null) {
+    private void handleUnconfirmedTermination(Machine machine, int status) {
+        if (machine == null) {
             return;
         }
-        m.returnUnknown |= status != 503 && status != 429;
-        if (m.unneeded && !m.returnUnknown) {
-            m.state = Machine.State.UP;
-            m.unneeded = false;
+        machine.terminationOutcomeUnknown |= status != 503 && status != 429;
+        if (machine.drainedAsIdle && !machine.terminationOutcomeUnknown) {
+            machine.state = Machine.State.UP;
+            machine.drainedAsIdle = false;
         }
     }
 }
--- a/src/main/java/org/shoreusher/core/StandbyCapacity.java
+++ b/src/main/java/org/shoreusher/core/StandbyCapacity.java
@@ -48,7 +48,9 @@
                 types.all().stream()
                         .min(
                                 Comparator.comparingDouble(
-                                        t -> t.price() / Math.max(Tuning.EPSILON, t.cpus())))
+                                        t ->
+                                                t.onDemandPricePerHour()
+                                                        / Math.max(Tuning.EPSILON, t.cpus())))
                         .orElse(null);
         wanted = type == null ? 0 : wanted(type);
         room.clear();
@@ -57,7 +59,9 @@
             return;
         }
         for (Machine m : part.machines().values()) {
-            if (!m.spot && (part.isAvailable(m) || (m.state == Machine.State.BOOTING && !m.used))) {
+            if (!m.spot
+                    && (part.isAvailable(m)
+                            || (m.state == Machine.State.BOOTING && !m.mayHaveRunTasks))) {
                 double held = 0;
                 for (TaskAttempt live : m.tasks.values()) {
                     held += live.job.spec.shape().ends() ? 0 : live.job.spec.cpus();
@@ -65,12 +69,12 @@
                 room.addTo(m.zone, m.type.cpus() - held);
             }
         }
-        rentals.coming().forEach(this::add);
+        rentals.pendingCapacity().forEach(this::add);
         wanting.forEach(this::add);
         for (String zone : type.zones()) {
             while (room.getDouble(zone) < wanted
                     && wanting.size() < most
-                    && !rentals.refused(new Rentals.Kind(type.name(), zone, false))) {
+                    && !rentals.isUnavailable(new Rentals.MachineKind(type.name(), zone, false))) {
                 Planner.Slot slot = new Planner.Slot(type, zone, false);
                 wanting.add(slot);
                 add(slot);
--- a/src/main/java/org/shoreusher/core/TaskStops.java
+++ b/src/main/java/org/shoreusher/core/TaskStops.java
@@ -85,8 +85,8 @@
         // heartbeat is answered with the order.
         if (part.isLeader()
                 && m.address != null
-                && m.heard
-                && outbox.now.monotonicMs() - m.reportedAtMs < part.heartbeatTimeoutMs()
+                && m.reconciled
+                && outbox.now.monotonicMs() - m.lastHeartbeatAtMs < part.heartbeatTimeoutMs()
                 && outbox.now.monotonicMs() - live.haltedAtMs > Tuning.HALT_AGAIN_MS) {
             live.haltedAtMs = outbox.now.monotonicMs();
             outbox.add(
--- a/src/main/java/org/shoreusher/core/TeamRoom.java
+++ b/src/main/java/org/shoreusher/core/TeamRoom.java
@@ -43,12 +43,15 @@
         return quota.gpus(team)
                 - ledger.gpus(team)
                 - unknown(
-                        rebuild.unknownGpus(), t == null ? 0 : t.gpusMax(), ledger.foundGpus(team));
+                        rebuild.unreconciledGpus(),
+                        t == null ? 0 : t.gpusMax(),
+                        ledger.foundGpus(team));
     }
 
     private double unknownCpus(String team) {
         Settings.Team t = settings.teams().get(team);
-        return unknown(rebuild.unknownCpus(), t == null ? 0 : t.cpusMax(), ledger.foundCpus(team));
+        return unknown(
+                rebuild.unreconciledCpus(), t == null ? 0 : t.cpusMax(), ledger.foundCpus(team));
     }
 
     /**
--- a/src/main/java/org/shoreusher/core/UserRequests.java
+++ b/src/main/java/org/shoreusher/core/UserRequests.java
@@ -203,10 +203,10 @@
         }
         // A node of a version without services would treat a replica as a batch task and complete
         // the job when the replica exits.
-        if (!types.known() || (!spec.shape().ends() && !formats.areServicesSupported())) {
+        if (!types.isLoaded() || (!spec.shape().ends() && !formats.areServicesSupported())) {
             return Verdict.UNKNOWN;
         }
-        return types.all().stream().anyMatch(t -> t.fits(spec)) ? Verdict.RUNS : Verdict.NEVER;
+        return types.all().stream().anyMatch(t -> t.canFit(spec)) ? Verdict.RUNS : Verdict.NEVER;
     }
 
     private void accept(long request, JobSpec spec) {
--- a/src/main/java/org/shoreusher/core/WorkerOrder.java
+++ b/src/main/java/org/shoreusher/core/WorkerOrder.java
@@ -5,12 +5,14 @@
  * affects another attempt at the same task.
  *
  * @param kind what to do with the task
- * @param job the id of the job
- * @param index the task's index in its job, from 0
- * @param attempt the attempt number
- * @param graceS seconds that a stopped task has to save its progress; only for {@link Kind#STOP}
+ * @param jobId the id of the job
+ * @param taskIndex the task's index in its job, from 0
+ * @param attemptNumber the attempt number
+ * @param gracePeriodS seconds that a stopped task has to save its progress; only for {@link
+ *     Kind#STOP}
  */
-public record WorkerOrder(Kind kind, String job, int index, long attempt, double graceS) {
+public record WorkerOrder(
+        Kind kind, String jobId, int taskIndex, long attemptNumber, double gracePeriodS) {
 
     /** What the worker is to do with the task. */
     public enum Kind {
--- a/src/main/java/org/shoreusher/peer/StandbyCodec.java
+++ b/src/main/java/org/shoreusher/peer/StandbyCodec.java
@@ -9,15 +9,15 @@
 import org.shoreusher.settings.Tuning;
 import org.shoreusher.standby.Attempt;
 import org.shoreusher.standby.AttemptId;
-import org.shoreusher.standby.AttemptTable.Checkpoint;
+import org.shoreusher.standby.AttemptTable.Checksum;
 import org.shoreusher.standby.LogAcknowledgement;
 import org.shoreusher.standby.LogFrame;
 import org.shoreusher.standby.LogRecord;
-import org.shoreusher.standby.LogRecord.Checked;
-import org.shoreusher.standby.LogRecord.Ended;
+import org.shoreusher.standby.LogRecord.AttemptEnded;
+import org.shoreusher.standby.LogRecord.AttemptStarted;
 import org.shoreusher.standby.LogRecord.SnapshotBegin;
 import org.shoreusher.standby.LogRecord.SnapshotEnd;
-import org.shoreusher.standby.LogRecord.Started;
+import org.shoreusher.standby.LogRecord.VerifyChecksum;
 import org.shoreusher.standby.LogStream;
 import org.shoreusher.standby.StandbyMessage;
 
@@ -57,12 +57,12 @@
         if (message instanceof LogFrame frame) {
             out.writeByte(FRAME);
             writeStream(out, frame.stream());
-            out.writeVarLong(frame.first(), true);
+            out.writeVarLong(frame.firstSequenceNumber(), true);
             writeRecords(out, frame.records());
         } else if (message instanceof LogAcknowledgement answer) {
             out.writeByte(ACKNOWLEDGEMENT);
             writeStream(out, answer.stream());
-            out.writeVarLong(answer.sequence(), true);
+            out.writeVarLong(answer.lastAppliedSequenceNumber(), true);
             out.writeBoolean(answer.accepted());
         }
         return out.toBytes();
@@ -92,11 +92,11 @@
     }
 
     private static void writeStream(Output out, LogStream stream) {
-        out.writeVarInt(stream.part(), true);
+        out.writeVarInt(stream.shardNumber(), true);
         out.writeVarLong(stream.term(), true);
-        out.writeString(stream.owner());
+        out.writeString(stream.leader());
         out.writeString(stream.standby());
-        out.writeVarLong(stream.attachment(), true);
+        out.writeVarLong(stream.attachmentNumber(), true);
     }
 
     private static LogStream readStream(Input in) {
@@ -123,12 +123,12 @@
         Object2IntOpenHashMap<String> numbers = new Object2IntOpenHashMap<>();
         List<String> names = new ArrayList<>();
         for (LogRecord record : records) {
-            if (record instanceof Started started) {
-                number(numbers, names, started.attempt().id().job());
-                number(numbers, names, started.attempt().machine());
+            if (record instanceof AttemptStarted started) {
+                number(numbers, names, started.attempt().id().jobId());
+                number(numbers, names, started.attempt().machineId());
                 number(numbers, names, started.attempt().team());
-            } else if (record instanceof Ended ended) {
-                number(numbers, names, ended.id().job());
+            } else if (record instanceof AttemptEnded ended) {
+                number(numbers, names, ended.id().jobId());
             }
         }
         out.writeVarInt(names.size(), true);
@@ -149,34 +149,34 @@
             Output out, Object2IntOpenHashMap<String> numbers, LogRecord record) {
         if (record instanceof SnapshotBegin) {
             out.writeByte(SNAPSHOT_BEGIN);
-        } else if (record instanceof Started started) {
+        } else if (record instanceof AttemptStarted started) {
             Attempt attempt = started.attempt();
             out.writeByte(STARTED);
             writeId(out, numbers, attempt.id());
-            out.writeVarInt(numbers.getInt(attempt.machine()), true);
+            out.writeVarInt(numbers.getInt(attempt.machineId()), true);
             out.writeVarInt(numbers.getInt(attempt.team()), true);
             out.writeDouble(attempt.cpus());
             out.writeDouble(attempt.gpus());
             out.writeDouble(attempt.memGb());
-        } else if (record instanceof Ended ended) {
+        } else if (record instanceof AttemptEnded ended) {
             out.writeByte(ENDED);
             writeId(out, numbers, ended.id());
         } else if (record instanceof SnapshotEnd end) {
             out.writeByte(SNAPSHOT_END);
-            writeCheckpoint(out, end.checkpoint());
-        } else if (record instanceof Checked checked) {
+            writeCheckpoint(out, end.checksum());
+        } else if (record instanceof VerifyChecksum checked) {
             out.writeByte(CHECKED);
-            writeCheckpoint(out, checked.checkpoint());
+            writeCheckpoint(out, checked.checksum());
         }
     }
 
     private static void writeId(Output out, Object2IntOpenHashMap<String> numbers, AttemptId id) {
-        out.writeVarInt(numbers.getInt(id.job()), true);
-        out.writeVarInt(id.task(), true);
-        out.writeVarLong(id.attempt(), true);
+        out.writeVarInt(numbers.getInt(id.jobId()), true);
+        out.writeVarInt(id.taskIndex(), true);
+        out.writeVarLong(id.attemptNumber(), true);
     }
 
-    private static void writeCheckpoint(Output out, Checkpoint checkpoint) {
+    private static void writeCheckpoint(Output out, Checksum checkpoint) {
         out.writeLong(checkpoint.digest());
         out.writeVarInt(checkpoint.size(), true);
     }
@@ -197,10 +197,10 @@
         int kind = in.readByte();
         return switch (kind) {
             case SNAPSHOT_BEGIN -> new SnapshotBegin();
-            case STARTED -> new Started(readAttempt(in, names));
-            case ENDED -> new Ended(readId(in, names));
+            case STARTED -> new AttemptStarted(readAttempt(in, names));
+            case ENDED -> new AttemptEnded(readId(in, names));
             case SNAPSHOT_END -> new SnapshotEnd(readCheckpoint(in));
-            case CHECKED -> new Checked(readCheckpoint(in));
+            case CHECKED -> new VerifyChecksum(readCheckpoint(in));
             default -> throw new KryoException("unknown kind of record " + kind);
         };
     }
@@ -220,8 +220,8 @@
                 names.get(in.readVarInt(true)), in.readVarInt(true), in.readVarLong(true));
     }
 
-    private static Checkpoint readCheckpoint(Input in) {
-        return new Checkpoint(in.readLong(), in.readVarInt(true));
+    private static Checksum readCheckpoint(Input in) {
+        return new Checksum(in.readLong(), in.readVarInt(true));
     }
 
     private static int count(Input in) {
--- a/src/main/java/org/shoreusher/standby/Attempt.java
+++ b/src/main/java/org/shoreusher/standby/Attempt.java
@@ -4,10 +4,10 @@
  * An attempt that may be on a machine, with the resources that it uses of the machine and of its
  * team's quota.
  *
- * @param machine the id of the machine
+ * @param machineId the id of the machine
  * @param cpus number of CPUs
  * @param gpus number of GPUs
  * @param memGb GB of memory
  */
 public record Attempt(
-        AttemptId id, String machine, String team, double cpus, double gpus, double memGb) {}
+        AttemptId id, String machineId, String team, double cpus, double gpus, double memGb) {}
--- a/src/main/java/org/shoreusher/standby/AttemptLogReceiver.java
+++ b/src/main/java/org/shoreusher/standby/AttemptLogReceiver.java
@@ -1,31 +1,31 @@
 package org.shoreusher.standby;
 
-import org.shoreusher.standby.AttemptTable.Checkpoint;
-import org.shoreusher.standby.LogRecord.Checked;
-import org.shoreusher.standby.LogRecord.Ended;
+import org.shoreusher.standby.AttemptTable.Checksum;
+import org.shoreusher.standby.LogRecord.AttemptEnded;
+import org.shoreusher.standby.LogRecord.AttemptStarted;
 import org.shoreusher.standby.LogRecord.SnapshotBegin;
 import org.shoreusher.standby.LogRecord.SnapshotEnd;
-import org.shoreusher.standby.LogRecord.Started;
+import org.shoreusher.standby.LogRecord.VerifyChecksum;
 
 /**
  * The standby's side of a shard's attempt log. Applies records in order, each exactly once. After a
  * gap, a checksum mismatch, or too many attempts the log is inconsistent until a new stream begins.
  */
 public final class AttemptLogReceiver {
-    private final int mostAttempts;
+    private final int maxAttempts;
     private LogStream stream;
     private AttemptTable table = new AttemptTable();
-    private long applied;
+    private long lastApplied;
     private boolean snapshotComplete;
-    private boolean broken;
+    private boolean inconsistent;
 
     /**
      * Creates a receiver without a log.
      *
-     * @param mostAttempts the maximum number of attempts in the table
+     * @param maxAttempts the maximum number of attempts in the table
      */
-    public AttemptLogReceiver(int mostAttempts) {
-        this.mostAttempts = mostAttempts;
+    public AttemptLogReceiver(int maxAttempts) {
+        this.maxAttempts = maxAttempts;
     }
 
     /**
@@ -35,73 +35,77 @@
      * @return the acknowledgement; null for a frame of a stream that a newer one has replaced
      */
     public LogAcknowledgement receive(LogFrame frame) {
-        if (stream == null || frame.stream().newerThan(stream)) {
-            begin(frame.stream());
+        if (stream == null || frame.stream().isNewerThan(stream)) {
+            startStream(frame.stream());
         } else if (!frame.stream().equals(stream)) {
             return null;
         }
-        if (!broken && frame.first() > applied + 1) {
-            broken = true;
+        if (!inconsistent && frame.firstSequenceNumber() > lastApplied + 1) {
+            inconsistent = true;
         }
         // Records of an earlier copy of the frame are skipped.
-        for (long next = applied + 1; next <= frame.last() && !broken; next++) {
-            apply(frame.records().get((int) (next - frame.first())));
-            applied = next;
+        for (long sequenceNumber = lastApplied + 1;
+                sequenceNumber <= frame.lastSequenceNumber() && !inconsistent;
+                sequenceNumber++) {
+            apply(frame.records().get((int) (sequenceNumber - frame.firstSequenceNumber())));
+            lastApplied = sequenceNumber;
         }
-        return new LogAcknowledgement(stream, applied, !broken);
+        return new LogAcknowledgement(stream, lastApplied, !inconsistent);
     }
 
-    private void begin(LogStream of) {
-        stream = of;
+    private void startStream(LogStream newStream) {
+        stream = newStream;
         table = new AttemptTable();
-        applied = 0;
+        lastApplied = 0;
         snapshotComplete = false;
-        broken = false;
+        inconsistent = false;
     }
 
     private void apply(LogRecord record) {
-        boolean begins = record instanceof SnapshotBegin;
-        if (begins != (applied == 0)) {
-            broken = true;
-        } else if (record instanceof Started started) {
+        boolean isSnapshotBegin = record instanceof SnapshotBegin;
+        if (isSnapshotBegin != (lastApplied == 0)) {
+            inconsistent = true;
+        } else if (record instanceof AttemptStarted started) {
             table.add(started.attempt());
-            broken = table.size() > mostAttempts;
-        } else if (record instanceof Ended ended) {
+            inconsistent = table.size() > maxAttempts;
+        } else if (record instanceof AttemptEnded ended) {
             table.remove(ended.id());
         } else if (record instanceof SnapshotEnd end) {
-            check(end.checkpoint());
+            verifyChecksum(end.checksum());
             snapshotComplete = true;
-        } else if (record instanceof Checked checked) {
-            check(checked.checkpoint());
+        } else if (record instanceof VerifyChecksum checked) {
+            verifyChecksum(checked.checksum());
         }
     }
 
-    private void check(Checkpoint expected) {
-        broken |= !table.checkpoint().equals(expected);
+    private void verifyChecksum(Checksum expected) {
+        inconsistent |= !table.checksum().equals(expected);
     }
 
     /**
      * Whether this process, as the new leader of the shard, can use its table, or why not.
      *
-     * @param process this process, HOST/SUFFIX
-     * @param named the standby named in the shard record that the failover replaced; null if none
-     * @param owner the previous leader, from the shard's fencing record
+     * @param processName this process, HOST/SUFFIX
+     * @param namedStandby the standby named in the shard record that the failover replaced; null if
+     *     none
+     * @param leader the previous leader, from the shard's fencing record
      * @param term the term at which the previous leader acquired leadership, from the same record
      */
-    public PromotionOutcome outcome(String process, String named, String owner, long term) {
-        if (!process.equals(named)) {
+    public PromotionOutcome promotionOutcome(
+            String processName, String namedStandby, String leader, long term) {
+        if (!processName.equals(namedStandby)) {
             return PromotionOutcome.NOT_NAMED;
         }
         if (stream == null) {
             return PromotionOutcome.NO_LOG;
         }
-        if (stream.term() != term || !stream.owner().equals(owner)) {
-            return PromotionOutcome.OTHER_TERM;
+        if (stream.term() != term || !stream.leader().equals(leader)) {
+            return PromotionOutcome.TERM_MISMATCH;
         }
-        if (broken) {
-            return PromotionOutcome.BROKEN;
+        if (inconsistent) {
+            return PromotionOutcome.LOG_INCONSISTENT;
         }
-        return snapshotComplete ? PromotionOutcome.IN_SYNC : PromotionOutcome.INCOMPLETE;
+        return snapshotComplete ? PromotionOutcome.IN_SYNC : PromotionOutcome.SNAPSHOT_INCOMPLETE;
     }
 
     /** Removes and returns the table. The receiver has no usable log until a new stream begins. */
@@ -109,12 +113,12 @@
         AttemptTable taken = table;
         table = new AttemptTable();
         snapshotComplete = false;
-        broken = true;
+        inconsistent = true;
         return taken;
     }
 
     /** The number of attempts in the table. */
-    public int attempts() {
+    public int attemptCount() {
         return table.size();
     }
 }
--- a/src/main/java/org/shoreusher/standby/AttemptTable.java
+++ b/src/main/java/org/shoreusher/standby/AttemptTable.java
@@ -19,18 +19,18 @@
 
     /** Adds an attempt; one with the same id is replaced. */
     public void add(Attempt attempt) {
-        Attempt before = attempts.put(attempt.id(), attempt);
-        if (before != null) {
-            digest -= hash(before);
+        Attempt previous = attempts.put(attempt.id(), attempt);
+        if (previous != null) {
+            digest -= hash(previous);
         }
         digest += hash(attempt);
     }
 
     /** Removes an attempt. Has no effect if it is not in the table. */
     public void remove(AttemptId id) {
-        Attempt before = attempts.remove(id);
-        if (before != null) {
-            digest -= hash(before);
+        Attempt previous = attempts.remove(id);
+        if (previous != null) {
+            digest -= hash(previous);
         }
     }
 
@@ -45,21 +45,21 @@
     }
 
     /** A copy of all attempts, in no particular order. */
-    public List<Attempt> attempts() {
+    public List<Attempt> copyAttempts() {
         return new ArrayList<>(attempts.values());
     }
 
     /** The checksum by which the tables of leader and standby are compared. */
-    public Checkpoint checkpoint() {
-        return new Checkpoint(digest, attempts.size());
+    public Checksum checksum() {
+        return new Checksum(digest, attempts.size());
     }
 
     private long hash(Attempt attempt) {
         return hasher.reset()
-                .putString(attempt.id().job())
-                .putInt(attempt.id().task())
-                .putLong(attempt.id().attempt())
-                .putString(attempt.machine())
+                .putString(attempt.id().jobId())
+                .putInt(attempt.id().taskIndex())
+                .putLong(attempt.id().attemptNumber())
+                .putString(attempt.machineId())
                 .putString(attempt.team())
                 .putDouble(attempt.cpus())
                 .putDouble(attempt.gpus())
@@ -73,5 +73,5 @@
      * @param digest sum of the hashes of its attempts, modulo 2^64
      * @param size the number of attempts
      */
-    public record Checkpoint(long digest, int size) {}
+    public record Checksum(long digest, int size) {}
 }
--- a/src/main/java/org/shoreusher/standby/LogFrame.java
+++ b/src/main/java/org/shoreusher/standby/LogFrame.java
@@ -5,13 +5,13 @@
 /**
  * Consecutive records of a stream, sent as one message.
  *
- * @param first the sequence number of the first record; a stream begins with 1
+ * @param firstSequenceNumber the sequence number of the first record; a stream begins with 1
  */
-public record LogFrame(LogStream stream, long first, List<LogRecord> records)
+public record LogFrame(LogStream stream, long firstSequenceNumber, List<LogRecord> records)
         implements StandbyMessage {
 
     /** The sequence number of the last record. */
-    public long last() {
-        return first + records.size() - 1;
+    public long lastSequenceNumber() {
+        return firstSequenceNumber + records.size() - 1;
     }
 }
--- a/src/main/java/org/shoreusher/standby/LogRecord.java
+++ b/src/main/java/org/shoreusher/standby/LogRecord.java
@@ -1,6 +1,6 @@
 package org.shoreusher.standby;
 
-import org.shoreusher.standby.AttemptTable.Checkpoint;
+import org.shoreusher.standby.AttemptTable.Checksum;
 
 /** One record of the attempt log, in the order in which the leader made the changes. */
 public sealed interface LogRecord {
@@ -9,17 +9,17 @@
     record SnapshotBegin() implements LogRecord {}
 
     /** An attempt may be on its machine from now on. */
-    record Started(Attempt attempt) implements LogRecord {}
+    record AttemptStarted(Attempt attempt) implements LogRecord {}
 
     /**
      * An attempt is certainly off its machine. For a completed attempt this record is sent only
      * when the completion is durable in the key-value store.
      */
-    record Ended(AttemptId id) implements LogRecord {}
+    record AttemptEnded(AttemptId id) implements LogRecord {}
 
     /** The snapshot is complete: the checksum of the table must be equal to this one. */
-    record SnapshotEnd(Checkpoint checkpoint) implements LogRecord {}
+    record SnapshotEnd(Checksum checksum) implements LogRecord {}
 
     /** The checksum of the table must be equal to this one now. */
-    record Checked(Checkpoint checkpoint) implements LogRecord {}
+    record VerifyChecksum(Checksum checksum) implements LogRecord {}
 }
--- a/src/main/java/org/shoreusher/standby/PromotionOutcome.java
+++ b/src/main/java/org/shoreusher/standby/PromotionOutcome.java
@@ -12,15 +12,15 @@
     /** No frame was ever received. */
     NO_LOG("there is no log"),
     /** The log is from another leader or another term. */
-    OTHER_TERM("the log is of another term"),
+    TERM_MISMATCH("the log is of another term"),
     /** The snapshot was not received completely. */
-    INCOMPLETE("the snapshot is incomplete"),
+    SNAPSHOT_INCOMPLETE("the snapshot is incomplete"),
     /** The log had a gap, too many attempts, or a checksum mismatch. */
-    BROKEN("the log is broken"),
+    LOG_INCONSISTENT("the log is broken"),
     /** The log names a machine of the shard whose machine type is unknown. */
     UNKNOWN_MACHINE("the log names a machine of unknown type"),
     /** A worker's heartbeat showed an attempt of a previous leader that the log lacks. */
-    CONTRADICTED("a report contradicts the log");
+    CONTRADICTED_BY_HEARTBEAT("a report contradicts the log");
 
     private final String reason;
 
--- a/src/main/java/org/shoreusher/standby/StandbyChooser.java
+++ b/src/main/java/org/shoreusher/standby/StandbyChooser.java
@@ -10,26 +10,26 @@
  * resets backoff and failure counts.
  */
 public final class StandbyChooser {
-    private static final long FIRST_PAUSE_MS = 1_000;
-    private static final long LONGEST_PAUSE_MS = 60_000;
+    private static final long INITIAL_BACKOFF_MS = 1_000;
+    private static final long MAX_BACKOFF_MS = 60_000;
 
     /**
      * ms; a standby that has been named for so long is stable, and earlier failures are forgotten.
      */
-    private static final long STANDS_AFTER_MS = 60_000;
+    private static final long STABLE_AFTER_MS = 60_000;
 
     /**
      * A process that can be a standby.
      *
-     * @param process the process, HOST/SUFFIX
+     * @param processName the process, HOST/SUFFIX
      * @param zone its availability zone
      */
-    public record Candidate(String process, String zone) {}
+    public record Candidate(String processName, String zone) {}
 
     private final String ownZone;
-    private final Object2IntOpenHashMap<String> failures = new Object2IntOpenHashMap<>();
-    private long pauseMs = FIRST_PAUSE_MS;
-    private long nextMs = Long.MIN_VALUE;
+    private final Object2IntOpenHashMap<String> failuresByHost = new Object2IntOpenHashMap<>();
+    private long backoffMs = INITIAL_BACKOFF_MS;
+    private long nextTryMs = Long.MIN_VALUE;
 
     /**
      * Creates a chooser without any known failure.
@@ -42,34 +42,36 @@
 
     /** The best candidate; null if there is none or the backoff has not ended. Steady clock, ms. */
     public Candidate choose(List<Candidate> candidates, long nowMs) {
-        if (nowMs < nextMs) {
+        if (nowMs < nextTryMs) {
             return null;
         }
         return candidates.stream()
                 .min(
                         Comparator.comparingInt(
-                                        (Candidate c) -> failures.getInt(hostOf(c.process())))
-                                .thenComparing(c -> ownZone.equals(c.zone()))
-                                .thenComparing(Candidate::process))
+                                        (Candidate candidate) ->
+                                                failuresByHost.getInt(
+                                                        hostOf(candidate.processName())))
+                                .thenComparing(candidate -> ownZone.equals(candidate.zone()))
+                                .thenComparing(Candidate::processName))
                 .orElse(null);
     }
 
-    private static String hostOf(String process) {
-        return LogStream.hostOf(process);
+    private static String hostOf(String processName) {
+        return LogStream.hostOf(processName);
     }
 
     /** Records that a standby failed and was abandoned, and begins the next backoff. */
-    public void failed(String process, long nowMs) {
-        failures.addTo(hostOf(process), 1);
-        nextMs = nowMs + pauseMs;
-        pauseMs = Math.min(LONGEST_PAUSE_MS, 2 * pauseMs);
+    public void recordFailure(String processName, long nowMs) {
+        failuresByHost.addTo(hostOf(processName), 1);
+        nextTryMs = nowMs + backoffMs;
+        backoffMs = Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
     }
 
     /** Records for how many ms the standby has been named; resets backoff once it is stable. */
-    public void standing(long forMs) {
-        if (forMs >= STANDS_AFTER_MS && pauseMs > FIRST_PAUSE_MS) {
-            pauseMs = FIRST_PAUSE_MS;
-            failures.clear();
+    public void recordNamedFor(long namedForMs) {
+        if (namedForMs >= STABLE_AFTER_MS && backoffMs > INITIAL_BACKOFF_MS) {
+            backoffMs = INITIAL_BACKOFF_MS;
+            failuresByHost.clear();
         }
     }
 }
--- a/src/main/java/org/shoreusher/wire/WorkerFormat.java
+++ b/src/main/java/org/shoreusher/wire/WorkerFormat.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.shoreusher.core.WorkerOrder;
 import org.shoreusher.core.WorkerReport;
-import org.shoreusher.core.WorkerReport.Cause;
+import org.shoreusher.core.WorkerReport.ExitCause;
 import org.shoreusher.core.WorkerReport.TaskReport;
 import org.shoreusher.core.WorkerReport.TaskState;
 
@@ -43,7 +43,9 @@
                             index,
                             s.whole("try"),
                             state,
-                            state == TaskState.EXITED ? cause(s.textOr("cause", "")) : Cause.NONE,
+                            state == TaskState.EXITED
+                                    ? cause(s.textOr("cause", ""))
+                                    : ExitCause.NONE,
                             s.flagOr("stored", false)));
         }
         return new WorkerReport(
@@ -62,21 +64,21 @@
     private static TaskState state(String text) {
         return switch (text) {
             case "pulling", "gathering" -> TaskState.FETCHING;
-            case "flushing" -> TaskState.SAVING;
+            case "flushing" -> TaskState.CHECKPOINTING;
             case "exited" -> TaskState.EXITED;
             // An unknown state uses the machine's resources, like a running task.
             default -> TaskState.RUNNING;
         };
     }
 
-    private static Cause cause(String text) {
+    private static ExitCause cause(String text) {
         return switch (text) {
-            case "done" -> Cause.DONE;
-            case "halted" -> Cause.STOPPED;
-            case "no_room" -> Cause.NO_ROOM;
-            case "in_use" -> Cause.BUSY;
-            case "unknown" -> Cause.UNKNOWN;
-            default -> Cause.ERROR;
+            case "done" -> ExitCause.COMPLETED;
+            case "halted" -> ExitCause.STOPPED;
+            case "no_room" -> ExitCause.INSUFFICIENT_RESOURCES;
+            case "in_use" -> ExitCause.ANOTHER_ATTEMPT_PRESENT;
+            case "unknown" -> ExitCause.UNKNOWN_TASK;
+            default -> ExitCause.ERROR;
         };
     }
 
@@ -92,10 +94,10 @@
                         case STOP -> "halt";
                         case FORGET -> "forget";
                     });
-            m.put("sheet", o.job() + "/" + o.index());
-            m.put("try", o.attempt());
+            m.put("sheet", o.jobId() + "/" + o.taskIndex());
+            m.put("try", o.attemptNumber());
             if (o.kind() == WorkerOrder.Kind.STOP) {
-                m.put("wind_down_s", o.graceS());
+                m.put("wind_down_s", o.gracePeriodS());
             }
             out.add(m);
         }
--- a/src/test/java/org/shoreusher/core/MachineTest.java
+++ b/src/test/java/org/shoreusher/core/MachineTest.java
@@ -29,14 +29,14 @@
                     0);
 
     private void report(long session, long seq, long atMs) {
-        machine.reported(
+        machine.inferReplyDelivery(
                 new WorkerReport(
                         "host-1", "", "t", "a", true, session, seq, 1, Double.NaN, List.of()),
                 atMs,
                 SETTINGS);
         machine.session = session;
-        machine.seq = seq;
-        machine.repliedAtMs = atMs;
+        machine.sequenceNumber = seq;
+        machine.lastReplyAtMs = atMs;
     }
 
     /**
@@ -50,11 +50,11 @@
         report(1, 11, 150_000);
         report(1, 14, 150_001);
         report(2, 17, 150_002);
-        assertFalse(machine.deaf());
+        assertFalse(machine.hasOneWayPartition());
         report(2, 20, 150_500);
-        assertFalse(machine.deaf());
+        assertFalse(machine.hasOneWayPartition());
         report(2, 21, 155_000);
-        assertFalse(machine.deaf());
+        assertFalse(machine.hasOneWayPartition());
     }
 
     /**
@@ -66,8 +66,8 @@
         report(1, 10, 100_000);
         report(1, 13, 115_000);
         report(2, 16, 130_000);
-        assertTrue(machine.deaf());
+        assertTrue(machine.hasOneWayPartition());
         report(2, 17, 135_000);
-        assertFalse(machine.deaf(), "a report in time shows that it hears");
+        assertFalse(machine.hasOneWayPartition(), "a report in time shows that it hears");
     }
 }
--- a/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
+++ b/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
@@ -307,10 +307,10 @@
         Machine slow = new Machine("m-1", type, "a", true, 0);
         Machine good = new Machine("m-2", type, "a", true, 0);
         for (int i = 0; i < 6; i++) {
-            slow.ran(4);
-            good.ran(i == 2 ? 4 : 1.1);
+            slow.recordRunTime(4);
+            good.recordRunTime(i == 2 ? 4 : 1.1);
         }
-        assertTrue(slow.slow());
-        assertTrue(!good.slow());
+        assertTrue(slow.isSlow());
+        assertTrue(!good.isSlow());
     }
 }
--- a/src/test/java/org/shoreusher/model/CancellationTest.java
+++ b/src/test/java/org/shoreusher/model/CancellationTest.java
@@ -8,14 +8,14 @@
 import java.util.ArrayList;
 import java.util.List;
 import net.jqwik.api.Example;
-import org.shoreusher.core.WorkerReport.Cause;
+import org.shoreusher.core.WorkerReport.ExitCause;
 import org.shoreusher.core.WorkerReport.TaskReport;
 import org.shoreusher.core.WorkerReport.TaskState;
 
 /** What a leader does about cancellations that other nodes have confirmed. */
 class CancellationTest {
     private static final TaskReport RUNNING =
-            new TaskReport("wk-1", 0, 1, TaskState.RUNNING, Cause.NONE);
+            new TaskReport("wk-1", 0, 1, TaskState.RUNNING, ExitCause.NONE);
     private final SingleNode node = new SingleNode();
 
     /**
@@ -29,7 +29,7 @@
         node.openJob("wk-2", 1);
         node.left("host-1");
         node.steps(20);
-        TaskReport other = new TaskReport("wk-2", 0, 2, TaskState.RUNNING, Cause.NONE);
+        TaskReport other = new TaskReport("wk-2", 0, 2, TaskState.RUNNING, ExitCause.NONE);
         assertEquals(List.of("halt"), node.report("host-1", 1, 5, RUNNING, other));
     }
 
--- a/src/test/java/org/shoreusher/model/KillPoint.java
+++ b/src/test/java/org/shoreusher/model/KillPoint.java
@@ -47,7 +47,7 @@
     private static boolean tellsStart(Effect effect) {
         return effect instanceof Effect.SendToPeer send
                 && send.message() instanceof LogFrame frame
-                && frame.records().stream().anyMatch(r -> r instanceof LogRecord.Started);
+                && frame.records().stream().anyMatch(r -> r instanceof LogRecord.AttemptStarted);
     }
 
     private static boolean isStart(Effect effect) {
--- a/src/test/java/org/shoreusher/model/MoveStepsTest.java
+++ b/src/test/java/org/shoreusher/model/MoveStepsTest.java
@@ -13,7 +13,7 @@
 import org.shoreusher.balance.BalanceSettings.ClassBudget;
 import org.shoreusher.core.JobSpec;
 import org.shoreusher.core.JobSpecBuilder;
-import org.shoreusher.core.WorkerReport.Cause;
+import org.shoreusher.core.WorkerReport.ExitCause;
 import org.shoreusher.settings.Features;
 import org.shoreusher.settings.SettingsBuilder;
 
@@ -111,7 +111,7 @@
             assertEquals(List.of(task), first().halted, "told again until it is gone");
             assertEquals(List.of(), startedElsewhere(), "still on its source");
         }
-        first().exit(task, Cause.STOPPED, true);
+        first().exit(task, ExitCause.STOPPED, true);
         reportAll();
         List<ScriptedWorker.Started> started = startedElsewhere();
         assertEquals(List.of(task), started.stream().map(ScriptedWorker.Started::task).toList());
@@ -139,7 +139,7 @@
     void aTaskThatCompletesBeforeItIsStoppedIsNotStartedAgain() {
         crowd();
         String task = awaitStop(50);
-        first().exit(task, Cause.DONE, false);
+        first().exit(task, ExitCause.COMPLETED, false);
         for (int i = 0; i < 4; i++) {
             reportAll();
             startedElsewhere().forEach(s -> assertNotEquals(task, s.task()));
@@ -165,7 +165,7 @@
         }
         long filled = workers.stream().skip(1).filter(w -> w.shown() == 1).count();
         assertEquals(2, filled, () -> "the third machine waits for " + task + ": " + line);
-        first().exit(task, Cause.STOPPED, true);
+        first().exit(task, ExitCause.STOPPED, true);
         reportAll();
         assertEquals(3, workers.stream().skip(1).filter(w -> w.shown() == 1).count());
     }
@@ -188,7 +188,7 @@
         other.runs(task, 3);
         reportAll();
         assertEquals(List.of(task), other.halted, "nobody wants it there");
-        other.exit(task, Cause.STOPPED, false);
+        other.exit(task, ExitCause.STOPPED, false);
         for (int i = 0; i < 3; i++) {
             reportAll();
             assertEquals(List.of(), startedElsewhere());
--- a/src/test/java/org/shoreusher/model/ReplicaTest.java
+++ b/src/test/java/org/shoreusher/model/ReplicaTest.java
@@ -9,7 +9,7 @@
 import net.jqwik.api.Example;
 import org.shoreusher.core.JobSpec;
 import org.shoreusher.core.JobSpecBuilder;
-import org.shoreusher.core.WorkerReport.Cause;
+import org.shoreusher.core.WorkerReport.ExitCause;
 import org.shoreusher.core.WorkerReport.TaskReport;
 import org.shoreusher.core.WorkerReport.TaskState;
 
@@ -45,7 +45,7 @@
         return started;
     }
 
-    private static TaskReport replica(int n, long attempt, TaskState state, Cause cause) {
+    private static TaskReport replica(int n, long attempt, TaskState state, ExitCause cause) {
         return new TaskReport("wk-1", n, (6L << 24) + attempt, state, cause);
     }
 
@@ -62,14 +62,15 @@
             first.addAll(started());
         }
         assertEquals(List.of("wk-1/0"), first);
-        started(replica(0, 1, TaskState.RUNNING, Cause.NONE));
+        started(replica(0, 1, TaskState.RUNNING, ExitCause.NONE));
         assertEquals("running", node.ask("wk-1"));
         for (int i = 0; i < 20; i++) {
             node.steps(20);
-            assertEquals(List.of(), started(replica(0, 1, TaskState.RUNNING, Cause.NONE)));
+            assertEquals(List.of(), started(replica(0, 1, TaskState.RUNNING, ExitCause.NONE)));
         }
         List<String> orders =
-                node.report("host-1", seq++, 6, replica(0, 1, TaskState.EXITED, Cause.DONE));
+                node.report(
+                        "host-1", seq++, 6, replica(0, 1, TaskState.EXITED, ExitCause.COMPLETED));
         assertTrue(orders.contains("forget"), () -> "orders " + orders);
         List<String> again =
                 new ArrayList<>(orders.contains("run") ? List.of("wk-1/0") : List.of());
@@ -90,7 +91,9 @@
         boolean there = false;
         for (int i = 0; i < 400; i++) {
             List<String> started =
-                    there ? started(replica(0, attempt, TaskState.EXITED, Cause.ERROR)) : started();
+                    there
+                            ? started(replica(0, attempt, TaskState.EXITED, ExitCause.ERROR))
+                            : started();
             there = !started.isEmpty();
             attempt += started.size();
             starts += started.size();
@@ -118,7 +121,7 @@
             for (String machine : machines) {
                 boolean last =
                         !startedOn.isEmpty() && startedOn.get(startedOn.size() - 1).equals(machine);
-                TaskReport failed = replica(0, startedOn.size(), TaskState.EXITED, Cause.ERROR);
+                TaskReport failed = replica(0, startedOn.size(), TaskState.EXITED, ExitCause.ERROR);
                 List<String> started =
                         last
                                 ? node.startsOf(machine, seq++, 6, failed)
@@ -151,7 +154,8 @@
         TaskReport[] running = new TaskReport[4];
         for (int i = 0; i < 4; i++) {
             running[i] =
-                    new TaskReport("wk-2", i, (6L << 24) + 1 + i, TaskState.RUNNING, Cause.NONE);
+                    new TaskReport(
+                            "wk-2", i, (6L << 24) + 1 + i, TaskState.RUNNING, ExitCause.NONE);
         }
         assertFalse(node.report("host-1", seq++, 6, running).contains("halt"));
         assertEquals(201, node.submit(service("wk-1", 1, 2)));
@@ -162,7 +166,7 @@
                 orders.stream().filter(v -> v.equals("halt")).count(),
                 () -> "one of them is enough: " + orders);
         node.steps(3);
-        running[0] = new TaskReport("wk-2", 0, (6L << 24) + 1, TaskState.EXITED, Cause.STOPPED);
+        running[0] = new TaskReport("wk-2", 0, (6L << 24) + 1, TaskState.EXITED, ExitCause.STOPPED);
         TaskReport[] all = running;
         List<String> next = new ArrayList<>();
         for (int stopped = 0; stopped < 4; stopped++) {
@@ -174,7 +178,7 @@
                                 i,
                                 (6L << 24) + 1 + i,
                                 i == stopped ? TaskState.EXITED : TaskState.RUNNING,
-                                i == stopped ? Cause.STOPPED : Cause.NONE);
+                                i == stopped ? ExitCause.STOPPED : ExitCause.NONE);
             }
             if (next.isEmpty()) {
                 next.addAll(started(seen));
--- a/src/test/java/org/shoreusher/model/ReportsTest.java
+++ b/src/test/java/org/shoreusher/model/ReportsTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.Example;
 import org.shoreusher.core.Command;
 import org.shoreusher.core.Effect.CloudOp;
-import org.shoreusher.core.WorkerReport.Cause;
+import org.shoreusher.core.WorkerReport.ExitCause;
 import org.shoreusher.core.WorkerReport.TaskReport;
 import org.shoreusher.core.WorkerReport.TaskState;
 import org.shoreusher.settings.Tuning;
@@ -48,7 +48,7 @@
                         "host-2",
                         12,
                         6,
-                        new TaskReport("wk-1", 0, 1, TaskState.RUNNING, Cause.NONE)));
+                        new TaskReport("wk-1", 0, 1, TaskState.RUNNING, ExitCause.NONE)));
         node.steps(3);
         assertEquals(List.of(), node.report("host-1", 23, 6), "the task is on host-2");
         assertEquals(
@@ -58,7 +58,7 @@
                                 "host-2",
                                 13,
                                 6,
-                                new TaskReport("wk-1", 0, 1, TaskState.EXITED, Cause.STOPPED))
+                                new TaskReport("wk-1", 0, 1, TaskState.EXITED, ExitCause.STOPPED))
                         .stream()
                         .filter(v -> v.equals("halt"))
                         .toList());
@@ -151,8 +151,8 @@
         node.openJob("wk-2", 2, 8);
         node.left("host-1", "host-2", "host-3", "host-4", "host-5");
         node.steps(20);
-        TaskReport first = new TaskReport("wk-2", 0, 1, TaskState.RUNNING, Cause.NONE);
-        TaskReport second = new TaskReport("wk-2", 1, 2, TaskState.RUNNING, Cause.NONE);
+        TaskReport first = new TaskReport("wk-2", 0, 1, TaskState.RUNNING, ExitCause.NONE);
+        TaskReport second = new TaskReport("wk-2", 1, 2, TaskState.RUNNING, ExitCause.NONE);
         node.report("host-1", 1, 5);
         node.report("host-2", 1, 5);
         assertEquals(List.of(), node.startsOf("host-1", 2, 6, first));
@@ -167,7 +167,7 @@
                             "host-1",
                             seq,
                             6,
-                            new TaskReport("wk-2", 0, 1, TaskState.EXITED, Cause.DONE)));
+                            new TaskReport("wk-2", 0, 1, TaskState.EXITED, ExitCause.COMPLETED)));
         }
         assertEquals(Set.of("wk-1/1"), Set.copyOf(started));
     }
@@ -196,7 +196,7 @@
                             "host-2",
                             newer ? seq : 1,
                             5,
-                            new TaskReport("wk-1", 0, 1, TaskState.RUNNING, Cause.NONE));
+                            new TaskReport("wk-1", 0, 1, TaskState.RUNNING, ExitCause.NONE));
                 }
                 owner.steps(3);
                 if (owner.report("host-1", seq, 6).contains("run")) {
@@ -245,7 +245,7 @@
         node.openJob("wk-1", 1);
         node.left("host-1", "host-2");
         node.steps(20);
-        TaskReport running = new TaskReport("wk-1", 0, 1, TaskState.RUNNING, Cause.NONE);
+        TaskReport running = new TaskReport("wk-1", 0, 1, TaskState.RUNNING, ExitCause.NONE);
         node.report("host-2", 1, 5);
         node.report("host-2", 2, 6);
         assertEquals(List.of(), node.report("host-1", 10, 6, running));
@@ -261,7 +261,7 @@
                         "host-1",
                         12,
                         6,
-                        new TaskReport("wk-1", 0, 1, TaskState.EXITED, Cause.STOPPED)),
+                        new TaskReport("wk-1", 0, 1, TaskState.EXITED, ExitCause.STOPPED)),
                 "and one that was never seen");
         node.steps(3);
         List<String> later = node.report("host-2", 4, 6, running("wk-1", first));
@@ -314,7 +314,7 @@
         return startedElsewhere.contains("run")
                 ? new TaskReport[0]
                 : new TaskReport[] {
-                    new TaskReport(job, 0, (6L << 24) + 1, TaskState.RUNNING, Cause.NONE)
+                    new TaskReport(job, 0, (6L << 24) + 1, TaskState.RUNNING, ExitCause.NONE)
                 };
     }
 }
--- a/src/test/java/org/shoreusher/model/ScriptedWorker.java
+++ b/src/test/java/org/shoreusher/model/ScriptedWorker.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.shoreusher.core.WorkerReport.Cause;
+import org.shoreusher.core.WorkerReport.ExitCause;
 import org.shoreusher.core.WorkerReport.TaskReport;
 import org.shoreusher.core.WorkerReport.TaskState;
 
@@ -58,7 +58,7 @@
         switch ((String) order.get("verb")) {
             case "run" -> {
                 started.add(new Started(name, attempt));
-                put(name, attempt, TaskState.RUNNING, Cause.NONE, false);
+                put(name, attempt, TaskState.RUNNING, ExitCause.NONE, false);
             }
             case "halt" -> halted.add(name);
             default -> tasks.remove(name);
@@ -66,13 +66,13 @@
     }
 
     /** The task has exited here. */
-    void exit(String name, Cause cause, boolean saved) {
-        put(name, tasks.get(name).attempt(), TaskState.EXITED, cause, saved);
+    void exit(String name, ExitCause cause, boolean saved) {
+        put(name, tasks.get(name).attemptNumber(), TaskState.EXITED, cause, saved);
     }
 
     /** The task runs here under an attempt of a previous leader. */
     void runs(String name, long attempt) {
-        put(name, attempt, TaskState.RUNNING, Cause.NONE, false);
+        put(name, attempt, TaskState.RUNNING, ExitCause.NONE, false);
     }
 
     /** The number of tasks in its heartbeats. */
@@ -80,7 +80,7 @@
         return tasks.size();
     }
 
-    private void put(String name, long attempt, TaskState state, Cause cause, boolean saved) {
+    private void put(String name, long attempt, TaskState state, ExitCause cause, boolean saved) {
         int slash = name.indexOf('/');
         int index = Integer.parseInt(name.substring(slash + 1));
         tasks.put(
--- a/src/test/java/org/shoreusher/model/WorkerModel.java
+++ b/src/test/java/org/shoreusher/model/WorkerModel.java
@@ -8,7 +8,7 @@
 import org.shoreusher.core.Command;
 import org.shoreusher.core.Effect;
 import org.shoreusher.core.WorkerReport;
-import org.shoreusher.core.WorkerReport.Cause;
+import org.shoreusher.core.WorkerReport.ExitCause;
 import org.shoreusher.core.WorkerReport.TaskReport;
 import org.shoreusher.core.WorkerReport.TaskState;
 import org.shoreusher.wire.WorkerFormat;
@@ -361,8 +361,8 @@
                                                         name,
                                                         t,
                                                         world.random.nextBoolean()
-                                                                ? Cause.ERROR
-                                                                : Cause.DONE)));
+                                                                ? ExitCause.ERROR
+                                                                : ExitCause.COMPLETED)));
             }
             return;
         }
@@ -374,16 +374,16 @@
                                 name,
                                 t,
                                 () -> {
-                                    if (t.state == TaskState.SAVING) {
+                                    if (t.state == TaskState.CHECKPOINTING) {
                                         // It was stopped, and exits after its checkpoint.
                                         return;
                                     }
                                     if (world.random.nextInt(60) == 0) {
-                                        exit(name, t, Cause.ERROR);
+                                        exit(name, t, ExitCause.ERROR);
                                     } else {
                                         results.put(name, RESULT_KEPT);
                                         world.rules.completed(name);
-                                        exit(name, t, Cause.DONE);
+                                        exit(name, t, ExitCause.COMPLETED);
                                     }
                                 }));
     }
@@ -395,9 +395,9 @@
                 || w.spec.checkpointS() <= 0
                 || windDownS < w.spec.saveS()
                 || windDownS <= 0) {
-            exit(name, t, Cause.STOPPED);
+            exit(name, t, ExitCause.STOPPED);
         } else if (t.state == TaskState.RUNNING) {
-            t.state = TaskState.SAVING;
+            t.state = TaskState.CHECKPOINTING;
             change();
             world.in(
                     Math.round(w.spec.saveS() * 1_000),
@@ -407,14 +407,14 @@
                                     t,
                                     () -> {
                                         t.saved = world.random.nextInt(SAVES_FAIL) > 0;
-                                        exit(name, t, Cause.STOPPED);
+                                        exit(name, t, ExitCause.STOPPED);
                                     }));
         } else if (t.state == TaskState.FETCHING) {
-            exit(name, t, Cause.STOPPED);
+            exit(name, t, ExitCause.STOPPED);
         }
     }
 
-    private void exit(String name, WorkerTask t, Cause cause) {
+    private void exit(String name, WorkerTask t, ExitCause cause) {
         if (t.state != TaskState.FETCHING) {
             world.rules.off(this, name);
         }
--- a/src/test/java/org/shoreusher/model/WorkerTask.java
+++ b/src/test/java/org/shoreusher/model/WorkerTask.java
@@ -1,6 +1,6 @@
 package org.shoreusher.model;
 
-import org.shoreusher.core.WorkerReport.Cause;
+import org.shoreusher.core.WorkerReport.ExitCause;
 import org.shoreusher.core.WorkerReport.TaskReport;
 import org.shoreusher.core.WorkerReport.TaskState;
 
@@ -10,7 +10,7 @@
     final int index;
     final long attempt;
     TaskState state = TaskState.FETCHING;
-    Cause cause = Cause.NONE;
+    ExitCause cause = ExitCause.NONE;
     boolean saved;
 
     WorkerTask(String job, int index, long attempt) {
--- a/src/test/java/org/shoreusher/peer/StandbyCodecTest.java
+++ b/src/test/java/org/shoreusher/peer/StandbyCodecTest.java
@@ -18,15 +18,15 @@
 import org.shoreusher.settings.Tuning;
 import org.shoreusher.standby.Attempt;
 import org.shoreusher.standby.AttemptId;
-import org.shoreusher.standby.AttemptTable.Checkpoint;
+import org.shoreusher.standby.AttemptTable.Checksum;
 import org.shoreusher.standby.LogAcknowledgement;
 import org.shoreusher.standby.LogFrame;
 import org.shoreusher.standby.LogRecord;
-import org.shoreusher.standby.LogRecord.Checked;
-import org.shoreusher.standby.LogRecord.Ended;
+import org.shoreusher.standby.LogRecord.AttemptEnded;
+import org.shoreusher.standby.LogRecord.AttemptStarted;
 import org.shoreusher.standby.LogRecord.SnapshotBegin;
 import org.shoreusher.standby.LogRecord.SnapshotEnd;
-import org.shoreusher.standby.LogRecord.Started;
+import org.shoreusher.standby.LogRecord.VerifyChecksum;
 import org.shoreusher.standby.LogStream;
 
 /** The encoding of the warm standby's messages. */
@@ -38,11 +38,13 @@
         list.add(new SnapshotBegin());
         for (int i = 0; i < records; i++) {
             AttemptId id = new AttemptId("wk-" + i % 7 + name, i, (9L << 24) + i);
-            list.add(new Started(new Attempt(id, "host-" + i + name, "team-" + i, 0.5, 1, 4.25)));
-            list.add(new Ended(id));
+            list.add(
+                    new AttemptStarted(
+                            new Attempt(id, "host-" + i + name, "team-" + i, 0.5, 1, 4.25)));
+            list.add(new AttemptEnded(id));
         }
-        list.add(new SnapshotEnd(new Checkpoint(-5, 0)));
-        list.add(new Checked(new Checkpoint(Long.MIN_VALUE, 100_000)));
+        list.add(new SnapshotEnd(new Checksum(-5, 0)));
+        list.add(new VerifyChecksum(new Checksum(Long.MIN_VALUE, 100_000)));
         return new LogFrame(STREAM, 12, list);
     }
 
--- a/src/test/java/org/shoreusher/standby/AttemptLogTest.java
+++ b/src/test/java/org/shoreusher/standby/AttemptLogTest.java
@@ -13,10 +13,10 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
-import org.shoreusher.standby.AttemptTable.Checkpoint;
-import org.shoreusher.standby.LogRecord.Checked;
+import org.shoreusher.standby.AttemptTable.Checksum;
+import org.shoreusher.standby.LogRecord.AttemptStarted;
 import org.shoreusher.standby.LogRecord.SnapshotBegin;
-import org.shoreusher.standby.LogRecord.Started;
+import org.shoreusher.standby.LogRecord.VerifyChecksum;
 
 /**
  * The sender and receiver of the log, connected by a network that duplicates, loses and reorders
@@ -41,13 +41,13 @@
 
     /** Delivers frames and acknowledgements until nothing more is due. */
     private void settle() {
-        for (LogFrame frame = sender.poll(now); frame != null; frame = sender.poll(now)) {
-            sender.acknowledged(receiver.receive(frame));
+        for (LogFrame frame = sender.nextFrame(now); frame != null; frame = sender.nextFrame(now)) {
+            sender.handleAcknowledgement(receiver.receive(frame));
         }
     }
 
     private PromotionOutcome outcome() {
-        return receiver.outcome(STANDBY, STANDBY, OWNER, TERM);
+        return receiver.promotionOutcome(STANDBY, STANDBY, OWNER, TERM);
     }
 
     private LogStream stream(long term, long attachment) {
@@ -57,20 +57,20 @@
     @Example
     void aSnapshotInSeveralFramesAndWhatHappensMeanwhileArriveWhole() {
         for (int i = 0; i < 20; i++) {
-            sender.started(attempt(i));
+            sender.recordStart(attempt(i));
         }
         sender.attach(STANDBY, now);
-        sender.acknowledged(receiver.receive(sender.poll(now)));
-        assertEquals(PromotionOutcome.INCOMPLETE, outcome());
-        assertEquals(0, sender.changesAcknowledged());
-        sender.started(attempt(100));
-        sender.ended(attempt(19).id());
-        sender.ended(attempt(0).id());
+        sender.handleAcknowledgement(receiver.receive(sender.nextFrame(now)));
+        assertEquals(PromotionOutcome.SNAPSHOT_INCOMPLETE, outcome());
+        assertEquals(0, sender.acknowledgedChangeCount());
+        sender.recordStart(attempt(100));
+        sender.recordEnd(attempt(19).id());
+        sender.recordEnd(attempt(0).id());
         settle();
-        assertTrue(sender.snapshotAcknowledged());
-        assertEquals(sender.changes(), sender.changesAcknowledged());
+        assertTrue(sender.isSnapshotAcknowledged());
+        assertEquals(sender.changeCount(), sender.acknowledgedChangeCount());
         assertEquals(PromotionOutcome.IN_SYNC, outcome());
-        assertEquals(19, receiver.attempts());
+        assertEquals(19, receiver.attemptCount());
     }
 
     /** Whatever the network duplicates, loses or delivers late, both tables end up the same. */
@@ -83,11 +83,11 @@
         for (int step = 0; step < 400; step++) {
             now += random.nextInt(150);
             if (random.nextInt(3) > 0) {
-                sender.started(attempt(random.nextInt(60)));
+                sender.recordStart(attempt(random.nextInt(60)));
             } else {
-                sender.ended(attempt(random.nextInt(60)).id());
+                sender.recordEnd(attempt(random.nextInt(60)).id());
             }
-            LogFrame frame = sender.poll(now);
+            LogFrame frame = sender.nextFrame(now);
             if (frame != null) {
                 frames.add(frame);
             }
@@ -96,61 +96,62 @@
                 answers.add(receiver.receive(arrived));
             }
             if (!answers.isEmpty() && random.nextBoolean()) {
-                sender.acknowledged(answers.get(random.nextInt(answers.size())));
+                sender.handleAcknowledgement(answers.get(random.nextInt(answers.size())));
             }
         }
         now += TIMEOUT_MS;
         settle();
-        assertEquals(sender.changes(), sender.changesAcknowledged());
+        assertEquals(sender.changeCount(), sender.acknowledgedChangeCount());
         assertEquals(PromotionOutcome.IN_SYNC, outcome());
-        assertEquals(sender.attempts(), receiver.attempts());
+        assertEquals(sender.attemptCount(), receiver.attemptCount());
     }
 
     @Example
     void aFrameIsSentAgainAndASilentStandbyFails() {
         sender.attach(STANDBY, now);
-        LogFrame first = sender.poll(now);
-        assertNull(sender.poll(now + 100));
-        assertEquals(first, sender.poll(now + 300));
-        assertFalse(sender.failed(now + TIMEOUT_MS, TIMEOUT_MS));
-        assertTrue(sender.failed(now + TIMEOUT_MS + 1, TIMEOUT_MS));
+        LogFrame first = sender.nextFrame(now);
+        assertNull(sender.nextFrame(now + 100));
+        assertEquals(first, sender.nextFrame(now + 300));
+        assertFalse(sender.hasFailed(now + TIMEOUT_MS, TIMEOUT_MS));
+        assertTrue(sender.hasFailed(now + TIMEOUT_MS + 1, TIMEOUT_MS));
     }
 
     @Example
     void aStandbyThatFallsFarBehindFails() {
         sender.attach(STANDBY, now);
-        sender.poll(now);
+        sender.nextFrame(now);
         for (int i = 0; i < 40 * FRAME_RECORDS; i++) {
-            sender.started(attempt(i));
+            sender.recordStart(attempt(i));
         }
-        assertFalse(sender.failed(now, TIMEOUT_MS));
-        sender.started(attempt(500));
-        assertTrue(sender.failed(now, TIMEOUT_MS));
+        assertFalse(sender.hasFailed(now, TIMEOUT_MS));
+        sender.recordStart(attempt(500));
+        assertTrue(sender.hasFailed(now, TIMEOUT_MS));
     }
 
     @Example
     void aCheckpointTravelsEverySecond() {
         sender.attach(STANDBY, now);
         settle();
-        assertNull(sender.poll(now + 999));
-        LogFrame checked = sender.poll(now + 1_000);
-        assertTrue(checked.records().get(0) instanceof Checked);
+        assertNull(sender.nextFrame(now + 999));
+        LogFrame checked = sender.nextFrame(now + 1_000);
+        assertTrue(checked.records().get(0) instanceof VerifyChecksum);
         assertTrue(receiver.receive(checked).accepted());
     }
 
     @Example
     void aGapPutsTheStandbyOutOfSync() {
         receiver.receive(new LogFrame(stream(TERM, 1), 1, List.of(new SnapshotBegin())));
-        LogFrame third = new LogFrame(stream(TERM, 1), 3, List.of(new Started(attempt(1))));
+        LogFrame third = new LogFrame(stream(TERM, 1), 3, List.of(new AttemptStarted(attempt(1))));
         assertFalse(receiver.receive(third).accepted());
-        assertEquals(PromotionOutcome.BROKEN, outcome());
-        LogFrame second = new LogFrame(stream(TERM, 1), 2, List.of(new Started(attempt(1))));
+        assertEquals(PromotionOutcome.LOG_INCONSISTENT, outcome());
+        LogFrame second = new LogFrame(stream(TERM, 1), 2, List.of(new AttemptStarted(attempt(1))));
         assertFalse(receiver.receive(second).accepted());
     }
 
     @Example
     void aStreamThatDoesNotBeginWithASnapshotIsRefused() {
-        LogFrame started = new LogFrame(stream(TERM, 1), 1, List.of(new Started(attempt(1))));
+        LogFrame started =
+                new LogFrame(stream(TERM, 1), 1, List.of(new AttemptStarted(attempt(1))));
         assertFalse(receiver.receive(started).accepted());
     }
 
@@ -159,9 +160,9 @@
         sender.attach(STANDBY, now);
         settle();
         assertEquals(PromotionOutcome.IN_SYNC, outcome());
-        LogRecord wrong = new Checked(new Checkpoint(1, 0));
+        LogRecord wrong = new VerifyChecksum(new Checksum(1, 0));
         assertFalse(receiver.receive(new LogFrame(stream(TERM, 1), 3, List.of(wrong))).accepted());
-        assertEquals(PromotionOutcome.BROKEN, outcome());
+        assertEquals(PromotionOutcome.LOG_INCONSISTENT, outcome());
     }
 
     @Example
@@ -169,7 +170,7 @@
         AttemptLogReceiver small = new AttemptLogReceiver(2);
         List<LogRecord> records = new ArrayList<>(List.of(new SnapshotBegin()));
         for (int i = 0; i < 3; i++) {
-            records.add(new Started(attempt(i)));
+            records.add(new AttemptStarted(attempt(i)));
         }
         assertFalse(small.receive(new LogFrame(stream(TERM, 1), 1, records)).accepted());
     }
@@ -185,40 +186,44 @@
         assertNull(receiver.receive(former));
         assertTrue(receiver.receive(later).accepted());
         assertNull(receiver.receive(next));
-        assertEquals(PromotionOutcome.OTHER_TERM, outcome());
+        assertEquals(PromotionOutcome.TERM_MISMATCH, outcome());
     }
 
     /** Acknowledgements of an earlier stream, or of earlier records, are ignored. */
     @Example
     void acknowledgementsOfFormerStreamsChangeNothing() {
-        sender.started(attempt(1));
+        sender.recordStart(attempt(1));
         sender.attach(STANDBY, now);
-        LogAcknowledgement former = receiver.receive(sender.poll(now));
+        LogAcknowledgement former = receiver.receive(sender.nextFrame(now));
         sender.attach(STANDBY, now);
-        sender.poll(now);
-        sender.acknowledged(former);
-        assertFalse(sender.snapshotAcknowledged());
-        sender.acknowledged(new LogAcknowledgement(former.stream(), 3, false));
-        assertFalse(sender.failed(now, TIMEOUT_MS));
-        assertEquals(0, sender.changesAcknowledged());
+        sender.nextFrame(now);
+        sender.handleAcknowledgement(former);
+        assertFalse(sender.isSnapshotAcknowledged());
+        sender.handleAcknowledgement(new LogAcknowledgement(former.stream(), 3, false));
+        assertFalse(sender.hasFailed(now, TIMEOUT_MS));
+        assertEquals(0, sender.acknowledgedChangeCount());
     }
 
     @Example
     void onlyTheNamedProcessWithTheWholeLogOfThatTermIsPromoted() {
         assertEquals(PromotionOutcome.NO_LOG, outcome());
-        sender.started(attempt(1));
+        sender.recordStart(attempt(1));
         sender.attach(STANDBY, now);
         settle();
         assertEquals(PromotionOutcome.IN_SYNC, outcome());
         assertEquals(
-                PromotionOutcome.NOT_NAMED, receiver.outcome(STANDBY, "node-1/c", OWNER, TERM));
-        assertEquals(PromotionOutcome.NOT_NAMED, receiver.outcome(STANDBY, null, OWNER, TERM));
+                PromotionOutcome.NOT_NAMED,
+                receiver.promotionOutcome(STANDBY, "node-1/c", OWNER, TERM));
         assertEquals(
-                PromotionOutcome.OTHER_TERM, receiver.outcome(STANDBY, STANDBY, OWNER, TERM + 1));
+                PromotionOutcome.NOT_NAMED, receiver.promotionOutcome(STANDBY, null, OWNER, TERM));
         assertEquals(
-                PromotionOutcome.OTHER_TERM, receiver.outcome(STANDBY, STANDBY, "node-2/d", TERM));
-        assertEquals(List.of(attempt(1)), receiver.takeTable().attempts());
-        assertEquals(PromotionOutcome.BROKEN, outcome());
+                PromotionOutcome.TERM_MISMATCH,
+                receiver.promotionOutcome(STANDBY, STANDBY, OWNER, TERM + 1));
+        assertEquals(
+                PromotionOutcome.TERM_MISMATCH,
+                receiver.promotionOutcome(STANDBY, STANDBY, "node-2/d", TERM));
+        assertEquals(List.of(attempt(1)), receiver.takeTable().copyAttempts());
+        assertEquals(PromotionOutcome.LOG_INCONSISTENT, outcome());
     }
 
     @Example
@@ -229,13 +234,13 @@
             one.add(attempt(i));
             two.add(attempt(8 - i));
         }
-        assertEquals(one.checkpoint(), two.checkpoint());
+        assertEquals(one.checksum(), two.checksum());
         two.remove(attempt(3).id());
-        assertNotEquals(one.checkpoint(), two.checkpoint());
+        assertNotEquals(one.checksum(), two.checksum());
         two.add(new Attempt(attempt(3).id(), "host-9", "team", 2, 0, 4));
-        assertNotEquals(one.checkpoint(), two.checkpoint());
+        assertNotEquals(one.checksum(), two.checksum());
         two.add(attempt(3));
-        assertEquals(one.checkpoint(), two.checkpoint());
+        assertEquals(one.checksum(), two.checksum());
     }
 
     @Example
@@ -245,19 +250,19 @@
         StandbyChooser.Candidate far = new StandbyChooser.Candidate("node-2/y", "b");
         List<StandbyChooser.Candidate> both = List.of(near, far);
         assertEquals(far, chooser.choose(both, 0));
-        chooser.failed(far.process(), 0);
+        chooser.recordFailure(far.processName(), 0);
         assertNull(chooser.choose(both, 999));
         assertEquals(near, chooser.choose(both, 1_000));
-        chooser.failed(near.process(), 1_000);
+        chooser.recordFailure(near.processName(), 1_000);
         assertNull(chooser.choose(both, 2_999));
         assertEquals(far, chooser.choose(both, 3_000));
         for (int i = 0; i < 20; i++) {
-            chooser.failed(near.process(), 0);
+            chooser.recordFailure(near.processName(), 0);
         }
         assertNull(chooser.choose(both, 59_999));
         assertEquals(far, chooser.choose(both, 60_000));
-        chooser.standing(60_000);
-        chooser.failed(far.process(), 0);
+        chooser.recordNamedFor(60_000);
+        chooser.recordFailure(far.processName(), 0);
         assertEquals(near, chooser.choose(both, 1_000));
         assertNull(chooser.choose(List.of(), 1_000));
     }
--- a/src/test/java/org/shoreusher/wire/FormatsTest.java
+++ b/src/test/java/org/shoreusher/wire/FormatsTest.java
@@ -221,7 +221,7 @@
                                 true),
                         Map.of("sheet", "wk-000412/4", "try", 8L, "status", "flushing")));
         WorkerReport r = WorkerFormat.report(new FieldMap(report));
-        assertTrue(Double.isNaN(r.noticeS()));
+        assertTrue(Double.isNaN(r.interruptionNoticeS()));
         assertEquals(
                 List.of(
                         new WorkerReport.TaskReport(
@@ -229,14 +229,14 @@
                                 3,
                                 7,
                                 WorkerReport.TaskState.EXITED,
-                                WorkerReport.Cause.STOPPED,
+                                WorkerReport.ExitCause.STOPPED,
                                 true),
                         new WorkerReport.TaskReport(
                                 "wk-000412",
                                 4,
                                 8,
-                                WorkerReport.TaskState.SAVING,
-                                WorkerReport.Cause.NONE)),
+                                WorkerReport.TaskState.CHECKPOINTING,
+                                WorkerReport.ExitCause.NONE)),
                 r.tasks());
     }
 
