--- a/src/main/java/org/shoreusher/balance/BalanceSettings.java
+++ b/src/main/java/org/shoreusher/balance/BalanceSettings.java
@@ -8,36 +8,37 @@
  * @param spreadMargin share of a machine's CPUs by which a high-demand team's use of any machine
  *     may exceed its mean use of all machines
  * @param hysteresis share by which the skew must exceed the margin before tasks are migrated
- * @param hotShare share of all CPUs that a team must use and want to count as a high-demand team
- * @param movesAtOnce largest number of migrations in progress in a shard
- * @param movesPerTeam largest number of migrations in progress of one team
- * @param movesPerZone largest number of migrations in progress into one zone
+ * @param highDemandShare share of all CPUs that a team must use and want to count as a high-demand
+ *     team
+ * @param maxConcurrentMigrations largest number of migrations in progress in a shard
+ * @param maxMigrationsPerTeam largest number of migrations in progress of one team
+ * @param maxMigrationsPerZone largest number of migrations in progress into one zone
  * @param cooldownS seconds after a migration during which no task leaves its target and none goes
  *     to its source
- * @param leastGain how many times the cost of a migration its task must still have to run
- * @param usualBudget budget of a job class without one of its own
- * @param budgets budgets by job class
+ * @param minGainFactor how many times the cost of a migration its task must still have to run
+ * @param defaultBudget budget of a job class without one of its own
+ * @param budgetsByClass budgets by job class
  */
 public record BalanceSettings(
         double spreadMargin,
         double hysteresis,
-        double hotShare,
-        int movesAtOnce,
-        int movesPerTeam,
-        int movesPerZone,
+        double highDemandShare,
+        int maxConcurrentMigrations,
+        int maxMigrationsPerTeam,
+        int maxMigrationsPerZone,
         double cooldownS,
-        double leastGain,
-        ClassBudget usualBudget,
-        Map<String, ClassBudget> budgets) {
+        double minGainFactor,
+        ClassBudget defaultBudget,
+        Map<String, ClassBudget> budgetsByClass) {
 
     /**
      * What migrations may cost a job class.
      *
-     * @param movesPerTask how often one task may be migrated
-     * @param repeatedShare work repeated because of migrations, as a share of the time that tasks
-     *     of the class have spent on machines
+     * @param maxMigrationsPerTask how often one task may be migrated
+     * @param maxRepeatedWorkShare work repeated because of migrations, as a share of the time that
+     *     tasks of the class have spent on machines
      */
-    public record ClassBudget(int movesPerTask, double repeatedShare) {}
+    public record ClassBudget(int maxMigrationsPerTask, double maxRepeatedWorkShare) {}
 
     /** Defaults of the settings that a features file leaves out. */
     public static final BalanceSettings DEFAULTS =
@@ -46,6 +47,6 @@
 
     /** Returns the budget of a job class. */
     public ClassBudget budget(String jobClass) {
-        return budgets.getOrDefault(jobClass, usualBudget);
+        return budgetsByClass.getOrDefault(jobClass, defaultBudget);
     }
 }
--- a/src/main/java/org/shoreusher/balance/BalanceStatistics.java
+++ b/src/main/java/org/shoreusher/balance/BalanceStatistics.java
@@ -7,13 +7,13 @@
 /** Counts what the balancer does, for the operator's log. */
 public final class BalanceStatistics {
     private static final int DIGITS = 2;
-    private static final double THOUSAND = 1_000;
-    private static final long HIGHEST_SHARE = 1_000;
-    private static final long LONGEST_MS = 3_600_000;
+    private static final double PER_UNIT = 1_000;
+    private static final long MAX_PER_MILLE = 1_000;
+    private static final long MAX_DURATION_MS = 3_600_000;
 
-    private final Histogram spread = new Histogram(HIGHEST_SHARE, DIGITS);
-    private final Histogram moveMs = new Histogram(LONGEST_MS, DIGITS);
-    private final Histogram repeatedMs = new Histogram(LONGEST_MS, DIGITS);
+    private final Histogram spread = new Histogram(MAX_PER_MILLE, DIGITS);
+    private final Histogram migrationMs = new Histogram(MAX_DURATION_MS, DIGITS);
+    private final Histogram repeatedWorkMs = new Histogram(MAX_DURATION_MS, DIGITS);
     private final Map<Move.Reason, Integer> abandoned = new EnumMap<>(Move.Reason.class);
     private int begun;
     private int started;
@@ -22,12 +22,12 @@
     BalanceStatistics() {}
 
     /** Records the skew of a high-demand team, from 0 to 1. */
-    void spread(double share) {
-        spread.recordValue(Math.round(Math.min(1, share) * THOUSAND));
+    void recordSkew(double skew) {
+        spread.recordValue(Math.round(Math.min(1, skew) * PER_UNIT));
     }
 
     /** Counts a migration that has begun. */
-    void begun() {
+    void recordBegun() {
         begun++;
     }
 
@@ -36,45 +36,45 @@
      *
      * @param afterMs ms since its migration began
      */
-    void started(long afterMs) {
+    void recordStarted(long afterMs) {
         started++;
-        moveMs.recordValue(Math.min(LONGEST_MS, Math.max(0, afterMs)));
+        migrationMs.recordValue(Math.min(MAX_DURATION_MS, Math.max(0, afterMs)));
     }
 
     /** Counts a task that completed before it was stopped. */
-    void completed() {
+    void recordCompleted() {
         completed++;
     }
 
     /** Counts an abandoned migration. */
-    void abandoned(Move.Reason reason) {
+    void recordAbandoned(Move.Reason reason) {
         abandoned.merge(reason, 1, Integer::sum);
     }
 
     /** Records the seconds of work that one migration causes to be repeated. */
-    void repeated(double seconds) {
-        repeatedMs.recordValue(Math.min(LONGEST_MS, Math.round(seconds * THOUSAND)));
+    void recordRepeatedWork(double seconds) {
+        repeatedWorkMs.recordValue(Math.min(MAX_DURATION_MS, Math.round(seconds * PER_UNIT)));
     }
 
     /** Returns the number of migrations that have begun. */
-    public int moves() {
+    public int migrationsBegun() {
         return begun;
     }
 
     /** Returns a summary in one line. */
-    public String line() {
+    public String summary() {
         return ("spread median %.3f, 99%% %.3f, most %.3f; moves %d begun, %d started,"
                         + " %d completed before, abandoned %s; move 99%% %.1f s;"
                         + " repeated work most %.1f s")
                 .formatted(
-                        spread.getValueAtPercentile(50) / THOUSAND,
-                        spread.getValueAtPercentile(99) / THOUSAND,
-                        spread.getMaxValue() / THOUSAND,
+                        spread.getValueAtPercentile(50) / PER_UNIT,
+                        spread.getValueAtPercentile(99) / PER_UNIT,
+                        spread.getMaxValue() / PER_UNIT,
                         begun,
                         started,
                         completed,
                         abandoned,
-                        moveMs.getValueAtPercentile(99) / THOUSAND,
-                        repeatedMs.getMaxValue() / THOUSAND);
+                        migrationMs.getValueAtPercentile(99) / PER_UNIT,
+                        repeatedWorkMs.getMaxValue() / PER_UNIT);
     }
 }
--- a/src/main/java/org/shoreusher/balance/Balancer.java
+++ b/src/main/java/org/shoreusher/balance/Balancer.java
@@ -16,37 +16,37 @@
     /**
      * Timeouts of a migration, which depend on the deployment.
      *
-     * @param toLeaveMs ms within which the task must have left its source
-     * @param toStartMs ms after that within which it must have started at its target
+     * @param sourceStopMs ms within which the task must have left its source
+     * @param targetStartMs ms after that within which it must have started at its target
      */
-    public record Patience(long toLeaveMs, long toStartMs) {}
+    public record Timeouts(long sourceStopMs, long targetStartMs) {}
 
     private final BalanceSettings settings;
-    private final Patience patience;
+    private final Timeouts timeouts;
     private final LoadModel load = new LoadModel();
-    private final TeamHeat heat;
+    private final TeamHeat highDemandTeams;
     private final MoveBudget budget;
     private final MovePlanner planner;
     private final BalanceStatistics statistics = new BalanceStatistics();
-    private final Map<TaskId, Move> moves = new LinkedHashMap<>();
+    private final Map<TaskId, Move> migrations = new LinkedHashMap<>();
 
     /**
      * Machines that no task may leave until the given time (ms), because one has just been migrated
      * to them.
      */
-    private final Map<String, Long> keepsUntilMs = new HashMap<>();
+    private final Map<String, Long> sourceCooldownUntilMs = new HashMap<>();
 
     /**
      * Machines that no task may be migrated to until the given time (ms), because one has just left
      * them.
      */
-    private final Map<String, Long> closedUntilMs = new HashMap<>();
+    private final Map<String, Long> targetCooldownUntilMs = new HashMap<>();
 
     /** Creates a balancer that knows no machines yet. */
-    public Balancer(BalanceSettings settings, Patience patience) {
+    public Balancer(BalanceSettings settings, Timeouts timeouts) {
         this.settings = settings;
-        this.patience = patience;
-        heat = new TeamHeat(settings, load);
+        this.timeouts = timeouts;
+        highDemandTeams = new TeamHeat(settings, load);
         budget = new MoveBudget(settings);
         planner = new MovePlanner(settings, load);
     }
@@ -67,13 +67,13 @@
     }
 
     /** Updates the CPUs that each team wants beyond what it uses. */
-    public void demand(Map<String, Double> wantedCpus) {
-        heat.demand(wantedCpus);
+    public void updateDemand(Map<String, Double> wantedCpus) {
+        highDemandTeams.updateDemand(wantedCpus);
     }
 
     /** Whether the team's demand is high, so that its load is to be spread. */
-    public boolean hot(String team) {
-        return heat.hot(team);
+    public boolean isHighDemand(String team) {
+        return highDemandTeams.isHighDemand(team);
     }
 
     /**
@@ -84,13 +84,15 @@
      * @param fetchShare share of a task's time that fetching its image elsewhere takes, if the
      *     machine has the image; 0 otherwise. It raises the limit, CPU for CPU
      */
-    public double cpusAllowed(String machine, String team, double taskCpus, double fetchShare) {
-        MachineLoad on = load.load(machine);
-        if (on == null || !heat.hot(team)) {
+    public double maxTeamCpus(String machine, String team, double taskCpus, double fetchShare) {
+        MachineLoad machineLoad = load.machineLoad(machine);
+        if (machineLoad == null || !highDemandTeams.isHighDemand(team)) {
             return Double.POSITIVE_INFINITY;
         }
         return Math.max(
-                taskCpus, (heat.share(team) + settings.spreadMargin() + fetchShare) * on.cpus());
+                taskCpus,
+                (highDemandTeams.demandShare(team) + settings.spreadMargin() + fetchShare)
+                        * machineLoad.cpus());
     }
 
     // ---- migrations --------------------------------------------------------------------------
@@ -100,107 +102,115 @@
      *
      * @return the migrations that have begun
      */
-    public List<Move> plan(FleetView view, long nowMs) {
-        keepsUntilMs.values().removeIf(untilMs -> untilMs <= nowMs);
-        closedUntilMs.values().removeIf(untilMs -> untilMs <= nowMs);
-        Planning planning = new Planning(nowMs);
-        for (String team : new TreeSet<>(heat.hotTeams())) {
-            statistics.spread(load.spread(team));
-            planner.choose(team, view, planning);
+    public List<Move> planMigrations(FleetView view, long nowMs) {
+        sourceCooldownUntilMs.values().removeIf(untilMs -> untilMs <= nowMs);
+        targetCooldownUntilMs.values().removeIf(untilMs -> untilMs <= nowMs);
+        PlanningRound round = new PlanningRound(nowMs);
+        for (String team : new TreeSet<>(highDemandTeams.highDemandTeams())) {
+            statistics.recordSkew(load.skew(team));
+            planner.choose(team, view, round);
         }
-        return planning.begun;
+        return round.begun;
     }
 
-    private Move begin(MovePlanner.Choice choice, long nowMs) {
-        Move move =
+    private Move begin(MovePlanner.PlannedMigration planned, long nowMs) {
+        Move migration =
                 new Move(
-                        choice.task(),
-                        choice.target(),
-                        choice.gainS(),
+                        planned.task(),
+                        planned.target(),
+                        planned.gainS(),
                         nowMs,
-                        nowMs + patience.toLeaveMs());
-        moves.put(choice.task().id(), move);
-        budget.begin(choice.task());
-        statistics.begun();
-        return move;
+                        nowMs + timeouts.sourceStopMs());
+        migrations.put(planned.task().id(), migration);
+        budget.begin(planned.task());
+        statistics.recordBegun();
+        return migration;
     }
 
     /**
      * The limits of one planning round, from the migrations in progress and those that the round
      * has begun.
      */
-    private final class Planning implements MovePlanner.Moves {
+    private final class PlanningRound implements MovePlanner.MigrationLimits {
         private final long nowMs;
         private final List<Move> begun = new ArrayList<>();
 
-        Planning(long nowMs) {
+        PlanningRound(long nowMs) {
             this.nowMs = nowMs;
         }
 
         @Override
-        public boolean room(String team) {
-            return moves.size() < settings.movesAtOnce()
-                    && count(move -> move.task().team().equals(team)) < settings.movesPerTeam();
+        public boolean canBeginForTeam(String team) {
+            return migrations.size() < settings.maxConcurrentMigrations()
+                    && count(migration -> migration.task().team().equals(team))
+                            < settings.maxMigrationsPerTeam();
         }
 
         @Override
-        public boolean allows(MovableTask task) {
-            return !moves.containsKey(task.id()) && budget.allows(task, nowMs);
+        public boolean canMigrate(MovableTask task) {
+            return !migrations.containsKey(task.id()) && budget.allowsMigration(task, nowMs);
         }
 
         @Override
-        public boolean mayLeave(String machine) {
-            return !keepsUntilMs.containsKey(machine)
-                    && count(move -> move.target().equals(machine)) == 0;
+        public boolean canLeave(String machine) {
+            return !sourceCooldownUntilMs.containsKey(machine)
+                    && count(migration -> migration.target().equals(machine)) == 0;
         }
 
         @Override
-        public boolean mayEnter(String machine) {
-            return !closedUntilMs.containsKey(machine)
-                    && count(move -> move.task().machine().equals(machine)) == 0;
+        public boolean canEnter(String machine) {
+            return !targetCooldownUntilMs.containsKey(machine)
+                    && count(migration -> migration.task().machine().equals(machine)) == 0;
         }
 
         @Override
-        public double leaving(String machine, String team) {
+        public double outgoingCpus(String machine, String team) {
             return cpus(
-                    m ->
-                            m.state() == Move.State.STOPPING
-                                    && m.task().machine().equals(machine)
-                                    && m.task().team().equals(team));
+                    migration ->
+                            migration.state() == Move.State.STOPPING
+                                    && migration.task().machine().equals(machine)
+                                    && migration.task().team().equals(team));
         }
 
         @Override
-        public boolean roomInZone(String zone) {
-            return count(move -> zoneOf(move.target()).equals(zone)) < settings.movesPerZone();
+        public boolean canBeginInZone(String zone) {
+            return count(migration -> zoneOf(migration.target()).equals(zone))
+                    < settings.maxMigrationsPerZone();
         }
 
         @Override
-        public double coming(String machine, String team) {
-            return cpus(m -> m.target().equals(machine) && m.task().team().equals(team));
+        public double incomingCpus(String machine, String team) {
+            return cpus(
+                    migration ->
+                            migration.target().equals(machine)
+                                    && migration.task().team().equals(team));
         }
 
         @Override
-        public void begin(MovePlanner.Choice choice) {
-            begun.add(Balancer.this.begin(choice, nowMs));
+        public void begin(MovePlanner.PlannedMigration planned) {
+            begun.add(Balancer.this.begin(planned, nowMs));
         }
 
-        private double cpus(Predicate<Move> which) {
-            return moves.values().stream().filter(which).mapToDouble(m -> m.task().cpus()).sum();
+        private double cpus(Predicate<Move> filter) {
+            return migrations.values().stream()
+                    .filter(filter)
+                    .mapToDouble(migration -> migration.task().cpus())
+                    .sum();
         }
 
-        private long count(Predicate<Move> which) {
-            return moves.values().stream().filter(which).count();
+        private long count(Predicate<Move> filter) {
+            return migrations.values().stream().filter(filter).count();
         }
     }
 
     private String zoneOf(String machine) {
-        MachineLoad on = load.load(machine);
-        return on == null ? "" : on.zone();
+        MachineLoad machineLoad = load.machineLoad(machine);
+        return machineLoad == null ? "" : machineLoad.zone();
     }
 
     /** Returns the migration of a task that is in progress; null if there is none. */
-    public Move move(TaskId task) {
-        return moves.get(task);
+    public Move migration(TaskId task) {
+        return migrations.get(task);
     }
 
     /**
@@ -208,56 +218,56 @@
      *
      * @param saved whether the source has reported that the task wrote a checkpoint
      */
-    public void leftSource(Move move, boolean saved, long nowMs) {
-        settle(move, saved ? 0 : move.task().unsavedS());
-        move.leftSource(nowMs + patience.toStartMs());
+    public void markLeftSource(Move migration, boolean saved, long nowMs) {
+        settleCost(migration, saved ? 0 : migration.task().unsavedS());
+        migration.markLeftSource(nowMs + timeouts.targetStartMs());
     }
 
     /** The task of a migration completed before it was stopped. */
-    public void completed(Move move, long nowMs) {
-        settle(move, 0);
-        move.completed();
-        statistics.completed();
-        ended(move, nowMs);
+    public void markCompleted(Move migration, long nowMs) {
+        settleCost(migration, 0);
+        migration.markCompleted();
+        statistics.recordCompleted();
+        finish(migration, nowMs);
     }
 
     /** The task of a migration was started at its target. */
-    public void started(Move move, long nowMs) {
-        move.started();
-        statistics.started(nowMs - move.begunMs());
-        ended(move, nowMs);
+    public void markStarted(Move migration, long nowMs) {
+        migration.markStarted();
+        statistics.recordStarted(nowMs - migration.begunAtMs());
+        finish(migration, nowMs);
     }
 
     /** Abandons a migration. */
-    public void abandon(Move move, Move.Reason reason, long nowMs) {
-        if (move.state() == Move.State.STOPPING) {
+    public void abandon(Move migration, Move.Reason reason, long nowMs) {
+        if (migration.state() == Move.State.STOPPING) {
             // The task may still lose the work since its last checkpoint.
-            settle(move, move.task().unsavedS());
+            settleCost(migration, migration.task().unsavedS());
         }
-        move.abandon(reason);
-        statistics.abandoned(reason);
-        ended(move, nowMs);
+        migration.abandon(reason);
+        statistics.recordAbandoned(reason);
+        finish(migration, nowMs);
     }
 
     /** Returns why a migration has timed out; null if it has not. */
-    public Move.Reason overdue(Move move, long nowMs) {
-        if (!move.overdue(nowMs)) {
+    public Move.Reason timeoutReason(Move migration, long nowMs) {
+        if (!migration.isOverdue(nowMs)) {
             return null;
         }
-        return move.state() == Move.State.STOPPING
+        return migration.state() == Move.State.STOPPING
                 ? Move.Reason.SOURCE_SILENT
                 : Move.Reason.TARGET_SILENT;
     }
 
-    private void settle(Move move, double repeatedS) {
-        budget.settle(move.task(), repeatedS);
-        statistics.repeated(repeatedS);
+    private void settleCost(Move migration, double repeatedS) {
+        budget.settle(migration.task(), repeatedS);
+        statistics.recordRepeatedWork(repeatedS);
     }
 
-    private void ended(Move move, long nowMs) {
-        moves.remove(move.task().id());
+    private void finish(Move migration, long nowMs) {
+        migrations.remove(migration.task().id());
         long untilMs = nowMs + Math.round(settings.cooldownS() * 1_000);
-        closedUntilMs.put(move.task().machine(), untilMs);
-        keepsUntilMs.put(move.target(), untilMs);
+        targetCooldownUntilMs.put(migration.task().machine(), untilMs);
+        sourceCooldownUntilMs.put(migration.target(), untilMs);
     }
 }
--- a/src/main/java/org/shoreusher/balance/LoadModel.java
+++ b/src/main/java/org/shoreusher/balance/LoadModel.java
@@ -26,26 +26,26 @@
 
     private final Map<String, MachineLoad> machines = new LinkedHashMap<>();
     private final Map<String, TeamLoad> teams = new HashMap<>();
-    private final List<String> order = new ArrayList<>();
+    private final List<String> machineOrder = new ArrayList<>();
     private double cpus;
 
     /** Adds a machine; does nothing if it is known already. */
-    public void machine(String id, String zone, double machineCpus, double fetchGbPerS) {
+    public void addMachine(String id, String zone, double machineCpus, double fetchGbPerS) {
         if (machines.containsKey(id) || machineCpus <= 0) {
             return;
         }
         machines.put(id, new MachineLoad(id, zone, machineCpus, fetchGbPerS));
-        order.add(id);
+        machineOrder.add(id);
         cpus += machineCpus;
     }
 
     /** Removes a machine and everything on it. */
-    public void machineGone(String id) {
+    public void removeMachine(String id) {
         MachineLoad machine = machines.remove(id);
         if (machine == null) {
             return;
         }
-        order.remove(id);
+        machineOrder.remove(id);
         cpus -= machine.cpus();
         for (String name : machine.teams()) {
             TeamLoad team = teams.get(name);
@@ -55,27 +55,27 @@
     }
 
     /** Adds a task that is or may be on a machine. Unknown machines are ignored. */
-    public void taskAdded(String id, String team, double taskCpus, String image) {
+    public void addTask(String id, String team, double taskCpus, String image) {
         MachineLoad machine = machines.get(id);
         if (machine == null) {
             return;
         }
-        machine.add(team, taskCpus, image);
-        TeamLoad load = teams.computeIfAbsent(team, t -> new TeamLoad());
+        machine.addTask(team, taskCpus, image);
+        TeamLoad load = teams.computeIfAbsent(team, name -> new TeamLoad());
         load.machines.add(id);
         load.cpus += taskCpus;
     }
 
     /** Removes a task that is certainly no longer on a machine. Unknown machines are ignored. */
-    public void taskRemoved(String id, String team, double taskCpus) {
+    public void removeTask(String id, String team, double taskCpus) {
         MachineLoad machine = machines.get(id);
         TeamLoad load = teams.get(team);
         if (machine == null || load == null || !load.machines.contains(id)) {
             return;
         }
-        machine.remove(team, taskCpus);
+        machine.removeTask(team, taskCpus);
         load.cpus -= taskCpus;
-        if (!machine.has(team)) {
+        if (!machine.hasTeam(team)) {
             load.machines.remove(id);
         }
     }
@@ -92,23 +92,23 @@
     }
 
     /** Returns the CPUs that a team uses on one machine. */
-    public double cpusOn(String id, String team) {
+    public double teamCpusOn(String id, String team) {
         MachineLoad machine = machines.get(id);
         return machine == null ? 0 : machine.cpus(team);
     }
 
     /** Returns the share of all CPUs that a team uses, from 0 to 1. */
-    public double mean(String team) {
+    public double meanShare(String team) {
         return cpus <= 0 ? 0 : cpus(team) / cpus;
     }
 
     /** Returns the skew of a team as the class comment defines it. */
-    public double spread(String team) {
-        double most = 0;
+    public double skew(String team) {
+        double maxShare = 0;
         for (String id : machinesOf(team)) {
-            most = Math.max(most, machines.get(id).shareBeyondOneTask(team));
+            maxShare = Math.max(maxShare, machines.get(id).shareBeyondOneTask(team));
         }
-        return Math.max(0, most - mean(team));
+        return Math.max(0, maxShare - meanShare(team));
     }
 
     /** Returns the teams that have ever used a machine. */
@@ -123,17 +123,17 @@
     }
 
     /** Returns the load of a machine; null if it is unknown. */
-    MachineLoad load(String id) {
+    MachineLoad machineLoad(String id) {
         return machines.get(id);
     }
 
     /** Returns the number of machines. */
-    int size() {
-        return order.size();
+    int machineCount() {
+        return machineOrder.size();
     }
 
     /** Returns a machine by its index in the order in which machines were added. */
-    MachineLoad at(int place) {
-        return machines.get(order.get(place));
+    MachineLoad machineAt(int index) {
+        return machines.get(machineOrder.get(index));
     }
 }
--- a/src/main/java/org/shoreusher/balance/MachineLoad.java
+++ b/src/main/java/org/shoreusher/balance/MachineLoad.java
@@ -47,15 +47,15 @@
     }
 
     /** Adds a task. Its image is on the machine from now on. */
-    void add(String team, double taskCpus, String image) {
-        TeamUse use = teams.computeIfAbsent(team, t -> new TeamUse());
+    void addTask(String team, double taskCpus, String image) {
+        TeamUse use = teams.computeIfAbsent(team, name -> new TeamUse());
         use.cpus += taskCpus;
         use.sizes.merge(taskCpus, 1, Integer::sum);
         images.add(image);
     }
 
     /** Removes a task. */
-    void remove(String team, double taskCpus) {
+    void removeTask(String team, double taskCpus) {
         TeamUse use = teams.get(team);
         if (use == null) {
             return;
@@ -80,7 +80,7 @@
     }
 
     /** Whether the team has tasks here. */
-    boolean has(String team) {
+    boolean hasTeam(String team) {
         return teams.containsKey(team);
     }
 
@@ -89,7 +89,7 @@
     }
 
     /** Returns the seconds that fetching an image takes here; 0 if a task here has used it. */
-    double fetchS(String image, double imageGb) {
+    double imageFetchS(String image, double imageGb) {
         return images.contains(image) || fetchGbPerS <= 0 ? 0 : imageGb / fetchGbPerS;
     }
 }
--- a/src/main/java/org/shoreusher/balance/Move.java
+++ b/src/main/java/org/shoreusher/balance/Move.java
@@ -21,15 +21,15 @@
         /** The task is back in the queue, or its job has ended. */
         ABANDONED(true);
 
-        private final boolean ended;
+        private final boolean isTerminal;
 
-        State(boolean ended) {
-            this.ended = ended;
+        State(boolean isTerminal) {
+            this.isTerminal = isTerminal;
         }
 
         /** Whether the state is terminal. */
-        public boolean ended() {
-            return ended;
+        public boolean isTerminal() {
+            return isTerminal;
         }
     }
 
@@ -52,22 +52,22 @@
     private final MovableTask task;
     private final String target;
     private final double gainS;
-    private final long begunMs;
+    private final long begunAtMs;
     private State state = State.STOPPING;
     private Reason reason;
-    private long dueMs;
+    private long deadlineMs;
 
     /**
      * Creates a migration that begins now.
      *
-     * @param dueMs time (ms) by which the task must have left the source
+     * @param deadlineMs time (ms) by which the task must have left the source
      */
-    Move(MovableTask task, String target, double gainS, long nowMs, long dueMs) {
+    Move(MovableTask task, String target, double gainS, long nowMs, long deadlineMs) {
         this.task = task;
         this.target = target;
         this.gainS = gainS;
-        begunMs = nowMs;
-        this.dueMs = dueMs;
+        begunAtMs = nowMs;
+        this.deadlineMs = deadlineMs;
     }
 
     /** Returns the task as it was when the migration began. */
@@ -89,8 +89,8 @@
     }
 
     /** Returns the time (ms) at which the migration began. */
-    public long begunMs() {
-        return begunMs;
+    public long begunAtMs() {
+        return begunAtMs;
     }
 
     /** Returns the current state. */
@@ -104,20 +104,20 @@
     }
 
     /** Whether the next step has not happened in time. */
-    boolean overdue(long nowMs) {
-        return !state.ended() && nowMs >= dueMs;
+    boolean isOverdue(long nowMs) {
+        return !state.isTerminal() && nowMs >= deadlineMs;
     }
 
     /**
      * The task has left the source.
      *
-     * @param startDueMs time (ms) by which it must have started at the target
+     * @param startDeadlineMs time (ms) by which it must have started at the target
      * @throws IllegalStateException unless the state is {@link State#STOPPING}
      */
-    void leftSource(long startDueMs) {
-        require(State.STOPPING);
+    void markLeftSource(long startDeadlineMs) {
+        requireState(State.STOPPING);
         state = State.STARTING;
-        dueMs = startDueMs;
+        deadlineMs = startDeadlineMs;
     }
 
     /**
@@ -125,8 +125,8 @@
      *
      * @throws IllegalStateException unless the state is {@link State#STARTING}
      */
-    void started() {
-        require(State.STARTING);
+    void markStarted() {
+        requireState(State.STARTING);
         state = State.STARTED;
     }
 
@@ -135,8 +135,8 @@
      *
      * @throws IllegalStateException unless the state is {@link State#STOPPING}
      */
-    void completed() {
-        require(State.STOPPING);
+    void markCompleted() {
+        requireState(State.STOPPING);
         state = State.COMPLETED;
     }
 
@@ -145,15 +145,15 @@
      *
      * @throws IllegalStateException if its state is terminal
      */
-    void abandon(Reason why) {
-        if (state.ended()) {
+    void abandon(Reason abandonReason) {
+        if (state.isTerminal()) {
             throw new IllegalStateException("a move that has ended can't be abandoned: " + state);
         }
         state = State.ABANDONED;
-        reason = why;
+        reason = abandonReason;
     }
 
-    private void require(State expected) {
+    private void requireState(State expected) {
         if (state != expected) {
             throw new IllegalStateException("a move is " + state + " instead of " + expected);
         }
--- a/src/main/java/org/shoreusher/balance/MoveBudget.java
+++ b/src/main/java/org/shoreusher/balance/MoveBudget.java
@@ -15,24 +15,24 @@
  */
 public final class MoveBudget {
     /** The run time of a job class and what migrations have cost it. */
-    private static final class Account {
-        private int running;
-        private long sinceMs;
+    private static final class ClassUsage {
+        private int runningTasks;
+        private long updatedAtMs;
         private double workedS;
         private double repeatedS;
         private double atRiskS;
 
         /** Adds the run time since the last call. */
-        void passed(long nowMs) {
-            workedS += running * (nowMs - sinceMs) / 1_000.0;
-            sinceMs = nowMs;
+        void advanceTo(long nowMs) {
+            workedS += runningTasks * (nowMs - updatedAtMs) / 1_000.0;
+            updatedAtMs = nowMs;
         }
     }
 
     private final BalanceSettings settings;
-    private final Map<String, Map<Integer, Integer>> moves = new HashMap<>();
-    private final Set<String> spent = new HashSet<>();
-    private final Map<String, Account> accounts = new HashMap<>();
+    private final Map<String, Map<Integer, Integer>> migrations = new HashMap<>();
+    private final Set<String> exhaustedJobs = new HashSet<>();
+    private final Map<String, ClassUsage> usageByClass = new HashMap<>();
 
     MoveBudget(BalanceSettings settings) {
         this.settings = settings;
@@ -41,46 +41,47 @@
     /**
      * A job was started under a previous leader: how often its tasks were migrated is not known.
      */
-    public void begunBefore(String job) {
-        spent.add(job);
+    public void markBegunByPreviousLeader(String job) {
+        exhaustedJobs.add(job);
     }
 
     /** Forgets a job that has ended. */
-    public void jobEnded(String job) {
-        spent.remove(job);
-        moves.remove(job);
+    public void removeJob(String job) {
+        exhaustedJobs.remove(job);
+        migrations.remove(job);
     }
 
     /** Counts a task of the class that is on a machine from now on. */
-    public void taskAdded(String jobClass, long nowMs) {
-        Account account = account(jobClass);
-        account.passed(nowMs);
-        account.running++;
+    public void addTask(String jobClass, long nowMs) {
+        ClassUsage usage = usage(jobClass);
+        usage.advanceTo(nowMs);
+        usage.runningTasks++;
     }
 
     /** Counts a task of the class that is no longer on a machine. */
-    public void taskRemoved(String jobClass, long nowMs) {
-        Account account = account(jobClass);
-        account.passed(nowMs);
-        account.running = Math.max(0, account.running - 1);
+    public void removeTask(String jobClass, long nowMs) {
+        ClassUsage usage = usage(jobClass);
+        usage.advanceTo(nowMs);
+        usage.runningTasks = Math.max(0, usage.runningTasks - 1);
     }
 
     /** Whether a task may be migrated now. */
-    boolean allows(MovableTask task, long nowMs) {
+    boolean allowsMigration(MovableTask task, long nowMs) {
         ClassBudget budget = settings.budget(task.jobClass());
-        Account account = account(task.jobClass());
-        account.passed(nowMs);
-        return !spent.contains(task.id().job())
-                && movesOf(task.id()) < budget.movesPerTask()
-                && account.repeatedS + account.atRiskS + task.unsavedS()
-                        <= budget.repeatedShare() * account.workedS;
+        ClassUsage usage = usage(task.jobClass());
+        usage.advanceTo(nowMs);
+        return !exhaustedJobs.contains(task.id().job())
+                && migrationsOf(task.id()) < budget.maxMigrationsPerTask()
+                && usage.repeatedS + usage.atRiskS + task.unsavedS()
+                        <= budget.maxRepeatedWorkShare() * usage.workedS;
     }
 
     /** Counts a migration that begins. Its unsaved work is at risk until {@link #settle}. */
     void begin(MovableTask task) {
-        moves.computeIfAbsent(task.id().job(), job -> new HashMap<>())
+        migrations
+                .computeIfAbsent(task.id().job(), job -> new HashMap<>())
                 .merge(task.id().index(), 1, Integer::sum);
-        account(task.jobClass()).atRiskS += task.unsavedS();
+        usage(task.jobClass()).atRiskS += task.unsavedS();
     }
 
     /**
@@ -89,21 +90,21 @@
      * @param repeatedS seconds of its work that must be repeated
      */
     void settle(MovableTask task, double repeatedS) {
-        Account account = account(task.jobClass());
-        account.atRiskS -= task.unsavedS();
-        account.repeatedS += repeatedS;
+        ClassUsage usage = usage(task.jobClass());
+        usage.atRiskS -= task.unsavedS();
+        usage.repeatedS += repeatedS;
     }
 
-    private int movesOf(TaskId task) {
-        return moves.getOrDefault(task.job(), Map.of()).getOrDefault(task.index(), 0);
+    private int migrationsOf(TaskId task) {
+        return migrations.getOrDefault(task.job(), Map.of()).getOrDefault(task.index(), 0);
     }
 
     /** Returns the seconds of work of a job class that migrations have caused to be repeated. */
     public double repeatedS(String jobClass) {
-        return account(jobClass).repeatedS;
+        return usage(jobClass).repeatedS;
     }
 
-    private Account account(String jobClass) {
-        return accounts.computeIfAbsent(jobClass, c -> new Account());
+    private ClassUsage usage(String jobClass) {
+        return usageByClass.computeIfAbsent(jobClass, name -> new ClassUsage());
     }
 }
--- a/src/main/java/org/shoreusher/balance/MovePlanner.java
+++ b/src/main/java/org/shoreusher/balance/MovePlanner.java
@@ -17,40 +17,40 @@
      * @param target the machine to which it goes
      * @param gainS expected gain in seconds
      */
-    record Choice(MovableTask task, String target, double gainS) {}
+    record PlannedMigration(MovableTask task, String target, double gainS) {}
 
     /** Limits on further migrations, from those in progress. */
-    interface Moves {
+    interface MigrationLimits {
         /** Whether another migration of the team may begin. */
-        boolean room(String team);
+        boolean canBeginForTeam(String team);
 
         /** Whether the task may be migrated, given its budget and the migrations in progress. */
-        boolean allows(MovableTask task);
+        boolean canMigrate(MovableTask task);
 
         /** Whether tasks may leave the machine: none has recently been migrated to it. */
-        boolean mayLeave(String machine);
+        boolean canLeave(String machine);
 
         /** Whether tasks may be migrated to the machine: none has recently left it. */
-        boolean mayEnter(String machine);
+        boolean canEnter(String machine);
 
         /** Returns the CPUs of a team that are about to leave a machine. */
-        double leaving(String machine, String team);
+        double outgoingCpus(String machine, String team);
 
         /** Whether another migration into the zone may begin. */
-        boolean roomInZone(String zone);
+        boolean canBeginInZone(String zone);
 
         /** Returns the CPUs of a team that are being migrated to a machine. */
-        double coming(String machine, String team);
+        double incomingCpus(String machine, String team);
 
         /** Begins a migration. */
-        void begin(Choice choice);
+        void begin(PlannedMigration planned);
     }
 
     /** Largest number of overloaded machines that one round takes tasks from. */
-    private static final int SOURCES = 32;
+    private static final int MAX_SOURCES = 32;
 
     /** Largest number of machines that one round considers as targets. */
-    private static final int TARGETS = 256;
+    private static final int MAX_TARGETS = 256;
 
     /**
      * Seconds from the decision to start a task until it runs: the next heartbeat of the target,
@@ -60,7 +60,7 @@
 
     private final BalanceSettings settings;
     private final LoadModel load;
-    private int nextTarget;
+    private int nextTargetIndex;
 
     /** Creates a planner that reads the given load. */
     MovePlanner(BalanceSettings settings, LoadModel load) {
@@ -72,86 +72,88 @@
      * Selects migrations of a team. Each begins at once, so that the next selection takes it into
      * account.
      */
-    void choose(String team, FleetView view, Moves moves) {
-        double limit = load.mean(team) + settings.spreadMargin();
-        if (load.spread(team) <= settings.spreadMargin() + settings.hysteresis()) {
+    void choose(String team, FleetView view, MigrationLimits limits) {
+        double shareLimit = load.meanShare(team) + settings.spreadMargin();
+        if (load.skew(team) <= settings.spreadMargin() + settings.hysteresis()) {
             return;
         }
-        List<MachineLoad> targets = targets(team, moves);
-        for (MachineLoad source : sources(team, limit, moves)) {
-            if (!moves.room(team)) {
+        List<MachineLoad> targets = targets(team, limits);
+        for (MachineLoad source : sources(team, shareLimit, limits)) {
+            if (!limits.canBeginForTeam(team)) {
                 return;
             }
-            Choice choice = choose(source, targets, team, view, moves);
-            if (choice != null) {
-                moves.begin(choice);
-                targets.removeIf(target -> target.id().equals(choice.target()));
+            PlannedMigration planned = choose(source, targets, team, view, limits);
+            if (planned != null) {
+                limits.begin(planned);
+                targets.removeIf(target -> target.id().equals(planned.target()));
             }
         }
     }
 
     /** Returns the machines above the limit, the largest share first. */
-    private List<MachineLoad> sources(String team, double limit, Moves moves) {
+    private List<MachineLoad> sources(String team, double shareLimit, MigrationLimits limits) {
         List<MachineLoad> sources = new ArrayList<>();
         for (String id : load.machinesOf(team)) {
-            MachineLoad machine = load.load(id);
-            double leaving = moves.leaving(id, team) / machine.cpus();
-            if (machine.shareBeyondOneTask(team) - leaving > limit) {
+            MachineLoad machine = load.machineLoad(id);
+            double outgoingShare = limits.outgoingCpus(id, team) / machine.cpus();
+            if (machine.shareBeyondOneTask(team) - outgoingShare > shareLimit) {
                 sources.add(machine);
             }
         }
         sources.sort(
                 Comparator.comparingDouble((MachineLoad m) -> -m.shareBeyondOneTask(team))
                         .thenComparing(MachineLoad::id));
-        return sources.subList(0, Math.min(SOURCES, sources.size()));
+        return sources.subList(0, Math.min(MAX_SOURCES, sources.size()));
     }
 
     /** Returns the next machines in the round-robin order, the smallest share first. */
-    private List<MachineLoad> targets(String team, Moves moves) {
+    private List<MachineLoad> targets(String team, MigrationLimits limits) {
         List<MachineLoad> targets = new ArrayList<>();
-        int count = Math.min(TARGETS, load.size());
+        int count = Math.min(MAX_TARGETS, load.machineCount());
         for (int i = 0; i < count; i++) {
-            targets.add(load.at((nextTarget + i) % load.size()));
+            targets.add(load.machineAt((nextTargetIndex + i) % load.machineCount()));
         }
-        nextTarget = load.size() == 0 ? 0 : (nextTarget + count) % load.size();
+        nextTargetIndex =
+                load.machineCount() == 0 ? 0 : (nextTargetIndex + count) % load.machineCount();
         targets.sort(
-                Comparator.comparingDouble((MachineLoad m) -> share(m, team, moves))
+                Comparator.comparingDouble(
+                                (MachineLoad machine) -> projectedShare(machine, team, limits))
                         .thenComparing(MachineLoad::id));
         return targets;
     }
 
-    private static double share(MachineLoad machine, String team, Moves moves) {
-        return (machine.cpus(team) + moves.coming(machine.id(), team)) / machine.cpus();
+    private static double projectedShare(MachineLoad machine, String team, MigrationLimits limits) {
+        return (machine.cpus(team) + limits.incomingCpus(machine.id(), team)) / machine.cpus();
     }
 
     /**
      * Returns the task and target with the largest gain; null if no migration is worth its cost.
      */
-    private Choice choose(
+    private PlannedMigration choose(
             MachineLoad source,
             List<MachineLoad> targets,
             String team,
             FleetView view,
-            Moves moves) {
-        if (!moves.mayLeave(source.id())) {
+            MigrationLimits limits) {
+        if (!limits.canLeave(source.id())) {
             return null;
         }
-        Choice best = null;
-        for (MovableTask task : view.movableTasks(source.id(), team)) {
+        PlannedMigration best = null;
+        for (MovableTask task : view.migratableTasks(source.id(), team)) {
             // Upper bound: a target that already has the image.
-            double mostS = task.remainingS() - task.saveS() - START_LAG_S;
-            if (!moves.allows(task) || (best != null && best.gainS() >= mostS)) {
+            double maxGainS = task.remainingS() - task.saveS() - START_LAG_S;
+            if (!limits.canMigrate(task) || (best != null && best.gainS() >= maxGainS)) {
                 continue;
             }
             for (MachineLoad target : targets) {
                 double gainS = gainS(task, target);
                 if ((best == null || gainS > best.gainS())
-                        && worthwhile(task, target)
-                        && moves.mayEnter(target.id())
-                        && moves.roomInZone(target.zone())
-                        && lowers(source, target, task, moves)
-                        && view.takes(target.id(), task)) {
-                    best = new Choice(task, target.id(), gainS);
+                        && isWorthwhile(task, target)
+                        && limits.canEnter(target.id())
+                        && limits.canBeginInZone(target.zone())
+                        && reducesSkew(source, target, task, limits)
+                        && view.canAccept(target.id(), task)) {
+                    best = new PlannedMigration(task, target.id(), gainS);
                 }
             }
         }
@@ -159,24 +161,25 @@
     }
 
     private static double costS(MovableTask task, MachineLoad target) {
-        return target.fetchS(task.image(), task.imageGb()) + task.saveS() + START_LAG_S;
+        return target.imageFetchS(task.image(), task.imageGb()) + task.saveS() + START_LAG_S;
     }
 
     private static double gainS(MovableTask task, MachineLoad target) {
         return task.remainingS() - costS(task, target);
     }
 
-    private boolean worthwhile(MovableTask task, MachineLoad target) {
-        return task.remainingS() >= settings.leastGain() * costS(task, target);
+    private boolean isWorthwhile(MovableTask task, MachineLoad target) {
+        return task.remainingS() >= settings.minGainFactor() * costS(task, target);
     }
 
     /**
      * Whether the team's share at the target after the migration is below its share at the source
      * before.
      */
-    private static boolean lowers(
-            MachineLoad source, MachineLoad target, MovableTask task, Moves moves) {
-        double after = share(target, task.team(), moves) + task.cpus() / target.cpus();
-        return after < source.cpus(task.team()) / source.cpus();
+    private static boolean reducesSkew(
+            MachineLoad source, MachineLoad target, MovableTask task, MigrationLimits limits) {
+        double shareAfter =
+                projectedShare(target, task.team(), limits) + task.cpus() / target.cpus();
+        return shareAfter < source.cpus(task.team()) / source.cpus();
     }
 }
--- a/src/main/java/org/shoreusher/balance/TeamHeat.java
+++ b/src/main/java/org/shoreusher/balance/TeamHeat.java
@@ -14,12 +14,12 @@
      * Factor on the threshold below which a team stops being a high-demand one; the hysteresis
      * prevents flapping.
      */
-    private static final double COOLS_AT = 0.8;
+    private static final double RELEASE_FACTOR = 0.8;
 
     private final BalanceSettings settings;
     private final LoadModel load;
     private final Set<String> hot = new HashSet<>();
-    private Map<String, Double> wanted = Map.of();
+    private Map<String, Double> demandCpus = Map.of();
 
     /** Creates an empty set of high-demand teams. */
     TeamHeat(BalanceSettings settings, LoadModel load) {
@@ -28,35 +28,35 @@
     }
 
     /** Updates the CPUs that each team wants beyond what it uses. */
-    void demand(Map<String, Double> wantedCpus) {
-        wanted = Map.copyOf(wantedCpus);
-        wantedCpus.keySet().forEach(this::judge);
+    void updateDemand(Map<String, Double> wantedCpus) {
+        demandCpus = Map.copyOf(wantedCpus);
+        wantedCpus.keySet().forEach(this::addIfHighDemand);
         for (String team : load.teams()) {
-            judge(team);
+            addIfHighDemand(team);
         }
-        hot.removeIf(team -> share(team) < settings.hotShare() * COOLS_AT);
+        hot.removeIf(team -> demandShare(team) < settings.highDemandShare() * RELEASE_FACTOR);
     }
 
-    private void judge(String team) {
-        if (share(team) >= settings.hotShare()) {
+    private void addIfHighDemand(String team) {
+        if (demandShare(team) >= settings.highDemandShare()) {
             hot.add(team);
         }
     }
 
     /** Returns the share of all CPUs that a team uses and wants, from 0 to 1. */
-    double share(String team) {
+    double demandShare(String team) {
         return load.cpus() <= 0
                 ? 0
-                : Math.min(1, (load.cpus(team) + wanted.getOrDefault(team, 0.0)) / load.cpus());
+                : Math.min(1, (load.cpus(team) + demandCpus.getOrDefault(team, 0.0)) / load.cpus());
     }
 
     /** Whether the team is a high-demand one. */
-    boolean hot(String team) {
+    boolean isHighDemand(String team) {
         return hot.contains(team);
     }
 
     /** Returns the high-demand teams. */
-    Set<String> hotTeams() {
+    Set<String> highDemandTeams() {
         return hot;
     }
 }
--- a/src/main/java/org/shoreusher/core/Acceptance.java
+++ b/src/main/java/org/shoreusher/core/Acceptance.java
@@ -26,174 +26,184 @@
  */
 final class Acceptance {
     /** A job that is to be written, with all requests that submit it. */
-    private record Arriving(
+    private record PendingSubmission(
             JobSpec spec,
-            long sinceMs,
-            Map<String, Object> record,
-            int bytes,
-            List<Long> requests) {}
+            long queuedAtMs,
+            Map<String, Object> recordValue,
+            int encodedBytes,
+            List<Long> requestIds) {}
 
     private final Settings settings;
     private final Outbox outbox;
-    private final StoreView view;
-    private final String owner;
-    private final ToIntFunction<JobSpec> roomiestPart;
+    private final StoreView storeCache;
+    private final String processName;
+    private final ToIntFunction<JobSpec> shardWithMostHeadroom;
 
     /** Called for a job that has become durable by another submission; with request and job id. */
-    private final BiConsumer<Long, String> alreadyKnown;
+    private final BiConsumer<Long, String> onAlreadyKnown;
 
     /** Called for a description that exceeds the limit on a record; with request and job id. */
-    private final BiConsumer<Long, String> tooLong;
+    private final BiConsumer<Long, String> onTooLong;
 
     /** Submissions to be written, by job id, in the order of arrival. */
-    private final Map<String, Arriving> queue = new LinkedHashMap<>();
+    private final Map<String, PendingSubmission> pendingSubmissions = new LinkedHashMap<>();
 
-    private int writing;
-    private long nextRecord = 1;
+    private int writesInFlight;
+    private long nextBatchNumber = 1;
 
     /**
      * A committer for the submissions that one node accepts.
      *
-     * @param owner the name of this process, which no other process has ever had
-     * @param roomiestPart the number of the shard that a new job should go to
-     * @param alreadyKnown called for a job that has become durable by another submission
-     * @param tooLong called for a description that exceeds the limit on a record
+     * @param processName the name of this process, which no other process has ever had
+     * @param shardWithMostHeadroom the number of the shard that a new job should go to
+     * @param onAlreadyKnown called for a job that has become durable by another submission
+     * @param onTooLong called for a description that exceeds the limit on a record
      */
     Acceptance(
             Settings settings,
             Outbox outbox,
-            StoreView view,
-            String owner,
-            ToIntFunction<JobSpec> roomiestPart,
-            BiConsumer<Long, String> alreadyKnown,
-            BiConsumer<Long, String> tooLong) {
+            StoreView storeCache,
+            String processName,
+            ToIntFunction<JobSpec> shardWithMostHeadroom,
+            BiConsumer<Long, String> onAlreadyKnown,
+            BiConsumer<Long, String> onTooLong) {
         this.settings = settings;
         this.outbox = outbox;
-        this.view = view;
-        this.owner = owner;
-        this.roomiestPart = roomiestPart;
-        this.alreadyKnown = alreadyKnown;
-        this.tooLong = tooLong;
+        this.storeCache = storeCache;
+        this.processName = processName;
+        this.shardWithMostHeadroom = shardWithMostHeadroom;
+        this.onAlreadyKnown = onAlreadyKnown;
+        this.onTooLong = onTooLong;
     }
 
     /** Queues a job that is not yet known and has been admitted; the request is answered later. */
-    void submit(long request, JobSpec spec) {
-        Arriving known = queue.get(spec.id());
-        if (known != null) {
-            known.requests.add(request);
+    void enqueue(long requestId, JobSpec spec) {
+        PendingSubmission queued = pendingSubmissions.get(spec.id());
+        if (queued != null) {
+            queued.requestIds.add(requestId);
             return;
         }
-        if (queue.size() >= Tuning.ARRIVALS_WAITING) {
-            outbox.respondUnavailable(request);
+        if (pendingSubmissions.size() >= Tuning.ARRIVALS_WAITING) {
+            outbox.respondUnavailable(requestId);
             return;
         }
-        Map<String, Object> record =
-                JobRecord.open(roomiestPart.applyAsInt(spec), spec, outbox.now.wallMs()).toMap();
-        int bytes = FieldMap.jsonLength(record);
-        if (bytes > settings.valueBytes()) {
-            tooLong.accept(request, spec.id());
+        Map<String, Object> recordValue =
+                JobRecord.open(shardWithMostHeadroom.applyAsInt(spec), spec, outbox.now.wallMs())
+                        .toMap();
+        int encodedBytes = FieldMap.jsonLength(recordValue);
+        if (encodedBytes > settings.valueBytes()) {
+            onTooLong.accept(requestId, spec.id());
             return;
         }
-        queue.put(
+        pendingSubmissions.put(
                 spec.id(),
-                new Arriving(
+                new PendingSubmission(
                         spec,
                         outbox.now.monotonicMs(),
-                        record,
-                        bytes + Tuning.RECORD_FRAME,
-                        new ArrayList<>(List.of(request))));
+                        recordValue,
+                        encodedBytes + Tuning.RECORD_FRAME,
+                        new ArrayList<>(List.of(requestId))));
     }
 
     /** Writes the queued submissions, and refuses those that have waited for too long. */
-    void step() {
-        while (!queue.isEmpty() && writing < Tuning.ACCEPTS_AT_ONCE && write()) {
+    void commitPending() {
+        while (!pendingSubmissions.isEmpty()
+                && writesInFlight < Tuning.ACCEPTS_AT_ONCE
+                && writeBatch()) {
             // until the queue is empty or the rate limit is reached
         }
         // A submission waits for the next write only: a retry by the user costs less than a queue.
-        queue.values()
+        pendingSubmissions
+                .values()
                 .removeIf(
-                        a -> {
-                            boolean late =
-                                    outbox.now.monotonicMs() - a.sinceMs > Tuning.ACCEPT_WAIT_MS;
-                            if (late) {
-                                a.requests.forEach(outbox::respondUnavailable);
+                        submission -> {
+                            boolean hasExpired =
+                                    outbox.now.monotonicMs() - submission.queuedAtMs
+                                            > Tuning.ACCEPT_WAIT_MS;
+                            if (hasExpired) {
+                                submission.requestIds.forEach(outbox::respondUnavailable);
                             }
-                            return late;
+                            return hasExpired;
                         });
     }
 
-    private boolean write() {
-        List<Arriving> batch = new ArrayList<>();
-        int bytes = 0;
-        for (Arriving a : queue.values()) {
+    private boolean writeBatch() {
+        List<PendingSubmission> batch = new ArrayList<>();
+        int batchBytes = 0;
+        for (PendingSubmission submission : pendingSubmissions.values()) {
             // One precondition for each job, and one for the record.
             if (!batch.isEmpty()
-                    && (bytes + a.bytes > settings.valueBytes() * Tuning.RECORD_FILL
+                    && (batchBytes + submission.encodedBytes
+                                    > settings.valueBytes() * Tuning.RECORD_FILL
                             || batch.size() >= 4 * settings.txnOps() - 1)) {
                 break;
             }
-            batch.add(a);
-            bytes += a.bytes;
+            batch.add(submission);
+            batchBytes += submission.encodedBytes;
         }
-        Map<String, Long> guards = new LinkedHashMap<>();
+        Map<String, Long> preconditions = new LinkedHashMap<>();
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
-        batch.forEach(a -> guards.put(StoreSchema.jobKey(a.spec.id()), 0L));
+        batch.forEach(
+                submission -> preconditions.put(StoreSchema.jobKey(submission.spec.id()), 0L));
         if (batch.size() == 1) {
-            writes.put(StoreSchema.jobKey(batch.get(0).spec.id()), batch.get(0).record);
+            writes.put(StoreSchema.jobKey(batch.get(0).spec.id()), batch.get(0).recordValue);
         } else {
             // The name of this process is unique, so no batch record is ever overwritten.
-            String key = StoreSchema.submissionBatchKey(owner, nextRecord++);
-            guards.put(key, 0L);
+            String key = StoreSchema.submissionBatchKey(processName, nextBatchNumber++);
+            preconditions.put(key, 0L);
             Map<String, Map<String, Object>> jobs = new LinkedHashMap<>();
-            batch.forEach(a -> jobs.put(a.spec.id(), a.record));
+            batch.forEach(submission -> jobs.put(submission.spec.id(), submission.recordValue));
             writes.put(key, ArrivalRecord.toMap(jobs));
         }
         boolean sent =
                 outbox.callStoreForUser(
-                        new StateOp.Multi(guards, writes),
+                        new StateOp.Multi(preconditions, writes),
                         reply -> {
-                            writing--;
-                            replied(reply, batch, writes);
+                            writesInFlight--;
+                            handleReply(reply, batch, writes);
                         });
         if (sent) {
-            writing++;
-            batch.forEach(a -> queue.remove(a.spec.id()));
+            writesInFlight++;
+            batch.forEach(submission -> pendingSubmissions.remove(submission.spec.id()));
         }
         return sent;
     }
 
-    private void replied(
-            StateReply reply, List<Arriving> batch, Map<String, Map<String, Object>> writes) {
+    private void handleReply(
+            StateReply reply,
+            List<PendingSubmission> batch,
+            Map<String, Map<String, Object>> writes) {
         if (reply.status() == 200) {
-            view.applyOwnWrites(reply, writes);
+            storeCache.applyOwnWrites(reply, writes);
             batch.forEach(
-                    a ->
-                            a.requests.forEach(
-                                    r ->
+                    submission ->
+                            submission.requestIds.forEach(
+                                    requestId ->
                                             outbox.respond(
-                                                    r,
+                                                    requestId,
                                                     new Response.JobState(
-                                                            a.spec.id(),
+                                                            submission.spec.id(),
                                                             Response.Shown.PENDING,
                                                             null,
                                                             true))));
         } else if (reply.status() == 409) {
-            Set<String> failed = failed(reply);
-            for (Arriving a : batch) {
-                if (failed.contains(StoreSchema.jobKey(a.spec.id()))) {
-                    a.requests.forEach(r -> alreadyKnown.accept(r, a.spec.id()));
+            Set<String> failedKeys = failedPreconditions(reply);
+            for (PendingSubmission submission : batch) {
+                if (failedKeys.contains(StoreSchema.jobKey(submission.spec.id()))) {
+                    submission.requestIds.forEach(
+                            requestId -> onAlreadyKnown.accept(requestId, submission.spec.id()));
                 } else {
-                    again(a);
+                    requeue(submission);
                 }
             }
         } else if (reply.status() == 429) {
-            batch.forEach(this::again);
+            batch.forEach(this::requeue);
         } else {
-            batch.forEach(a -> a.requests.forEach(outbox::respondUnavailable));
+            batch.forEach(submission -> submission.requestIds.forEach(outbox::respondUnavailable));
         }
     }
 
-    private static Set<String> failed(StateReply reply) {
+    private static Set<String> failedPreconditions(StateReply reply) {
         try {
             return new HashSet<>(StateFormat.failed(new FieldMap(reply.body())));
         } catch (FieldMap.Missing e) {
@@ -201,10 +211,10 @@
         }
     }
 
-    private void again(Arriving a) {
-        Arriving other = queue.putIfAbsent(a.spec.id(), a);
-        if (other != null) {
-            other.requests.addAll(a.requests);
+    private void requeue(PendingSubmission submission) {
+        PendingSubmission queued = pendingSubmissions.putIfAbsent(submission.spec.id(), submission);
+        if (queued != null) {
+            queued.requestIds.addAll(submission.requestIds);
         }
     }
 }
--- a/src/main/java/org/shoreusher/core/Arrivals.java
+++ b/src/main/java/org/shoreusher/core/Arrivals.java
@@ -24,48 +24,48 @@
  */
 final class Arrivals {
     /** A job as its batch has it, and the version of the batch in the store. */
-    private record Arrived(JobRecord record, long version) {}
+    private record BatchedJob(JobRecord record, long version) {}
 
     private final Settings settings;
     private final Outbox outbox;
-    private final StoreView view;
+    private final StoreView storeCache;
 
     /** The jobs without a record of their own, by id. */
-    private final Object2ObjectLinkedOpenHashMap<String, Arrived> waiting =
+    private final Object2ObjectLinkedOpenHashMap<String, BatchedJob> jobsWithoutOwnRecord =
             new Object2ObjectLinkedOpenHashMap<>();
 
     /** For each batch, by key, the ids of its jobs without a record of their own. */
-    private final Object2ObjectOpenHashMap<String, Set<String>> shared =
+    private final Object2ObjectOpenHashMap<String, Set<String>> batches =
             new Object2ObjectOpenHashMap<>();
 
-    private boolean removing;
+    private boolean removalInFlight;
 
     /** When empty batches are next removed; steady ms. */
-    private long nextMs;
+    private long nextRemovalMs;
 
     /** No batches yet. */
-    Arrivals(Settings settings, Outbox outbox, StoreView view) {
+    Arrivals(Settings settings, Outbox outbox, StoreView storeCache) {
         this.settings = settings;
         this.outbox = outbox;
-        this.view = view;
+        this.storeCache = storeCache;
     }
 
     /**
      * The record of a job in the cache of the store: its own, or else that of its batch; null if
      * there is neither.
      */
-    JobRecord record(String id) {
-        StoreView.Entry own = view.get(StoreSchema.jobKey(id));
-        if (own != null) {
-            return JobRecord.fromMap(own.value());
+    JobRecord jobRecord(String jobId) {
+        StoreView.Entry ownEntry = storeCache.get(StoreSchema.jobKey(jobId));
+        if (ownEntry != null) {
+            return JobRecord.fromMap(ownEntry.value());
         }
-        Arrived arrived = waiting.get(id);
-        return arrived == null ? null : arrived.record;
+        BatchedJob batched = jobsWithoutOwnRecord.get(jobId);
+        return batched == null ? null : batched.record;
     }
 
-    /** Calls {@code of} with the id and record of each job that has no record of its own. */
-    void each(BiConsumer<String, JobRecord> of) {
-        waiting.forEach((id, arrived) -> of.accept(id, arrived.record));
+    /** Calls {@code action} with the id and record of each job that has no record of its own. */
+    void forEachJob(BiConsumer<String, JobRecord> action) {
+        jobsWithoutOwnRecord.forEach((jobId, batched) -> action.accept(jobId, batched.record));
     }
 
     /**
@@ -74,67 +74,68 @@
      * shards might each believe that the job belongs to the other.
      *
      * @param after the batch; null if it was removed
-     * @param arrived called with the id and record of each job that is new by it
+     * @param onNewJob called with the id and record of each job that is new by it
      */
-    void changed(String key, StoreView.Entry after, BiConsumer<String, JobRecord> arrived) {
+    void batchChanged(String key, StoreView.Entry after, BiConsumer<String, JobRecord> onNewJob) {
         if (after == null) {
-            Set<String> gone = shared.remove(key);
-            if (gone != null) {
-                gone.forEach(waiting::remove);
+            Set<String> removedJobIds = batches.remove(key);
+            if (removedJobIds != null) {
+                removedJobIds.forEach(jobsWithoutOwnRecord::remove);
             }
             return;
         }
         Map<String, JobRecord> jobs = ArrivalRecord.fromMap(after.value()).jobs();
-        Set<String> left = new HashSet<>();
+        Set<String> withoutOwnRecord = new HashSet<>();
         jobs.forEach(
-                (id, record) -> {
+                (jobId, record) -> {
                     // A completed job has been evicted from the cache; the watch may still deliver
                     // the older event of its submission.
-                    if (!view.containsOrRecentlyRemoved(StoreSchema.jobKey(id))) {
-                        left.add(id);
+                    if (!storeCache.containsOrRecentlyRemoved(StoreSchema.jobKey(jobId))) {
+                        withoutOwnRecord.add(jobId);
                     }
                 });
-        shared.put(key, left);
+        batches.put(key, withoutOwnRecord);
         jobs.forEach(
-                (id, record) -> {
-                    Arrived known = waiting.get(id);
-                    if (left.contains(id) && (known == null || known.version > after.version())) {
-                        waiting.put(id, new Arrived(record, after.version()));
-                        arrived.accept(id, record);
+                (jobId, record) -> {
+                    BatchedJob known = jobsWithoutOwnRecord.get(jobId);
+                    if (withoutOwnRecord.contains(jobId)
+                            && (known == null || known.version > after.version())) {
+                        jobsWithoutOwnRecord.put(jobId, new BatchedJob(record, after.version()));
+                        onNewJob.accept(jobId, record);
                     }
                 });
     }
 
     /** The job has got a record of its own; the batch no longer counts for it. */
-    void settled(String id) {
-        if (waiting.remove(id) != null) {
-            shared.values().forEach(ids -> ids.remove(id));
+    void ownRecordCreated(String jobId) {
+        if (jobsWithoutOwnRecord.remove(jobId) != null) {
+            batches.values().forEach(jobIds -> jobIds.remove(jobId));
         }
     }
 
     /** Removes batches all of whose jobs have records of their own, from time to time. */
-    void sweep(PartOwnership ownership) {
-        if (removing || outbox.now.monotonicMs() < nextMs) {
+    void removeEmptyBatches(PartOwnership leadership) {
+        if (removalInFlight || outbox.now.monotonicMs() < nextRemovalMs) {
             return;
         }
-        nextMs = outbox.now.monotonicMs() + Tuning.SWEEP_EVERY_MS;
-        Map<String, Long> guards = new LinkedHashMap<>(ownership.fencingPrecondition());
+        nextRemovalMs = outbox.now.monotonicMs() + Tuning.SWEEP_EVERY_MS;
+        Map<String, Long> preconditions = new LinkedHashMap<>(leadership.fencingPrecondition());
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
-        shared.forEach(
-                (key, ids) -> {
-                    if (ids.isEmpty() && writes.size() < settings.txnOps() / 2) {
-                        guards.put(key, view.version(key));
+        batches.forEach(
+                (key, jobIds) -> {
+                    if (jobIds.isEmpty() && writes.size() < settings.txnOps() / 2) {
+                        preconditions.put(key, storeCache.version(key));
                         writes.put(key, null);
                     }
                 });
         if (!writes.isEmpty()) {
-            removing =
+            removalInFlight =
                     outbox.callStore(
-                            new StateOp.Multi(guards, writes),
+                            new StateOp.Multi(preconditions, writes),
                             reply -> {
-                                removing = false;
+                                removalInFlight = false;
                                 if (reply.status() == 200) {
-                                    view.applyOwnWrites(reply, writes);
+                                    storeCache.applyOwnWrites(reply, writes);
                                 }
                             });
         }
--- a/src/main/java/org/shoreusher/core/AttemptReplication.java
+++ b/src/main/java/org/shoreusher/core/AttemptReplication.java
@@ -102,7 +102,7 @@
 
     /** Replicates the start of an attempt. */
     @Override
-    public void added(TaskAttempt attempt) {
+    public void attemptAdded(TaskAttempt attempt) {
         if (!isDisabled()) {
             JobSpec spec = attempt.job.spec;
             logSender.recordStart(
@@ -124,7 +124,7 @@
      * completion is durable.
      */
     @Override
-    public void removed(TaskAttempt attempt) {
+    public void attemptRemoved(TaskAttempt attempt) {
         if (isDisabled()) {
             return;
         }
@@ -140,11 +140,13 @@
      */
     private static boolean isEndDurable(TaskAttempt attempt) {
         Job job = attempt.job;
-        return !job.done.get(attempt.index) || job.durable.get(attempt.index) || job.closed;
+        return !job.completedTasks.get(attempt.taskIndex)
+                || job.durablyCompletedTasks.get(attempt.taskIndex)
+                || job.closed;
     }
 
     private static AttemptId attemptIdOf(TaskAttempt attempt) {
-        return new AttemptId(attempt.job.id, attempt.index, attempt.attempt);
+        return new AttemptId(attempt.job.id, attempt.taskIndex, attempt.attemptNumber);
     }
 
     // ---- answers to heartbeats ---------------------------------------------------------------
@@ -242,9 +244,9 @@
     private static boolean isStillWanted(Machine machine, WorkerOrder start) {
         TaskAttempt attempt = machine.tasks.get(Machine.taskKey(start.jobId(), start.taskIndex()));
         return attempt != null
-                && attempt.attempt == start.attemptNumber()
+                && attempt.attemptNumber == start.attemptNumber()
                 && !attempt.mustStop
-                && !attempt.stopping
+                && !attempt.beingEvicted
                 && !attempt.job.closed;
     }
 
--- a/src/main/java/org/shoreusher/core/Balancing.java
+++ b/src/main/java/org/shoreusher/core/Balancing.java
@@ -27,15 +27,15 @@
 final class Balancing implements ResourceLedger.Listener, Planner.SpreadLimit, FleetView {
     /** A migration in progress, with the capacity reserved at its target. */
     private static final class Reservation {
-        private final Move move;
+        private final Move migration;
         private final TaskAttempt source;
         private final Machine target;
 
         /** Whether the task has left the source; its team's quota is then reserved. */
-        private boolean left;
+        private boolean hasLeftSource;
 
-        Reservation(Move move, TaskAttempt source, Machine target) {
-            this.move = move;
+        Reservation(Move migration, TaskAttempt source, Machine target) {
+            this.migration = migration;
             this.source = source;
             this.target = target;
         }
@@ -45,98 +45,107 @@
         }
     }
 
-    private final Part part;
+    private final Part shard;
     private final Outbox outbox;
     private final ResourceLedger ledger;
     private final Balancer balancer;
     private final Map<TaskId, Reservation> reservations = new LinkedHashMap<>();
     private long nextStepMs;
-    private long nextLineMs;
+    private long nextLogMs;
 
     /** Creates the migrations of one shard; disabled if the features have no balance section. */
-    Balancing(Part part, NodeContext context, ResourceLedger ledger) {
-        this.part = part;
+    Balancing(Part shard, NodeContext context, ResourceLedger ledger) {
+        this.shard = shard;
         this.ledger = ledger;
         outbox = context.outbox();
         BalanceSettings settings = context.features().balance();
-        balancer = settings == null ? null : new Balancer(settings, patience(context));
+        balancer = settings == null ? null : new Balancer(settings, timeouts(context));
     }
 
-    private Balancer.Patience patience(NodeContext context) {
+    private Balancer.Timeouts timeouts(NodeContext context) {
         // The source reports the exit before its lease expires, or the lease expires; the target
         // reports soon after.
         long reportMs = Math.round(context.settings().reportS() * 1_000);
-        return new Balancer.Patience(
+        return new Balancer.Timeouts(
                 PartLease.workerLeaseBoundMs(context.settings()) + 2 * reportMs,
                 Tuning.MOVE_START_REPORTS * reportMs);
     }
 
-    private boolean off() {
+    private boolean isDisabled() {
         return balancer == null;
     }
 
     // ---- events of the shard -----------------------------------------------------------------
 
     /** A machine has sent a heartbeat. */
-    void reported(Machine m) {
-        if (!off()) {
-            balancer.load().machine(m.id, m.zone, m.type.cpus(), m.type.imageFetchGbPerS());
+    void onMachineReported(Machine machine) {
+        if (!isDisabled()) {
+            balancer.load()
+                    .addMachine(
+                            machine.id,
+                            machine.zone,
+                            machine.type.cpus(),
+                            machine.type.imageFetchGbPerS());
         }
     }
 
     /** A machine no longer belongs to the shard. */
-    void machineGone(String id) {
-        if (!off()) {
-            balancer.load().machineGone(id);
+    void onMachineRemoved(String id) {
+        if (!isDisabled()) {
+            balancer.load().removeMachine(id);
         }
     }
 
     /** A job was started under a previous leader. */
-    void begunBefore(Job job) {
-        if (!off()) {
-            balancer.budget().begunBefore(job.id);
+    void onJobBegunByPreviousLeader(Job job) {
+        if (!isDisabled()) {
+            balancer.budget().markBegunByPreviousLeader(job.id);
         }
     }
 
     /** A job has reached a terminal state. */
-    void jobEnded(Job job) {
-        if (!off()) {
-            balancer.budget().jobEnded(job.id);
+    void onJobEnded(Job job) {
+        if (!isDisabled()) {
+            balancer.budget().removeJob(job.id);
         }
     }
 
     @Override
-    public void added(TaskAttempt live) {
-        if (!off()) {
-            JobSpec spec = live.job.spec;
-            balancer.load().taskAdded(live.machine.id, spec.team(), spec.cpus(), spec.image());
-            balancer.budget().taskAdded(spec.jobClass(), outbox.now.monotonicMs());
+    public void attemptAdded(TaskAttempt attempt) {
+        if (!isDisabled()) {
+            JobSpec spec = attempt.job.spec;
+            balancer.load().addTask(attempt.machine.id, spec.team(), spec.cpus(), spec.image());
+            balancer.budget().addTask(spec.jobClass(), outbox.now.monotonicMs());
         }
     }
 
     @Override
-    public void removed(TaskAttempt live) {
-        if (off()) {
+    public void attemptRemoved(TaskAttempt attempt) {
+        if (isDisabled()) {
             return;
         }
-        JobSpec spec = live.job.spec;
-        balancer.load().taskRemoved(live.machine.id, spec.team(), spec.cpus());
-        balancer.budget().taskRemoved(spec.jobClass(), outbox.now.monotonicMs());
-        Reservation r = reservations.get(new TaskId(live.job.id, live.index));
-        if (r == null || r.source != live) {
+        JobSpec spec = attempt.job.spec;
+        balancer.load().removeTask(attempt.machine.id, spec.team(), spec.cpus());
+        balancer.budget().removeTask(spec.jobClass(), outbox.now.monotonicMs());
+        Reservation reservation = reservations.get(new TaskId(attempt.job.id, attempt.taskIndex));
+        if (reservation == null || reservation.source != attempt) {
             return;
         }
-        if (live.job.done.get(live.index)) {
-            release(r);
-            balancer.completed(r.move, outbox.now.monotonicMs());
-            outbox.logInfo("move: " + r.move.task().id() + " had completed before it was stopped");
-        } else if (live.job.closed) {
-            abandon(r, Move.Reason.JOB_CLOSED);
+        if (attempt.job.completedTasks.get(attempt.taskIndex)) {
+            release(reservation);
+            balancer.markCompleted(reservation.migration, outbox.now.monotonicMs());
+            outbox.logInfo(
+                    "move: "
+                            + reservation.migration.task().id()
+                            + " had completed before it was stopped");
+        } else if (attempt.job.closed) {
+            abandon(reservation, Move.Reason.JOB_CLOSED);
         } else {
-            balancer.leftSource(r.move, live.saved, outbox.now.monotonicMs());
-            r.left = true;
-            live.job.setWaiting(live.index, false);
-            ledger.hold(spec);
+            balancer.markLeftSource(
+                    reservation.migration, attempt.checkpointed, outbox.now.monotonicMs());
+            reservation.hasLeftSource = true;
+            attempt.job.setPending(attempt.taskIndex, false);
+            ledger.reserve(spec);
         }
     }
 
@@ -148,150 +157,161 @@
      * a high-demand one.
      */
     Planner.SpreadLimit spreadLimit() {
-        if (off()) {
+        if (isDisabled()) {
             return Planner.SpreadLimit.NONE;
         }
-        balancer.demand(demand());
+        balancer.updateDemand(unmetDemand());
         return this;
     }
 
     @Override
-    public double cpusAllowed(Machine m, JobSpec spec, Planner.SpreadPass pass) {
-        if (!balancer.hot(spec.team())) {
+    public double maxTeamCpus(Machine machine, JobSpec spec, Planner.SpreadPass pass) {
+        if (!balancer.isHighDemand(spec.team())) {
             return Double.POSITIVE_INFINITY;
         }
-        boolean limited = pass == Planner.SpreadPass.WITHIN_LIMIT;
-        if (!limited && !m.cachedImages.contains(spec.image())) {
+        boolean withinLimit = pass == Planner.SpreadPass.WITHIN_LIMIT;
+        if (!withinLimit && !machine.cachedImages.contains(spec.image())) {
             return 0;
         }
-        boolean beyond = pass == Planner.SpreadPass.IMAGE_BEYOND_LIMIT;
-        double fetchShare = beyond ? Planner.fetchShare(m.type, spec) : 0;
-        return balancer.cpusAllowed(m.id, spec.team(), spec.cpus(), fetchShare);
+        boolean beyondLimit = pass == Planner.SpreadPass.IMAGE_BEYOND_LIMIT;
+        double fetchShare = beyondLimit ? Planner.imageFetchShare(machine.type, spec) : 0;
+        return balancer.maxTeamCpus(machine.id, spec.team(), spec.cpus(), fetchShare);
     }
 
     @Override
-    public double cpusUsed(Machine m, String team) {
-        return balancer.load().cpusOn(m.id, team);
+    public double teamCpusUsed(Machine machine, String team) {
+        return balancer.load().teamCpusOn(machine.id, team);
     }
 
     /** Whether a migrated task waits for this machine's heartbeat. */
-    boolean hasReady(Machine m) {
-        return m.reservedTaskCount > 0
-                && reservations.values().stream().anyMatch(r -> r.target == m && r.left);
+    boolean hasReadyTasks(Machine machine) {
+        return machine.reservedTaskCount > 0
+                && reservations.values().stream()
+                        .anyMatch(
+                                reservation ->
+                                        reservation.target == machine && reservation.hasLeftSource);
     }
 
     /**
      * Returns the migrated tasks that are to start now on a machine that has sent a heartbeat.
      * Their state becomes waiting, and their reserved capacity is free for them.
      */
-    List<TaskId> takeReady(Machine m) {
-        List<TaskId> ready = new ArrayList<>();
-        if (!hasReady(m)) {
-            return ready;
+    List<TaskId> takeReadyTasks(Machine machine) {
+        List<TaskId> readyTasks = new ArrayList<>();
+        if (!hasReadyTasks(machine)) {
+            return readyTasks;
         }
-        for (Reservation r : List.copyOf(reservations.values())) {
-            if (r.target != m || !r.left) {
+        for (Reservation reservation : List.copyOf(reservations.values())) {
+            if (reservation.target != machine || !reservation.hasLeftSource) {
                 continue;
             }
-            if (r.source.job.closed) {
-                abandon(r, Move.Reason.JOB_CLOSED);
-            } else if (part.quotaHeadroom().cpusLeft(r.spec().team()) < -Tuning.EPSILON) {
+            if (reservation.source.job.closed) {
+                abandon(reservation, Move.Reason.JOB_CLOSED);
+            } else if (shard.quotaHeadroom().cpuHeadroom(reservation.spec().team())
+                    < -Tuning.EPSILON) {
                 // The quota share may have been lowered since the task left its source.
-                abandon(r, Move.Reason.TEAM_LIMIT);
+                abandon(reservation, Move.Reason.TEAM_LIMIT);
             } else {
-                release(r);
-                balancer.started(r.move, outbox.now.monotonicMs());
+                release(reservation);
+                balancer.markStarted(reservation.migration, outbox.now.monotonicMs());
                 outbox.logInfo(
                         "moved: %s to %s after %.1f s%s"
                                 .formatted(
-                                        r.move.task().id(),
-                                        m.id,
-                                        (outbox.now.monotonicMs() - r.move.begunMs()) / 1000.0,
-                                        r.source.saved ? ", saved" : ""));
-                ready.add(r.move.task().id());
+                                        reservation.migration.task().id(),
+                                        machine.id,
+                                        (outbox.now.monotonicMs()
+                                                        - reservation.migration.begunAtMs())
+                                                / 1000.0,
+                                        reservation.source.checkpointed ? ", saved" : ""));
+                readyTasks.add(reservation.migration.task().id());
             }
         }
-        return ready;
+        return readyTasks;
     }
 
     // ---- migration ---------------------------------------------------------------------------
 
     /** Checks the migrations in progress and begins new ones. */
     void step() {
-        if (off() || outbox.now.monotonicMs() < nextStepMs) {
+        if (isDisabled() || outbox.now.monotonicMs() < nextStepMs) {
             return;
         }
         nextStepMs = outbox.now.monotonicMs() + Tuning.BALANCE_EVERY_MS;
-        for (Reservation r : List.copyOf(reservations.values())) {
-            check(r);
+        for (Reservation reservation : List.copyOf(reservations.values())) {
+            checkProgress(reservation);
         }
         // No migration begins before all machines have reported, after a lease expiry, or with a
         // stale store cache: the known state of the machines may then be wrong.
-        if (part.isReconciled() && part.canStartTasks()) {
-            balancer.demand(demand());
-            balancer.plan(this, outbox.now.monotonicMs()).forEach(this::begin);
+        if (shard.isReconciled() && shard.canStartTasks()) {
+            balancer.updateDemand(unmetDemand());
+            balancer.planMigrations(this, outbox.now.monotonicMs()).forEach(this::begin);
         }
-        if (outbox.now.monotonicMs() >= nextLineMs && balancer.statistics().moves() > 0) {
-            nextLineMs = outbox.now.monotonicMs() + Tuning.STATUS_LINE_MS;
+        if (outbox.now.monotonicMs() >= nextLogMs && balancer.statistics().migrationsBegun() > 0) {
+            nextLogMs = outbox.now.monotonicMs() + Tuning.STATUS_LINE_MS;
             outbox.logDebug(
-                    "balance: part " + part.shardNumber + " " + balancer.statistics().line());
+                    "balance: part " + shard.shardNumber + " " + balancer.statistics().summary());
         }
     }
 
     /** Returns the CPUs that each team wants beyond what it uses, within its quota headroom. */
-    private Map<String, Double> demand() {
-        Map<String, Double> wanted = new HashMap<>();
-        for (Job job : part.jobs().values()) {
-            if (job.waitingCount > 0) {
-                wanted.merge(job.spec.team(), job.waitingCount * job.spec.cpus(), Double::sum);
+    private Map<String, Double> unmetDemand() {
+        Map<String, Double> wantedCpus = new HashMap<>();
+        for (Job job : shard.jobs().values()) {
+            if (job.pendingCount > 0) {
+                wantedCpus.merge(job.spec.team(), job.pendingCount * job.spec.cpus(), Double::sum);
             }
         }
-        wanted.replaceAll(
-                (team, cpus) -> Math.max(0, Math.min(cpus, part.quotaHeadroom().cpusLeft(team))));
-        return wanted;
+        wantedCpus.replaceAll(
+                (team, cpus) ->
+                        Math.max(0, Math.min(cpus, shard.quotaHeadroom().cpuHeadroom(team))));
+        return wantedCpus;
     }
 
-    private void check(Reservation r) {
-        Move.Reason late = balancer.overdue(r.move, outbox.now.monotonicMs());
-        if (r.source.job.closed) {
-            abandon(r, Move.Reason.JOB_CLOSED);
-        } else if (part.machines().get(r.target.id) != r.target || !part.isAvailable(r.target)) {
-            abandon(r, Move.Reason.TARGET_LOST);
-        } else if (late != null) {
-            abandon(r, late);
+    private void checkProgress(Reservation reservation) {
+        Move.Reason timeoutReason =
+                balancer.timeoutReason(reservation.migration, outbox.now.monotonicMs());
+        if (reservation.source.job.closed) {
+            abandon(reservation, Move.Reason.JOB_CLOSED);
+        } else if (shard.machines().get(reservation.target.id) != reservation.target
+                || !shard.isAvailable(reservation.target)) {
+            abandon(reservation, Move.Reason.TARGET_LOST);
+        } else if (timeoutReason != null) {
+            abandon(reservation, timeoutReason);
         }
     }
 
-    private void begin(Move move) {
-        Job job = part.jobs().get(move.task().id().job());
-        TaskAttempt live = job.live.get(move.task().id().index());
-        Reservation r = new Reservation(move, live, part.machines().get(move.target()));
-        reservations.put(move.task().id(), r);
-        r.target.reserve(r.spec(), 1);
-        live.stopping = true;
-        part.taskEviction().halt(live, TaskStops.graceS(live));
+    private void begin(Move migration) {
+        Job job = shard.jobs().get(migration.task().id().job());
+        TaskAttempt attempt = job.activeAttempts.get(migration.task().id().index());
+        Reservation reservation =
+                new Reservation(migration, attempt, shard.machines().get(migration.target()));
+        reservations.put(migration.task().id(), reservation);
+        reservation.target.reserve(reservation.spec(), 1);
+        attempt.beingEvicted = true;
+        shard.taskEviction().sendStop(attempt, TaskStops.gracePeriodS(attempt));
         outbox.logInfo(
                 "move: %s from %s to %s, spread of %s %.2f, gain %.0f s"
                         .formatted(
-                                move.task().id(),
-                                live.machine.id,
-                                move.target(),
-                                move.task().team(),
-                                balancer.load().spread(move.task().team()),
-                                move.gainS()));
+                                migration.task().id(),
+                                attempt.machine.id,
+                                migration.target(),
+                                migration.task().team(),
+                                balancer.load().skew(migration.task().team()),
+                                migration.gainS()));
     }
 
     /** Abandons all migrations: the known state of the machines has turned out to be wrong. */
     void abandonAll() {
-        List.copyOf(reservations.values()).forEach(r -> abandon(r, Move.Reason.REBUILD));
+        List.copyOf(reservations.values())
+                .forEach(reservation -> abandon(reservation, Move.Reason.REBUILD));
     }
 
-    private void abandon(Reservation r, Move.Reason reason) {
-        release(r);
-        balancer.abandon(r.move, reason, outbox.now.monotonicMs());
+    private void abandon(Reservation reservation, Move.Reason reason) {
+        release(reservation);
+        balancer.abandon(reservation.migration, reason, outbox.now.monotonicMs());
         outbox.logInfo(
                 "move: "
-                        + r.move.task().id()
+                        + reservation.migration.task().id()
                         + " abandoned, "
                         + reason.name().toLowerCase(Locale.ROOT).replace('_', ' '));
     }
@@ -299,79 +319,81 @@
     /**
      * Releases what is reserved for a migration. The task waits again if it has left its source.
      */
-    private void release(Reservation r) {
-        reservations.remove(r.move.task().id());
-        r.target.reserve(r.spec(), -1);
-        if (!r.left) {
+    private void release(Reservation reservation) {
+        reservations.remove(reservation.migration.task().id());
+        reservation.target.reserve(reservation.spec(), -1);
+        if (!reservation.hasLeftSource) {
             return;
         }
-        ledger.letGo(r.spec());
-        Job job = r.source.job;
-        int index = r.source.index;
-        if (!job.closed && !job.done.get(index) && job.live.get(index) == null) {
-            job.setWaiting(index, true);
+        ledger.release(reservation.spec());
+        Job job = reservation.source.job;
+        int index = reservation.source.taskIndex;
+        if (!job.closed
+                && !job.completedTasks.get(index)
+                && job.activeAttempts.get(index) == null) {
+            job.setPending(index, true);
         }
     }
 
     @Override
-    public List<MovableTask> movableTasks(String machine, String team) {
-        List<MovableTask> movable = new ArrayList<>();
-        Machine m = part.machines().get(machine);
-        if (m == null || !part.isAvailable(m)) {
-            return movable;
+    public List<MovableTask> migratableTasks(String machine, String team) {
+        List<MovableTask> migratable = new ArrayList<>();
+        Machine m = shard.machines().get(machine);
+        if (m == null || !shard.isAvailable(m)) {
+            return migratable;
         }
-        for (TaskAttempt live : m.tasks.values()) {
-            if (live.job.spec.team().equals(team) && movable(live)) {
-                movable.add(task(live));
+        for (TaskAttempt attempt : m.tasks.values()) {
+            if (attempt.job.spec.team().equals(team) && isMigratable(attempt)) {
+                migratable.add(toMigratableTask(attempt));
             }
         }
-        return movable;
+        return migratable;
     }
 
     /** Whether a task can be stopped and restarted without harm to its job. */
-    private boolean movable(TaskAttempt live) {
-        JobSpec spec = live.job.spec;
-        return live.state == TaskAttempt.State.RUNNING
-                && !live.stopping
-                && !live.mustStop
-                && !live.job.closed
-                && spec.shape().ends()
-                && spec.checkpointS() > 0
-                && !spec.oneZone()
-                && !spec.spread()
-                && live.job.live.get(live.index) == live
-                && outbox.now.monotonicMs() - live.sinceMs > Tuning.START_COUNTS_MS
-                && part.schedulingOrder().canSpare(live.job, outbox.now.wallMs());
+    private boolean isMigratable(TaskAttempt attempt) {
+        JobSpec spec = attempt.job.spec;
+        return attempt.state == TaskAttempt.State.RUNNING
+                && !attempt.beingEvicted
+                && !attempt.mustStop
+                && !attempt.job.closed
+                && spec.workloadType().runsToCompletion()
+                && spec.checkpointIntervalS() > 0
+                && !spec.singleZone()
+                && !spec.spreadAcrossZones()
+                && attempt.job.activeAttempts.get(attempt.taskIndex) == attempt
+                && outbox.now.monotonicMs() - attempt.createdMs > Tuning.START_COUNTS_MS
+                && shard.schedulingOrder().isPreemptible(attempt.job, outbox.now.wallMs());
     }
 
-    private MovableTask task(TaskAttempt live) {
-        JobSpec spec = live.job.spec;
-        double ranS = (outbox.now.monotonicMs() - live.runningSinceMs) / 1000.0;
+    private MovableTask toMigratableTask(TaskAttempt attempt) {
+        JobSpec spec = attempt.job.spec;
+        double ranS = (outbox.now.monotonicMs() - attempt.runningSinceMs) / 1000.0;
         return new MovableTask(
-                new TaskId(live.job.id, live.index),
+                new TaskId(attempt.job.id, attempt.taskIndex),
                 spec.jobClass(),
                 spec.team(),
                 spec.cpus(),
                 spec.image(),
                 spec.imageGb(),
-                live.machine.id,
-                part.runTimeEstimates().runS(live.job) - ranS,
-                Math.min(spec.checkpointS(), ranS),
-                spec.saveS());
+                attempt.machine.id,
+                shard.runTimeEstimates().expectedRunS(attempt.job) - ranS,
+                Math.min(spec.checkpointIntervalS(), ranS),
+                spec.checkpointDurationS());
     }
 
     @Override
-    public boolean takes(String machine, MovableTask task) {
-        Machine m = part.machines().get(machine);
-        Job job = part.jobs().get(task.id().job());
-        if (m == null || job == null || !part.isAvailable(m) || !m.hasDurableUseRecord) {
+    public boolean canAccept(String machine, MovableTask task) {
+        Machine m = shard.machines().get(machine);
+        Job job = shard.jobs().get(task.id().job());
+        if (m == null || job == null || !shard.isAvailable(m) || !m.hasDurableUseRecord) {
             return false;
         }
-        Planner.Slot slot = new Planner.Slot(m);
-        return !slot.dear
-                && !job.failedOn.contains(machine)
+        Planner.Slot capacity = new Planner.Slot(m);
+        return !capacity.expensive
+                && !job.failedMachineIds.contains(machine)
                 && m.tasks.size() + m.reservedTaskCount < Tuning.MOST_TASKS_ON_MACHINE
-                && job.spec.allows(m.type.name(), m.zone, m.spot)
-                && slot.fits(job.spec) > 0;
+                && job.spec.allowsMachine(m.type.name(), m.zone, m.spot)
+                && capacity.fittingTaskCount(job.spec) > 0;
     }
 }
--- a/src/main/java/org/shoreusher/core/ConfirmedReads.java
+++ b/src/main/java/org/shoreusher/core/ConfirmedReads.java
@@ -92,7 +92,7 @@
      */
     void readBatched(long requestId, String jobId, Consumer<JobRecord> callback) {
         JobRecord terminalRecord = terminalJobs.get(jobId);
-        JobRecord batchedRecord = submissionBatches.record(jobId);
+        JobRecord batchedRecord = submissionBatches.jobRecord(jobId);
         if (terminalRecord == null
                 && batchedRecord != null
                 && batchedRecord.status() != JobStatus.OPEN) {
@@ -168,7 +168,7 @@
 
     private JobRecord cachedRecord(String jobId) {
         JobRecord terminalRecord = terminalJobs.get(jobId);
-        return terminalRecord != null ? terminalRecord : submissionBatches.record(jobId);
+        return terminalRecord != null ? terminalRecord : submissionBatches.jobRecord(jobId);
     }
 
     /**
--- a/src/main/java/org/shoreusher/core/EndedJobs.java
+++ b/src/main/java/org/shoreusher/core/EndedJobs.java
@@ -13,45 +13,45 @@
  */
 final class EndedJobs {
     /** A cancelled job, and when its record is evicted; steady ms. */
-    private record Leaving(String id, long atMs) {}
+    private record PendingEviction(String jobId, long evictAtMs) {}
 
     private final Settings settings;
     private final Outbox outbox;
-    private final StoreView view;
+    private final StoreView storeCache;
 
     /** Jobs evicted from the cache of the store; those dropped here can be read from the store. */
-    private final Cache<String, JobRecord> ended =
+    private final Cache<String, JobRecord> terminalJobs =
             Caffeine.newBuilder().maximumSize(Tuning.FINAL_STATES).executor(Runnable::run).build();
 
     /** Cancelled jobs whose records are not yet evicted, in the order of their times. */
-    private final ArrayDeque<Leaving> leaving = new ArrayDeque<>();
+    private final ArrayDeque<PendingEviction> pendingEvictions = new ArrayDeque<>();
 
     /** An empty cache. */
-    EndedJobs(Settings settings, Outbox outbox, StoreView view) {
+    EndedJobs(Settings settings, Outbox outbox, StoreView storeCache) {
         this.settings = settings;
         this.outbox = outbox;
-        this.view = view;
+        this.storeCache = storeCache;
     }
 
     /** The record of a job in a terminal state; null if it is not in memory. */
-    JobRecord get(String id) {
-        return ended.getIfPresent(id);
+    JobRecord get(String jobId) {
+        return terminalJobs.getIfPresent(jobId);
     }
 
     /** A job has completed: moves its record from the cache of the store to this one. */
-    void done(String id, JobRecord record) {
-        ended.put(id, record);
-        view.evict(StoreSchema.jobKey(id));
+    void jobCompleted(String jobId, JobRecord record) {
+        terminalJobs.put(jobId, record);
+        storeCache.evict(StoreSchema.jobKey(jobId));
     }
 
     /**
      * A job has been cancelled: schedules the eviction of its record for a time when its tasks have
      * surely been stopped.
      */
-    void cancelled(String id) {
-        leaving.add(
-                new Leaving(
-                        id,
+    void jobCancelled(String jobId) {
+        pendingEvictions.add(
+                new PendingEviction(
+                        jobId,
                         outbox.now.monotonicMs()
                                 + (long) (settings.cancelS() * 1000 * Tuning.CANCELLED_KEPT)));
     }
@@ -59,14 +59,15 @@
     /**
      * Evicts the records of cancelled jobs that are due, and keeps them here without their specs.
      */
-    void step() {
-        while (!leaving.isEmpty() && leaving.peek().atMs() <= outbox.now.monotonicMs()) {
-            String id = leaving.poll().id();
-            StoreView.Entry entry = view.get(StoreSchema.jobKey(id));
+    void evictCancelledJobs() {
+        while (!pendingEvictions.isEmpty()
+                && pendingEvictions.peek().evictAtMs() <= outbox.now.monotonicMs()) {
+            String jobId = pendingEvictions.poll().jobId();
+            StoreView.Entry entry = storeCache.get(StoreSchema.jobKey(jobId));
             if (entry != null) {
                 JobRecord record = JobRecord.fromMap(entry.value());
-                ended.put(
-                        id,
+                terminalJobs.put(
+                        jobId,
                         new JobRecord(
                                 record.shardNumber(),
                                 record.status(),
@@ -74,7 +75,7 @@
                                 record.acceptedWallMs(),
                                 record.highWaterMark(),
                                 null));
-                view.evict(StoreSchema.jobKey(id));
+                storeCache.evict(StoreSchema.jobKey(jobId));
             }
         }
     }
--- a/src/main/java/org/shoreusher/core/Estimates.java
+++ b/src/main/java/org/shoreusher/core/Estimates.java
@@ -12,25 +12,28 @@
      * The exponentially weighted mean of actual to estimated run time, by job class. It is an array
      * of one element, so that an update allocates nothing.
      */
-    private final Object2ObjectOpenHashMap<String, double[]> ratios =
+    private final Object2ObjectOpenHashMap<String, double[]> meanRatioByClass =
             new Object2ObjectOpenHashMap<>();
 
     /** Records how long a completed task of the job ran. */
-    void observed(Job job, double seconds) {
-        job.observe(seconds);
-        if (job.spec.estimateS() > 0) {
-            double ratio = seconds / job.spec.estimateS();
-            double[] mean = ratios.computeIfAbsent(job.spec.jobClass(), c -> new double[] {1});
-            mean[0] += (ratio - mean[0]) * Tuning.ESTIMATE_WEIGHT;
+    void recordRunTime(Job job, double runTimeS) {
+        job.recordRunTime(runTimeS);
+        if (job.spec.estimatedRunS() > 0) {
+            double ratio = runTimeS / job.spec.estimatedRunS();
+            double[] meanRatio =
+                    meanRatioByClass.computeIfAbsent(job.spec.jobClass(), c -> new double[] {1});
+            meanRatio[0] += (ratio - meanRatio[0]) * Tuning.ESTIMATE_WEIGHT;
         }
     }
 
     /** The expected run time of a task of the job, in seconds; at least 1. */
-    double runS(Job job) {
-        if (job.observedCount() > 0) {
-            return Math.max(Tuning.LEAST_RUN_S, job.observedMeanS());
+    double expectedRunS(Job job) {
+        if (job.observedRunCount() > 0) {
+            return Math.max(Tuning.LEAST_RUN_S, job.meanRunTimeS());
         }
-        double[] mean = ratios.get(job.spec.jobClass());
-        return Math.max(Tuning.LEAST_RUN_S, job.spec.estimateS() * (mean == null ? 1 : mean[0]));
+        double[] meanRatio = meanRatioByClass.get(job.spec.jobClass());
+        return Math.max(
+                Tuning.LEAST_RUN_S,
+                job.spec.estimatedRunS() * (meanRatio == null ? 1 : meanRatio[0]));
     }
 }
--- a/src/main/java/org/shoreusher/core/FinalStates.java
+++ b/src/main/java/org/shoreusher/core/FinalStates.java
@@ -12,28 +12,32 @@
  */
 final class FinalStates {
     private final Outbox outbox;
-    private final StoreView view;
-    private final Arrivals arrivals;
-    private final PartOwnership ownership;
+    private final StoreView storeCache;
+    private final Arrivals submissionBatches;
+    private final PartOwnership leadership;
 
     /** Jobs whose last task has completed and whose terminal state is not yet durable. */
-    private final List<Job> complete = new ArrayList<>();
+    private final List<Job> completedJobs = new ArrayList<>();
 
     /** A writer for the jobs of one shard. */
-    FinalStates(Outbox outbox, StoreView view, Arrivals arrivals, PartOwnership ownership) {
+    FinalStates(
+            Outbox outbox,
+            StoreView storeCache,
+            Arrivals submissionBatches,
+            PartOwnership leadership) {
         this.outbox = outbox;
-        this.view = view;
-        this.arrivals = arrivals;
-        this.ownership = ownership;
+        this.storeCache = storeCache;
+        this.submissionBatches = submissionBatches;
+        this.leadership = leadership;
     }
 
     /**
      * Queues the job if its last task has completed. To be called when a task completes, and for
      * each job that this leader takes over.
      */
-    void finished(Job job) {
-        if (job.complete() && !complete.contains(job)) {
-            complete.add(job);
+    void taskCompleted(Job job) {
+        if (job.isComplete() && !completedJobs.contains(job)) {
+            completedJobs.add(job);
         }
     }
 
@@ -41,33 +45,33 @@
      * Sends the writes that are due, as far as the request rate allows. Does nothing unless this
      * node is the leader.
      */
-    void write() {
-        if (complete.isEmpty() || !ownership.isLeader()) {
+    void writeTerminalStates() {
+        if (completedJobs.isEmpty() || !leadership.isLeader()) {
             return;
         }
-        complete.removeIf(job -> job.closed);
-        for (Job job : complete) {
-            JobRecord record = arrivals.record(job.id);
-            if (job.finishing || record == null) {
+        completedJobs.removeIf(job -> job.closed);
+        for (Job job : completedJobs) {
+            JobRecord record = submissionBatches.jobRecord(job.id);
+            if (job.terminalWriteInFlight || record == null) {
                 continue;
             }
             Map<String, Map<String, Object>> writes =
                     Map.of(StoreSchema.jobKey(job.id), record.asDone().toMap());
             // A failed precondition means that a cancellation came first; the watch will show it.
-            job.finishing =
+            job.terminalWriteInFlight =
                     outbox.callStore(
                             new StateOp.Multi(
-                                    ownership.preconditions(
+                                    leadership.preconditions(
                                             StoreSchema.jobKey(job.id),
-                                            view.version(StoreSchema.jobKey(job.id))),
+                                            storeCache.version(StoreSchema.jobKey(job.id))),
                                     writes),
                             reply -> {
-                                job.finishing = false;
+                                job.terminalWriteInFlight = false;
                                 if (reply.status() == 200) {
-                                    view.applyOwnWrites(reply, writes);
+                                    storeCache.applyOwnWrites(reply, writes);
                                 }
                             });
-            if (!job.finishing) {
+            if (!job.terminalWriteInFlight) {
                 return;
             }
         }
--- a/src/main/java/org/shoreusher/core/FinishedRecords.java
+++ b/src/main/java/org/shoreusher/core/FinishedRecords.java
@@ -26,164 +26,184 @@
  */
 final class FinishedRecords {
     /** The completed tasks of one slice, and the index of its record. */
-    private record Placed(Job job, int chunk, BitSet done) {}
+    private record StoredSlice(Job job, int recordIndex, BitSet completedTasks) {}
 
     /** The limit on the JSON length of a record, in bytes. */
-    private final int limit;
+    private final int maxRecordBytes;
 
     private final Collection<Job> jobs;
 
     /** Reads the stored value of a record by its index; empty if there is none. */
-    private final IntFunction<Map<String, Object>> stored;
+    private final IntFunction<Map<String, Object>> storedRecord;
 
     /** The completed tasks of each record, by job id. */
     private final List<Map<String, BitSet>> chunks = new ArrayList<>();
 
-    private final List<Placed> placed = new ArrayList<>();
+    private final List<StoredSlice> storedSlices = new ArrayList<>();
 
     private FinishedRecords(
-            Collection<Job> jobs, int limit, IntFunction<Map<String, Object>> stored) {
+            Collection<Job> jobs,
+            int maxRecordBytes,
+            IntFunction<Map<String, Object>> storedRecord) {
         this.jobs = jobs;
-        this.limit = limit;
-        this.stored = stored;
+        this.maxRecordBytes = maxRecordBytes;
+        this.storedRecord = storedRecord;
     }
 
     /**
      * Lays out the completed tasks of the jobs as they are now.
      *
-     * @param stored reads the stored value of a record by its index; empty if there is none
+     * @param storedRecord reads the stored value of a record by its index; empty if there is none
      */
-    static FinishedRecords of(
-            Collection<Job> jobs, Settings s, IntFunction<Map<String, Object>> stored) {
-        FinishedRecords r = new FinishedRecords(jobs, limit(s), stored);
-        r.chunks(0);
-        r.assign();
-        jobs.forEach(r::add);
-        return r;
+    static FinishedRecords layOut(
+            Collection<Job> jobs,
+            Settings settings,
+            IntFunction<Map<String, Object>> storedRecord) {
+        FinishedRecords layout = new FinishedRecords(jobs, maxRecordBytes(settings), storedRecord);
+        layout.recordCount(0);
+        layout.assignRecords();
+        jobs.forEach(layout::addSlices);
+        return layout;
     }
 
-    private static int limit(Settings s) {
-        return (int) (s.valueBytes() * Tuning.RECORD_FILL);
+    private static int maxRecordBytes(Settings settings) {
+        return (int) (settings.valueBytes() * Tuning.RECORD_FILL);
     }
 
     /**
      * The number of tasks in a slice: as many as fit into a record if every other one completes.
      */
-    private static int slice(Job job, int limit) {
-        return Math.max(1, (limit - frame(job)) / Tuning.RECORD_PER_TASK);
+    private static int slice(Job job, int maxRecordBytes) {
+        return Math.max(1, (maxRecordBytes - frameBytes(job)) / Tuning.RECORD_PER_TASK);
     }
 
     /** Bytes that a job takes in a record besides its ranges. */
-    private static int frame(Job job) {
+    private static int frameBytes(Job job) {
         return Tuning.RECORD_FRAME + job.id.length();
     }
 
     /** Sizes the job's table of slices; all slices are unassigned if their number has changed. */
-    private static void cut(Job job, int limit) {
-        int slices = (job.spec.tasks() - 1) / slice(job, limit) + 1;
-        if (job.chunks.length != slices) {
-            job.chunks = new int[slices];
-            Arrays.fill(job.chunks, -1);
+    private static void cutIntoSlices(Job job, int maxRecordBytes) {
+        int slices = (job.spec.taskCount() - 1) / slice(job, maxRecordBytes) + 1;
+        if (job.completionRecordBySlice.length != slices) {
+            job.completionRecordBySlice = new int[slices];
+            Arrays.fill(job.completionRecordBySlice, -1);
         }
     }
 
     /** Notes that a record of a previous leader holds these completed tasks of the job. */
-    static void found(Job job, BitSet set, int chunk, Settings s) {
-        int limit = limit(s);
-        cut(job, limit);
-        for (int i = set.nextSetBit(0);
-                i >= 0 && i < job.spec.tasks();
-                i = set.nextSetBit((i / slice(job, limit) + 1) * slice(job, limit))) {
-            job.chunks[i / slice(job, limit)] = chunk;
+    static void adoptStoredRecord(
+            Job job, BitSet completedTasks, int recordIndex, Settings settings) {
+        int maxRecordBytes = maxRecordBytes(settings);
+        cutIntoSlices(job, maxRecordBytes);
+        for (int i = completedTasks.nextSetBit(0);
+                i >= 0 && i < job.spec.taskCount();
+                i =
+                        completedTasks.nextSetBit(
+                                (i / slice(job, maxRecordBytes) + 1)
+                                        * slice(job, maxRecordBytes))) {
+            job.completionRecordBySlice[i / slice(job, maxRecordBytes)] = recordIndex;
         }
     }
 
     /** The most bytes that a slice can take in its record. */
-    private int worst(Job job, int slice) {
-        int size = slice(job, limit);
-        return frame(job)
-                + Math.min(size, job.spec.tasks() - slice * size) * Tuning.RECORD_PER_TASK;
+    private int worstCaseBytes(Job job, int slice) {
+        int size = slice(job, maxRecordBytes);
+        return frameBytes(job)
+                + Math.min(size, job.spec.taskCount() - slice * size) * Tuning.RECORD_PER_TASK;
     }
 
     /** Assigns a record to each slice that has none or no longer fits into its own. */
-    private void assign() {
-        List<Integer> load = new ArrayList<>();
+    private void assignRecords() {
+        List<Integer> bytesByRecord = new ArrayList<>();
         for (Job job : jobs) {
-            if (!job.spec.shape().ends()) {
+            if (!job.spec.workloadType().runsToCompletion()) {
                 continue;
             }
-            cut(job, limit);
-            for (int i = 0; i < job.chunks.length; i++) {
-                int c = job.chunks[i];
-                if (c >= 0 && loadOf(load, c) + worst(job, i) > limit) {
-                    job.chunks[i] = -1;
-                } else if (c >= 0) {
-                    load.set(c, load.get(c) + worst(job, i));
+            cutIntoSlices(job, maxRecordBytes);
+            for (int i = 0; i < job.completionRecordBySlice.length; i++) {
+                int recordIndex = job.completionRecordBySlice[i];
+                if (recordIndex >= 0
+                        && assignedBytes(bytesByRecord, recordIndex) + worstCaseBytes(job, i)
+                                > maxRecordBytes) {
+                    job.completionRecordBySlice[i] = -1;
+                } else if (recordIndex >= 0) {
+                    bytesByRecord.set(
+                            recordIndex, bytesByRecord.get(recordIndex) + worstCaseBytes(job, i));
                 }
             }
         }
-        int fresh = 1;
-        while (!stored.apply(fresh).isEmpty()) {
-            fresh++;
+        int firstUnusedRecord = 1;
+        while (!storedRecord.apply(firstUnusedRecord).isEmpty()) {
+            firstUnusedRecord++;
         }
         for (Job job : jobs) {
-            for (int i = 0; i < job.chunks.length; i++) {
-                if (job.chunks[i] < 0) {
+            for (int i = 0; i < job.completionRecordBySlice.length; i++) {
+                if (job.completionRecordBySlice[i] < 0) {
                     // A slice that moves goes to a new record: two full records whose slices change
                     // places would each wait until the other one is written.
-                    int c = slice(job, i, job.durable).isEmpty() ? 0 : fresh;
-                    while (loadOf(load, c) + worst(job, i) > limit) {
-                        c++;
+                    int recordIndex =
+                            slice(job, i, job.durablyCompletedTasks).isEmpty()
+                                    ? 0
+                                    : firstUnusedRecord;
+                    while (assignedBytes(bytesByRecord, recordIndex) + worstCaseBytes(job, i)
+                            > maxRecordBytes) {
+                        recordIndex++;
                     }
-                    job.chunks[i] = c;
-                    load.set(c, load.get(c) + worst(job, i));
+                    job.completionRecordBySlice[i] = recordIndex;
+                    bytesByRecord.set(
+                            recordIndex, bytesByRecord.get(recordIndex) + worstCaseBytes(job, i));
                 }
             }
         }
-        chunks(Math.max(0, load.size() - 1));
+        recordCount(Math.max(0, bytesByRecord.size() - 1));
         // Records of a previous leader to which no slice is assigned any more are listed too, so
         // that they are emptied.
-        for (int c = load.size(); !stored.apply(c).isEmpty(); c++) {
-            chunks(c);
+        for (int recordIndex = bytesByRecord.size();
+                !storedRecord.apply(recordIndex).isEmpty();
+                recordIndex++) {
+            recordCount(recordIndex);
         }
     }
 
     /** The worst-case bytes assigned to a record so far. */
-    private static int loadOf(List<Integer> load, int c) {
-        while (load.size() <= c) {
-            load.add(0);
+    private static int assignedBytes(List<Integer> bytesByRecord, int recordIndex) {
+        while (bytesByRecord.size() <= recordIndex) {
+            bytesByRecord.add(0);
         }
-        return load.get(c);
+        return bytesByRecord.get(recordIndex);
     }
 
     /** The given tasks that belong to one slice. */
     private BitSet slice(Job job, int i, BitSet tasks) {
-        int size = slice(job, limit);
+        int size = slice(job, maxRecordBytes);
         BitSet set = new BitSet();
-        set.set(i * size, Math.min(job.spec.tasks(), (i + 1) * size));
+        set.set(i * size, Math.min(job.spec.taskCount(), (i + 1) * size));
         set.and(tasks);
         return set;
     }
 
-    private void add(Job job) {
-        for (int i = 0; i < job.chunks.length; i++) {
-            BitSet set = slice(job, i, job.done);
+    private void addSlices(Job job) {
+        for (int i = 0; i < job.completionRecordBySlice.length; i++) {
+            BitSet set = slice(job, i, job.completedTasks);
             if (!set.isEmpty()) {
-                chunks(job.chunks[i]).computeIfAbsent(job.id, id -> new BitSet()).or(set);
-                placed.add(new Placed(job, job.chunks[i], set));
+                recordCount(job.completionRecordBySlice[i])
+                        .computeIfAbsent(job.id, id -> new BitSet())
+                        .or(set);
+                storedSlices.add(new StoredSlice(job, job.completionRecordBySlice[i], set));
             }
         }
     }
 
-    private Map<String, BitSet> chunks(int c) {
-        while (chunks.size() <= c) {
+    private Map<String, BitSet> recordCount(int recordIndex) {
+        while (chunks.size() <= recordIndex) {
             chunks.add(new LinkedHashMap<>());
         }
-        return chunks.get(c);
+        return chunks.get(recordIndex);
     }
 
     /** The number of records. */
-    int chunks() {
+    int recordCount() {
         return chunks.size();
     }
 
@@ -191,41 +211,45 @@
      * The value that a record should have now: its own slices, and stored tasks of other slices
      * that no other record holds yet. If that exceeds the limit, it is the stored value, unchanged.
      */
-    Map<String, Object> chunk(int c) {
-        Map<String, BitSet> wanted = new LinkedHashMap<>(chunks.get(c));
-        Map<String, Object> now = stored.apply(c);
+    Map<String, Object> recordValue(int recordIndex) {
+        Map<String, BitSet> wanted = new LinkedHashMap<>(chunks.get(recordIndex));
+        Map<String, Object> storedValue = storedRecord.apply(recordIndex);
         for (Job job : jobs) {
-            if (now.get(job.id) instanceof String ranges) {
-                BitSet only = TaskRanges.parse(ranges);
+            if (storedValue.get(job.id) instanceof String ranges) {
+                BitSet notElsewhere = TaskRanges.parse(ranges);
                 if (wanted.containsKey(job.id)) {
-                    only.andNot(wanted.get(job.id));
+                    notElsewhere.andNot(wanted.get(job.id));
                 }
                 // Only the record assigned to a slice counts as a second copy: two other records
                 // could each rely on the other one and both drop the tasks.
-                for (int i = 0; i < job.chunks.length && !only.isEmpty(); i++) {
-                    if (job.chunks[i] != c
-                            && stored.apply(job.chunks[i]).get(job.id) instanceof String there) {
-                        only.andNot(slice(job, i, TaskRanges.parse(there)));
+                for (int i = 0;
+                        i < job.completionRecordBySlice.length && !notElsewhere.isEmpty();
+                        i++) {
+                    if (job.completionRecordBySlice[i] != recordIndex
+                            && storedRecord.apply(job.completionRecordBySlice[i]).get(job.id)
+                                    instanceof String otherRanges) {
+                        notElsewhere.andNot(slice(job, i, TaskRanges.parse(otherRanges)));
                     }
                 }
-                if (!only.isEmpty()) {
-                    only.or(wanted.getOrDefault(job.id, new BitSet()));
-                    wanted.put(job.id, only);
+                if (!notElsewhere.isEmpty()) {
+                    notElsewhere.or(wanted.getOrDefault(job.id, new BitSet()));
+                    wanted.put(job.id, notElsewhere);
                 }
             }
         }
-        Map<String, Object> out = new LinkedHashMap<>();
-        wanted.forEach((id, set) -> out.put(id, TaskRanges.format(set)));
-        return FieldMap.jsonLength(out) > limit ? now : out;
+        Map<String, Object> value = new LinkedHashMap<>();
+        wanted.forEach((id, set) -> value.put(id, TaskRanges.format(set)));
+        return FieldMap.jsonLength(value) > maxRecordBytes ? storedValue : value;
     }
 
     /** Updates each job's durably completed tasks from the stored records. */
     void markDurable() {
-        for (Placed p : placed) {
-            if (stored.apply(p.chunk).get(p.job.id) instanceof String ranges) {
+        for (StoredSlice storedSlice : storedSlices) {
+            if (storedRecord.apply(storedSlice.recordIndex).get(storedSlice.job.id)
+                    instanceof String ranges) {
                 BitSet set = TaskRanges.parse(ranges);
-                set.and(p.done);
-                p.job.durable.or(set);
+                set.and(storedSlice.completedTasks);
+                storedSlice.job.durablyCompletedTasks.or(set);
             }
         }
     }
@@ -233,38 +257,43 @@
     /**
      * Splits a record of a previous leader that exceeds the limit into records that do not.
      *
-     * @param done the record's ranges, by job id
-     * @param covered the completed tasks of a job that other records hold already; they are left
-     *     out
+     * @param rangesByJob the record's ranges, by job id
+     * @param storedElsewhere the completed tasks of a job that other records hold already; they are
+     *     left out
      */
-    static List<Map<String, Object>> split(
-            Map<String, Object> done, Settings s, Function<String, BitSet> covered) {
-        int limit = limit(s);
-        List<Map<String, Object>> out = new ArrayList<>();
-        Map<String, Object> open = new LinkedHashMap<>();
-        int used = 0;
-        for (Map.Entry<String, Object> e : done.entrySet()) {
-            BitSet left = TaskRanges.parse((String) e.getValue());
-            left.andNot(covered.apply(e.getKey()));
-            int frame = Tuning.RECORD_FRAME + e.getKey().length();
-            int size = Math.max(1, (limit - frame) / Tuning.RECORD_PER_TASK);
-            for (int from = left.nextSetBit(0); from >= 0; from = left.nextSetBit(from + size)) {
+    static List<Map<String, Object>> splitIntoRecords(
+            Map<String, Object> rangesByJob,
+            Settings settings,
+            Function<String, BitSet> storedElsewhere) {
+        int maxRecordBytes = maxRecordBytes(settings);
+        List<Map<String, Object>> records = new ArrayList<>();
+        Map<String, Object> current = new LinkedHashMap<>();
+        int currentBytes = 0;
+        for (Map.Entry<String, Object> entry : rangesByJob.entrySet()) {
+            BitSet remaining = TaskRanges.parse((String) entry.getValue());
+            remaining.andNot(storedElsewhere.apply(entry.getKey()));
+            int frameBytes = Tuning.RECORD_FRAME + entry.getKey().length();
+            int tasksPerPiece = Math.max(1, (maxRecordBytes - frameBytes) / Tuning.RECORD_PER_TASK);
+            for (int from = remaining.nextSetBit(0);
+                    from >= 0;
+                    from = remaining.nextSetBit(from + tasksPerPiece)) {
                 BitSet piece = new BitSet();
-                piece.set(from, from + size);
-                piece.and(left);
+                piece.set(from, from + tasksPerPiece);
+                piece.and(remaining);
                 String text = TaskRanges.format(piece);
-                if (used + frame + text.length() > limit || open.containsKey(e.getKey())) {
-                    out.add(open);
-                    open = new LinkedHashMap<>();
-                    used = 0;
+                if (currentBytes + frameBytes + text.length() > maxRecordBytes
+                        || current.containsKey(entry.getKey())) {
+                    records.add(current);
+                    current = new LinkedHashMap<>();
+                    currentBytes = 0;
                 }
-                open.put(e.getKey(), text);
-                used += frame + text.length();
+                current.put(entry.getKey(), text);
+                currentBytes += frameBytes + text.length();
             }
         }
-        if (!open.isEmpty()) {
-            out.add(open);
+        if (!current.isEmpty()) {
+            records.add(current);
         }
-        return out;
+        return records;
     }
 }
--- a/src/main/java/org/shoreusher/core/Fleet.java
+++ b/src/main/java/org/shoreusher/core/Fleet.java
@@ -110,15 +110,15 @@
         Planner binPacker =
                 new Planner(
                         capacities,
-                        shard.quotaHeadroom()::cpusRentable,
-                        shard.quotaHeadroom()::gpusLeft);
-        List<Job> jobs = shard.openJobs().ordered();
+                        shard.quotaHeadroom()::cpuHeadroomForScaleOut,
+                        shard.quotaHeadroom()::gpuHeadroom);
+        List<Job> jobs = shard.openJobs().inSchedulingOrder();
         int maxNewMachines = scaleOut.maxNewMachines();
         List<Planner.Slot> toProvision = new ArrayList<>();
         Object2IntOpenHashMap<String> machinesPerZone = countPerZone();
         for (Job job : jobs) {
             MachineType cheapestType = cheapestType(job.spec);
-            if (job.suspect() || cheapestType == null) {
+            if (job.isSuspectedFaulty() || cheapestType == null) {
                 continue;
             }
             int unplaced = binPacker.place(job, targetParallelism(job, cheapestType));
@@ -129,7 +129,7 @@
             job.largerHalfZone = reservedReplicaCapacity.zoneForLargerHalf(job.spec);
         }
         Set<Machine> neededMachines = new HashSet<>();
-        binPacker.placed().forEach(placed -> neededMachines.add(placed.slot().machine));
+        binPacker.placedTasks().forEach(placed -> neededMachines.add(placed.capacity().machine));
         if (shard.isReconciled()) {
             drainIdle(neededMachines);
         }
@@ -146,7 +146,9 @@
         // boot.
         toProvision
                 .subList(
-                        Math.max(0, toProvision.size() - shard.shardDemand().idleElsewhere()),
+                        Math.max(
+                                0,
+                                toProvision.size() - shard.shardDemand().idleMachinesElsewhere()),
                         toProvision.size())
                 .clear();
         scaleOut.requestMachines(toProvision);
@@ -175,7 +177,7 @@
             for (int i = 0; i < count; i++) {
                 Planner.Slot capacity = new Planner.Slot(type, kind.zone(), kind.spot());
                 toProvision.add(capacity);
-                binPacker.addRoom(capacity);
+                binPacker.addCapacity(capacity);
             }
             machinesPerZone.addTo(kind.zone(), count);
             unplaced = binPacker.place(job, unplaced);
@@ -204,12 +206,12 @@
         Planner binPacker =
                 new Planner(
                         machineCapacities(),
-                        shard.quotaHeadroom()::cpusRentable,
-                        shard.quotaHeadroom()::gpusLeft);
+                        shard.quotaHeadroom()::cpuHeadroomForScaleOut,
+                        shard.quotaHeadroom()::gpuHeadroom);
         double missingMachines = 0;
         cpuShortfall = 0;
         for (Job job : jobs) {
-            int unplaced = binPacker.place(job, job.waitingCount);
+            int unplaced = binPacker.place(job, job.pendingCount);
             MachineType type = cheapestType(job.spec);
             if (unplaced > 0 && type != null) {
                 missingMachines += unplaced / (double) Math.max(1, tasksPerMachine(type, job.spec));
@@ -221,7 +223,7 @@
 
     /** Tasks of a job that fit on an empty machine. */
     private static int tasksPerMachine(MachineType type, JobSpec spec) {
-        return new Planner.Slot(type, "", true).fits(spec);
+        return new Planner.Slot(type, "", true).fittingTaskCount(spec);
     }
 
     /** The shard's machines in each zone, requested ones included. */
@@ -244,8 +246,8 @@
 
     /** Hands surplus machines over to the shard with the largest shortfall. */
     private void handOverSurplus() {
-        int targetShard = shard.shardDemand().neediest();
-        int remaining = targetShard < 0 ? 0 : shard.shardDemand().lacksOf(targetShard);
+        int targetShard = shard.shardDemand().shardWithLargestShortfall();
+        int remaining = targetShard < 0 ? 0 : shard.shardDemand().machineShortfallOf(targetShard);
         updateEvacuation(remaining);
         for (Machine machine : new ArrayList<>(shard.machines().values())) {
             if (remaining > 0
@@ -300,11 +302,11 @@
      * of its slack.
      */
     private int targetParallelism(Job job, MachineType type) {
-        if (!job.spec.shape().ends()) {
-            return job.waitingCount;
+        if (!job.spec.workloadType().runsToCompletion()) {
+            return job.pendingCount;
         }
-        double runTimeS = shard.runTimeEstimates().runS(job);
-        double slackS = shard.schedulingOrder().leftS(job, outbox.now.wallMs());
+        double runTimeS = shard.runTimeEstimates().expectedRunS(job);
+        double slackS = shard.schedulingOrder().timeToNearestObjectiveS(job, outbox.now.wallMs());
         // A job that can't meet its deadline on a machine that has yet to boot gains nothing from
         // more parallelism.
         boolean isTooLate = slackS < type.bootS() + runTimeS;
@@ -314,7 +316,7 @@
                         slackS == Double.MAX_VALUE || isTooLate
                                 ? Tuning.RENT_HORIZON_S
                                 : slackS * Tuning.RENT_TIME_SHARE);
-        return (int) Math.ceil(job.waitingCount * Math.min(1, runTimeS / horizonS));
+        return (int) Math.ceil(job.pendingCount * Math.min(1, runTimeS / horizonS));
     }
 
     /** The type with the lowest spot price per task of a job; null if none can run it. */
@@ -354,7 +356,7 @@
             double price = pricePerTask(type, spot, spec);
             if (price > lowestPrice
                     || !type.canFit(spec)
-                    || (!spot && spec.spot() && !isOnDemandWorthwhile(type))) {
+                    || (!spot && spec.spotAllowed() && !isOnDemandWorthwhile(type))) {
                 continue;
             }
             for (String zone : type.zones()) {
@@ -365,7 +367,7 @@
                                 || machinesPerZone.getInt(zone)
                                         < machinesPerZone.getInt(best.zone());
                 if (better
-                        && spec.allows(type.name(), zone, spot)
+                        && spec.allowsMachine(type.name(), zone, spot)
                         && !scaleOut.isUnavailable(kind)) {
                     best = kind;
                     lowestPrice = price;
@@ -393,7 +395,7 @@
                     && machine.isIdle()
                     && !neededMachines.contains(machine)
                     && machine.idleSinceMs >= 0
-                    && !reservedReplicaCapacity.needs(machine)
+                    && !reservedReplicaCapacity.mustKeep(machine)
                     && outbox.now.monotonicMs() - machine.idleSinceMs
                             > (machine.spot ? Tuning.IDLE_KEEP_MS : Tuning.IDLE_KEEP_ORDINARY_MS)) {
                 machine.state = Machine.State.DRAINING;
--- a/src/main/java/org/shoreusher/core/JobSpec.java
+++ b/src/main/java/org/shoreusher/core/JobSpec.java
@@ -6,59 +6,60 @@
 /**
  * A job as its user described it. Resources are those of one task.
  *
- * @param id the user's id of the job; see {@link #isId}
+ * @param id the user's id of the job; see {@link #isValidId}
  * @param jobClass the class that run-time estimates and objectives are kept by; may be empty
  * @param team the team whose quota the tasks use
- * @param shape whether the tasks run to completion or until the job is cancelled
+ * @param workloadType whether the tasks run to completion or until the job is cancelled
  * @param priority the priority among jobs
- * @param tasks the number of tasks, or of a service's replicas
+ * @param taskCount the number of tasks, or of a service's replicas
  * @param cpus CPUs that a task uses
  * @param gpus GPUs that a task uses
  * @param memGb memory that a task uses, in GB
  * @param image the image that a machine fetches before it runs a task
  * @param imageGb the size of the image, in GB
- * @param types the machine types that a task may run on; null: any
+ * @param machineTypes the machine types that a task may run on; null: any
  * @param zone the zone that the tasks must run in; null: any
- * @param oneZone whether all tasks must run in the same zone
- * @param spread whether at most half of the tasks, rounded up, may run in one zone
- * @param spot whether tasks may run on spot machines
- * @param estimateS the user's estimate of a task's run time, in seconds; 0: none
- * @param checkpointS seconds between two checkpoints of a task; 0: it takes none
- * @param saveS seconds that a checkpoint takes
+ * @param singleZone whether all tasks must run in the same zone
+ * @param spreadAcrossZones whether at most half of the tasks, rounded up, may run in one zone
+ * @param spotAllowed whether tasks may run on spot machines
+ * @param estimatedRunS the user's estimate of a task's run time, in seconds; 0: none
+ * @param checkpointIntervalS seconds between two checkpoints of a task; 0: it takes none
+ * @param checkpointDurationS seconds that a checkpoint takes
  * @param deadlineS seconds from the submission in which the job should be completed; NaN: none
  */
 public record JobSpec(
         String id,
         String jobClass,
         String team,
-        Shape shape,
+        WorkloadType workloadType,
         Priority priority,
-        int tasks,
+        int taskCount,
         double cpus,
         double gpus,
         double memGb,
         String image,
         double imageGb,
-        List<String> types,
+        List<String> machineTypes,
         String zone,
-        boolean oneZone,
-        boolean spread,
-        boolean spot,
-        double estimateS,
-        double checkpointS,
-        double saveS,
+        boolean singleZone,
+        boolean spreadAcrossZones,
+        boolean spotAllowed,
+        double estimatedRunS,
+        double checkpointIntervalS,
+        double checkpointDurationS,
         double deadlineS) {
 
     /**
      * A description that accounts for the resources of a task whose real description is not known.
      * No task may be started from it.
      */
-    static JobSpec ofRoom(String id, String team, double cpus, double gpus, double memGb) {
+    static JobSpec withResourcesOnly(
+            String id, String team, double cpus, double gpus, double memGb) {
         return new JobSpec(
                 id,
                 "",
                 team,
-                Shape.BATCH,
+                WorkloadType.BATCH,
                 Priority.LOW,
                 Tuning.MAX_TASKS,
                 cpus,
@@ -90,7 +91,7 @@
     }
 
     /** Kinds of workload. */
-    public enum Shape {
+    public enum WorkloadType {
         /** A job array: independent tasks, each of which runs to completion. */
         BATCH,
         /**
@@ -100,13 +101,13 @@
         SERVICE;
 
         /** Whether a task that has completed is never started again. */
-        public boolean ends() {
+        public boolean runsToCompletion() {
             return this == BATCH;
         }
     }
 
     /** Whether a text has the form of a job id: {@code wk-} and 1 to 37 digits. */
-    public static boolean isId(String id) {
+    public static boolean isValidId(String id) {
         if (id == null || id.length() < 4 || id.length() > 40 || !id.startsWith("wk-")) {
             return false;
         }
@@ -122,17 +123,17 @@
      * Whether a task may run on a machine with these properties. Rules that depend on the job's
      * other tasks are not considered.
      */
-    public boolean allows(String type, String machineZone, boolean spotMachine) {
-        return (types == null || types.contains(type))
+    public boolean allowsMachine(String machineType, String machineZone, boolean isSpotMachine) {
+        return (machineTypes == null || machineTypes.contains(machineType))
                 && (zone == null || zone.equals(machineZone))
-                && (spot || !spotMachine);
+                && (spotAllowed || !isSpotMachine);
     }
 
     /**
      * The number of tasks that must be able to run at the same time: all replicas of a service, one
      * task of a batch job.
      */
-    public int atLeastAtOnce() {
-        return shape.ends() ? 1 : tasks;
+    public int minConcurrentTasks() {
+        return workloadType.runsToCompletion() ? 1 : taskCount;
     }
 }
--- a/src/main/java/org/shoreusher/core/MachineType.java
+++ b/src/main/java/org/shoreusher/core/MachineType.java
@@ -39,7 +39,7 @@
         return spec.cpus() <= cpus
                 && spec.gpus() <= gpus
                 && spec.memGb() <= memGb
-                && (spec.types() == null || spec.types().contains(name))
+                && (spec.machineTypes() == null || spec.machineTypes().contains(name))
                 && (spec.zone() == null || zones.contains(spec.zone()));
     }
 }
--- a/src/main/java/org/shoreusher/core/Node.java
+++ b/src/main/java/org/shoreusher/core/Node.java
@@ -86,7 +86,7 @@
      */
     public List<Effect> step(ClockReading now, List<Command> batch) {
         outbox.now = now;
-        peerGossip.started();
+        peerGossip.noteStart();
         for (Command command : batch) {
             handle(command);
         }
@@ -95,7 +95,7 @@
         machineTypes.step(shards.ledShardCount() > 0);
         shards.step();
         userRequests.step();
-        if (peerGossip.tell()) {
+        if (peerGossip.sendIfDue()) {
             Arrays.fill(assignedCpus, 0);
         }
         return outbox.drainEffects();
@@ -121,7 +121,7 @@
         } else if (command instanceof Command.CloudReply r) {
             outbox.onReply(r);
         } else if (command instanceof Command.PeerHint p) {
-            peerGossip.heard(p.message());
+            peerGossip.receive(p.message());
         } else if (command instanceof Command.FromPeer p) {
             handleStandbyMessage(p.message());
         }
@@ -148,7 +148,7 @@
             return false;
         }
         return outbox.sinceStoreReplyMs() < Tuning.READY_STATE_MS
-                || !peerGossip.anyWithStateService();
+                || !peerGossip.anyPeerReachesStore();
     }
 
     private void handleHeartbeat(Command.Report command) {
@@ -167,8 +167,8 @@
         if (shardRecord == null) {
             outbox.respondUnavailable(command.requestId());
         } else if (shardRecord.leaderHost().equals(settings.host())
-                || peerGossip.suspect(shardRecord)) {
-            String redirectHost = peerGossip.meanwhile(shardRecord.leaderHost());
+                || peerGossip.isSuspectedDown(shardRecord)) {
+            String redirectHost = peerGossip.interimHost(shardRecord.leaderHost());
             if (redirectHost == null) {
                 outbox.respondUnavailable(command.requestId());
             } else {
@@ -177,12 +177,12 @@
         } else {
             boolean awaitFailover =
                     command.workerHeartbeat().fencingToken() >= shardRecord.term()
-                            && peerGossip.cameBackHere(
+                            && peerGossip.recordRedirectedWorker(
                                     shardNumber,
                                     command.workerHeartbeat(),
                                     machineIndex.recordsById().size());
             String redirectHost =
-                    awaitFailover ? peerGossip.meanwhile(shardRecord.leaderHost()) : null;
+                    awaitFailover ? peerGossip.interimHost(shardRecord.leaderHost()) : null;
             outbox.respond(
                     command.requestId(),
                     new Response.Elsewhere(
@@ -209,11 +209,11 @@
         if (key.startsWith(StoreSchema.JOB_PREFIX)) {
             if (after != null) {
                 String jobId = key.substring(StoreSchema.JOB_PREFIX.length());
-                submissionBatches.settled(jobId);
+                submissionBatches.ownRecordCreated(jobId);
                 onJobRecordChange(jobId, JobRecord.fromMap(after.value()));
             }
         } else if (key.startsWith(StoreSchema.SUBMISSION_BATCH_PREFIX)) {
-            submissionBatches.changed(key, after, this::onJobRecordChange);
+            submissionBatches.batchChanged(key, after, this::onJobRecordChange);
         } else if (key.startsWith(StoreSchema.SHARD_PREFIX)
                 && key.indexOf('/', StoreSchema.SHARD_PREFIX.length()) < 0
                 && after != null) {
@@ -221,7 +221,7 @@
             PartRecord shardRecord = PartRecord.fromMap(after.value());
             if (before == null
                     || !PartRecord.fromMap(before.value()).leader().equals(shardRecord.leader())) {
-                peerGossip.ownerChanged(shardNumber);
+                peerGossip.leaderChanged(shardNumber);
             }
             shards.onShardRecordChange(shardNumber, shardRecord);
         } else if (key.startsWith(StoreSchema.MACHINE_PREFIX)) {
@@ -243,7 +243,7 @@
         for (int shardNumber = 0; shardNumber < shards.shardCount(); shardNumber++) {
             Part shard = shards.ledShard(shardNumber);
             if (shard != null && shardNumber == record.shardNumber()) {
-                shard.openJobs().changed(jobId, record);
+                shard.openJobs().recordChanged(jobId, record);
             } else if (shard != null) {
                 // Two nodes may have accepted the job for different shards; the job's own record
                 // decides.
@@ -251,9 +251,9 @@
             }
         }
         if (record.status() == JobStatus.DONE) {
-            userRequests.ended().done(jobId, record);
+            userRequests.terminalJobs().jobCompleted(jobId, record);
         } else if (record.status() == JobStatus.CANCELLED) {
-            userRequests.ended().cancelled(jobId);
+            userRequests.terminalJobs().jobCancelled(jobId);
         }
     }
 
@@ -264,10 +264,11 @@
             Part shard = shards.ledShard(shardNumber);
             Job job = shard == null ? null : shard.jobs().get(jobId);
             if (job != null) {
-                return new Response.TaskCounts(job.done.cardinality(), job.live.size());
+                return new Response.TaskCounts(
+                        job.completedTasks.cardinality(), job.activeAttempts.size());
             }
         }
-        return peerGossip.counts(jobId);
+        return peerGossip.taskCounts(jobId);
     }
 
     /**
@@ -279,21 +280,23 @@
         double mostHeadroom = Double.NEGATIVE_INFINITY;
         for (int shardNumber = 0; shardNumber < shards.shardCount(); shardNumber++) {
             PartHint summary = peerGossip.shardSummary(shardNumber);
-            Hint.Claim teamDemand = summary == null ? null : summary.claims().get(spec.team());
+            Hint.Claim teamDemand = summary == null ? null : summary.teamDemands().get(spec.team());
             // Jobs of one team are kept in one shard where possible, so that the team's quota is
             // not split.
             double headroom =
-                    (summary == null ? Tuning.UNKNOWN_ROOM : summary.room())
+                    (summary == null ? Tuning.UNKNOWN_ROOM : summary.cpuHeadroom())
                             - assignedCpus[shardNumber]
                             + (teamDemand == null
                                     ? 0
-                                    : Tuning.TOGETHER * (teamDemand.urgent() + teamDemand.other()));
+                                    : Tuning.TOGETHER
+                                            * (teamDemand.highPriorityCpus()
+                                                    + teamDemand.otherCpus()));
             if (headroom > mostHeadroom) {
                 mostHeadroom = headroom;
                 bestShard = shardNumber;
             }
         }
-        assignedCpus[bestShard] += spec.tasks() * spec.cpus();
+        assignedCpus[bestShard] += spec.taskCount() * spec.cpus();
         return bestShard;
     }
 }
--- a/src/main/java/org/shoreusher/core/OpenJobs.java
+++ b/src/main/java/org/shoreusher/core/OpenJobs.java
@@ -9,14 +9,14 @@
 
 /** The open jobs of a shard, as the cache of the store shows them. */
 final class OpenJobs {
-    private final Part part;
+    private final Part shard;
     private final Outbox outbox;
     private final Object2ObjectLinkedOpenHashMap<String, Job> jobs =
             new Object2ObjectLinkedOpenHashMap<>();
 
     /** No jobs yet. */
-    OpenJobs(Part part, Outbox outbox) {
-        this.part = part;
+    OpenJobs(Part shard, Outbox outbox) {
+        this.shard = shard;
         this.outbox = outbox;
     }
 
@@ -29,27 +29,28 @@
      * The record of a job of this shard has appeared or changed in the cache of the store. Ignored
      * until the shard's state has been loaded, which reads all records.
      */
-    void changed(String id, JobRecord record) {
-        if (!part.isLoaded()) {
+    void recordChanged(String jobId, JobRecord record) {
+        if (!shard.isLoaded()) {
             return;
         }
         if (record.status() != JobStatus.OPEN) {
-            close(id);
-        } else if (!jobs.containsKey(id)) {
+            close(jobId);
+        } else if (!jobs.containsKey(jobId)) {
             // The job was accepted while this node was the leader: no task has been started.
-            add(id, record).waitFrom(0);
+            add(jobId, record).markPendingFrom(0);
         } else {
-            jobs.get(id).startBelow = Math.max(jobs.get(id).startBelow, record.highWaterMark());
+            jobs.get(jobId).highWaterMark =
+                    Math.max(jobs.get(jobId).highWaterMark, record.highWaterMark());
         }
     }
 
     /** Adds a job of this shard. One in a terminal state is returned but not kept. */
-    Job add(String id, JobRecord record) {
-        Job job = new Job(id, record.parseSpec(), record.acceptedWallMs());
+    Job add(String jobId, JobRecord record) {
+        Job job = new Job(jobId, record.parseSpec(), record.acceptedWallMs());
         job.closed = record.status() != JobStatus.OPEN;
-        job.startBelow = record.highWaterMark();
+        job.highWaterMark = record.highWaterMark();
         if (!job.closed) {
-            jobs.put(id, job);
+            jobs.put(jobId, job);
         }
         return job;
     }
@@ -58,18 +59,18 @@
      * Removes a job that is in a terminal state or belongs to another shard, and stops its active
      * tasks. Does nothing if there is no such job.
      */
-    void close(String id) {
-        Job job = jobs.remove(id);
+    void close(String jobId) {
+        Job job = jobs.remove(jobId);
         if (job == null) {
             return;
         }
         job.closed = true;
-        part.taskMigration().jobEnded(job);
-        job.waiting.clear();
-        job.waitingCount = 0;
-        for (TaskAttempt live : new ArrayList<>(job.live.values())) {
-            live.mustStop = true;
-            part.taskEviction().halt(live, 0);
+        shard.taskMigration().onJobEnded(job);
+        job.pendingTasks.clear();
+        job.pendingCount = 0;
+        for (TaskAttempt attempt : new ArrayList<>(job.activeAttempts.values())) {
+            attempt.mustStop = true;
+            shard.taskEviction().sendStop(attempt, 0);
         }
     }
 
@@ -77,17 +78,17 @@
      * Jobs with pending tasks that may be started now, in the order in which they should get
      * resources.
      */
-    List<Job> ordered() {
-        List<Job> list = new ArrayList<>();
+    List<Job> inSchedulingOrder() {
+        List<Job> schedulable = new ArrayList<>();
         for (Job job : jobs.values()) {
-            if (job.waitingCount > 0
+            if (job.pendingCount > 0
                     && !job.closed
-                    && !job.zonesUnknown
-                    && !job.paused(outbox.now.monotonicMs())) {
-                list.add(job);
+                    && !job.taskZonesUnknown
+                    && !job.isBackingOff(outbox.now.monotonicMs())) {
+                schedulable.add(job);
             }
         }
-        part.schedulingOrder().sort(list, outbox.now.wallMs());
-        return list;
+        shard.schedulingOrder().sort(schedulable, outbox.now.wallMs());
+        return schedulable;
     }
 }
--- a/src/main/java/org/shoreusher/core/OtherParts.java
+++ b/src/main/java/org/shoreusher/core/OtherParts.java
@@ -10,74 +10,74 @@
  * their summaries say.
  */
 final class OtherParts {
-    private final int partNumber;
-    private final int parts;
-    private final Part.Others others;
+    private final int shardNumber;
+    private final int shardCount;
+    private final Part.Others peers;
     private final Map<String, Job> jobs;
     private final Map<String, Machine> machines;
 
     /** The demand of one shard; {@code jobs} and {@code machines} are live views. */
     OtherParts(
-            int partNumber,
-            int parts,
-            Part.Others others,
+            int shardNumber,
+            int shardCount,
+            Part.Others peers,
             Map<String, Job> jobs,
             Map<String, Machine> machines) {
-        this.partNumber = partNumber;
-        this.parts = parts;
-        this.others = others;
+        this.shardNumber = shardNumber;
+        this.shardCount = shardCount;
+        this.peers = peers;
         this.jobs = jobs;
         this.machines = machines;
     }
 
     /** CPUs of a team's quota that the other shards need, as far as fresh summaries tell. */
-    double claimed(String team) {
+    double demandElsewhereCpus(String team) {
         double cpus = 0;
-        for (int m = 0; m < parts; m++) {
-            PartHint hint = m == partNumber ? null : others.shardSummary(m);
-            Claim claim = hint == null ? null : hint.claims().get(team);
-            cpus += claim == null ? 0 : claim.urgent() + claim.other();
+        for (int otherShard = 0; otherShard < shardCount; otherShard++) {
+            PartHint summary = otherShard == shardNumber ? null : peers.shardSummary(otherShard);
+            Claim demand = summary == null ? null : summary.teamDemands().get(team);
+            cpus += demand == null ? 0 : demand.highPriorityCpus() + demand.otherCpus();
         }
         return cpus;
     }
 
     /** A team's demand in each shard, by number; null where there is no fresh summary. */
-    Claim[] claims(String team) {
-        Claim[] claims = new Claim[parts];
-        for (int m = 0; m < parts; m++) {
-            PartHint hint = m == partNumber ? null : others.shardSummary(m);
-            claims[m] =
-                    m == partNumber
-                            ? claim(team)
-                            : hint == null
+    Claim[] demandByShard(String team) {
+        Claim[] demands = new Claim[shardCount];
+        for (int otherShard = 0; otherShard < shardCount; otherShard++) {
+            PartHint summary = otherShard == shardNumber ? null : peers.shardSummary(otherShard);
+            demands[otherShard] =
+                    otherShard == shardNumber
+                            ? ownDemand(team)
+                            : summary == null
                                     ? null
-                                    : hint.claims().getOrDefault(team, new Claim(0, 0));
+                                    : summary.teamDemands().getOrDefault(team, new Claim(0, 0));
         }
-        return claims;
+        return demands;
     }
 
     /** The team's demand in this shard. */
-    private Claim claim(String team) {
-        double urgent = 0;
-        double other = 0;
+    private Claim ownDemand(String team) {
+        double highPriorityCpus = 0;
+        double otherCpus = 0;
         for (Job job : jobs.values()) {
             if (job.spec.team().equals(team)) {
-                double cpus = (job.waitingCount + job.live.size()) * job.spec.cpus();
+                double cpus = (job.pendingCount + job.activeAttempts.size()) * job.spec.cpus();
                 if (job.spec.priority().compareTo(JobSpec.Priority.HIGH) <= 0) {
-                    urgent += cpus;
+                    highPriorityCpus += cpus;
                 } else {
-                    other += cpus;
+                    otherCpus += cpus;
                 }
             }
         }
-        return new Claim(urgent, other);
+        return new Claim(highPriorityCpus, otherCpus);
     }
 
     /**
      * The CPUs of the team's largest task in this shard; 0 if there is none. A share of the quota
      * that is smaller than this would be useless.
      */
-    double quantum(String team) {
+    double largestTaskCpus(String team) {
         double most = 0;
         for (Job job : jobs.values()) {
             most = job.spec.team().equals(team) ? Math.max(most, job.spec.cpus()) : most;
@@ -86,46 +86,47 @@
     }
 
     /** The summary of this shard for the others. */
-    PartHint hint(Fleet fleet) {
-        double room = 0;
-        int idle = 0;
-        for (Machine m : machines.values()) {
-            room +=
-                    m.state == Machine.State.UP || m.state == Machine.State.BOOTING
-                            ? m.cpusFree()
+    PartHint summarize(Fleet autoscaler) {
+        double cpuHeadroom = 0;
+        int idleMachines = 0;
+        for (Machine machine : machines.values()) {
+            cpuHeadroom +=
+                    machine.state == Machine.State.UP || machine.state == Machine.State.BOOTING
+                            ? machine.cpusFree()
                             : 0;
-            idle += fleet.isSurplus(m) ? 1 : 0;
+            idleMachines += autoscaler.isSurplus(machine) ? 1 : 0;
         }
-        Map<String, Claim> claims = new HashMap<>();
+        Map<String, Claim> demands = new HashMap<>();
         for (Job job : jobs.values()) {
-            room -= job.waitingCount * job.spec.cpus();
-            claims.computeIfAbsent(job.spec.team(), this::claim);
+            cpuHeadroom -= job.pendingCount * job.spec.cpus();
+            demands.computeIfAbsent(job.spec.team(), this::ownDemand);
         }
-        return new PartHint(room, idle, fleet.machineShortfall(), claims);
+        return new PartHint(cpuHeadroom, idleMachines, autoscaler.machineShortfall(), demands);
     }
 
     /** The number of machines for which the other shards have no work. */
-    int idleElsewhere() {
-        int idle = 0;
-        for (int m = 0; m < parts; m++) {
-            PartHint hint = m == partNumber ? null : others.shardSummary(m);
-            idle += hint == null ? 0 : hint.idle();
+    int idleMachinesElsewhere() {
+        int idleMachines = 0;
+        for (int otherShard = 0; otherShard < shardCount; otherShard++) {
+            PartHint summary = otherShard == shardNumber ? null : peers.shardSummary(otherShard);
+            idleMachines += summary == null ? 0 : summary.idleMachines();
         }
-        return idle;
+        return idleMachines;
     }
 
     /** The number of further machines that another shard could use now. */
-    int lacksOf(int part) {
-        PartHint hint = others.shardSummary(part);
-        return hint == null ? 0 : hint.lacks();
+    int machineShortfallOf(int otherShard) {
+        PartHint summary = peers.shardSummary(otherShard);
+        return summary == null ? 0 : summary.machineShortfall();
     }
 
     /** The number of the other shard that could use most machines; -1 if none needs any. */
-    int neediest() {
+    int shardWithLargestShortfall() {
         int best = -1;
-        for (int m = 0; m < parts; m++) {
-            if (m != partNumber && lacksOf(m) > (best < 0 ? 0 : lacksOf(best))) {
-                best = m;
+        for (int otherShard = 0; otherShard < shardCount; otherShard++) {
+            if (otherShard != shardNumber
+                    && machineShortfallOf(otherShard) > (best < 0 ? 0 : machineShortfallOf(best))) {
+                best = otherShard;
             }
         }
         return best;
--- a/src/main/java/org/shoreusher/core/Part.java
+++ b/src/main/java/org/shoreusher/core/Part.java
@@ -130,9 +130,9 @@
                 new FinalStates(outbox, storeCache, submissionBatches, leadership);
         this.taskEviction = new TaskStops(this, outbox);
         this.taskMigration = new Balancing(this, context, resourceLedger);
-        resourceLedger.listen(taskMigration);
+        resourceLedger.addListener(taskMigration);
         this.standbyReplication = new AttemptReplication(this, context, peerView, leadership);
-        resourceLedger.listen(standbyReplication);
+        resourceLedger.addListener(standbyReplication);
         this.reconciliation =
                 new Rebuild(
                         this,
@@ -178,7 +178,7 @@
 
     /** Returns the summary of this shard that gossip carries to the other nodes. */
     PartHint summary() {
-        return shardDemand.hint(autoscaler);
+        return shardDemand.summarize(autoscaler);
     }
 
     /** Decides when machines are added and removed. */
@@ -241,7 +241,7 @@
     }
 
     private FinishedRecords completionRecords() {
-        return FinishedRecords.of(jobs().values(), settings, leadership::storedCompletions);
+        return FinishedRecords.layOut(jobs().values(), settings, leadership::storedCompletions);
     }
 
     /** Estimates of the run times of tasks. */
@@ -310,7 +310,7 @@
     /** Forgets a machine that is gone or belongs to another shard. */
     void removeMachine(String machineId) {
         machines.remove(machineId);
-        taskMigration.machineGone(machineId);
+        taskMigration.onMachineRemoved(machineId);
     }
 
     /**
@@ -386,12 +386,12 @@
             }
             reconciliation.loadFromStore();
         }
-        highWaterMarks.write();
+        highWaterMarks.writeRequestedMarks();
         machineRecords.write();
-        terminalStateWriter.write();
+        terminalStateWriter.writeTerminalStates();
         standbyReplication.step();
         if (isLeader()) {
-            submissionBatches.sweep(leadership);
+            submissionBatches.removeEmptyBatches(leadership);
         }
         if (outbox.now.monotonicMs() < nextSchedulingPassMs) {
             return;
@@ -399,10 +399,11 @@
         nextSchedulingPassMs = outbox.now.monotonicMs() + Tuning.WALK_MS;
         lifecycle.expireWorkerLeases();
         reconciliation.step();
-        quotaShares.step(quotaHeadroom::used, shardDemand::claims, shardDemand::quantum);
+        quotaShares.step(
+                quotaHeadroom::cpusUsed, shardDemand::demandByShard, shardDemand::largestTaskCpus);
         autoscaler.step();
-        taskEviction.displace();
-        taskEviction.preempt();
+        taskEviction.preemptForReplicas();
+        taskEviction.preemptForPriority();
         taskMigration.step();
         if (outbox.now.monotonicMs() >= nextStatusLineMs) {
             nextStatusLineMs = outbox.now.monotonicMs() + Tuning.STATUS_LINE_MS;
@@ -438,15 +439,15 @@
         for (Machine machine : machines.values()) {
             if (isAvailable(machine)) {
                 Planner.Slot capacity = new Planner.Slot(machine);
-                if (!capacity.full()) {
+                if (!capacity.isFull()) {
                     capacities.add(capacity);
                 }
             }
         }
         return new Planner(
                 capacities,
-                quotaHeadroom::cpusLeft,
-                quotaHeadroom::gpusLeft,
+                quotaHeadroom::cpuHeadroom,
+                quotaHeadroom::gpuHeadroom,
                 taskMigration.spreadLimit());
     }
 }
--- a/src/main/java/org/shoreusher/core/PartOwnership.java
+++ b/src/main/java/org/shoreusher/core/PartOwnership.java
@@ -202,19 +202,21 @@
                         processName,
                         expiryWallMs,
                         term,
-                        completions == null ? completionsInShardRecord() : completions.chunk(0),
+                        completions == null
+                                ? completionsInShardRecord()
+                                : completions.recordValue(0),
                         standby.desired());
         writes.put(StoreSchema.shardKey(shardNumber), record.toMap());
         // The chunks take turns: with many jobs every chunk changes between renewals, and the last
         // ones must become durable as well.
-        int overflowChunks = completions == null ? 0 : completions.chunks() - 1;
+        int overflowChunks = completions == null ? 0 : completions.recordCount() - 1;
         int previousChunk = lastWrittenChunk;
         for (int offset = 1;
                 offset <= overflowChunks
                         && writes.size() < Math.min(settings.txnOps(), Tuning.RECORDS_AT_ONCE);
                 offset++) {
             int chunk = 1 + (previousChunk + offset - 1) % overflowChunks;
-            Map<String, Object> completedRanges = completions.chunk(chunk);
+            Map<String, Object> completedRanges = completions.recordValue(chunk);
             if (!completedRanges.equals(storedCompletions(chunk))
                     || storeCache.get(StoreSchema.completionKey(shardNumber, chunk)) == null) {
                 writes.put(
@@ -424,7 +426,7 @@
         }
         // The standby takes over at once, and it knows every order that left this leader.
         PartRecord record =
-                new PartRecord(processName, 0, term, completions.chunk(0), standby.desired());
+                new PartRecord(processName, 0, term, completions.recordValue(0), standby.desired());
         if (outbox.callStoreForLease(
                 new StateOp.Multi(
                         preconditions(StoreSchema.shardKey(shardNumber), recordVersion),
--- a/src/main/java/org/shoreusher/core/PartStatus.java
+++ b/src/main/java/org/shoreusher/core/PartStatus.java
@@ -22,7 +22,7 @@
         Object2IntOpenHashMap<String> waitingByClass = new Object2IntOpenHashMap<>();
         shard.jobs()
                 .values()
-                .forEach(job -> waitingByClass.addTo(job.spec.jobClass(), job.waitingCount));
+                .forEach(job -> waitingByClass.addTo(job.spec.jobClass(), job.pendingCount));
         return "status: part "
                 + shard.shardNumber
                 + " term "
--- a/src/main/java/org/shoreusher/core/Parts.java
+++ b/src/main/java/org/shoreusher/core/Parts.java
@@ -214,7 +214,7 @@
      */
     private List<Map<String, Object>> completionsWithoutOverflowRecord(
             int shardNumber, PartRecord previousRecord) {
-        return FinishedRecords.split(
+        return FinishedRecords.splitIntoRecords(
                 previousRecord.completedRanges(),
                 settings,
                 jobId -> completionsInOverflowRecords(shardNumber, jobId));
--- a/src/main/java/org/shoreusher/core/PeerHints.java
+++ b/src/main/java/org/shoreusher/core/PeerHints.java
@@ -18,79 +18,84 @@
     private final Outbox outbox;
 
     /** The shards that this node leads, by number; null for another shard. */
-    private final IntFunction<Part> ownParts;
+    private final IntFunction<Part> ownShards;
 
     /** The last message of each peer, by host. */
-    private final Object2ObjectOpenHashMap<String, Hint> hints = new Object2ObjectOpenHashMap<>();
+    private final Object2ObjectOpenHashMap<String, Hint> lastMessages =
+            new Object2ObjectOpenHashMap<>();
 
     /** When that message was received, by host; steady ms. */
-    private final Object2ObjectOpenHashMap<String, Long> hintedAt =
+    private final Object2ObjectOpenHashMap<String, Long> receivedAtMs =
             new Object2ObjectOpenHashMap<>();
 
-    private long nextHintMs;
+    private long nextSendMs;
 
     /** When this process handled its first batch of commands, steady ms; -1: not yet. */
     private long startedMs = -1;
 
     /** When this node last told its peers that it can't reach the store; steady ms. */
-    private long saidStateAwayMs;
+    private long lastSaidUnreachableMs;
 
     /** For each shard, the workers that its leader had answered and that now come to this node. */
     private final RedirectedWorkers[] redirected;
 
     /** No messages yet. */
-    PeerHints(Settings settings, Outbox outbox, int parts, IntFunction<Part> ownParts) {
+    PeerHints(Settings settings, Outbox outbox, int shardCount, IntFunction<Part> ownShards) {
         this.settings = settings;
         this.outbox = outbox;
-        this.ownParts = ownParts;
-        redirected = new RedirectedWorkers[parts];
-        Arrays.setAll(redirected, n -> new RedirectedWorkers());
+        this.ownShards = ownShards;
+        redirected = new RedirectedWorkers[shardCount];
+        Arrays.setAll(redirected, shardNumber -> new RedirectedWorkers());
     }
 
     /** Notes when the first batch of commands is handled; later calls do nothing. */
-    void started() {
+    void noteStart() {
         if (startedMs < 0) {
             startedMs = outbox.now.monotonicMs();
             // An earlier process on this host may have said so until it ended.
-            saidStateAwayMs = startedMs;
+            lastSaidUnreachableMs = startedMs;
         }
     }
 
     /** A message from a peer has arrived. */
-    void heard(Hint hint) {
-        hints.put(hint.from(), hint);
-        hintedAt.put(hint.from(), outbox.now.monotonicMs());
+    void receive(Hint message) {
+        lastMessages.put(message.senderHost(), message);
+        receivedAtMs.put(message.senderHost(), outbox.now.monotonicMs());
     }
 
     /** Whether any peer has lately said that it reaches the store. */
-    boolean anyWithStateService() {
-        return hints.values().stream().anyMatch(h -> fresh(h) && h.stateOk());
+    boolean anyPeerReachesStore() {
+        return lastMessages.values().stream()
+                .anyMatch(message -> isFresh(message) && message.storeReachable());
     }
 
     /**
      * Records the heartbeat of a worker that belongs to the shard of another leader.
      *
-     * @param machines the number of machines of all shards
+     * @param machineCount the number of machines of all shards
      * @return whether the worker should be kept away from the shard's leader for now
      */
-    boolean cameBackHere(int part, WorkerReport report, int machines) {
-        return redirected[part].recordRedirect(report, machines, outbox.now.monotonicMs());
+    boolean recordRedirectedWorker(int shardNumber, WorkerReport heartbeat, int machineCount) {
+        return redirected[shardNumber].recordRedirect(
+                heartbeat, machineCount, outbox.now.monotonicMs());
     }
 
     /** The shard has another leader than before. */
-    void ownerChanged(int part) {
-        redirected[part].clear();
+    void leaderChanged(int shardNumber) {
+        redirected[shardNumber].clear();
     }
 
     /**
      * The task counts of a job in the shard of another leader, for display; zeros if no message
      * names the job.
      */
-    Response.TaskCounts counts(String id) {
-        for (Hint h : hints.values()) {
-            if (h.running().containsKey(id) || h.done().containsKey(id)) {
+    Response.TaskCounts taskCounts(String jobId) {
+        for (Hint message : lastMessages.values()) {
+            if (message.runningTasks().containsKey(jobId)
+                    || message.completedTasks().containsKey(jobId)) {
                 return new Response.TaskCounts(
-                        h.done().getOrDefault(id, 0), h.running().getOrDefault(id, 0));
+                        message.completedTasks().getOrDefault(jobId, 0),
+                        message.runningTasks().getOrDefault(jobId, 0));
             }
         }
         return new Response.TaskCounts(0, 0);
@@ -105,25 +110,25 @@
     @Override
     public boolean isStoreUnavailableToAllPeers() {
         return settings.members().stream()
-                .map(m -> hints.get(m.host()))
+                .map(member -> lastMessages.get(member.host()))
                 .allMatch(
-                        h ->
-                                h != null
-                                        && fresh(h)
-                                        && !h.stateOk()
-                                        && outbox.now.wallMs() - h.sentWallMs()
+                        message ->
+                                message != null
+                                        && isFresh(message)
+                                        && !message.storeReachable()
+                                        && outbox.now.wallMs() - message.sentWallMs()
                                                 < Tuning.HINT_STALE_MS);
     }
 
     @Override
     public boolean isResponsive(String host) {
-        Hint hint = hints.get(host);
-        return hint != null && fresh(hint);
+        Hint message = lastMessages.get(host);
+        return message != null && isFresh(message);
     }
 
     @Override
     public long storeOutageGossipValidUntilMs() {
-        return saidStateAwayMs
+        return lastSaidUnreachableMs
                 + Tuning.HINT_STALE_MS
                 + 2 * settings.clockOffMs()
                 + Tuning.LEASE_MARGIN_MS;
@@ -132,34 +137,39 @@
     @Override
     public int workersUnableToReachLeader(int part) {
         int workers = 0;
-        for (Hint h : hints.values()) {
+        for (Hint message : lastMessages.values()) {
             // The largest count, not the sum: a redirected worker goes back and forth between
             // peers.
             workers =
-                    Math.max(workers, fresh(h) && h.stateOk() ? h.back().getOrDefault(part, 0) : 0);
+                    Math.max(
+                            workers,
+                            isFresh(message) && message.storeReachable()
+                                    ? message.redirectedWorkers().getOrDefault(part, 0)
+                                    : 0);
         }
         return workers;
     }
 
     /** Whether the message is recent enough to be used. */
-    private boolean fresh(Hint h) {
-        return outbox.now.monotonicMs() - hintedAt.get(h.from()) < Tuning.HINT_STALE_MS;
+    private boolean isFresh(Hint message) {
+        return outbox.now.monotonicMs() - receivedAtMs.get(message.senderHost())
+                < Tuning.HINT_STALE_MS;
     }
 
     /**
      * Whether a shard's leader has probably failed: its lease has expired, or it has missed a lease
      * renewal and its gossip has stopped.
      */
-    boolean suspect(PartRecord record) {
-        long leftMs = record.leaseExpiryWallMs() - outbox.now.wallMs();
-        Hint hint = hints.get(record.leaderHost());
-        boolean quiet =
-                hint == null
-                        || outbox.now.monotonicMs() - hintedAt.get(record.leaderHost())
+    boolean isSuspectedDown(PartRecord record) {
+        long remainingLeaseMs = record.leaseExpiryWallMs() - outbox.now.wallMs();
+        Hint message = lastMessages.get(record.leaderHost());
+        boolean isQuiet =
+                message == null
+                        || outbox.now.monotonicMs() - receivedAtMs.get(record.leaderHost())
                                 > Tuning.QUIET_PEER_MS;
-        return leftMs < 0
-                || (quiet
-                        && leftMs
+        return remainingLeaseMs < 0
+                || (isQuiet
+                        && remainingLeaseMs
                                 < PartLease.durationMs(settings)
                                         - PartLease.renewalIntervalMs(settings)
                                         - Tuning.QUIET_PEER_MS);
@@ -171,15 +181,16 @@
      * whole timeout, again and again, while its lease runs out. Redirected between two responsive
      * nodes it asks every half second, so the successor hears from it at once.
      */
-    String meanwhile(String owner) {
-        return hints.values().stream()
+    String interimHost(String leaderHost) {
+        return lastMessages.values().stream()
                 .filter(
-                        h ->
-                                h.stateOk()
-                                        && !h.from().equals(owner)
-                                        && outbox.now.monotonicMs() - hintedAt.get(h.from())
+                        message ->
+                                message.storeReachable()
+                                        && !message.senderHost().equals(leaderHost)
+                                        && outbox.now.monotonicMs()
+                                                        - receivedAtMs.get(message.senderHost())
                                                 < Tuning.QUIET_PEER_MS)
-                .map(Hint::from)
+                .map(Hint::senderHost)
                 .sorted()
                 .findFirst()
                 .orElse(null);
@@ -187,12 +198,12 @@
 
     @Override
     public PartHint shardSummary(int part) {
-        if (ownParts.apply(part) != null) {
-            return ownParts.apply(part).isLeader() ? ownParts.apply(part).summary() : null;
+        if (ownShards.apply(part) != null) {
+            return ownShards.apply(part).isLeader() ? ownShards.apply(part).summary() : null;
         }
-        for (Hint h : hints.values()) {
-            if (fresh(h) && h.parts().containsKey(part)) {
-                return h.parts().get(part);
+        for (Hint message : lastMessages.values()) {
+            if (isFresh(message) && message.shards().containsKey(part)) {
+                return message.shards().get(part);
             }
         }
         return null;
@@ -208,16 +219,18 @@
                         : (int)
                                 settings.members().stream()
                                         .filter(
-                                                m ->
-                                                        !hints.containsKey(m.host())
-                                                                || !fresh(hints.get(m.host())))
+                                                member ->
+                                                        !lastMessages.containsKey(member.host())
+                                                                || !isFresh(
+                                                                        lastMessages.get(
+                                                                                member.host())))
                                         .count();
         double up = (outbox.now.monotonicMs() - startedMs) / 1000.0;
-        for (Hint h : hints.values()) {
-            if (fresh(h)
-                    && h.stateOk()
-                    && (h.parts().size() < ownedCount
-                            || (h.parts().size() == ownedCount && h.upS() < up))) {
+        for (Hint message : lastMessages.values()) {
+            if (isFresh(message)
+                    && message.storeReachable()
+                    && (message.shards().size() < ownedCount
+                            || (message.shards().size() == ownedCount && message.uptimeS() < up))) {
                 before++;
             }
         }
@@ -226,52 +239,53 @@
 
     @Override
     public boolean isAnyPeerLeadingTwoFewer(int ownedCount) {
-        return hints.values().stream()
+        return lastMessages.values().stream()
                 .anyMatch(
-                        h ->
-                                fresh(h)
-                                        && h.stateOk()
-                                        && h.upS() > Tuning.DEAL_TO_UP_S
-                                        && h.parts().size() <= ownedCount - 2);
+                        message ->
+                                isFresh(message)
+                                        && message.storeReachable()
+                                        && message.uptimeS() > Tuning.DEAL_TO_UP_S
+                                        && message.shards().size() <= ownedCount - 2);
     }
 
     /** Sends a message to the peers if one is due; returns whether it did. */
-    boolean tell() {
-        if (outbox.now.monotonicMs() < nextHintMs) {
+    boolean sendIfDue() {
+        if (outbox.now.monotonicMs() < nextSendMs) {
             return false;
         }
-        nextHintMs = outbox.now.monotonicMs() + Tuning.HINT_MS;
-        HashMap<Integer, PartHint> held = new HashMap<>();
-        HashMap<Integer, Integer> back = new HashMap<>();
-        HashMap<String, Integer> running = new HashMap<>();
-        HashMap<String, Integer> finished = new HashMap<>();
-        for (int n = 0; n < redirected.length; n++) {
-            Part part = ownParts.apply(n);
-            int workers = redirected[n].countRepeatedlyRedirected(outbox.now.monotonicMs());
+        nextSendMs = outbox.now.monotonicMs() + Tuning.HINT_MS;
+        HashMap<Integer, PartHint> summaries = new HashMap<>();
+        HashMap<Integer, Integer> redirectedWorkers = new HashMap<>();
+        HashMap<String, Integer> runningTasks = new HashMap<>();
+        HashMap<String, Integer> completedTasks = new HashMap<>();
+        for (int shardNumber = 0; shardNumber < redirected.length; shardNumber++) {
+            Part shard = ownShards.apply(shardNumber);
+            int workers =
+                    redirected[shardNumber].countRepeatedlyRedirected(outbox.now.monotonicMs());
             if (workers > 0) {
-                back.put(n, workers);
+                redirectedWorkers.put(shardNumber, workers);
             }
-            if (part != null && part.isLeader()) {
-                held.put(n, part.summary());
-                for (Job job : part.jobs().values()) {
-                    running.put(job.id, job.live.size());
-                    finished.put(job.id, job.done.cardinality());
+            if (shard != null && shard.isLeader()) {
+                summaries.put(shardNumber, shard.summary());
+                for (Job job : shard.jobs().values()) {
+                    runningTasks.put(job.id, job.activeAttempts.size());
+                    completedTasks.put(job.id, job.completedTasks.cardinality());
                 }
             }
         }
-        boolean stateOk = outbox.sinceStoreReplyMs() < Tuning.READY_STATE_MS;
-        saidStateAwayMs = stateOk ? saidStateAwayMs : outbox.now.monotonicMs();
+        boolean storeReachable = outbox.sinceStoreReplyMs() < Tuning.READY_STATE_MS;
+        lastSaidUnreachableMs = storeReachable ? lastSaidUnreachableMs : outbox.now.monotonicMs();
         outbox.add(
                 new Effect.Tell(
                         new Hint(
                                 settings.host(),
                                 outbox.now.wallMs(),
-                                stateOk,
+                                storeReachable,
                                 (outbox.now.monotonicMs() - startedMs) / 1000.0,
-                                held,
-                                back,
-                                running,
-                                finished)));
+                                summaries,
+                                redirectedWorkers,
+                                runningTasks,
+                                completedTasks)));
         return true;
     }
 }
--- a/src/main/java/org/shoreusher/core/Placement.java
+++ b/src/main/java/org/shoreusher/core/Placement.java
@@ -17,24 +17,26 @@
  * second.
  */
 final class Placement {
-    private final Part part;
+    private final Part shard;
     private final Outbox outbox;
-    private final StartMarks marks;
-    private final Object2ObjectOpenHashMap<Machine, List<Planner.Placed>> shares =
+    private final StartMarks highWaterMarks;
+    private final Object2ObjectOpenHashMap<Machine, List<Planner.PlacedTasks>> plannedTasks =
             new Object2ObjectOpenHashMap<>();
 
     /** Tasks that no machine had capacity for, by job, in scheduling order. */
-    private final Object2IntLinkedOpenHashMap<Job> rest = new Object2IntLinkedOpenHashMap<>();
+    private final Object2IntLinkedOpenHashMap<Job> unplacedTasks =
+            new Object2IntLinkedOpenHashMap<>();
 
     /** Machines that are reserved, until they have enough capacity, for a job that found none. */
-    private final Object2ObjectOpenHashMap<Machine, Job> kept = new Object2ObjectOpenHashMap<>();
+    private final Object2ObjectOpenHashMap<Machine, Job> reservedFor =
+            new Object2ObjectOpenHashMap<>();
 
-    private long nextMs = Long.MIN_VALUE;
+    private long nextPlanMs = Long.MIN_VALUE;
 
-    /** Creates an empty plan; the first call of {@link #forMachine} fills it. */
-    Placement(Part part, Outbox outbox, StartMarks marks) {
-        this.marks = marks;
-        this.part = part;
+    /** Creates an empty plan; the first call of {@link #takeTasksToStart} fills it. */
+    Placement(Part shard, Outbox outbox, StartMarks highWaterMarks) {
+        this.highWaterMarks = highWaterMarks;
+        this.shard = shard;
         this.outbox = outbox;
     }
 
@@ -42,59 +44,61 @@
      * Returns the tasks that are to start now on a machine that has sent a heartbeat, and removes
      * them from the plan.
      */
-    List<Planner.Placed> forMachine(Machine m) {
-        if (outbox.now.monotonicMs() >= nextMs) {
+    List<Planner.PlacedTasks> takeTasksToStart(Machine machine) {
+        if (outbox.now.monotonicMs() >= nextPlanMs) {
             plan();
         }
-        List<Planner.Placed> share = shares.remove(m);
-        if (share == null && rest.isEmpty()) {
+        List<Planner.PlacedTasks> plannedHere = plannedTasks.remove(machine);
+        if (plannedHere == null && unplacedTasks.isEmpty()) {
             return List.of();
         }
         // The plan may be outdated: the machine, the team's usage or the job may have changed, so
         // everything is checked again. A job is placed in one call, its planned and its unplaced
         // tasks together, because the packer does not count its own placements as tasks of the job.
-        Planner now =
+        Planner packer =
                 new Planner(
-                        new ArrayList<>(List.of(new Planner.Slot(m))),
-                        part.quotaHeadroom()::cpusLeft,
-                        part.quotaHeadroom()::gpusLeft);
-        Set<Job> tried = new HashSet<>();
-        if (share != null) {
-            for (Planner.Placed p : share) {
-                tried.add(p.job());
-                place(now, p.job(), p.count());
+                        new ArrayList<>(List.of(new Planner.Slot(machine))),
+                        shard.quotaHeadroom()::cpuHeadroom,
+                        shard.quotaHeadroom()::gpuHeadroom);
+        Set<Job> triedJobs = new HashSet<>();
+        if (plannedHere != null) {
+            for (Planner.PlacedTasks placed : plannedHere) {
+                triedJobs.add(placed.job());
+                place(packer, placed.job(), placed.taskCount());
             }
         }
-        for (Job job : rest.keySet().toArray(new Job[0])) {
-            if (!now.hasRoom()) {
+        for (Job job : unplacedTasks.keySet().toArray(new Job[0])) {
+            if (!packer.hasCapacity()) {
                 break;
             }
-            if (tried.add(job)) {
-                place(now, job, 0);
+            if (triedJobs.add(job)) {
+                place(packer, job, 0);
             }
-            if (kept.get(m) == job && job.waitingCount > 0) {
+            if (reservedFor.get(machine) == job && job.pendingCount > 0) {
                 break;
             }
         }
-        return now.placed();
+        return packer.placedTasks();
     }
 
     /**
      * Places the tasks of a job that are planned for the machine, and as many of its unplaced ones
      * as fit.
      */
-    private void place(Planner now, Job job, int share) {
-        int before = now.placed().size();
-        int left = rest.getInt(job);
-        now.place(job, Math.min(share + left, job.waitingCount));
-        left -=
-                now.placed().size() > before
-                        ? Math.max(0, now.placed().get(before).count() - share)
+    private void place(Planner packer, Job job, int plannedCount) {
+        int placedBefore = packer.placedTasks().size();
+        int unplaced = unplacedTasks.getInt(job);
+        packer.place(job, Math.min(plannedCount + unplaced, job.pendingCount));
+        unplaced -=
+                packer.placedTasks().size() > placedBefore
+                        ? Math.max(
+                                0,
+                                packer.placedTasks().get(placedBefore).taskCount() - plannedCount)
                         : 0;
-        if (left <= 0 || job.waitingCount == 0) {
-            rest.removeInt(job);
+        if (unplaced <= 0 || job.pendingCount == 0) {
+            unplacedTasks.removeInt(job);
         } else {
-            rest.put(job, left);
+            unplacedTasks.put(job, unplaced);
         }
     }
 
@@ -103,63 +107,68 @@
      * job on one machine; they are merged, because each part placed on its own later would ignore
      * the others in the job's zone constraints.
      */
-    private void share(Planner.Placed p) {
-        List<Planner.Placed> share =
-                shares.computeIfAbsent(p.slot().machine, m -> new ArrayList<>());
-        int last = share.size() - 1;
-        if (last >= 0 && share.get(last).job() == p.job()) {
-            int count = share.get(last).count() + p.count();
-            share.set(last, new Planner.Placed(p.job(), p.slot(), count));
+    private void addPlanned(Planner.PlacedTasks placed) {
+        List<Planner.PlacedTasks> plannedHere =
+                plannedTasks.computeIfAbsent(
+                        placed.capacity().machine, machine -> new ArrayList<>());
+        int lastIndex = plannedHere.size() - 1;
+        if (lastIndex >= 0 && plannedHere.get(lastIndex).job() == placed.job()) {
+            int count = plannedHere.get(lastIndex).taskCount() + placed.taskCount();
+            plannedHere.set(
+                    lastIndex, new Planner.PlacedTasks(placed.job(), placed.capacity(), count));
         } else {
-            share.add(p);
+            plannedHere.add(placed);
         }
     }
 
     private void plan() {
-        shares.clear();
-        rest.clear();
-        kept.clear();
-        List<Job> jobs = part.openJobs().ordered();
+        plannedTasks.clear();
+        unplacedTasks.clear();
+        reservedFor.clear();
+        List<Job> jobs = shard.openJobs().inSchedulingOrder();
         if (jobs.isEmpty()) {
             return;
         }
-        Planner planner = part.binPacker();
-        double cpus = part.totalCpus();
-        double keepable = cpus * Tuning.KEPT_SHARE;
-        double ahead = cpus * Tuning.MARKED_AHEAD;
+        Planner packer = shard.binPacker();
+        double totalCpus = shard.totalCpus();
+        double reservableCpus = totalCpus * Tuning.KEPT_SHARE;
+        double markAheadCpus = totalCpus * Tuning.MARKED_AHEAD;
         for (Job job : jobs) {
-            int allowed = Math.min(job.waitingCount, planner.allowedByTeam(job.spec));
-            int left = planner.place(job, job.waitingCount);
-            if (left > 0) {
-                rest.put(job, left);
-                List<Machine> keep =
-                        planner.keep(
+            int allowedTasks = Math.min(job.pendingCount, packer.maxTasksWithinQuota(job.spec));
+            int unplaced = packer.place(job, job.pendingCount);
+            if (unplaced > 0) {
+                unplacedTasks.put(job, unplaced);
+                List<Machine> reserved =
+                        packer.reserveMachines(
                                 job.spec,
                                 (int)
                                         Math.min(
-                                                left,
-                                                keepable
+                                                unplaced,
+                                                reservableCpus
                                                         / Math.max(
                                                                 Tuning.EPSILON, job.spec.cpus())));
-                keepable -= keep.size() * job.spec.cpus();
-                keep.forEach(m -> kept.put(m, job));
+                reservableCpus -= reserved.size() * job.spec.cpus();
+                reserved.forEach(machine -> reservedFor.put(machine, job));
             }
             // High-water mark: what is about to start, and what comes next when a machine has
             // capacity again.
-            int next =
+            int nextTasks =
                     (int)
                             Math.min(
-                                    left,
-                                    Math.ceil(ahead / Math.max(Tuning.EPSILON, job.spec.cpus())));
-            ahead -= next * job.spec.cpus();
-            if (allowed - left + next > 0) {
-                marks.want(job, job.belowFor(allowed - left + next));
+                                    unplaced,
+                                    Math.ceil(
+                                            markAheadCpus
+                                                    / Math.max(Tuning.EPSILON, job.spec.cpus())));
+            markAheadCpus -= nextTasks * job.spec.cpus();
+            if (allowedTasks - unplaced + nextTasks > 0) {
+                highWaterMarks.request(
+                        job, job.highWaterMarkForNext(allowedTasks - unplaced + nextTasks));
             }
         }
-        planner.placed().forEach(this::share);
-        nextMs =
+        packer.placedTasks().forEach(this::addPlanned);
+        nextPlanMs =
                 outbox.now.monotonicMs()
-                        + (planner.steps() + part.machines().size() + jobs.size())
+                        + (packer.machinesScanned() + shard.machines().size() + jobs.size())
                                 / Tuning.PLAN_STEPS_PER_MS;
     }
 }
