--- a/src/main/java/org/shoreusher/core/Planner.java
+++ b/src/main/java/org/shoreusher/core/Planner.java
@@ -29,20 +29,27 @@
          * Whether this is an on-demand machine that costs far more than a spot one. It is filled
          * last, so that it becomes idle first when load drops.
          */
-        final boolean dear;
+        final boolean expensive;
 
-        double cpus;
-        double gpus;
-        double mem;
+        double freeCpus;
+        double freeGpus;
+        double freeMemGb;
 
-        private Object2DoubleOpenHashMap<String> planned;
+        private Object2DoubleOpenHashMap<String> plannedCpus;
 
         /** Position in the packing order of the current job; lower values are filled first. */
-        private double rank;
+        private double sortKey;
 
         /** The capacity of an existing machine that is free now. */
-        Slot(Machine m) {
-            this(m, m.type, m.zone, m.spot, m.cpusFree(), m.gpusFree(), m.memGbFree());
+        Slot(Machine machine) {
+            this(
+                    machine,
+                    machine.type,
+                    machine.zone,
+                    machine.spot,
+                    machine.cpusFree(),
+                    machine.gpusFree(),
+                    machine.memGbFree());
         }
 
         /** The capacity of an empty machine that has not been provisioned yet. */
@@ -55,51 +62,64 @@
                 MachineType type,
                 String zone,
                 boolean spot,
-                double cpus,
-                double gpus,
-                double mem) {
+                double freeCpus,
+                double freeGpus,
+                double freeMemGb) {
             this.machine = machine;
             this.type = type;
             this.zone = zone;
             this.spot = spot;
-            dear = !spot && type.isOnDemandExpensive();
-            this.cpus = cpus;
-            this.gpus = gpus;
-            this.mem = mem;
+            expensive = !spot && type.isOnDemandExpensive();
+            this.freeCpus = freeCpus;
+            this.freeGpus = freeGpus;
+            this.freeMemGb = freeMemGb;
         }
 
         /** Returns how many tasks of the job fit into the free capacity. */
-        int fits(JobSpec job) {
-            double n = Integer.MAX_VALUE;
-            n = job.cpus() > 0 ? Math.min(n, Math.floor(cpus / job.cpus() + Tuning.EPSILON)) : n;
-            n = job.gpus() > 0 ? Math.min(n, Math.floor(gpus / job.gpus() + Tuning.EPSILON)) : n;
-            n = job.memGb() > 0 ? Math.min(n, Math.floor(mem / job.memGb() + Tuning.EPSILON)) : n;
-            return (int) Math.max(0, n);
+        int fittingTaskCount(JobSpec spec) {
+            double taskCount = Integer.MAX_VALUE;
+            taskCount =
+                    spec.cpus() > 0
+                            ? Math.min(
+                                    taskCount, Math.floor(freeCpus / spec.cpus() + Tuning.EPSILON))
+                            : taskCount;
+            taskCount =
+                    spec.gpus() > 0
+                            ? Math.min(
+                                    taskCount, Math.floor(freeGpus / spec.gpus() + Tuning.EPSILON))
+                            : taskCount;
+            taskCount =
+                    spec.memGb() > 0
+                            ? Math.min(
+                                    taskCount,
+                                    Math.floor(freeMemGb / spec.memGb() + Tuning.EPSILON))
+                            : taskCount;
+            return (int) Math.max(0, taskCount);
         }
 
         /** Whether neither CPUs nor GPUs are left, so that hardly any task fits. */
-        boolean full() {
-            return cpus <= Tuning.EPSILON && gpus <= Tuning.EPSILON;
+        boolean isFull() {
+            return freeCpus <= Tuning.EPSILON && freeGpus <= Tuning.EPSILON;
         }
 
         /** Returns the CPUs on this machine that the current plan assigns to a team. */
-        double planned(String team) {
-            return planned == null ? 0 : planned.getDouble(team);
+        double plannedCpus(String team) {
+            return plannedCpus == null ? 0 : plannedCpus.getDouble(team);
         }
 
         /** Records that the current plan assigns so many tasks of the job to this machine. */
-        void plan(JobSpec job, int count) {
-            if (planned == null) {
-                planned = new Object2DoubleOpenHashMap<>();
+        void recordPlanned(JobSpec spec, int taskCount) {
+            if (plannedCpus == null) {
+                plannedCpus = new Object2DoubleOpenHashMap<>();
             }
-            planned.addTo(job.team(), job.cpus() * count);
+            plannedCpus.addTo(spec.team(), spec.cpus() * taskCount);
         }
 
         /** Subtracts the resources of so many tasks from the free capacity. */
-        void take(JobSpec job, int count) {
-            cpus -= job.cpus() * count;
-            gpus -= job.gpus() * count;
-            mem -= job.memGb() * count;
+        void allocate(JobSpec spec, int taskCount) {
+            freeCpus -= spec.cpus() * taskCount;
+            freeGpus -= spec.gpus() * taskCount;
+            freeMemGb -= spec.memGb() * taskCount;
         }
     }
 
@@ -107,10 +127,10 @@
      * A number of tasks of one job that are to run on one machine.
      *
      * @param job the job
-     * @param slot the machine
-     * @param count number of tasks
+     * @param capacity the machine
+     * @param taskCount number of tasks
      */
-    record Placed(Job job, Slot slot, int count) {}
+    record PlacedTasks(Job job, Slot capacity, int taskCount) {}
 
     /**
      * Passes over the machines while a job is placed, in this order. Image locality is weighed
@@ -137,12 +157,12 @@
         SpreadLimit NONE =
                 new SpreadLimit() {
                     @Override
-                    public double cpusAllowed(Machine m, JobSpec spec, SpreadPass pass) {
+                    public double maxTeamCpus(Machine machine, JobSpec spec, SpreadPass pass) {
                         return Double.POSITIVE_INFINITY;
                     }
 
                     @Override
-                    public double cpusUsed(Machine m, String team) {
+                    public double teamCpusUsed(Machine machine, String team) {
                         return 0;
                     }
                 };
@@ -151,188 +171,197 @@
          * Returns the most CPUs that the job's team may use on the machine in this pass; infinite
          * if not limited.
          */
-        double cpusAllowed(Machine m, JobSpec spec, SpreadPass pass);
+        double maxTeamCpus(Machine machine, JobSpec spec, SpreadPass pass);
 
         /** Returns the CPUs that the team uses on the machine. */
-        double cpusUsed(Machine m, String team);
+        double teamCpusUsed(Machine machine, String team);
     }
 
-    private static final Comparator<Slot> ORDER =
-            Comparator.comparingDouble((Slot s) -> s.rank)
-                    .thenComparing(s -> s.machine == null ? "~" : s.machine.id);
+    private static final Comparator<Slot> BY_SORT_KEY =
+            Comparator.comparingDouble((Slot capacity) -> capacity.sortKey)
+                    .thenComparing(
+                            capacity -> capacity.machine == null ? "~" : capacity.machine.id);
 
-    private final ToDoubleFunction<String> cpusLeft;
-    private final ToDoubleFunction<String> gpusLeft;
+    private final ToDoubleFunction<String> cpuHeadroom;
+    private final ToDoubleFunction<String> gpuHeadroom;
     private final SpreadLimit spreadLimit;
-    private final Object2DoubleOpenHashMap<String> cpusPlanned = new Object2DoubleOpenHashMap<>();
-    private final Object2DoubleOpenHashMap<String> gpusPlanned = new Object2DoubleOpenHashMap<>();
+    private final Object2DoubleOpenHashMap<String> plannedCpus = new Object2DoubleOpenHashMap<>();
+    private final Object2DoubleOpenHashMap<String> plannedGpus = new Object2DoubleOpenHashMap<>();
 
     /** Machines that still have free capacity. */
-    private final List<Slot> slots;
+    private final List<Slot> capacities;
 
-    private final List<Placed> placed = new ArrayList<>();
-    private long steps;
+    private final List<PlacedTasks> placedTasks = new ArrayList<>();
+    private long machinesScanned;
 
     /**
      * Creates a plan without a spread limit.
      *
-     * @param slots machines with free capacity; the list is changed
-     * @param cpusLeft CPUs of the quota that a team may still use
-     * @param gpusLeft GPUs of the quota that a team may still use
+     * @param capacities machines with free capacity; the list is changed
+     * @param cpuHeadroom CPUs of the quota that a team may still use
+     * @param gpuHeadroom GPUs of the quota that a team may still use
      */
     Planner(
-            List<Slot> slots,
-            ToDoubleFunction<String> cpusLeft,
-            ToDoubleFunction<String> gpusLeft) {
-        this(slots, cpusLeft, gpusLeft, SpreadLimit.NONE);
+            List<Slot> capacities,
+            ToDoubleFunction<String> cpuHeadroom,
+            ToDoubleFunction<String> gpuHeadroom) {
+        this(capacities, cpuHeadroom, gpuHeadroom, SpreadLimit.NONE);
     }
 
     /**
      * Creates a plan that spreads the load of some teams.
      *
-     * @param slots machines with free capacity; the list is changed
-     * @param cpusLeft CPUs of the quota that a team may still use
-     * @param gpusLeft GPUs of the quota that a team may still use
+     * @param capacities machines with free capacity; the list is changed
+     * @param cpuHeadroom CPUs of the quota that a team may still use
+     * @param gpuHeadroom GPUs of the quota that a team may still use
      * @param spreadLimit limit on a team's load on one machine
      */
     Planner(
-            List<Slot> slots,
-            ToDoubleFunction<String> cpusLeft,
-            ToDoubleFunction<String> gpusLeft,
+            List<Slot> capacities,
+            ToDoubleFunction<String> cpuHeadroom,
+            ToDoubleFunction<String> gpuHeadroom,
             SpreadLimit spreadLimit) {
-        this.slots = slots;
-        this.cpusLeft = cpusLeft;
-        this.gpusLeft = gpusLeft;
+        this.capacities = capacities;
+        this.cpuHeadroom = cpuHeadroom;
+        this.gpuHeadroom = gpuHeadroom;
         this.spreadLimit = spreadLimit;
     }
 
     /** Returns everything placed so far, in the order of placement. */
-    List<Placed> placed() {
-        return placed;
+    List<PlacedTasks> placedTasks() {
+        return placedTasks;
     }
 
     /** Adds a machine to place tasks on. */
-    void addRoom(Slot slot) {
-        slots.add(slot);
+    void addCapacity(Slot capacity) {
+        capacities.add(capacity);
     }
 
     /** Whether any machine has free capacity. */
-    boolean hasRoom() {
-        return !slots.isEmpty();
+    boolean hasCapacity() {
+        return !capacities.isEmpty();
     }
 
     /** Returns how many machines were examined so far, summed over jobs: the cost of the plan. */
-    long steps() {
-        return steps;
+    long machinesScanned() {
+        return machinesScanned;
     }
 
     /** Returns how many more tasks of the job its team's quota allows. */
-    int allowedByTeam(JobSpec job) {
-        double n = Integer.MAX_VALUE;
-        if (job.cpus() > 0) {
-            n =
+    int maxTasksWithinQuota(JobSpec spec) {
+        double taskCount = Integer.MAX_VALUE;
+        if (spec.cpus() > 0) {
+            taskCount =
                     Math.min(
-                            n,
+                            taskCount,
                             Math.floor(
-                                    (cpusLeft.applyAsDouble(job.team())
-                                                            - cpusPlanned.getDouble(job.team()))
-                                                    / job.cpus()
+                                    (cpuHeadroom.applyAsDouble(spec.team())
+                                                            - plannedCpus.getDouble(spec.team()))
+                                                    / spec.cpus()
                                             + Tuning.EPSILON));
         }
-        if (job.gpus() > 0) {
-            n =
+        if (spec.gpus() > 0) {
+            taskCount =
                     Math.min(
-                            n,
+                            taskCount,
                             Math.floor(
-                                    (gpusLeft.applyAsDouble(job.team())
-                                                            - gpusPlanned.getDouble(job.team()))
-                                                    / job.gpus()
+                                    (gpuHeadroom.applyAsDouble(spec.team())
+                                                            - plannedGpus.getDouble(spec.team()))
+                                                    / spec.gpus()
                                             + Tuning.EPSILON));
         }
-        return (int) Math.max(0, n);
+        return (int) Math.max(0, taskCount);
     }
 
     /**
-     * Places up to {@code wanted} tasks of a job.
+     * Places up to {@code requested} tasks of a job.
      *
      * @return how many tasks found no machine although the quota allows them
      */
-    int place(Job job, int wanted) {
+    int place(Job job, int requested) {
         JobSpec spec = job.spec;
-        int left = Math.min(wanted, allowedByTeam(spec));
-        if (left <= 0) {
+        int unplaced = Math.min(requested, maxTasksWithinQuota(spec));
+        if (unplaced <= 0) {
             return 0;
         }
-        if (slots.isEmpty()) {
-            return left;
+        if (capacities.isEmpty()) {
+            return unplaced;
         }
-        steps += slots.size();
+        machinesScanned += capacities.size();
         // Sorted by the free fraction, not by absolute free capacity: small machines would
         // otherwise always come before larger ones with some capacity left, and the larger ones,
         // cheaper per CPU, would stay nearly empty.
-        slots.forEach(
-                s ->
-                        s.rank =
-                                (s.cpus + fetchCost(s, spec)) / Math.max(1, s.type.cpus())
-                                        + (s.dear ? Tuning.DEAR_LAST : 0)
-                                        + (s.machine != null && job.failedOn.contains(s.machine.id)
+        capacities.forEach(
+                capacity ->
+                        capacity.sortKey =
+                                (capacity.freeCpus + imageFetchCost(capacity, spec))
+                                                / Math.max(1, capacity.type.cpus())
+                                        + (capacity.expensive ? Tuning.DEAR_LAST : 0)
+                                        + (capacity.machine != null
+                                                        && job.failedMachineIds.contains(
+                                                                capacity.machine.id)
                                                 ? Tuning.FAILED_LAST
                                                 : 0));
-        slots.sort(ORDER);
-        ZoneRule zones = new ZoneRule(job);
+        capacities.sort(BY_SORT_KEY);
+        ZoneConstraints zoneConstraints = new ZoneConstraints(job);
         if (spreadLimit == SpreadLimit.NONE) {
-            return fill(job, left, zones, SpreadPass.UNLIMITED);
+            return fill(job, unplaced, zoneConstraints, SpreadPass.UNLIMITED);
         }
         for (SpreadPass pass : SpreadPass.values()) {
-            left = left == 0 ? 0 : fill(job, left, zones, pass);
+            unplaced = unplaced == 0 ? 0 : fill(job, unplaced, zoneConstraints, pass);
         }
-        return left;
+        return unplaced;
     }
 
     /**
      * Assigns tasks to machines in order; returns how many found no capacity within the limit of
      * this pass.
      */
-    private int fill(Job job, int wanted, ZoneRule zones, SpreadPass pass) {
+    private int fill(Job job, int requested, ZoneConstraints zoneConstraints, SpreadPass pass) {
         JobSpec spec = job.spec;
-        int left = wanted;
-        boolean filled = false;
-        for (int i = 0; i < slots.size() && left > 0; i++) {
-            Slot slot = slots.get(i);
-            if (!spec.allows(slot.type.name(), slot.zone, slot.spot)) {
+        int unplaced = requested;
+        boolean anyFull = false;
+        for (int i = 0; i < capacities.size() && unplaced > 0; i++) {
+            Slot capacity = capacities.get(i);
+            if (!spec.allowsMachine(capacity.type.name(), capacity.zone, capacity.spot)) {
                 continue;
             }
-            int n = Math.min(Math.min(left, slot.fits(spec)), zones.room(slot.zone));
-            n = Math.min(n, within(slot, spec, pass));
-            if (n > 0) {
-                slot.take(spec, n);
+            int taskCount =
+                    Math.min(
+                            Math.min(unplaced, capacity.fittingTaskCount(spec)),
+                            zoneConstraints.remainingTasks(capacity.zone));
+            taskCount = Math.min(taskCount, maxTasksWithinSpread(capacity, spec, pass));
+            if (taskCount > 0) {
+                capacity.allocate(spec, taskCount);
                 if (spreadLimit != SpreadLimit.NONE) {
-                    slot.plan(spec, n);
+                    capacity.recordPlanned(spec, taskCount);
                 }
-                zones.add(slot.zone, n);
-                cpusPlanned.addTo(spec.team(), n * spec.cpus());
-                gpusPlanned.addTo(spec.team(), n * spec.gpus());
-                placed.add(new Placed(job, slot, n));
-                left -= n;
-                filled |= slot.full();
+                zoneConstraints.add(capacity.zone, taskCount);
+                plannedCpus.addTo(spec.team(), taskCount * spec.cpus());
+                plannedGpus.addTo(spec.team(), taskCount * spec.gpus());
+                placedTasks.add(new PlacedTasks(job, capacity, taskCount));
+                unplaced -= taskCount;
+                anyFull |= capacity.isFull();
             }
         }
-        if (filled) {
-            slots.removeIf(Slot::full);
+        if (anyFull) {
+            capacities.removeIf(Slot::isFull);
         }
-        return left;
+        return unplaced;
     }
 
     /** Returns how many more tasks of the job this pass allows on a machine. */
-    private int within(Slot slot, JobSpec spec, SpreadPass pass) {
-        if (slot.machine == null || spec.cpus() <= 0 || pass == SpreadPass.UNLIMITED) {
+    private int maxTasksWithinSpread(Slot capacity, JobSpec spec, SpreadPass pass) {
+        if (capacity.machine == null || spec.cpus() <= 0 || pass == SpreadPass.UNLIMITED) {
             return Integer.MAX_VALUE;
         }
-        double allowed = spreadLimit.cpusAllowed(slot.machine, spec, pass);
+        double allowed = spreadLimit.maxTeamCpus(capacity.machine, spec, pass);
         if (Double.isInfinite(allowed)) {
             return Integer.MAX_VALUE;
         }
-        double used = spreadLimit.cpusUsed(slot.machine, spec.team()) + slot.planned(spec.team());
+        double used =
+                spreadLimit.teamCpusUsed(capacity.machine, spec.team())
+                        + capacity.plannedCpus(spec.team());
         return (int) Math.max(0, Math.floor((allowed - used) / spec.cpus() + Tuning.EPSILON));
     }
 
@@ -342,24 +371,24 @@
      *
      * @return the reserved machines, which take no further tasks in this plan
      */
-    List<Machine> keep(JobSpec spec, int wanted) {
-        List<Machine> kept = new ArrayList<>();
-        if (wanted <= 0) {
-            return kept;
+    List<Machine> reserveMachines(JobSpec spec, int requested) {
+        List<Machine> reserved = new ArrayList<>();
+        if (requested <= 0) {
+            return reserved;
         }
-        slots.forEach(s -> s.rank = s.cpus);
-        slots.sort(ORDER);
-        for (int i = slots.size() - 1; i >= 0 && kept.size() < wanted; i--) {
-            Slot slot = slots.get(i);
-            if (slot.machine != null
-                    && spec.allows(slot.type.name(), slot.zone, slot.spot)
-                    && slot.type.canFit(spec)
-                    && slot.fits(spec) == 0) {
-                kept.add(slot.machine);
-                slots.remove(i);
+        capacities.forEach(capacity -> capacity.sortKey = capacity.freeCpus);
+        capacities.sort(BY_SORT_KEY);
+        for (int i = capacities.size() - 1; i >= 0 && reserved.size() < requested; i--) {
+            Slot capacity = capacities.get(i);
+            if (capacity.machine != null
+                    && spec.allowsMachine(capacity.type.name(), capacity.zone, capacity.spot)
+                    && capacity.type.canFit(spec)
+                    && capacity.fittingTaskCount(spec) == 0) {
+                reserved.add(capacity.machine);
+                capacities.remove(i);
             }
         }
-        return kept;
+        return reserved;
     }
 
     /**
@@ -367,57 +396,65 @@
      * share of the task's time there that the fetch would take. A slightly emptier machine that has
      * the image is preferred.
      */
-    private static double fetchCost(Slot slot, JobSpec spec) {
-        if (slot.machine != null && slot.machine.cachedImages.contains(spec.image())) {
+    private static double imageFetchCost(Slot capacity, JobSpec spec) {
+        if (capacity.machine != null && capacity.machine.cachedImages.contains(spec.image())) {
             return 0;
         }
-        return spec.cpus() * fetchShare(slot.type, spec);
+        return spec.cpus() * imageFetchShare(capacity.type, spec);
     }
 
     /**
      * Returns the share of a task's time on a machine that goes into fetching its image, from 0 to
      * 1.
      */
-    static double fetchShare(MachineType type, JobSpec spec) {
+    static double imageFetchShare(MachineType type, JobSpec spec) {
         double fetchS = spec.imageGb() / Math.max(Tuning.LEAST_FETCH, type.imageFetchGbPerS());
-        return fetchS / (fetchS + Math.max(Tuning.LEAST_RUN_S, spec.estimateS()));
+        return fetchS / (fetchS + Math.max(Tuning.LEAST_RUN_S, spec.estimatedRunS()));
     }
 
     /**
      * Zone constraints of a job (single zone, or replicas spread over zones), given the tasks that
      * are or may be on machines.
      */
-    static final class ZoneRule {
-        private final Object2IntOpenHashMap<String> used = new Object2IntOpenHashMap<>();
-        private final boolean one;
-        private final int most;
-        private final int mostElsewhere;
+    static final class ZoneConstraints {
+        private final Object2IntOpenHashMap<String> tasksPerZone = new Object2IntOpenHashMap<>();
+        private final boolean singleZone;
+        private final int maxPerZone;
+        private final int maxInOtherZones;
         private final String largerHalfZone;
 
         /** Counts the tasks of the job that are or may be on machines, by zone. */
-        ZoneRule(Job job) {
-            one = job.spec.oneZone();
-            most = job.spec.spread() ? (job.spec.tasks() + 1) / 2 : Integer.MAX_VALUE;
-            mostElsewhere = job.spec.spread() ? job.spec.tasks() / 2 : Integer.MAX_VALUE;
+        ZoneConstraints(Job job) {
+            singleZone = job.spec.singleZone();
+            maxPerZone =
+                    job.spec.spreadAcrossZones()
+                            ? (job.spec.taskCount() + 1) / 2
+                            : Integer.MAX_VALUE;
+            maxInOtherZones =
+                    job.spec.spreadAcrossZones() ? job.spec.taskCount() / 2 : Integer.MAX_VALUE;
             largerHalfZone = job.largerHalfZone;
-            if (one || job.spec.spread()) {
-                job.live.values().forEach(l -> used.addTo(l.machine.zone, 1));
+            if (singleZone || job.spec.spreadAcrossZones()) {
+                job.activeAttempts
+                        .values()
+                        .forEach(attempt -> tasksPerZone.addTo(attempt.machine.zone, 1));
             }
         }
 
         /** Returns how many more tasks of the job may go into the zone. */
-        int room(String zone) {
+        int remainingTasks(String zone) {
             // If tasks may be in two zones, no zone is safe until one of them is known to be empty.
-            if (one && !used.isEmpty() && (used.size() > 1 || !used.containsKey(zone))) {
+            if (singleZone
+                    && !tasksPerZone.isEmpty()
+                    && (tasksPerZone.size() > 1 || !tasksPerZone.containsKey(zone))) {
                 return 0;
             }
             boolean largerHalf = largerHalfZone == null || largerHalfZone.equals(zone);
-            return (largerHalf ? most : mostElsewhere) - used.getInt(zone);
+            return (largerHalf ? maxPerZone : maxInOtherZones) - tasksPerZone.getInt(zone);
         }
 
         /** Records that so many tasks of the job were placed in the zone. */
-        void add(String zone, int n) {
-            used.addTo(zone, n);
+        void add(String zone, int taskCount) {
+            tasksPerZone.addTo(zone, taskCount);
         }
     }
 }
--- a/src/main/java/org/shoreusher/core/Preemption.java
+++ b/src/main/java/org/shoreusher/core/Preemption.java
@@ -14,89 +14,91 @@
  * started so recently that its start would not count for the objectives.
  */
 final class Preemption {
-    private final Object2DoubleOpenHashMap<String> teamRelief = new Object2DoubleOpenHashMap<>();
+    private final Object2DoubleOpenHashMap<String> reclaimedTeamCpus =
+            new Object2DoubleOpenHashMap<>();
     private final List<TaskAttempt> victims = new ArrayList<>();
     private final List<TaskAttempt> chosen = new ArrayList<>();
-    private final Urgency urgency;
+    private final Urgency schedulingOrder;
     private final ClockReading now;
-    private double relief;
+    private double reclaimedCpus;
 
     /**
      * Collects the tasks that can be preempted now, and the CPUs of those that are already
      * stopping.
      */
-    Preemption(Part part, Urgency urgency, ClockReading now) {
-        this.urgency = urgency;
+    Preemption(Part shard, Urgency schedulingOrder, ClockReading now) {
+        this.schedulingOrder = schedulingOrder;
         this.now = now;
-        for (Machine m : part.machines().values()) {
-            for (TaskAttempt live : m.tasks.values()) {
-                if (live.stopping || live.mustStop) {
-                    teamRelief.addTo(live.job.spec.team(), live.job.spec.cpus());
-                    relief += live.job.spec.cpus();
-                } else if (live.job.spec.checkpointS() > 0
-                        && live.state == TaskAttempt.State.RUNNING
-                        && now.monotonicMs() - live.sinceMs > Tuning.START_COUNTS_MS
-                        && part.isAvailable(m)
-                        && urgency.canSpare(live.job, now.wallMs())) {
-                    victims.add(live);
+        for (Machine machine : shard.machines().values()) {
+            for (TaskAttempt attempt : machine.tasks.values()) {
+                if (attempt.beingEvicted || attempt.mustStop) {
+                    reclaimedTeamCpus.addTo(attempt.job.spec.team(), attempt.job.spec.cpus());
+                    reclaimedCpus += attempt.job.spec.cpus();
+                } else if (attempt.job.spec.checkpointIntervalS() > 0
+                        && attempt.state == TaskAttempt.State.RUNNING
+                        && now.monotonicMs() - attempt.createdMs > Tuning.START_COUNTS_MS
+                        && shard.isAvailable(machine)
+                        && schedulingOrder.isPreemptible(attempt.job, now.wallMs())) {
+                    victims.add(attempt);
                 }
             }
         }
         // Lowest priority first, then the task that has run for the shortest time: it has the most
         // work left, so stopping it frees capacity for longest.
         victims.sort(
-                Comparator.comparing((TaskAttempt l) -> l.job.spec.priority())
+                Comparator.comparing((TaskAttempt attempt) -> attempt.job.spec.priority())
                         .reversed()
-                        .thenComparing(l -> -l.runningSinceMs)
-                        .thenComparing(l -> l.job.id)
-                        .thenComparingInt(l -> l.index));
+                        .thenComparing(attempt -> -attempt.runningSinceMs)
+                        .thenComparing(attempt -> attempt.job.id)
+                        .thenComparingInt(attempt -> attempt.taskIndex));
     }
 
     /**
      * Selects the tasks to preempt.
      *
-     * @param ordered jobs in scheduling order
-     * @param planner capacity that is free now; waiting tasks are placed in it
+     * @param orderedJobs jobs in scheduling order
+     * @param packer capacity that is free now; waiting tasks are placed in it
      */
-    List<TaskAttempt> choose(List<Job> ordered, Planner planner) {
-        for (Job job : ordered) {
-            boolean high = job.spec.priority().compareTo(JobSpec.Priority.HIGH) <= 0;
-            if (job.suspect()
-                    || !(high
+    List<TaskAttempt> choose(List<Job> orderedJobs, Planner packer) {
+        for (Job job : orderedJobs) {
+            boolean isHighPriority = job.spec.priority().compareTo(JobSpec.Priority.HIGH) <= 0;
+            if (job.isSuspectedFaulty()
+                    || !(isHighPriority
                             || (job.spec.priority() == JobSpec.Priority.NORMAL
-                                    && urgency.pressing(job, now.wallMs())))) {
+                                    && schedulingOrder.isNearLatestStart(job, now.wallMs())))) {
                 continue;
             }
             JobSpec spec = job.spec;
-            int overLimit = job.waitingCount - planner.allowedByTeam(spec);
-            int noMachine = planner.place(job, job.waitingCount);
-            if (overLimit > 0) {
-                double before = teamRelief.getDouble(spec.team());
-                double missingCpus = overLimit * spec.cpus() - before;
-                teamRelief.put(spec.team(), Math.max(0, -missingCpus));
-                take(spec, missingCpus, spec.team());
+            int tasksOverQuota = job.pendingCount - packer.maxTasksWithinQuota(spec);
+            int unplacedTasks = packer.place(job, job.pendingCount);
+            if (tasksOverQuota > 0) {
+                double alreadyReclaimedCpus = reclaimedTeamCpus.getDouble(spec.team());
+                double missingCpus = tasksOverQuota * spec.cpus() - alreadyReclaimedCpus;
+                reclaimedTeamCpus.put(spec.team(), Math.max(0, -missingCpus));
+                selectVictims(spec, missingCpus, spec.team());
             }
             // Capacity for replicas of services is made by ReplicaPreemption.
-            if (noMachine > 0 && spec.shape().ends()) {
-                double missingCpus = noMachine * spec.cpus() - relief;
-                relief = Math.max(0, -missingCpus);
-                take(spec, missingCpus, null);
+            if (unplacedTasks > 0 && spec.workloadType().runsToCompletion()) {
+                double missingCpus = unplacedTasks * spec.cpus() - reclaimedCpus;
+                reclaimedCpus = Math.max(0, -missingCpus);
+                selectVictims(spec, missingCpus, null);
             }
         }
         return chosen;
     }
 
-    private void take(JobSpec forJob, double cpus, String team) {
-        double left = cpus;
-        for (int i = 0; i < victims.size() && left > 0; i++) {
-            TaskAttempt v = victims.get(i);
-            JobSpec spec = v.job.spec;
-            if (spec.priority().compareTo(forJob.priority()) > 0
+    private void selectVictims(JobSpec waitingSpec, double requiredCpus, String team) {
+        double missingCpus = requiredCpus;
+        for (int i = 0; i < victims.size() && missingCpus > 0; i++) {
+            TaskAttempt victim = victims.get(i);
+            JobSpec spec = victim.job.spec;
+            if (spec.priority().compareTo(waitingSpec.priority()) > 0
                     && (team == null || spec.team().equals(team))
-                    && forJob.allows(v.machine.type.name(), v.machine.zone, v.machine.spot)) {
+                    && waitingSpec.allowsMachine(
+                            victim.machine.type.name(), victim.machine.zone, victim.machine.spot)) {
                 victims.remove(i--);
-                chosen.add(v);
-                left -= spec.cpus();
+                chosen.add(victim);
+                missingCpus -= spec.cpus();
             }
         }
     }
--- a/src/main/java/org/shoreusher/core/Quota.java
+++ b/src/main/java/org/shoreusher/core/Quota.java
@@ -28,223 +28,231 @@
      * @param version version of the record that is the precondition of the write
      * @param record the shares after the write
      */
-    private record Give(long version, QuotaRecord record) {}
+    private record Transfer(long version, QuotaRecord record) {}
 
-    private final int partNumber;
-    private final int parts;
+    private final int shardNumber;
+    private final int shardCount;
     private final Settings settings;
     private final Outbox outbox;
-    private final StoreView view;
-    private final Map<String, Long> fence;
+    private final StoreView storeCache;
+    private final Map<String, Long> fencingPreconditions;
 
     /** Transfers whose outcome is unknown; until it is known the lower share applies. */
-    private final Object2ObjectOpenHashMap<String, Give> giving = new Object2ObjectOpenHashMap<>();
+    private final Object2ObjectOpenHashMap<String, Transfer> pendingTransfers =
+            new Object2ObjectOpenHashMap<>();
 
-    private final ObjectOpenHashSet<String> inFlight = new ObjectOpenHashSet<>();
+    private final ObjectOpenHashSet<String> teamsInFlight = new ObjectOpenHashSet<>();
 
     /**
      * CPUs that this shard should not exceed once the demands of the others are considered, by
      * team.
      */
-    private final Object2ObjectOpenHashMap<String, Double> target =
+    private final Object2ObjectOpenHashMap<String, Double> targetCpus =
             new Object2ObjectOpenHashMap<>();
 
-    private boolean creating;
-    private long nextMs;
+    private boolean creationInFlight;
+    private long nextStepMs;
 
     /**
      * Creates the shares of one shard.
      *
-     * @param fence preconditions of every write: this shard's leadership
+     * @param fencingPreconditions preconditions of every write: this shard's leadership
      */
     Quota(
-            int partNumber,
-            int parts,
+            int shardNumber,
+            int shardCount,
             Settings settings,
             Outbox outbox,
-            StoreView view,
-            Map<String, Long> fence) {
-        this.partNumber = partNumber;
-        this.parts = parts;
+            StoreView storeCache,
+            Map<String, Long> fencingPreconditions) {
+        this.shardNumber = shardNumber;
+        this.shardCount = shardCount;
         this.settings = settings;
         this.outbox = outbox;
-        this.view = view;
-        this.fence = fence;
+        this.storeCache = storeCache;
+        this.fencingPreconditions = fencingPreconditions;
     }
 
     /** Returns the CPUs that tasks of the team in this shard may use. */
-    double cpus(String team) {
-        Settings.Team t = settings.teams().get(team);
-        if (parts == 1 || t == null || Double.isInfinite(t.cpusMax())) {
-            return t == null ? 0 : t.cpusMax();
+    double cpuShare(String team) {
+        Settings.Team teamSettings = settings.teams().get(team);
+        if (shardCount == 1 || teamSettings == null || Double.isInfinite(teamSettings.cpusMax())) {
+            return teamSettings == null ? 0 : teamSettings.cpusMax();
         }
-        QuotaRecord stored = stored(team);
-        Give open = giving.get(team);
+        QuotaRecord stored = storedShares(team);
+        Transfer pending = pendingTransfers.get(team);
         return stored == null
                 ? 0
-                : open == null
-                        ? stored.cpus()[partNumber]
-                        : Math.min(stored.cpus()[partNumber], open.record.cpus()[partNumber]);
+                : pending == null
+                        ? stored.cpus()[shardNumber]
+                        : Math.min(stored.cpus()[shardNumber], pending.record.cpus()[shardNumber]);
     }
 
     /** Returns the GPUs that tasks of the team in this shard may use. */
-    double gpus(String team) {
-        Settings.Team t = settings.teams().get(team);
-        if (parts == 1 || t == null || Double.isInfinite(t.gpusMax())) {
-            return t == null ? 0 : t.gpusMax();
+    double gpuShare(String team) {
+        Settings.Team teamSettings = settings.teams().get(team);
+        if (shardCount == 1 || teamSettings == null || Double.isInfinite(teamSettings.gpusMax())) {
+            return teamSettings == null ? 0 : teamSettings.gpusMax();
         }
-        QuotaRecord stored = stored(team);
-        Give open = giving.get(team);
+        QuotaRecord stored = storedShares(team);
+        Transfer pending = pendingTransfers.get(team);
         return stored == null
                 ? 0
-                : open == null
-                        ? stored.gpus()[partNumber]
-                        : Math.min(stored.gpus()[partNumber], open.record.gpus()[partNumber]);
+                : pending == null
+                        ? stored.gpus()[shardNumber]
+                        : Math.min(stored.gpus()[shardNumber], pending.record.gpus()[shardNumber]);
     }
 
     /**
      * Returns the CPUs up to which new tasks should start. It may be below the share, so that
      * another shard can get what its more urgent tasks need.
      */
-    double startCpus(String team) {
-        Double t = target.get(team);
-        return t == null ? cpus(team) : Math.min(cpus(team), t);
+    double cpuShareForStarts(String team) {
+        Double targetShare = targetCpus.get(team);
+        return targetShare == null ? cpuShare(team) : Math.min(cpuShare(team), targetShare);
     }
 
-    private QuotaRecord stored(String team) {
-        StoreView.Entry e = view.get(StoreSchema.quotaKey(team));
-        return e == null ? null : QuotaRecord.fromMap(e.value(), parts);
+    private QuotaRecord storedShares(String team) {
+        StoreView.Entry entry = storeCache.get(StoreSchema.quotaKey(team));
+        return entry == null ? null : QuotaRecord.fromMap(entry.value(), shardCount);
     }
 
     /**
      * Creates missing records and transfers shares to shards with a higher demand.
      *
-     * @param used CPUs that this shard's tasks of a team use or may use
-     * @param claims each shard's demand for a team, null where no recent gossip is known
+     * @param cpusUsed CPUs that this shard's tasks of a team use or may use
+     * @param demands each shard's demand for a team, null where no recent gossip is known
      * @param quantum smallest useful transfer for a team, in CPUs
      */
     void step(
-            Function<String, Double> used,
-            Function<String, Claim[]> claims,
+            Function<String, Double> cpusUsed,
+            Function<String, Claim[]> demands,
             Function<String, Double> quantum) {
-        if (parts == 1 || outbox.now.monotonicMs() < nextMs) {
+        if (shardCount == 1 || outbox.now.monotonicMs() < nextStepMs) {
             return;
         }
-        nextMs = outbox.now.monotonicMs() + Tuning.QUOTA_EVERY_MS;
-        create();
+        nextStepMs = outbox.now.monotonicMs() + Tuning.QUOTA_EVERY_MS;
+        createMissingRecords();
         for (Settings.Team team : settings.teams().values()) {
             if (!Double.isInfinite(team.cpusMax())
-                    && stored(team.name()) != null
-                    && !inFlight.contains(team.name())) {
-                weigh(
+                    && storedShares(team.name()) != null
+                    && !teamsInFlight.contains(team.name())) {
+                rebalance(
                         team,
-                        used.apply(team.name()),
-                        claims.apply(team.name()),
+                        cpusUsed.apply(team.name()),
+                        demands.apply(team.name()),
                         Math.max(1, quantum.apply(team.name())));
             }
         }
     }
 
-    private void create() {
-        Map<String, Long> guards = new LinkedHashMap<>(fence);
+    private void createMissingRecords() {
+        Map<String, Long> preconditions = new LinkedHashMap<>(fencingPreconditions);
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
         for (Settings.Team team : settings.teams().values()) {
-            if (view.get(StoreSchema.quotaKey(team.name())) == null
+            if (storeCache.get(StoreSchema.quotaKey(team.name())) == null
                     && writes.size() < settings.txnOps()) {
-                guards.put(StoreSchema.quotaKey(team.name()), 0L);
+                preconditions.put(StoreSchema.quotaKey(team.name()), 0L);
                 writes.put(
                         StoreSchema.quotaKey(team.name()),
                         QuotaRecord.splitEvenly(
-                                        shared(team.cpusMax()), shared(team.gpusMax()), parts)
+                                        finiteOrZero(team.cpusMax()),
+                                        finiteOrZero(team.gpusMax()),
+                                        shardCount)
                                 .toMap());
             }
         }
-        if (!writes.isEmpty() && !creating) {
-            creating =
+        if (!writes.isEmpty() && !creationInFlight) {
+            creationInFlight =
                     outbox.callStore(
-                            new StateOp.Multi(guards, writes),
+                            new StateOp.Multi(preconditions, writes),
                             reply -> {
-                                creating = false;
+                                creationInFlight = false;
                                 if (reply.status() == 200) {
-                                    view.applyOwnWrites(reply, writes);
+                                    storeCache.applyOwnWrites(reply, writes);
                                 }
                             });
         }
     }
 
-    private static double shared(double limit) {
+    private static double finiteOrZero(double limit) {
         return Double.isInfinite(limit) ? 0 : limit;
     }
 
-    private void weigh(Settings.Team team, double used, Claim[] claims, double quantum) {
-        QuotaRecord stored = stored(team.name());
-        Give open = giving.get(team.name());
-        if (open != null && view.version(StoreSchema.quotaKey(team.name())) == open.version) {
+    private void rebalance(Settings.Team team, double cpusUsed, Claim[] demands, double quantum) {
+        QuotaRecord stored = storedShares(team.name());
+        Transfer pending = pendingTransfers.get(team.name());
+        if (pending != null
+                && storeCache.version(StoreSchema.quotaKey(team.name())) == pending.version) {
             // The outcome is unknown: repeating the same write is safe, since it succeeds or the
             // record has changed.
-            send(team.name(), open);
+            sendTransfer(team.name(), pending);
             return;
         }
-        giving.remove(team.name());
-        double[] targets = targets(team.cpusMax(), claims, stored.cpus(), quantum);
-        target.put(team.name(), targets[partNumber]);
-        double spare =
+        pendingTransfers.remove(team.name());
+        double[] targetShares = targetShares(team.cpusMax(), demands, stored.cpus(), quantum);
+        targetCpus.put(team.name(), targetShares[shardNumber]);
+        double surplusCpus =
                 Math.floor(
-                                (stored.cpus()[partNumber] - Math.max(used, targets[partNumber]))
+                                (stored.cpus()[shardNumber]
+                                                - Math.max(cpusUsed, targetShares[shardNumber]))
                                         / quantum)
                         * quantum;
-        if (spare < quantum) {
+        if (surplusCpus < quantum) {
             return;
         }
         double[] cpus = stored.cpus().clone();
         double[] gpus = stored.gpus().clone();
-        int to = -1;
-        for (int m = 0; m < parts; m++) {
-            if (m != partNumber
-                    && claims[m] != null
-                    && targets[m] - cpus[m] >= quantum
-                    && (to < 0 || targets[m] - cpus[m] > targets[to] - cpus[to])) {
-                to = m;
+        int recipient = -1;
+        for (int shard = 0; shard < shardCount; shard++) {
+            if (shard != shardNumber
+                    && demands[shard] != null
+                    && targetShares[shard] - cpus[shard] >= quantum
+                    && (recipient < 0
+                            || targetShares[shard] - cpus[shard]
+                                    > targetShares[recipient] - cpus[recipient])) {
+                recipient = shard;
             }
         }
-        if (to < 0) {
+        if (recipient < 0) {
             return;
         }
-        double amount = Math.min(spare, targets[to] - cpus[to]);
-        cpus[partNumber] -= amount;
-        cpus[to] += amount;
+        double transferredCpus = Math.min(surplusCpus, targetShares[recipient] - cpus[recipient]);
+        cpus[shardNumber] -= transferredCpus;
+        cpus[recipient] += transferredCpus;
         // GPUs are transferred in proportion to the CPUs.
-        double moved =
-                stored.cpus()[partNumber] <= 0
+        double transferredGpus =
+                stored.cpus()[shardNumber] <= 0
                         ? 0
-                        : Math.floor(gpus[partNumber] * amount / stored.cpus()[partNumber]);
-        gpus[partNumber] -= moved;
-        gpus[to] += moved;
-        Give give =
-                new Give(
-                        view.version(StoreSchema.quotaKey(team.name())),
+                        : Math.floor(
+                                gpus[shardNumber] * transferredCpus / stored.cpus()[shardNumber]);
+        gpus[shardNumber] -= transferredGpus;
+        gpus[recipient] += transferredGpus;
+        Transfer transfer =
+                new Transfer(
+                        storeCache.version(StoreSchema.quotaKey(team.name())),
                         new QuotaRecord(cpus, gpus));
-        giving.put(team.name(), give);
-        send(team.name(), give);
+        pendingTransfers.put(team.name(), transfer);
+        sendTransfer(team.name(), transfer);
     }
 
-    private void send(String team, Give give) {
-        Map<String, Long> guards = new LinkedHashMap<>(fence);
-        guards.put(StoreSchema.quotaKey(team), give.version);
+    private void sendTransfer(String team, Transfer transfer) {
+        Map<String, Long> preconditions = new LinkedHashMap<>(fencingPreconditions);
+        preconditions.put(StoreSchema.quotaKey(team), transfer.version);
         Map<String, Map<String, Object>> writes =
-                Map.of(StoreSchema.quotaKey(team), give.record.toMap());
+                Map.of(StoreSchema.quotaKey(team), transfer.record.toMap());
         boolean sent =
                 outbox.callStore(
-                        new StateOp.Multi(guards, writes),
+                        new StateOp.Multi(preconditions, writes),
                         reply -> {
-                            inFlight.remove(team);
+                            teamsInFlight.remove(team);
                             if (reply.status() == 200) {
-                                giving.remove(team);
-                                view.applyOwnWrites(reply, writes);
+                                pendingTransfers.remove(team);
+                                storeCache.applyOwnWrites(reply, writes);
                             }
                         });
         if (sent) {
-            inFlight.add(team);
+            teamsInFlight.add(team);
         }
     }
 
@@ -252,44 +260,57 @@
      * Computes how a quota should be shared: high-priority demand first, then other demand, and the
      * remainder evenly.
      *
-     * @param max the quota, in CPUs
-     * @param claims demand of each shard; a shard without (null) keeps its share
-     * @param shares current share of each shard
+     * @param limit the quota, in CPUs
+     * @param demands demand of each shard; a shard without (null) keeps its share
+     * @param currentShares current share of each shard
      * @param quantum shares are rounded to a multiple of this
      */
-    static double[] targets(double max, Claim[] claims, double[] shares, double quantum) {
-        int parts = shares.length;
-        double[] outbox = new double[parts];
-        double left = max;
+    static double[] targetShares(
+            double limit, Claim[] demands, double[] currentShares, double quantum) {
+        int shardCount = currentShares.length;
+        double[] targetShares = new double[shardCount];
+        double remaining = limit;
         // A shard without recent gossip keeps its share: no other shard may use it anyway.
-        for (int m = 0; m < parts; m++) {
-            if (claims[m] == null) {
-                outbox[m] = shares[m];
-                left -= shares[m];
+        for (int shard = 0; shard < shardCount; shard++) {
+            if (demands[shard] == null) {
+                targetShares[shard] = currentShares[shard];
+                remaining -= currentShares[shard];
             }
         }
         for (int level = 0; level < 2; level++) {
             double sum = 0;
-            for (Claim c : claims) {
-                sum += c == null ? 0 : level == 0 ? c.urgent() : c.other();
+            for (Claim demand : demands) {
+                sum +=
+                        demand == null
+                                ? 0
+                                : level == 0 ? demand.highPriorityCpus() : demand.otherCpus();
             }
-            double ratio = sum <= 0 ? 0 : Math.min(1, Math.max(0, left) / sum);
-            for (int m = 0; m < parts; m++) {
-                if (claims[m] != null) {
-                    double wanted = (level == 0 ? claims[m].urgent() : claims[m].other()) * ratio;
-                    outbox[m] += wanted;
+            double ratio = sum <= 0 ? 0 : Math.min(1, Math.max(0, remaining) / sum);
+            for (int shard = 0; shard < shardCount; shard++) {
+                if (demands[shard] != null) {
+                    double granted =
+                            (level == 0
+                                            ? demands[shard].highPriorityCpus()
+                                            : demands[shard].otherCpus())
+                                    * ratio;
+                    targetShares[shard] += granted;
                 }
             }
-            left -= sum * ratio;
+            remaining -= sum * ratio;
         }
-        long told = Arrays.stream(claims).filter(c -> c != null).count();
-        for (int m = 0; m < parts; m++) {
-            if (claims[m] != null) {
-                outbox[m] =
-                        Math.floor((outbox[m] + Math.max(0, left) / told) / quantum + 0.5)
+        long reportingShards = Arrays.stream(demands).filter(demand -> demand != null).count();
+        for (int shard = 0; shard < shardCount; shard++) {
+            if (demands[shard] != null) {
+                targetShares[shard] =
+                        Math.floor(
+                                        (targetShares[shard]
+                                                                + Math.max(0, remaining)
+                                                                        / reportingShards)
+                                                        / quantum
+                                                + 0.5)
                                 * quantum;
             }
         }
-        return outbox;
+        return targetShares;
     }
 }
--- a/src/main/java/org/shoreusher/core/Rebuild.java
+++ b/src/main/java/org/shoreusher/core/Rebuild.java
@@ -111,7 +111,7 @@
                                                 record);
                             }
                         });
-        submissionBatches.each(
+        submissionBatches.forEachJob(
                 (id, record) -> {
                     if (record.shardNumber() == shard.shardNumber) {
                         shard.openJobs().add(id, record);
@@ -136,10 +136,10 @@
                         });
         highWaterMarks.load();
         for (Job job : shard.jobs().values()) {
-            if (job.startBelow > 0) {
-                shard.taskMigration().begunBefore(job);
+            if (job.highWaterMark > 0) {
+                shard.taskMigration().onJobBegunByPreviousLeader(job);
             }
-            shard.terminalStateWriter().finished(job);
+            shard.terminalStateWriter().taskCompleted(job);
         }
         if (promotedLog.attemptTable() != null) {
             restoreFromLog(promotedLog.attemptTable().copyAttempts());
@@ -165,10 +165,11 @@
      * from the high-water mark on.
      */
     private void withholdPossiblyRunningTasks(Job job) {
-        job.waiting.clear();
-        job.waitingCount = 0;
-        job.waitFrom(job.startBelow);
-        job.zonesUnknown = job.startBelow > 0 && (job.spec.oneZone() || job.spec.spread());
+        job.pendingTasks.clear();
+        job.pendingCount = 0;
+        job.markPendingFrom(job.highWaterMark);
+        job.taskZonesUnknown =
+                job.highWaterMark > 0 && (job.spec.singleZone() || job.spec.spreadAcrossZones());
     }
 
     /** Whether each machine of the log that still has a record in this shard could be loaded. */
@@ -200,8 +201,8 @@
         Job knownJob = shard.jobs().get(id.jobId());
         boolean shouldRun =
                 knownJob != null
-                        && !knownJob.done.get(id.taskIndex())
-                        && knownJob.live.get(id.taskIndex()) == null;
+                        && !knownJob.completedTasks.get(id.taskIndex())
+                        && knownJob.activeAttempts.get(id.taskIndex()) == null;
         Job job = knownJob != null ? knownJob : placeholderJob(attempt);
         TaskAttempt restoredAttempt =
                 new TaskAttempt(
@@ -209,7 +210,7 @@
                         id.taskIndex(),
                         id.attemptNumber(),
                         machine,
-                        TaskAttempt.State.ASKED,
+                        TaskAttempt.State.START_ORDERED,
                         outbox.now.monotonicMs());
         restoredAttempt.mustStop = !shouldRun;
         ledger.add(restoredAttempt, shouldRun);
@@ -218,7 +219,7 @@
     /** A closed job that stands in for a terminal one whose tasks may still be on machines. */
     private Job placeholderJob(Attempt attempt) {
         JobSpec spec =
-                JobSpec.ofRoom(
+                JobSpec.withResourcesOnly(
                         attempt.id().jobId(),
                         attempt.team(),
                         attempt.cpus(),
@@ -270,11 +271,11 @@
                 (jobId, ranges) -> {
                     Job job = shard.jobs().get(jobId);
                     // A version that did not know services may have stored a replica as completed.
-                    if (job != null && job.spec.shape().ends()) {
+                    if (job != null && job.spec.workloadType().runsToCompletion()) {
                         BitSet completedTasks = TaskRanges.parse((String) ranges);
-                        job.done.or(completedTasks);
-                        job.durable.or(completedTasks);
-                        FinishedRecords.found(job, completedTasks, chunk, settings);
+                        job.completedTasks.or(completedTasks);
+                        job.durablyCompletedTasks.or(completedTasks);
+                        FinishedRecords.adoptStoredRecord(job, completedTasks, chunk, settings);
                     }
                 });
     }
@@ -311,9 +312,9 @@
         complete = true;
         int activeTasks = 0;
         for (Job job : shard.jobs().values()) {
-            job.waitFrom(0);
-            job.zonesUnknown = false;
-            activeTasks += job.live.size();
+            job.markPendingFrom(0);
+            job.taskZonesUnknown = false;
+            activeTasks += job.activeAttempts.size();
         }
         outbox.logInfo(
                 "rebuilt: part "
--- a/src/main/java/org/shoreusher/core/ReplicaPreemption.java
+++ b/src/main/java/org/shoreusher/core/ReplicaPreemption.java
@@ -12,86 +12,88 @@
  */
 final class ReplicaPreemption {
     /** The capacity that a machine has free, or will have when its stopping tasks have exited. */
-    private static final class Room {
+    private static final class ProspectiveCapacity {
         final Machine machine;
-        double cpus;
-        double gpus;
-        double mem;
+        double freeCpus;
+        double freeGpus;
+        double freeMemGb;
         final List<TaskAttempt> victims = new ArrayList<>();
 
-        Room(Machine machine) {
+        ProspectiveCapacity(Machine machine) {
             this.machine = machine;
-            cpus = machine.cpusFree();
-            gpus = machine.gpusFree();
-            mem = machine.memGbFree();
+            freeCpus = machine.cpusFree();
+            freeGpus = machine.gpusFree();
+            freeMemGb = machine.memGbFree();
         }
 
-        void freed(JobSpec spec) {
-            cpus += spec.cpus();
-            gpus += spec.gpus();
-            mem += spec.memGb();
+        void release(JobSpec spec) {
+            freeCpus += spec.cpus();
+            freeGpus += spec.gpus();
+            freeMemGb += spec.memGb();
         }
 
-        void taken(JobSpec spec) {
-            cpus -= spec.cpus();
-            gpus -= spec.gpus();
-            mem -= spec.memGb();
+        void allocate(JobSpec spec) {
+            freeCpus -= spec.cpus();
+            freeGpus -= spec.gpus();
+            freeMemGb -= spec.memGb();
         }
 
-        boolean fits(JobSpec spec, double moreCpus, double moreGpus, double moreMem) {
-            return cpus + moreCpus + Tuning.EPSILON >= spec.cpus()
-                    && gpus + moreGpus + Tuning.EPSILON >= spec.gpus()
-                    && mem + moreMem + Tuning.EPSILON >= spec.memGb();
+        boolean fits(JobSpec spec, double extraCpus, double extraGpus, double extraMemGb) {
+            return freeCpus + extraCpus + Tuning.EPSILON >= spec.cpus()
+                    && freeGpus + extraGpus + Tuning.EPSILON >= spec.gpus()
+                    && freeMemGb + extraMemGb + Tuning.EPSILON >= spec.memGb();
         }
     }
 
-    private final Part part;
+    private final Part shard;
     private final ClockReading now;
-    private final List<Room> rooms = new ArrayList<>();
+    private final List<ProspectiveCapacity> capacities = new ArrayList<>();
 
     /**
      * Collects the batch tasks on every machine that accepts work, those with the least lost work
      * first.
      */
-    ReplicaPreemption(Part part, ClockReading now) {
-        this.part = part;
+    ReplicaPreemption(Part shard, ClockReading now) {
+        this.shard = shard;
         this.now = now;
-        for (Machine m : part.machines().values()) {
-            if (part.isAvailable(m)) {
-                Room room = new Room(m);
-                for (TaskAttempt live : m.tasks.values()) {
-                    if (live.mustStop || live.stopping) {
-                        room.freed(live.job.spec);
-                    } else if (live.job.spec.shape().ends()) {
-                        room.victims.add(live);
+        for (Machine machine : shard.machines().values()) {
+            if (shard.isAvailable(machine)) {
+                ProspectiveCapacity capacity = new ProspectiveCapacity(machine);
+                for (TaskAttempt attempt : machine.tasks.values()) {
+                    if (attempt.mustStop || attempt.beingEvicted) {
+                        capacity.release(attempt.job.spec);
+                    } else if (attempt.job.spec.workloadType().runsToCompletion()) {
+                        capacity.victims.add(attempt);
                     }
                 }
-                room.victims.sort(
-                        Comparator.comparingDouble(this::loss)
-                                .thenComparing(l -> l.job.id)
-                                .thenComparingInt(l -> l.index));
-                rooms.add(room);
+                capacity.victims.sort(
+                        Comparator.comparingDouble(this::lostCpuS)
+                                .thenComparing(attempt -> attempt.job.id)
+                                .thenComparingInt(attempt -> attempt.taskIndex));
+                capacities.add(capacity);
             }
         }
-        rooms.sort(Comparator.comparing(r -> r.machine.id));
+        capacities.sort(Comparator.comparing(capacity -> capacity.machine.id));
     }
 
     /**
      * Returns the CPU-seconds lost if the task is stopped: the work since its last checkpoint, plus
      * a penalty if its start would not yet count for the objectives.
      */
-    private double loss(TaskAttempt live) {
+    private double lostCpuS(TaskAttempt attempt) {
         double ranS =
-                live.runningSinceMs < 0 ? 0 : (now.monotonicMs() - live.runningSinceMs) / 1000.0;
+                attempt.runningSinceMs < 0
+                        ? 0
+                        : (now.monotonicMs() - attempt.runningSinceMs) / 1000.0;
         double lostS =
-                live.job.spec.checkpointS() > 0
-                        ? Math.min(ranS, live.job.spec.checkpointS())
+                attempt.job.spec.checkpointIntervalS() > 0
+                        ? Math.min(ranS, attempt.job.spec.checkpointIntervalS())
                         : ranS;
-        double early =
-                now.monotonicMs() - live.sinceMs < Tuning.START_COUNTS_MS
+        double uncountedStartS =
+                now.monotonicMs() - attempt.createdMs < Tuning.START_COUNTS_MS
                         ? Tuning.START_COUNTS_MS / 1000.0
                         : 0;
-        return live.job.spec.cpus() * (lostS + early);
+        return attempt.job.spec.cpus() * (lostS + uncountedStartS);
     }
 
     /**
@@ -102,54 +104,55 @@
         List<TaskAttempt> chosen = new ArrayList<>();
         for (Job job : services) {
             JobSpec spec = job.spec;
-            Planner.ZoneRule zones = new Planner.ZoneRule(job);
-            int left =
+            Planner.ZoneConstraints zoneConstraints = new Planner.ZoneConstraints(job);
+            int unplaced =
                     Math.min(
-                            job.waitingCount,
+                            job.pendingCount,
                             new Planner(
                                             new ArrayList<>(),
-                                            part.quotaHeadroom()::cpusLeft,
-                                            part.quotaHeadroom()::gpusLeft)
-                                    .allowedByTeam(spec));
-            while (left-- > 0) {
-                Room best = null;
-                List<TaskAttempt> least = null;
-                double leastLoss = Double.MAX_VALUE;
-                for (Room room : rooms) {
-                    Machine m = room.machine;
-                    if (!spec.allows(m.type.name(), m.zone, m.spot)
-                            || zones.room(m.zone) <= 0
-                            || job.failedOn.contains(m.id)) {
+                                            shard.quotaHeadroom()::cpuHeadroom,
+                                            shard.quotaHeadroom()::gpuHeadroom)
+                                    .maxTasksWithinQuota(spec));
+            while (unplaced-- > 0) {
+                ProspectiveCapacity bestCapacity = null;
+                List<TaskAttempt> leastVictims = null;
+                double leastLossCpuS = Double.MAX_VALUE;
+                for (ProspectiveCapacity capacity : capacities) {
+                    Machine machine = capacity.machine;
+                    if (!spec.allowsMachine(machine.type.name(), machine.zone, machine.spot)
+                            || zoneConstraints.remainingTasks(machine.zone) <= 0
+                            || job.failedMachineIds.contains(machine.id)) {
                         continue;
                     }
-                    List<TaskAttempt> victims = victims(room, spec);
+                    List<TaskAttempt> victims = selectVictims(capacity, spec);
                     double fetchS =
-                            m.cachedImages.contains(spec.image())
+                            machine.cachedImages.contains(spec.image())
                                     ? 0
                                     : spec.imageGb()
                                             / Math.max(
-                                                    Tuning.LEAST_FETCH, m.type.imageFetchGbPerS());
-                    double loss =
+                                                    Tuning.LEAST_FETCH,
+                                                    machine.type.imageFetchGbPerS());
+                    double lossCpuS =
                             victims == null
                                     ? Double.MAX_VALUE
-                                    : victims.stream().mapToDouble(this::loss).sum()
+                                    : victims.stream().mapToDouble(this::lostCpuS).sum()
                                             + spec.cpus() * fetchS;
-                    if (loss < leastLoss) {
-                        best = room;
-                        least = victims;
-                        leastLoss = loss;
+                    if (lossCpuS < leastLossCpuS) {
+                        bestCapacity = capacity;
+                        leastVictims = victims;
+                        leastLossCpuS = lossCpuS;
                     }
                 }
-                if (best == null) {
+                if (bestCapacity == null) {
                     break;
                 }
-                for (TaskAttempt live : least) {
-                    best.victims.remove(live);
-                    best.freed(live.job.spec);
+                for (TaskAttempt attempt : leastVictims) {
+                    bestCapacity.victims.remove(attempt);
+                    bestCapacity.release(attempt.job.spec);
                 }
-                best.taken(spec);
-                zones.add(best.machine.zone, 1);
-                chosen.addAll(least);
+                bestCapacity.allocate(spec);
+                zoneConstraints.add(bestCapacity.machine.zone, 1);
+                chosen.addAll(leastVictims);
             }
         }
         return chosen;
@@ -159,22 +162,22 @@
      * Returns the tasks to stop on a machine so that one replica fits, least lost work first; null
      * if it would still not fit.
      */
-    private static List<TaskAttempt> victims(Room room, JobSpec spec) {
+    private static List<TaskAttempt> selectVictims(ProspectiveCapacity capacity, JobSpec spec) {
         List<TaskAttempt> victims = new ArrayList<>();
         double cpus = 0;
         double gpus = 0;
-        double mem = 0;
-        for (TaskAttempt live : room.victims) {
-            if (room.fits(spec, cpus, gpus, mem)) {
+        double memGb = 0;
+        for (TaskAttempt attempt : capacity.victims) {
+            if (capacity.fits(spec, cpus, gpus, memGb)) {
                 break;
             }
-            if (live.job.spec.priority().compareTo(spec.priority()) > 0) {
-                victims.add(live);
-                cpus += live.job.spec.cpus();
-                gpus += live.job.spec.gpus();
-                mem += live.job.spec.memGb();
+            if (attempt.job.spec.priority().compareTo(spec.priority()) > 0) {
+                victims.add(attempt);
+                cpus += attempt.job.spec.cpus();
+                gpus += attempt.job.spec.gpus();
+                memGb += attempt.job.spec.memGb();
             }
         }
-        return room.fits(spec, cpus, gpus, mem) ? victims : null;
+        return capacity.fits(spec, cpus, gpus, memGb) ? victims : null;
     }
 }
--- a/src/main/java/org/shoreusher/core/ReportReader.java
+++ b/src/main/java/org/shoreusher/core/ReportReader.java
@@ -44,7 +44,7 @@
             machine.mayHaveRunTasks = true;
             shard.machineRecords().markDirty(machine.id);
         }
-        shard.taskMigration().reported(machine);
+        shard.taskMigration().onMachineReported(machine);
         machine.reportedTaskCount = heartbeat.tasks().size();
         ObjectOpenHashSet<String> presentTaskKeys = new ObjectOpenHashSet<>();
         for (TaskReport task : heartbeat.tasks()) {
@@ -57,13 +57,13 @@
             }
         }
         if (isFirstSinceFailover) {
-            machine.tasks.values().forEach(ledger::found);
+            machine.tasks.values().forEach(ledger::recordInherited);
         }
         if (machine.tasks.size() > presentTaskKeys.size()) {
             for (TaskAttempt attempt : machine.snapshotTasks()) {
                 // The start order went out in the answer to an older heartbeat. The worker has
                 // either started the task, which this heartbeat would show, or never will.
-                if (!presentTaskKeys.contains(Machine.taskKey(attempt.job.id, attempt.index))) {
+                if (!presentTaskKeys.contains(Machine.taskKey(attempt.job.id, attempt.taskIndex))) {
                     ledger.remove(attempt);
                 }
             }
@@ -73,11 +73,11 @@
             // with enough time to save a checkpoint, are evicted gracefully and run elsewhere.
             for (TaskAttempt attempt : machine.tasks.values()) {
                 JobSpec spec = attempt.job.spec;
-                if (!spec.shape().ends()
-                        || (spec.checkpointS() > 0
+                if (!spec.workloadType().runsToCompletion()
+                        || (spec.checkpointIntervalS() > 0
                                 && attempt.state == TaskAttempt.State.RUNNING
-                                && spec.saveS() < machine.interruptionNoticeS)) {
-                    attempt.stopping = true;
+                                && spec.checkpointDurationS() < machine.interruptionNoticeS)) {
+                    attempt.beingEvicted = true;
                 }
             }
         }
@@ -93,7 +93,7 @@
     private void recordPresentTask(
             Machine machine, String taskKey, TaskReport task, long fencingToken) {
         TaskAttempt attempt = machine.tasks.get(taskKey);
-        if (attempt != null && attempt.attempt != task.attemptNumber()) {
+        if (attempt != null && attempt.attemptNumber != task.attemptNumber()) {
             ledger.remove(attempt);
             attempt = null;
         }
@@ -103,9 +103,9 @@
             boolean shouldRun =
                     job != null
                             && task.taskIndex() >= 0
-                            && task.taskIndex() < job.spec.tasks()
-                            && !job.done.get(task.taskIndex())
-                            && job.live.get(task.taskIndex()) == null;
+                            && task.taskIndex() < job.spec.taskCount()
+                            && !job.completedTasks.get(task.taskIndex())
+                            && job.activeAttempts.get(task.taskIndex()) == null;
             attempt =
                     new TaskAttempt(
                             job != null ? job : placeholderJob(machine, task.jobId()),
@@ -120,16 +120,16 @@
         attempt.state =
                 switch (task.state()) {
                     case FETCHING -> TaskAttempt.State.FETCHING;
-                    case CHECKPOINTING -> TaskAttempt.State.SAVING;
+                    case CHECKPOINTING -> TaskAttempt.State.CHECKPOINTING;
                     default -> TaskAttempt.State.RUNNING;
                 };
         if (attempt.state == TaskAttempt.State.RUNNING && attempt.runningSinceMs < 0) {
             attempt.runningSinceMs = outbox.now.monotonicMs();
         }
-        if (!attempt.job.spec.shape().ends()
+        if (!attempt.job.spec.workloadType().runsToCompletion()
                 && attempt.runningSinceMs >= 0
                 && outbox.now.monotonicMs() - attempt.runningSinceMs >= Tuning.STEADY_MS) {
-            attempt.job.steady();
+            attempt.job.resetFailures();
         }
     }
 
@@ -138,11 +138,11 @@
      * assumed to use the whole machine, so that nothing else is started beside them.
      */
     private Job placeholderJob(Machine machine, String jobId) {
-        JobRecord record = submissionBatches.record(jobId);
+        JobRecord record = submissionBatches.jobRecord(jobId);
         JobSpec spec =
                 record != null && record.specFields() != null
                         ? record.parseSpec()
-                        : JobSpec.ofRoom(
+                        : JobSpec.withResourcesOnly(
                                 jobId,
                                 "",
                                 machine.type.cpus(),
@@ -156,12 +156,12 @@
     /** Records a task that has exited, with its completion or its failure. */
     private void recordExitedTask(Machine machine, String taskKey, TaskReport task) {
         TaskAttempt attempt = machine.tasks.get(taskKey);
-        boolean isCurrentAttempt = attempt != null && attempt.attempt == task.attemptNumber();
+        boolean isCurrentAttempt = attempt != null && attempt.attemptNumber == task.attemptNumber();
         if (isCurrentAttempt) {
-            attempt.saved = task.checkpointed();
+            attempt.checkpointed = task.checkpointed();
         }
         Job job = shard.jobs().get(task.jobId());
-        if (job != null && !job.spec.shape().ends()) {
+        if (job != null && !job.spec.workloadType().runsToCompletion()) {
             if (isCurrentAttempt) {
                 recordExitedReplica(machine, job, attempt, task.exitCause());
             }
@@ -171,23 +171,23 @@
             machine.failedJobIds.clear();
             if (isCurrentAttempt && job != null && attempt.runningSinceMs >= 0) {
                 double runTimeS = (outbox.now.monotonicMs() - attempt.runningSinceMs) / 1000.0;
-                if (job.observedCount() >= Tuning.PACE_TASKS
-                        && job.observedMeanS() >= Tuning.PACE_LEAST_S) {
-                    machine.recordRunTime(runTimeS / job.observedMeanS());
+                if (job.observedRunCount() >= Tuning.PACE_TASKS
+                        && job.meanRunTimeS() >= Tuning.PACE_LEAST_S) {
+                    machine.recordRunTime(runTimeS / job.meanRunTimeS());
                 }
-                shard.runTimeEstimates().observed(job, runTimeS);
+                shard.runTimeEstimates().recordRunTime(job, runTimeS);
             }
             if (job != null
                     && task.taskIndex() >= 0
-                    && task.taskIndex() < job.spec.tasks()
-                    && !job.done.get(task.taskIndex())) {
-                job.done.set(task.taskIndex());
-                job.setWaiting(task.taskIndex(), false);
-                shard.terminalStateWriter().finished(job);
-                TaskAttempt attemptElsewhere = job.live.get(task.taskIndex());
+                    && task.taskIndex() < job.spec.taskCount()
+                    && !job.completedTasks.get(task.taskIndex())) {
+                job.completedTasks.set(task.taskIndex());
+                job.setPending(task.taskIndex(), false);
+                shard.terminalStateWriter().taskCompleted(job);
+                TaskAttempt attemptElsewhere = job.activeAttempts.get(task.taskIndex());
                 if (attemptElsewhere != null && attemptElsewhere != attempt) {
                     attemptElsewhere.mustStop = true;
-                    shard.taskEviction().halt(attemptElsewhere, 0);
+                    shard.taskEviction().sendStop(attemptElsewhere, 0);
                 }
             }
         }
@@ -195,8 +195,8 @@
             return;
         }
         if (task.exitCause() == ExitCause.ERROR && job != null) {
-            job.failed(machine.id, outbox.now.monotonicMs());
-            if (job.suspect()) {
+            job.recordFailure(machine.id, outbox.now.monotonicMs());
+            if (job.isSuspectedFaulty()) {
                 shard.machines()
                         .values()
                         .forEach(otherMachine -> otherMachine.failedJobIds.remove(job.id));
@@ -204,7 +204,7 @@
                 machine.failedJobIds.add(job.id);
             }
         } else if (task.exitCause() == ExitCause.UNKNOWN_TASK && job != null) {
-            job.failed(machine.id, outbox.now.monotonicMs());
+            job.recordFailure(machine.id, outbox.now.monotonicMs());
         }
         ledger.remove(attempt);
     }
@@ -220,12 +220,12 @@
                 || exitCause == ExitCause.UNKNOWN_TASK) {
             if (attempt.runningSinceMs >= 0
                     && outbox.now.monotonicMs() - attempt.runningSinceMs >= Tuning.STEADY_MS) {
-                job.steady();
+                job.resetFailures();
             }
-            job.failed(machine.id, outbox.now.monotonicMs());
-            if (exitCause == ExitCause.ERROR && !job.suspect()) {
+            job.recordFailure(machine.id, outbox.now.monotonicMs());
+            if (exitCause == ExitCause.ERROR && !job.isSuspectedFaulty()) {
                 machine.failedJobIds.add(job.id);
-            } else if (job.suspect()) {
+            } else if (job.isSuspectedFaulty()) {
                 shard.machines()
                         .values()
                         .forEach(otherMachine -> otherMachine.failedJobIds.remove(job.id));
--- a/src/main/java/org/shoreusher/core/Reports.java
+++ b/src/main/java/org/shoreusher/core/Reports.java
@@ -95,7 +95,7 @@
             if (machine.hasDurableUseRecord
                     && (machine.cpusFree() > Tuning.EPSILON
                             || machine.gpusFree() > Tuning.EPSILON
-                            || shard.taskMigration().hasReady(machine))
+                            || shard.taskMigration().hasReadyTasks(machine))
                     && shard.canStartTasks()
                     && shard.standbyReplication().canStartTasks()
                     && shard.isAvailable(machine)) {
@@ -172,9 +172,9 @@
         }
         for (TaskAttempt attempt : machine.tasks.values()) {
             if (attempt.mustStop) {
-                orders.add(TaskStops.stop(attempt, 0));
-            } else if (attempt.stopping && attempt.state != TaskAttempt.State.SAVING) {
-                orders.add(TaskStops.stop(attempt, TaskStops.graceS(attempt)));
+                orders.add(TaskStops.stopOrder(attempt, 0));
+            } else if (attempt.beingEvicted && attempt.state != TaskAttempt.State.CHECKPOINTING) {
+                orders.add(TaskStops.stopOrder(attempt, TaskStops.gracePeriodS(attempt)));
             }
         }
     }
@@ -189,7 +189,7 @@
         List<WorkerOrder> orders = new ArrayList<>();
         for (TaskReport task : heartbeat.tasks()) {
             if (task.state() != TaskState.EXITED && shard.jobs().get(task.jobId()) == null) {
-                JobRecord record = submissionBatches.record(task.jobId());
+                JobRecord record = submissionBatches.jobRecord(task.jobId());
                 if (record != null && record.status() == JobStatus.CANCELLED) {
                     orders.add(
                             new WorkerOrder(
@@ -214,28 +214,29 @@
         }
         Job job = shard.jobs().get(task.jobId());
         if (job != null) {
-            return !job.spec.shape().ends() || job.durable.get(task.taskIndex());
+            return !job.spec.workloadType().runsToCompletion()
+                    || job.durablyCompletedTasks.get(task.taskIndex());
         }
         // Completed jobs are no longer open.
-        JobRecord record = submissionBatches.record(task.jobId());
+        JobRecord record = submissionBatches.jobRecord(task.jobId());
         return record == null || record.status() != JobStatus.OPEN;
     }
 
     /** Starts the migrated tasks that wait for this machine, then as many planned tasks as fit. */
     private void startTasks(Machine machine, List<WorkerOrder> orders) {
         // Migrated tasks go first: the machine's resources are already reserved for them.
-        for (TaskId migrated : shard.taskMigration().takeReady(machine)) {
+        for (TaskId migrated : shard.taskMigration().takeReadyTasks(machine)) {
             startTasks(shard.jobs().get(migrated.job()), migrated.index(), machine, orders);
         }
         // Answer and heartbeat are limited in size, however many small tasks would fit.
         int remainingTasks =
                 Tuning.MOST_TASKS_ON_MACHINE
                         - Math.max(machine.tasks.size(), machine.reportedTaskCount);
-        for (Planner.Placed placed : placementPlan.forMachine(machine)) {
+        for (Planner.PlacedTasks placed : placementPlan.takeTasksToStart(machine)) {
             int taskIndex = -1;
-            for (int i = 0; i < placed.count() && remainingTasks > 0; i++, remainingTasks--) {
-                taskIndex = placed.job().waiting.nextSetBit(taskIndex + 1);
-                if (taskIndex < 0 || taskIndex >= placed.job().startBelow) {
+            for (int i = 0; i < placed.taskCount() && remainingTasks > 0; i++, remainingTasks--) {
+                taskIndex = placed.job().pendingTasks.nextSetBit(taskIndex + 1);
+                if (taskIndex < 0 || taskIndex >= placed.job().highWaterMark) {
                     // The raised high-water mark is not durable yet. The next plan has the task
                     // again.
                     break;
@@ -253,10 +254,12 @@
                         taskIndex,
                         shard.term() << Tuning.ATTEMPT_BITS | nextAttemptNumber++,
                         machine,
-                        TaskAttempt.State.ASKED,
+                        TaskAttempt.State.START_ORDERED,
                         outbox.now.monotonicMs());
         ledger.add(attempt, true);
         job.startedCount++;
-        orders.add(new WorkerOrder(WorkerOrder.Kind.START, job.id, taskIndex, attempt.attempt, 0));
+        orders.add(
+                new WorkerOrder(
+                        WorkerOrder.Kind.START, job.id, taskIndex, attempt.attemptNumber, 0));
     }
 }
--- a/src/main/java/org/shoreusher/core/ResourceLedger.java
+++ b/src/main/java/org/shoreusher/core/ResourceLedger.java
@@ -13,89 +13,92 @@
     /** Is told of every attempt that is added or removed. */
     interface Listener {
         /** The attempt is or may be on its machine from now on. */
-        void added(TaskAttempt live);
+        void attemptAdded(TaskAttempt attempt);
 
         /** The attempt is certainly no longer on its machine. */
-        void removed(TaskAttempt live);
+        void attemptRemoved(TaskAttempt attempt);
     }
 
     private final List<Listener> listeners = new ArrayList<>();
-    private final Object2DoubleOpenHashMap<String> teamCpus = new Object2DoubleOpenHashMap<>();
-    private final Object2DoubleOpenHashMap<String> teamGpus = new Object2DoubleOpenHashMap<>();
+    private final Object2DoubleOpenHashMap<String> usedCpusByTeam =
+            new Object2DoubleOpenHashMap<>();
+    private final Object2DoubleOpenHashMap<String> usedGpusByTeam =
+            new Object2DoubleOpenHashMap<>();
 
-    /** CPUs by team of tasks that a previous leader has started; see {@link #found}. */
-    private final Object2DoubleOpenHashMap<String> foundCpus = new Object2DoubleOpenHashMap<>();
+    /** CPUs by team of tasks that a previous leader has started; see {@link #recordInherited}. */
+    private final Object2DoubleOpenHashMap<String> inheritedCpus = new Object2DoubleOpenHashMap<>();
 
     /** GPUs by team, likewise. */
-    private final Object2DoubleOpenHashMap<String> foundGpus = new Object2DoubleOpenHashMap<>();
+    private final Object2DoubleOpenHashMap<String> inheritedGpus = new Object2DoubleOpenHashMap<>();
 
     /** Adds a listener; listeners are called in the order in which they were added. */
-    void listen(Listener listener) {
+    void addListener(Listener listener) {
         listeners.add(listener);
     }
 
     /**
      * Charges one task to its team's usage while it is on no machine, such as during a migration.
      */
-    void hold(JobSpec spec) {
-        teamCpus.addTo(spec.team(), spec.cpus());
-        teamGpus.addTo(spec.team(), spec.gpus());
+    void reserve(JobSpec spec) {
+        usedCpusByTeam.addTo(spec.team(), spec.cpus());
+        usedGpusByTeam.addTo(spec.team(), spec.gpus());
     }
 
-    /** Undoes {@link #hold}. */
-    void letGo(JobSpec spec) {
-        teamCpus.addTo(spec.team(), -spec.cpus());
-        teamGpus.addTo(spec.team(), -spec.gpus());
+    /** Undoes {@link #reserve}. */
+    void release(JobSpec spec) {
+        usedCpusByTeam.addTo(spec.team(), -spec.cpus());
+        usedGpusByTeam.addTo(spec.team(), -spec.gpus());
     }
 
     /**
      * Counts an attempt that a previous leader has started and that the machine's first heartbeat
      * to this leader shows.
      */
-    void found(TaskAttempt live) {
-        foundCpus.addTo(live.job.spec.team(), live.job.spec.cpus());
-        foundGpus.addTo(live.job.spec.team(), live.job.spec.gpus());
+    void recordInherited(TaskAttempt attempt) {
+        inheritedCpus.addTo(attempt.job.spec.team(), attempt.job.spec.cpus());
+        inheritedGpus.addTo(attempt.job.spec.team(), attempt.job.spec.gpus());
     }
 
     /** CPUs of the team's tasks that were found on machines after the failover. */
-    double foundCpus(String team) {
-        return foundCpus.getDouble(team);
+    double inheritedCpus(String team) {
+        return inheritedCpus.getDouble(team);
     }
 
     /** GPUs of the team's tasks that were found on machines after the failover. */
-    double foundGpus(String team) {
-        return foundGpus.getDouble(team);
+    double inheritedGpus(String team) {
+        return inheritedGpus.getDouble(team);
     }
 
     /** CPUs that the team's tasks use. */
-    double cpus(String team) {
-        return teamCpus.getDouble(team);
+    double usedCpus(String team) {
+        return usedCpusByTeam.getDouble(team);
     }
 
     /** GPUs that the team's tasks use. */
-    double gpus(String team) {
-        return teamGpus.getDouble(team);
+    double usedGpus(String team) {
+        return usedGpusByTeam.getDouble(team);
     }
 
     /**
      * Adds an attempt that is or may be on its machine from now on.
      *
-     * @param placed whether it is the task's current attempt; false: a surplus one, to be stopped
+     * @param assignedToJob whether it is the task's current attempt; false: a surplus one, to be
+     *     stopped
      */
-    void add(TaskAttempt live, boolean placed) {
-        JobSpec spec = live.job.spec;
-        live.machine.tasks.put(Machine.taskKey(live.job.id, live.index), live);
-        live.machine.cpusUsed += spec.cpus();
-        live.machine.gpusUsed += spec.gpus();
-        live.machine.memGbUsed += spec.memGb();
-        live.machine.cachedImages.add(spec.image());
-        live.machine.idleSinceMs = -1;
-        hold(spec);
-        if (placed) {
-            live.job.live.put(live.index, live);
-            live.job.setWaiting(live.index, false);
+    void add(TaskAttempt attempt, boolean assignedToJob) {
+        JobSpec spec = attempt.job.spec;
+        attempt.machine.tasks.put(Machine.taskKey(attempt.job.id, attempt.taskIndex), attempt);
+        attempt.machine.cpusUsed += spec.cpus();
+        attempt.machine.gpusUsed += spec.gpus();
+        attempt.machine.memGbUsed += spec.memGb();
+        attempt.machine.cachedImages.add(spec.image());
+        attempt.machine.idleSinceMs = -1;
+        reserve(spec);
+        if (assignedToJob) {
+            attempt.job.activeAttempts.put(attempt.taskIndex, attempt);
+            attempt.job.setPending(attempt.taskIndex, false);
         }
-        listeners.forEach(listener -> listener.added(live));
+        listeners.forEach(listener -> listener.attemptAdded(attempt));
     }
 
     /**
@@ -104,23 +107,23 @@
      * machine, so a task that was seen on this machine is on none that has not yet sent a
      * heartbeat.
      */
-    void remove(TaskAttempt live) {
-        Machine m = live.machine;
-        JobSpec spec = live.job.spec;
-        if (!m.tasks.remove(Machine.taskKey(live.job.id, live.index), live)) {
+    void remove(TaskAttempt attempt) {
+        Machine machine = attempt.machine;
+        JobSpec spec = attempt.job.spec;
+        if (!machine.tasks.remove(Machine.taskKey(attempt.job.id, attempt.taskIndex), attempt)) {
             return;
         }
-        m.cpusUsed = m.tasks.isEmpty() ? 0 : m.cpusUsed - spec.cpus();
-        m.gpusUsed = m.tasks.isEmpty() ? 0 : m.gpusUsed - spec.gpus();
-        m.memGbUsed = m.tasks.isEmpty() ? 0 : m.memGbUsed - spec.memGb();
-        letGo(spec);
-        Job job = live.job;
-        if (job.live.get(live.index) == live) {
-            job.live.remove(live.index);
-            if (!job.closed && !job.done.get(live.index)) {
-                job.setWaiting(live.index, true);
+        machine.cpusUsed = machine.tasks.isEmpty() ? 0 : machine.cpusUsed - spec.cpus();
+        machine.gpusUsed = machine.tasks.isEmpty() ? 0 : machine.gpusUsed - spec.gpus();
+        machine.memGbUsed = machine.tasks.isEmpty() ? 0 : machine.memGbUsed - spec.memGb();
+        release(spec);
+        Job job = attempt.job;
+        if (job.activeAttempts.get(attempt.taskIndex) == attempt) {
+            job.activeAttempts.remove(attempt.taskIndex);
+            if (!job.closed && !job.completedTasks.get(attempt.taskIndex)) {
+                job.setPending(attempt.taskIndex, true);
             }
         }
-        listeners.forEach(listener -> listener.removed(live));
+        listeners.forEach(listener -> listener.attemptRemoved(attempt));
     }
 }
--- a/src/main/java/org/shoreusher/core/Retirement.java
+++ b/src/main/java/org/shoreusher/core/Retirement.java
@@ -109,9 +109,9 @@
      */
     private void evictReplicas(Machine machine) {
         for (TaskAttempt attempt : machine.tasks.values()) {
-            if (!attempt.job.spec.shape().ends() && !attempt.mustStop) {
+            if (!attempt.job.spec.workloadType().runsToCompletion() && !attempt.mustStop) {
                 attempt.mustStop = true;
-                shard.taskEviction().halt(attempt, 0);
+                shard.taskEviction().sendStop(attempt, 0);
             }
         }
     }
--- a/src/main/java/org/shoreusher/core/StandbyCapacity.java
+++ b/src/main/java/org/shoreusher/core/StandbyCapacity.java
@@ -12,77 +12,86 @@
  * these machines meanwhile and are preempted.
  */
 final class StandbyCapacity {
-    private final Part part;
+    private final Part shard;
     private final Settings settings;
-    private final MachineTypes types;
-    private final Rentals rentals;
+    private final MachineTypes machineTypes;
+    private final Rentals scaleOut;
 
     /** CPUs on on-demand machines that no replica uses, by zone. */
-    private final Object2DoubleOpenHashMap<String> room = new Object2DoubleOpenHashMap<>();
+    private final Object2DoubleOpenHashMap<String> freeCpusByZone =
+            new Object2DoubleOpenHashMap<>();
 
     /** CPUs to reserve in each zone. */
-    private double wanted;
+    private double targetCpusPerZone;
 
     /**
      * The zone with the most capacity while another zone has too little; null if every zone has
      * enough.
      */
-    private String roomiestZone;
+    private String zoneWithMostCapacity;
 
     /** Creates the reservation of one shard. */
-    StandbyCapacity(Part part, Settings settings, MachineTypes types, Rentals rentals) {
-        this.part = part;
+    StandbyCapacity(Part shard, Settings settings, MachineTypes machineTypes, Rentals scaleOut) {
+        this.shard = shard;
         this.settings = settings;
-        this.types = types;
-        this.rentals = rentals;
+        this.machineTypes = machineTypes;
+        this.scaleOut = scaleOut;
     }
 
     /**
      * Adds machines to a scale-out request.
      *
-     * @param wanting machines to request so far
-     * @param most upper bound on the number of machines in the request
+     * @param requested machines to request so far
+     * @param maxMachines upper bound on the number of machines in the request
      */
-    void step(List<Planner.Slot> wanting, int most) {
+    void step(List<Planner.Slot> requested, int maxMachines) {
         MachineType type =
-                types.all().stream()
+                machineTypes.all().stream()
                         .min(
                                 Comparator.comparingDouble(
-                                        t ->
-                                                t.onDemandPricePerHour()
-                                                        / Math.max(Tuning.EPSILON, t.cpus())))
+                                        candidate ->
+                                                candidate.onDemandPricePerHour()
+                                                        / Math.max(
+                                                                Tuning.EPSILON, candidate.cpus())))
                         .orElse(null);
-        wanted = type == null ? 0 : wanted(type);
-        room.clear();
-        roomiestZone = null;
-        if (wanted <= 0) {
+        targetCpusPerZone = type == null ? 0 : targetCpusPerZone(type);
+        freeCpusByZone.clear();
+        zoneWithMostCapacity = null;
+        if (targetCpusPerZone <= 0) {
             return;
         }
-        for (Machine m : part.machines().values()) {
-            if (!m.spot
-                    && (part.isAvailable(m)
-                            || (m.state == Machine.State.BOOTING && !m.mayHaveRunTasks))) {
-                double held = 0;
-                for (TaskAttempt live : m.tasks.values()) {
-                    held += live.job.spec.shape().ends() ? 0 : live.job.spec.cpus();
+        for (Machine machine : shard.machines().values()) {
+            if (!machine.spot
+                    && (shard.isAvailable(machine)
+                            || (machine.state == Machine.State.BOOTING
+                                    && !machine.mayHaveRunTasks))) {
+                double replicaCpus = 0;
+                for (TaskAttempt attempt : machine.tasks.values()) {
+                    replicaCpus +=
+                            attempt.job.spec.workloadType().runsToCompletion()
+                                    ? 0
+                                    : attempt.job.spec.cpus();
                 }
-                room.addTo(m.zone, m.type.cpus() - held);
+                freeCpusByZone.addTo(machine.zone, machine.type.cpus() - replicaCpus);
             }
         }
-        rentals.pendingCapacity().forEach(this::add);
-        wanting.forEach(this::add);
+        scaleOut.pendingCapacity().forEach(this::addCapacity);
+        requested.forEach(this::addCapacity);
         for (String zone : type.zones()) {
-            while (room.getDouble(zone) < wanted
-                    && wanting.size() < most
-                    && !rentals.isUnavailable(new Rentals.MachineKind(type.name(), zone, false))) {
-                Planner.Slot slot = new Planner.Slot(type, zone, false);
-                wanting.add(slot);
-                add(slot);
+            while (freeCpusByZone.getDouble(zone) < targetCpusPerZone
+                    && requested.size() < maxMachines
+                    && !scaleOut.isUnavailable(new Rentals.MachineKind(type.name(), zone, false))) {
+                Planner.Slot capacity = new Planner.Slot(type, zone, false);
+                requested.add(capacity);
+                addCapacity(capacity);
             }
         }
-        if (type.zones().stream().anyMatch(zone -> room.getDouble(zone) < wanted)) {
-            roomiestZone =
-                    type.zones().stream().max(Comparator.comparingDouble(room::getDouble)).get();
+        if (type.zones().stream()
+                .anyMatch(zone -> freeCpusByZone.getDouble(zone) < targetCpusPerZone)) {
+            zoneWithMostCapacity =
+                    type.zones().stream()
+                            .max(Comparator.comparingDouble(freeCpusByZone::getDouble))
+                            .get();
         }
     }
 
@@ -92,12 +101,14 @@
      * only there. Null while every zone has enough.
      */
     String zoneForLargerHalf(JobSpec spec) {
-        return spec.shape().ends() || spec.zone() != null ? null : roomiestZone;
+        return spec.workloadType().runsToCompletion() || spec.zone() != null
+                ? null
+                : zoneWithMostCapacity;
     }
 
-    private void add(Planner.Slot slot) {
-        if (!slot.spot) {
-            room.addTo(slot.zone, slot.type.cpus());
+    private void addCapacity(Planner.Slot capacity) {
+        if (!capacity.spot) {
+            freeCpusByZone.addTo(capacity.zone, capacity.type.cpus());
         }
     }
 
@@ -105,11 +116,13 @@
      * Whether an empty machine must be kept. One that need not be kept no longer counts as
      * reserved.
      */
-    boolean needs(Machine m) {
-        if (m.spot || room.getDouble(m.zone) - m.type.cpus() < wanted) {
-            return !m.spot && wanted > 0;
+    boolean mustKeep(Machine machine) {
+        if (machine.spot
+                || freeCpusByZone.getDouble(machine.zone) - machine.type.cpus()
+                        < targetCpusPerZone) {
+            return !machine.spot && targetCpusPerZone > 0;
         }
-        room.addTo(m.zone, -m.type.cpus());
+        freeCpusByZone.addTo(machine.zone, -machine.type.cpus());
         return false;
     }
 
@@ -117,20 +130,24 @@
      * Returns the CPUs to reserve in each zone: half of the largest service times the number of
      * services that may arrive while a machine boots, plus one machine that may fail.
      */
-    private double wanted(MachineType type) {
-        double largest = 0;
-        for (Job job : part.jobs().values()) {
-            if (!job.spec.shape().ends()) {
-                largest = Math.max(largest, (job.spec.tasks() + 1) / 2 * job.spec.cpus());
+    private double targetCpusPerZone(MachineType type) {
+        double largestHalfCpus = 0;
+        for (Job job : shard.jobs().values()) {
+            if (!job.spec.workloadType().runsToCompletion()) {
+                largestHalfCpus =
+                        Math.max(largestHalfCpus, (job.spec.taskCount() + 1) / 2 * job.spec.cpus());
             }
         }
         // Before the first service arrives, an objective tells whether work is expected that must
         // start sooner than a machine boots.
-        boolean expected =
+        boolean replicasExpected =
                 settings.objectives().stream()
-                        .anyMatch(o -> o.kind().equals("wait") && o.withinS() < type.bootS());
-        return largest > 0
-                ? Tuning.STANDBY_SERVICES * largest + type.cpus()
-                : expected ? Math.max(type.cpus(), Tuning.STANDBY_FIRST_CPUS) : 0;
+                        .anyMatch(
+                                objective ->
+                                        objective.kind().equals("wait")
+                                                && objective.withinS() < type.bootS());
+        return largestHalfCpus > 0
+                ? Tuning.STANDBY_SERVICES * largestHalfCpus + type.cpus()
+                : replicasExpected ? Math.max(type.cpus(), Tuning.STANDBY_FIRST_CPUS) : 0;
     }
 }
--- a/src/main/java/org/shoreusher/core/StartMarks.java
+++ b/src/main/java/org/shoreusher/core/StartMarks.java
@@ -28,66 +28,73 @@
  */
 final class StartMarks {
     /** A mark that is being written, and the index of its record. */
-    private record Marked(Job job, int chunk, int below) {}
+    private record PendingMark(Job job, int recordIndex, int highWaterMark) {}
 
-    private final int partNumber;
-    private final int parts;
+    private final int shardNumber;
+    private final int shardCount;
     private final Settings settings;
     private final Outbox outbox;
-    private final StoreView view;
-    private final Arrivals arrivals;
-    private final PartOwnership ownership;
+    private final StoreView storeCache;
+    private final Arrivals submissionBatches;
+    private final PartOwnership leadership;
     private final Map<String, Job> jobs;
 
     /** The least time between two writes, in ms; it bounds the share of the write rate. */
-    private final long gapMs;
+    private final long writeIntervalMs;
 
     /** Marks to be written, in the order in which they were requested. */
-    private final Object2IntLinkedOpenHashMap<Job> wanted = new Object2IntLinkedOpenHashMap<>();
+    private final Object2IntLinkedOpenHashMap<Job> requestedMarks =
+            new Object2IntLinkedOpenHashMap<>();
 
-    private boolean writing;
+    private boolean writeInFlight;
 
     /** When the next write may be sent; steady ms. */
-    private long nextMs;
+    private long nextWriteMs;
 
     /** The marks of one shard; see {@link #load}. */
     StartMarks(
-            int partNumber,
-            int parts,
+            int shardNumber,
+            int shardCount,
             NodeContext context,
-            PartOwnership ownership,
+            PartOwnership leadership,
             Map<String, Job> jobs) {
-        this.partNumber = partNumber;
-        this.parts = parts;
+        this.shardNumber = shardNumber;
+        this.shardCount = shardCount;
         settings = context.settings();
         outbox = context.outbox();
-        view = context.storeCache();
-        arrivals = context.submissionBatches();
-        this.ownership = ownership;
+        storeCache = context.storeCache();
+        submissionBatches = context.submissionBatches();
+        this.leadership = leadership;
         this.jobs = jobs;
-        gapMs = (long) (1000 / (Outbox.leaderWritesPerS(settings, parts) * Tuning.MARKS_SHARE));
+        writeIntervalMs =
+                (long)
+                        (1000
+                                / (Outbox.leaderWritesPerS(settings, shardCount)
+                                        * Tuning.MARKS_SHARE));
     }
 
     /** Reads the marks that previous leaders have written. */
     void load() {
-        for (int c = 0; view.get(StoreSchema.highWaterMarkKey(partNumber, c)) != null; c++) {
-            int chunk = c;
-            stored(c)
+        for (int recordIndex = 0;
+                storeCache.get(StoreSchema.highWaterMarkKey(shardNumber, recordIndex)) != null;
+                recordIndex++) {
+            int chunk = recordIndex;
+            storedMarks(recordIndex)
                     .forEach(
-                            (id, below) -> {
-                                Job job = jobs.get(id);
+                            (jobId, below) -> {
+                                Job job = jobs.get(jobId);
                                 if (job != null) {
-                                    job.markChunk = chunk;
-                                    job.startBelow = Math.max(job.startBelow, below);
+                                    job.highWaterMarkRecordIndex = chunk;
+                                    job.highWaterMark = Math.max(job.highWaterMark, below);
                                 }
                             });
         }
     }
 
     /** Requests a mark for tasks that are to be started soon; one that is too low is ignored. */
-    void want(Job job, int below) {
-        if (below > job.startBelow) {
-            wanted.put(job, Math.max(below, wanted.getInt(job)));
+    void request(Job job, int highWaterMark) {
+        if (highWaterMark > job.highWaterMark) {
+            requestedMarks.put(job, Math.max(highWaterMark, requestedMarks.getInt(job)));
         }
     }
 
@@ -96,73 +103,88 @@
      * reason is requested again by the next placement plan. Does nothing while a write is in
      * flight.
      */
-    void write() {
-        if (writing
-                || wanted.isEmpty()
-                || !ownership.isLeader()
-                || outbox.now.monotonicMs() < nextMs) {
+    void writeRequestedMarks() {
+        if (writeInFlight
+                || requestedMarks.isEmpty()
+                || !leadership.isLeader()
+                || outbox.now.monotonicMs() < nextWriteMs) {
             return;
         }
-        Map<String, Long> guards = new LinkedHashMap<>(ownership.fencingPrecondition());
+        Map<String, Long> preconditions = new LinkedHashMap<>(leadership.fencingPrecondition());
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
-        Map<Integer, Map<String, Integer>> chunks = new LinkedHashMap<>();
-        List<Marked> marked = new ArrayList<>();
-        ObjectIterator<Object2IntMap.Entry<Job>> it = wanted.object2IntEntrySet().iterator();
-        while (it.hasNext() && writes.size() + chunks.size() + 2 <= settings.txnOps()) {
-            Object2IntMap.Entry<Job> e = it.next();
-            Job job = e.getKey();
-            int next = e.getIntValue();
-            it.remove();
-            JobRecord record = arrivals.record(job.id);
-            if (job.closed || record == null || next <= job.startBelow) {
+        Map<Integer, Map<String, Integer>> marksByRecord = new LinkedHashMap<>();
+        List<PendingMark> pendingMarks = new ArrayList<>();
+        ObjectIterator<Object2IntMap.Entry<Job>> iterator =
+                requestedMarks.object2IntEntrySet().iterator();
+        while (iterator.hasNext()
+                && writes.size() + marksByRecord.size() + 2 <= settings.txnOps()) {
+            Object2IntMap.Entry<Job> entry = iterator.next();
+            Job job = entry.getKey();
+            int requestedMark = entry.getIntValue();
+            iterator.remove();
+            JobRecord record = submissionBatches.jobRecord(job.id);
+            if (job.closed || record == null || requestedMark <= job.highWaterMark) {
                 continue;
             }
-            if (parts > 1 && !writable(record)) {
+            if (shardCount > 1 && !fitsValueLimit(record)) {
                 // The job was accepted in a batch under a higher limit and does not fit into a
                 // record of its own. In this transaction it would block all other marks for good.
                 continue;
             }
-            if (parts > 1 && view.get(StoreSchema.jobKey(job.id)) == null) {
-                guards.put(StoreSchema.jobKey(job.id), 0L);
+            if (shardCount > 1 && storeCache.get(StoreSchema.jobKey(job.id)) == null) {
+                preconditions.put(StoreSchema.jobKey(job.id), 0L);
                 writes.put(StoreSchema.jobKey(job.id), record.toMap());
             }
-            marked.add(mark(job, next, chunks));
+            pendingMarks.add(raiseMark(job, requestedMark, marksByRecord));
         }
-        if (marked.isEmpty()) {
+        if (pendingMarks.isEmpty()) {
             return;
         }
-        chunks.forEach(
-                (c, marks) -> {
-                    guards.put(
-                            StoreSchema.highWaterMarkKey(partNumber, c),
-                            view.version(StoreSchema.highWaterMarkKey(partNumber, c)));
+        marksByRecord.forEach(
+                (recordIndex, marks) -> {
+                    preconditions.put(
+                            StoreSchema.highWaterMarkKey(shardNumber, recordIndex),
+                            storeCache.version(
+                                    StoreSchema.highWaterMarkKey(shardNumber, recordIndex)));
                     writes.put(
-                            StoreSchema.highWaterMarkKey(partNumber, c), MarkRecord.toMap(marks));
+                            StoreSchema.highWaterMarkKey(shardNumber, recordIndex),
+                            MarkRecord.toMap(marks));
                 });
-        writing =
+        writeInFlight =
                 outbox.callStore(
-                        new StateOp.Multi(guards, writes),
+                        new StateOp.Multi(preconditions, writes),
                         reply -> {
-                            writing = false;
-                            if (reply.status() == 200 && !ownership.isLost()) {
-                                view.applyOwnWrites(reply, writes);
-                                marked.forEach(StartMarks::written);
+                            writeInFlight = false;
+                            if (reply.status() == 200 && !leadership.isLost()) {
+                                storeCache.applyOwnWrites(reply, writes);
+                                pendingMarks.forEach(StartMarks::applyDurableMark);
                             }
                         });
-        nextMs = writing ? outbox.now.monotonicMs() + gapMs : nextMs;
+        nextWriteMs = writeInFlight ? outbox.now.monotonicMs() + writeIntervalMs : nextWriteMs;
     }
 
     /** Adds a job's next mark to a record that is about to be written. */
-    private Marked mark(Job job, int next, Map<Integer, Map<String, Integer>> chunks) {
-        int below = Math.min(job.spec.tasks(), Math.max(next, job.startBelow * Tuning.MARK_GROWTH));
+    private PendingMark raiseMark(
+            Job job, int requestedMark, Map<Integer, Map<String, Integer>> marksByRecord) {
+        int raisedMark =
+                Math.min(
+                        job.spec.taskCount(),
+                        Math.max(requestedMark, job.highWaterMark * Tuning.MARK_GROWTH));
         // A record of a previous leader may exceed today's limit. It is left as it is, the mark
         // goes
         // to another record, and readers take the larger one.
-        boolean stays = job.markChunk >= 0 && length(marksOf(chunks, job.markChunk)) <= limit();
-        int chunk = stays ? job.markChunk : chunkWithRoom(chunks, job.id);
+        boolean keepsRecord =
+                job.highWaterMarkRecordIndex >= 0
+                        && encodedBytes(marksInRecord(marksByRecord, job.highWaterMarkRecordIndex))
+                                <= maxRecordBytes();
+        int recordIndex =
+                keepsRecord ? job.highWaterMarkRecordIndex : recordWithSpace(marksByRecord, job.id);
         // The stored mark is the larger one if a write took effect and only its reply was lost.
-        int mark = chunks.computeIfAbsent(chunk, this::open).merge(job.id, below, Math::max);
-        return new Marked(job, chunk, mark);
+        int largestMark =
+                marksByRecord
+                        .computeIfAbsent(recordIndex, this::openJobMarks)
+                        .merge(job.id, raisedMark, Math::max);
+        return new PendingMark(job, recordIndex, largestMark);
     }
 
     /**
@@ -170,48 +192,54 @@
      * in a record is computed from what is stored in it, so a record assigned by a failed write
      * could later exceed the limit, and every write of it would be refused for good.
      */
-    private static void written(Marked marked) {
-        marked.job.markChunk = marked.chunk;
-        marked.job.startBelow = Math.max(marked.job.startBelow, marked.below);
+    private static void applyDurableMark(PendingMark durableMark) {
+        durableMark.job.highWaterMarkRecordIndex = durableMark.recordIndex;
+        durableMark.job.highWaterMark =
+                Math.max(durableMark.job.highWaterMark, durableMark.highWaterMark);
     }
 
-    private boolean writable(JobRecord record) {
+    private boolean fitsValueLimit(JobRecord record) {
         return FieldMap.jsonLength(record.toMap()) <= settings.valueBytes();
     }
 
-    private Map<String, Integer> stored(int chunk) {
-        StoreView.Entry entry = view.get(StoreSchema.highWaterMarkKey(partNumber, chunk));
+    private Map<String, Integer> storedMarks(int recordIndex) {
+        StoreView.Entry entry =
+                storeCache.get(StoreSchema.highWaterMarkKey(shardNumber, recordIndex));
         return entry == null ? Map.of() : MarkRecord.fromMap(entry.value()).highWaterMarks();
     }
 
     /** The stored marks of a record, without those of jobs that are no longer open. */
-    private Map<String, Integer> open(int chunk) {
-        Map<String, Integer> marks = new LinkedHashMap<>(stored(chunk));
-        marks.keySet().removeIf(id -> !jobs.containsKey(id));
+    private Map<String, Integer> openJobMarks(int recordIndex) {
+        Map<String, Integer> marks = new LinkedHashMap<>(storedMarks(recordIndex));
+        marks.keySet().removeIf(jobId -> !jobs.containsKey(jobId));
         return marks;
     }
 
-    private int chunkWithRoom(Map<Integer, Map<String, Integer>> chunks, String id) {
-        int c = 0;
-        while (length(marksOf(chunks, c)) + length(id) > limit()) {
-            c++;
+    private int recordWithSpace(Map<Integer, Map<String, Integer>> marksByRecord, String jobId) {
+        int recordIndex = 0;
+        while (encodedBytes(marksInRecord(marksByRecord, recordIndex)) + encodedBytes(jobId)
+                > maxRecordBytes()) {
+            recordIndex++;
         }
-        return c;
+        return recordIndex;
     }
 
-    private Map<String, Integer> marksOf(Map<Integer, Map<String, Integer>> chunks, int c) {
-        return chunks.containsKey(c) ? chunks.get(c) : open(c);
+    private Map<String, Integer> marksInRecord(
+            Map<Integer, Map<String, Integer>> marksByRecord, int recordIndex) {
+        return marksByRecord.containsKey(recordIndex)
+                ? marksByRecord.get(recordIndex)
+                : openJobMarks(recordIndex);
     }
 
-    private double limit() {
+    private double maxRecordBytes() {
         return settings.valueBytes() * Tuning.RECORD_FILL;
     }
 
-    private static int length(Map<String, Integer> marks) {
-        return marks.keySet().stream().mapToInt(StartMarks::length).sum();
+    private static int encodedBytes(Map<String, Integer> marks) {
+        return marks.keySet().stream().mapToInt(StartMarks::encodedBytes).sum();
     }
 
-    private static int length(String id) {
-        return id.length() + Tuning.MARK_FRAME;
+    private static int encodedBytes(String jobId) {
+        return jobId.length() + Tuning.MARK_FRAME;
     }
 }
--- a/src/main/java/org/shoreusher/core/StoreSchema.java
+++ b/src/main/java/org/shoreusher/core/StoreSchema.java
@@ -229,7 +229,7 @@
             return new JobRecord(
                     shardNumber,
                     JobStatus.OPEN,
-                    spec.tasks(),
+                    spec.taskCount(),
                     acceptedWallMs,
                     0,
                     UserFormat.description(spec));
--- a/src/main/java/org/shoreusher/core/TaskAttempt.java
+++ b/src/main/java/org/shoreusher/core/TaskAttempt.java
@@ -5,32 +5,32 @@
     /** How far the attempt has come, by the machine's last heartbeat. */
     enum State {
         /** The start was ordered; the next heartbeat shows whether the machine carried it out. */
-        ASKED,
+        START_ORDERED,
         /** The machine is fetching the image. */
         FETCHING,
         /** The task is running. */
         RUNNING,
         /** The task is writing a checkpoint before it stops. */
-        SAVING
+        CHECKPOINTING
     }
 
     /** The task's job. */
     final Job job;
 
     /** The task's index in its job. */
-    final int index;
+    final int taskIndex;
 
     /**
      * A number that no other attempt of the shard has: the leader's fencing token in the high bits,
      * a counter in the low ones.
      */
-    final long attempt;
+    final long attemptNumber;
 
     /** The machine that the attempt is on. */
     final Machine machine;
 
     /** When this leader ordered the start, or first learned of the attempt; steady ms. */
-    final long sinceMs;
+    final long createdMs;
 
     /** How far the attempt has come. */
     State state;
@@ -42,24 +42,30 @@
     boolean mustStop;
 
     /** The attempt is being evicted gracefully; the task is pending again once it has exited. */
-    boolean stopping;
+    boolean beingEvicted;
 
     /** The machine has reported that a checkpoint was written when the task was stopped. */
-    boolean saved;
+    boolean checkpointed;
 
     /** When a heartbeat first showed the task running, steady ms; -1: none has. */
     long runningSinceMs = -1;
 
     /** When the last direct stop order was sent; steady ms. */
-    long haltedAtMs = Long.MIN_VALUE / 2;
+    long lastStopOrderMs = Long.MIN_VALUE / 2;
 
     /** An attempt that is neither stopped nor evicted. */
-    TaskAttempt(Job job, int index, long attempt, Machine machine, State state, long sinceMs) {
+    TaskAttempt(
+            Job job,
+            int taskIndex,
+            long attemptNumber,
+            Machine machine,
+            State state,
+            long createdMs) {
         this.job = job;
-        this.index = index;
-        this.attempt = attempt;
+        this.taskIndex = taskIndex;
+        this.attemptNumber = attemptNumber;
         this.machine = machine;
         this.state = state;
-        this.sinceMs = sinceMs;
+        this.createdMs = createdMs;
     }
 }
--- a/src/main/java/org/shoreusher/core/TaskRanges.java
+++ b/src/main/java/org/shoreusher/core/TaskRanges.java
@@ -7,20 +7,20 @@
     private TaskRanges() {}
 
     /** Formats a set as ranges in ascending order; the empty set gives an empty text. */
-    public static String format(BitSet set) {
-        StringBuilder out = new StringBuilder();
-        for (int from = set.nextSetBit(0); from >= 0; ) {
-            int end = set.nextClearBit(from);
-            if (out.length() > 0) {
-                out.append(',');
+    public static String format(BitSet taskIndexes) {
+        StringBuilder text = new StringBuilder();
+        for (int from = taskIndexes.nextSetBit(0); from >= 0; ) {
+            int end = taskIndexes.nextClearBit(from);
+            if (text.length() > 0) {
+                text.append(',');
             }
-            out.append(from);
+            text.append(from);
             if (end - from > 1) {
-                out.append('-').append(end - 1);
+                text.append('-').append(end - 1);
             }
-            from = set.nextSetBit(end);
+            from = taskIndexes.nextSetBit(end);
         }
-        return out.toString();
+        return text.toString();
     }
 
     /**
@@ -29,15 +29,16 @@
      * @throws NumberFormatException if the text has another form
      */
     public static BitSet parse(String text) {
-        BitSet set = new BitSet();
+        BitSet taskIndexes = new BitSet();
         if (text.isEmpty()) {
-            return set;
+            return taskIndexes;
         }
         for (String range : text.split(",")) {
             int dash = range.indexOf('-');
-            int from = Integer.parseInt(dash < 0 ? range : range.substring(0, dash));
-            set.set(from, 1 + (dash < 0 ? from : Integer.parseInt(range.substring(dash + 1))));
+            int first = Integer.parseInt(dash < 0 ? range : range.substring(0, dash));
+            taskIndexes.set(
+                    first, 1 + (dash < 0 ? first : Integer.parseInt(range.substring(dash + 1))));
         }
-        return set;
+        return taskIndexes;
     }
 }
--- a/src/main/java/org/shoreusher/core/TaskStops.java
+++ b/src/main/java/org/shoreusher/core/TaskStops.java
@@ -8,90 +8,101 @@
  * workers.
  */
 final class TaskStops {
-    private final Part part;
+    private final Part shard;
     private final Outbox outbox;
-    private long nextPreemptMs;
+    private long nextPreemptionMs;
 
     /** Creates the eviction of one shard. */
-    TaskStops(Part part, Outbox outbox) {
-        this.part = part;
+    TaskStops(Part shard, Outbox outbox) {
+        this.shard = shard;
         this.outbox = outbox;
     }
 
     /**
-     * Stops batch tasks where replicas of services wait for capacity. Unlike {@link #preempt} this
-     * happens at once, without a grace period, and also during reconciliation.
+     * Stops batch tasks where replicas of services wait for capacity. Unlike {@link
+     * #preemptForPriority} this happens at once, without a grace period, and also during
+     * reconciliation.
      */
-    void displace() {
-        if (!part.canStartTasks()
-                || part.jobs().values().stream()
-                        .allMatch(job -> job.spec.shape().ends() || job.waitingCount == 0)) {
+    void preemptForReplicas() {
+        if (!shard.canStartTasks()
+                || shard.jobs().values().stream()
+                        .allMatch(
+                                job ->
+                                        job.spec.workloadType().runsToCompletion()
+                                                || job.pendingCount == 0)) {
             return;
         }
-        List<Job> services = part.openJobs().ordered();
-        services.removeIf(job -> job.spec.shape().ends());
-        for (TaskAttempt live : new ReplicaPreemption(part, outbox.now).choose(services)) {
-            live.mustStop = true;
-            halt(live, 0);
+        List<Job> services = shard.openJobs().inSchedulingOrder();
+        services.removeIf(job -> job.spec.workloadType().runsToCompletion());
+        for (TaskAttempt attempt : new ReplicaPreemption(shard, outbox.now).choose(services)) {
+            attempt.mustStop = true;
+            sendStop(attempt, 0);
         }
     }
 
     /** Stops preemptible tasks where waiting work of higher priority finds no capacity. */
-    void preempt() {
+    void preemptForPriority() {
         // Until all machines have reported, the tasks that they may still be running limit the
         // headroom, and stopping known tasks would not change that.
-        if (outbox.now.monotonicMs() < nextPreemptMs
-                || !part.isReconciled()
-                || !part.canStartTasks()) {
+        if (outbox.now.monotonicMs() < nextPreemptionMs
+                || !shard.isReconciled()
+                || !shard.canStartTasks()) {
             return;
         }
-        nextPreemptMs = outbox.now.monotonicMs() + Tuning.PREEMPT_EVERY_MS;
-        List<Job> ordered = part.openJobs().ordered();
-        if (ordered.isEmpty()) {
+        nextPreemptionMs = outbox.now.monotonicMs() + Tuning.PREEMPT_EVERY_MS;
+        List<Job> orderedJobs = shard.openJobs().inSchedulingOrder();
+        if (orderedJobs.isEmpty()) {
             return;
         }
-        for (TaskAttempt live :
-                new Preemption(part, part.schedulingOrder(), outbox.now)
-                        .choose(ordered, part.binPacker())) {
-            live.stopping = true;
-            halt(live, graceS(live));
+        for (TaskAttempt attempt :
+                new Preemption(shard, shard.schedulingOrder(), outbox.now)
+                        .choose(orderedJobs, shard.binPacker())) {
+            attempt.beingEvicted = true;
+            sendStop(attempt, gracePeriodS(attempt));
         }
     }
 
     /** Returns the grace period, in seconds, that a stopped task gets to write a checkpoint. */
-    static double graceS(TaskAttempt live) {
-        return live.job.spec.saveS() * Tuning.SAVE_SLACK;
+    static double gracePeriodS(TaskAttempt attempt) {
+        return attempt.job.spec.checkpointDurationS() * Tuning.SAVE_SLACK;
     }
 
     /**
      * Returns an order to stop the task.
      *
-     * @param graceS seconds until the task is killed
+     * @param gracePeriodS seconds until the task is killed
      */
-    static WorkerOrder stop(TaskAttempt live, double graceS) {
+    static WorkerOrder stopOrder(TaskAttempt attempt, double gracePeriodS) {
         return new WorkerOrder(
-                WorkerOrder.Kind.STOP, live.job.id, live.index, live.attempt, graceS);
+                WorkerOrder.Kind.STOP,
+                attempt.job.id,
+                attempt.taskIndex,
+                attempt.attemptNumber,
+                gracePeriodS);
     }
 
     /**
      * Sends an order to stop a task directly to its worker. Responses to heartbeats repeat the
      * order until the task is gone.
      *
-     * @param graceS seconds until the task is killed
+     * @param gracePeriodS seconds until the task is killed
      */
-    void halt(TaskAttempt live, double graceS) {
-        Machine m = live.machine;
+    void sendStop(TaskAttempt attempt, double gracePeriodS) {
+        Machine machine = attempt.machine;
         // An unresponsive machine most likely cannot be reached: its lease expires, or its next
         // heartbeat is answered with the order.
-        if (part.isLeader()
-                && m.address != null
-                && m.reconciled
-                && outbox.now.monotonicMs() - m.lastHeartbeatAtMs < part.heartbeatTimeoutMs()
-                && outbox.now.monotonicMs() - live.haltedAtMs > Tuning.HALT_AGAIN_MS) {
-            live.haltedAtMs = outbox.now.monotonicMs();
+        if (shard.isLeader()
+                && machine.address != null
+                && machine.reconciled
+                && outbox.now.monotonicMs() - machine.lastHeartbeatAtMs < shard.heartbeatTimeoutMs()
+                && outbox.now.monotonicMs() - attempt.lastStopOrderMs > Tuning.HALT_AGAIN_MS) {
+            attempt.lastStopOrderMs = outbox.now.monotonicMs();
             outbox.add(
                     new Effect.Orders(
-                            m.address, part.term(), m.session, List.of(stop(live, graceS))));
+                            machine.address,
+                            shard.term(),
+                            machine.session,
+                            List.of(stopOrder(attempt, gracePeriodS))));
         }
     }
 }
--- a/src/main/java/org/shoreusher/core/TeamRoom.java
+++ b/src/main/java/org/shoreusher/core/TeamRoom.java
@@ -8,50 +8,52 @@
  */
 final class TeamRoom {
     private final Settings settings;
-    private final Quota quota;
+    private final Quota quotaShares;
     private final ResourceLedger ledger;
-    private final Rebuild rebuild;
-    private final OtherParts otherParts;
+    private final Rebuild reconciliation;
+    private final OtherParts shardDemand;
 
     /** Creates the headroom of one shard. */
     TeamRoom(
             Settings settings,
-            Quota quota,
+            Quota quotaShares,
             ResourceLedger ledger,
-            Rebuild rebuild,
-            OtherParts otherParts) {
+            Rebuild reconciliation,
+            OtherParts shardDemand) {
         this.settings = settings;
-        this.quota = quota;
+        this.quotaShares = quotaShares;
         this.ledger = ledger;
-        this.rebuild = rebuild;
-        this.otherParts = otherParts;
+        this.reconciliation = reconciliation;
+        this.shardDemand = shardDemand;
     }
 
     /** Returns the CPUs that tasks of the team use or may be using. */
-    double used(String team) {
-        return ledger.cpus(team) + unknownCpus(team);
+    double cpusUsed(String team) {
+        return ledger.usedCpus(team) + unconfirmedCpus(team);
     }
 
     /** Returns the CPUs with which further tasks of the team may start; may be negative. */
-    double cpusLeft(String team) {
-        return quota.startCpus(team) - ledger.cpus(team) - unknownCpus(team);
+    double cpuHeadroom(String team) {
+        return quotaShares.cpuShareForStarts(team) - ledger.usedCpus(team) - unconfirmedCpus(team);
     }
 
     /** Returns the GPUs with which further tasks of the team may start; may be negative. */
-    double gpusLeft(String team) {
-        Settings.Team t = settings.teams().get(team);
-        return quota.gpus(team)
-                - ledger.gpus(team)
-                - unknown(
-                        rebuild.unreconciledGpus(),
-                        t == null ? 0 : t.gpusMax(),
-                        ledger.foundGpus(team));
+    double gpuHeadroom(String team) {
+        Settings.Team teamSettings = settings.teams().get(team);
+        return quotaShares.gpuShare(team)
+                - ledger.usedGpus(team)
+                - unconfirmed(
+                        reconciliation.unreconciledGpus(),
+                        teamSettings == null ? 0 : teamSettings.gpusMax(),
+                        ledger.inheritedGpus(team));
     }
 
-    private double unknownCpus(String team) {
-        Settings.Team t = settings.teams().get(team);
-        return unknown(
-                rebuild.unreconciledCpus(), t == null ? 0 : t.cpusMax(), ledger.foundCpus(team));
+    private double unconfirmedCpus(String team) {
+        Settings.Team teamSettings = settings.teams().get(team);
+        return unconfirmed(
+                reconciliation.unreconciledCpus(),
+                teamSettings == null ? 0 : teamSettings.cpusMax(),
+                ledger.inheritedCpus(team));
     }
 
     /**
@@ -59,17 +61,22 @@
      * leader kept the team within its quota, so what was found on machines that have reported and
      * what is on the others do not exceed it together.
      */
-    private static double unknown(double all, double limit, double found) {
-        return Math.min(all, Math.max(0, limit - found));
+    private static double unconfirmed(double totalUnconfirmed, double limit, double found) {
+        return Math.min(totalUnconfirmed, Math.max(0, limit - found));
     }
 
     /**
      * Returns the CPUs with which tasks could start if this shard got all of the quota that other
      * shards do not demand. Scaling out is based on this.
      */
-    double cpusRentable(String team) {
-        Settings.Team t = settings.teams().get(team);
-        double most = t == null ? 0 : t.cpusMax() - otherParts.claimed(team);
-        return Math.max(most, quota.cpus(team)) - ledger.cpus(team) - unknownCpus(team);
+    double cpuHeadroomForScaleOut(String team) {
+        Settings.Team teamSettings = settings.teams().get(team);
+        double availableLimit =
+                teamSettings == null
+                        ? 0
+                        : teamSettings.cpusMax() - shardDemand.demandElsewhereCpus(team);
+        return Math.max(availableLimit, quotaShares.cpuShare(team))
+                - ledger.usedCpus(team)
+                - unconfirmedCpus(team);
     }
 }
--- a/src/main/java/org/shoreusher/core/Urgency.java
+++ b/src/main/java/org/shoreusher/core/Urgency.java
@@ -18,12 +18,13 @@
     /**
      * The sort key of one job at one moment, computed once per job and scheduling round.
      *
-     * @param band priority band; lower values are scheduled first
-     * @param lateness number of service-level objectives that the job can no longer meet
-     * @param workS remaining CPU-seconds; 0 if the slack decides
+     * @param priorityBand priority band; lower values are scheduled first
+     * @param missedObjectives number of service-level objectives that the job can no longer meet
+     * @param remainingCpuS remaining CPU-seconds; 0 if the slack decides
      * @param slackS seconds until the latest start time that still meets the next objective
      */
-    private record Rank(Job job, int band, int lateness, double workS, double slackS) {}
+    private record JobRank(
+            Job job, int priorityBand, int missedObjectives, double remainingCpuS, double slackS) {}
 
     private final Settings settings;
     private final Estimates estimates;
@@ -38,16 +39,16 @@
 
     /** Sorts the jobs in place, in the order in which they are to be scheduled. */
     void sort(List<Job> jobs, long wallMs) {
-        List<Rank> ranks = new java.util.ArrayList<>(jobs.size());
+        List<JobRank> ranks = new java.util.ArrayList<>(jobs.size());
         for (Job job : jobs) {
             ranks.add(rank(job, wallMs));
         }
         ranks.sort(
-                Comparator.comparingInt(Rank::band)
-                        .thenComparingInt(Rank::lateness)
-                        .thenComparingDouble(Rank::workS)
-                        .thenComparingDouble(Rank::slackS)
-                        .thenComparing(r -> r.job().id));
+                Comparator.comparingInt(JobRank::priorityBand)
+                        .thenComparingInt(JobRank::missedObjectives)
+                        .thenComparingDouble(JobRank::remainingCpuS)
+                        .thenComparingDouble(JobRank::slackS)
+                        .thenComparing(rank -> rank.job().id));
         for (int i = 0; i < ranks.size(); i++) {
             jobs.set(i, ranks.get(i).job());
         }
@@ -57,86 +58,89 @@
      * Returns the seconds within which the job must finish to meet the nearest service-level
      * objective that is still attainable; {@link Double#MAX_VALUE} if there is none.
      */
-    double leftS(Job job, long wallMs) {
-        double ageS = (wallMs - job.acceptedMs) / 1000.0;
-        double run = estimates.runS(job);
-        double left = Double.MAX_VALUE;
-        for (Settings.Objective o : settings.objectives()) {
-            double s = slackS(o, job, ageS, 0);
-            if (s > run || o.kind().equals("wait")) {
-                left = Math.min(left, Math.max(s, run));
+    double timeToNearestObjectiveS(Job job, long wallMs) {
+        double ageS = (wallMs - job.acceptedAtMs) / 1000.0;
+        double runS = estimates.expectedRunS(job);
+        double timeLeftS = Double.MAX_VALUE;
+        for (Settings.Objective objective : settings.objectives()) {
+            double objectiveSlackS = slackS(objective, job, ageS, 0);
+            if (objectiveSlackS > runS || objective.kind().equals("wait")) {
+                timeLeftS = Math.min(timeLeftS, Math.max(objectiveSlackS, runS));
             }
         }
-        return left;
+        return timeLeftS;
     }
 
     /**
      * Whether a task of the job can be preempted and restarted later without missing a
      * service-level objective.
      */
-    boolean canSpare(Job job, long wallMs) {
-        Rank r = rank(job, wallMs);
-        return r.slackS() < 0 || r.slackS() > Tuning.SPARE_SLACK_S;
+    boolean isPreemptible(Job job, long wallMs) {
+        JobRank rank = rank(job, wallMs);
+        return rank.slackS() < 0 || rank.slackS() > Tuning.SPARE_SLACK_S;
     }
 
     /** Whether the latest start time that still meets an objective is near but not yet past. */
-    boolean pressing(Job job, long wallMs) {
+    boolean isNearLatestStart(Job job, long wallMs) {
         double slackS = rank(job, wallMs).slackS();
         return slackS >= 0 && slackS < Tuning.PRESSING_SLACK_S;
     }
 
-    private Rank rank(Job job, long wallMs) {
-        double ageS = (wallMs - job.acceptedMs) / 1000.0;
-        double needS = needS(job);
+    private JobRank rank(Job job, long wallMs) {
+        double ageS = (wallMs - job.acceptedAtMs) / 1000.0;
+        double remainingS = estimatedRemainingS(job);
         // Objectives that are already out of reach are counted; the slack is that of the next
         // attainable one.
-        int lateness = 0;
-        double slack = Double.MAX_VALUE;
-        for (Settings.Objective o : settings.objectives()) {
-            double s = slackS(o, job, ageS, needS);
-            if (s < 0) {
-                lateness++;
+        int missedObjectives = 0;
+        double slackS = Double.MAX_VALUE;
+        for (Settings.Objective objective : settings.objectives()) {
+            double objectiveSlackS = slackS(objective, job, ageS, remainingS);
+            if (objectiveSlackS < 0) {
+                missedObjectives++;
             } else {
-                slack = Math.min(slack, s);
+                slackS = Math.min(slackS, objectiveSlackS);
             }
         }
-        if (slack == Double.MAX_VALUE) {
-            slack = Tuning.PATIENCE_S - ageS - needS;
+        if (slackS == Double.MAX_VALUE) {
+            slackS = Tuning.PATIENCE_S - ageS - remainingS;
         }
         // Low and normal priority share a band: low-priority objectives allow more time, so
         // ordering by slack serves both in time. A job that has not started for very long goes
         // first; a steady stream of urgent work would otherwise starve it.
-        int band =
-                job.begun() || ageS < Tuning.STARVED_S
+        int priorityBand =
+                job.hasStarted() || ageS < Tuning.STARVED_S
                         ? Math.min(job.spec.priority().ordinal(), JobSpec.Priority.NORMAL.ordinal())
                         : -1;
-        boolean patient =
-                band > JobSpec.Priority.HIGH.ordinal()
-                        && slack >= Tuning.PRESSING_SLACK_S
-                        && !guaranteePresses(job, ageS);
-        return new Rank(
+        boolean hasAmpleSlack =
+                priorityBand > JobSpec.Priority.HIGH.ordinal()
+                        && slackS >= Tuning.PRESSING_SLACK_S
+                        && !isGuaranteeUrgent(job, ageS);
+        return new JobRank(
                 job,
-                band,
-                lateness,
-                patient ? job.waitingCount * job.spec.cpus() * estimates.runS(job) : 0,
-                slack);
+                priorityBand,
+                missedObjectives,
+                hasAmpleSlack
+                        ? job.pendingCount * job.spec.cpus() * estimates.expectedRunS(job)
+                        : 0,
+                slackS);
     }
 
     /**
      * Whether the period is nearly over in which a job of a team with guaranteed capacity must be
      * fully started. Whether the job fits into the guarantee is not known here.
      */
-    private boolean guaranteePresses(Job job, double ageS) {
+    private boolean isGuaranteeUrgent(Job job, double ageS) {
         Settings.Team team = settings.teams().get(job.spec.team());
         return team != null
                 && team.cpus() > 0
-                && job.startedCount < job.spec.tasks()
+                && job.startedCount < job.spec.taskCount()
                 && settings.objectives().stream()
                         .anyMatch(
-                                o ->
-                                        o.kind().equals("guarantee")
-                                                && ageS <= o.withinS()
-                                                && o.withinS() - ageS < Tuning.PRESSING_SLACK_S);
+                                objective ->
+                                        objective.kind().equals("guarantee")
+                                                && ageS <= objective.withinS()
+                                                && objective.withinS() - ageS
+                                                        < Tuning.PRESSING_SLACK_S);
     }
 
     /**
@@ -144,41 +148,41 @@
      * can no longer be met, {@link Double#MAX_VALUE} if the objective does not apply to the job.
      *
      * @param ageS seconds since the job was accepted
-     * @param needS estimated seconds that the remaining tasks take
+     * @param remainingS estimated seconds that the remaining tasks take
      */
-    private double slackS(Settings.Objective o, Job job, double ageS, double needS) {
-        if (!o.jobClass().isEmpty() && !o.jobClass().equals(job.spec.jobClass())) {
+    private double slackS(Settings.Objective objective, Job job, double ageS, double remainingS) {
+        if (!objective.jobClass().isEmpty() && !objective.jobClass().equals(job.spec.jobClass())) {
             return Double.MAX_VALUE;
         }
-        return switch (o.kind()) {
+        return switch (objective.kind()) {
             case "deadline" ->
                     Double.isNaN(job.spec.deadlineS())
                             ? Double.MAX_VALUE
-                            : job.spec.deadlineS() * o.times() - ageS - needS;
-            case "finished" -> o.withinS() - ageS - needS;
+                            : job.spec.deadlineS() * objective.times() - ageS - remainingS;
+            case "finished" -> objective.withinS() - ageS - remainingS;
             case "wait" ->
-                    job.startedCount > 0 && job.startedCount >= atOnce(job)
+                    job.startedCount > 0 && job.startedCount >= maxConcurrentTasks(job)
                             ? Double.MAX_VALUE
-                            : o.withinS() - ageS;
+                            : objective.withinS() - ageS;
             default -> Double.MAX_VALUE;
         };
     }
 
     /** Returns how many tasks of the job can run concurrently within its team's quota. */
-    private int atOnce(Job job) {
+    private int maxConcurrentTasks(Job job) {
         Settings.Team team = settings.teams().get(job.spec.team());
         if (team == null || job.spec.cpus() <= 0) {
-            return job.spec.tasks();
+            return job.spec.taskCount();
         }
-        return (int) Math.max(1, Math.min(job.spec.tasks(), team.cpusMax() / job.spec.cpus()));
+        return (int) Math.max(1, Math.min(job.spec.taskCount(), team.cpusMax() / job.spec.cpus()));
     }
 
     /**
      * Returns the estimated seconds until all waiting tasks have run if the team's whole quota were
      * available.
      */
-    private double needS(Job job) {
-        double rounds = Math.max(1, Math.ceil((double) job.waitingCount / atOnce(job)));
-        return rounds * (estimates.runS(job) + Tuning.START_LAG_S);
+    private double estimatedRemainingS(Job job) {
+        double rounds = Math.max(1, Math.ceil((double) job.pendingCount / maxConcurrentTasks(job)));
+        return rounds * (estimates.expectedRunS(job) + Tuning.START_LAG_S);
     }
 }
--- a/src/main/java/org/shoreusher/core/UserRequests.java
+++ b/src/main/java/org/shoreusher/core/UserRequests.java
@@ -25,139 +25,160 @@
     /** The source of task counts, which are for display only. */
     interface CountSource {
         /** The completed and running tasks of a job, as far as this node knows. */
-        Response.TaskCounts counts(String id);
+        Response.TaskCounts counts(String jobId);
     }
 
     private final Settings settings;
     private final Outbox outbox;
-    private final StoreView view;
-    private final MachineTypes types;
-    private final MemberFormats formats;
-    private final CountSource counts;
-    private final Arrivals arrivals;
-    private final Acceptance acceptance;
+    private final StoreView storeCache;
+    private final MachineTypes machineTypes;
+    private final MemberFormats versionNegotiation;
+    private final CountSource countSource;
+    private final Arrivals submissionBatches;
+    private final Acceptance submissionCommit;
 
-    private final EndedJobs ended;
-    private final ConfirmedReads reads;
+    private final EndedJobs terminalJobs;
+    private final ConfirmedReads linearizableReads;
 
     /** Writes that await their reply. */
-    private int writing;
+    private int writesInFlight;
 
     /**
      * A handler for the requests of one node.
      *
-     * @param owner the name of this process, which no other process has ever had
-     * @param roomiestPart the number of the shard that a new job should go to
+     * @param processName the name of this process, which no other process has ever had
+     * @param shardWithMostHeadroom the number of the shard that a new job should go to
      */
     UserRequests(
             NodeContext context,
-            String owner,
+            String processName,
             CountSource counts,
-            ToIntFunction<JobSpec> roomiestPart) {
+            ToIntFunction<JobSpec> shardWithMostHeadroom) {
         settings = context.settings();
         outbox = context.outbox();
-        view = context.storeCache();
-        types = context.machineTypes();
-        formats = context.versionNegotiation();
-        this.counts = counts;
-        arrivals = context.submissionBatches();
-        ended = new EndedJobs(settings, outbox, view);
-        reads = new ConfirmedReads(settings, outbox, view, arrivals, ended, this::refuse);
-        acceptance =
+        storeCache = context.storeCache();
+        machineTypes = context.machineTypes();
+        versionNegotiation = context.versionNegotiation();
+        this.countSource = counts;
+        submissionBatches = context.submissionBatches();
+        terminalJobs = new EndedJobs(settings, outbox, storeCache);
+        linearizableReads =
+                new ConfirmedReads(
+                        settings,
+                        outbox,
+                        storeCache,
+                        submissionBatches,
+                        terminalJobs,
+                        this::rejectIfOverloaded);
+        submissionCommit =
                 new Acceptance(
                         settings,
                         outbox,
-                        view,
-                        owner,
-                        roomiestPart,
-                        (request, id) ->
+                        storeCache,
+                        processName,
+                        shardWithMostHeadroom,
+                        (requestId, jobId) ->
                                 answerIfKnown(
-                                        request, id, () -> outbox.respondUnavailable(request)),
-                        (request, id) -> answerIfKnown(request, id, () -> refuseLong(request)));
+                                        requestId,
+                                        jobId,
+                                        () -> outbox.respondUnavailable(requestId)),
+                        (requestId, jobId) ->
+                                answerIfKnown(requestId, jobId, () -> rejectTooLong(requestId)));
     }
 
     // ---- requests ----------------------------------------------------------------------------
 
     /** A user asks for the state of a job. */
-    void poll(long request, String id) {
-        if (!JobSpec.isId(id)) {
-            outbox.respond(request, new Response.NotFound());
+    void poll(long requestId, String jobId) {
+        if (!JobSpec.isValidId(jobId)) {
+            outbox.respond(requestId, new Response.NotFound());
             return;
         }
-        reads.readBatched(
-                request,
-                id,
+        linearizableReads.readBatched(
+                requestId,
+                jobId,
                 record -> {
                     if (record == null) {
-                        outbox.respond(request, new Response.NotFound());
+                        outbox.respond(requestId, new Response.NotFound());
                     } else {
-                        outbox.respond(request, polled(id, record));
+                        outbox.respond(requestId, pollResponse(jobId, record));
                     }
                 });
     }
 
-    private Response polled(String id, JobRecord record) {
-        Response.TaskCounts c = counts.counts(id);
+    private Response pollResponse(String jobId, JobRecord record) {
+        Response.TaskCounts taskCounts = countSource.counts(jobId);
         return switch (record.status()) {
-            case DONE -> state(id, Shown.DONE, new Response.TaskCounts(record.taskCount(), 0));
-            case CANCELLED -> state(id, Shown.CANCELLED, new Response.TaskCounts(c.completed(), 0));
-            case OPEN -> state(id, c.running() > 0 ? Shown.RUNNING : Shown.PENDING, c);
+            case DONE ->
+                    jobState(jobId, Shown.DONE, new Response.TaskCounts(record.taskCount(), 0));
+            case CANCELLED ->
+                    jobState(
+                            jobId,
+                            Shown.CANCELLED,
+                            new Response.TaskCounts(taskCounts.completed(), 0));
+            case OPEN ->
+                    jobState(
+                            jobId,
+                            taskCounts.running() > 0 ? Shown.RUNNING : Shown.PENDING,
+                            taskCounts);
         };
     }
 
-    private static Response state(String id, Shown shown, Response.TaskCounts counts) {
-        return new Response.JobState(id, shown, counts, false);
+    private static Response jobState(String jobId, Shown displayState, Response.TaskCounts counts) {
+        return new Response.JobState(jobId, displayState, counts, false);
     }
 
     /**
      * A user submits a job. A repeated submission is answered with the state of the job.
      *
      * @param spec the job; null if the body of the request can't be used
-     * @param problem what is wrong with the body; null if nothing is
+     * @param validationError what is wrong with the body; null if nothing is
      */
-    void submit(long request, String id, JobSpec spec, String problem) {
-        if (!JobSpec.isId(id)) {
-            outbox.respond(request, new Response.Malformed(problem == null ? NO_ID : problem));
+    void submit(long requestId, String jobId, JobSpec spec, String validationError) {
+        if (!JobSpec.isValidId(jobId)) {
+            outbox.respond(
+                    requestId,
+                    new Response.Malformed(validationError == null ? NO_ID : validationError));
             return;
         }
         // A known job is answered with its state, whether or not the body is valid.
         if (spec != null
-                && view.isLoaded()
-                && arrivals.record(id) == null
-                && ended.get(id) == null
-                && verdict(spec) == Verdict.RUNS) {
-            accept(request, spec);
+                && storeCache.isLoaded()
+                && submissionBatches.jobRecord(jobId) == null
+                && terminalJobs.get(jobId) == null
+                && assessAdmission(spec) == Admission.ADMITTED) {
+            commitUnlessOverloaded(requestId, spec);
             return;
         }
-        reads.readBatched(
-                request,
-                id,
+        linearizableReads.readBatched(
+                requestId,
+                jobId,
                 record -> {
                     if (record != null) {
-                        known(request, id, record);
+                        answerKnownJob(requestId, jobId, record);
                     } else if (spec == null) {
-                        outbox.respond(request, new Response.Malformed(problem));
+                        outbox.respond(requestId, new Response.Malformed(validationError));
                     } else {
-                        switch (verdict(spec)) {
-                            case RUNS -> accept(request, spec);
-                            case NEVER ->
-                                    outbox.respond(request, new Response.CannotRun(NEVER_RUNS));
-                            case UNKNOWN -> outbox.respondUnavailable(request);
+                        switch (assessAdmission(spec)) {
+                            case ADMITTED -> commitUnlessOverloaded(requestId, spec);
+                            case REJECTED ->
+                                    outbox.respond(requestId, new Response.CannotRun(NEVER_RUNS));
+                            case UNDECIDED -> outbox.respondUnavailable(requestId);
                         }
                     }
                 });
     }
 
     /** Reads the job from the store, and answers with its state if there is one. */
-    private void answerIfKnown(long request, String id, Runnable otherwise) {
-        reads.readIndividually(
-                request,
-                id,
+    private void answerIfKnown(long requestId, String jobId, Runnable otherwise) {
+        linearizableReads.readIndividually(
+                requestId,
+                jobId,
                 record -> {
                     if (record == null) {
                         otherwise.run();
                     } else {
-                        known(request, id, record);
+                        answerKnownJob(requestId, jobId, record);
                     }
                 });
     }
@@ -166,145 +187,159 @@
      * Refuses a description that exceeds the limit on a record. Only after a read of the store: a
      * job that was accepted under a higher limit must be found even if this node's cache lags.
      */
-    private void refuseLong(long request) {
-        outbox.respond(request, new Response.Malformed(TOO_LONG));
+    private void rejectTooLong(long requestId) {
+        outbox.respond(requestId, new Response.Malformed(TOO_LONG));
     }
 
-    private void known(long request, String id, JobRecord record) {
+    private void answerKnownJob(long requestId, String jobId, JobRecord record) {
         outbox.respond(
-                request,
+                requestId,
                 new Response.JobState(
-                        id,
+                        jobId,
                         switch (record.status()) {
                             case DONE -> Shown.DONE;
                             case CANCELLED -> Shown.CANCELLED;
                             case OPEN ->
-                                    counts.counts(id).running() > 0 ? Shown.RUNNING : Shown.PENDING;
+                                    countSource.counts(jobId).running() > 0
+                                            ? Shown.RUNNING
+                                            : Shown.PENDING;
                         }));
     }
 
     /** Whether a job is admitted. */
-    private enum Verdict {
+    private enum Admission {
         /** The job can run. */
-        RUNS,
+        ADMITTED,
         /** The job can never run. */
-        NEVER,
+        REJECTED,
         /** This node cannot tell yet. */
-        UNKNOWN
+        UNDECIDED
     }
 
-    private Verdict verdict(JobSpec spec) {
+    private Admission assessAdmission(JobSpec spec) {
         Settings.Team team = settings.teams().get(spec.team());
-        int atOnce = spec.atLeastAtOnce();
+        int minConcurrentTasks = spec.minConcurrentTasks();
         if (team == null
-                || spec.cpus() * atOnce > team.cpusMax()
-                || spec.gpus() * atOnce > team.gpusMax()) {
-            return Verdict.NEVER;
+                || spec.cpus() * minConcurrentTasks > team.cpusMax()
+                || spec.gpus() * minConcurrentTasks > team.gpusMax()) {
+            return Admission.REJECTED;
         }
         // A node of a version without services would treat a replica as a batch task and complete
         // the job when the replica exits.
-        if (!types.isLoaded() || (!spec.shape().ends() && !formats.areServicesSupported())) {
-            return Verdict.UNKNOWN;
+        if (!machineTypes.isLoaded()
+                || (!spec.workloadType().runsToCompletion()
+                        && !versionNegotiation.areServicesSupported())) {
+            return Admission.UNDECIDED;
         }
-        return types.all().stream().anyMatch(t -> t.canFit(spec)) ? Verdict.RUNS : Verdict.NEVER;
+        return machineTypes.all().stream().anyMatch(type -> type.canFit(spec))
+                ? Admission.ADMITTED
+                : Admission.REJECTED;
     }
 
-    private void accept(long request, JobSpec spec) {
-        if (!refuse(request)) {
-            acceptance.submit(request, spec);
+    private void commitUnlessOverloaded(long requestId, JobSpec spec) {
+        if (!rejectIfOverloaded(requestId)) {
+            submissionCommit.enqueue(requestId, spec);
         }
     }
 
     /** A user cancels a job. */
-    void cancel(long request, String id) {
-        if (!JobSpec.isId(id)) {
-            outbox.respond(request, new Response.NotFound());
+    void cancel(long requestId, String jobId) {
+        if (!JobSpec.isValidId(jobId)) {
+            outbox.respond(requestId, new Response.NotFound());
             return;
         }
-        reads.readBatched(request, id, record -> cancel(request, id, record, Tuning.WRITE_TRIES));
+        linearizableReads.readBatched(
+                requestId, jobId, record -> cancel(requestId, jobId, record, Tuning.WRITE_TRIES));
     }
 
-    private void cancel(long request, String id, JobRecord record, int tries) {
+    private void cancel(long requestId, String jobId, JobRecord record, int triesLeft) {
         if (record == null) {
-            outbox.respond(request, new Response.NotFound());
+            outbox.respond(requestId, new Response.NotFound());
         } else if (record.status() == JobStatus.DONE) {
-            outbox.respond(request, new Response.JobState(id, Shown.DONE));
+            outbox.respond(requestId, new Response.JobState(jobId, Shown.DONE));
         } else if (record.status() == JobStatus.CANCELLED) {
-            outbox.respond(request, new Response.JobState(id, Shown.CANCELLED));
+            outbox.respond(requestId, new Response.JobState(jobId, Shown.CANCELLED));
         } else {
             Map<String, Map<String, Object>> writes =
                     Map.of(
-                            StoreSchema.jobKey(id),
+                            StoreSchema.jobKey(jobId),
                             record.asCancelled(settings.valueBytes()).toMap());
             write(
-                    request,
+                    requestId,
                     new StateOp.Multi(
-                            Map.of(StoreSchema.jobKey(id), view.version(StoreSchema.jobKey(id))),
+                            Map.of(
+                                    StoreSchema.jobKey(jobId),
+                                    storeCache.version(StoreSchema.jobKey(jobId))),
                             writes),
                     Tuning.WRITE_TRIES,
                     reply -> {
                         if (reply.status() == 200) {
-                            outbox.respond(request, new Response.JobState(id, Shown.CANCELLED));
-                        } else if (tries > 1) {
-                            reads.readIndividually(
-                                    request, id, now -> cancel(request, id, now, tries - 1));
+                            outbox.respond(
+                                    requestId, new Response.JobState(jobId, Shown.CANCELLED));
+                        } else if (triesLeft > 1) {
+                            linearizableReads.readIndividually(
+                                    requestId,
+                                    jobId,
+                                    latestRecord ->
+                                            cancel(requestId, jobId, latestRecord, triesLeft - 1));
                         } else {
-                            outbox.respondUnavailable(request);
+                            outbox.respondUnavailable(requestId);
                         }
                     });
         }
     }
 
     /**
-     * Writes with preconditions. Calls {@code then} if the write took effect (200) or a
+     * Writes with preconditions. Calls {@code onReply} if the write took effect (200) or a
      * precondition failed (409), and refuses the request on any other reply.
      */
-    private void write(long request, StateOp.Multi op, int tries, Consumer<StateReply> then) {
-        if (refuse(request)) {
+    private void write(
+            long requestId, StateOp.Multi operation, int triesLeft, Consumer<StateReply> onReply) {
+        if (rejectIfOverloaded(requestId)) {
             return;
         }
-        writing++;
+        writesInFlight++;
         boolean sent =
                 outbox.callStoreForUser(
-                        op,
+                        operation,
                         reply -> {
-                            writing--;
+                            writesInFlight--;
                             if (reply.status() == 200) {
-                                view.applyOwnWrites(reply, op.writes());
-                                then.accept(reply);
+                                storeCache.applyOwnWrites(reply, operation.writes());
+                                onReply.accept(reply);
                             } else if (reply.status() == 409) {
-                                then.accept(reply);
-                            } else if (reply.status() == 429 && tries > 1) {
-                                write(request, op, tries - 1, then);
+                                onReply.accept(reply);
+                            } else if (reply.status() == 429 && triesLeft > 1) {
+                                write(requestId, operation, triesLeft - 1, onReply);
                             } else {
-                                outbox.respondUnavailable(request);
+                                outbox.respondUnavailable(requestId);
                             }
                         });
         if (!sent) {
-            writing--;
-            outbox.respondUnavailable(request);
+            writesInFlight--;
+            outbox.respondUnavailable(requestId);
         }
     }
 
     /** Sends the writes and reads that have gathered, and gives the answers that are due. */
     void step() {
-        acceptance.step();
-        reads.answerCaughtUpReads();
-        ended.step();
-        reads.sendBatch();
+        submissionCommit.commitPending();
+        linearizableReads.answerCaughtUpReads();
+        terminalJobs.evictCancelledJobs();
+        linearizableReads.sendBatch();
     }
 
     /** The jobs in a terminal state, which the cache of the store evicts. */
-    EndedJobs ended() {
-        return ended;
+    EndedJobs terminalJobs() {
+        return terminalJobs;
     }
 
     /** Refuses the request if this node can't serve it now; returns whether it did. */
-    private boolean refuse(long request) {
-        if (!view.isLoaded()
+    private boolean rejectIfOverloaded(long requestId) {
+        if (!storeCache.isLoaded()
                 || outbox.isStoreUnavailable()
-                || writing + reads.pendingCount() >= Tuning.MAX_USER_WORK) {
-            outbox.respondUnavailable(request);
+                || writesInFlight + linearizableReads.pendingCount() >= Tuning.MAX_USER_WORK) {
+            outbox.respondUnavailable(requestId);
             return true;
         }
         return false;
--- a/src/main/java/org/shoreusher/measure/BalanceMeasurement.java
+++ b/src/main/java/org/shoreusher/measure/BalanceMeasurement.java
@@ -217,7 +217,7 @@
                             + spread.longestAvoidableMs()
                             + " ms");
         }
-        double budget = settings.usualBudget().repeatedShare() * workedS(history);
+        double budget = settings.defaultBudget().maxRepeatedWorkShare() * workedS(history);
         if (on && repeatedS(history) > budget) {
             throw new IllegalStateException(
                     "repeated " + repeatedS(history) + " s, allowed are " + budget);
--- a/src/main/java/org/shoreusher/measure/SpreadSamples.java
+++ b/src/main/java/org/shoreusher/measure/SpreadSamples.java
@@ -50,24 +50,24 @@
         Map<String, Double> used = new HashMap<>();
         for (WorkerStandIn worker : machines.workers()) {
             String id = worker.identity().id();
-            load.machine(id, worker.identity().zone(), machineCpus, 1);
+            load.addMachine(id, worker.identity().zone(), machineCpus, 1);
             for (String task : worker.tasksHeld()) {
                 JobRequest job = jobs.get(task.substring(0, task.indexOf('/')));
-                load.taskAdded(id, job.team(), job.cpus(), job.profile().image());
+                load.addTask(id, job.team(), job.cpus(), job.profile().image());
                 used.merge(id, job.cpus(), Double::sum);
             }
         }
-        last = load.spread(team);
+        last = load.skew(team);
         shares.recordValue(Math.round(Math.min(1, last) * THOUSAND));
         long nowMs = ControllerProcess.nowMs();
         above.sample(last > bound, nowMs);
-        double most = (load.mean(team) + margin) * machineCpus - BookFairLoad.CPUS;
+        double most = (load.meanShare(team) + margin) * machineCpus - BookFairLoad.CPUS;
         boolean room =
                 machines.workers().stream()
                         .map(worker -> worker.identity().id())
                         .anyMatch(
                                 id ->
-                                        load.cpusOn(id, team) <= most
+                                        load.teamCpusOn(id, team) <= most
                                                 && used.getOrDefault(id, 0.0)
                                                         <= machineCpus - BookFairLoad.CPUS);
         avoidable.sample(last > bound && room, nowMs);
--- a/src/main/java/org/shoreusher/peer/HintCodec.java
+++ b/src/main/java/org/shoreusher/peer/HintCodec.java
@@ -46,36 +46,36 @@
     private static final class HintSerializer extends Serializer<Hint> {
         @Override
         public void write(Kryo kryo, Output out, Hint h) {
-            out.writeString(h.from());
+            out.writeString(h.senderHost());
             out.writeLong(h.sentWallMs());
-            out.writeBoolean(h.stateOk());
-            out.writeDouble(h.upS());
-            out.writeVarInt(h.parts().size(), true);
-            h.parts()
+            out.writeBoolean(h.storeReachable());
+            out.writeDouble(h.uptimeS());
+            out.writeVarInt(h.shards().size(), true);
+            h.shards()
                     .forEach(
                             (n, part) -> {
                                 out.writeVarInt(n, true);
-                                out.writeDouble(part.room());
-                                out.writeVarInt(part.idle(), true);
-                                out.writeVarInt(part.lacks(), true);
-                                out.writeVarInt(part.claims().size(), true);
-                                part.claims()
+                                out.writeDouble(part.cpuHeadroom());
+                                out.writeVarInt(part.idleMachines(), true);
+                                out.writeVarInt(part.machineShortfall(), true);
+                                out.writeVarInt(part.teamDemands().size(), true);
+                                part.teamDemands()
                                         .forEach(
                                                 (team, claim) -> {
                                                     out.writeString(team);
-                                                    out.writeDouble(claim.urgent());
-                                                    out.writeDouble(claim.other());
+                                                    out.writeDouble(claim.highPriorityCpus());
+                                                    out.writeDouble(claim.otherCpus());
                                                 });
                             });
-            out.writeVarInt(h.back().size(), true);
-            h.back()
+            out.writeVarInt(h.redirectedWorkers().size(), true);
+            h.redirectedWorkers()
                     .forEach(
                             (n, workers) -> {
                                 out.writeVarInt(n, true);
                                 out.writeVarInt(workers, true);
                             });
-            counts(out, h.running());
-            counts(out, h.done());
+            counts(out, h.runningTasks());
+            counts(out, h.completedTasks());
         }
 
         private static void counts(Output out, Map<String, Integer> counts) {
--- a/src/main/java/org/shoreusher/settings/FeaturesFile.java
+++ b/src/main/java/org/shoreusher/settings/FeaturesFile.java
@@ -90,14 +90,17 @@
                 new BalanceSettings(
                         section.number("spread_margin", 0.05, 1, usual.spreadMargin()),
                         section.number("hysteresis", 0, 0.5, usual.hysteresis()),
-                        section.number("hot_share", 0.01, 1, usual.hotShare()),
-                        section.whole("moves_at_once", 0, MOST_MOVES, usual.movesAtOnce()),
-                        section.whole("moves_per_team", 0, MOST_MOVES, usual.movesPerTeam()),
-                        section.whole("moves_per_zone", 0, MOST_MOVES, usual.movesPerZone()),
+                        section.number("hot_share", 0.01, 1, usual.highDemandShare()),
+                        section.whole(
+                                "moves_at_once", 0, MOST_MOVES, usual.maxConcurrentMigrations()),
+                        section.whole(
+                                "moves_per_team", 0, MOST_MOVES, usual.maxMigrationsPerTeam()),
+                        section.whole(
+                                "moves_per_zone", 0, MOST_MOVES, usual.maxMigrationsPerZone()),
                         section.number("cooldown_s", 0, LONGEST_COOLDOWN_S, usual.cooldownS()),
-                        section.number("least_gain", 1, HIGHEST_GAIN, usual.leastGain()),
-                        budget(section, usual.usualBudget()),
-                        budgets(section.section("classes"), settings, usual.usualBudget()));
+                        section.number("least_gain", 1, HIGHEST_GAIN, usual.minGainFactor()),
+                        budget(section, usual.defaultBudget()),
+                        budgets(section.section("classes"), settings, usual.defaultBudget()));
         section.finish();
         return enabled ? balance : null;
     }
@@ -127,8 +130,9 @@
     private static ClassBudget budget(FeatureSection section, ClassBudget usual)
             throws Settings.Invalid {
         return new ClassBudget(
-                section.whole("moves_per_task", 0, MOST_MOVES_OF_TASK, usual.movesPerTask()),
-                section.number("repeated_share", 0, 1, usual.repeatedShare()));
+                section.whole(
+                        "moves_per_task", 0, MOST_MOVES_OF_TASK, usual.maxMigrationsPerTask()),
+                section.number("repeated_share", 0, 1, usual.maxRepeatedWorkShare()));
     }
 
     private static Map<String, ClassBudget> budgets(
--- a/src/main/java/org/shoreusher/wire/UserFormat.java
+++ b/src/main/java/org/shoreusher/wire/UserFormat.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import org.shoreusher.core.JobSpec;
 import org.shoreusher.core.JobSpec.Priority;
-import org.shoreusher.core.JobSpec.Shape;
+import org.shoreusher.core.JobSpec.WorkloadType;
 import org.shoreusher.settings.Tuning;
 
 /**
@@ -57,17 +57,17 @@
         String shape = t.text("shape");
         // Gang scheduling and other shapes would be decoded here; the protocol has none today.
         need(shape.equals(SWEEP) || shape.equals(SERVICE), "shape must be sweep or service");
-        return job(t, shape.equals(SWEEP) ? Shape.BATCH : Shape.SERVICE);
+        return job(t, shape.equals(SWEEP) ? WorkloadType.BATCH : WorkloadType.SERVICE);
     }
 
     /** Decodes a specification from the store, as {@link #description} encodes it. */
     public static JobSpec described(FieldMap t) throws FieldMap.Missing {
-        return job(t, t.flagOr(KEPT_UP, false) ? Shape.SERVICE : Shape.BATCH);
+        return job(t, t.flagOr(KEPT_UP, false) ? WorkloadType.SERVICE : WorkloadType.BATCH);
     }
 
-    private static JobSpec job(FieldMap t, Shape shape) throws FieldMap.Missing {
+    private static JobSpec job(FieldMap t, WorkloadType shape) throws FieldMap.Missing {
         String id = t.text("name_id");
-        need(JobSpec.isId(id), "name_id must look like wk-000412");
+        need(JobSpec.isValidId(id), "name_id must look like wk-000412");
         long tasks = t.whole("sheets");
         need(
                 tasks >= 1 && tasks <= Tuning.MAX_TASKS,
@@ -149,28 +149,28 @@
         m.put("queue", j.jobClass());
         m.put("crew", j.team());
         m.put("shape", SWEEP);
-        if (!j.shape().ends()) {
+        if (!j.workloadType().runsToCompletion()) {
             m.put(KEPT_UP, true);
         }
         m.put("urgency", text(j.priority()));
-        m.put("sheets", (long) j.tasks());
+        m.put("sheets", (long) j.taskCount());
         m.put("cpus", j.cpus());
         m.put("gpus", j.gpus());
         m.put("mem_gb", j.memGb());
         m.put("plate", j.image());
         m.put("size_gb", j.imageGb());
-        if (j.types() != null) {
-            m.put("presses", j.types());
+        if (j.machineTypes() != null) {
+            m.put("presses", j.machineTypes());
         }
         if (j.zone() != null) {
             m.put("yard", j.zone());
         }
-        m.put("one_zone", j.oneZone());
-        m.put("scatter", j.spread());
-        m.put("loaners", j.spot());
-        m.put("runtime_s", j.estimateS());
-        m.put("proof_interval_s", j.checkpointS());
-        m.put("proof_s", j.saveS());
+        m.put("one_zone", j.singleZone());
+        m.put("scatter", j.spreadAcrossZones());
+        m.put("loaners", j.spotAllowed());
+        m.put("runtime_s", j.estimatedRunS());
+        m.put("proof_interval_s", j.checkpointIntervalS());
+        m.put("proof_s", j.checkpointDurationS());
         if (!Double.isNaN(j.deadlineS())) {
             m.put("due_s", j.deadlineS());
         }
--- a/src/test/java/org/shoreusher/balance/BalancerTest.java
+++ b/src/test/java/org/shoreusher/balance/BalancerTest.java
@@ -31,12 +31,12 @@
     @Example
     void aCrowdedMachineIsRelievedUntilTheSpreadIsWithinItsMargin() {
         TestFleet fleet = crowded(settings(8, 0, AMPLE));
-        assertEquals(7.0 / 8 - 8.0 / 32, fleet.balancer.load().spread(TestFleet.TEAM));
+        assertEquals(7.0 / 8 - 8.0 / 32, fleet.balancer.load().skew(TestFleet.TEAM));
         for (int i = 0; i < 10; i++) {
             fleet.plan().forEach(fleet::carryOut);
         }
         // 7 of 8 CPUs less one task, and a mean of a quarter: within 0.25 with hysteresis.
-        assertTrue(fleet.balancer.load().spread(TestFleet.TEAM) <= 0.25);
+        assertTrue(fleet.balancer.load().skew(TestFleet.TEAM) <= 0.25);
         assertEquals(List.of(), fleet.plan(), "nothing is left to be done");
     }
 
@@ -144,15 +144,15 @@
         }
         assertEquals(List.of(), fleet.plan(), "nothing has been done yet");
         // Two tasks on machines for 50 s.
-        fleet.balancer.budget().taskAdded("c", 0);
-        fleet.balancer.budget().taskAdded("c", 0);
+        fleet.balancer.budget().addTask("c", 0);
+        fleet.balancer.budget().addTask("c", 0);
         fleet.nowMs = 50_000;
         List<Move> one = fleet.plan();
         assertEquals(1, one.size());
-        fleet.balancer.leftSource(one.get(0), false, 0);
+        fleet.balancer.markLeftSource(one.get(0), false, 0);
         assertEquals(10, fleet.balancer.budget().repeatedS("c"));
         assertEquals(List.of(), fleet.plan(), "the save has failed");
-        fleet.balancer.budget().taskRemoved("c", 50_000);
+        fleet.balancer.budget().removeTask("c", 50_000);
         fleet.nowMs = 149_000;
         assertEquals(List.of(), fleet.plan(), "one task more for 99 s");
         fleet.nowMs = 150_000;
@@ -165,7 +165,7 @@
     @Example
     void jobsBegunUnderAnOwnerBeforeAreNotMoved() {
         TestFleet fleet = crowded(settings(8, 0, AMPLE));
-        fleet.balancer.budget().begunBefore("wk-1");
+        fleet.balancer.budget().markBegunByPreviousLeader("wk-1");
         assertEquals(List.of(), fleet.plan());
     }
 
@@ -173,30 +173,30 @@
     void teamsThatAreNotHotHaveNoLimit() {
         TestFleet fleet = new TestFleet(settings(8, 0, AMPLE)).machines(100);
         fleet.task(0, 1);
-        fleet.balancer.demand(Map.of(TestFleet.TEAM, 40.0));
-        assertFalse(fleet.balancer.hot(TestFleet.TEAM));
-        assertTrue(Double.isInfinite(fleet.balancer.cpusAllowed("m-0", TestFleet.TEAM, 1, 0)));
-        fleet.balancer.demand(Map.of(TestFleet.TEAM, 159.0));
-        assertTrue(fleet.balancer.hot(TestFleet.TEAM));
+        fleet.balancer.updateDemand(Map.of(TestFleet.TEAM, 40.0));
+        assertFalse(fleet.balancer.isHighDemand(TestFleet.TEAM));
+        assertTrue(Double.isInfinite(fleet.balancer.maxTeamCpus("m-0", TestFleet.TEAM, 1, 0)));
+        fleet.balancer.updateDemand(Map.of(TestFleet.TEAM, 159.0));
+        assertTrue(fleet.balancer.isHighDemand(TestFleet.TEAM));
         // A fifth of all CPUs and a margin of a fifth.
-        assertEquals(3.2, fleet.balancer.cpusAllowed("m-0", TestFleet.TEAM, 1, 0), 1e-9);
-        assertEquals(5, fleet.balancer.cpusAllowed("m-0", TestFleet.TEAM, 5, 0), "one task always");
-        assertEquals(4, fleet.balancer.cpusAllowed("m-0", TestFleet.TEAM, 1, 0.1), 1e-9);
-        fleet.balancer.demand(Map.of(TestFleet.TEAM, 70.0));
-        assertTrue(fleet.balancer.hot(TestFleet.TEAM), "cools only well below the bound");
+        assertEquals(3.2, fleet.balancer.maxTeamCpus("m-0", TestFleet.TEAM, 1, 0), 1e-9);
+        assertEquals(5, fleet.balancer.maxTeamCpus("m-0", TestFleet.TEAM, 5, 0), "one task always");
+        assertEquals(4, fleet.balancer.maxTeamCpus("m-0", TestFleet.TEAM, 1, 0.1), 1e-9);
+        fleet.balancer.updateDemand(Map.of(TestFleet.TEAM, 70.0));
+        assertTrue(fleet.balancer.isHighDemand(TestFleet.TEAM), "cools only well below the bound");
     }
 
     @Example
     void aMoveThatTakesTooLongSaysWhichSideIsSilent() {
         TestFleet fleet = crowded(settings(1, 0, AMPLE));
         Move move = fleet.plan().get(0);
-        assertNull(fleet.balancer.overdue(move, 19_999));
-        assertEquals(Move.Reason.SOURCE_SILENT, fleet.balancer.overdue(move, 20_000));
-        fleet.balancer.leftSource(move, true, 20_000);
-        assertNull(fleet.balancer.overdue(move, 29_999));
-        assertEquals(Move.Reason.TARGET_SILENT, fleet.balancer.overdue(move, 30_000));
+        assertNull(fleet.balancer.timeoutReason(move, 19_999));
+        assertEquals(Move.Reason.SOURCE_SILENT, fleet.balancer.timeoutReason(move, 20_000));
+        fleet.balancer.markLeftSource(move, true, 20_000);
+        assertNull(fleet.balancer.timeoutReason(move, 29_999));
+        assertEquals(Move.Reason.TARGET_SILENT, fleet.balancer.timeoutReason(move, 30_000));
         fleet.balancer.abandon(move, Move.Reason.TARGET_SILENT, 30_000);
-        assertNull(fleet.balancer.overdue(move, 90_000));
-        assertNull(fleet.balancer.move(move.task().id()));
+        assertNull(fleet.balancer.timeoutReason(move, 90_000));
+        assertNull(fleet.balancer.migration(move.task().id()));
     }
 }
--- a/src/test/java/org/shoreusher/balance/LoadModelTest.java
+++ b/src/test/java/org/shoreusher/balance/LoadModelTest.java
@@ -29,12 +29,12 @@
             String machine = "m-" + random.nextInt(6);
             switch (random.nextInt(5)) {
                 case 0 -> {
-                    load.machine(machine, "a", 8, 1);
+                    load.addMachine(machine, "a", 8, 1);
                     machines.putIfAbsent(machine, 8.0);
                 }
                 case 1 -> {
                     if (random.nextInt(8) == 0) {
-                        load.machineGone(machine);
+                        load.removeMachine(machine);
                         machines.remove(machine);
                         tasks.removeIf(t -> t.machine.equals(machine));
                     }
@@ -42,19 +42,19 @@
                 case 2 -> {
                     if (!tasks.isEmpty()) {
                         Booked t = tasks.remove(random.nextInt(tasks.size()));
-                        load.taskRemoved(t.machine, t.team, t.cpus);
+                        load.removeTask(t.machine, t.team, t.cpus);
                     }
                 }
                 default -> {
                     Booked t = new Booked(machine, "t-" + random.nextInt(2), 1 + random.nextInt(3));
-                    load.taskAdded(t.machine, t.team, t.cpus, "image");
+                    load.addTask(t.machine, t.team, t.cpus, "image");
                     if (machines.containsKey(machine)) {
                         tasks.add(t);
                     }
                 }
             }
             for (String team : List.of("t-0", "t-1")) {
-                assertEquals(spread(machines, tasks, team), load.spread(team), EPSILON);
+                assertEquals(spread(machines, tasks, team), load.skew(team), EPSILON);
             }
         }
     }
@@ -84,13 +84,13 @@
     @Example
     void unknownNamesChangeNothing() {
         LoadModel load = new LoadModel();
-        load.taskAdded("nowhere", "t", 4, "image");
-        load.taskRemoved("nowhere", "t", 4);
-        load.machineGone("nowhere");
-        load.machine("m", "a", 8, 1);
-        load.taskRemoved("m", "t", 4);
+        load.addTask("nowhere", "t", 4, "image");
+        load.removeTask("nowhere", "t", 4);
+        load.removeMachine("nowhere");
+        load.addMachine("m", "a", 8, 1);
+        load.removeTask("m", "t", 4);
         assertEquals(0, load.cpus("t"));
-        assertEquals(0, load.spread("t"));
+        assertEquals(0, load.skew("t"));
         assertEquals(8, load.cpus());
     }
 }
--- a/src/test/java/org/shoreusher/balance/MoveTest.java
+++ b/src/test/java/org/shoreusher/balance/MoveTest.java
@@ -31,7 +31,7 @@
                     switch (event) {
                         case LEFT_SOURCE, COMPLETED -> before == Move.State.STOPPING;
                         case STARTED -> left && before == Move.State.STARTING;
-                        case ABANDONED -> !before.ended();
+                        case ABANDONED -> !before.isTerminal();
                     };
             if (allowed) {
                 apply(move, event);
@@ -45,9 +45,9 @@
 
     private static void apply(Move move, Event event) {
         switch (event) {
-            case LEFT_SOURCE -> move.leftSource(2_000);
-            case STARTED -> move.started();
-            case COMPLETED -> move.completed();
+            case LEFT_SOURCE -> move.markLeftSource(2_000);
+            case STARTED -> move.markStarted();
+            case COMPLETED -> move.markCompleted();
             default -> move.abandon(Move.Reason.TARGET_LOST);
         }
     }
--- a/src/test/java/org/shoreusher/balance/OptimumTest.java
+++ b/src/test/java/org/shoreusher/balance/OptimumTest.java
@@ -67,7 +67,7 @@
             most =
                     Math.max(
                             most,
-                            fleet.balancer.load().cpusOn(TestFleet.machine(m), TestFleet.TEAM));
+                            fleet.balancer.load().teamCpusOn(TestFleet.machine(m), TestFleet.TEAM));
         }
         return most;
     }
--- a/src/test/java/org/shoreusher/balance/TestFleet.java
+++ b/src/test/java/org/shoreusher/balance/TestFleet.java
@@ -25,7 +25,7 @@
     long nowMs;
 
     TestFleet(BalanceSettings settings) {
-        balancer = new Balancer(settings, new Balancer.Patience(20_000, 10_000));
+        balancer = new Balancer(settings, new Balancer.Timeouts(20_000, 10_000));
     }
 
     static String machine(int number) {
@@ -34,7 +34,7 @@
 
     TestFleet machines(int count) {
         for (int i = 0; i < count; i++) {
-            balancer.load().machine(machine(i), i % 2 == 0 ? "a" : "b", MACHINE_CPUS, 1);
+            balancer.load().addMachine(machine(i), i % 2 == 0 ? "a" : "b", MACHINE_CPUS, 1);
         }
         return this;
     }
@@ -58,23 +58,23 @@
                         unsavedS,
                         1);
         tasks.add(new Placed(task));
-        balancer.load().taskAdded(machine(machine), TEAM, cpus, "image");
+        balancer.load().addTask(machine(machine), TEAM, cpus, "image");
         return task;
     }
 
     /** Plans migrations for the current time. */
     List<Move> plan() {
-        balancer.demand(java.util.Map.of(TEAM, MACHINE_CPUS * 100));
-        return balancer.plan(this, nowMs);
+        balancer.updateDemand(java.util.Map.of(TEAM, MACHINE_CPUS * 100));
+        return balancer.planMigrations(this, nowMs);
     }
 
     /** Carries a migration out to its end. */
     void carryOut(Move move) {
         Placed placed = placed(move.task().id());
-        balancer.load().taskRemoved(placed.machine, TEAM, placed.task.cpus());
-        balancer.leftSource(move, true, nowMs);
-        balancer.load().taskAdded(move.target(), TEAM, placed.task.cpus(), "image");
-        balancer.started(move, nowMs);
+        balancer.load().removeTask(placed.machine, TEAM, placed.task.cpus());
+        balancer.markLeftSource(move, true, nowMs);
+        balancer.load().addTask(move.target(), TEAM, placed.task.cpus(), "image");
+        balancer.markStarted(move, nowMs);
         placed.machine = move.target();
     }
 
@@ -91,7 +91,7 @@
     }
 
     @Override
-    public List<MovableTask> movableTasks(String machine, String team) {
+    public List<MovableTask> migratableTasks(String machine, String team) {
         return tasks.stream()
                 .filter(p -> p.machine.equals(machine))
                 .map(p -> at(p.task, machine))
@@ -113,7 +113,7 @@
     }
 
     @Override
-    public boolean takes(String machine, MovableTask task) {
+    public boolean canAccept(String machine, MovableTask task) {
         return used(machine) + task.cpus() <= MACHINE_CPUS;
     }
 }
--- a/src/test/java/org/shoreusher/core/ArrivalsTest.java
+++ b/src/test/java/org/shoreusher/core/ArrivalsTest.java
@@ -42,7 +42,8 @@
                             SETTINGS,
                             (key, before, after) -> {
                                 if (key.startsWith(StoreSchema.SUBMISSION_BATCH_PREFIX)) {
-                                    arrivals[0].changed(key, after, (id, record) -> told.add(id));
+                                    arrivals[0].batchChanged(
+                                            key, after, (id, record) -> told.add(id));
                                 }
                             });
             arrivals[0] = new Arrivals(SETTINGS, outbox, view);
@@ -60,7 +61,7 @@
                     6);
             assertEquals(ended ? List.of() : List.of("wk-1"), told);
             if (ended) {
-                assertNull(arrivals[0].record("wk-1"));
+                assertNull(arrivals[0].jobRecord("wk-1"));
             }
         }
     }
--- a/src/test/java/org/shoreusher/core/FinishedRecordsTest.java
+++ b/src/test/java/org/shoreusher/core/FinishedRecordsTest.java
@@ -81,7 +81,7 @@
             jobs.add(job);
             for (int copies = r.nextInt(3); copies > 0; copies--) {
                 BitSet set = new BitSet();
-                int upTo = r.nextInt(job.spec.tasks() + 1);
+                int upTo = r.nextInt(job.spec.taskCount() + 1);
                 for (int t = 0; t < upTo; t++) {
                     set.set(t, r.nextInt(3) > 0);
                 }
@@ -100,9 +100,9 @@
                     (c, record) -> {
                         if (record.get(job.id) instanceof String ranges) {
                             BitSet set = TaskRanges.parse(ranges);
-                            job.done.or(set);
-                            job.durable.or(set);
-                            FinishedRecords.found(job, set, c, s);
+                            job.completedTasks.or(set);
+                            job.durablyCompletedTasks.or(set);
+                            FinishedRecords.adoptStoredRecord(job, set, c, s);
                         }
                     });
         }
@@ -110,16 +110,16 @@
             for (Job job : jobs) {
                 if (beat < 30) {
                     for (int n = r.nextInt(40); n > 0; n--) {
-                        job.done.set(r.nextInt(job.spec.tasks()));
+                        job.completedTasks.set(r.nextInt(job.spec.taskCount()));
                     }
                 }
             }
             FinishedRecords laid =
-                    FinishedRecords.of(jobs, s, c -> store.getOrDefault(c, Map.of()));
+                    FinishedRecords.layOut(jobs, s, c -> store.getOrDefault(c, Map.of()));
             Map<Integer, Map<String, Object>> writes = new LinkedHashMap<>();
-            writes.put(0, laid.chunk(0));
-            for (int c = 1; c < laid.chunks() && writes.size() < s.txnOps(); c++) {
-                Map<String, Object> wanted = laid.chunk(c);
+            writes.put(0, laid.recordValue(0));
+            for (int c = 1; c < laid.recordCount() && writes.size() < s.txnOps(); c++) {
+                Map<String, Object> wanted = laid.recordValue(c);
                 if (!wanted.equals(store.get(c))) {
                     writes.put(c, wanted);
                 }
@@ -134,15 +134,15 @@
                 laid.markDurable();
             }
             for (Job job : jobs) {
-                BitSet lost = (BitSet) job.durable.clone();
+                BitSet lost = (BitSet) job.durablyCompletedTasks.clone();
                 lost.andNot(of(store, job.id));
                 assertTrue(lost.isEmpty(), () -> "lost of " + job.id + ": " + lost);
                 BitSet untrue = of(store, job.id);
-                untrue.andNot(job.done);
+                untrue.andNot(job.completedTasks);
                 assertTrue(untrue.isEmpty(), "not finished: " + untrue);
             }
         }
-        jobs.forEach(job -> assertEquals(job.done, job.durable, job.id));
+        jobs.forEach(job -> assertEquals(job.completedTasks, job.durablyCompletedTasks, job.id));
     }
 
     /**
@@ -158,19 +158,19 @@
         Map<String, BitSet> covered = new LinkedHashMap<>();
         for (int i = 0; i < 1 + r.nextInt(20); i++) {
             Job job = job(i, 1 + r.nextInt(1500));
-            for (int t = 0; t < job.spec.tasks(); t++) {
-                job.done.set(t, r.nextBoolean());
+            for (int t = 0; t < job.spec.taskCount(); t++) {
+                job.completedTasks.set(t, r.nextBoolean());
             }
             BitSet there = new BitSet();
             if (r.nextBoolean()) {
                 there.set(0, r.nextInt(800));
             }
-            all.put(job.id, job.done);
+            all.put(job.id, job.completedTasks);
             covered.put(job.id, there);
-            done.put(job.id, TaskRanges.format(job.done));
+            done.put(job.id, TaskRanges.format(job.completedTasks));
         }
         Map<String, BitSet> found = new LinkedHashMap<>(covered);
-        for (Map<String, Object> piece : FinishedRecords.split(done, s, covered::get)) {
+        for (Map<String, Object> piece : FinishedRecords.splitIntoRecords(done, s, covered::get)) {
             assertTrue(FieldMap.jsonLength(piece) <= s.valueBytes());
             piece.forEach(
                     (id, ranges) -> {
--- a/src/test/java/org/shoreusher/core/JobSpecBuilder.java
+++ b/src/test/java/org/shoreusher/core/JobSpecBuilder.java
@@ -7,7 +7,7 @@
     private final String id;
     private String jobClass = "class";
     private String team = "team-0";
-    private JobSpec.Shape shape = JobSpec.Shape.BATCH;
+    private JobSpec.WorkloadType shape = JobSpec.WorkloadType.BATCH;
     private JobSpec.Priority priority = JobSpec.Priority.HIGH;
     private int tasks = 1;
     private double cpus = 1;
@@ -43,7 +43,7 @@
     }
 
     /** Sets the workload type. */
-    public JobSpecBuilder shape(JobSpec.Shape value) {
+    public JobSpecBuilder shape(JobSpec.WorkloadType value) {
         shape = value;
         return this;
     }
--- a/src/test/java/org/shoreusher/core/OrderTestData.java
+++ b/src/test/java/org/shoreusher/core/OrderTestData.java
@@ -58,7 +58,7 @@
                                 .build(),
                         acceptedMs);
         for (int i = 0; i < tasks; i++) {
-            job.setWaiting(i, true);
+            job.setPending(i, true);
         }
         return job;
     }
--- a/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
+++ b/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
@@ -138,9 +138,12 @@
             claims[m] = r.nextInt(4) == 0 ? null : new Claim(r.nextInt(30), r.nextInt(60));
         }
         double max = Arrays.stream(shares).sum();
-        double[] targets = Quota.targets(max, claims, shares, 1);
+        double[] targets = Quota.targetShares(max, claims, shares, 1);
         double urgent =
-                Arrays.stream(claims).filter(c -> c != null).mapToDouble(Claim::urgent).sum();
+                Arrays.stream(claims)
+                        .filter(c -> c != null)
+                        .mapToDouble(Claim::highPriorityCpus)
+                        .sum();
         double silent = 0;
         for (int m = 0; m < parts; m++) {
             silent += claims[m] == null ? shares[m] : 0;
@@ -150,7 +153,7 @@
             assertTrue(
                     claims[m] == null
                             || urgent > max - silent
-                            || targets[m] >= claims[m].urgent() - 0.5);
+                            || targets[m] >= claims[m].highPriorityCpus() - 0.5);
         }
         assertTrue(Arrays.stream(targets).sum() <= max + parts);
     }
@@ -178,7 +181,7 @@
                             s,
                             (key, before, after) -> {
                                 if (key.startsWith(StoreSchema.SUBMISSION_BATCH_PREFIX)) {
-                                    arrivals[0].changed(
+                                    arrivals[0].batchChanged(
                                             key,
                                             after,
                                             (id, record) -> told.add(record.shardNumber()));
@@ -192,11 +195,11 @@
                                 Map.of("wk-1", StoreSchema.JobRecord.open(part, spec, 0).toMap())),
                         part == 1 ? 5 : 6);
             }
-            assertEquals(1, arrivals[0].record("wk-1").shardNumber());
+            assertEquals(1, arrivals[0].jobRecord("wk-1").shardNumber());
             assertEquals(1, told.get(told.size() - 1));
             view.apply(
                     StoreSchema.jobKey("wk-1"), StoreSchema.JobRecord.open(0, spec, 0).toMap(), 7);
-            assertEquals(0, arrivals[0].record("wk-1").shardNumber());
+            assertEquals(0, arrivals[0].jobRecord("wk-1").shardNumber());
         }
     }
 
@@ -249,11 +252,11 @@
                         jobs);
         long revision = 1;
         for (int round = 0;
-                round < 200 && jobs.values().stream().anyMatch(j -> j.startBelow == 0);
+                round < 200 && jobs.values().stream().anyMatch(j -> j.highWaterMark == 0);
                 round++) {
-            jobs.values().forEach(j -> marks.want(j, j.startBelow == 0 ? 1 : 0));
+            jobs.values().forEach(j -> marks.request(j, j.highWaterMark == 0 ? 1 : 0));
             outbox.now = new ClockReading(outbox.now.monotonicMs() + 300, outbox.now.wallMs() + 10);
-            marks.write();
+            marks.writeRequestedMarks();
             for (Effect e : outbox.drainEffects()) {
                 Effect.StateCall call = (Effect.StateCall) e;
                 ((StateOp.Multi) call.operation())
@@ -280,8 +283,8 @@
                 .forEach(
                         j ->
                                 assertEquals(
-                                        Math.max(1, j.startBelow),
-                                        taken.get(j.id).startBelow,
+                                        Math.max(1, j.highWaterMark),
+                                        taken.get(j.id).highWaterMark,
                                         j.id));
     }
 
@@ -289,12 +292,12 @@
     @Example
     void aJobThatFailsEverywhereIsSuspectAndTriedRarely() {
         Job job = OrderTestData.job("wk-1", "c", JobSpec.Priority.LOW, 5, 10, Double.NaN, 0);
-        job.failed("m-1", 1_000);
-        assertTrue(!job.suspect() && !job.paused(1_000));
-        job.failed("m-2", 2_000);
-        assertTrue(job.suspect() && job.paused(2_500));
-        job.done.set(0);
-        assertTrue(!job.suspect());
+        job.recordFailure("m-1", 1_000);
+        assertTrue(!job.isSuspectedFaulty() && !job.isBackingOff(1_000));
+        job.recordFailure("m-2", 2_000);
+        assertTrue(job.isSuspectedFaulty() && job.isBackingOff(2_500));
+        job.completedTasks.set(0);
+        assertTrue(!job.isSuspectedFaulty());
     }
 
     /**
