--- a/src/test/java/org/shoreusher/core/PiecesTest.java
+++ b/src/test/java/org/shoreusher/core/PiecesTest.java
@@ -158,26 +158,28 @@
                                     r.nextBoolean()),
                             0);
             jobs.add(job);
-            planner.place(job, job.spec.tasks());
+            planner.place(job, job.spec.taskCount());
         }
         double used = 0;
         Map<Machine, Double> on = new HashMap<>();
         for (Job job : jobs) {
             Map<String, Integer> zones = new HashMap<>();
             int count = 0;
-            for (Planner.Placed p : planner.placed()) {
+            for (Planner.PlacedTasks p : planner.placedTasks()) {
                 if (p.job() == job) {
-                    assertTrue(job.spec.allows("t", p.slot().zone, p.slot().spot));
-                    zones.merge(p.slot().zone, p.count(), Integer::sum);
-                    on.merge(p.slot().machine, p.count() * job.spec.cpus(), Double::sum);
-                    used += p.count() * job.spec.cpus();
-                    count += p.count();
+                    assertTrue(job.spec.allowsMachine("t", p.capacity().zone, p.capacity().spot));
+                    zones.merge(p.capacity().zone, p.taskCount(), Integer::sum);
+                    on.merge(p.capacity().machine, p.taskCount() * job.spec.cpus(), Double::sum);
+                    used += p.taskCount() * job.spec.cpus();
+                    count += p.taskCount();
                 }
             }
-            assertTrue(count <= job.spec.tasks());
-            assertTrue(!job.spec.oneZone() || zones.size() <= 1);
-            int half = (job.spec.tasks() + 1) / 2;
-            assertTrue(!job.spec.spread() || zones.values().stream().allMatch(n -> n <= half));
+            assertTrue(count <= job.spec.taskCount());
+            assertTrue(!job.spec.singleZone() || zones.size() <= 1);
+            int half = (job.spec.taskCount() + 1) / 2;
+            assertTrue(
+                    !job.spec.spreadAcrossZones()
+                            || zones.values().stream().allMatch(n -> n <= half));
         }
         assertTrue(used <= limit);
         on.forEach((m, cpus) -> assertTrue(cpus <= m.cpusFree()));
@@ -202,8 +204,8 @@
         planner.place(new Job("wk-1", spec("wk-1", 3, 2, null, false, false, true), 0), 3);
         assertEquals(
                 List.of("m-half", "m-empty"),
-                planner.placed().stream().map(p -> p.slot().machine.id).toList());
-        assertEquals(2, planner.placed().get(0).count());
+                planner.placedTasks().stream().map(p -> p.capacity().machine.id).toList());
+        assertEquals(2, planner.placedTasks().get(0).taskCount());
     }
 
     /**
@@ -225,16 +227,18 @@
         assertEquals(
                 1,
                 planner.place(new Job("wk-1", spec("wk-1", 1, 8, null, false, false, true), 0), 1));
-        assertEquals(List.of(half), planner.keep(spec("wk-1", 1, 8, null, false, false, true), 1));
+        assertEquals(
+                List.of(half),
+                planner.reserveMachines(spec("wk-1", 1, 8, null, false, false, true), 1));
         assertEquals(
                 2,
                 planner.place(new Job("wk-2", spec("wk-2", 3, 1, null, false, false, true), 0), 3));
         assertEquals(
                 List.of("m-full"),
-                planner.placed().stream().map(p -> p.slot().machine.id).toList());
+                planner.placedTasks().stream().map(p -> p.capacity().machine.id).toList());
         assertEquals(
                 List.of(),
-                planner.keep(spec("wk-3", 1, 9, null, false, false, true), 1),
+                planner.reserveMachines(spec("wk-3", 1, 9, null, false, false, true), 1),
                 "no machine of this type ever has 9 CPUs");
     }
 }
--- a/src/test/java/org/shoreusher/core/StartMarksTest.java
+++ b/src/test/java/org/shoreusher/core/StartMarksTest.java
@@ -79,13 +79,13 @@
                         jobs);
         long revision = 1;
         for (int round = 0;
-                round < 300 && jobs.values().stream().anyMatch(j -> j.startBelow == 0);
+                round < 300 && jobs.values().stream().anyMatch(j -> j.highWaterMark == 0);
                 round++) {
             jobs.values().stream()
-                    .filter(j -> j.startBelow == 0 && random.nextInt(3) == 0)
-                    .forEach(j -> marks.want(j, 1));
+                    .filter(j -> j.highWaterMark == 0 && random.nextInt(3) == 0)
+                    .forEach(j -> marks.request(j, 1));
             outbox.now = new ClockReading(outbox.now.monotonicMs() + 300, outbox.now.wallMs() + 10);
-            marks.write();
+            marks.writeRequestedMarks();
             for (Effect e : outbox.drainEffects()) {
                 Effect.StateCall call = (Effect.StateCall) e;
                 ((StateOp.Multi) call.operation())
@@ -105,6 +105,10 @@
         }
         jobs.values()
                 .forEach(
-                        j -> assertEquals(1, Math.min(1, j.startBelow), j.id + " may never begin"));
+                        j ->
+                                assertEquals(
+                                        1,
+                                        Math.min(1, j.highWaterMark),
+                                        j.id + " may never begin"));
     }
 }
--- a/src/test/java/org/shoreusher/core/UrgencyTest.java
+++ b/src/test/java/org/shoreusher/core/UrgencyTest.java
@@ -95,10 +95,10 @@
                         new Estimates());
         Job job = OrderTestData.job("wk-1", "rush", JobSpec.Priority.NORMAL, 1, 30, 100, 0);
         // It takes 30 s and a start of 2 s, so the latest start time is at 68 s.
-        assertFalse(urgency.pressing(job, 40_000));
-        assertTrue(urgency.pressing(job, 50_000));
-        assertTrue(urgency.pressing(job, 67_000));
-        assertFalse(urgency.pressing(job, 70_000));
+        assertFalse(urgency.isNearLatestStart(job, 40_000));
+        assertTrue(urgency.isNearLatestStart(job, 50_000));
+        assertTrue(urgency.isNearLatestStart(job, 67_000));
+        assertFalse(urgency.isNearLatestStart(job, 70_000));
     }
 
     /**
@@ -134,17 +134,17 @@
         Estimates estimates = new Estimates();
         Job first = OrderTestData.job("wk-1", "c", JobSpec.Priority.LOW, 5, 10, Double.NaN, 0);
         for (int i = 0; i < 100; i++) {
-            estimates.observed(first, 20);
+            estimates.recordRunTime(first, 20);
         }
-        assertEquals(20, estimates.runS(first), 1e-9);
+        assertEquals(20, estimates.expectedRunS(first), 1e-9);
         assertEquals(
                 20,
-                estimates.runS(
+                estimates.expectedRunS(
                         OrderTestData.job("wk-2", "c", JobSpec.Priority.LOW, 5, 10, Double.NaN, 0)),
                 0.2);
         assertEquals(
                 10,
-                estimates.runS(
+                estimates.expectedRunS(
                         OrderTestData.job("wk-3", "d", JobSpec.Priority.LOW, 5, 10, Double.NaN, 0)),
                 1e-9);
     }
--- a/src/test/java/org/shoreusher/core/ZoneRuleTest.java
+++ b/src/test/java/org/shoreusher/core/ZoneRuleTest.java
@@ -11,7 +11,7 @@
                 new JobSpecBuilder("wk-1")
                         .jobClass("gate")
                         .team("team")
-                        .shape(JobSpec.Shape.SERVICE)
+                        .shape(JobSpec.WorkloadType.SERVICE)
                         .priority(JobSpec.Priority.PRODUCTION)
                         .tasks(replicas)
                         .cpus(2)
@@ -26,7 +26,7 @@
     private static int room(int replicas, String largerHalfZone, String zone) {
         Job job = scattered(replicas);
         job.largerHalfZone = largerHalfZone;
-        return new Planner.ZoneRule(job).room(zone);
+        return new Planner.ZoneConstraints(job).remainingTasks(zone);
     }
 
     /** A zone with little capacity keeps it for replicas that cannot run anywhere else. */
--- a/src/test/java/org/shoreusher/model/FormerFormatsTest.java
+++ b/src/test/java/org/shoreusher/model/FormerFormatsTest.java
@@ -234,7 +234,7 @@
     private static JobSpec service(String id, int replicas) {
         return new JobSpecBuilder(id)
                 .jobClass("gate")
-                .shape(JobSpec.Shape.SERVICE)
+                .shape(JobSpec.WorkloadType.SERVICE)
                 .priority(JobSpec.Priority.PRODUCTION)
                 .tasks(replicas)
                 .image("img")
@@ -359,7 +359,7 @@
     private static JobSpec anywhere(String id) {
         return new JobSpecBuilder(id)
                 .jobClass("gate")
-                .shape(JobSpec.Shape.SERVICE)
+                .shape(JobSpec.WorkloadType.SERVICE)
                 .priority(JobSpec.Priority.PRODUCTION)
                 .image("img")
                 .estimateS(0)
@@ -371,11 +371,11 @@
     void hintsOfTheFormerVersionAreRead() {
         Hint hint = new HintCodec().read(HexFormat.of().parseHex(HINT));
         assertNotNull(hint);
-        assertEquals("node-1", hint.from());
+        assertEquals("node-1", hint.senderHost());
         assertEquals(
                 new Hint.PartHint(12.5, 3, 4, Map.of("team-0", new Hint.Claim(8, 16))),
-                hint.parts().get(0));
-        assertEquals(Map.of("wk-000001", 5), hint.done());
+                hint.shards().get(0));
+        assertEquals(Map.of("wk-000001", 5), hint.completedTasks());
         assertEquals(HINT, HexFormat.of().formatHex(new HintCodec().write(hint)));
         assertNull(new HintCodec().read(new byte[] {1, 2, 3}));
     }
--- a/src/test/java/org/shoreusher/model/FormerJobs.java
+++ b/src/test/java/org/shoreusher/model/FormerJobs.java
@@ -40,7 +40,7 @@
             Map<String, Object> record = new LinkedHashMap<>();
             record.put("part", 0L);
             record.put("status", "OPEN");
-            record.put("tasks", (long) spec.tasks());
+            record.put("tasks", (long) spec.taskCount());
             record.put("accepted", FormerOwner.WALL_MS + world.now);
             record.put("begun", 0L);
             record.put("spec", UserFormat.description(spec));
@@ -109,7 +109,7 @@
         end(
                 0,
                 id,
-                wish.spec.tasks(),
+                wish.spec.taskCount(),
                 "CANCELLED",
                 UserFormat.description(wish.spec),
                 status -> {
--- a/src/test/java/org/shoreusher/model/FormerVersionTest.java
+++ b/src/test/java/org/shoreusher/model/FormerVersionTest.java
@@ -183,7 +183,7 @@
                         .filter(
                                 x ->
                                         x.accepted
-                                                && x.spec.shape().ends()
+                                                && x.spec.workloadType().runsToCompletion()
                                                 && !x.doneTold
                                                 && !x.cancelTold)
                         .map(x -> x.spec.id())
--- a/src/test/java/org/shoreusher/model/ReplicaTest.java
+++ b/src/test/java/org/shoreusher/model/ReplicaTest.java
@@ -21,7 +21,7 @@
     private static JobSpec service(String id, int replicas, double cpus) {
         return new JobSpecBuilder(id)
                 .jobClass("gate")
-                .shape(JobSpec.Shape.SERVICE)
+                .shape(JobSpec.WorkloadType.SERVICE)
                 .priority(JobSpec.Priority.PRODUCTION)
                 .tasks(replicas)
                 .cpus(cpus)
--- a/src/test/java/org/shoreusher/model/Rules.java
+++ b/src/test/java/org/shoreusher/model/Rules.java
@@ -70,9 +70,9 @@
         if (usage.cpusOn(machine) > CloudModel.cpus(machine.type)) {
             broken("no_room", task + " makes " + usage.cpusOn(machine) + " on " + machine.id);
         }
-        if (!spec.allows(machine.type, machine.zone, machine.spot)
-                || (spec.oneZone() && inZone != ofJob)
-                || (spec.spread() && inZone > (spec.tasks() + 1) / 2)) {
+        if (!spec.allowsMachine(machine.type, machine.zone, machine.spot)
+                || (spec.singleZone() && inZone != ofJob)
+                || (spec.spreadAcrossZones() && inZone > (spec.taskCount() + 1) / 2)) {
             broken("wrong_place", task + " in " + machine.zone);
         }
         checkCancelled(task, w);
@@ -106,7 +106,7 @@
     }
 
     private boolean finished(UserModel.Wish w) {
-        for (int i = 0; i < w.spec.tasks(); i++) {
+        for (int i = 0; i < w.spec.taskCount(); i++) {
             if (!completed.contains(w.spec.id() + "/" + i)) {
                 return false;
             }
@@ -138,7 +138,7 @@
     private boolean canGoOn(UserModel.Wish w) {
         JobSpec spec = w.spec;
         boolean waits = false;
-        for (int i = 0; i < spec.tasks(); i++) {
+        for (int i = 0; i < spec.taskCount(); i++) {
             if (on.containsKey(spec.id() + "/" + i)) {
                 return false;
             }
@@ -157,7 +157,7 @@
         }
         for (WorkerModel m : world.cloud.machines()) {
             if (m.well()
-                    && spec.allows(m.type, m.zone, m.spot)
+                    && spec.allowsMachine(m.type, m.zone, m.spot)
                     && used.getOrDefault(m, 0.0) + spec.cpus() <= CloudModel.cpus(m.type)) {
                 return true;
             }
@@ -192,7 +192,7 @@
         boolean cancelled = status.equals("aborted");
         boolean done = status.equals("done");
         if (done) {
-            for (int i = 0; i < w.spec.tasks(); i++) {
+            for (int i = 0; i < w.spec.taskCount(); i++) {
                 if (!completed.contains(id + "/" + i)) {
                     broken("not_done", id + "/" + i);
                 }
@@ -217,15 +217,19 @@
     void servedByHalf() {
         Map<String, List<UserModel.Wish>> teams = new HashMap<>();
         world.users.wishes.values().stream()
-                .filter(w -> w.accepted && !w.cancelAsked && w.spec.shape().ends())
+                .filter(
+                        w ->
+                                w.accepted
+                                        && !w.cancelAsked
+                                        && w.spec.workloadType().runsToCompletion())
                 .forEach(w -> teams.computeIfAbsent(w.spec.team(), t -> new ArrayList<>()).add(w));
         teams.forEach(
                 (team, jobs) -> {
-                    int largest = jobs.stream().mapToInt(w -> w.spec.tasks()).max().orElse(0);
+                    int largest = jobs.stream().mapToInt(w -> w.spec.taskCount()).max().orElse(0);
                     half(team, jobs);
                     half(
                             "the largest of " + team,
-                            jobs.stream().filter(w -> w.spec.tasks() == largest).toList());
+                            jobs.stream().filter(w -> w.spec.taskCount() == largest).toList());
                 });
     }
 
--- a/src/test/java/org/shoreusher/model/ServiceTroublesTest.java
+++ b/src/test/java/org/shoreusher/model/ServiceTroublesTest.java
@@ -25,7 +25,7 @@
                 new JobSpecBuilder(String.format("wk-%06d", number))
                         .jobClass("gate")
                         .team(team)
-                        .shape(JobSpec.Shape.SERVICE)
+                        .shape(JobSpec.WorkloadType.SERVICE)
                         .priority(JobSpec.Priority.PRODUCTION)
                         .tasks(replicas)
                         .cpus(cpus)
--- a/src/test/java/org/shoreusher/model/ServicesTest.java
+++ b/src/test/java/org/shoreusher/model/ServicesTest.java
@@ -48,7 +48,11 @@
         assertEquals(
                 List.of(),
                 w.users.wishes.values().stream()
-                        .filter(x -> x.spec.shape().ends() && !x.doneTold && !x.cancelTold)
+                        .filter(
+                                x ->
+                                        x.spec.workloadType().runsToCompletion()
+                                                && !x.doneTold
+                                                && !x.cancelTold)
                         .map(x -> x.spec.id())
                         .toList(),
                 () -> "seed " + seed + "\n" + String.join("\n", w.log));
--- a/src/test/java/org/shoreusher/model/SingleNode.java
+++ b/src/test/java/org/shoreusher/model/SingleNode.java
@@ -262,7 +262,7 @@
                         "status",
                         "OPEN",
                         "tasks",
-                        (long) spec.tasks(),
+                        (long) spec.taskCount(),
                         "accepted",
                         now,
                         "spec",
--- a/src/test/java/org/shoreusher/model/UserModel.java
+++ b/src/test/java/org/shoreusher/model/UserModel.java
@@ -66,7 +66,7 @@
     /** Whether the job's tasks end by themselves. */
     boolean ends(String job) {
         Wish w = wishes.get(job);
-        return w == null || w.spec.shape().ends();
+        return w == null || w.spec.workloadType().runsToCompletion();
     }
 
     /** Submits a service with some replicas, which its user may cancel after a while. */
@@ -75,7 +75,7 @@
                 new JobSpecBuilder(String.format("wk-%06d", number))
                         .jobClass("gate")
                         .team("team-" + number % world.settings.teams().size())
-                        .shape(JobSpec.Shape.SERVICE)
+                        .shape(JobSpec.WorkloadType.SERVICE)
                         .priority(JobSpec.Priority.PRODUCTION)
                         .tasks(replicas)
                         .spread(true)
@@ -89,8 +89,8 @@
     List<String> servicesDown() {
         List<String> down = new ArrayList<>();
         for (Wish w : wishes.values()) {
-            if (!w.spec.shape().ends() && !w.cancelAsked) {
-                for (int i = 0; i < w.spec.tasks(); i++) {
+            if (!w.spec.workloadType().runsToCompletion() && !w.cancelAsked) {
+                for (int i = 0; i < w.spec.taskCount(); i++) {
                     if (!w.accepted || !world.rules.runs(w.spec.id() + "/" + i)) {
                         down.add(w.spec.id() + "/" + i);
                     }
--- a/src/test/java/org/shoreusher/model/WorkerModel.java
+++ b/src/test/java/org/shoreusher/model/WorkerModel.java
@@ -392,15 +392,15 @@
     private void halt(String name, WorkerTask t, double windDownS) {
         UserModel.Wish w = world.users.wishes.get(t.job);
         if (w == null
-                || w.spec.checkpointS() <= 0
-                || windDownS < w.spec.saveS()
+                || w.spec.checkpointIntervalS() <= 0
+                || windDownS < w.spec.checkpointDurationS()
                 || windDownS <= 0) {
             exit(name, t, ExitCause.STOPPED);
         } else if (t.state == TaskState.RUNNING) {
             t.state = TaskState.CHECKPOINTING;
             change();
             world.in(
-                    Math.round(w.spec.saveS() * 1_000),
+                    Math.round(w.spec.checkpointDurationS() * 1_000),
                     () ->
                             progress(
                                     name,
--- a/src/test/java/org/shoreusher/peer/HintCodecTest.java
+++ b/src/test/java/org/shoreusher/peer/HintCodecTest.java
@@ -44,6 +44,6 @@
     @Property(tries = 500, seed = "6")
     void otherBytesAreRefused(@ForAll byte[] bytes) {
         Hint hint = codec.read(bytes);
-        assertTrue(hint == null || hint.from() != null);
+        assertTrue(hint == null || hint.senderHost() != null);
     }
 }
--- a/src/test/java/org/shoreusher/wire/FormatsTest.java
+++ b/src/test/java/org/shoreusher/wire/FormatsTest.java
@@ -65,7 +65,7 @@
         byte[] bytes = FieldMap.toCbor(UserFormat.map(job));
         bytes[Math.floorMod(at, bytes.length)] = value;
         try {
-            assertTrue(JobSpec.isId(UserFormat.job(FieldMap.cbor(bytes)).id()));
+            assertTrue(JobSpec.isValidId(UserFormat.job(FieldMap.cbor(bytes)).id()));
         } catch (IOException | FieldMap.Missing e) {
             assertTrue(e.getMessage() != null);
         }
