--- a/src/main/java/org/shoreusher/cli/Main.java
+++ b/src/main/java/org/shoreusher/cli/Main.java
@@ -100,7 +100,7 @@
             if (line.hasOption("features")) {
                 features = FeaturesFile.load(Path.of(line.getOptionValue("features")), settings);
             }
-        } catch (Settings.Invalid e) {
+        } catch (Settings.InvalidSettingsException e) {
             return complain(e.getMessage(), UNUSABLE);
         }
         if (line.hasOption("check")) {
@@ -139,9 +139,9 @@
             // Netty rethrows the checked exception of a failed bind without declaring it.
             return complain(
                     "cannot serve on "
-                            + settings.front()
+                            + settings.frontAddress()
                             + " and "
-                            + settings.back()
+                            + settings.peerAddress()
                             + ": "
                             + e.getMessage(),
                     UNUSABLE);
--- a/src/main/java/org/shoreusher/cli/ProcessStatus.java
+++ b/src/main/java/org/shoreusher/cli/ProcessStatus.java
@@ -7,7 +7,7 @@
     private ProcessStatus() {}
 
     /** One line with the connections and the use of the heap. */
-    static String line(int connections) {
+    static String summary(int connections) {
         Runtime runtime = Runtime.getRuntime();
         long used = runtime.totalMemory() - runtime.freeMemory();
         return ("process: %d connections, heap %.0f MB in use with garbage,"
--- a/src/main/java/org/shoreusher/cli/Rehearsal.java
+++ b/src/main/java/org/shoreusher/cli/Rehearsal.java
@@ -20,14 +20,14 @@
     public static void main(String[] args) throws Exception {
         loadOwnClasses();
         int code = 0;
-        try (ServiceRehearsal story = new ServiceRehearsal()) {
+        try (ServiceRehearsal scenario = new ServiceRehearsal()) {
             Path file = Files.createTempFile("rehearsal", ".json");
-            Files.writeString(file, story.settings(), StandardCharsets.UTF_8);
+            Files.writeString(file, scenario.settingsJson(), StandardCharsets.UTF_8);
             String[] flags = {"--features", "deploy/features.toml", "--config", file.toString()};
             Thread program = new Thread(() -> Main.main(flags));
             program.setDaemon(true);
             program.start();
-            story.play();
+            scenario.run();
             Files.delete(file);
         } catch (IllegalStateException e) {
             System.err.println("rehearsal failed: " + e.getMessage());
--- a/src/main/java/org/shoreusher/cli/Service.java
+++ b/src/main/java/org/shoreusher/cli/Service.java
@@ -34,56 +34,58 @@
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final EventLoop loop = group.next();
     private final ManyToOneConcurrentArrayQueue<Command> queue;
-    private final List<Command> batch = new ArrayList<>(Tuning.BATCH);
+    private final List<Command> batch = new ArrayList<>(Tuning.MAX_COMMANDS_PER_BATCH);
     private final StateClient state;
     private final CloudClient cloud;
     private final WorkerClient workers;
-    private final Peers peers;
-    private final StandbyLines standbyLines;
-    private final HttpFrontend front;
-    private boolean working;
-    private long tickedAtMs;
-    private long lateMs;
+    private final Peers gossip;
+    private final StandbyLines standby;
+    private final HttpFrontend frontend;
+    private boolean batchScheduled;
+    private long lastTickMs;
+    private long lastTickDelayMs;
 
     /**
      * Connects the core to its adapters. Nothing is sent before {@link #run}.
      *
-     * @param owner identifies this process: its host and a random incarnation
+     * @param processName identifies this process: its host and a random incarnation
      */
-    public Service(Settings settings, Features features, String owner) {
+    public Service(Settings settings, Features features, String processName) {
         this.settings = settings;
-        queue = new ManyToOneConcurrentArrayQueue<>(Math.max(Tuning.QUEUE, settings.sockets()));
-        node = new Node(settings, features, owner, Tuning.PARTS);
-        state = new StateClient(loop, settings, this::mustTake);
-        cloud = new CloudClient(loop, settings, this::mustTake);
+        queue =
+                new ManyToOneConcurrentArrayQueue<>(
+                        Math.max(Tuning.MIN_COMMAND_QUEUE_CAPACITY, settings.maxSockets()));
+        node = new Node(settings, features, processName, Tuning.SHARD_COUNT);
+        state = new StateClient(loop, settings, this::enqueue);
+        cloud = new CloudClient(loop, settings, this::enqueue);
         workers = new WorkerClient(loop);
-        peers = new Peers(group, settings, this::take);
-        standbyLines = new StandbyLines(group, settings);
-        front = new HttpFrontend(group, settings, this::take, this::lagMs);
+        gossip = new Peers(group, settings, this::offer);
+        standby = new StandbyLines(group, settings);
+        frontend = new HttpFrontend(group, settings, this::offer, this::lagMs);
     }
 
     /** Accepts connections and processes commands until {@link #stop} or the end of the process. */
     public void run() throws InterruptedException {
-        front.listen();
-        peers.listen();
+        frontend.listen();
+        gossip.listen();
         LOG.info(
                 "serving: {} in {}, front {}, back {}",
                 settings.host(),
                 settings.zone(),
-                settings.front(),
-                settings.back());
-        tickedAtMs = steadyMs();
-        loop.scheduleWithFixedDelay(this::tick, 0, Tuning.TICK_MS, TimeUnit.MILLISECONDS);
+                settings.frontAddress(),
+                settings.peerAddress());
+        lastTickMs = steadyMs();
+        loop.scheduleWithFixedDelay(this::tick, 0, Tuning.TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         if (LOG.isDebugEnabled()) {
             loop.scheduleAtFixedRate(
-                    () -> LOG.debug(front.latency()),
-                    Tuning.LATENCY_LINE_S,
-                    Tuning.LATENCY_LINE_S,
+                    () -> LOG.debug(frontend.drainLatencySummary()),
+                    Tuning.LATENCY_LOG_INTERVAL_S,
+                    Tuning.LATENCY_LOG_INTERVAL_S,
                     TimeUnit.SECONDS);
             loop.scheduleAtFixedRate(
                     this::logStatus,
-                    Tuning.STATUS_LINE_MS,
-                    Tuning.STATUS_LINE_MS,
+                    Tuning.STATUS_LOG_INTERVAL_MS,
+                    Tuning.STATUS_LOG_INTERVAL_MS,
                     TimeUnit.MILLISECONDS);
         }
         group.terminationFuture().sync();
@@ -95,83 +97,83 @@
     }
 
     private void logStatus() {
-        LOG.debug(ProcessStatus.line(front.connections()));
-        String sent = standbyLines.sent();
-        if (sent != null) {
-            LOG.debug(sent);
+        LOG.debug(ProcessStatus.summary(frontend.connectionCount()));
+        String traffic = standby.drainTrafficSummary();
+        if (traffic != null) {
+            LOG.debug(traffic);
         }
     }
 
     private void tick() {
         long now = steadyMs();
-        lateMs = Math.max(0, now - tickedAtMs - Tuning.TICK_MS);
-        tickedAtMs = now;
-        take(new Command.Tick());
+        lastTickDelayMs = Math.max(0, now - lastTickMs - Tuning.TICK_INTERVAL_MS);
+        lastTickMs = now;
+        offer(new Command.Tick());
     }
 
     /**
      * ms by which this node lags behind its work: the delay of the last tick, or of the next one.
      */
     private long lagMs() {
-        return Math.max(lateMs, steadyMs() - tickedAtMs - Tuning.TICK_MS);
+        return Math.max(lastTickDelayMs, steadyMs() - lastTickMs - Tuning.TICK_INTERVAL_MS);
     }
 
     private static long steadyMs() {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     }
 
-    private boolean take(Command command) {
+    private boolean offer(Command command) {
         if (!queue.offer(command)) {
             return false;
         }
-        wake();
+        scheduleBatch();
         return true;
     }
 
     /**
      * Enqueues a reply to a call of the core, which waits for each: a full queue is drained first.
      */
-    private void mustTake(Command command) {
+    private void enqueue(Command command) {
         while (!queue.offer(command)) {
-            work();
+            runBatch();
         }
-        wake();
+        scheduleBatch();
     }
 
-    private void wake() {
-        if (!working) {
-            working = true;
-            loop.execute(this::work);
+    private void scheduleBatch() {
+        if (!batchScheduled) {
+            batchScheduled = true;
+            loop.execute(this::runBatch);
         }
     }
 
-    private void work() {
-        working = false;
-        queue.drainTo(batch, Tuning.BATCH);
+    private void runBatch() {
+        batchScheduled = false;
+        queue.drainTo(batch, Tuning.MAX_COMMANDS_PER_BATCH);
         List<Effect> effects =
                 node.step(new ClockReading(steadyMs(), System.currentTimeMillis()), batch);
         batch.clear();
         for (Effect effect : effects) {
-            carryOut(effect);
+            perform(effect);
         }
         if (!queue.isEmpty()) {
-            wake();
+            scheduleBatch();
         }
     }
 
-    private void carryOut(Effect effect) {
+    private void perform(Effect effect) {
         if (effect instanceof Effect.Respond e) {
-            front.answer(e);
+            frontend.respond(e);
         } else if (effect instanceof Effect.StateCall e) {
             state.call(e);
         } else if (effect instanceof Effect.CloudCall e) {
             cloud.call(e);
         } else if (effect instanceof Effect.Orders e) {
-            workers.send(e);
+            workers.sendOrders(e);
         } else if (effect instanceof Effect.Tell e) {
-            peers.tell(e.message());
+            gossip.broadcast(e.message());
         } else if (effect instanceof Effect.SendToPeer e) {
-            standbyLines.send(e.host(), e.message());
+            standby.send(e.host(), e.message());
         } else if (effect instanceof Effect.Log e) {
             if (e.debugOnly()) {
                 LOG.debug(e.line());
--- a/src/main/java/org/shoreusher/cli/ServiceRehearsal.java
+++ b/src/main/java/org/shoreusher/cli/ServiceRehearsal.java
@@ -26,9 +26,9 @@
  */
 final class ServiceRehearsal implements AutoCloseable {
     /** The job id of the service. */
-    static final String SERVICE = "wk-000900";
+    static final String SERVICE_ID = "wk-000900";
 
-    private static final String REPLICA = SERVICE + "/0";
+    private static final String REPLICA = SERVICE_ID + "/0";
     private static final long STEP_MS = 20_000;
     private static final long POLL_MS = 50;
     private static final int BATCH_JOBS = 5;
@@ -60,22 +60,22 @@
                     Map.of("rehearsal", new Settings.Address("127.0.0.1", front)),
                     REPORT_MS,
                     LEASE_MS,
-                    job -> job.equals(SERVICE) ? JobProfile.SERVICE : JobProfile.INSTANT,
+                    job -> job.equals(SERVICE_ID) ? JobProfile.SERVICE : JobProfile.INSTANT,
                     new TaskHistory());
-    private final CloudStandIn machines =
+    private final CloudStandIn cloud =
             new CloudStandIn(
-                    new CloudStandIn.Offer(4, 8, 1, List.of("z")),
+                    new CloudStandIn.MachineOffer(4, 8, 1, List.of("z")),
                     MACHINES,
                     identity -> new WorkerStandIn(identity, environment));
-    private final StandInServer cloud = new StandInServer(machines::handle);
+    private final StandInServer cloudServer = new StandInServer(cloud::handle);
     private final StateStandIn store = new StateStandIn();
-    private final StandInServer state = new StandInServer(store::handle);
+    private final StandInServer storeServer = new StandInServer(store::handle);
 
     ServiceRehearsal() throws IOException {}
 
     /** The settings of the controller to be checked, as JSON. */
-    String settings() {
-        return SETTINGS.formatted(front, back, cloud.port(), state.port());
+    String settingsJson() {
+        return SETTINGS.formatted(front, back, cloudServer.port(), storeServer.port());
     }
 
     private static int freePort() throws IOException {
@@ -85,7 +85,7 @@
     }
 
     /** Runs the scenario; the controller must have been started or be about to. */
-    void play() throws InterruptedException {
+    void run() throws InterruptedException {
         await("the controller is ready", () -> status("/ready", null) == 200);
         for (int i = 1; i <= BATCH_JOBS; i++) {
             submit(job("wk-00000" + i, "sweep", 5));
@@ -94,16 +94,16 @@
             String id = "wk-00000" + i;
             await(id + " is done", () -> "done".equals(shown(id)));
         }
-        submit(job(SERVICE, "service", 0));
-        await("the replica runs", () -> machines.machineOf(REPLICA) != null);
-        await("the service is shown as running", () -> "running".equals(shown(SERVICE)));
-        String lost = machines.machineOf(REPLICA);
-        machines.take(lost);
+        submit(job(SERVICE_ID, "service", 0));
+        await("the replica runs", () -> cloud.machineOf(REPLICA) != null);
+        await("the service is shown as running", () -> "running".equals(shown(SERVICE_ID)));
+        String lost = cloud.machineOf(REPLICA);
+        cloud.removeMachine(lost);
         System.out.println("taken away: " + lost);
-        await("the replica is back on another machine", () -> machines.machineOf(REPLICA) != null);
+        await("the replica is back on another machine", () -> cloud.machineOf(REPLICA) != null);
         cancel();
-        await("the replica is gone", () -> machines.machineOf(REPLICA) == null);
-        require("the service is shown as cancelled", "aborted".equals(shown(SERVICE)));
+        await("the replica is gone", () -> cloud.machineOf(REPLICA) == null);
+        require("the service is shown as cancelled", "aborted".equals(shown(SERVICE_ID)));
     }
 
     private void submit(Map<String, Object> job) throws InterruptedException {
@@ -112,7 +112,7 @@
     }
 
     private void cancel() throws InterruptedException {
-        String path = "/v2/runs/" + SERVICE + "/cancel";
+        String path = "/v2/runs/" + SERVICE_ID + "/cancel";
         await("the cancellation is confirmed", () -> status(path, Map.of()) == 200);
     }
 
@@ -178,10 +178,10 @@
 
     @Override
     public void close() {
-        machines.stop();
+        cloud.stopWorkers();
         workers.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
         controller.close();
-        cloud.close();
-        state.close();
+        cloudServer.close();
+        storeServer.close();
     }
 }
--- a/src/main/java/org/shoreusher/cloud/CloudClient.java
+++ b/src/main/java/org/shoreusher/cloud/CloudClient.java
@@ -17,7 +17,7 @@
 
     /** A client that passes the replies to the core as commands. */
     public CloudClient(EventLoop loop, Settings settings, Consumer<Command> core) {
-        caller = new HttpCaller(loop, settings.cloud());
+        caller = new HttpCaller(loop, settings.cloudAddress());
         this.core = core;
     }
 
--- a/src/main/java/org/shoreusher/core/Acceptance.java
+++ b/src/main/java/org/shoreusher/core/Acceptance.java
@@ -83,7 +83,7 @@
             queued.requestIds.add(requestId);
             return;
         }
-        if (pendingSubmissions.size() >= Tuning.ARRIVALS_WAITING) {
+        if (pendingSubmissions.size() >= Tuning.MAX_QUEUED_SUBMISSIONS) {
             outbox.respondUnavailable(requestId);
             return;
         }
@@ -91,7 +91,7 @@
                 JobRecord.open(shardWithMostHeadroom.applyAsInt(spec), spec, outbox.now.wallMs())
                         .toMap();
         int encodedBytes = FieldMap.jsonLength(recordValue);
-        if (encodedBytes > settings.valueBytes()) {
+        if (encodedBytes > settings.maxValueBytes()) {
             onTooLong.accept(requestId, spec.id());
             return;
         }
@@ -101,14 +101,14 @@
                         spec,
                         outbox.now.monotonicMs(),
                         recordValue,
-                        encodedBytes + Tuning.RECORD_FRAME,
+                        encodedBytes + Tuning.RECORD_ENTRY_OVERHEAD_BYTES,
                         new ArrayList<>(List.of(requestId))));
     }
 
     /** Writes the queued submissions, and refuses those that have waited for too long. */
     void commitPending() {
         while (!pendingSubmissions.isEmpty()
-                && writesInFlight < Tuning.ACCEPTS_AT_ONCE
+                && writesInFlight < Tuning.MAX_SUBMISSION_COMMITS_IN_FLIGHT
                 && writeBatch()) {
             // until the queue is empty or the rate limit is reached
         }
@@ -119,7 +119,7 @@
                         submission -> {
                             boolean hasExpired =
                                     outbox.now.monotonicMs() - submission.queuedAtMs
-                                            > Tuning.ACCEPT_WAIT_MS;
+                                            > Tuning.SUBMISSION_QUEUE_TIMEOUT_MS;
                             if (hasExpired) {
                                 submission.requestIds.forEach(outbox::respondUnavailable);
                             }
@@ -134,8 +134,8 @@
             // One precondition for each job, and one for the record.
             if (!batch.isEmpty()
                     && (batchBytes + submission.encodedBytes
-                                    > settings.valueBytes() * Tuning.RECORD_FILL
-                            || batch.size() >= 4 * settings.txnOps() - 1)) {
+                                    > settings.maxValueBytes() * Tuning.RECORD_FILL_SHARE
+                            || batch.size() >= 4 * settings.maxTransactionWrites() - 1)) {
                 break;
             }
             batch.add(submission);
@@ -205,8 +205,8 @@
 
     private static Set<String> failedPreconditions(StateReply reply) {
         try {
-            return new HashSet<>(StateFormat.failed(new FieldMap(reply.body())));
-        } catch (FieldMap.Missing e) {
+            return new HashSet<>(StateFormat.readFailedKeys(new FieldMap(reply.body())));
+        } catch (FieldMap.InvalidFieldException e) {
             return Set.of();
         }
     }
--- a/src/main/java/org/shoreusher/core/Arrivals.java
+++ b/src/main/java/org/shoreusher/core/Arrivals.java
@@ -118,12 +118,12 @@
         if (removalInFlight || outbox.now.monotonicMs() < nextRemovalMs) {
             return;
         }
-        nextRemovalMs = outbox.now.monotonicMs() + Tuning.SWEEP_EVERY_MS;
+        nextRemovalMs = outbox.now.monotonicMs() + Tuning.SUBMISSION_BATCH_CLEANUP_INTERVAL_MS;
         Map<String, Long> preconditions = new LinkedHashMap<>(leadership.fencingPrecondition());
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
         batches.forEach(
                 (key, jobIds) -> {
-                    if (jobIds.isEmpty() && writes.size() < settings.txnOps() / 2) {
+                    if (jobIds.isEmpty() && writes.size() < settings.maxTransactionWrites() / 2) {
                         preconditions.put(key, storeCache.version(key));
                         writes.put(key, null);
                     }
--- a/src/main/java/org/shoreusher/core/AttemptReplication.java
+++ b/src/main/java/org/shoreusher/core/AttemptReplication.java
@@ -287,7 +287,7 @@
             outbox.add(new Effect.SendToPeer(host, frame));
         }
         if (nowMs() >= nextStatisticsMs) {
-            nextStatisticsMs = nowMs() + Tuning.STATUS_LINE_MS;
+            nextStatisticsMs = nowMs() + Tuning.STATUS_LOG_INTERVAL_MS;
             logStatistics();
         }
     }
--- a/src/main/java/org/shoreusher/core/Balancing.java
+++ b/src/main/java/org/shoreusher/core/Balancing.java
@@ -65,10 +65,10 @@
     private Balancer.Timeouts timeouts(NodeContext context) {
         // The source reports the exit before its lease expires, or the lease expires; the target
         // reports soon after.
-        long reportMs = Math.round(context.settings().reportS() * 1_000);
+        long reportMs = Math.round(context.settings().heartbeatIntervalS() * 1_000);
         return new Balancer.Timeouts(
                 PartLease.workerLeaseBoundMs(context.settings()) + 2 * reportMs,
-                Tuning.MOVE_START_REPORTS * reportMs);
+                Tuning.MIGRATION_START_HEARTBEAT_INTERVALS * reportMs);
     }
 
     private boolean isDisabled() {
@@ -236,7 +236,7 @@
         if (isDisabled() || outbox.now.monotonicMs() < nextStepMs) {
             return;
         }
-        nextStepMs = outbox.now.monotonicMs() + Tuning.BALANCE_EVERY_MS;
+        nextStepMs = outbox.now.monotonicMs() + Tuning.MIGRATION_PLAN_INTERVAL_MS;
         for (Reservation reservation : List.copyOf(reservations.values())) {
             checkProgress(reservation);
         }
@@ -247,7 +247,7 @@
             balancer.planMigrations(this, outbox.now.monotonicMs()).forEach(this::begin);
         }
         if (outbox.now.monotonicMs() >= nextLogMs && balancer.statistics().migrationsBegun() > 0) {
-            nextLogMs = outbox.now.monotonicMs() + Tuning.STATUS_LINE_MS;
+            nextLogMs = outbox.now.monotonicMs() + Tuning.STATUS_LOG_INTERVAL_MS;
             outbox.logDebug(
                     "balance: part " + shard.shardNumber + " " + balancer.statistics().summary());
         }
@@ -362,7 +362,7 @@
                 && !spec.singleZone()
                 && !spec.spreadAcrossZones()
                 && attempt.job.activeAttempts.get(attempt.taskIndex) == attempt
-                && outbox.now.monotonicMs() - attempt.createdMs > Tuning.START_COUNTS_MS
+                && outbox.now.monotonicMs() - attempt.createdMs > Tuning.MIN_COUNTED_RUN_MS
                 && shard.schedulingOrder().isPreemptible(attempt.job, outbox.now.wallMs());
     }
 
@@ -392,7 +392,7 @@
         Planner.Slot capacity = new Planner.Slot(m);
         return !capacity.expensive
                 && !job.failedMachineIds.contains(machine)
-                && m.tasks.size() + m.reservedTaskCount < Tuning.MOST_TASKS_ON_MACHINE
+                && m.tasks.size() + m.reservedTaskCount < Tuning.MAX_TASKS_PER_MACHINE
                 && job.spec.allowsMachine(m.type.name(), m.zone, m.spot)
                 && capacity.fittingTaskCount(job.spec) > 0;
     }
--- a/src/main/java/org/shoreusher/core/ConfirmedReads.java
+++ b/src/main/java/org/shoreusher/core/ConfirmedReads.java
@@ -110,13 +110,13 @@
      * collected further.
      */
     void sendBatch() {
-        if (pendingReads.isEmpty() || batchesInFlight >= Tuning.READS_AT_ONCE) {
+        if (pendingReads.isEmpty() || batchesInFlight >= Tuning.MAX_LINEARIZABLE_READS_IN_FLIGHT) {
             return;
         }
         Map<String, Long> preconditions = new LinkedHashMap<>();
         List<PendingRead> batch = new ArrayList<>();
         for (PendingRead read : pendingReads) {
-            if (preconditions.size() >= 4 * settings.txnOps()) {
+            if (preconditions.size() >= 4 * settings.maxTransactionWrites()) {
                 break;
             }
             preconditions.put(
@@ -144,8 +144,8 @@
         Set<String> changedKeys = new HashSet<>();
         if (reply.status() == 409) {
             try {
-                changedKeys.addAll(StateFormat.failed(new FieldMap(reply.body())));
-            } catch (FieldMap.Missing e) {
+                changedKeys.addAll(StateFormat.readFailedKeys(new FieldMap(reply.body())));
+            } catch (FieldMap.InvalidFieldException e) {
                 batch.forEach(read -> changedKeys.add(StoreSchema.jobKey(read.jobId())));
             }
         } else if (reply.status() != 200) {
@@ -185,9 +185,9 @@
             awaitingRevision.add(
                     new ReadAwaitingRevision(
                             read,
-                            StateFormat.revision(new FieldMap(reply.body())),
+                            StateFormat.readRevision(new FieldMap(reply.body())),
                             outbox.now.monotonicMs()));
-        } catch (FieldMap.Missing e) {
+        } catch (FieldMap.InvalidFieldException e) {
             outbox.respondUnavailable(read.requestId());
         }
     }
@@ -201,7 +201,8 @@
             if (storeCache.revision() >= awaiting.revision()) {
                 awaitingRevision.remove(awaiting);
                 awaiting.read().callback().accept(cachedRecord(awaiting.read().jobId()));
-            } else if (outbox.now.monotonicMs() - awaiting.sinceMs() > Tuning.UNSEEN_WAIT_MS) {
+            } else if (outbox.now.monotonicMs() - awaiting.sinceMs()
+                    > Tuning.READ_CATCH_UP_TIMEOUT_MS) {
                 awaitingRevision.remove(awaiting);
                 outbox.respondUnavailable(awaiting.read().requestId());
             }
@@ -240,10 +241,10 @@
                             }
                             try {
                                 StateFormat.Entry entry =
-                                        StateFormat.entry(new FieldMap(reply.body()));
+                                        StateFormat.readEntry(new FieldMap(reply.body()));
                                 storeCache.apply(entry.key(), entry.value(), entry.version());
                                 read.callback().accept(JobRecord.fromMap(entry.value()));
-                            } catch (FieldMap.Missing x) {
+                            } catch (FieldMap.InvalidFieldException x) {
                                 outbox.respondUnavailable(read.requestId());
                             }
                         });
--- a/src/main/java/org/shoreusher/core/EndedJobs.java
+++ b/src/main/java/org/shoreusher/core/EndedJobs.java
@@ -21,7 +21,10 @@
 
     /** Jobs evicted from the cache of the store; those dropped here can be read from the store. */
     private final Cache<String, JobRecord> terminalJobs =
-            Caffeine.newBuilder().maximumSize(Tuning.FINAL_STATES).executor(Runnable::run).build();
+            Caffeine.newBuilder()
+                    .maximumSize(Tuning.MAX_CACHED_TERMINAL_JOBS)
+                    .executor(Runnable::run)
+                    .build();
 
     /** Cancelled jobs whose records are not yet evicted, in the order of their times. */
     private final ArrayDeque<PendingEviction> pendingEvictions = new ArrayDeque<>();
@@ -53,7 +56,10 @@
                 new PendingEviction(
                         jobId,
                         outbox.now.monotonicMs()
-                                + (long) (settings.cancelS() * 1000 * Tuning.CANCELLED_KEPT)));
+                                + (long)
+                                        (settings.cancellationLimitS()
+                                                * 1000
+                                                * Tuning.CANCELLED_JOB_RETENTION_FACTOR)));
     }
 
     /**
--- a/src/main/java/org/shoreusher/core/Estimates.java
+++ b/src/main/java/org/shoreusher/core/Estimates.java
@@ -22,18 +22,18 @@
             double ratio = runTimeS / job.spec.estimatedRunS();
             double[] meanRatio =
                     meanRatioByClass.computeIfAbsent(job.spec.jobClass(), c -> new double[] {1});
-            meanRatio[0] += (ratio - meanRatio[0]) * Tuning.ESTIMATE_WEIGHT;
+            meanRatio[0] += (ratio - meanRatio[0]) * Tuning.RUN_TIME_SAMPLE_WEIGHT;
         }
     }
 
     /** The expected run time of a task of the job, in seconds; at least 1. */
     double expectedRunS(Job job) {
         if (job.observedRunCount() > 0) {
-            return Math.max(Tuning.LEAST_RUN_S, job.meanRunTimeS());
+            return Math.max(Tuning.MIN_RUN_TIME_S, job.meanRunTimeS());
         }
         double[] meanRatio = meanRatioByClass.get(job.spec.jobClass());
         return Math.max(
-                Tuning.LEAST_RUN_S,
+                Tuning.MIN_RUN_TIME_S,
                 job.spec.estimatedRunS() * (meanRatio == null ? 1 : meanRatio[0]));
     }
 }
--- a/src/main/java/org/shoreusher/core/FinishedRecords.java
+++ b/src/main/java/org/shoreusher/core/FinishedRecords.java
@@ -67,19 +67,19 @@
     }
 
     private static int maxRecordBytes(Settings settings) {
-        return (int) (settings.valueBytes() * Tuning.RECORD_FILL);
+        return (int) (settings.maxValueBytes() * Tuning.RECORD_FILL_SHARE);
     }
 
     /**
      * The number of tasks in a slice: as many as fit into a record if every other one completes.
      */
     private static int slice(Job job, int maxRecordBytes) {
-        return Math.max(1, (maxRecordBytes - frameBytes(job)) / Tuning.RECORD_PER_TASK);
+        return Math.max(1, (maxRecordBytes - frameBytes(job)) / Tuning.RECORD_BYTES_PER_TASK);
     }
 
     /** Bytes that a job takes in a record besides its ranges. */
     private static int frameBytes(Job job) {
-        return Tuning.RECORD_FRAME + job.id.length();
+        return Tuning.RECORD_ENTRY_OVERHEAD_BYTES + job.id.length();
     }
 
     /** Sizes the job's table of slices; all slices are unassigned if their number has changed. */
@@ -110,7 +110,8 @@
     private int worstCaseBytes(Job job, int slice) {
         int size = slice(job, maxRecordBytes);
         return frameBytes(job)
-                + Math.min(size, job.spec.taskCount() - slice * size) * Tuning.RECORD_PER_TASK;
+                + Math.min(size, job.spec.taskCount() - slice * size)
+                        * Tuning.RECORD_BYTES_PER_TASK;
     }
 
     /** Assigns a record to each slice that has none or no longer fits into its own. */
@@ -272,8 +273,9 @@
         for (Map.Entry<String, Object> entry : rangesByJob.entrySet()) {
             BitSet remaining = TaskRanges.parse((String) entry.getValue());
             remaining.andNot(storedElsewhere.apply(entry.getKey()));
-            int frameBytes = Tuning.RECORD_FRAME + entry.getKey().length();
-            int tasksPerPiece = Math.max(1, (maxRecordBytes - frameBytes) / Tuning.RECORD_PER_TASK);
+            int frameBytes = Tuning.RECORD_ENTRY_OVERHEAD_BYTES + entry.getKey().length();
+            int tasksPerPiece =
+                    Math.max(1, (maxRecordBytes - frameBytes) / Tuning.RECORD_BYTES_PER_TASK);
             for (int from = remaining.nextSetBit(0);
                     from >= 0;
                     from = remaining.nextSetBit(from + tasksPerPiece)) {
--- a/src/main/java/org/shoreusher/core/Fleet.java
+++ b/src/main/java/org/shoreusher/core/Fleet.java
@@ -57,7 +57,7 @@
         }
         scaleOut.step();
         if (outbox.now.monotonicMs() >= nextPlanMs) {
-            nextPlanMs = outbox.now.monotonicMs() + Tuning.RENT_EVERY_MS;
+            nextPlanMs = outbox.now.monotonicMs() + Tuning.AUTOSCALER_INTERVAL_MS;
             if (shard.isReconciled()) {
                 machineCordon.step();
             }
@@ -255,7 +255,8 @@
                     && machine.isIdle()
                     && machine.state == Machine.State.UP
                     && machine.hasDurableUseRecord
-                    && outbox.now.monotonicMs() - machine.idleSinceMs > Tuning.HANDOVER_IDLE_MS) {
+                    && outbox.now.monotonicMs() - machine.idleSinceMs
+                            > Tuning.HANDOVER_MIN_IDLE_MS) {
                 shard.machineRecords().handOver(machine, targetShard);
                 remaining--;
                 surplusMachines.remove(machine);
@@ -292,7 +293,8 @@
         if (shortfallElsewhere > evacuatingCount
                 && machineShortfall == 0
                 && leastUsed != null
-                && freeCpus - leastUsed.cpusFree() > largestMachineCpus * Tuning.YIELD_SLACK) {
+                && freeCpus - leastUsed.cpusFree()
+                        > largestMachineCpus * Tuning.HANDOVER_MIN_FREE_MACHINES) {
             leastUsed.evacuating = true;
         }
     }
@@ -314,8 +316,8 @@
                 Math.max(
                         runTimeS,
                         slackS == Double.MAX_VALUE || isTooLate
-                                ? Tuning.RENT_HORIZON_S
-                                : slackS * Tuning.RENT_TIME_SHARE);
+                                ? Tuning.SCALE_OUT_HORIZON_S
+                                : slackS * Tuning.SCALE_OUT_DEADLINE_SHARE);
         return (int) Math.ceil(job.pendingCount * Math.min(1, runTimeS / horizonS));
     }
 
@@ -383,7 +385,7 @@
      */
     private boolean isOnDemandWorthwhile(MachineType type) {
         return !type.isOnDemandExpensive()
-                || cpuShortfall > shard.totalCpus() * Tuning.ORDINARY_QUEUE;
+                || cpuShortfall > shard.totalCpus() * Tuning.ON_DEMAND_MIN_SHORTAGE_SHARE;
     }
 
     // ---- scale in ----------------------------------------------------------------------------
@@ -397,7 +399,9 @@
                     && machine.idleSinceMs >= 0
                     && !reservedReplicaCapacity.mustKeep(machine)
                     && outbox.now.monotonicMs() - machine.idleSinceMs
-                            > (machine.spot ? Tuning.IDLE_KEEP_MS : Tuning.IDLE_KEEP_ORDINARY_MS)) {
+                            > (machine.spot
+                                    ? Tuning.SPOT_IDLE_TIMEOUT_MS
+                                    : Tuning.ON_DEMAND_IDLE_TIMEOUT_MS)) {
                 machine.state = Machine.State.DRAINING;
                 machine.drainedAsIdle = true;
             }
--- a/src/main/java/org/shoreusher/core/Job.java
+++ b/src/main/java/org/shoreusher/core/Job.java
@@ -161,14 +161,14 @@
 
     /**
      * Records a failed attempt. While no task has completed, each further failure doubles the delay
-     * before the next start, up to {@link Tuning#FAIL_PAUSE_MAX_MS}.
+     * before the next start, up to {@link Tuning#MAX_FAILURE_BACKOFF_MS}.
      */
     void recordFailure(String machineId, long nowMs) {
         failedMachineIds.add(machineId);
         failureCount++;
         if (completedTasks.isEmpty() && failureCount > 1) {
-            long backoffMs = Tuning.FAIL_PAUSE_MS << Math.min(failureCount - 2, 10);
-            backoffUntilMs = nowMs + Math.min(backoffMs, Tuning.FAIL_PAUSE_MAX_MS);
+            long backoffMs = Tuning.MIN_FAILURE_BACKOFF_MS << Math.min(failureCount - 2, 10);
+            backoffUntilMs = nowMs + Math.min(backoffMs, Tuning.MAX_FAILURE_BACKOFF_MS);
         }
     }
 
--- a/src/main/java/org/shoreusher/core/JobSpec.java
+++ b/src/main/java/org/shoreusher/core/JobSpec.java
@@ -61,7 +61,7 @@
                 team,
                 WorkloadType.BATCH,
                 Priority.LOW,
-                Tuning.MAX_TASKS,
+                Tuning.MAX_TASKS_PER_JOB,
                 cpus,
                 gpus,
                 memGb,
--- a/src/main/java/org/shoreusher/core/Machine.java
+++ b/src/main/java/org/shoreusher/core/Machine.java
@@ -185,20 +185,24 @@
         }
         long sinceReplyMs = nowMs - lastReplyAtMs;
         if (heartbeat.incarnation() > session
-                && sinceReplyMs < Tuning.WORKER_PATIENCE_MS - Tuning.REPORT_SLACK_MS) {
+                && sinceReplyMs
+                        < Tuning.WORKER_RESPONSE_TIMEOUT_MS - Tuning.HEARTBEAT_LATENESS_MARGIN_MS) {
             // Delayed by a network partition and delivered together with the previous heartbeat: a
             // worker without a reply would have waited for its timeout first. Without this check,
             // sound machines were cordoned half a second after a partition had healed.
             return;
         }
         if (heartbeat.incarnation() > session && sinceReplyMs < settings.workerLeaseS() * 1000) {
-            unacknowledgedReplies = Math.max(unacknowledgedReplies + 1, Tuning.DEAF_AFTER);
+            unacknowledgedReplies =
+                    Math.max(unacknowledgedReplies + 1, Tuning.ONE_WAY_PARTITION_MISSED_RESPONSES);
         } else if (heartbeat.incarnation() > session
                 || sinceReplyMs
                         > Math.max(
-                                Tuning.WORKER_PATIENCE_MS,
-                                settings.reportS() * 1000 * Tuning.REPORT_SPREAD
-                                        + Tuning.REPORT_SLACK_MS)) {
+                                Tuning.WORKER_RESPONSE_TIMEOUT_MS,
+                                settings.heartbeatIntervalS()
+                                                * 1000
+                                                * Tuning.MAX_HEARTBEAT_INTERVAL_FACTOR
+                                        + Tuning.HEARTBEAT_LATENESS_MARGIN_MS)) {
             unacknowledgedReplies++;
         } else {
             unacknowledgedReplies = 0;
@@ -210,7 +214,7 @@
      * it. It gets no tasks until a heartbeat shows that a reply did.
      */
     boolean hasOneWayPartition() {
-        return unacknowledgedReplies >= Tuning.DEAF_AFTER;
+        return unacknowledgedReplies >= Tuning.ONE_WAY_PARTITION_MISSED_RESPONSES;
     }
 
     /** Records that a task took so many times the mean run time of its job's finished tasks. */
@@ -218,13 +222,15 @@
         relativeRunTime =
                 runTimeSamples == 0
                         ? ratioToMean
-                        : relativeRunTime + (ratioToMean - relativeRunTime) * Tuning.PACE_WEIGHT;
+                        : relativeRunTime
+                                + (ratioToMean - relativeRunTime) * Tuning.SLOWDOWN_SAMPLE_WEIGHT;
         runTimeSamples++;
     }
 
     /** Whether its tasks take so much longer than elsewhere that it should get no more of them. */
     boolean isSlow() {
-        return runTimeSamples >= Tuning.PACE_TASKS && relativeRunTime > Tuning.SLOW_TIMES;
+        return runTimeSamples >= Tuning.MIN_SLOWDOWN_SAMPLES
+                && relativeRunTime > Tuning.SLOW_MACHINE_FACTOR;
     }
 
     /** The key of a task in {@link #tasks}: job and array index. */
--- a/src/main/java/org/shoreusher/core/MachineList.java
+++ b/src/main/java/org/shoreusher/core/MachineList.java
@@ -67,7 +67,7 @@
      */
     void recordTermination(String id) {
         terminatedIds.add(id);
-        if (terminatedIds.size() > Tuning.GONE_NAMES) {
+        if (terminatedIds.size() > Tuning.MAX_REMEMBERED_TERMINATED_MACHINES) {
             terminatedIds.removeFirst();
         }
     }
@@ -108,13 +108,15 @@
         // Reconciliation waits for machines until a list shows that they are terminated.
         nextListMs =
                 outbox.now.monotonicMs()
-                        + (shard.isReconciled() ? Tuning.LIST_EVERY_MS : Tuning.LIST_IN_REBUILD_MS);
+                        + (shard.isReconciled()
+                                ? Tuning.INVENTORY_INTERVAL_MS
+                                : Tuning.RECONCILIATION_INVENTORY_INTERVAL_MS);
         partialList = null;
         if (reply.status() != 200 || shard.isLeadershipLost()) {
             return;
         }
         try {
-            ListPage page = CloudFormat.machines(new FieldMap(reply.body()));
+            ListPage page = CloudFormat.readMachinePage(new FieldMap(reply.body()));
             current.machines().addAll(page.machines());
             if (page.hasMore() && !page.machines().isEmpty()) {
                 partialList = current;
@@ -122,7 +124,7 @@
             } else {
                 applyList(current.machines(), current.requestedAt());
             }
-        } catch (FieldMap.Missing e) {
+        } catch (FieldMap.InvalidFieldException e) {
             outbox.logInfo("cloud: machine list not understood: " + e.getMessage());
         }
     }
@@ -148,7 +150,8 @@
         // Lists are at most twice their lag old, and a machine once listed stays in them until it
         // is
         // terminated.
-        long maxListDelayMs = (long) (2 * settings.listLagS() * 1000) + Tuning.LIST_SLACK_MS;
+        long maxListDelayMs =
+                (long) (2 * settings.inventoryLagS() * 1000) + Tuning.INVENTORY_LAG_MARGIN_MS;
         for (Machine machine : new ArrayList<>(shard.machines().values())) {
             if (!ids.contains(machine.id)
                     && requestedAt.wallMs() - machine.provisionedWallMs > maxListDelayMs) {
@@ -166,8 +169,8 @@
             unrecordedSinceMs.put(listedMachine.machineId(), outbox.now.monotonicMs());
         } else if (outbox.now.monotonicMs() - unrecordedSinceMs.getLong(listedMachine.machineId())
                 > (terminatedIds.contains(listedMachine.machineId())
-                        ? Tuning.GONE_STILL_LISTED_MS
-                        : 2 * Tuning.LIST_EVERY_MS)) {
+                        ? Tuning.TERMINATED_STILL_LISTED_MS
+                        : 2 * Tuning.INVENTORY_INTERVAL_MS)) {
             unrecordedSinceMs.removeLong(listedMachine.machineId());
             terminatedIds.remove(listedMachine.machineId());
             outbox.logInfo(
--- a/src/main/java/org/shoreusher/core/MachineRecords.java
+++ b/src/main/java/org/shoreusher/core/MachineRecords.java
@@ -104,7 +104,7 @@
     }
 
     private boolean usesNarrowGroups() {
-        return settings.valueBytes() < Tuning.WIDE_GROUP_BYTES;
+        return settings.maxValueBytes() < Tuning.WIDE_GROUP_MIN_VALUE_BYTES;
     }
 
     /**
@@ -133,7 +133,7 @@
                     }
                 });
         for (String wideKey : wideGroupsToSplit) {
-            if (writes.size() < settings.txnOps()
+            if (writes.size() < settings.maxTransactionWrites()
                     && machineIndex.group(wideKey).keySet().stream()
                             .allMatch(this::isRecordedElsewhere)) {
                 preconditions.put(wideKey, storeCache.version(wideKey));
@@ -158,7 +158,7 @@
                             applyWriteResult(batch);
                         });
         if (writeInFlight) {
-            nextWriteMs = outbox.now.monotonicMs() + Tuning.RECORDS_EVERY_MS;
+            nextWriteMs = outbox.now.monotonicMs() + Tuning.MACHINE_RECORD_WRITE_INTERVAL_MS;
         } else {
             dirtyIds.addAll(batch);
         }
@@ -173,10 +173,10 @@
     private List<String> collectBatch(Map<String, Map<String, MachineRecord>> groups) {
         List<String> batch = new ArrayList<>();
         for (String id : dirtyIds) {
-            String key = StoreSchema.machineGroupKey(id, settings.valueBytes());
+            String key = StoreSchema.machineGroupKey(id, settings.maxValueBytes());
             Map<String, MachineRecord> group = groups.get(key);
             if (group == null) {
-                if (groups.size() >= Math.max(1, settings.txnOps() / 2)) {
+                if (groups.size() >= Math.max(1, settings.maxTransactionWrites() / 2)) {
                     continue;
                 }
                 group = new TreeMap<>(machineIndex.group(key));
@@ -256,7 +256,7 @@
             } else if (machine == null
                     && record != null
                     && !machineIndex
-                            .group(StoreSchema.machineGroupKey(id, settings.valueBytes()))
+                            .group(StoreSchema.machineGroupKey(id, settings.maxValueBytes()))
                             .containsKey(id)) {
                 // Terminated, and only its wide group still has it, which is about to be removed.
                 continue;
--- a/src/main/java/org/shoreusher/core/MachineType.java
+++ b/src/main/java/org/shoreusher/core/MachineType.java
@@ -31,7 +31,7 @@
      * run on spot should do so.
      */
     public boolean isOnDemandExpensive() {
-        return onDemandPricePerHour > spotPricePerHour * Tuning.ORDINARY_FACTOR;
+        return onDemandPricePerHour > spotPricePerHour * Tuning.MAX_ON_DEMAND_PRICE_FACTOR;
     }
 
     /** Whether one task of a job can run on an empty machine of this type, constraints included. */
--- a/src/main/java/org/shoreusher/core/MachineTypes.java
+++ b/src/main/java/org/shoreusher/core/MachineTypes.java
@@ -73,10 +73,10 @@
         if (reply.status() != 200) {
             return;
         }
-        nextRequestMs = outbox.now.monotonicMs() + Tuning.FLAVORS_EVERY_MS;
+        nextRequestMs = outbox.now.monotonicMs() + Tuning.MACHINE_TYPES_INTERVAL_MS;
         boolean shouldStore =
                 storeCache.get(StoreSchema.MACHINE_TYPES_KEY) == null
-                        && FieldMap.jsonLength(reply.body()) <= settings.valueBytes();
+                        && FieldMap.jsonLength(reply.body()) <= settings.maxValueBytes();
         if (parse(reply.body()) && shouldStore) {
             outbox.callStore(
                     new StateOp.Multi(
@@ -95,10 +95,10 @@
 
     private boolean parse(Map<String, Object> body) {
         try {
-            List<MachineType> parsedTypes = CloudFormat.types(new FieldMap(body));
+            List<MachineType> parsedTypes = CloudFormat.readTypes(new FieldMap(body));
             parsedTypes.forEach(type -> typesByName.put(type.name(), type));
             return !parsedTypes.isEmpty();
-        } catch (FieldMap.Missing e) {
+        } catch (FieldMap.InvalidFieldException e) {
             outbox.logInfo("cloud: types not understood: " + e.getMessage());
             return false;
         }
--- a/src/main/java/org/shoreusher/core/MemberFormats.java
+++ b/src/main/java/org/shoreusher/core/MemberFormats.java
@@ -110,7 +110,7 @@
     }
 
     private void writeVersionRecord() {
-        nextWriteMs = outbox.now.monotonicMs() + Tuning.STATE_RETRY_MS;
+        nextWriteMs = outbox.now.monotonicMs() + Tuning.STORE_RETRY_MS;
         String key = StoreSchema.nodeKey(settings.host());
         Map<String, Object> versionRecord = new LinkedHashMap<>();
         versionRecord.put(FORMAT_FIELD, FORMAT_WITH_SERVICES);
@@ -162,7 +162,7 @@
     private List<String> membersWithoutServices() {
         if (membersWithoutServices == null) {
             membersWithoutServices =
-                    settings.hosts()
+                    settings.allHosts()
                             .filter(host -> supportedFormat(host) < FORMAT_WITH_SERVICES)
                             .sorted()
                             .toList();
--- a/src/main/java/org/shoreusher/core/Node.java
+++ b/src/main/java/org/shoreusher/core/Node.java
@@ -147,7 +147,7 @@
         if (!storeCache.isLoaded() || !machineTypes.isLoaded()) {
             return false;
         }
-        return outbox.sinceStoreReplyMs() < Tuning.READY_STATE_MS
+        return outbox.sinceStoreReplyMs() < Tuning.READINESS_STORE_TIMEOUT_MS
                 || !peerGossip.anyPeerReachesStore();
     }
 
@@ -284,11 +284,11 @@
             // Jobs of one team are kept in one shard where possible, so that the team's quota is
             // not split.
             double headroom =
-                    (summary == null ? Tuning.UNKNOWN_ROOM : summary.cpuHeadroom())
+                    (summary == null ? Tuning.UNKNOWN_SHARD_HEADROOM_CPUS : summary.cpuHeadroom())
                             - assignedCpus[shardNumber]
                             + (teamDemand == null
                                     ? 0
-                                    : Tuning.TOGETHER
+                                    : Tuning.TEAM_AFFINITY_WEIGHT
                                             * (teamDemand.highPriorityCpus()
                                                     + teamDemand.otherCpus()));
             if (headroom > mostHeadroom) {
--- a/src/main/java/org/shoreusher/core/Outbox.java
+++ b/src/main/java/org/shoreusher/core/Outbox.java
@@ -38,32 +38,36 @@
      * @param shardCount the number of shards
      */
     Outbox(Settings settings, int shardCount) {
-        int leaders = Math.min(settings.nodes(), shardCount);
+        int leaders = Math.min(settings.nodeCount(), shardCount);
         // The shares of leaders' and users' writes add up to a little more than the rate limit,
         // because they rarely coincide. If they do, the store answers 429, and the write is tried
         // again later like after any other failure.
-        double callsPerS = settings.stateRps() * Tuning.RATE_USE / settings.nodes();
-        double writes = settings.stateWriteRps() * Tuning.RATE_USE;
+        double callsPerS =
+                settings.storeRequestsPerS() * Tuning.RATE_LIMIT_USE_SHARE / settings.nodeCount();
+        double writes = settings.storeWritesPerS() * Tuning.RATE_LIMIT_USE_SHARE;
         double leaderWritesPerS = leaderWritesPerS(settings, shardCount);
-        storeCallTokens = new TokenBucket(callsPerS * (1 - Tuning.RENEWAL_SHARE), callsPerS / 2);
+        storeCallTokens =
+                new TokenBucket(
+                        callsPerS * (1 - Tuning.LEASE_RENEWAL_REQUEST_SHARE), callsPerS / 2);
         renewalTokens =
                 new TokenBucket(
-                        Math.max(2, callsPerS * Tuning.RENEWAL_SHARE),
-                        Math.max(4, callsPerS * Tuning.RENEWAL_SHARE));
+                        Math.max(2, callsPerS * Tuning.LEASE_RENEWAL_REQUEST_SHARE),
+                        Math.max(4, callsPerS * Tuning.LEASE_RENEWAL_REQUEST_SHARE));
         leaderWriteTokens = new TokenBucket(leaderWritesPerS, leaderWritesPerS);
-        userWriteTokens = new TokenBucket(writes / settings.nodes(), writes / settings.nodes());
+        userWriteTokens =
+                new TokenBucket(writes / settings.nodeCount(), writes / settings.nodeCount());
         cloudCallTokens =
                 new TokenBucket(
-                        settings.cloudRps() * Tuning.RATE_USE / leaders,
-                        settings.cloudRps() / leaders);
+                        settings.cloudRequestsPerS() * Tuning.RATE_LIMIT_USE_SHARE / leaders,
+                        settings.cloudRequestsPerS() / leaders);
     }
 
     /** Returns the writes per second that a shard's leader plans to make at most. */
     static double leaderWritesPerS(Settings settings, int shardCount) {
-        return settings.stateWriteRps()
-                * Tuning.RATE_USE
-                * Tuning.OWNER_WRITE_SHARE
-                / Math.min(settings.nodes(), shardCount);
+        return settings.storeWritesPerS()
+                * Tuning.RATE_LIMIT_USE_SHARE
+                * Tuning.LEADER_WRITE_SHARE
+                / Math.min(settings.nodeCount(), shardCount);
     }
 
     /** Returns the effects collected since the last call, in order, and starts an empty list. */
@@ -210,6 +214,6 @@
      */
     boolean isStoreUnavailable() {
         return storeFailedAtMs >= storeAnsweredAtMs
-                && sinceStoreReplyMs() > Tuning.STATE_TIMEOUT_MS;
+                && sinceStoreReplyMs() > Tuning.STORE_TIMEOUT_MS;
     }
 }
--- a/src/main/java/org/shoreusher/core/Part.java
+++ b/src/main/java/org/shoreusher/core/Part.java
@@ -224,7 +224,8 @@
     boolean isUnreachableFromWorkers() {
         if (!reconciliation.isLoaded()
                 || !isLeader()
-                || outbox.now.monotonicMs() - leadership.leaderSinceMs() < Tuning.COMES_BACK_MS) {
+                || outbox.now.monotonicMs() - leadership.leaderSinceMs()
+                        < Tuning.REDIRECTED_WORKER_RETRY_MS) {
             return false;
         }
         // This runs in every batch, so machines are counted only if some workers have returned to
@@ -237,7 +238,8 @@
         for (Machine machine : machines.values()) {
             runningMachines += machine.state == Machine.State.UP ? 1 : 0;
         }
-        return unreachableWorkers > Math.max(1, runningMachines * Tuning.UNREACHED_SHARE);
+        return unreachableWorkers
+                > Math.max(1, runningMachines * Tuning.STEP_DOWN_UNREACHABLE_SHARE);
     }
 
     private FinishedRecords completionRecords() {
@@ -328,7 +330,7 @@
 
     /** The time in ms after its last heartbeat from which a machine counts as unresponsive. */
     double heartbeatTimeoutMs() {
-        return settings.reportS() * 1000 * Tuning.QUIET_REPORTS;
+        return settings.heartbeatIntervalS() * 1000 * Tuning.UNRESPONSIVE_HEARTBEAT_INTERVALS;
     }
 
     /**
@@ -363,7 +365,7 @@
     boolean canStartTasks() {
         return reconciliation.isLoaded()
                 && isLeader()
-                && storeCache.ageMs() < Tuning.VIEW_STALE_MS
+                && storeCache.ageMs() < Tuning.MAX_STORE_CACHE_AGE_MS
                 && leadership.isStoreCacheCaughtUp();
     }
 
@@ -396,7 +398,7 @@
         if (outbox.now.monotonicMs() < nextSchedulingPassMs) {
             return;
         }
-        nextSchedulingPassMs = outbox.now.monotonicMs() + Tuning.WALK_MS;
+        nextSchedulingPassMs = outbox.now.monotonicMs() + Tuning.FULL_SCAN_INTERVAL_MS;
         lifecycle.expireWorkerLeases();
         reconciliation.step();
         quotaShares.step(
@@ -406,7 +408,7 @@
         taskEviction.preemptForPriority();
         taskMigration.step();
         if (outbox.now.monotonicMs() >= nextStatusLineMs) {
-            nextStatusLineMs = outbox.now.monotonicMs() + Tuning.STATUS_LINE_MS;
+            nextStatusLineMs = outbox.now.monotonicMs() + Tuning.STATUS_LOG_INTERVAL_MS;
             outbox.logDebug(PartStatus.statusLine(this, storeCache.size()));
         }
     }
--- a/src/main/java/org/shoreusher/core/PartLease.java
+++ b/src/main/java/org/shoreusher/core/PartLease.java
@@ -21,7 +21,7 @@
      * @param settings the deployment's settings
      */
     PartLease(Settings settings) {
-        safetyMarginMs = settings.clockOffMs() + Tuning.LEASE_MARGIN_MS;
+        safetyMarginMs = settings.maxClockOffsetMs() + Tuning.LEASE_EXPIRY_MARGIN_MS;
         gracePeriodMs = gracePeriodMs(settings);
     }
 
@@ -34,12 +34,12 @@
      */
     static long gracePeriodMs(Settings settings) {
         double gracePeriodMs =
-                settings.cancelS() * 1000
+                settings.cancellationLimitS() * 1000
                         - durationMs(settings)
-                        - Tuning.VIEW_STALE_MS / 3.0
+                        - Tuning.MAX_STORE_CACHE_AGE_MS / 3.0
                         - workerLeaseBoundMs(settings)
-                        - 2 * settings.clockOffMs();
-        return Math.max(0, Math.min(Tuning.GRACE_MAX_MS, (long) gracePeriodMs));
+                        - 2 * settings.maxClockOffsetMs();
+        return Math.max(0, Math.min(Tuning.MAX_GRACE_PERIOD_MS, (long) gracePeriodMs));
     }
 
     /**
@@ -54,9 +54,9 @@
      * lease renewal shows no cancellations, so it is irrelevant here.
      */
     static long maxStoreCacheAgeMs(Settings settings) {
-        return (long) (settings.cancelS() * 1000 * (1 - Tuning.DRIFT))
+        return (long) (settings.cancellationLimitS() * 1000 * (1 - Tuning.MAX_CLOCK_DRIFT))
                 - workerLeaseBoundMs(settings)
-                - Tuning.CANCEL_MARGIN_MS;
+                - Tuning.CANCELLATION_MARGIN_MS;
     }
 
     /**
@@ -66,14 +66,16 @@
      * kill its tasks.)
      */
     static long durationMs(Settings settings) {
-        double workerLeaseShareMs = settings.workerLeaseS() * 1000 * Tuning.LEASE_OF_WORKERS;
+        double workerLeaseShareMs =
+                settings.workerLeaseS() * 1000 * Tuning.LEADER_LEASE_WORKER_LEASE_SHARE;
         return (long)
                 Math.min(
-                        Tuning.LEASE_MS,
+                        Tuning.LEADER_LEASE_MS,
                         Math.max(
                                 workerLeaseShareMs,
-                                Tuning.LEASE_SLACKS
-                                        * (settings.clockOffMs() + Tuning.LEASE_MARGIN_MS)));
+                                Tuning.LEADER_LEASE_MIN_MARGINS
+                                        * (settings.maxClockOffsetMs()
+                                                + Tuning.LEASE_EXPIRY_MARGIN_MS)));
     }
 
     /** Returns the ms between renewals: a third of the lease, so that two renewals may fail. */
@@ -86,8 +88,8 @@
      * whatever the clock drift.
      */
     static long workerLeaseBoundMs(Settings settings) {
-        return (long) Math.ceil(settings.workerLeaseS() * 1000 * (1 + Tuning.DRIFT))
-                + Tuning.SILENT_MARGIN_MS;
+        return (long) Math.ceil(settings.workerLeaseS() * 1000 * (1 + Tuning.MAX_CLOCK_DRIFT))
+                + Tuning.WORKER_LEASE_MARGIN_MS;
     }
 
     /**
@@ -100,7 +102,9 @@
         expiryWallMs = confirmedExpiryWallMs;
         expiryMonotonicMs =
                 sentAt.monotonicMs()
-                        + (long) ((confirmedExpiryWallMs - sentAt.wallMs()) * (1 - Tuning.DRIFT));
+                        + (long)
+                                ((confirmedExpiryWallMs - sentAt.wallMs())
+                                        * (1 - Tuning.MAX_CLOCK_DRIFT));
     }
 
     /** The last confirmed expiry in wall-clock ms. */
@@ -132,6 +136,9 @@
      * @param now the clocks
      */
     static boolean isAcquirable(Settings settings, long recordedExpiryWallMs, ClockReading now) {
-        return now.wallMs() > recordedExpiryWallMs + settings.clockOffMs() + Tuning.LEASE_MARGIN_MS;
+        return now.wallMs()
+                > recordedExpiryWallMs
+                        + settings.maxClockOffsetMs()
+                        + Tuning.LEASE_EXPIRY_MARGIN_MS;
     }
 }
--- a/src/main/java/org/shoreusher/core/PartOwnership.java
+++ b/src/main/java/org/shoreusher/core/PartOwnership.java
@@ -213,7 +213,10 @@
         int previousChunk = lastWrittenChunk;
         for (int offset = 1;
                 offset <= overflowChunks
-                        && writes.size() < Math.min(settings.txnOps(), Tuning.RECORDS_AT_ONCE);
+                        && writes.size()
+                                < Math.min(
+                                        settings.maxTransactionWrites(),
+                                        Tuning.MAX_COMPLETION_RECORDS_PER_WRITE);
                 offset++) {
             int chunk = 1 + (previousChunk + offset - 1) % overflowChunks;
             Map<String, Object> completedRanges = completions.recordValue(chunk);
@@ -302,7 +305,7 @@
             }
             return;
         }
-        nextRenewalMs = outbox.now.monotonicMs() + Tuning.HEARTBEAT_RETRY_MS;
+        nextRenewalMs = outbox.now.monotonicMs() + Tuning.LEASE_RENEWAL_RETRY_MS;
         if (reply.status() == 409) {
             // Either another node has become the leader, or an earlier renewal that got no answer
             // was applied.
@@ -334,7 +337,7 @@
             return;
         }
         try {
-            StateFormat.Entry entry = StateFormat.entry(new FieldMap(reply.body()));
+            StateFormat.Entry entry = StateFormat.readEntry(new FieldMap(reply.body()));
             PartRecord record = PartRecord.fromMap(entry.value());
             if (!record.leader().equals(processName)) {
                 loseLeadership("taken by " + record.leader());
@@ -345,7 +348,7 @@
                 onLeaseConfirmed(record.leaseExpiryWallMs(), outbox.now);
                 nextRenewalMs = outbox.now.monotonicMs();
             }
-        } catch (FieldMap.Missing missing) {
+        } catch (FieldMap.InvalidFieldException missing) {
             outbox.logInfo("state: part record not understood: " + missing.getMessage());
         }
     }
--- a/src/main/java/org/shoreusher/core/Parts.java
+++ b/src/main/java/org/shoreusher/core/Parts.java
@@ -128,7 +128,7 @@
                 if (ledShards[shardNumber].isUnreachableFromWorkers()) {
                     ledShards[shardNumber].stepDown(
                             "most of its workers reach others, not this node");
-                    nextAcquisitionMs = outbox.now.monotonicMs() + Tuning.LEAVE_TO_OTHERS_MS;
+                    nextAcquisitionMs = outbox.now.monotonicMs() + Tuning.STEP_DOWN_COOLDOWN_MS;
                 }
                 if (ledShards[shardNumber].isLeadershipLost()) {
                     ledShards[shardNumber].standbyReplication().close();
@@ -139,7 +139,7 @@
         rebalanceLeadership();
         if (!storeCache.isLoaded()
                 || acquisitionInFlight
-                || storeCache.ageMs() > Tuning.VIEW_STALE_MS
+                || storeCache.ageMs() > Tuning.MAX_STORE_CACHE_AGE_MS
                 || outbox.now.monotonicMs() < nextAcquisitionMs) {
             return;
         }
@@ -187,7 +187,7 @@
                 namedStandby != null
                         && standbySettings != null
                         && peerView.isResponsive(LogStream.hostOf(namedStandby));
-        return peerView.peersWithPriority(ledShardCount()) * Tuning.TAKE_PAUSE_MS
+        return peerView.peersWithPriority(ledShardCount()) * Tuning.ACQUISITION_INTERVAL_MS
                 + (grantsHeadStart ? standbySettings.headStartMs() : 0);
     }
 
@@ -196,7 +196,7 @@
         if (outbox.now.monotonicMs() < nextRebalanceMs) {
             return;
         }
-        nextRebalanceMs = outbox.now.monotonicMs() + Tuning.DEAL_EVERY_MS;
+        nextRebalanceMs = outbox.now.monotonicMs() + Tuning.SHARD_REBALANCE_INTERVAL_MS;
         if (!peerView.isAnyPeerLeadingTwoFewer(ledShardCount())) {
             return;
         }
@@ -254,7 +254,9 @@
         while (storeCache.get(StoreSchema.completionKey(shardNumber, chunk)) != null) {
             chunk++;
         }
-        for (int offset = 0; offset < pieces.size() && offset < settings.txnOps(); offset++) {
+        for (int offset = 0;
+                offset < pieces.size() && offset < settings.maxTransactionWrites();
+                offset++) {
             preconditions.put(StoreSchema.completionKey(shardNumber, chunk + offset), 0L);
             writes.put(
                     StoreSchema.completionKey(shardNumber, chunk + offset),
@@ -273,11 +275,11 @@
     }
 
     private void acquireLeadership(int shardNumber, PartRecord previousRecord) {
-        nextAcquisitionMs = outbox.now.monotonicMs() + Tuning.TAKE_PAUSE_MS;
+        nextAcquisitionMs = outbox.now.monotonicMs() + Tuning.ACQUISITION_INTERVAL_MS;
         boolean exceedsSizeLimit =
                 previousRecord != null
                         && FieldMap.jsonLength(previousRecord.toMap())
-                                > settings.valueBytes() * Tuning.RECORD_FILL;
+                                > settings.maxValueBytes() * Tuning.RECORD_FILL_SHARE;
         List<Map<String, Object>> pieces =
                 exceedsSizeLimit
                         ? completionsWithoutOverflowRecord(shardNumber, previousRecord)
@@ -330,7 +332,9 @@
                             } else if (reply.status() == 409) {
                                 // Another node acquired this shard, or incremented the term counter
                                 // for a different one.
-                                nextAcquisitionMs = outbox.now.monotonicMs() + Tuning.TAKE_AGAIN_MS;
+                                nextAcquisitionMs =
+                                        outbox.now.monotonicMs()
+                                                + Tuning.ACQUISITION_CONFLICT_RETRY_MS;
                             } else if (previousRecord != null && previousRecord.standby() != null) {
                                 // During an outage of the store the standby had no chance either,
                                 // so its head start begins again.
--- a/src/main/java/org/shoreusher/core/PeerHints.java
+++ b/src/main/java/org/shoreusher/core/PeerHints.java
@@ -117,7 +117,7 @@
                                         && isFresh(message)
                                         && !message.storeReachable()
                                         && outbox.now.wallMs() - message.sentWallMs()
-                                                < Tuning.HINT_STALE_MS);
+                                                < Tuning.MAX_GOSSIP_AGE_MS);
     }
 
     @Override
@@ -129,9 +129,9 @@
     @Override
     public long storeOutageGossipValidUntilMs() {
         return lastSaidUnreachableMs
-                + Tuning.HINT_STALE_MS
-                + 2 * settings.clockOffMs()
-                + Tuning.LEASE_MARGIN_MS;
+                + Tuning.MAX_GOSSIP_AGE_MS
+                + 2 * settings.maxClockOffsetMs()
+                + Tuning.LEASE_EXPIRY_MARGIN_MS;
     }
 
     @Override
@@ -153,7 +153,7 @@
     /** Whether the message is recent enough to be used. */
     private boolean isFresh(Hint message) {
         return outbox.now.monotonicMs() - receivedAtMs.get(message.senderHost())
-                < Tuning.HINT_STALE_MS;
+                < Tuning.MAX_GOSSIP_AGE_MS;
     }
 
     /**
@@ -166,13 +166,13 @@
         boolean isQuiet =
                 message == null
                         || outbox.now.monotonicMs() - receivedAtMs.get(record.leaderHost())
-                                > Tuning.QUIET_PEER_MS;
+                                > Tuning.PEER_UNRESPONSIVE_MS;
         return remainingLeaseMs < 0
                 || (isQuiet
                         && remainingLeaseMs
                                 < PartLease.durationMs(settings)
                                         - PartLease.renewalIntervalMs(settings)
-                                        - Tuning.QUIET_PEER_MS);
+                                        - Tuning.PEER_UNRESPONSIVE_MS);
     }
 
     /**
@@ -189,7 +189,7 @@
                                         && !message.senderHost().equals(leaderHost)
                                         && outbox.now.monotonicMs()
                                                         - receivedAtMs.get(message.senderHost())
-                                                < Tuning.QUIET_PEER_MS)
+                                                < Tuning.PEER_UNRESPONSIVE_MS)
                 .map(Hint::senderHost)
                 .sorted()
                 .findFirst()
@@ -244,7 +244,8 @@
                         message ->
                                 isFresh(message)
                                         && message.storeReachable()
-                                        && message.uptimeS() > Tuning.DEAL_TO_UP_S
+                                        && message.uptimeS()
+                                                > Tuning.SHARD_REBALANCE_MIN_PEER_UPTIME_S
                                         && message.shards().size() <= ownedCount - 2);
     }
 
@@ -253,7 +254,7 @@
         if (outbox.now.monotonicMs() < nextSendMs) {
             return false;
         }
-        nextSendMs = outbox.now.monotonicMs() + Tuning.HINT_MS;
+        nextSendMs = outbox.now.monotonicMs() + Tuning.GOSSIP_INTERVAL_MS;
         HashMap<Integer, PartHint> summaries = new HashMap<>();
         HashMap<Integer, Integer> redirectedWorkers = new HashMap<>();
         HashMap<String, Integer> runningTasks = new HashMap<>();
@@ -273,7 +274,7 @@
                 }
             }
         }
-        boolean storeReachable = outbox.sinceStoreReplyMs() < Tuning.READY_STATE_MS;
+        boolean storeReachable = outbox.sinceStoreReplyMs() < Tuning.READINESS_STORE_TIMEOUT_MS;
         lastSaidUnreachableMs = storeReachable ? lastSaidUnreachableMs : outbox.now.monotonicMs();
         outbox.add(
                 new Effect.Tell(
--- a/src/main/java/org/shoreusher/core/Placement.java
+++ b/src/main/java/org/shoreusher/core/Placement.java
@@ -131,8 +131,8 @@
         }
         Planner packer = shard.binPacker();
         double totalCpus = shard.totalCpus();
-        double reservableCpus = totalCpus * Tuning.KEPT_SHARE;
-        double markAheadCpus = totalCpus * Tuning.MARKED_AHEAD;
+        double reservableCpus = totalCpus * Tuning.MAX_RESERVED_CPU_SHARE;
+        double markAheadCpus = totalCpus * Tuning.HIGH_WATER_MARK_LOOKAHEAD_SHARE;
         for (Job job : jobs) {
             int allowedTasks = Math.min(job.pendingCount, packer.maxTasksWithinQuota(job.spec));
             int unplaced = packer.place(job, job.pendingCount);
@@ -169,6 +169,6 @@
         nextPlanMs =
                 outbox.now.monotonicMs()
                         + (packer.machinesScanned() + shard.machines().size() + jobs.size())
-                                / Tuning.PLAN_STEPS_PER_MS;
+                                / Tuning.PLACEMENT_STEPS_PER_MS;
     }
 }
--- a/src/main/java/org/shoreusher/core/Planner.java
+++ b/src/main/java/org/shoreusher/core/Planner.java
@@ -296,11 +296,11 @@
                         capacity.sortKey =
                                 (capacity.freeCpus + imageFetchCost(capacity, spec))
                                                 / Math.max(1, capacity.type.cpus())
-                                        + (capacity.expensive ? Tuning.DEAR_LAST : 0)
+                                        + (capacity.expensive ? Tuning.ON_DEMAND_RANK_PENALTY : 0)
                                         + (capacity.machine != null
                                                         && job.failedMachineIds.contains(
                                                                 capacity.machine.id)
-                                                ? Tuning.FAILED_LAST
+                                                ? Tuning.FAILED_MACHINE_RANK_PENALTY
                                                 : 0));
         capacities.sort(BY_SORT_KEY);
         ZoneConstraints zoneConstraints = new ZoneConstraints(job);
@@ -408,8 +408,9 @@
      * 1.
      */
     static double imageFetchShare(MachineType type, JobSpec spec) {
-        double fetchS = spec.imageGb() / Math.max(Tuning.LEAST_FETCH, type.imageFetchGbPerS());
-        return fetchS / (fetchS + Math.max(Tuning.LEAST_RUN_S, spec.estimatedRunS()));
+        double fetchS =
+                spec.imageGb() / Math.max(Tuning.MIN_IMAGE_FETCH_GB_PER_S, type.imageFetchGbPerS());
+        return fetchS / (fetchS + Math.max(Tuning.MIN_RUN_TIME_S, spec.estimatedRunS()));
     }
 
     /**
--- a/src/main/java/org/shoreusher/core/Preemption.java
+++ b/src/main/java/org/shoreusher/core/Preemption.java
@@ -36,7 +36,7 @@
                     reclaimedCpus += attempt.job.spec.cpus();
                 } else if (attempt.job.spec.checkpointIntervalS() > 0
                         && attempt.state == TaskAttempt.State.RUNNING
-                        && now.monotonicMs() - attempt.createdMs > Tuning.START_COUNTS_MS
+                        && now.monotonicMs() - attempt.createdMs > Tuning.MIN_COUNTED_RUN_MS
                         && shard.isAvailable(machine)
                         && schedulingOrder.isPreemptible(attempt.job, now.wallMs())) {
                     victims.add(attempt);
--- a/src/main/java/org/shoreusher/core/Quota.java
+++ b/src/main/java/org/shoreusher/core/Quota.java
@@ -76,8 +76,8 @@
     /** Returns the CPUs that tasks of the team in this shard may use. */
     double cpuShare(String team) {
         Settings.Team teamSettings = settings.teams().get(team);
-        if (shardCount == 1 || teamSettings == null || Double.isInfinite(teamSettings.cpusMax())) {
-            return teamSettings == null ? 0 : teamSettings.cpusMax();
+        if (shardCount == 1 || teamSettings == null || Double.isInfinite(teamSettings.maxCpus())) {
+            return teamSettings == null ? 0 : teamSettings.maxCpus();
         }
         QuotaRecord stored = storedShares(team);
         Transfer pending = pendingTransfers.get(team);
@@ -91,8 +91,8 @@
     /** Returns the GPUs that tasks of the team in this shard may use. */
     double gpuShare(String team) {
         Settings.Team teamSettings = settings.teams().get(team);
-        if (shardCount == 1 || teamSettings == null || Double.isInfinite(teamSettings.gpusMax())) {
-            return teamSettings == null ? 0 : teamSettings.gpusMax();
+        if (shardCount == 1 || teamSettings == null || Double.isInfinite(teamSettings.maxGpus())) {
+            return teamSettings == null ? 0 : teamSettings.maxGpus();
         }
         QuotaRecord stored = storedShares(team);
         Transfer pending = pendingTransfers.get(team);
@@ -131,10 +131,10 @@
         if (shardCount == 1 || outbox.now.monotonicMs() < nextStepMs) {
             return;
         }
-        nextStepMs = outbox.now.monotonicMs() + Tuning.QUOTA_EVERY_MS;
+        nextStepMs = outbox.now.monotonicMs() + Tuning.QUOTA_SHARES_INTERVAL_MS;
         createMissingRecords();
         for (Settings.Team team : settings.teams().values()) {
-            if (!Double.isInfinite(team.cpusMax())
+            if (!Double.isInfinite(team.maxCpus())
                     && storedShares(team.name()) != null
                     && !teamsInFlight.contains(team.name())) {
                 rebalance(
@@ -151,13 +151,13 @@
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
         for (Settings.Team team : settings.teams().values()) {
             if (storeCache.get(StoreSchema.quotaKey(team.name())) == null
-                    && writes.size() < settings.txnOps()) {
+                    && writes.size() < settings.maxTransactionWrites()) {
                 preconditions.put(StoreSchema.quotaKey(team.name()), 0L);
                 writes.put(
                         StoreSchema.quotaKey(team.name()),
                         QuotaRecord.splitEvenly(
-                                        finiteOrZero(team.cpusMax()),
-                                        finiteOrZero(team.gpusMax()),
+                                        finiteOrZero(team.maxCpus()),
+                                        finiteOrZero(team.maxGpus()),
                                         shardCount)
                                 .toMap());
             }
@@ -190,7 +190,7 @@
             return;
         }
         pendingTransfers.remove(team.name());
-        double[] targetShares = targetShares(team.cpusMax(), demands, stored.cpus(), quantum);
+        double[] targetShares = targetShares(team.maxCpus(), demands, stored.cpus(), quantum);
         targetCpus.put(team.name(), targetShares[shardNumber]);
         double surplusCpus =
                 Math.floor(
--- a/src/main/java/org/shoreusher/core/Rebuild.java
+++ b/src/main/java/org/shoreusher/core/Rebuild.java
@@ -241,7 +241,8 @@
      */
     void handleUnknownAttempt(Machine machine, TaskReport task, long fencingToken) {
         boolean fromPreviousLeader =
-                task.attemptNumber() >>> Tuning.ATTEMPT_BITS < leadership.acquisitionTerm();
+                task.attemptNumber() >>> Tuning.ATTEMPT_SEQUENCE_BITS
+                        < leadership.acquisitionTerm();
         if (!usesPromotedLog
                 || !fromPreviousLeader
                 || fencingToken < leadership.acquisitionTerm()) {
--- a/src/main/java/org/shoreusher/core/RedirectedWorkers.java
+++ b/src/main/java/org/shoreusher/core/RedirectedWorkers.java
@@ -45,15 +45,17 @@
             return false;
         }
         history.isRepeated =
-                history.incarnation > 0 && nowMs - history.lastRedirectMs < Tuning.COMES_BACK_MS;
-        if (nowMs - history.lastRedirectMs > Tuning.CAME_ANEW_MS) {
+                history.incarnation > 0
+                        && nowMs - history.lastRedirectMs < Tuning.REDIRECTED_WORKER_RETRY_MS;
+        if (nowMs - history.lastRedirectMs > Tuning.REDIRECT_EPISODE_GAP_MS) {
             history.firstRedirectMs = nowMs;
         }
         history.lastRedirectMs = nowMs;
         history.incarnation = heartbeat.incarnation();
         history.sequenceNumber = heartbeat.sequenceNumber();
-        return nowMs - history.firstRedirectMs < Tuning.KEPT_WAITING_MS
-                && historyByMachine.size() > Math.max(2, machineCount * Tuning.MANY_COME_SHARE);
+        return nowMs - history.firstRedirectMs < Tuning.MAX_REDIRECT_DELAY_MS
+                && historyByMachine.size()
+                        > Math.max(2, machineCount * Tuning.REDIRECT_DELAY_MIN_WORKER_SHARE);
     }
 
     /** Forgets all workers, because the shard has another leader. */
@@ -70,7 +72,10 @@
     int countRepeatedlyRedirected(long nowMs) {
         historyByMachine
                 .values()
-                .removeIf(history -> nowMs - history.lastRedirectMs >= Tuning.COMES_BACK_MS);
+                .removeIf(
+                        history ->
+                                nowMs - history.lastRedirectMs
+                                        >= Tuning.REDIRECTED_WORKER_RETRY_MS);
         int count = 0;
         for (RedirectHistory history : historyByMachine.values()) {
             count += history.isRepeated ? 1 : 0;
--- a/src/main/java/org/shoreusher/core/Rentals.java
+++ b/src/main/java/org/shoreusher/core/Rentals.java
@@ -67,7 +67,8 @@
         this.shard = shard;
         this.outbox = outbox;
         this.autoscaler = autoscaler;
-        maxPendingRequests = Math.max(1, (int) (settings.cloudRps() * Tuning.RATE_USE));
+        maxPendingRequests =
+                Math.max(1, (int) (settings.cloudRequestsPerS() * Tuning.RATE_LIMIT_USE_SHARE));
     }
 
     /** Whether the cloud has recently had no capacity for this kind of machine. */
@@ -77,7 +78,7 @@
 
     /** How many more machines can be requested now. */
     int maxNewMachines() {
-        return (maxPendingRequests - pendingRequests.size()) * Tuning.RENT_AT_ONCE;
+        return (maxPendingRequests - pendingRequests.size()) * Tuning.MAX_MACHINES_PER_PROVISION;
     }
 
     /** The capacity of the machines that have been requested and not been provisioned yet. */
@@ -108,7 +109,7 @@
                 (kind, count) -> {
                     for (int remaining = count;
                             remaining > 0 && pendingRequests.size() < maxPendingRequests;
-                            remaining -= Tuning.RENT_AT_ONCE) {
+                            remaining -= Tuning.MAX_MACHINES_PER_PROVISION) {
                         // The name contains the term, so that no other leader uses it, nor this
                         // node after a restart.
                         CloudOp.Rent request =
@@ -122,7 +123,7 @@
                                         kind.type,
                                         kind.zone,
                                         kind.spot,
-                                        Math.min(remaining, Tuning.RENT_AT_ONCE));
+                                        Math.min(remaining, Tuning.MAX_MACHINES_PER_PROVISION));
                         pendingRequests.add(new PendingRequest(request, capacityByKind.get(kind)));
                     }
                 });
@@ -174,7 +175,7 @@
         if (reply.status() == 200) {
             handleProvisioned(request, kind, reply, pendingRequest.requestedWallMs);
         } else if (isOutOfCapacity) {
-            unavailableUntilMs.put(kind, outbox.now.monotonicMs() + Tuning.NO_CAPACITY_MS);
+            unavailableUntilMs.put(kind, outbox.now.monotonicMs() + Tuning.NO_CAPACITY_BACKOFF_MS);
         } else {
             outbox.logInfo(
                     "cloud: refused the rental of "
@@ -188,7 +189,7 @@
     private void handleProvisioned(
             CloudOp.Rent request, MachineKind kind, CloudReply reply, long requestedWallMs) {
         try {
-            List<String> machineIds = CloudFormat.rented(new FieldMap(reply.body()));
+            List<String> machineIds = CloudFormat.readMachineNames(new FieldMap(reply.body()));
             outbox.logInfo(
                     "rented: "
                             + machineIds.size()
@@ -202,12 +203,13 @@
                             + " for part "
                             + shard.shardNumber);
             if (machineIds.size() < request.count()) {
-                unavailableUntilMs.put(kind, outbox.now.monotonicMs() + Tuning.NO_CAPACITY_MS);
+                unavailableUntilMs.put(
+                        kind, outbox.now.monotonicMs() + Tuning.NO_CAPACITY_BACKOFF_MS);
             }
             for (String id : machineIds) {
                 autoscaler.addProvisioned(id, request, requestedWallMs);
             }
-        } catch (FieldMap.Missing e) {
+        } catch (FieldMap.InvalidFieldException e) {
             outbox.logInfo("cloud: rental not understood: " + e.getMessage());
         }
     }
--- a/src/main/java/org/shoreusher/core/ReplicaPreemption.java
+++ b/src/main/java/org/shoreusher/core/ReplicaPreemption.java
@@ -90,8 +90,8 @@
                         ? Math.min(ranS, attempt.job.spec.checkpointIntervalS())
                         : ranS;
         double uncountedStartS =
-                now.monotonicMs() - attempt.createdMs < Tuning.START_COUNTS_MS
-                        ? Tuning.START_COUNTS_MS / 1000.0
+                now.monotonicMs() - attempt.createdMs < Tuning.MIN_COUNTED_RUN_MS
+                        ? Tuning.MIN_COUNTED_RUN_MS / 1000.0
                         : 0;
         return attempt.job.spec.cpus() * (lostS + uncountedStartS);
     }
@@ -130,7 +130,7 @@
                                     ? 0
                                     : spec.imageGb()
                                             / Math.max(
-                                                    Tuning.LEAST_FETCH,
+                                                    Tuning.MIN_IMAGE_FETCH_GB_PER_S,
                                                     machine.type.imageFetchGbPerS());
                     double lossCpuS =
                             victims == null
--- a/src/main/java/org/shoreusher/core/ReportReader.java
+++ b/src/main/java/org/shoreusher/core/ReportReader.java
@@ -128,7 +128,8 @@
         }
         if (!attempt.job.spec.workloadType().runsToCompletion()
                 && attempt.runningSinceMs >= 0
-                && outbox.now.monotonicMs() - attempt.runningSinceMs >= Tuning.STEADY_MS) {
+                && outbox.now.monotonicMs() - attempt.runningSinceMs
+                        >= Tuning.FAILURE_BACKOFF_RESET_MS) {
             attempt.job.resetFailures();
         }
     }
@@ -171,8 +172,8 @@
             machine.failedJobIds.clear();
             if (isCurrentAttempt && job != null && attempt.runningSinceMs >= 0) {
                 double runTimeS = (outbox.now.monotonicMs() - attempt.runningSinceMs) / 1000.0;
-                if (job.observedRunCount() >= Tuning.PACE_TASKS
-                        && job.meanRunTimeS() >= Tuning.PACE_LEAST_S) {
+                if (job.observedRunCount() >= Tuning.MIN_SLOWDOWN_SAMPLES
+                        && job.meanRunTimeS() >= Tuning.MIN_SLOWDOWN_SAMPLE_S) {
                     machine.recordRunTime(runTimeS / job.meanRunTimeS());
                 }
                 shard.runTimeEstimates().recordRunTime(job, runTimeS);
@@ -219,7 +220,8 @@
                 || exitCause == ExitCause.COMPLETED
                 || exitCause == ExitCause.UNKNOWN_TASK) {
             if (attempt.runningSinceMs >= 0
-                    && outbox.now.monotonicMs() - attempt.runningSinceMs >= Tuning.STEADY_MS) {
+                    && outbox.now.monotonicMs() - attempt.runningSinceMs
+                            >= Tuning.FAILURE_BACKOFF_RESET_MS) {
                 job.resetFailures();
             }
             job.recordFailure(machine.id, outbox.now.monotonicMs());
--- a/src/main/java/org/shoreusher/core/Reports.java
+++ b/src/main/java/org/shoreusher/core/Reports.java
@@ -230,7 +230,7 @@
         }
         // Answer and heartbeat are limited in size, however many small tasks would fit.
         int remainingTasks =
-                Tuning.MOST_TASKS_ON_MACHINE
+                Tuning.MAX_TASKS_PER_MACHINE
                         - Math.max(machine.tasks.size(), machine.reportedTaskCount);
         for (Planner.PlacedTasks placed : placementPlan.takeTasksToStart(machine)) {
             int taskIndex = -1;
@@ -252,7 +252,7 @@
                 new TaskAttempt(
                         job,
                         taskIndex,
-                        shard.term() << Tuning.ATTEMPT_BITS | nextAttemptNumber++,
+                        shard.term() << Tuning.ATTEMPT_SEQUENCE_BITS | nextAttemptNumber++,
                         machine,
                         TaskAttempt.State.START_ORDERED,
                         outbox.now.monotonicMs());
--- a/src/main/java/org/shoreusher/core/Retirement.java
+++ b/src/main/java/org/shoreusher/core/Retirement.java
@@ -46,7 +46,8 @@
     private boolean arePartitionedMachinesFaulty() {
         long partitionedCount =
                 shard.machines().values().stream().filter(Machine::hasOneWayPartition).count();
-        return partitionedCount <= Math.max(1, shard.machines().size() * Tuning.DEAF_SHARE);
+        return partitionedCount
+                <= Math.max(1, shard.machines().size() * Tuning.MAX_ONE_WAY_PARTITIONED_SHARE);
     }
 
     /** The reason to cordon a machine, as the rest of a log line; null if there is none. */
@@ -55,7 +56,7 @@
             return " did not come up in " + ageMs(machine) / 1000 + " s";
         }
         if (machine.state == Machine.State.UP
-                && machine.failedJobIds.size() >= Tuning.FAULTY_ERRORS) {
+                && machine.failedJobIds.size() >= Tuning.FAULTY_MACHINE_FAILURES) {
             return ", tasks of " + machine.failedJobIds.size() + " jobs failed on it";
         }
         if (machine.state == Machine.State.UP && machine.isSlow()) {
@@ -85,7 +86,7 @@
      */
     private boolean hasFailedToBoot(Machine machine) {
         return !machine.mayHaveRunTasks
-                && ageMs(machine) > Tuning.BOOT_PATIENCE * machine.type.bootS() * 1000;
+                && ageMs(machine) > Tuning.BOOT_TIMEOUT_FACTOR * machine.type.bootS() * 1000;
     }
 
     private long sinceLeaseRenewalMs(Machine machine) {
@@ -100,7 +101,7 @@
                 && (machine.state == Machine.State.UP || machine.state == Machine.State.BOOTING)
                 && machine.tasks.isEmpty()
                 && sinceLeaseRenewalMs(machine)
-                        > PartLease.workerLeaseBoundMs(settings) + Tuning.MIN_CHARGE_MS;
+                        > PartLease.workerLeaseBoundMs(settings) + Tuning.MIN_BILLED_MS;
     }
 
     /**
--- a/src/main/java/org/shoreusher/core/Returns.java
+++ b/src/main/java/org/shoreusher/core/Returns.java
@@ -28,7 +28,7 @@
             if ((machine.state == Machine.State.DRAINING
                             || machine.state == Machine.State.TERMINATING)
                     && machine.tasks.isEmpty()
-                    && ids.size() < Tuning.RETURN_AT_ONCE) {
+                    && ids.size() < Tuning.MAX_MACHINES_PER_TERMINATE) {
                 // From now on no task may start on it, whatever the outcome of the call.
                 machine.state = Machine.State.TERMINATING;
                 ids.add(machine.id);
--- a/src/main/java/org/shoreusher/core/StandbyCapacity.java
+++ b/src/main/java/org/shoreusher/core/StandbyCapacity.java
@@ -147,7 +147,9 @@
                                         objective.kind().equals("wait")
                                                 && objective.withinS() < type.bootS());
         return largestHalfCpus > 0
-                ? Tuning.STANDBY_SERVICES * largestHalfCpus + type.cpus()
-                : replicasExpected ? Math.max(type.cpus(), Tuning.STANDBY_FIRST_CPUS) : 0;
+                ? Tuning.RESERVED_CAPACITY_HALF_SERVICES * largestHalfCpus + type.cpus()
+                : replicasExpected
+                        ? Math.max(type.cpus(), Tuning.RESERVED_CAPACITY_INITIAL_CPUS)
+                        : 0;
     }
 }
--- a/src/main/java/org/shoreusher/core/StartMarks.java
+++ b/src/main/java/org/shoreusher/core/StartMarks.java
@@ -70,7 +70,7 @@
                 (long)
                         (1000
                                 / (Outbox.leaderWritesPerS(settings, shardCount)
-                                        * Tuning.MARKS_SHARE));
+                                        * Tuning.HIGH_WATER_MARK_WRITE_SHARE));
     }
 
     /** Reads the marks that previous leaders have written. */
@@ -117,7 +117,7 @@
         ObjectIterator<Object2IntMap.Entry<Job>> iterator =
                 requestedMarks.object2IntEntrySet().iterator();
         while (iterator.hasNext()
-                && writes.size() + marksByRecord.size() + 2 <= settings.txnOps()) {
+                && writes.size() + marksByRecord.size() + 2 <= settings.maxTransactionWrites()) {
             Object2IntMap.Entry<Job> entry = iterator.next();
             Job job = entry.getKey();
             int requestedMark = entry.getIntValue();
@@ -169,7 +169,9 @@
         int raisedMark =
                 Math.min(
                         job.spec.taskCount(),
-                        Math.max(requestedMark, job.highWaterMark * Tuning.MARK_GROWTH));
+                        Math.max(
+                                requestedMark,
+                                job.highWaterMark * Tuning.HIGH_WATER_MARK_GROWTH_FACTOR));
         // A record of a previous leader may exceed today's limit. It is left as it is, the mark
         // goes
         // to another record, and readers take the larger one.
@@ -199,7 +201,7 @@
     }
 
     private boolean fitsValueLimit(JobRecord record) {
-        return FieldMap.jsonLength(record.toMap()) <= settings.valueBytes();
+        return FieldMap.jsonLength(record.toMap()) <= settings.maxValueBytes();
     }
 
     private Map<String, Integer> storedMarks(int recordIndex) {
@@ -232,7 +234,7 @@
     }
 
     private double maxRecordBytes() {
-        return settings.valueBytes() * Tuning.RECORD_FILL;
+        return settings.maxValueBytes() * Tuning.RECORD_FILL_SHARE;
     }
 
     private static int encodedBytes(Map<String, Integer> marks) {
@@ -240,6 +242,6 @@
     }
 
     private static int encodedBytes(String jobId) {
-        return jobId.length() + Tuning.MARK_FRAME;
+        return jobId.length() + Tuning.HIGH_WATER_MARK_OVERHEAD_BYTES;
     }
 }
--- a/src/main/java/org/shoreusher/core/StoreSchema.java
+++ b/src/main/java/org/shoreusher/core/StoreSchema.java
@@ -96,7 +96,7 @@
      *     narrow groups
      */
     static String machineGroupKey(String machineId, int valueBytes) {
-        return machineGroupKey(machineId, valueBytes >= Tuning.WIDE_GROUP_BYTES);
+        return machineGroupKey(machineId, valueBytes >= Tuning.WIDE_GROUP_MIN_VALUE_BYTES);
     }
 
     /**
@@ -145,11 +145,11 @@
                 FieldMap fields = new FieldMap(value);
                 return new PartRecord(
                         fields.text("owner"),
-                        fields.whole("expiry"),
-                        fields.whole("term"),
+                        fields.integer("expiry"),
+                        fields.integer("term"),
                         fields.map("done").asMap(),
                         fields.textOr("standby", null));
-            } catch (FieldMap.Missing e) {
+            } catch (FieldMap.InvalidFieldException e) {
                 throw new IllegalStateException(
                         "a part record of this service can't be read: " + e.getMessage());
             }
@@ -207,18 +207,18 @@
         static JobRecord fromMap(Map<String, Object> value) {
             try {
                 FieldMap fields = new FieldMap(value);
-                int taskCount = (int) fields.whole("tasks");
+                int taskCount = (int) fields.integer("tasks");
                 // A record from before there were high-water marks: any of its tasks may have been
                 // started.
-                int highWaterMark = fields.has("begun") ? (int) fields.whole("begun") : taskCount;
+                int highWaterMark = fields.has("begun") ? (int) fields.integer("begun") : taskCount;
                 return new JobRecord(
-                        (int) fields.whole("part"),
+                        (int) fields.integer("part"),
                         JobStatus.valueOf(fields.text("status")),
                         taskCount,
-                        fields.whole("accepted"),
+                        fields.integer("accepted"),
                         highWaterMark,
                         fields.has("spec") ? fields.map("spec").asMap() : null);
-            } catch (FieldMap.Missing e) {
+            } catch (FieldMap.InvalidFieldException e) {
                 throw new IllegalStateException(
                         "a job record of this service can't be read: " + e.getMessage());
             }
@@ -232,7 +232,7 @@
                     spec.taskCount(),
                     acceptedWallMs,
                     0,
-                    UserFormat.description(spec));
+                    UserFormat.writeDescription(spec));
         }
 
         /** Returns the record of the job once it is completed. */
@@ -274,8 +274,8 @@
         /** Parses the job's description; the record must have one. */
         JobSpec parseSpec() {
             try {
-                return UserFormat.described(new FieldMap(specFields));
-            } catch (FieldMap.Missing e) {
+                return UserFormat.readDescription(new FieldMap(specFields));
+            } catch (FieldMap.InvalidFieldException e) {
                 throw new IllegalStateException(
                         "a job description of this service can't be read: " + e.getMessage());
             }
@@ -307,7 +307,7 @@
         static FinishedRecord fromMap(Map<String, Object> value) {
             try {
                 return new FinishedRecord(new FieldMap(value).map("done").asMap());
-            } catch (FieldMap.Missing e) {
+            } catch (FieldMap.InvalidFieldException e) {
                 throw new IllegalStateException(
                         "a record of finished tasks of this service can't be read: "
                                 + e.getMessage());
@@ -332,9 +332,9 @@
             try {
                 FieldMap fields = new FieldMap(value).map("begun");
                 for (String jobId : fields.asMap().keySet()) {
-                    highWaterMarks.put(jobId, (int) fields.whole(jobId));
+                    highWaterMarks.put(jobId, (int) fields.integer(jobId));
                 }
-            } catch (FieldMap.Missing e) {
+            } catch (FieldMap.InvalidFieldException e) {
                 throw new IllegalStateException(
                         "a record of marks of this service can't be read: " + e.getMessage());
             }
@@ -365,7 +365,7 @@
                             jobId,
                             JobRecord.fromMap(new FieldMap(value).map("jobs").map(jobId).asMap()));
                 }
-            } catch (FieldMap.Missing e) {
+            } catch (FieldMap.InvalidFieldException e) {
                 throw new IllegalStateException(
                         "a record of arrivals of this service can't be read: " + e.getMessage());
             }
@@ -490,7 +490,9 @@
                                     wholeNumber(machineFields, 5) == 1));
                 }
                 return new MachineGroupRecord(machines);
-            } catch (FieldMap.Missing | ClassCastException | IndexOutOfBoundsException e) {
+            } catch (FieldMap.InvalidFieldException
+                    | ClassCastException
+                    | IndexOutOfBoundsException e) {
                 throw new IllegalStateException(
                         "a record of machines of this service can't be read: " + e.getMessage());
             }
--- a/src/main/java/org/shoreusher/core/StoreView.java
+++ b/src/main/java/org/shoreusher/core/StoreView.java
@@ -66,11 +66,12 @@
     StoreView(Outbox outbox, Settings settings, Listener listener) {
         // A change wakes the watches of all nodes. Under a low rate limit they would use up all
         // calls.
-        double callsPerS = settings.stateRps() * Tuning.RATE_USE / settings.nodes();
+        double callsPerS =
+                settings.storeRequestsPerS() * Tuning.RATE_LIMIT_USE_SHARE / settings.nodeCount();
         watchIntervalMs =
                 Math.max(
-                        Tuning.WATCH_GAP_MS,
-                        (long) Math.ceil(1000 / (callsPerS * Tuning.WATCH_SHARE)));
+                        Tuning.MIN_WATCH_INTERVAL_MS,
+                        (long) Math.ceil(1000 / (callsPerS * Tuning.WATCH_REQUEST_SHARE)));
         this.outbox = outbox;
         this.listener = listener;
     }
@@ -161,8 +162,8 @@
     long applyOwnWrites(StateReply reply, Map<String, Map<String, Object>> writes) {
         long appliedRevision;
         try {
-            appliedRevision = StateFormat.revision(new FieldMap(reply.body()));
-        } catch (FieldMap.Missing e) {
+            appliedRevision = StateFormat.readRevision(new FieldMap(reply.body()));
+        } catch (FieldMap.InvalidFieldException e) {
             throw new IllegalStateException(
                     "the state service confirmed a write without its revision: " + e.getMessage());
         }
@@ -193,7 +194,7 @@
                         : new StateOp.Watch(
                                 revision,
                                 isLoaded && revision >= requiredRevision
-                                        ? Tuning.WATCH_BLOCK_MS
+                                        ? Tuning.WATCH_LONG_POLL_MS
                                         : 0);
         requestInFlight =
                 outbox.callStore(
@@ -202,14 +203,14 @@
                             requestInFlight = false;
                             try {
                                 onReply(reply, sentAt);
-                            } catch (FieldMap.Missing e) {
+                            } catch (FieldMap.InvalidFieldException e) {
                                 outbox.logInfo("state: answer not understood: " + e.getMessage());
                                 scheduleRetry();
                             }
                         });
     }
 
-    private void onReply(StateReply reply, long sentAt) throws FieldMap.Missing {
+    private void onReply(StateReply reply, long sentAt) throws FieldMap.InvalidFieldException {
         if (reply.status() == 410) {
             reload();
             return;
@@ -217,7 +218,7 @@
         if (reply.status() != 200) {
             // An answer that exceeds the size limit fails like a lost one, and would fail each
             // time.
-            if (isLoaded && !loading && ageMs() > Tuning.RELOAD_AFTER_MS) {
+            if (isLoaded && !loading && ageMs() > Tuning.STORE_CACHE_RELOAD_AGE_MS) {
                 reload();
             }
             scheduleRetry();
@@ -228,10 +229,10 @@
             onPage(body);
             return;
         }
-        for (StateFormat.Entry change : StateFormat.changes(body)) {
+        for (StateFormat.Entry change : StateFormat.readChanges(body)) {
             apply(change.key(), change.value(), change.version());
         }
-        revision = Math.max(revision, StateFormat.revision(body));
+        revision = Math.max(revision, StateFormat.readRevision(body));
         removalVersions
                 .object2LongEntrySet()
                 .removeIf(removal -> removal.getLongValue() <= revision);
@@ -244,16 +245,16 @@
         nextRequestMs = outbox.now.monotonicMs() + watchIntervalMs;
     }
 
-    private void onPage(FieldMap body) throws FieldMap.Missing {
-        long pageRevision = StateFormat.revision(body);
+    private void onPage(FieldMap body) throws FieldMap.InvalidFieldException {
+        long pageRevision = StateFormat.readRevision(body);
         if (lastPageKey == null) {
             firstPageRevision = pageRevision;
         }
-        for (StateFormat.Entry entry : StateFormat.page(body)) {
+        for (StateFormat.Entry entry : StateFormat.readPage(body)) {
             pagedEntries.put(entry.key(), new Entry(entry.value(), entry.version()));
             lastPageKey = entry.key();
         }
-        if (StateFormat.more(body) && lastPageKey != null) {
+        if (StateFormat.hasMorePages(body) && lastPageKey != null) {
             return;
         }
         // Pages are read at different revisions. Watching from the first page's revision on makes
@@ -279,6 +280,6 @@
     }
 
     private void scheduleRetry() {
-        nextRequestMs = outbox.now.monotonicMs() + Tuning.STATE_RETRY_MS;
+        nextRequestMs = outbox.now.monotonicMs() + Tuning.STORE_RETRY_MS;
     }
 }
--- a/src/main/java/org/shoreusher/core/TaskStops.java
+++ b/src/main/java/org/shoreusher/core/TaskStops.java
@@ -49,7 +49,7 @@
                 || !shard.canStartTasks()) {
             return;
         }
-        nextPreemptionMs = outbox.now.monotonicMs() + Tuning.PREEMPT_EVERY_MS;
+        nextPreemptionMs = outbox.now.monotonicMs() + Tuning.PREEMPTION_INTERVAL_MS;
         List<Job> orderedJobs = shard.openJobs().inSchedulingOrder();
         if (orderedJobs.isEmpty()) {
             return;
@@ -64,7 +64,7 @@
 
     /** Returns the grace period, in seconds, that a stopped task gets to write a checkpoint. */
     static double gracePeriodS(TaskAttempt attempt) {
-        return attempt.job.spec.checkpointDurationS() * Tuning.SAVE_SLACK;
+        return attempt.job.spec.checkpointDurationS() * Tuning.CHECKPOINT_GRACE_FACTOR;
     }
 
     /**
@@ -95,7 +95,8 @@
                 && machine.address != null
                 && machine.reconciled
                 && outbox.now.monotonicMs() - machine.lastHeartbeatAtMs < shard.heartbeatTimeoutMs()
-                && outbox.now.monotonicMs() - attempt.lastStopOrderMs > Tuning.HALT_AGAIN_MS) {
+                && outbox.now.monotonicMs() - attempt.lastStopOrderMs
+                        > Tuning.STOP_ORDER_RETRY_MS) {
             attempt.lastStopOrderMs = outbox.now.monotonicMs();
             outbox.add(
                     new Effect.Orders(
--- a/src/main/java/org/shoreusher/core/TeamRoom.java
+++ b/src/main/java/org/shoreusher/core/TeamRoom.java
@@ -44,7 +44,7 @@
                 - ledger.usedGpus(team)
                 - unconfirmed(
                         reconciliation.unreconciledGpus(),
-                        teamSettings == null ? 0 : teamSettings.gpusMax(),
+                        teamSettings == null ? 0 : teamSettings.maxGpus(),
                         ledger.inheritedGpus(team));
     }
 
@@ -52,7 +52,7 @@
         Settings.Team teamSettings = settings.teams().get(team);
         return unconfirmed(
                 reconciliation.unreconciledCpus(),
-                teamSettings == null ? 0 : teamSettings.cpusMax(),
+                teamSettings == null ? 0 : teamSettings.maxCpus(),
                 ledger.inheritedCpus(team));
     }
 
@@ -74,7 +74,7 @@
         double availableLimit =
                 teamSettings == null
                         ? 0
-                        : teamSettings.cpusMax() - shardDemand.demandElsewhereCpus(team);
+                        : teamSettings.maxCpus() - shardDemand.demandElsewhereCpus(team);
         return Math.max(availableLimit, quotaShares.cpuShare(team))
                 - ledger.usedCpus(team)
                 - unconfirmedCpus(team);
--- a/src/main/java/org/shoreusher/core/Urgency.java
+++ b/src/main/java/org/shoreusher/core/Urgency.java
@@ -77,13 +77,13 @@
      */
     boolean isPreemptible(Job job, long wallMs) {
         JobRank rank = rank(job, wallMs);
-        return rank.slackS() < 0 || rank.slackS() > Tuning.SPARE_SLACK_S;
+        return rank.slackS() < 0 || rank.slackS() > Tuning.PREEMPTIBLE_MIN_SLACK_S;
     }
 
     /** Whether the latest start time that still meets an objective is near but not yet past. */
     boolean isNearLatestStart(Job job, long wallMs) {
         double slackS = rank(job, wallMs).slackS();
-        return slackS >= 0 && slackS < Tuning.PRESSING_SLACK_S;
+        return slackS >= 0 && slackS < Tuning.URGENT_MAX_SLACK_S;
     }
 
     private JobRank rank(Job job, long wallMs) {
@@ -102,18 +102,18 @@
             }
         }
         if (slackS == Double.MAX_VALUE) {
-            slackS = Tuning.PATIENCE_S - ageS - remainingS;
+            slackS = Tuning.DEFAULT_DEADLINE_S - ageS - remainingS;
         }
         // Low and normal priority share a band: low-priority objectives allow more time, so
         // ordering by slack serves both in time. A job that has not started for very long goes
         // first; a steady stream of urgent work would otherwise starve it.
         int priorityBand =
-                job.hasStarted() || ageS < Tuning.STARVED_S
+                job.hasStarted() || ageS < Tuning.STARVATION_AGE_S
                         ? Math.min(job.spec.priority().ordinal(), JobSpec.Priority.NORMAL.ordinal())
                         : -1;
         boolean hasAmpleSlack =
                 priorityBand > JobSpec.Priority.HIGH.ordinal()
-                        && slackS >= Tuning.PRESSING_SLACK_S
+                        && slackS >= Tuning.URGENT_MAX_SLACK_S
                         && !isGuaranteeUrgent(job, ageS);
         return new JobRank(
                 job,
@@ -132,7 +132,7 @@
     private boolean isGuaranteeUrgent(Job job, double ageS) {
         Settings.Team team = settings.teams().get(job.spec.team());
         return team != null
-                && team.cpus() > 0
+                && team.guaranteedCpus() > 0
                 && job.startedCount < job.spec.taskCount()
                 && settings.objectives().stream()
                         .anyMatch(
@@ -140,7 +140,7 @@
                                         objective.kind().equals("guarantee")
                                                 && ageS <= objective.withinS()
                                                 && objective.withinS() - ageS
-                                                        < Tuning.PRESSING_SLACK_S);
+                                                        < Tuning.URGENT_MAX_SLACK_S);
     }
 
     /**
@@ -158,7 +158,7 @@
             case "deadline" ->
                     Double.isNaN(job.spec.deadlineS())
                             ? Double.MAX_VALUE
-                            : job.spec.deadlineS() * objective.times() - ageS - remainingS;
+                            : job.spec.deadlineS() * objective.deadlineFactor() - ageS - remainingS;
             case "finished" -> objective.withinS() - ageS - remainingS;
             case "wait" ->
                     job.startedCount > 0 && job.startedCount >= maxConcurrentTasks(job)
@@ -174,7 +174,7 @@
         if (team == null || job.spec.cpus() <= 0) {
             return job.spec.taskCount();
         }
-        return (int) Math.max(1, Math.min(job.spec.taskCount(), team.cpusMax() / job.spec.cpus()));
+        return (int) Math.max(1, Math.min(job.spec.taskCount(), team.maxCpus() / job.spec.cpus()));
     }
 
     /**
@@ -183,6 +183,6 @@
      */
     private double estimatedRemainingS(Job job) {
         double rounds = Math.max(1, Math.ceil((double) job.pendingCount / maxConcurrentTasks(job)));
-        return rounds * (estimates.expectedRunS(job) + Tuning.START_LAG_S);
+        return rounds * (estimates.expectedRunS(job) + Tuning.TASK_START_LATENCY_S);
     }
 }
--- a/src/main/java/org/shoreusher/core/UserRequests.java
+++ b/src/main/java/org/shoreusher/core/UserRequests.java
@@ -220,8 +220,8 @@
         Settings.Team team = settings.teams().get(spec.team());
         int minConcurrentTasks = spec.minConcurrentTasks();
         if (team == null
-                || spec.cpus() * minConcurrentTasks > team.cpusMax()
-                || spec.gpus() * minConcurrentTasks > team.gpusMax()) {
+                || spec.cpus() * minConcurrentTasks > team.maxCpus()
+                || spec.gpus() * minConcurrentTasks > team.maxGpus()) {
             return Admission.REJECTED;
         }
         // A node of a version without services would treat a replica as a batch task and complete
@@ -249,7 +249,9 @@
             return;
         }
         linearizableReads.readBatched(
-                requestId, jobId, record -> cancel(requestId, jobId, record, Tuning.WRITE_TRIES));
+                requestId,
+                jobId,
+                record -> cancel(requestId, jobId, record, Tuning.MAX_WRITE_ATTEMPTS));
     }
 
     private void cancel(long requestId, String jobId, JobRecord record, int triesLeft) {
@@ -263,7 +265,7 @@
             Map<String, Map<String, Object>> writes =
                     Map.of(
                             StoreSchema.jobKey(jobId),
-                            record.asCancelled(settings.valueBytes()).toMap());
+                            record.asCancelled(settings.maxValueBytes()).toMap());
             write(
                     requestId,
                     new StateOp.Multi(
@@ -271,7 +273,7 @@
                                     StoreSchema.jobKey(jobId),
                                     storeCache.version(StoreSchema.jobKey(jobId))),
                             writes),
-                    Tuning.WRITE_TRIES,
+                    Tuning.MAX_WRITE_ATTEMPTS,
                     reply -> {
                         if (reply.status() == 200) {
                             outbox.respond(
@@ -338,7 +340,8 @@
     private boolean rejectIfOverloaded(long requestId) {
         if (!storeCache.isLoaded()
                 || outbox.isStoreUnavailable()
-                || writesInFlight + linearizableReads.pendingCount() >= Tuning.MAX_USER_WORK) {
+                || writesInFlight + linearizableReads.pendingCount()
+                        >= Tuning.MAX_USER_REQUESTS_IN_FLIGHT) {
             outbox.respondUnavailable(requestId);
             return true;
         }
--- a/src/main/java/org/shoreusher/measure/BalanceMeasurement.java
+++ b/src/main/java/org/shoreusher/measure/BalanceMeasurement.java
@@ -64,29 +64,29 @@
     /** Runs the measurement. */
     static void run(CommandLine line) throws Exception {
         new BalanceMeasurement(
-                        Measurements.whole(line, "machines", 1, MOST_MACHINES, 60),
-                        Measurements.whole(line, "seed", 0, Integer.MAX_VALUE, 1),
+                        Measurements.integer(line, "machines", 1, MOST_MACHINES, 60),
+                        Measurements.integer(line, "seed", 0, Integer.MAX_VALUE, 1),
                         line.hasOption("on"),
-                        Measurements.whole(line, "seconds", 1, MOST_SECONDS, 240))
+                        Measurements.integer(line, "seconds", 1, MOST_SECONDS, 240))
                 .play();
     }
 
     private void play() throws Exception {
         Path features = Files.createTempFile("features", ".toml");
         Files.writeString(features, FEATURE);
-        Cluster.Shape shape =
-                new Cluster.Shape(
+        Cluster.Topology shape =
+                new Cluster.Topology(
                         3,
                         machines,
-                        new CloudStandIn.Offer(CPUS, 64, FETCH_GB_PER_S, List.of("a", "b")),
-                        BookFairLoad.teams(machines * CPUS),
+                        new CloudStandIn.MachineOffer(CPUS, 64, FETCH_GB_PER_S, List.of("a", "b")),
+                        BookFairLoad.teamCpuLimits(machines * CPUS),
                         REPORT_S,
                         LEASE_S,
                         on ? features : null);
         BalanceSettings settings = BalanceSettings.DEFAULTS;
         SpreadSamples spread =
                 new SpreadSamples(
-                        BookFairLoad.HOT_TEAM,
+                        BookFairLoad.DOUBLED_TEAM,
                         settings.spreadMargin(),
                         settings.spreadMargin() + settings.hysteresis());
         try (Cluster cluster = new Cluster(shape)) {
@@ -120,7 +120,7 @@
         long nextMs = firstMs;
         while (ControllerProcess.nowMs() < untilMs) {
             if (ControllerProcess.nowMs() >= nextMs) {
-                spread.sample(cluster.machines(), jobs);
+                spread.sample(cluster.cloud(), jobs);
                 nextMs += SAMPLE_MS;
                 printSample(cluster, spread);
             }
@@ -133,16 +133,16 @@
     private void printSample(Cluster cluster, SpreadSamples spread) {
         samples++;
         long atMs = samples * SAMPLE_MS;
-        if (returnedMs < 0 && atMs > doublesMs && spread.last() <= spread.bound()) {
+        if (returnedMs < 0 && atMs > doublesMs && spread.latest() <= spread.bound()) {
             returnedMs = atMs - doublesMs;
         }
         if (samples % PRINT_EVERY == 0) {
             print(
                     "%d s: spread %.2f, %d machines, %d tasks",
                     atMs / 1_000,
-                    spread.last(),
-                    cluster.machines().workers().size(),
-                    cluster.history().running());
+                    spread.latest(),
+                    cluster.cloud().workers().size(),
+                    cluster.history().runningCount());
         }
     }
 
@@ -153,10 +153,15 @@
         int abandoned = 0;
         double processorS = 0;
         for (ControllerProcess controller : cluster.controllers()) {
-            moves += controller.all(Long.MIN_VALUE, text -> text.contains("moved: ")).size();
+            moves +=
+                    controller
+                            .linesMatching(Long.MIN_VALUE, text -> text.contains("moved: "))
+                            .size();
             abandoned +=
-                    controller.all(Long.MIN_VALUE, text -> text.contains(" abandoned, ")).size();
-            processorS += controller.processorS();
+                    controller
+                            .linesMatching(Long.MIN_VALUE, text -> text.contains(" abandoned, "))
+                            .size();
+            processorS += controller.cpuTimeS();
         }
         print(
                 "balancer %s, seed %d, %d machines, %d s",
@@ -165,7 +170,11 @@
         print("within the bound again %.0f s after the load doubled", returnedMs / 1_000.0);
         print(
                 "tasks: %d started, %d complete, %d fetches; %d moved, %d moves abandoned",
-                history.starts(), history.complete(), history.fetches(), moves, abandoned);
+                history.startCount(),
+                history.completedCount(),
+                history.imageFetchCount(),
+                moves,
+                abandoned);
         print(
                 "wait to the first start: median %.1f s, 99%% %.1f s, most %.1f s",
                 waits.getValueAtPercentile(50) / 1_000.0,
@@ -179,7 +188,7 @@
 
     private Histogram waits(TaskHistory history) {
         Histogram waits = new Histogram(2);
-        history.firstStartMs()
+        history.firstStartMsByTask()
                 .forEach(
                         (task, startMs) -> {
                             String job = task.substring(0, task.indexOf('/'));
@@ -190,8 +199,8 @@
 
     private double repeatedS(TaskHistory history) {
         double seconds = 0;
-        for (Map.Entry<String, Double> e : history.repeatedS().entrySet()) {
-            boolean hot = jobs.get(e.getKey()).jobClass().equals(BookFairLoad.HOT_CLASS);
+        for (Map.Entry<String, Double> e : history.repeatedWorkSByJob().entrySet()) {
+            boolean hot = jobs.get(e.getKey()).jobClass().equals(BookFairLoad.DOUBLED_CLASS);
             seconds += hot ? e.getValue() : 0;
         }
         return seconds;
@@ -199,10 +208,10 @@
 
     private double workedS(TaskHistory history) {
         double seconds = 0;
-        for (String task : history.completeTasks()) {
+        for (String task : history.completedTasks()) {
             JobRequest job = jobs.get(task.substring(0, task.indexOf('/')));
             JobProfile profile = job.profile();
-            seconds += job.jobClass().equals(BookFairLoad.HOT_CLASS) ? profile.runS() : 0;
+            seconds += job.jobClass().equals(BookFairLoad.DOUBLED_CLASS) ? profile.runTimeS() : 0;
         }
         return seconds;
     }
--- a/src/main/java/org/shoreusher/measure/BookFairLoad.java
+++ b/src/main/java/org/shoreusher/measure/BookFairLoad.java
@@ -17,13 +17,13 @@
  */
 final class BookFairLoad {
     /** The team whose load doubles. */
-    static final String HOT_TEAM = "fair";
+    static final String DOUBLED_TEAM = "fair";
 
     /** A team with constant load. */
     static final String OTHER_TEAM = "other";
 
     /** The class of the jobs whose load doubles. */
-    static final String HOT_CLASS = "imposition";
+    static final String DOUBLED_CLASS = "imposition";
 
     private static final String OTHER_CLASS = "proofs";
 
@@ -38,11 +38,11 @@
     private static final double IMAGE_GB = 2;
     private static final double TASKS_MEDIAN = 12;
     private static final double TASKS_SIGMA = 0.5;
-    private static final double HOT_RUN_MEDIAN_S = 90;
+    private static final double DOUBLED_RUN_MEDIAN_S = 90;
     private static final double OTHER_RUN_MEDIAN_S = 12;
     private static final double RUN_SIGMA = 0.3;
-    private static final double SAVE_EVERY_S = 10;
-    private static final double SAVE_S = 0.5;
+    private static final double CHECKPOINT_INTERVAL_S = 10;
+    private static final double CHECKPOINT_DURATION_S = 0.5;
 
     private final RandomGenerator random;
     private final double fetchGbPerS;
@@ -67,8 +67,8 @@
      */
     List<Arrival> arrivals(double cpus, long doublesMs, long endMs) {
         List<Arrival> all = new ArrayList<>();
-        add(all, 0, doublesMs, perSecond(cpus / 3, HOT_RUN_MEDIAN_S), true);
-        add(all, doublesMs, endMs, perSecond(cpus * 2 / 3, HOT_RUN_MEDIAN_S), true);
+        add(all, 0, doublesMs, perSecond(cpus / 3, DOUBLED_RUN_MEDIAN_S), true);
+        add(all, doublesMs, endMs, perSecond(cpus * 2 / 3, DOUBLED_RUN_MEDIAN_S), true);
         add(all, 0, endMs, perSecond(cpus / 8, OTHER_RUN_MEDIAN_S), false);
         all.sort((a, b) -> Long.compare(a.atMs, b.atMs));
         return all;
@@ -79,26 +79,32 @@
         return cpus / (TASKS_MEDIAN * CPUS * runS);
     }
 
-    private void add(List<Arrival> to, long fromMs, long untilMs, double perSecond, boolean hot) {
+    private void add(
+            List<Arrival> to, long fromMs, long untilMs, double perSecond, boolean doubled) {
         ExponentialDistribution gapS = new ExponentialDistribution(random, 1 / perSecond);
-        double runMedianS = hot ? HOT_RUN_MEDIAN_S : OTHER_RUN_MEDIAN_S;
+        double runMedianS = doubled ? DOUBLED_RUN_MEDIAN_S : OTHER_RUN_MEDIAN_S;
         LogNormalDistribution runS =
                 new LogNormalDistribution(random, Math.log(runMedianS), RUN_SIGMA);
         double atMs = fromMs;
         while (atMs < untilMs) {
-            to.add(new Arrival((long) atMs, job(hot, runS.sample())));
+            to.add(new Arrival((long) atMs, job(doubled, runS.sample())));
             atMs += gapS.sample() * 1_000;
         }
     }
 
-    private JobRequest job(boolean hot, double runS) {
-        String image = (hot ? "library-" : "proof-") + images.sample();
+    private JobRequest job(boolean doubled, double runS) {
+        String image = (doubled ? "library-" : "proof-") + images.sample();
         JobProfile profile =
-                new JobProfile(image, IMAGE_GB / fetchGbPerS, runS, SAVE_EVERY_S, SAVE_S);
+                new JobProfile(
+                        image,
+                        IMAGE_GB / fetchGbPerS,
+                        runS,
+                        CHECKPOINT_INTERVAL_S,
+                        CHECKPOINT_DURATION_S);
         return new JobRequest(
                 String.format("wk-%06d", nextId++),
-                hot ? HOT_CLASS : OTHER_CLASS,
-                hot ? HOT_TEAM : OTHER_TEAM,
+                doubled ? DOUBLED_CLASS : OTHER_CLASS,
+                doubled ? DOUBLED_TEAM : OTHER_TEAM,
                 (int) Math.max(1, Math.round(tasks.sample())),
                 CPUS,
                 IMAGE_GB,
@@ -106,7 +112,7 @@
     }
 
     /** The CPU quota of each team: all machines. */
-    static Map<String, Double> teams(double cpus) {
-        return Map.of(HOT_TEAM, cpus, OTHER_TEAM, cpus);
+    static Map<String, Double> teamCpuLimits(double cpus) {
+        return Map.of(DOUBLED_TEAM, cpus, OTHER_TEAM, cpus);
     }
 }
--- a/src/main/java/org/shoreusher/measure/Cluster.java
+++ b/src/main/java/org/shoreusher/measure/Cluster.java
@@ -33,57 +33,57 @@
     /**
      * Size and settings of a deployment.
      *
-     * @param controllers number of controllers
-     * @param machines machines that the cloud can provide
+     * @param controllerCount number of controllers
+     * @param machineCount machines that the cloud can provide
      * @param offer properties of a machine
-     * @param teams CPU quota by team
-     * @param reportS heartbeat interval of the workers in s
-     * @param leaseS lease of the workers in s
-     * @param features features file of the controllers; null for none
+     * @param teamCpuLimits CPU quota by team
+     * @param heartbeatIntervalS heartbeat interval of the workers in s
+     * @param workerLeaseS lease of the workers in s
+     * @param featuresFile features file of the controllers; null for none
      */
-    record Shape(
-            int controllers,
-            int machines,
-            CloudStandIn.Offer offer,
-            Map<String, Double> teams,
-            double reportS,
-            double leaseS,
-            Path features) {}
-
-    private final Shape shape;
+    record Topology(
+            int controllerCount,
+            int machineCount,
+            CloudStandIn.MachineOffer offer,
+            Map<String, Double> teamCpuLimits,
+            double heartbeatIntervalS,
+            double workerLeaseS,
+            Path featuresFile) {}
+
+    private final Topology topology;
     private final Map<String, JobProfile> profiles = new ConcurrentHashMap<>();
     private final TaskHistory history = new TaskHistory();
     private final NioEventLoopGroup workers = new NioEventLoopGroup(1);
-    private final Map<String, Settings.Address> fronts = new LinkedHashMap<>();
-    private final Map<String, Settings.Address> backs = new LinkedHashMap<>();
+    private final Map<String, Settings.Address> frontAddresses = new LinkedHashMap<>();
+    private final Map<String, Settings.Address> peerAddresses = new LinkedHashMap<>();
     private final List<ControllerProcess> controllers = new ArrayList<>();
     private final List<ControllerClient> clients = new ArrayList<>();
-    private final CloudStandIn machines;
-    private final StandInServer cloud;
-    private final StandInServer state;
+    private final CloudStandIn cloud;
+    private final StandInServer cloudServer;
+    private final StandInServer storeServer;
     private final Path directory;
 
-    Cluster(Shape shape) throws IOException {
-        this.shape = shape;
-        for (int i = 0; i < shape.controllers(); i++) {
-            fronts.put("node-" + i, freeAddress());
-            backs.put("node-" + i, freeAddress());
+    Cluster(Topology topology) throws IOException {
+        this.topology = topology;
+        for (int i = 0; i < topology.controllerCount(); i++) {
+            frontAddresses.put("node-" + i, freeAddress());
+            peerAddresses.put("node-" + i, freeAddress());
         }
         WorkerStandIn.Environment environment =
                 new WorkerStandIn.Environment(
                         workers.next(),
-                        fronts,
-                        Math.round(shape.reportS() * 1_000),
-                        Math.round(shape.leaseS() * 1_000),
+                        frontAddresses,
+                        Math.round(topology.heartbeatIntervalS() * 1_000),
+                        Math.round(topology.workerLeaseS() * 1_000),
                         profiles::get,
                         history);
-        machines =
+        cloud =
                 new CloudStandIn(
-                        shape.offer(),
-                        shape.machines(),
+                        topology.offer(),
+                        topology.machineCount(),
                         identity -> new WorkerStandIn(identity, environment));
-        cloud = new StandInServer(machines::handle);
-        state = new StandInServer(new StateStandIn()::handle);
+        cloudServer = new StandInServer(cloud::handle);
+        storeServer = new StandInServer(new StateStandIn()::handle);
         directory = Files.createTempDirectory("shoreusher-measure");
     }
 
@@ -95,15 +95,15 @@
 
     /** Starts all controllers, and waits until each is ready. */
     void start() throws IOException, InterruptedException {
-        for (String host : fronts.keySet()) {
+        for (String host : frontAddresses.keySet()) {
             Path settings = directory.resolve(host + ".json");
-            Files.writeString(settings, ClusterSettings.json(shape, host, this));
-            List<String> command = new ArrayList<>(RunCommand.read(shape.features()));
+            Files.writeString(settings, ClusterSettings.json(topology, host, this));
+            List<String> command = new ArrayList<>(RunCommand.readWords(topology.featuresFile()));
             command.add(settings.toString());
             ControllerProcess controller = new ControllerProcess(host, command);
             controller.start();
             controllers.add(controller);
-            clients.add(new ControllerClient(fronts.get(host).port()));
+            clients.add(new ControllerClient(frontAddresses.get(host).port()));
         }
         for (int i = 0; i < clients.size(); i++) {
             ControllerClient client = clients.get(i);
@@ -129,17 +129,17 @@
                 60,
                 () -> {
                     ControllerClient client = clients.get(next[0]++ % clients.size());
-                    int status = status(client, "/v2/runs", job.body());
+                    int status = status(client, "/v2/runs", job.toBody());
                     return status == 200 || status == 201;
                 });
     }
 
     /** Whether any controller reports the job as done. */
-    boolean done(String job) {
-        return clients.stream().anyMatch(client -> done(client, job));
+    boolean isDone(String job) {
+        return clients.stream().anyMatch(client -> isDone(client, job));
     }
 
-    private static boolean done(ControllerClient client, String job) {
+    private static boolean isDone(ControllerClient client, String job) {
         try {
             ControllerClient.Reply reply = client.call("/v2/runs/" + job, null);
             return reply.status() == 200 && "done".equals(reply.body().get("status"));
@@ -172,8 +172,8 @@
      */
     void requireAlive() {
         for (ControllerProcess controller : controllers) {
-            if (!controller.alive()) {
-                ControllerProcess.Line line = controller.last(Long.MIN_VALUE, text -> true);
+            if (!controller.isAlive()) {
+                ControllerProcess.Line line = controller.lastLine(Long.MIN_VALUE, text -> true);
                 throw new IllegalStateException(
                         controller.host()
                                 + " has ended by itself: "
@@ -183,61 +183,61 @@
     }
 
     /** The controller that last became leader of shard 0; null if none has yet. */
-    ControllerProcess owner() {
-        ControllerProcess owner = null;
+    ControllerProcess leader() {
+        ControllerProcess leader = null;
         long latestMs = Long.MIN_VALUE;
         for (ControllerProcess controller : controllers) {
             ControllerProcess.Line line =
-                    controller.last(Long.MIN_VALUE, text -> text.contains("takeover: part 0"));
+                    controller.lastLine(Long.MIN_VALUE, text -> text.contains("takeover: part 0"));
             if (line != null && line.atMs() > latestMs) {
                 latestMs = line.atMs();
-                owner = controller;
+                leader = controller;
             }
         }
-        return owner;
+        return leader;
     }
 
     List<ControllerProcess> controllers() {
         return controllers;
     }
 
-    CloudStandIn machines() {
-        return machines;
+    CloudStandIn cloud() {
+        return cloud;
     }
 
     TaskHistory history() {
         return history;
     }
 
-    Map<String, Settings.Address> fronts() {
-        return fronts;
+    Map<String, Settings.Address> frontAddresses() {
+        return frontAddresses;
     }
 
-    Map<String, Settings.Address> backs() {
-        return backs;
+    Map<String, Settings.Address> peerAddresses() {
+        return peerAddresses;
     }
 
     int cloudPort() {
-        return cloud.port();
+        return cloudServer.port();
     }
 
-    int statePort() {
-        return state.port();
+    int storePort() {
+        return storeServer.port();
     }
 
     @Override
     public void close() throws IOException {
         for (ControllerProcess controller : controllers) {
-            if (controller.alive()) {
-                controller.end();
+            if (controller.isAlive()) {
+                controller.kill();
             }
         }
-        machines.stop();
+        cloud.stopWorkers();
         clients.forEach(ControllerClient::close);
         workers.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
-        cloud.close();
-        state.close();
-        for (String host : fronts.keySet()) {
+        cloudServer.close();
+        storeServer.close();
+        for (String host : frontAddresses.keySet()) {
             Files.deleteIfExists(directory.resolve(host + ".json"));
         }
         Files.delete(directory);
--- a/src/main/java/org/shoreusher/measure/ClusterSettings.java
+++ b/src/main/java/org/shoreusher/measure/ClusterSettings.java
@@ -25,38 +25,39 @@
     private ClusterSettings() {}
 
     /** The settings of one controller as JSON. */
-    static String json(Cluster.Shape shape, String host, Cluster cluster) {
-        List<String> zones = shape.offer().zones();
+    static String json(Cluster.Topology topology, String host, Cluster cluster) {
+        List<String> zones = topology.offer().zones();
         return FORM.formatted(
                 host,
-                zone(shape, host, cluster),
-                cluster.fronts().get(host),
-                cluster.backs().get(host),
-                members(shape, host, cluster),
+                zone(topology, host, cluster),
+                cluster.frontAddresses().get(host),
+                cluster.peerAddresses().get(host),
+                members(topology, host, cluster),
                 cluster.cloudPort(),
-                cluster.statePort(),
-                shape.controllers(),
+                cluster.storePort(),
+                topology.controllerCount(),
                 zones.stream().map(z -> '"' + z + '"').collect(Collectors.joining(",")),
-                teams(shape.teams()),
-                shape.reportS(),
-                shape.leaseS(),
-                (int) (shape.machines() * SOCKETS_PER_MACHINE) + OTHER_SOCKETS);
+                teams(topology.teamCpuLimits()),
+                topology.heartbeatIntervalS(),
+                topology.workerLeaseS(),
+                (int) (topology.machineCount() * SOCKETS_PER_MACHINE) + OTHER_SOCKETS);
     }
 
-    private static String zone(Cluster.Shape shape, String host, Cluster cluster) {
-        List<String> zones = shape.offer().zones();
-        return zones.get(List.copyOf(cluster.fronts().keySet()).indexOf(host) % zones.size());
+    private static String zone(Cluster.Topology topology, String host, Cluster cluster) {
+        List<String> zones = topology.offer().zones();
+        return zones.get(
+                List.copyOf(cluster.frontAddresses().keySet()).indexOf(host) % zones.size());
     }
 
-    private static String members(Cluster.Shape shape, String host, Cluster cluster) {
-        return cluster.backs().entrySet().stream()
+    private static String members(Cluster.Topology topology, String host, Cluster cluster) {
+        return cluster.peerAddresses().entrySet().stream()
                 .filter(e -> !e.getKey().equals(host))
                 .map(
                         e ->
                                 "{\"host_name\":\"%s\",\"zone\":\"%s\",\"peer_addr\":\"%s\"}"
                                         .formatted(
                                                 e.getKey(),
-                                                zone(shape, e.getKey(), cluster),
+                                                zone(topology, e.getKey(), cluster),
                                                 e.getValue()))
                 .collect(Collectors.joining(","));
     }
--- a/src/main/java/org/shoreusher/measure/ControllerProcess.java
+++ b/src/main/java/org/shoreusher/measure/ControllerProcess.java
@@ -57,23 +57,23 @@
     }
 
     /** Kills the process (SIGKILL) and waits until it has exited. */
-    void kill() throws InterruptedException {
+    void killAndWait() throws InterruptedException {
         process.destroyForcibly().waitFor();
     }
 
     /** Kills the process (SIGKILL) without waiting. */
-    void end() {
+    void kill() {
         process.destroyForcibly();
     }
 
-    boolean alive() {
+    boolean isAlive() {
         return process != null && process.isAlive();
     }
 
     /** The last matching line after a point in time; null if there is none. */
-    synchronized Line last(long afterMs, Predicate<String> wanted) {
+    synchronized Line lastLine(long afterMs, Predicate<String> predicate) {
         for (int i = lines.size() - 1; i >= 0 && lines.get(i).atMs() > afterMs; i--) {
-            if (wanted.test(lines.get(i).text())) {
+            if (predicate.test(lines.get(i).text())) {
                 return lines.get(i);
             }
         }
@@ -81,13 +81,15 @@
     }
 
     /** All matching lines after a point in time. */
-    synchronized List<Line> all(long afterMs, Predicate<String> wanted) {
-        return lines.stream().filter(l -> l.atMs() > afterMs && wanted.test(l.text())).toList();
+    synchronized List<Line> linesMatching(long afterMs, Predicate<String> predicate) {
+        return lines.stream()
+                .filter(line -> line.atMs() > afterMs && predicate.test(line.text()))
+                .toList();
     }
 
     /** Current or peak resident memory in MB; NaN if the system does not provide it. */
-    double memoryMb(boolean most) {
-        String field = most ? "VmHWM:" : "VmRSS:";
+    double memoryMb(boolean peak) {
+        String field = peak ? "VmHWM:" : "VmRSS:";
         try {
             for (String line : Files.readAllLines(Path.of("/proc/" + process.pid() + "/status"))) {
                 if (line.startsWith(field)) {
@@ -101,7 +103,7 @@
     }
 
     /** CPU time of the process in s; NaN if the system does not provide it. */
-    double processorS() {
+    double cpuTimeS() {
         return process.info().totalCpuDuration().map(d -> d.toMillis() / 1000.0).orElse(Double.NaN);
     }
 
--- a/src/main/java/org/shoreusher/measure/FleetMeasurement.java
+++ b/src/main/java/org/shoreusher/measure/FleetMeasurement.java
@@ -36,17 +36,17 @@
     /** Runs the measurement. */
     static void run(CommandLine line) throws Exception {
         measure(
-                Measurements.whole(line, "machines", 1, MOST_MACHINES, MOST_MACHINES),
-                Measurements.whole(line, "tasks", 1, MOST_TASKS, 1));
+                Measurements.integer(line, "machines", 1, MOST_MACHINES, MOST_MACHINES),
+                Measurements.integer(line, "tasks", 1, MOST_TASKS, 1));
     }
 
     private static void measure(int machines, int tasksEach) throws Exception {
         int tasks = machines * tasksEach;
-        Cluster.Shape shape =
-                new Cluster.Shape(
+        Cluster.Topology shape =
+                new Cluster.Topology(
                         3,
                         machines,
-                        new CloudStandIn.Offer(CPUS, 8, 1, List.of("a", "b")),
+                        new CloudStandIn.MachineOffer(CPUS, 8, 1, List.of("a", "b")),
                         Map.of("team", machines * CPUS),
                         REPORT_S,
                         LEASE_S,
@@ -59,11 +59,11 @@
             }
             awaitAll(cluster, tasks);
             print("%d machines, %d tasks run after %.1f s", machines, tasks, sinceS(beganMs));
-            steady(cluster);
+            printSteadyState(cluster);
             for (int i = 0; i < TAKEOVERS; i++) {
-                takeover(cluster, tasks);
+                failOver(cluster, tasks);
             }
-            steady(cluster);
+            printSteadyState(cluster);
             cluster.requireAlive();
             if (!cluster.history().violations().isEmpty()) {
                 throw new IllegalStateException(String.join("; ", cluster.history().violations()));
@@ -84,18 +84,18 @@
     }
 
     /** Prints memory and CPU use of each controller while nothing changes. */
-    private static void steady(Cluster cluster) throws InterruptedException {
-        ControllerProcess owner = cluster.owner();
-        double before = owner.processorS();
+    private static void printSteadyState(Cluster cluster) throws InterruptedException {
+        ControllerProcess leader = cluster.leader();
+        double before = leader.cpuTimeS();
         Thread.sleep(STEADY_MS);
-        double share = (owner.processorS() - before) * 1_000 / STEADY_MS;
+        double share = (leader.cpuTimeS() - before) * 1_000 / STEADY_MS;
         for (ControllerProcess controller : cluster.controllers()) {
             ControllerProcess.Line line =
-                    controller.last(Long.MIN_VALUE, text -> text.contains("process: "));
+                    controller.lastLine(Long.MIN_VALUE, text -> text.contains("process: "));
             print(
                     "%s%s: %.0f MB held, %.0f MB at most; %s",
                     controller.host(),
-                    controller == owner ? " (owner)" : "",
+                    controller == leader ? " (owner)" : "",
                     controller.memoryMb(false),
                     controller.memoryMb(true),
                     line == null ? "" : line.text().replaceAll(".*process: ", ""));
@@ -104,32 +104,35 @@
     }
 
     /** Kills the leader, waits for failover and reconciliation, and restarts the killed process. */
-    private static void takeover(Cluster cluster, int tasks) throws Exception {
-        ControllerProcess killed = cluster.owner();
-        int running = cluster.history().running();
+    private static void failOver(Cluster cluster, int tasks) throws Exception {
+        ControllerProcess killed = cluster.leader();
+        int running = cluster.history().runningCount();
         long killedMs = ControllerProcess.nowMs();
-        killed.kill();
-        Cluster.await("another took the part", REBUILD_S, () -> cluster.owner() != killed);
-        ControllerProcess taker = cluster.owner();
+        killed.killAndWait();
+        Cluster.await("another took the part", REBUILD_S, () -> cluster.leader() != killed);
+        ControllerProcess successor = cluster.leader();
         Cluster.await(
                 "the part is rebuilt",
                 REBUILD_S,
-                () -> taker.last(killedMs, text -> text.contains("rebuilt: part 0")) != null);
-        long takenMs = taker.last(killedMs, text -> text.contains("takeover:")).atMs();
-        ControllerProcess.Line rebuilt = taker.last(killedMs, text -> text.contains("rebuilt:"));
+                () ->
+                        successor.lastLine(killedMs, text -> text.contains("rebuilt: part 0"))
+                                != null);
+        long failoverMs = successor.lastLine(killedMs, text -> text.contains("takeover:")).atMs();
+        ControllerProcess.Line reconciledLine =
+                successor.lastLine(killedMs, text -> text.contains("rebuilt:"));
         print(
                 "owner killed: taken after %.1f s, rebuilt after %.1f s more; tasks %d -> %d; %s",
-                (takenMs - killedMs) / 1000.0,
-                (rebuilt.atMs() - takenMs) / 1000.0,
+                (failoverMs - killedMs) / 1000.0,
+                (reconciledLine.atMs() - failoverMs) / 1000.0,
                 running,
-                cluster.history().running(),
-                rebuilt.text().replaceAll(".*rebuilt", "rebuilt"));
+                cluster.history().runningCount(),
+                reconciledLine.text().replaceAll(".*rebuilt", "rebuilt"));
         killed.start();
         awaitAll(cluster, tasks);
     }
 
     private static void awaitAll(Cluster cluster, int tasks) throws InterruptedException {
-        Cluster.await("all tasks run", ALL_UP_S, () -> cluster.history().running() == tasks);
+        Cluster.await("all tasks run", ALL_UP_S, () -> cluster.history().runningCount() == tasks);
     }
 
     private static double sinceS(long beganMs) {
--- a/src/main/java/org/shoreusher/measure/JobRequest.java
+++ b/src/main/java/org/shoreusher/measure/JobRequest.java
@@ -9,20 +9,20 @@
         String id,
         String jobClass,
         String team,
-        int tasks,
+        int taskCount,
         double cpus,
         double imageGb,
         JobProfile profile) {
 
     /** The body of the submission. */
-    Map<String, Object> body() {
+    Map<String, Object> toBody() {
         Map<String, Object> body = new LinkedHashMap<>();
         body.put("name_id", id);
         body.put("queue", jobClass);
         body.put("crew", team);
         body.put("shape", "sweep");
         body.put("urgency", "standard");
-        body.put("sheets", (long) tasks);
+        body.put("sheets", (long) taskCount);
         body.put("cpus", cpus);
         body.put("gpus", 0.0);
         body.put("mem_gb", 0.5);
@@ -31,9 +31,9 @@
         body.put("one_zone", false);
         body.put("scatter", false);
         body.put("loaners", true);
-        body.put("runtime_s", profile.runS());
-        body.put("proof_interval_s", profile.saveEveryS());
-        body.put("proof_s", profile.saveS());
+        body.put("runtime_s", profile.runTimeS());
+        body.put("proof_interval_s", profile.checkpointIntervalS());
+        body.put("proof_s", profile.checkpointDurationS());
         return body;
     }
 }
--- a/src/main/java/org/shoreusher/measure/Measurements.java
+++ b/src/main/java/org/shoreusher/measure/Measurements.java
@@ -53,7 +53,7 @@
         } catch (ParseException e) {
             System.err.println("shoreusher: " + e.getMessage() + "; see measure --help");
             return USAGE;
-        } catch (BadOption e) {
+        } catch (InvalidOptionException e) {
             System.err.println("shoreusher: " + e.getMessage());
             return FAILED;
         } catch (IllegalStateException e) {
@@ -72,42 +72,42 @@
     }
 
     /** Thrown for an option value that is not allowed; the message names the option. */
-    static final class BadOption extends Exception {
+    static final class InvalidOptionException extends Exception {
         private static final long serialVersionUID = 1;
 
-        BadOption(String message) {
+        InvalidOptionException(String message) {
             super(message);
         }
     }
 
     /** The value of an option that must be an integer within inclusive bounds. */
-    static int whole(CommandLine line, String option, int least, int most, int otherwise)
-            throws BadOption {
-        double value = number(line, option, least, most, otherwise);
+    static int integer(CommandLine line, String option, int minimum, int maximum, int defaultValue)
+            throws InvalidOptionException {
+        double value = number(line, option, minimum, maximum, defaultValue);
         if (value != Math.rint(value)) {
-            throw new BadOption("--" + option + " must be a whole number");
+            throw new InvalidOptionException("--" + option + " must be a whole number");
         }
         return (int) value;
     }
 
     /** The value of an option that must be a number within inclusive bounds. */
     static double number(
-            CommandLine line, String option, double least, double most, double otherwise)
-            throws BadOption {
+            CommandLine line, String option, double minimum, double maximum, double defaultValue)
+            throws InvalidOptionException {
         String text = line.getOptionValue(option);
         if (text == null) {
-            return otherwise;
+            return defaultValue;
         }
         try {
             double value = Double.parseDouble(text);
-            if (value >= least && value <= most) {
+            if (value >= minimum && value <= maximum) {
                 return value;
             }
         } catch (NumberFormatException e) {
             // Reported below, like a number out of bounds.
         }
-        throw new BadOption(
-                "--" + option + " must be a number from " + text(least) + " to " + text(most));
+        throw new InvalidOptionException(
+                "--" + option + " must be a number from " + text(minimum) + " to " + text(maximum));
     }
 
     private static String text(double bound) {
--- a/src/main/java/org/shoreusher/measure/RunCommand.java
+++ b/src/main/java/org/shoreusher/measure/RunCommand.java
@@ -19,11 +19,11 @@
      *
      * @param features features file instead of the deploy file's; null for none
      */
-    static List<String> read(Path features) throws IOException {
+    static List<String> readWords(Path features) throws IOException {
         String line;
         try {
-            line = FieldMap.toml(Files.readAllBytes(DEPLOY_FILE)).text("run");
-        } catch (FieldMap.Missing e) {
+            line = FieldMap.parseToml(Files.readAllBytes(DEPLOY_FILE)).text("run");
+        } catch (FieldMap.InvalidFieldException e) {
             throw new IOException(DEPLOY_FILE + ": " + e.getMessage());
         }
         List<String> words = new ArrayList<>(List.of(line.split(" ")));
--- a/src/main/java/org/shoreusher/measure/SpreadSamples.java
+++ b/src/main/java/org/shoreusher/measure/SpreadSamples.java
@@ -16,9 +16,9 @@
     private final double margin;
     private final double bound;
     private final Histogram shares = new Histogram((long) THOUSAND, DIGITS);
-    private final Stretch above = new Stretch();
+    private final Stretch aboveBound = new Stretch();
     private final Stretch avoidable = new Stretch();
-    private double last;
+    private double latest;
 
     /** The longest uninterrupted time for which a condition has been true. */
     private static final class Stretch {
@@ -51,16 +51,16 @@
         for (WorkerStandIn worker : machines.workers()) {
             String id = worker.identity().id();
             load.addMachine(id, worker.identity().zone(), machineCpus, 1);
-            for (String task : worker.tasksHeld()) {
+            for (String task : worker.activeTasks()) {
                 JobRequest job = jobs.get(task.substring(0, task.indexOf('/')));
                 load.addTask(id, job.team(), job.cpus(), job.profile().image());
                 used.merge(id, job.cpus(), Double::sum);
             }
         }
-        last = load.skew(team);
-        shares.recordValue(Math.round(Math.min(1, last) * THOUSAND));
+        latest = load.skew(team);
+        shares.recordValue(Math.round(Math.min(1, latest) * THOUSAND));
         long nowMs = ControllerProcess.nowMs();
-        above.sample(last > bound, nowMs);
+        aboveBound.sample(latest > bound, nowMs);
         double most = (load.meanShare(team) + margin) * machineCpus - BookFairLoad.CPUS;
         boolean room =
                 machines.workers().stream()
@@ -70,12 +70,12 @@
                                         load.teamCpusOn(id, team) <= most
                                                 && used.getOrDefault(id, 0.0)
                                                         <= machineCpus - BookFairLoad.CPUS);
-        avoidable.sample(last > bound && room, nowMs);
+        avoidable.sample(latest > bound && room, nowMs);
     }
 
     /** The spread of the latest sample. */
-    double last() {
-        return last;
+    double latest() {
+        return latest;
     }
 
     /** The spread above which tasks are migrated. */
@@ -100,7 +100,7 @@
                         shares.getValueAtPercentile(90) / THOUSAND,
                         shares.getMaxValue() / THOUSAND,
                         bound,
-                        above.longestMs / THOUSAND,
+                        aboveBound.longestMs / THOUSAND,
                         avoidable.longestMs / THOUSAND);
     }
 }
--- a/src/main/java/org/shoreusher/measure/TakeoverFigures.java
+++ b/src/main/java/org/shoreusher/measure/TakeoverFigures.java
@@ -23,7 +23,7 @@
      * @param allPlacedMs ms from the failover until as many tasks ran as before the kill
      * @param outcome whether and how a standby was promoted
      */
-    void add(long takeoverMs, long firstStartMs, long allPlacedMs, String outcome) {
+    void record(long takeoverMs, long firstStartMs, long allPlacedMs, String outcome) {
         toTakeover.recordValue(takeoverMs);
         toFirstStart.recordValue(firstStartMs);
         toAllPlaced.recordValue(allPlacedMs);
@@ -31,7 +31,7 @@
     }
 
     /** How many failovers had an outcome. */
-    int times(String outcome) {
+    int count(String outcome) {
         return outcomes.getOrDefault(outcome, 0);
     }
 
--- a/src/main/java/org/shoreusher/measure/TakeoverMeasurement.java
+++ b/src/main/java/org/shoreusher/measure/TakeoverMeasurement.java
@@ -92,10 +92,10 @@
 
     /** Runs all four configurations, one after the other. */
     static void run(CommandLine line) throws Exception {
-        int machines = Measurements.whole(line, "machines", 4, MOST_MACHINES, 400);
-        int kills = Measurements.whole(line, "kills", 1, MOST_KILLS, 5);
-        int jobsAtOnce = Measurements.whole(line, "jobs", 1, MOST_JOBS, 20);
-        int seed = Measurements.whole(line, "seed", 0, Integer.MAX_VALUE, 1);
+        int machines = Measurements.integer(line, "machines", 4, MOST_MACHINES, 400);
+        int kills = Measurements.integer(line, "kills", 1, MOST_KILLS, 5);
+        int jobsAtOnce = Measurements.integer(line, "jobs", 1, MOST_JOBS, 20);
+        int seed = Measurements.integer(line, "seed", 0, Integer.MAX_VALUE, 1);
         double silent = Measurements.number(line, "silent", 0, 0.5, 0.1);
         for (double share : silent > 0 ? new double[] {0, silent} : new double[] {0}) {
             for (boolean standby : new boolean[] {false, true}) {
@@ -107,11 +107,11 @@
     private void play() throws Exception {
         Path features = Files.createTempFile("features", ".toml");
         Files.writeString(features, FEATURE);
-        Cluster.Shape shape =
-                new Cluster.Shape(
+        Cluster.Topology shape =
+                new Cluster.Topology(
                         3,
                         machines,
-                        new CloudStandIn.Offer(CPUS, 8, 1, List.of("a", "b")),
+                        new CloudStandIn.MachineOffer(CPUS, 8, 1, List.of("a", "b")),
                         Map.of("team", machines * CPUS * TEAM_SHARE),
                         REPORT_S,
                         LEASE_S,
@@ -133,12 +133,12 @@
         }
     }
 
-    private int most() {
+    private int maxRunningTasks() {
         return (int) (machines * CPUS * TEAM_SHARE / TASK_CPUS);
     }
 
     private int tasksOfJob() {
-        return Math.max(1, most() / jobsAtOnce);
+        return Math.max(1, maxRunningTasks() / jobsAtOnce);
     }
 
     private static long nowMs() {
@@ -149,7 +149,7 @@
 
     /** Submits jobs until there is a backlog. */
     private void refill(Cluster cluster) throws InterruptedException {
-        while (submitted - cluster.history().complete() < most() * (1 + BACKLOG)) {
+        while (submitted - cluster.history().completedCount() < maxRunningTasks() * (1 + BACKLOG)) {
             JobRequest job =
                     new JobRequest(
                             String.format("wk-%06d", jobs.size() + 1),
@@ -180,16 +180,17 @@
                 cluster,
                 "all settled",
                 () ->
-                        cluster.history().running() >= most() * PLACED_SHARE
+                        cluster.history().runningCount() >= maxRunningTasks() * PLACED_SHARE
                                 && (!standby || inSync(cluster, sinceMs)));
         refill(cluster);
     }
 
     private static boolean inSync(Cluster cluster, long sinceMs) {
         ControllerProcess.Line last =
-                cluster.owner() == null
+                cluster.leader() == null
                         ? null
-                        : cluster.owner().last(sinceMs, text -> text.contains("standby: part 0"));
+                        : cluster.leader()
+                                .lastLine(sinceMs, text -> text.contains("standby: part 0"));
         return last != null && last.text().contains("is in sync");
     }
 
@@ -198,40 +199,42 @@
     private void kill(Cluster cluster) throws Exception {
         Thread.sleep(random.nextInt(LONGEST_WAIT_MS));
         refill(cluster);
-        ControllerProcess killed = cluster.owner();
-        Set<String> silent = silence(cluster);
-        int running = runningHeard(cluster, silent);
+        ControllerProcess killed = cluster.leader();
+        Set<String> silent = partitionWorkers(cluster);
+        int running = runningOnReachable(cluster, silent);
         long killedMs = nowMs();
-        killed.kill();
-        awaitBusy(cluster, "another took the part", () -> cluster.owner() != killed);
-        ControllerProcess taker = cluster.owner();
-        long takenMs = taker.last(killedMs, text -> text.contains("takeover:")).atMs();
+        killed.killAndWait();
+        awaitBusy(cluster, "another took the part", () -> cluster.leader() != killed);
+        ControllerProcess successor = cluster.leader();
+        long failoverMs = successor.lastLine(killedMs, text -> text.contains("takeover:")).atMs();
         awaitBusy(
-                cluster, "a task started", () -> cluster.history().firstStartAfterMs(takenMs) >= 0);
+                cluster,
+                "a task started",
+                () -> cluster.history().firstStartAfterMs(failoverMs) >= 0);
         awaitBusy(
                 cluster,
                 "as many tasks run as before",
-                () -> runningHeard(cluster, silent) >= running * PLACED_SHARE);
+                () -> runningOnReachable(cluster, silent) >= running * PLACED_SHARE);
         long placedMs = nowMs();
-        figures.add(
-                takenMs - killedMs,
-                cluster.history().firstStartAfterMs(takenMs) - takenMs,
-                placedMs - takenMs,
-                outcome(taker, killedMs));
+        figures.record(
+                failoverMs - killedMs,
+                cluster.history().firstStartAfterMs(failoverMs) - failoverMs,
+                placedMs - failoverMs,
+                outcome(successor, killedMs));
         killed.start();
-        settle(cluster, takenMs);
+        settle(cluster, failoverMs);
         Thread.sleep(Math.max(0, killedMs + SILENT_MS + 2_000 - nowMs()));
-        settle(cluster, takenMs);
+        settle(cluster, failoverMs);
     }
 
     /** Partitions a share of the machines from the controllers; returns their names. */
-    private Set<String> silence(Cluster cluster) {
-        List<WorkerStandIn> workers = cluster.machines().workers();
+    private Set<String> partitionWorkers(Cluster cluster) {
+        List<WorkerStandIn> workers = cluster.cloud().workers();
         Collections.shuffle(workers, random);
         Set<String> silent = new HashSet<>();
         for (WorkerStandIn worker : workers) {
             if (silent.size() < workers.size() * silentShare) {
-                worker.mute(SILENT_MS);
+                worker.partition(SILENT_MS);
                 silent.add(worker.identity().id());
             }
         }
@@ -239,8 +242,8 @@
     }
 
     /** Running tasks on reachable machines, which are the ones that a new leader can place. */
-    private static int runningHeard(Cluster cluster, Set<String> silent) {
-        return cluster.history().runningOn(machine -> !silent.contains(machine));
+    private static int runningOnReachable(Cluster cluster, Set<String> silent) {
+        return cluster.history().runningCountOn(machine -> !silent.contains(machine));
     }
 
     /**
@@ -260,8 +263,9 @@
         }
     }
 
-    private static String outcome(ControllerProcess taker, long sinceMs) {
-        ControllerProcess.Line line = taker.last(sinceMs, text -> text.contains("promotion: "));
+    private static String outcome(ControllerProcess successor, long sinceMs) {
+        ControllerProcess.Line line =
+                successor.lastLine(sinceMs, text -> text.contains("promotion: "));
         return line == null
                 ? "off"
                 : line.text().replaceAll(".*promotion: [^,]*, |, \\d+ of.*", "");
@@ -272,24 +276,24 @@
     /** Prints memory and CPU use of the controllers while nothing fails. */
     private void steady(Cluster cluster) throws InterruptedException {
         List<ControllerProcess> controllers = cluster.controllers();
-        List<Double> before = controllers.stream().map(ControllerProcess::processorS).toList();
-        int starts = cluster.history().starts();
+        List<Double> before = controllers.stream().map(ControllerProcess::cpuTimeS).toList();
+        int starts = cluster.history().startCount();
         long beganMs = nowMs();
         keepBusy(cluster, STEADY_MS);
         double seconds = (nowMs() - beganMs) / 1000.0;
         print(
                 "%d machines, %d tasks, standby %s: %.1f starts a second without failure",
                 machines,
-                cluster.history().running(),
+                cluster.history().runningCount(),
                 standby ? "on" : "off",
-                (cluster.history().starts() - starts) / seconds);
+                (cluster.history().startCount() - starts) / seconds);
         for (int i = 0; i < controllers.size(); i++) {
             ControllerProcess controller = controllers.get(i);
             print(
                     "  %s%s: %.3f of a core, %.0f MB%s%s",
                     controller.host(),
-                    controller == cluster.owner() ? " (owner)" : "",
-                    (controller.processorS() - before.get(i)) / seconds,
+                    controller == cluster.leader() ? " (owner)" : "",
+                    (controller.cpuTimeS() - before.get(i)) / seconds,
                     controller.memoryMb(false),
                     last(controller, "standby: held"),
                     last(controller, "standby: sent"));
@@ -298,14 +302,14 @@
 
     private static String last(ControllerProcess controller, String beginning) {
         ControllerProcess.Line line =
-                controller.last(Long.MIN_VALUE, text -> text.contains(beginning));
+                controller.lastLine(Long.MIN_VALUE, text -> text.contains(beginning));
         return line == null ? "" : "; " + line.text().replaceAll(".*standby: ", "");
     }
 
     /** Waits until every job is done. */
     private void drain(Cluster cluster) throws InterruptedException {
         for (JobRequest job : jobs) {
-            Cluster.await(job.id() + " is done", PATIENCE_S, () -> cluster.done(job.id()));
+            Cluster.await(job.id() + " is done", PATIENCE_S, () -> cluster.isDone(job.id()));
         }
     }
 
@@ -318,15 +322,18 @@
                         silentShare));
         print(
                 "  %d jobs of %d tasks done, %d starts",
-                jobs.size(), submitted, cluster.history().starts());
+                jobs.size(), submitted, cluster.history().startCount());
         if (!cluster.history().violations().isEmpty()) {
             throw new IllegalStateException(String.join("; ", cluster.history().violations()));
         }
-        if (cluster.history().complete() != submitted) {
+        if (cluster.history().completedCount() != submitted) {
             throw new IllegalStateException(
-                    cluster.history().complete() + " tasks of " + submitted + " have completed");
+                    cluster.history().completedCount()
+                            + " tasks of "
+                            + submitted
+                            + " have completed");
         }
-        if (standby && figures.times(IN_SYNC) == 0) {
+        if (standby && figures.count(IN_SYNC) == 0) {
             throw new IllegalStateException("no standby was promoted in sync");
         }
     }
--- a/src/main/java/org/shoreusher/net/HttpCaller.java
+++ b/src/main/java/org/shoreusher/net/HttpCaller.java
@@ -38,53 +38,53 @@
  */
 public final class HttpCaller {
     /** Receives the result of a call. */
-    public interface Answer {
+    public interface ResponseHandler {
         /**
          * Called once for each call.
          *
          * @param status the HTTP status; 0 if there was no response
          * @param body the decoded body; null if it is not a map
          */
-        void answered(int status, Map<String, Object> body);
+        void onResponse(int status, Map<String, Object> body);
     }
 
     private final Address target;
     private final Bootstrap bootstrap;
     private final EventLoop loop;
-    private final int keep;
-    private final ArrayDeque<Line> idle = new ArrayDeque<>();
-    private int busy;
+    private final int maxIdle;
+    private final ArrayDeque<Connection> idleConnections = new ArrayDeque<>();
+    private int callsInFlight;
 
     /** A client that keeps the default number of idle connections. */
     public HttpCaller(EventLoop loop, Address target) {
-        this(loop, target, Tuning.POOL_IDLE);
+        this(loop, target, Tuning.MAX_IDLE_CONNECTIONS_PER_TARGET);
     }
 
     /**
      * A client with a pool of its own.
      *
-     * @param keep idle connections to keep at most
+     * @param maxIdle idle connections to keep at most
      */
-    public HttpCaller(EventLoop loop, Address target, int keep) {
-        this.keep = keep;
+    public HttpCaller(EventLoop loop, Address target, int maxIdle) {
+        this.maxIdle = maxIdle;
         this.target = target;
         this.loop = loop;
         bootstrap =
                 new Bootstrap()
                         .group(loop)
                         .channel(NioSocketChannel.class)
-                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, Tuning.CONNECT_MS)
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, Tuning.CONNECT_TIMEOUT_MS)
                         .option(ChannelOption.TCP_NODELAY, true)
                         .handler(
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
-                                    protected void initChannel(SocketChannel ch) {
-                                        ch.pipeline()
+                                    protected void initChannel(SocketChannel channel) {
+                                        channel.pipeline()
                                                 .addLast(
                                                         new HttpClientCodec(),
                                                         new HttpObjectAggregator(
-                                                                Tuning.MAX_STATE_BODY),
-                                                        new Line(ch));
+                                                                Tuning.MAX_RESPONSE_BODY_BYTES),
+                                                        new Connection(channel));
                                     }
                                 });
     }
@@ -93,7 +93,8 @@
      * Sends a request: a GET if the body is null, else a POST. Fails at once if too many calls are
      * in flight.
      */
-    public void call(String path, Map<String, Object> body, long timeoutMs, Answer answer) {
+    public void call(
+            String path, Map<String, Object> body, long timeoutMs, ResponseHandler handler) {
         FullHttpRequest request =
                 body == null
                         ? new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path)
@@ -107,67 +108,72 @@
             request.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/cbor");
             HttpUtil.setContentLength(request, request.content().readableBytes());
         }
-        if (busy >= Tuning.POOL_BUSY) {
+        if (callsInFlight >= Tuning.MAX_CALLS_PER_TARGET) {
             request.release();
-            loop.execute(() -> answer.answered(0, null));
+            loop.execute(() -> handler.onResponse(0, null));
             return;
         }
-        busy++;
-        Call call = new Call(answer);
-        for (Line line = idle.pollLast(); line != null; line = idle.pollLast()) {
-            if (line.channel.isActive()) {
-                line.send(call, request, timeoutMs);
+        callsInFlight++;
+        PendingCall call = new PendingCall(handler);
+        for (Connection connection = idleConnections.pollLast();
+                connection != null;
+                connection = idleConnections.pollLast()) {
+            if (connection.channel.isActive()) {
+                connection.send(call, request, timeoutMs);
                 return;
             }
         }
         ChannelFuture connect = bootstrap.connect(target.ip(), target.port());
         connect.addListener(
-                done -> {
+                future -> {
                     if (connect.isSuccess()) {
-                        connect.channel().pipeline().get(Line.class).send(call, request, timeoutMs);
+                        connect.channel()
+                                .pipeline()
+                                .get(Connection.class)
+                                .send(call, request, timeoutMs);
                     } else {
                         request.release();
-                        call.end(0, null);
+                        call.complete(0, null);
                     }
                 });
     }
 
     /** Closes the connections that no call is using. */
-    public void closeIdle() {
+    public void closeIdleConnections() {
         // A connection removes itself from the list when it closes.
-        List.copyOf(idle).forEach(line -> line.channel.close());
+        List.copyOf(idleConnections).forEach(connection -> connection.channel.close());
     }
 
     /** A call in flight, completed once: by its response, a failure or its timeout. */
-    private final class Call {
-        private final Answer answer;
-        private boolean ended;
+    private final class PendingCall {
+        private final ResponseHandler handler;
+        private boolean completed;
 
-        Call(Answer answer) {
-            this.answer = answer;
+        PendingCall(ResponseHandler handler) {
+            this.handler = handler;
         }
 
-        void end(int status, Map<String, Object> body) {
-            if (!ended) {
-                ended = true;
-                busy--;
-                answer.answered(status, body);
+        void complete(int status, Map<String, Object> body) {
+            if (!completed) {
+                completed = true;
+                callsInFlight--;
+                handler.onResponse(status, body);
             }
         }
     }
 
     /** A persistent connection, which handles one call at a time. */
-    private final class Line extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final Channel channel;
-        private Call current;
+        private PendingCall pendingCall;
         private ScheduledFuture<?> timeout;
 
-        Line(Channel channel) {
+        Connection(Channel channel) {
             this.channel = channel;
         }
 
-        void send(Call call, FullHttpRequest request, long timeoutMs) {
-            current = call;
+        void send(PendingCall call, FullHttpRequest request, long timeoutMs) {
+            pendingCall = call;
             timeout =
                     loop.schedule(
                             () -> {
@@ -180,11 +186,11 @@
         }
 
         private void finish(int status, Map<String, Object> body) {
-            if (current != null) {
+            if (pendingCall != null) {
                 timeout.cancel(false);
-                Call call = current;
-                current = null;
-                call.end(status, body);
+                PendingCall call = pendingCall;
+                pendingCall = null;
+                call.complete(status, body);
             }
         }
 
@@ -194,7 +200,7 @@
             int status = response.decoderResult().isSuccess() ? response.status().code() : 0;
             if (response.content().isReadable()) {
                 try {
-                    body = FieldMap.cbor(ByteBufUtil.getBytes(response.content())).asMap();
+                    body = FieldMap.parseCbor(ByteBufUtil.getBytes(response.content())).asMap();
                 } catch (java.io.IOException e) {
                     status = status == 200 ? 0 : status;
                 }
@@ -202,8 +208,8 @@
             if (status == 200 && body == null) {
                 body = Map.of();
             }
-            if (status != 0 && HttpUtil.isKeepAlive(response) && idle.size() < keep) {
-                idle.addLast(this);
+            if (status != 0 && HttpUtil.isKeepAlive(response) && idleConnections.size() < maxIdle) {
+                idleConnections.addLast(this);
             } else {
                 channel.close();
             }
@@ -212,7 +218,7 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            idle.remove(this);
+            idleConnections.remove(this);
             finish(0, null);
         }
 
--- a/src/main/java/org/shoreusher/peer/HintCodec.java
+++ b/src/main/java/org/shoreusher/peer/HintCodec.java
@@ -23,18 +23,18 @@
     public HintCodec() {
         kryo.setRegistrationRequired(true);
         kryo.setReferences(false);
-        kryo.register(Hint.class, new HintSerializer());
+        kryo.register(Hint.class, new GossipSerializer());
     }
 
     /** Encodes a message. */
-    public byte[] write(Hint hint) {
-        Output out = new Output(Tuning.HINT_BUFFER, Tuning.MAX_HINT);
-        kryo.writeObject(out, hint);
+    public byte[] encode(Hint message) {
+        Output out = new Output(Tuning.PEER_MESSAGE_BUFFER_BYTES, Tuning.MAX_PEER_MESSAGE_BYTES);
+        kryo.writeObject(out, message);
         return out.toBytes();
     }
 
     /** Decodes a message; null if the bytes are not a valid one. */
-    public Hint read(byte[] bytes) {
+    public Hint decode(byte[] bytes) {
         try {
             return kryo.readObject(new Input(bytes), Hint.class);
         } catch (KryoException | IllegalArgumentException | IndexOutOfBoundsException e) {
@@ -43,98 +43,106 @@
     }
 
     /** Encodes the fields in a fixed order, which all versions share. */
-    private static final class HintSerializer extends Serializer<Hint> {
+    private static final class GossipSerializer extends Serializer<Hint> {
         @Override
-        public void write(Kryo kryo, Output out, Hint h) {
-            out.writeString(h.senderHost());
-            out.writeLong(h.sentWallMs());
-            out.writeBoolean(h.storeReachable());
-            out.writeDouble(h.uptimeS());
-            out.writeVarInt(h.shards().size(), true);
-            h.shards()
+        public void write(Kryo kryo, Output output, Hint message) {
+            output.writeString(message.senderHost());
+            output.writeLong(message.sentWallMs());
+            output.writeBoolean(message.storeReachable());
+            output.writeDouble(message.uptimeS());
+            output.writeVarInt(message.shards().size(), true);
+            message.shards()
                     .forEach(
-                            (n, part) -> {
-                                out.writeVarInt(n, true);
-                                out.writeDouble(part.cpuHeadroom());
-                                out.writeVarInt(part.idleMachines(), true);
-                                out.writeVarInt(part.machineShortfall(), true);
-                                out.writeVarInt(part.teamDemands().size(), true);
-                                part.teamDemands()
+                            (shardNumber, summary) -> {
+                                output.writeVarInt(shardNumber, true);
+                                output.writeDouble(summary.cpuHeadroom());
+                                output.writeVarInt(summary.idleMachines(), true);
+                                output.writeVarInt(summary.machineShortfall(), true);
+                                output.writeVarInt(summary.teamDemands().size(), true);
+                                summary.teamDemands()
                                         .forEach(
-                                                (team, claim) -> {
-                                                    out.writeString(team);
-                                                    out.writeDouble(claim.highPriorityCpus());
-                                                    out.writeDouble(claim.otherCpus());
+                                                (team, demand) -> {
+                                                    output.writeString(team);
+                                                    output.writeDouble(demand.highPriorityCpus());
+                                                    output.writeDouble(demand.otherCpus());
                                                 });
                             });
-            out.writeVarInt(h.redirectedWorkers().size(), true);
-            h.redirectedWorkers()
+            output.writeVarInt(message.redirectedWorkers().size(), true);
+            message.redirectedWorkers()
                     .forEach(
-                            (n, workers) -> {
-                                out.writeVarInt(n, true);
-                                out.writeVarInt(workers, true);
+                            (shardNumber, workers) -> {
+                                output.writeVarInt(shardNumber, true);
+                                output.writeVarInt(workers, true);
                             });
-            counts(out, h.runningTasks());
-            counts(out, h.completedTasks());
+            counts(output, message.runningTasks());
+            counts(output, message.completedTasks());
         }
 
-        private static void counts(Output out, Map<String, Integer> counts) {
-            out.writeVarInt(counts.size(), true);
+        private static void counts(Output output, Map<String, Integer> counts) {
+            output.writeVarInt(counts.size(), true);
             counts.forEach(
                     (job, count) -> {
-                        out.writeString(job);
-                        out.writeVarInt(count, true);
+                        output.writeString(job);
+                        output.writeVarInt(count, true);
                     });
         }
 
         @Override
-        public Hint read(Kryo kryo, Input in, Class<? extends Hint> type) {
-            String from = in.readString();
+        public Hint read(Kryo kryo, Input input, Class<? extends Hint> type) {
+            String from = input.readString();
             if (from == null) {
                 throw new KryoException("a hint without sender");
             }
-            long sentWallMs = in.readLong();
-            boolean stateOk = in.readBoolean();
-            double upS = in.readDouble();
-            Map<Integer, PartHint> parts = new HashMap<>();
-            for (int i = entries(in); i > 0; i--) {
-                parts.put(
-                        in.readVarInt(true),
+            long sentWallMs = input.readLong();
+            boolean stateOk = input.readBoolean();
+            double upS = input.readDouble();
+            Map<Integer, PartHint> shards = new HashMap<>();
+            for (int i = readEntryCount(input); i > 0; i--) {
+                shards.put(
+                        input.readVarInt(true),
                         new PartHint(
-                                in.readDouble(),
-                                in.readVarInt(true),
-                                in.readVarInt(true),
-                                claims(in)));
+                                input.readDouble(),
+                                input.readVarInt(true),
+                                input.readVarInt(true),
+                                readDemands(input)));
             }
-            Map<Integer, Integer> back = new HashMap<>();
-            for (int i = entries(in); i > 0; i--) {
-                back.put(in.readVarInt(true), in.readVarInt(true));
+            Map<Integer, Integer> redirectedWorkers = new HashMap<>();
+            for (int i = readEntryCount(input); i > 0; i--) {
+                redirectedWorkers.put(input.readVarInt(true), input.readVarInt(true));
             }
-            return new Hint(from, sentWallMs, stateOk, upS, parts, back, counts(in), counts(in));
+            return new Hint(
+                    from,
+                    sentWallMs,
+                    stateOk,
+                    upS,
+                    shards,
+                    redirectedWorkers,
+                    counts(input),
+                    counts(input));
         }
 
-        private static Map<String, Claim> claims(Input in) {
-            Map<String, Claim> claims = new HashMap<>();
-            for (int i = entries(in); i > 0; i--) {
-                claims.put(in.readString(), new Claim(in.readDouble(), in.readDouble()));
+        private static Map<String, Claim> readDemands(Input input) {
+            Map<String, Claim> demands = new HashMap<>();
+            for (int i = readEntryCount(input); i > 0; i--) {
+                demands.put(input.readString(), new Claim(input.readDouble(), input.readDouble()));
             }
-            return claims;
+            return demands;
         }
 
-        private static Map<String, Integer> counts(Input in) {
+        private static Map<String, Integer> counts(Input input) {
             Map<String, Integer> counts = new HashMap<>();
-            for (int i = entries(in); i > 0; i--) {
-                counts.put(in.readString(), in.readVarInt(true));
+            for (int i = readEntryCount(input); i > 0; i--) {
+                counts.put(input.readString(), input.readVarInt(true));
             }
             return counts;
         }
 
-        private static int entries(Input in) {
-            int n = in.readVarInt(true);
-            if (n < 0 || n > Tuning.MOST_HINT_ENTRIES) {
+        private static int readEntryCount(Input input) {
+            int count = input.readVarInt(true);
+            if (count < 0 || count > Tuning.MAX_PEER_MESSAGE_ENTRIES) {
                 throw new KryoException("too many entries");
             }
-            return n;
+            return count;
         }
     }
 }
--- a/src/main/java/org/shoreusher/peer/Peers.java
+++ b/src/main/java/org/shoreusher/peer/Peers.java
@@ -39,7 +39,7 @@
     private final Settings settings;
     private final Consumer<Command> core;
     private final HintCodec codec = new HintCodec();
-    private final Map<String, Channel> lines = new HashMap<>();
+    private final Map<String, Channel> connections = new HashMap<>();
     private final Map<String, Boolean> connecting = new HashMap<>();
 
     /** A transport that passes received messages to the core as commands. */
@@ -58,31 +58,32 @@
                 .childHandler(
                         new ChannelInitializer<SocketChannel>() {
                             @Override
-                            protected void initChannel(SocketChannel ch) {
-                                ch.pipeline()
+                            protected void initChannel(SocketChannel channel) {
+                                channel.pipeline()
                                         .addLast(
-                                                new ReadTimeoutHandler(Tuning.IDLE_CONNECTION_S),
+                                                new ReadTimeoutHandler(
+                                                        Tuning.IDLE_CONNECTION_TIMEOUT_S),
                                                 new LengthFieldBasedFrameDecoder(
-                                                        Tuning.MAX_HINT, 0, 4, 0, 4),
-                                                new Hearer());
+                                                        Tuning.MAX_PEER_MESSAGE_BYTES, 0, 4, 0, 4),
+                                                new FrameHandler());
                             }
                         })
-                .bind(settings.back().ip(), settings.back().port())
+                .bind(settings.peerAddress().ip(), settings.peerAddress().port())
                 .sync();
     }
 
     /** Sends a message to each connected peer, and starts connecting to the others. */
-    public void tell(Hint hint) {
-        byte[] bytes = codec.write(hint);
+    public void broadcast(Hint message) {
+        byte[] bytes = codec.encode(message);
         for (Settings.Member member : settings.members()) {
-            Channel line = lines.get(member.host());
-            if (line == null || !line.isActive()) {
+            Channel connection = connections.get(member.host());
+            if (connection == null || !connection.isActive()) {
                 connect(member);
-            } else if (line.isWritable()) {
-                line.writeAndFlush(Unpooled.wrappedBuffer(bytes));
+            } else if (connection.isWritable()) {
+                connection.writeAndFlush(Unpooled.wrappedBuffer(bytes));
             } else {
                 // The peer is unreachable: queued gossip would arrive minutes late and be useless.
-                line.close();
+                connection.close();
             }
         }
     }
@@ -94,12 +95,13 @@
         new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, Tuning.CONNECT_MS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, Tuning.CONNECT_TIMEOUT_MS)
                 .handler(
                         new ChannelInitializer<SocketChannel>() {
                             @Override
-                            protected void initChannel(SocketChannel ch) {
-                                ch.pipeline().addLast(new LengthFieldPrepender(4), new Closer());
+                            protected void initChannel(SocketChannel channel) {
+                                channel.pipeline()
+                                        .addLast(new LengthFieldPrepender(4), new ClosingHandler());
                             }
                         })
                 .connect(member.address().ip(), member.address().port())
@@ -107,13 +109,13 @@
                         (io.netty.channel.ChannelFuture done) -> {
                             connecting.remove(member.host());
                             if (done.isSuccess()) {
-                                lines.put(member.host(), done.channel());
+                                connections.put(member.host(), done.channel());
                             }
                         });
     }
 
     /** Decodes the frames of a connection, and closes it on an invalid one. */
-    private final class Hearer extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class FrameHandler extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
             Command command = command(ByteBufUtil.getBytes(frame));
@@ -126,12 +128,12 @@
         }
 
         private Command command(byte[] bytes) {
-            if (bytes.length > 0 && StandbyCodec.marks(bytes[0])) {
-                StandbyMessage message = StandbyCodec.read(bytes);
+            if (bytes.length > 0 && StandbyCodec.startsStandbyMessage(bytes[0])) {
+                StandbyMessage message = StandbyCodec.decode(bytes);
                 return message == null ? null : new Command.FromPeer(message);
             }
-            Hint hint = codec.read(bytes);
-            return hint == null ? null : new Command.PeerHint(hint);
+            Hint gossip = codec.decode(bytes);
+            return gossip == null ? null : new Command.PeerHint(gossip);
         }
 
         @Override
@@ -141,7 +143,7 @@
     }
 
     /** Peers send nothing on connections that this node opened, so any input closes them. */
-    private static final class Closer extends SimpleChannelInboundHandler<ByteBuf> {
+    private static final class ClosingHandler extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf unexpected) {
             ctx.close();
--- a/src/main/java/org/shoreusher/peer/StandbyCodec.java
+++ b/src/main/java/org/shoreusher/peer/StandbyCodec.java
@@ -28,10 +28,10 @@
  */
 final class StandbyCodec {
     /** Kryo's encoding of a null string, and the first byte of no other string. */
-    private static final byte MARK = (byte) 0x80;
+    private static final byte STANDBY_MARKER = (byte) 0x80;
 
     /** Version of the format that follows; messages of any other version are rejected. */
-    private static final int FORM = 1;
+    private static final int FORMAT_VERSION = 1;
 
     private static final int FRAME = 1;
     private static final int ACKNOWLEDGEMENT = 2;
@@ -45,71 +45,71 @@
     private StandbyCodec() {}
 
     /** Whether a message with this first byte is a standby message. */
-    static boolean marks(byte first) {
-        return first == MARK;
+    static boolean startsStandbyMessage(byte first) {
+        return first == STANDBY_MARKER;
     }
 
     /** Encodes a message. */
-    static byte[] write(StandbyMessage message) {
-        Output out = new Output(Tuning.HINT_BUFFER, Tuning.MAX_HINT);
-        out.writeByte(MARK);
-        out.writeByte(FORM);
+    static byte[] encode(StandbyMessage message) {
+        Output output = new Output(Tuning.PEER_MESSAGE_BUFFER_BYTES, Tuning.MAX_PEER_MESSAGE_BYTES);
+        output.writeByte(STANDBY_MARKER);
+        output.writeByte(FORMAT_VERSION);
         if (message instanceof LogFrame frame) {
-            out.writeByte(FRAME);
-            writeStream(out, frame.stream());
-            out.writeVarLong(frame.firstSequenceNumber(), true);
-            writeRecords(out, frame.records());
-        } else if (message instanceof LogAcknowledgement answer) {
-            out.writeByte(ACKNOWLEDGEMENT);
-            writeStream(out, answer.stream());
-            out.writeVarLong(answer.lastAppliedSequenceNumber(), true);
-            out.writeBoolean(answer.accepted());
+            output.writeByte(FRAME);
+            writeStream(output, frame.stream());
+            output.writeVarLong(frame.firstSequenceNumber(), true);
+            writeRecords(output, frame.records());
+        } else if (message instanceof LogAcknowledgement acknowledgement) {
+            output.writeByte(ACKNOWLEDGEMENT);
+            writeStream(output, acknowledgement.stream());
+            output.writeVarLong(acknowledgement.lastAppliedSequenceNumber(), true);
+            output.writeBoolean(acknowledgement.accepted());
         }
-        return out.toBytes();
+        return output.toBytes();
     }
 
     /** Decodes a message; null if the bytes are not a valid one of this version. */
-    static StandbyMessage read(byte[] bytes) {
+    static StandbyMessage decode(byte[] bytes) {
         try {
-            Input in = new Input(bytes);
-            if (in.readByte() != MARK || in.readByte() != FORM) {
+            Input input = new Input(bytes);
+            if (input.readByte() != STANDBY_MARKER || input.readByte() != FORMAT_VERSION) {
                 return null;
             }
-            int kind = in.readByte();
-            LogStream stream = readStream(in);
-            long sequence = in.readVarLong(true);
+            int kind = input.readByte();
+            LogStream stream = readStream(input);
+            long sequence = input.readVarLong(true);
             StandbyMessage message =
                     switch (kind) {
-                        case FRAME -> new LogFrame(stream, sequence, readRecords(in));
+                        case FRAME -> new LogFrame(stream, sequence, readRecords(input));
                         case ACKNOWLEDGEMENT ->
-                                new LogAcknowledgement(stream, sequence, in.readBoolean());
+                                new LogAcknowledgement(stream, sequence, input.readBoolean());
                         default -> throw new KryoException("unknown kind of message " + kind);
                     };
-            return in.end() ? message : null;
+            return input.end() ? message : null;
         } catch (KryoException | IndexOutOfBoundsException e) {
             return null;
         }
     }
 
-    private static void writeStream(Output out, LogStream stream) {
-        out.writeVarInt(stream.shardNumber(), true);
-        out.writeVarLong(stream.term(), true);
-        out.writeString(stream.leader());
-        out.writeString(stream.standby());
-        out.writeVarLong(stream.attachmentNumber(), true);
+    private static void writeStream(Output output, LogStream stream) {
+        output.writeVarInt(stream.shardNumber(), true);
+        output.writeVarLong(stream.term(), true);
+        output.writeString(stream.leader());
+        output.writeString(stream.standby());
+        output.writeVarLong(stream.attachmentNumber(), true);
     }
 
-    private static LogStream readStream(Input in) {
+    private static LogStream readStream(Input input) {
         return new LogStream(
-                in.readVarInt(true),
-                in.readVarLong(true),
-                text(in),
-                text(in),
-                in.readVarLong(true));
+                input.readVarInt(true),
+                input.readVarLong(true),
+                readText(input),
+                readText(input),
+                input.readVarLong(true));
     }
 
-    private static String text(Input in) {
-        String text = in.readString();
+    private static String readText(Input input) {
+        String text = input.readString();
         if (text == null) {
             throw new KryoException("a text is missing");
         }
@@ -119,114 +119,115 @@
     // ---- records -----------------------------------------------------------------------------
 
     /** Encodes names of jobs, machines and teams once in a frame; records refer to their index. */
-    private static void writeRecords(Output out, List<LogRecord> records) {
-        Object2IntOpenHashMap<String> numbers = new Object2IntOpenHashMap<>();
+    private static void writeRecords(Output output, List<LogRecord> records) {
+        Object2IntOpenHashMap<String> nameIndexes = new Object2IntOpenHashMap<>();
         List<String> names = new ArrayList<>();
         for (LogRecord record : records) {
             if (record instanceof AttemptStarted started) {
-                number(numbers, names, started.attempt().id().jobId());
-                number(numbers, names, started.attempt().machineId());
-                number(numbers, names, started.attempt().team());
+                addName(nameIndexes, names, started.attempt().id().jobId());
+                addName(nameIndexes, names, started.attempt().machineId());
+                addName(nameIndexes, names, started.attempt().team());
             } else if (record instanceof AttemptEnded ended) {
-                number(numbers, names, ended.id().jobId());
+                addName(nameIndexes, names, ended.id().jobId());
             }
         }
-        out.writeVarInt(names.size(), true);
-        names.forEach(out::writeString);
-        out.writeVarInt(records.size(), true);
-        records.forEach(record -> writeRecord(out, numbers, record));
+        output.writeVarInt(names.size(), true);
+        names.forEach(output::writeString);
+        output.writeVarInt(records.size(), true);
+        records.forEach(record -> writeRecord(output, nameIndexes, record));
     }
 
-    private static void number(
-            Object2IntOpenHashMap<String> numbers, List<String> names, String name) {
-        if (!numbers.containsKey(name)) {
-            numbers.put(name, names.size());
+    private static void addName(
+            Object2IntOpenHashMap<String> nameIndexes, List<String> names, String name) {
+        if (!nameIndexes.containsKey(name)) {
+            nameIndexes.put(name, names.size());
             names.add(name);
         }
     }
 
     private static void writeRecord(
-            Output out, Object2IntOpenHashMap<String> numbers, LogRecord record) {
+            Output output, Object2IntOpenHashMap<String> nameIndexes, LogRecord record) {
         if (record instanceof SnapshotBegin) {
-            out.writeByte(SNAPSHOT_BEGIN);
+            output.writeByte(SNAPSHOT_BEGIN);
         } else if (record instanceof AttemptStarted started) {
             Attempt attempt = started.attempt();
-            out.writeByte(STARTED);
-            writeId(out, numbers, attempt.id());
-            out.writeVarInt(numbers.getInt(attempt.machineId()), true);
-            out.writeVarInt(numbers.getInt(attempt.team()), true);
-            out.writeDouble(attempt.cpus());
-            out.writeDouble(attempt.gpus());
-            out.writeDouble(attempt.memGb());
+            output.writeByte(STARTED);
+            writeId(output, nameIndexes, attempt.id());
+            output.writeVarInt(nameIndexes.getInt(attempt.machineId()), true);
+            output.writeVarInt(nameIndexes.getInt(attempt.team()), true);
+            output.writeDouble(attempt.cpus());
+            output.writeDouble(attempt.gpus());
+            output.writeDouble(attempt.memGb());
         } else if (record instanceof AttemptEnded ended) {
-            out.writeByte(ENDED);
-            writeId(out, numbers, ended.id());
+            output.writeByte(ENDED);
+            writeId(output, nameIndexes, ended.id());
         } else if (record instanceof SnapshotEnd end) {
-            out.writeByte(SNAPSHOT_END);
-            writeCheckpoint(out, end.checksum());
+            output.writeByte(SNAPSHOT_END);
+            writeCheckpoint(output, end.checksum());
         } else if (record instanceof VerifyChecksum checked) {
-            out.writeByte(CHECKED);
-            writeCheckpoint(out, checked.checksum());
+            output.writeByte(CHECKED);
+            writeCheckpoint(output, checked.checksum());
         }
     }
 
-    private static void writeId(Output out, Object2IntOpenHashMap<String> numbers, AttemptId id) {
-        out.writeVarInt(numbers.getInt(id.jobId()), true);
-        out.writeVarInt(id.taskIndex(), true);
-        out.writeVarLong(id.attemptNumber(), true);
+    private static void writeId(
+            Output output, Object2IntOpenHashMap<String> nameIndexes, AttemptId id) {
+        output.writeVarInt(nameIndexes.getInt(id.jobId()), true);
+        output.writeVarInt(id.taskIndex(), true);
+        output.writeVarLong(id.attemptNumber(), true);
     }
 
-    private static void writeCheckpoint(Output out, Checksum checkpoint) {
-        out.writeLong(checkpoint.digest());
-        out.writeVarInt(checkpoint.size(), true);
+    private static void writeCheckpoint(Output output, Checksum checkpoint) {
+        output.writeLong(checkpoint.digest());
+        output.writeVarInt(checkpoint.size(), true);
     }
 
-    private static List<LogRecord> readRecords(Input in) {
+    private static List<LogRecord> readRecords(Input input) {
         List<String> names = new ArrayList<>();
-        for (int i = count(in); i > 0; i--) {
-            names.add(text(in));
+        for (int i = readEntryCount(input); i > 0; i--) {
+            names.add(readText(input));
         }
         List<LogRecord> records = new ArrayList<>();
-        for (int i = count(in); i > 0; i--) {
-            records.add(readRecord(in, names));
+        for (int i = readEntryCount(input); i > 0; i--) {
+            records.add(readRecord(input, names));
         }
         return records;
     }
 
-    private static LogRecord readRecord(Input in, List<String> names) {
-        int kind = in.readByte();
+    private static LogRecord readRecord(Input input, List<String> names) {
+        int kind = input.readByte();
         return switch (kind) {
             case SNAPSHOT_BEGIN -> new SnapshotBegin();
-            case STARTED -> new AttemptStarted(readAttempt(in, names));
-            case ENDED -> new AttemptEnded(readId(in, names));
-            case SNAPSHOT_END -> new SnapshotEnd(readCheckpoint(in));
-            case CHECKED -> new VerifyChecksum(readCheckpoint(in));
+            case STARTED -> new AttemptStarted(readAttempt(input, names));
+            case ENDED -> new AttemptEnded(readId(input, names));
+            case SNAPSHOT_END -> new SnapshotEnd(readCheckpoint(input));
+            case CHECKED -> new VerifyChecksum(readCheckpoint(input));
             default -> throw new KryoException("unknown kind of record " + kind);
         };
     }
 
-    private static Attempt readAttempt(Input in, List<String> names) {
+    private static Attempt readAttempt(Input input, List<String> names) {
         return new Attempt(
-                readId(in, names),
-                names.get(in.readVarInt(true)),
-                names.get(in.readVarInt(true)),
-                in.readDouble(),
-                in.readDouble(),
-                in.readDouble());
+                readId(input, names),
+                names.get(input.readVarInt(true)),
+                names.get(input.readVarInt(true)),
+                input.readDouble(),
+                input.readDouble(),
+                input.readDouble());
     }
 
-    private static AttemptId readId(Input in, List<String> names) {
+    private static AttemptId readId(Input input, List<String> names) {
         return new AttemptId(
-                names.get(in.readVarInt(true)), in.readVarInt(true), in.readVarLong(true));
+                names.get(input.readVarInt(true)), input.readVarInt(true), input.readVarLong(true));
     }
 
-    private static Checksum readCheckpoint(Input in) {
-        return new Checksum(in.readLong(), in.readVarInt(true));
+    private static Checksum readCheckpoint(Input input) {
+        return new Checksum(input.readLong(), input.readVarInt(true));
     }
 
-    private static int count(Input in) {
-        int count = in.readVarInt(true);
-        if (count < 0 || count > Tuning.MOST_HINT_ENTRIES) {
+    private static int readEntryCount(Input input) {
+        int count = input.readVarInt(true);
+        if (count < 0 || count > Tuning.MAX_PEER_MESSAGE_ENTRIES) {
             throw new KryoException("too many entries");
         }
         return count;
