--- a/src/main/java/org/shoreusher/peer/StandbyLines.java
+++ b/src/main/java/org/shoreusher/peer/StandbyLines.java
@@ -25,10 +25,10 @@
  */
 public final class StandbyLines {
     private final Map<String, Settings.Address> addresses = new HashMap<>();
-    private final Map<String, Channel> lines = new HashMap<>();
-    private final Map<String, byte[]> connecting = new HashMap<>();
+    private final Map<String, Channel> connections = new HashMap<>();
+    private final Map<String, byte[]> pendingMessages = new HashMap<>();
     private final Bootstrap bootstrap;
-    private long messages;
+    private long messagesSent;
     private long bytesSent;
 
     /** A transport to the members in the settings. */
@@ -38,13 +38,13 @@
                 new Bootstrap()
                         .group(loop)
                         .channel(NioSocketChannel.class)
-                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, Tuning.CONNECT_MS)
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, Tuning.CONNECT_TIMEOUT_MS)
                         .option(ChannelOption.TCP_NODELAY, true)
                         .handler(
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
-                                    protected void initChannel(SocketChannel ch) {
-                                        ch.pipeline()
+                                    protected void initChannel(SocketChannel channel) {
+                                        channel.pipeline()
                                                 .addLast(
                                                         new LengthFieldPrepender(4),
                                                         new ClosingHandler());
@@ -58,42 +58,42 @@
         if (address == null) {
             return;
         }
-        byte[] bytes = StandbyCodec.write(message);
-        messages++;
-        bytesSent += bytes.length;
-        Channel line = lines.get(host);
-        if (line == null || !line.isActive()) {
-            connect(host, address, bytes);
-        } else if (line.isWritable()) {
-            line.writeAndFlush(Unpooled.wrappedBuffer(bytes));
+        byte[] encoded = StandbyCodec.encode(message);
+        messagesSent++;
+        bytesSent += encoded.length;
+        Channel connection = connections.get(host);
+        if (connection == null || !connection.isActive()) {
+            connect(host, address, encoded);
+        } else if (connection.isWritable()) {
+            connection.writeAndFlush(Unpooled.wrappedBuffer(encoded));
         } else {
-            line.close();
+            connection.close();
         }
     }
 
     /** A line on the traffic since the last call, which resets it; null if nothing was sent. */
-    public String sent() {
-        if (messages == 0) {
+    public String drainTrafficSummary() {
+        if (messagesSent == 0) {
             return null;
         }
-        String line = "standby: sent " + messages + " messages of " + bytesSent + " bytes";
-        messages = 0;
+        String summary = "standby: sent " + messagesSent + " messages of " + bytesSent + " bytes";
+        messagesSent = 0;
         bytesSent = 0;
-        return line;
+        return summary;
     }
 
     /** Connects. Of the messages to be sent meanwhile, only the last one is kept and sent. */
-    private void connect(String host, Settings.Address address, byte[] bytes) {
-        if (connecting.put(host, bytes) != null) {
+    private void connect(String host, Settings.Address address, byte[] message) {
+        if (pendingMessages.put(host, message) != null) {
             return;
         }
         ChannelFuture connect = bootstrap.connect(address.ip(), address.port());
         connect.addListener(
                 done -> {
-                    byte[] last = connecting.remove(host);
+                    byte[] lastMessage = pendingMessages.remove(host);
                     if (connect.isSuccess()) {
-                        lines.put(host, connect.channel());
-                        connect.channel().writeAndFlush(Unpooled.wrappedBuffer(last));
+                        connections.put(host, connect.channel());
+                        connect.channel().writeAndFlush(Unpooled.wrappedBuffer(lastMessage));
                     }
                 });
     }
--- a/src/main/java/org/shoreusher/settings/FeatureSection.java
+++ b/src/main/java/org/shoreusher/settings/FeatureSection.java
@@ -6,8 +6,8 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * A section of the features file. Each key that is read becomes known; {@link #finish} rejects the
- * others. Values are checked for type and range when they are read.
+ * A section of the features file. Each key that is read becomes known; {@link #rejectUnknownKeys}
+ * rejects the others. Values are checked for type and range when they are read.
  */
 final class FeatureSection {
     private final String name;
@@ -20,10 +20,10 @@
     }
 
     /** An optional boolean with a default value. */
-    boolean flag(String key, boolean otherwise) throws Settings.Invalid {
+    boolean flagOr(String key, boolean defaultValue) throws Settings.InvalidSettingsException {
         Object value = value(key);
         if (value == null) {
-            return otherwise;
+            return defaultValue;
         }
         if (value instanceof Boolean flag) {
             return flag;
@@ -32,53 +32,55 @@
     }
 
     /** An optional number with inclusive bounds and a default value. */
-    double number(String key, double least, double most, double otherwise) throws Settings.Invalid {
+    double numberOr(String key, double minimum, double maximum, double defaultValue)
+            throws Settings.InvalidSettingsException {
         Object value = value(key);
         if (value == null) {
-            return otherwise;
+            return defaultValue;
         }
         if (value instanceof Number number
-                && number.doubleValue() >= least
-                && number.doubleValue() <= most) {
+                && number.doubleValue() >= minimum
+                && number.doubleValue() <= maximum) {
             return number.doubleValue();
         }
-        throw wrong(key, "a number from " + text(least) + " to " + text(most));
+        throw wrong(key, "a number from " + text(minimum) + " to " + text(maximum));
     }
 
     /** An optional integer with inclusive bounds and a default value. */
-    int whole(String key, int least, int most, int otherwise) throws Settings.Invalid {
+    int integerOr(String key, int minimum, int maximum, int defaultValue)
+            throws Settings.InvalidSettingsException {
         Object value = value(key);
         if (value == null) {
-            return otherwise;
+            return defaultValue;
         }
-        if (value instanceof Long number && number >= least && number <= most) {
+        if (value instanceof Long number && number >= minimum && number <= maximum) {
             return number.intValue();
         }
-        throw wrong(key, "a whole number from " + least + " to " + most);
+        throw wrong(key, "a whole number from " + minimum + " to " + maximum);
     }
 
     /** A nested section; null if it is absent. */
-    FeatureSection section(String key) throws Settings.Invalid {
+    FeatureSection sectionOrNull(String key) throws Settings.InvalidSettingsException {
         if (value(key) == null) {
             return null;
         }
         try {
             return new FeatureSection(path(key), new FieldMap(values).map(key).asMap());
-        } catch (FieldMap.Missing e) {
+        } catch (FieldMap.InvalidFieldException e) {
             throw wrong(key, "a section");
         }
     }
 
     /** All keys of this section. */
-    Set<String> names() {
+    Set<String> keys() {
         return values.keySet();
     }
 
     /** Rejects keys that have not been read. */
-    void finish() throws Settings.Invalid {
+    void rejectUnknownKeys() throws Settings.InvalidSettingsException {
         for (String key : values.keySet()) {
             if (!known.contains(key)) {
-                throw new Settings.Invalid(
+                throw new Settings.InvalidSettingsException(
                         "features: " + path(key) + " is unknown; allowed are " + known);
             }
         }
@@ -89,8 +91,9 @@
         return values.get(key);
     }
 
-    private Settings.Invalid wrong(String key, String allowed) {
-        return new Settings.Invalid("features: " + path(key) + " must be " + allowed);
+    private Settings.InvalidSettingsException wrong(String key, String allowed) {
+        return new Settings.InvalidSettingsException(
+                "features: " + path(key) + " must be " + allowed);
     }
 
     private String path(String key) {
--- a/src/main/java/org/shoreusher/settings/FeaturesFile.java
+++ b/src/main/java/org/shoreusher/settings/FeaturesFile.java
@@ -46,12 +46,14 @@
      *
      * @throws Settings.Invalid with a sentence for the operator
      */
-    public static Features load(Path file, Settings settings) throws Settings.Invalid {
+    public static Features load(Path file, Settings settings)
+            throws Settings.InvalidSettingsException {
         byte[] bytes;
         try {
             bytes = Files.readAllBytes(file);
         } catch (IOException e) {
-            throw new Settings.Invalid("cannot read features file " + file + ": " + e.getMessage());
+            throw new Settings.InvalidSettingsException(
+                    "cannot read features file " + file + ": " + e.getMessage());
         }
         return parse(bytes, settings);
     }
@@ -62,81 +64,88 @@
      * @param settings names the classes of jobs of the deployment
      * @throws Settings.Invalid with a sentence for the operator
      */
-    public static Features parse(byte[] toml, Settings settings) throws Settings.Invalid {
-        FieldMap root;
+    public static Features parse(byte[] toml, Settings settings)
+            throws Settings.InvalidSettingsException {
+        FieldMap fields;
         try {
-            root = FieldMap.toml(toml);
+            fields = FieldMap.parseToml(toml);
         } catch (IOException e) {
-            throw new Settings.Invalid(
+            throw new Settings.InvalidSettingsException(
                     "features are not valid TOML: "
                             + e.getMessage().lines().findFirst().orElse(""));
         }
-        FeatureSection all = new FeatureSection("", root.asMap());
-        FeatureSection balance = all.section("balance");
-        FeatureSection standby = all.section("standby");
+        FeatureSection all = new FeatureSection("", fields.asMap());
+        FeatureSection balance = all.sectionOrNull("balance");
+        FeatureSection standby = all.sectionOrNull("standby");
         Features features =
                 new Features(
                         balance == null ? null : balance(balance, settings),
                         standby == null ? null : standby(standby));
-        all.finish();
+        all.rejectUnknownKeys();
         return features;
     }
 
     private static BalanceSettings balance(FeatureSection section, Settings settings)
-            throws Settings.Invalid {
-        BalanceSettings usual = BalanceSettings.DEFAULTS;
-        boolean enabled = section.flag("enabled", true);
+            throws Settings.InvalidSettingsException {
+        BalanceSettings defaults = BalanceSettings.DEFAULTS;
+        boolean enabled = section.flagOr("enabled", true);
         BalanceSettings balance =
                 new BalanceSettings(
-                        section.number("spread_margin", 0.05, 1, usual.spreadMargin()),
-                        section.number("hysteresis", 0, 0.5, usual.hysteresis()),
-                        section.number("hot_share", 0.01, 1, usual.highDemandShare()),
-                        section.whole(
-                                "moves_at_once", 0, MOST_MOVES, usual.maxConcurrentMigrations()),
-                        section.whole(
-                                "moves_per_team", 0, MOST_MOVES, usual.maxMigrationsPerTeam()),
-                        section.whole(
-                                "moves_per_zone", 0, MOST_MOVES, usual.maxMigrationsPerZone()),
-                        section.number("cooldown_s", 0, LONGEST_COOLDOWN_S, usual.cooldownS()),
-                        section.number("least_gain", 1, HIGHEST_GAIN, usual.minGainFactor()),
-                        budget(section, usual.defaultBudget()),
-                        budgets(section.section("classes"), settings, usual.defaultBudget()));
-        section.finish();
+                        section.numberOr("spread_margin", 0.05, 1, defaults.spreadMargin()),
+                        section.numberOr("hysteresis", 0, 0.5, defaults.hysteresis()),
+                        section.numberOr("hot_share", 0.01, 1, defaults.highDemandShare()),
+                        section.integerOr(
+                                "moves_at_once", 0, MOST_MOVES, defaults.maxConcurrentMigrations()),
+                        section.integerOr(
+                                "moves_per_team", 0, MOST_MOVES, defaults.maxMigrationsPerTeam()),
+                        section.integerOr(
+                                "moves_per_zone", 0, MOST_MOVES, defaults.maxMigrationsPerZone()),
+                        section.numberOr("cooldown_s", 0, LONGEST_COOLDOWN_S, defaults.cooldownS()),
+                        section.numberOr("least_gain", 1, HIGHEST_GAIN, defaults.minGainFactor()),
+                        budget(section, defaults.defaultBudget()),
+                        budgets(
+                                section.sectionOrNull("classes"),
+                                settings,
+                                defaults.defaultBudget()));
+        section.rejectUnknownKeys();
         return enabled ? balance : null;
     }
 
-    private static StandbySettings standby(FeatureSection section) throws Settings.Invalid {
-        StandbySettings usual = StandbySettings.DEFAULTS;
-        boolean enabled = section.flag("enabled", true);
+    private static StandbySettings standby(FeatureSection section)
+            throws Settings.InvalidSettingsException {
+        StandbySettings defaults = StandbySettings.DEFAULTS;
+        boolean enabled = section.flagOr("enabled", true);
         StandbySettings standby =
                 new StandbySettings(
-                        section.whole(
+                        section.integerOr(
                                 "ack_timeout_ms",
                                 SHORTEST_ACK_TIMEOUT_MS,
                                 LONGEST_ACK_TIMEOUT_MS,
-                                usual.ackTimeoutMs()),
-                        section.whole(
-                                "head_start_ms", 0, LONGEST_HEAD_START_MS, usual.headStartMs()),
-                        section.whole(
+                                defaults.ackTimeoutMs()),
+                        section.integerOr(
+                                "head_start_ms", 0, LONGEST_HEAD_START_MS, defaults.headStartMs()),
+                        section.integerOr(
                                 "frame_records",
                                 FEWEST_FRAME_RECORDS,
                                 MOST_FRAME_RECORDS,
-                                usual.frameRecords()),
-                        section.whole("most_attempts", 0, MOST_ATTEMPTS, usual.mostAttempts()));
-        section.finish();
+                                defaults.frameRecords()),
+                        section.integerOr(
+                                "most_attempts", 0, MOST_ATTEMPTS, defaults.mostAttempts()));
+        section.rejectUnknownKeys();
         return enabled ? standby : null;
     }
 
-    private static ClassBudget budget(FeatureSection section, ClassBudget usual)
-            throws Settings.Invalid {
+    private static ClassBudget budget(FeatureSection section, ClassBudget defaults)
+            throws Settings.InvalidSettingsException {
         return new ClassBudget(
-                section.whole(
-                        "moves_per_task", 0, MOST_MOVES_OF_TASK, usual.maxMigrationsPerTask()),
-                section.number("repeated_share", 0, 1, usual.maxRepeatedWorkShare()));
+                section.integerOr(
+                        "moves_per_task", 0, MOST_MOVES_OF_TASK, defaults.maxMigrationsPerTask()),
+                section.numberOr("repeated_share", 0, 1, defaults.maxRepeatedWorkShare()));
     }
 
     private static Map<String, ClassBudget> budgets(
-            FeatureSection classes, Settings settings, ClassBudget usual) throws Settings.Invalid {
+            FeatureSection classes, Settings settings, ClassBudget defaults)
+            throws Settings.InvalidSettingsException {
         Map<String, ClassBudget> budgets = new LinkedHashMap<>();
         if (classes == null) {
             return budgets;
@@ -146,17 +155,17 @@
                         .map(Settings.Objective::jobClass)
                         .filter(name -> !name.isEmpty())
                         .collect(Collectors.toCollection(TreeSet::new));
-        for (String name : classes.names()) {
-            FeatureSection section = classes.section(name);
+        for (String name : classes.keys()) {
+            FeatureSection section = classes.sectionOrNull(name);
             if (!known.contains(name)) {
-                throw new Settings.Invalid(
+                throw new Settings.InvalidSettingsException(
                         "features: balance.classes."
                                 + name
                                 + " is no class of this deployment; allowed are "
                                 + known);
             }
-            budgets.put(name, budget(section, usual));
-            section.finish();
+            budgets.put(name, budget(section, defaults));
+            section.rejectUnknownKeys();
         }
         return budgets;
     }
--- a/src/main/java/org/shoreusher/settings/Settings.java
+++ b/src/main/java/org/shoreusher/settings/Settings.java
@@ -18,50 +18,50 @@
  *
  * @param host name of this node
  * @param zone zone of this node
- * @param front address for users, workers and the load balancer
- * @param back address for the other controllers
+ * @param frontAddress address for users, workers and the load balancer
+ * @param peerAddress address for the other controllers
  * @param members the other controllers
- * @param cloud address of the cloud's interface
- * @param state address of the key-value store
- * @param nodes number of controllers
+ * @param cloudAddress address of the cloud's interface
+ * @param storeAddress address of the key-value store
+ * @param nodeCount number of controllers
  * @param zones zones in which there are machines
  * @param teams the teams by name
  * @param objectives service-level objectives, as the users stated them
- * @param reportS heartbeat interval of the workers in s
+ * @param heartbeatIntervalS heartbeat interval of the workers in s
  * @param workerLeaseS s after its last accepted heartbeat until a worker's lease expires
- * @param cancelS s within which a cancelled job's tasks must have ended
- * @param stateRps requests per s that the store allows all nodes together
- * @param stateWriteRps writes per s that the store allows all nodes together
- * @param valueBytes size of a stored value at most, in bytes
- * @param txnOps writes in one transaction at most
- * @param cloudRps requests per s that the cloud allows all nodes together
- * @param listLagS s by which the cloud's inventory may lag
- * @param sockets open sockets of this process at most
- * @param clockOffMs ms by which a node's wall clock may be off
+ * @param cancellationLimitS s within which a cancelled job's tasks must have ended
+ * @param storeRequestsPerS requests per s that the store allows all nodes together
+ * @param storeWritesPerS writes per s that the store allows all nodes together
+ * @param maxValueBytes size of a stored value at most, in bytes
+ * @param maxTransactionWrites writes in one transaction at most
+ * @param cloudRequestsPerS requests per s that the cloud allows all nodes together
+ * @param inventoryLagS s by which the cloud's inventory may lag
+ * @param maxSockets open sockets of this process at most
+ * @param maxClockOffsetMs ms by which a node's wall clock may be off
  */
 public record Settings(
         String host,
         String zone,
-        Address front,
-        Address back,
+        Address frontAddress,
+        Address peerAddress,
         List<Member> members,
-        Address cloud,
-        Address state,
-        int nodes,
+        Address cloudAddress,
+        Address storeAddress,
+        int nodeCount,
         List<String> zones,
         Map<String, Team> teams,
         List<Objective> objectives,
-        double reportS,
+        double heartbeatIntervalS,
         double workerLeaseS,
-        double cancelS,
-        double stateRps,
-        double stateWriteRps,
-        int valueBytes,
-        int txnOps,
-        double cloudRps,
-        double listLagS,
-        int sockets,
-        long clockOffMs) {
+        double cancellationLimitS,
+        double storeRequestsPerS,
+        double storeWritesPerS,
+        int maxValueBytes,
+        int maxTransactionWrites,
+        double cloudRequestsPerS,
+        double inventoryLagS,
+        int maxSockets,
+        long maxClockOffsetMs) {
 
     /** An IP address and port. */
     public record Address(String ip, int port) {
@@ -78,7 +78,12 @@
      * A team's guaranteed share and quota of CPUs and GPUs. A quota that the file omits or gives as
      * 0 means no quota, which is infinity here.
      */
-    public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
+    public record Team(
+            String name,
+            double guaranteedCpus,
+            double maxCpus,
+            double guaranteedGpus,
+            double maxGpus) {}
 
     /**
      * A service-level objective.
@@ -87,22 +92,22 @@
      * @param jobClass the class of jobs that it applies to; empty for all classes
      * @param withinS time limit in s; NaN if it has none
      * @param share share of the jobs that must meet it; NaN if it has none
-     * @param times factor on the deadline that a user gives
+     * @param deadlineFactor factor on the deadline that a user gives
      */
     public record Objective(
-            String kind, String jobClass, double withinS, double share, double times) {}
+            String kind, String jobClass, double withinS, double share, double deadlineFactor) {}
 
     /** Thrown for an invalid file; the message is one sentence for the operator. */
-    public static final class Invalid extends Exception {
+    public static final class InvalidSettingsException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Invalid(String message) {
+        InvalidSettingsException(String message) {
             super(message);
         }
     }
 
     /** The host names of all controllers, including this one. */
-    public Stream<String> hosts() {
+    public Stream<String> allHosts() {
         return Stream.concat(Stream.of(host), members.stream().map(Member::host)).distinct();
     }
 
@@ -111,12 +116,13 @@
      *
      * @throws Invalid with a sentence for the operator
      */
-    public static Settings load(Path file) throws Invalid {
+    public static Settings load(Path file) throws InvalidSettingsException {
         byte[] bytes;
         try {
             bytes = Files.readAllBytes(file);
         } catch (IOException e) {
-            throw new Invalid("cannot read settings file " + file + ": " + e.getMessage());
+            throw new InvalidSettingsException(
+                    "cannot read settings file " + file + ": " + e.getMessage());
         }
         return parse(bytes);
     }
@@ -126,108 +132,113 @@
      *
      * @throws Invalid with a sentence for the operator
      */
-    public static Settings parse(byte[] json) throws Invalid {
+    public static Settings parse(byte[] json) throws InvalidSettingsException {
         FieldMap root;
         try {
-            root = FieldMap.json(json);
+            root = FieldMap.parseJson(json);
         } catch (IOException e) {
-            throw new Invalid(
+            throw new InvalidSettingsException(
                     "settings are not valid JSON: "
                             + e.getMessage().lines().findFirst().orElse(""));
         }
         try {
             return read(root);
-        } catch (FieldMap.Missing e) {
-            throw new Invalid("settings: " + e.getMessage());
+        } catch (FieldMap.InvalidFieldException e) {
+            throw new InvalidSettingsException("settings: " + e.getMessage());
         }
     }
 
-    private static Member member(FieldMap m) throws FieldMap.Missing, Invalid {
+    private static Member member(FieldMap fields)
+            throws FieldMap.InvalidFieldException, InvalidSettingsException {
         return new Member(
-                m.text("host_name"),
-                address(m.text("peer_addr"), "peer_addr"),
-                m.textOr("zone", ""));
+                fields.text("host_name"),
+                address(fields.text("peer_addr"), "peer_addr"),
+                fields.textOr("zone", ""));
     }
 
-    private static Settings read(FieldMap root) throws FieldMap.Missing, Invalid {
+    private static Settings read(FieldMap root)
+            throws FieldMap.InvalidFieldException, InvalidSettingsException {
         List<Member> members = new ArrayList<>();
-        for (FieldMap m : root.list("members")) {
-            members.add(member(m));
+        for (FieldMap memberFields : root.maps("members")) {
+            members.add(member(memberFields));
         }
-        FieldMap ends = root.map("endpoints");
-        FieldMap d = root.map("deployment");
+        FieldMap endpoints = root.map("endpoints");
+        FieldMap deployment = root.map("deployment");
         Map<String, Team> teams = new LinkedHashMap<>();
-        for (FieldMap t : d.list("teams")) {
+        for (FieldMap teamFields : deployment.maps("teams")) {
             Team team =
                     new Team(
-                            t.text("name"),
-                            t.numberOr("cpus", 0),
-                            limit(t, "cpus_max"),
-                            t.numberOr("gpus", 0),
-                            limit(t, "gpus_max"));
+                            teamFields.text("name"),
+                            teamFields.numberOr("cpus", 0),
+                            limit(teamFields, "cpus_max"),
+                            teamFields.numberOr("gpus", 0),
+                            limit(teamFields, "gpus_max"));
             require(
                     teams.put(team.name(), team) == null,
                     "team " + team.name() + " is there twice");
         }
-        List<String> zones = d.texts("zones");
-        FieldMap workers = d.map("workers");
-        FieldMap state = d.map("state");
+        List<String> zones = deployment.texts("zones");
+        FieldMap workers = deployment.map("workers");
+        FieldMap state = deployment.map("state");
         FieldMap next = state.has("next") ? state.map("next") : new FieldMap(Map.of());
-        FieldMap cloud = d.map("cloud");
-        Settings s =
+        FieldMap cloud = deployment.map("cloud");
+        Settings settings =
                 new Settings(
                         root.text("host_name"),
                         root.text("zone"),
                         address(root.text("front"), "front"),
                         address(root.text("back"), "back"),
                         List.copyOf(members),
-                        address(ends.text("cloud"), "endpoints.cloud"),
-                        address(ends.text("state"), "endpoints.state"),
-                        (int) d.number("count"),
+                        address(endpoints.text("cloud"), "endpoints.cloud"),
+                        address(endpoints.text("state"), "endpoints.state"),
+                        (int) deployment.number("count"),
                         zones,
                         teams,
-                        objectives(d),
+                        objectives(deployment),
                         workers.number("report_s"),
                         workers.number("lease_s"),
                         workers.number("cancel_s"),
                         stricter(state, next, "rps"),
                         stricter(state, next, "write_rps"),
                         (int) (stricter(state, next, "value_kb") * 1024),
-                        txnOps(state, next),
+                        maxTransactionWrites(state, next),
                         cloud.number("rps"),
                         cloud.number("list_lag_s"),
-                        (int) d.map("limits").numberOr("sockets", 1_000),
-                        (long) d.number("clock_off_ms"));
-        s.check();
-        return s;
+                        (int) deployment.map("limits").numberOr("sockets", 1_000),
+                        (long) deployment.number("clock_off_ms"));
+        settings.check();
+        return settings;
     }
 
     /**
      * Writes in one transaction: not more than the store accepts in a burst of one second, since it
      * would reject a larger transaction with 429 each time.
      */
-    private static int txnOps(FieldMap state, FieldMap next) throws FieldMap.Missing, Invalid {
+    private static int maxTransactionWrites(FieldMap state, FieldMap next)
+            throws FieldMap.InvalidFieldException, InvalidSettingsException {
         int limit = (int) stricter(state, next, "txn_ops");
-        int burst = Math.max(Tuning.LEAST_TXN_OPS, (int) stricter(state, next, "write_rps"));
+        int burst =
+                Math.max(Tuning.MIN_TRANSACTION_WRITES, (int) stricter(state, next, "write_rps"));
         return Math.min(limit, burst);
     }
 
-    private static List<Objective> objectives(FieldMap d) throws FieldMap.Missing {
+    private static List<Objective> objectives(FieldMap deployment)
+            throws FieldMap.InvalidFieldException {
         List<Objective> objectives = new ArrayList<>();
-        for (FieldMap o : d.list("objectives")) {
+        for (FieldMap objectiveFields : deployment.maps("objectives")) {
             objectives.add(
                     new Objective(
-                            o.text("kind"),
-                            o.textOr("class", ""),
-                            o.numberOr("within_s", Double.NaN),
-                            o.numberOr("share", Double.NaN),
-                            o.numberOr("times", 1)));
+                            objectiveFields.text("kind"),
+                            objectiveFields.textOr("class", ""),
+                            objectiveFields.numberOr("within_s", Double.NaN),
+                            objectiveFields.numberOr("share", Double.NaN),
+                            objectiveFields.numberOr("times", 1)));
         }
         return List.copyOf(objectives);
     }
 
     private static double stricter(FieldMap state, FieldMap next, String field)
-            throws FieldMap.Missing, Invalid {
+            throws FieldMap.InvalidFieldException, InvalidSettingsException {
         double now = state.number(field);
         double later = next.numberOr(field, now);
         require(later > 0 || !next.has(field), "state.next." + field + " must be above 0");
@@ -238,41 +249,41 @@
      * A quota, for which 0 means none (protocol). Taken as 0 CPUs, every job of the team would be
      * rejected for good.
      */
-    private static double limit(FieldMap team, String field) throws FieldMap.Missing {
+    private static double limit(FieldMap team, String field) throws FieldMap.InvalidFieldException {
         double limit = team.numberOr(field, 0);
         return limit == 0 ? Double.POSITIVE_INFINITY : limit;
     }
 
-    private void check() throws Invalid {
+    private void check() throws InvalidSettingsException {
         require(!host.isEmpty(), "host_name is empty");
-        require(nodes >= 1, "deployment.count must be at least 1");
+        require(nodeCount >= 1, "deployment.count must be at least 1");
         require(
-                reportS > 0 && workerLeaseS > reportS,
+                heartbeatIntervalS > 0 && workerLeaseS > heartbeatIntervalS,
                 "workers.lease_s must be longer than workers.report_s");
-        require(cancelS > 0, "workers.cancel_s must be above 0");
-        require(stateRps > 0, "state.rps must be above 0");
-        require(stateWriteRps > 0, "state.write_rps must be above 0");
-        require(cloudRps > 0, "cloud.rps must be above 0");
-        require(listLagS >= 0, "cloud.list_lag_s must not be negative");
+        require(cancellationLimitS > 0, "workers.cancel_s must be above 0");
+        require(storeRequestsPerS > 0, "state.rps must be above 0");
+        require(storeWritesPerS > 0, "state.write_rps must be above 0");
+        require(cloudRequestsPerS > 0, "cloud.rps must be above 0");
+        require(inventoryLagS >= 0, "cloud.list_lag_s must not be negative");
         require(
-                txnOps >= Tuning.LEAST_TXN_OPS,
+                maxTransactionWrites >= Tuning.MIN_TRANSACTION_WRITES,
                 "state.txn_ops (also in state.next) must be at least 4: a takeover changes three"
                         + " keys");
-        require(valueBytes >= 1024, "state.value_kb (also in state.next) must be at least 1");
+        require(maxValueBytes >= 1024, "state.value_kb (also in state.next) must be at least 1");
         require(
-                clockOffMs >= 0 && clockOffMs * 4 < Tuning.LEASE_MS,
-                "clock_off_ms must be far below the lease of " + Tuning.LEASE_MS + " ms");
+                maxClockOffsetMs >= 0 && maxClockOffsetMs * 4 < Tuning.LEADER_LEASE_MS,
+                "clock_off_ms must be far below the lease of " + Tuning.LEADER_LEASE_MS + " ms");
         require(
-                sockets > 2 * Tuning.OWN_SOCKETS,
-                "limits.sockets must be above " + 2 * Tuning.OWN_SOCKETS);
-        for (Team t : teams.values()) {
-            check(t.name, "cpus", t.cpus, t.cpusMax);
-            check(t.name, "gpus", t.gpus, t.gpusMax);
+                maxSockets > 2 * Tuning.RESERVED_SOCKETS,
+                "limits.sockets must be above " + 2 * Tuning.RESERVED_SOCKETS);
+        for (Team team : teams.values()) {
+            check(team.name, "cpus", team.guaranteedCpus, team.maxCpus);
+            check(team.name, "gpus", team.guaranteedGpus, team.maxGpus);
         }
     }
 
     private static void check(String team, String field, double guarantee, double limit)
-            throws Invalid {
+            throws InvalidSettingsException {
         require(guarantee >= 0, field + " of team " + team + " must not be negative");
         require(limit >= 0, field + "_max of team " + team + " must not be negative");
         require(
@@ -280,13 +291,13 @@
                 field + " of team " + team + " must not be above its " + field + "_max");
     }
 
-    private static void require(boolean ok, String message) throws Invalid {
-        if (!ok) {
-            throw new Invalid("settings: " + message);
+    private static void require(boolean condition, String message) throws InvalidSettingsException {
+        if (!condition) {
+            throw new InvalidSettingsException("settings: " + message);
         }
     }
 
-    private static Address address(String text, String field) throws Invalid {
+    private static Address address(String text, String field) throws InvalidSettingsException {
         int colon = text.lastIndexOf(':');
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
@@ -296,15 +307,15 @@
         } catch (NumberFormatException e) {
             // Reported below, with the field's name.
         }
-        throw new Invalid(
+        throw new InvalidSettingsException(
                 "settings: " + field + " is not an address like 10.0.0.1:8080: '" + text + "'");
     }
 
     /** Parses the address in a message; null if it is invalid. */
-    public static Address addressOrNull(String text) {
+    public static Address parseAddressOrNull(String text) {
         try {
             return address(text, "addr");
-        } catch (Invalid e) {
+        } catch (InvalidSettingsException e) {
             return null;
         }
     }
--- a/src/main/java/org/shoreusher/standin/CloudStandIn.java
+++ b/src/main/java/org/shoreusher/standin/CloudStandIn.java
@@ -19,16 +19,17 @@
     private static final String FIRST_MACHINE = "";
 
     /** Properties of the machine type and the zones in which it is available. */
-    public record Offer(double cpus, double memoryGb, double fetchGbPerS, List<String> zones) {}
+    public record MachineOffer(
+            double cpus, double memoryGb, double fetchGbPerS, List<String> zones) {}
 
     /** The workers by machine name. */
     private final TreeMap<String, WorkerStandIn> machines = new TreeMap<>();
 
-    private final TreeMap<String, List<Object>> rentals = new TreeMap<>();
-    private final Offer offer;
+    private final TreeMap<String, List<Object>> provisions = new TreeMap<>();
+    private final MachineOffer offer;
     private final int capacity;
     private final Function<WorkerStandIn.Identity, WorkerStandIn> workers;
-    private int rented;
+    private int provisionedCount;
 
     /**
      * A cloud without machines.
@@ -38,23 +39,25 @@
      * @param workers starts the worker of a new machine
      */
     public CloudStandIn(
-            Offer offer, int capacity, Function<WorkerStandIn.Identity, WorkerStandIn> workers) {
+            MachineOffer offer,
+            int capacity,
+            Function<WorkerStandIn.Identity, WorkerStandIn> workers) {
         this.offer = offer;
         this.capacity = capacity;
         this.workers = workers;
     }
 
     /** Properties of the machine type. */
-    public Offer offer() {
+    public MachineOffer offer() {
         return offer;
     }
 
     /** Handles a request of a controller. */
-    public synchronized Response handle(Request request) throws FieldMap.Missing {
-        return switch (request.line()) {
+    public synchronized Response handle(Request request) throws FieldMap.InvalidFieldException {
+        return switch (request.requestLine()) {
             case "GET /flavors" -> Response.ok(Map.of("presses", List.of(type())));
-            case "POST /rentals" -> rent(request.body());
-            case "POST /rentals/return" -> giveBack(request.body());
+            case "POST /rentals" -> provision(request.body());
+            case "POST /rentals/return" -> terminate(request.body());
             default -> Response.ok(page(request.query()));
         };
     }
@@ -72,37 +75,37 @@
         return type;
     }
 
-    private Response rent(FieldMap body) throws FieldMap.Missing {
+    private Response provision(FieldMap body) throws FieldMap.InvalidFieldException {
         String name = body.text("hire");
-        if (!rentals.containsKey(name)) {
-            long count = Math.min(body.whole("number"), capacity - machines.size());
+        if (!provisions.containsKey(name)) {
+            long count = Math.min(body.integer("number"), capacity - machines.size());
             if (count <= 0) {
                 return new Response(503, Map.of("error", "no capacity"));
             }
-            rentals.put(name, start(count, body.text("yard"), body.flag("loaners")));
+            provisions.put(name, start(count, body.text("yard"), body.flag("loaners")));
         }
-        return Response.ok(Map.of("boxes", rentals.get(name)));
+        return Response.ok(Map.of("boxes", provisions.get(name)));
     }
 
     private List<Object> start(long count, String zone, boolean spot) {
         List<Object> names = new ArrayList<>();
         for (long i = 0; i < count; i++) {
-            String id = String.format("host-%06d", ++rented);
+            String id = String.format("host-%06d", ++provisionedCount);
             machines.put(id, workers.apply(new WorkerStandIn.Identity(id, TYPE, zone, spot)));
             names.add(id);
         }
         return names;
     }
 
-    private Response giveBack(FieldMap body) throws FieldMap.Missing {
+    private Response terminate(FieldMap body) throws FieldMap.InvalidFieldException {
         for (String id : body.texts("boxes")) {
-            take(id);
+            removeMachine(id);
         }
         return Response.ok(Map.of());
     }
 
     /** Removes a machine at once, with all tasks on it. Ignored if it does not exist. */
-    public synchronized void take(String id) {
+    public synchronized void removeMachine(String id) {
         WorkerStandIn worker = machines.remove(id);
         if (worker != null) {
             worker.stop();
@@ -110,7 +113,7 @@
     }
 
     /** Stops all workers. */
-    public synchronized void stop() {
+    public synchronized void stopWorkers() {
         machines.values().forEach(WorkerStandIn::stop);
     }
 
@@ -122,7 +125,7 @@
     /** The machine on which a task is active; null if there is none. */
     public synchronized String machineOf(String task) {
         return machines.entrySet().stream()
-                .filter(e -> e.getValue().runs(task))
+                .filter(entry -> entry.getValue().hasActiveTask(task))
                 .map(Map.Entry::getKey)
                 .findFirst()
                 .orElse(null);
@@ -130,10 +133,10 @@
 
     private Map<String, Object> page(Map<String, String> query) {
         String after = query.getOrDefault("after", FIRST_MACHINE);
-        int most = Integer.parseInt(query.getOrDefault("most", "500"));
+        int limit = Integer.parseInt(query.getOrDefault("most", "500"));
         List<Object> list = new ArrayList<>();
         for (WorkerStandIn worker : machines.tailMap(after, false).values()) {
-            if (list.size() == most) {
+            if (list.size() == limit) {
                 return Map.of("boxes", list, "more", true);
             }
             list.add(listed(worker.identity()));
--- a/src/main/java/org/shoreusher/standin/StandInServer.java
+++ b/src/main/java/org/shoreusher/standin/StandInServer.java
@@ -16,7 +16,7 @@
     /** A request; its body is empty if it has none. */
     public record Request(String method, String path, Map<String, String> query, FieldMap body) {
         /** Method and path, such as "POST /multi". */
-        String line() {
+        String requestLine() {
             return method + " " + path;
         }
     }
@@ -32,7 +32,8 @@
     /** Handles requests, on several threads at once. */
     public interface Handler {
         /** Handles one request; an invalid field is answered with 400. */
-        Response handle(Request request) throws FieldMap.Missing, InterruptedException;
+        Response handle(Request request)
+                throws FieldMap.InvalidFieldException, InterruptedException;
     }
 
     private final HttpServer server;
@@ -55,7 +56,7 @@
         Response response;
         try {
             response = handler.handle(request(exchange));
-        } catch (FieldMap.Missing e) {
+        } catch (FieldMap.InvalidFieldException e) {
             response = new Response(400, Map.of("error", e.getMessage()));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -69,7 +70,7 @@
 
     private static Request request(HttpExchange exchange) throws IOException {
         byte[] bytes = exchange.getRequestBody().readAllBytes();
-        FieldMap body = bytes.length == 0 ? new FieldMap(Map.of()) : FieldMap.cbor(bytes);
+        FieldMap body = bytes.length == 0 ? new FieldMap(Map.of()) : FieldMap.parseCbor(bytes);
         Map<String, String> query = new HashMap<>();
         String text = exchange.getRequestURI().getRawQuery();
         for (String pair : text == null ? new String[0] : text.split("&")) {
--- a/src/main/java/org/shoreusher/standin/StandInTask.java
+++ b/src/main/java/org/shoreusher/standin/StandInTask.java
@@ -9,10 +9,10 @@
         SAVING("flushing"),
         EXITED("exited");
 
-        final String shown;
+        final String wireName;
 
         State(String shown) {
-            this.shown = shown;
+            this.wireName = shown;
         }
     }
 
@@ -20,9 +20,9 @@
     final long attempt;
     final JobProfile profile;
     State state = State.FETCHING;
-    String cause;
-    boolean stored;
-    double startedAtProgressS;
+    String exitCause;
+    boolean checkpointSaved;
+    double initialProgressS;
     long runningSinceNs;
 
     StandInTask(String name, long attempt, JobProfile profile) {
@@ -33,15 +33,16 @@
 
     /** Progress of a running task in s, including that of earlier attempts. */
     double progressS() {
-        return startedAtProgressS + (System.nanoTime() - runningSinceNs) / 1e9;
+        return initialProgressS + (System.nanoTime() - runningSinceNs) / 1e9;
     }
 
     /** Progress in s that is saved by periodic checkpoints. */
-    double savedS() {
-        return profile.saveEveryS() <= 0
+    double checkpointedS() {
+        return profile.checkpointIntervalS() <= 0
                 ? 0
                 : Math.max(
-                        startedAtProgressS,
-                        Math.floor(progressS() / profile.saveEveryS()) * profile.saveEveryS());
+                        initialProgressS,
+                        Math.floor(progressS() / profile.checkpointIntervalS())
+                                * profile.checkpointIntervalS());
     }
 }
--- a/src/main/java/org/shoreusher/standin/StateStandIn.java
+++ b/src/main/java/org/shoreusher/standin/StateStandIn.java
@@ -25,8 +25,8 @@
 
     /** Handles a request of a controller; a watch blocks until a change or its timeout. */
     public synchronized Response handle(Request request)
-            throws FieldMap.Missing, InterruptedException {
-        if (request.line().equals("POST /multi")) {
+            throws FieldMap.InvalidFieldException, InterruptedException {
+        if (request.requestLine().equals("POST /multi")) {
             return transaction(request.body());
         }
         if (request.path().equals("/watch")) {
@@ -42,18 +42,18 @@
         return page(request.query().get("after"));
     }
 
-    private Response transaction(FieldMap body) throws FieldMap.Missing {
+    private Response transaction(FieldMap body) throws FieldMap.InvalidFieldException {
         List<Object> failed = new ArrayList<>();
-        for (FieldMap guard : body.list("guards")) {
+        for (FieldMap guard : body.maps("guards")) {
             Entry entry = entries.get(guard.text("k"));
-            if (guard.whole("stamp") != (entry == null ? 0 : entry.version())) {
+            if (guard.integer("stamp") != (entry == null ? 0 : entry.version())) {
                 failed.add(guard.text("k"));
             }
         }
         if (!failed.isEmpty()) {
             return new Response(409, Map.of("failed", failed, "ledger", revision));
         }
-        List<FieldMap> writes = body.list("writes");
+        List<FieldMap> writes = body.maps("writes");
         revision += writes.isEmpty() ? 0 : 1;
         for (FieldMap write : writes) {
             if (write.has("remove")) {
@@ -77,11 +77,11 @@
 
     private Response watch(Map<String, String> query) throws InterruptedException {
         long after = Long.parseLong(query.get("after"));
-        long end = System.currentTimeMillis() + Long.parseLong(query.get("block_ms"));
-        for (long left = 1; revision <= after && left > 0; ) {
-            left = end - System.currentTimeMillis();
-            if (left > 0) {
-                wait(left);
+        long deadlineMs = System.currentTimeMillis() + Long.parseLong(query.get("block_ms"));
+        for (long remainingMs = 1; revision <= after && remainingMs > 0; ) {
+            remainingMs = deadlineMs - System.currentTimeMillis();
+            if (remainingMs > 0) {
+                wait(remainingMs);
             }
         }
         List<Object> log = new ArrayList<>();
--- a/src/main/java/org/shoreusher/standin/TaskHistory.java
+++ b/src/main/java/org/shoreusher/standin/TaskHistory.java
@@ -17,20 +17,20 @@
 public final class TaskHistory {
     private final Map<String, String> machines = new HashMap<>();
     private final Map<String, Double> savedS = new HashMap<>();
-    private final Map<String, Double> repeatedS = new HashMap<>();
-    private final Map<String, Long> firstStartMs = new HashMap<>();
+    private final Map<String, Double> repeatedWorkSByJob = new HashMap<>();
+    private final Map<String, Long> firstStartMsByTask = new HashMap<>();
     private final Set<String> complete = new HashSet<>();
     private final List<String> violations = new ArrayList<>();
     private final TreeSet<Long> startedMs = new TreeSet<>();
-    private int starts;
-    private int fetches;
+    private int startCount;
+    private int imageFetchCount;
 
     /** Records that a task starts to run; returns the checkpointed progress in s. */
-    synchronized double started(String task, String machine) {
-        starts++;
+    synchronized double recordStart(String task, String machine) {
+        startCount++;
         long nowMs = System.nanoTime() / 1_000_000;
         startedMs.add(nowMs);
-        firstStartMs.putIfAbsent(task, nowMs);
+        firstStartMsByTask.putIfAbsent(task, nowMs);
         String before = machines.put(task, machine);
         if (before != null) {
             violations.add(task + " began on " + machine + " while on " + before);
@@ -39,21 +39,22 @@
     }
 
     /** Records that a task has stopped; progress in s beyond its checkpoint must be repeated. */
-    synchronized void ended(String task, String machine, double progressS, double savedProgressS) {
+    synchronized void recordEnd(
+            String task, String machine, double progressS, double savedProgressS) {
         machines.remove(task, machine);
         savedS.merge(task, savedProgressS, Math::max);
-        repeatedS.merge(jobOf(task), Math.max(0, progressS - savedProgressS), Double::sum);
+        repeatedWorkSByJob.merge(jobOf(task), Math.max(0, progressS - savedProgressS), Double::sum);
     }
 
     /** Records that a task has completed. */
-    synchronized void completed(String task, String machine) {
+    synchronized void recordCompletion(String task, String machine) {
         machines.remove(task, machine);
         complete.add(task);
     }
 
     /** Records that a machine has started to fetch an image. */
-    synchronized void fetched() {
-        fetches++;
+    synchronized void recordImageFetch() {
+        imageFetchCount++;
     }
 
     private static String jobOf(String task) {
@@ -61,18 +62,18 @@
     }
 
     /** Number of running tasks. */
-    public synchronized int running() {
+    public synchronized int runningCount() {
         return machines.size();
     }
 
     /** Number of running tasks on matching machines. */
-    public synchronized int runningOn(Predicate<String> wanted) {
+    public synchronized int runningCountOn(Predicate<String> wanted) {
         return (int) machines.values().stream().filter(wanted).count();
     }
 
     /** When each task first started, as {@link System#nanoTime} in ms. */
-    public synchronized Map<String, Long> firstStartMs() {
-        return new HashMap<>(firstStartMs);
+    public synchronized Map<String, Long> firstStartMsByTask() {
+        return new HashMap<>(firstStartMsByTask);
     }
 
     /** Time of the first start after a point in time, as System.nanoTime in ms; -1 if none. */
@@ -82,28 +83,28 @@
     }
 
     /** The completed tasks. */
-    public synchronized Set<String> completeTasks() {
+    public synchronized Set<String> completedTasks() {
         return new HashSet<>(complete);
     }
 
     /** Number of completed tasks. */
-    public synchronized int complete() {
+    public synchronized int completedCount() {
         return complete.size();
     }
 
     /** Number of starts, including restarts. */
-    public synchronized int starts() {
-        return starts;
+    public synchronized int startCount() {
+        return startCount;
     }
 
     /** Number of image fetches. */
-    public synchronized int fetches() {
-        return fetches;
+    public synchronized int imageFetchCount() {
+        return imageFetchCount;
     }
 
     /** Repeated work in s, by job. */
-    public synchronized Map<String, Double> repeatedS() {
-        return new HashMap<>(repeatedS);
+    public synchronized Map<String, Double> repeatedWorkSByJob() {
+        return new HashMap<>(repeatedWorkSByJob);
     }
 
     /** Violations of the rule that a task runs on one machine at a time. */
--- a/src/main/java/org/shoreusher/standin/WorkerStandIn.java
+++ b/src/main/java/org/shoreusher/standin/WorkerStandIn.java
@@ -35,16 +35,16 @@
      *
      * @param loop the event loop of the workers
      * @param controllers front addresses of the controllers by host name
-     * @param reportMs heartbeat interval in ms
-     * @param leaseMs lease in ms; without an accepted heartbeat, tasks end after it
+     * @param heartbeatIntervalMs heartbeat interval in ms
+     * @param workerLeaseMs lease in ms; without an accepted heartbeat, tasks end after it
      * @param profiles profile of a job by its id
      * @param history records what the tasks do
      */
     public record Environment(
             EventLoop loop,
             Map<String, Settings.Address> controllers,
-            long reportMs,
-            long leaseMs,
+            long heartbeatIntervalMs,
+            long workerLeaseMs,
             Function<String, JobProfile> profiles,
             TaskHistory history) {}
 
@@ -59,13 +59,13 @@
     private int target;
     private long session = 1;
     private long sequence;
-    private long token;
-    private long tokenReportedNs = System.nanoTime();
-    private long leaseFromNs = System.nanoTime();
-    private long reportedAtNs;
+    private long fencingToken;
+    private long fencingTokenReportedNs = System.nanoTime();
+    private long leaseStartNs = System.nanoTime();
+    private long lastHeartbeatNs;
     private boolean inFlight;
     private boolean changed;
-    private long silentUntilNs = System.nanoTime();
+    private long partitionedUntilNs = System.nanoTime();
     private volatile boolean stopped;
 
     /** Starts the worker, which sends its first heartbeat after a short random delay. */
@@ -75,7 +75,7 @@
         random = new Random(identity.id().hashCode());
         hosts = environment.controllers().keySet().stream().sorted().toList();
         target = random.nextInt(hosts.size());
-        after(random.nextInt((int) SOONEST_REPORT_MS), this::report);
+        schedule(random.nextInt((int) SOONEST_REPORT_MS), this::sendHeartbeat);
     }
 
     /** The machine's name, type and zone. */
@@ -90,25 +90,25 @@
     }
 
     /** Partitions the worker from all controllers; its tasks go on until the lease expires. */
-    public synchronized void mute(long forMs) {
-        silentUntilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(forMs);
+    public synchronized void partition(long durationMs) {
+        partitionedUntilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(durationMs);
     }
 
     /** Names of the tasks that use resources: those that have not exited. */
-    public synchronized List<String> tasksHeld() {
+    public synchronized List<String> activeTasks() {
         return tasks.values().stream()
                 .filter(task -> task.state != StandInTask.State.EXITED)
                 .map(task -> task.name)
                 .toList();
     }
 
-    synchronized boolean runs(String task) {
+    synchronized boolean hasActiveTask(String task) {
         return !stopped
                 && tasks.containsKey(task)
                 && tasks.get(task).state != StandInTask.State.EXITED;
     }
 
-    private void after(double ms, Runnable action) {
+    private void schedule(double ms, Runnable action) {
         environment
                 .loop()
                 .schedule(() -> unlessStopped(action), Math.round(ms), TimeUnit.MILLISECONDS);
@@ -122,46 +122,49 @@
     }
 
     private void checkLease() {
-        if (System.nanoTime() - leaseFromNs
-                > TimeUnit.MILLISECONDS.toNanos(environment.leaseMs())) {
+        if (System.nanoTime() - leaseStartNs
+                > TimeUnit.MILLISECONDS.toNanos(environment.workerLeaseMs())) {
             endTasks();
             session++;
-            leaseFromNs = System.nanoTime();
+            leaseStartNs = System.nanoTime();
         }
     }
 
     private void endTasks() {
-        tasks.values().forEach(this::interrupted);
+        tasks.values().forEach(this::recordInterruption);
         tasks.clear();
     }
 
-    private void interrupted(StandInTask task) {
+    private void recordInterruption(StandInTask task) {
         if (task.state == StandInTask.State.RUNNING || task.state == StandInTask.State.SAVING) {
-            environment.history().ended(task.name, identity.id(), task.progressS(), task.savedS());
+            environment
+                    .history()
+                    .recordEnd(task.name, identity.id(), task.progressS(), task.checkpointedS());
         }
     }
 
     // ---- heartbeats --------------------------------------------------------------------------
 
-    private void report() {
+    private void sendHeartbeat() {
         if (inFlight) {
             return;
         }
-        if (System.nanoTime() - silentUntilNs < 0) {
-            after(RETRY_MS, this::report);
+        if (System.nanoTime() - partitionedUntilNs < 0) {
+            schedule(RETRY_MS, this::sendHeartbeat);
             return;
         }
         inFlight = true;
         changed = false;
-        reportedAtNs = System.nanoTime();
-        long sentNs = reportedAtNs;
-        long ofSession = session;
+        lastHeartbeatNs = System.nanoTime();
+        long sentNs = lastHeartbeatNs;
+        long heartbeatSession = session;
         caller().call(
                         "/hello",
                         body(),
                         PATIENCE_MS,
                         (status, answer) ->
-                                unlessStopped(() -> answered(status, answer, sentNs, ofSession)));
+                                unlessStopped(
+                                        () -> answered(status, answer, sentNs, heartbeatSession)));
     }
 
     private HttpCaller caller() {
@@ -174,48 +177,49 @@
                                 CONNECTIONS));
     }
 
-    private void answered(int status, Map<String, Object> answer, long sentNs, long ofSession) {
+    private void answered(
+            int status, Map<String, Object> answer, long sentNs, long heartbeatSession) {
         inFlight = false;
         if (status == 200) {
-            accepted(new FieldMap(answer), sentNs, ofSession);
-            scheduleReport();
+            accepted(new FieldMap(answer), sentNs, heartbeatSession);
+            scheduleHeartbeat();
             return;
         }
-        caller().closeIdle();
+        caller().closeIdleConnections();
         String elsewhere = status == 421 && answer != null ? (String) answer.get("foreman") : null;
         int named = elsewhere == null ? -1 : hosts.indexOf(elsewhere);
         if (named >= 0 && named != target) {
             target = named;
-            after(random.nextInt((int) SOONEST_REPORT_MS), this::report);
+            schedule(random.nextInt((int) SOONEST_REPORT_MS), this::sendHeartbeat);
         } else {
             target = (target + 1) % hosts.size();
-            after(RETRY_MS, this::report);
+            schedule(RETRY_MS, this::sendHeartbeat);
         }
     }
 
-    private void scheduleReport() {
+    private void scheduleHeartbeat() {
         double spread = 1 - REPORT_SPREAD + 2 * REPORT_SPREAD * random.nextDouble();
         long number = sequence;
-        after(
-                changed ? SOONEST_REPORT_MS : environment.reportMs() * spread,
+        schedule(
+                changed ? SOONEST_REPORT_MS : environment.heartbeatIntervalMs() * spread,
                 () -> {
                     if (number == sequence) {
-                        report();
+                        sendHeartbeat();
                     }
                 });
     }
 
     /** Schedules an early heartbeat, at the shortest interval that the protocol allows. */
-    private void change() {
+    private void scheduleEarlyHeartbeat() {
         changed = true;
         if (!inFlight) {
-            double sinceMs = (System.nanoTime() - reportedAtNs) / 1e6;
+            double sinceMs = (System.nanoTime() - lastHeartbeatNs) / 1e6;
             long number = sequence;
-            after(
+            schedule(
                     Math.max(0, SOONEST_REPORT_MS - sinceMs),
                     () -> {
                         if (number == sequence) {
-                            report();
+                            sendHeartbeat();
                         }
                     });
         }
@@ -223,7 +227,7 @@
 
     private Map<String, Object> body() {
         List<Object> shown = new ArrayList<>();
-        tasks.values().forEach(task -> shown.add(shown(task)));
+        tasks.values().forEach(task -> shown.add(taskFields(task)));
         Map<String, Object> report = new LinkedHashMap<>();
         report.put("box", identity.id());
         // Nothing listens there: direct orders are lost, as behind a partition.
@@ -233,53 +237,54 @@
         report.put("loaners", identity.spot());
         report.put("shift", session);
         report.put("tally", ++sequence);
-        report.put("baton", token);
+        report.put("baton", fencingToken);
         report.put("sheets", shown);
         return report;
     }
 
-    private static Map<String, Object> shown(StandInTask task) {
+    private static Map<String, Object> taskFields(StandInTask task) {
         Map<String, Object> shown = new LinkedHashMap<>();
         shown.put("sheet", task.name);
         shown.put("try", task.attempt);
-        shown.put("status", task.state.shown);
-        if (task.cause != null) {
-            shown.put("cause", task.cause);
-            shown.put("stored", task.stored);
+        shown.put("status", task.state.wireName);
+        if (task.exitCause != null) {
+            shown.put("cause", task.exitCause);
+            shown.put("stored", task.checkpointSaved);
         }
         return shown;
     }
 
     // ---- orders ------------------------------------------------------------------------------
 
-    private void accepted(FieldMap answer, long sentNs, long ofSession) {
+    private void accepted(FieldMap answer, long sentNs, long heartbeatSession) {
         try {
-            if (ofSession != session || answer.whole("baton") < token) {
+            if (heartbeatSession != session || answer.integer("baton") < fencingToken) {
                 return;
             }
-            tokenSeen(answer.whole("baton"));
-            leaseFromNs = Math.max(leaseFromNs, sentNs);
-            for (FieldMap order : answer.list("orders")) {
+            observeFencingToken(answer.integer("baton"));
+            leaseStartNs = Math.max(leaseStartNs, sentNs);
+            for (FieldMap order : answer.maps("orders")) {
                 carryOut(order);
             }
-        } catch (FieldMap.Missing e) {
+        } catch (FieldMap.InvalidFieldException e) {
             throw new IllegalStateException("an answer to a report: " + e.getMessage());
         }
     }
 
     /** A higher fencing token causes an early heartbeat, at most once per half of the lease. */
-    private void tokenSeen(long seen) {
-        long sinceMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - tokenReportedNs);
-        if (seen > token && (token == 0 || sinceMs >= environment.leaseMs() / 2)) {
-            tokenReportedNs = System.nanoTime();
-            change();
+    private void observeFencingToken(long seen) {
+        long sinceMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - fencingTokenReportedNs);
+        if (seen > fencingToken
+                && (fencingToken == 0 || sinceMs >= environment.workerLeaseMs() / 2)) {
+            fencingTokenReportedNs = System.nanoTime();
+            scheduleEarlyHeartbeat();
         }
-        token = seen;
+        fencingToken = seen;
     }
 
-    private void carryOut(FieldMap order) throws FieldMap.Missing {
+    private void carryOut(FieldMap order) throws FieldMap.InvalidFieldException {
         String name = order.text("sheet");
-        long attempt = order.whole("try");
+        long attempt = order.integer("try");
         StandInTask present = tasks.get(name);
         switch (order.text("verb")) {
             case "run" -> {
@@ -304,12 +309,12 @@
         JobProfile profile = environment.profiles().apply(name.substring(0, name.indexOf('/')));
         StandInTask task = new StandInTask(name, attempt, profile);
         tasks.put(name, task);
-        change();
+        scheduleEarlyHeartbeat();
         if (images.contains(profile.image())) {
             run(task);
         } else if (fetching.add(profile.image())) {
-            environment.history().fetched();
-            after(profile.fetchS() * 1_000, () -> fetched(profile.image()));
+            environment.history().recordImageFetch();
+            schedule(profile.imageFetchS() * 1_000, () -> fetched(profile.image()));
         }
     }
 
@@ -326,35 +331,37 @@
     private void run(StandInTask task) {
         task.state = StandInTask.State.RUNNING;
         task.runningSinceNs = System.nanoTime();
-        task.startedAtProgressS = environment.history().started(task.name, identity.id());
-        change();
-        double leftS = Math.max(0, task.profile.runS() - task.startedAtProgressS);
+        task.initialProgressS = environment.history().recordStart(task.name, identity.id());
+        scheduleEarlyHeartbeat();
+        double leftS = Math.max(0, task.profile.runTimeS() - task.initialProgressS);
         if (!Double.isInfinite(leftS)) {
-            after(leftS * 1_000, () -> complete(task));
+            schedule(leftS * 1_000, () -> complete(task));
         }
     }
 
     private void complete(StandInTask task) {
         if (tasks.get(task.name) == task && task.state == StandInTask.State.RUNNING) {
-            environment.history().completed(task.name, identity.id());
+            environment.history().recordCompletion(task.name, identity.id());
             exit(task, "done");
         }
     }
 
     private void halt(StandInTask task, double graceS) {
         if (task.state == StandInTask.State.RUNNING
-                && task.profile.saveEveryS() > 0
-                && graceS >= task.profile.saveS()) {
+                && task.profile.checkpointIntervalS() > 0
+                && graceS >= task.profile.checkpointDurationS()) {
             task.state = StandInTask.State.SAVING;
-            change();
+            scheduleEarlyHeartbeat();
             double savedS = task.progressS();
-            after(
-                    task.profile.saveS() * 1_000,
+            schedule(
+                    task.profile.checkpointDurationS() * 1_000,
                     () -> {
                         if (tasks.get(task.name) == task
                                 && task.state == StandInTask.State.SAVING) {
-                            environment.history().ended(task.name, identity.id(), savedS, savedS);
-                            task.stored = true;
+                            environment
+                                    .history()
+                                    .recordEnd(task.name, identity.id(), savedS, savedS);
+                            task.checkpointSaved = true;
                             exit(task, "halted");
                         }
                     });
@@ -362,14 +369,14 @@
             exit(task, "halted");
         } else if (task.state == StandInTask.State.RUNNING
                 || graceS <= 0 && task.state == StandInTask.State.SAVING) {
-            interrupted(task);
+            recordInterruption(task);
             exit(task, "halted");
         }
     }
 
     private void exit(StandInTask task, String cause) {
         task.state = StandInTask.State.EXITED;
-        task.cause = cause;
-        change();
+        task.exitCause = cause;
+        scheduleEarlyHeartbeat();
     }
 }
--- a/src/main/java/org/shoreusher/state/StateClient.java
+++ b/src/main/java/org/shoreusher/state/StateClient.java
@@ -17,26 +17,26 @@
      * Lease renewals have their own connections, so that slow calls on the others do not delay
      * them.
      */
-    private final HttpCaller renewals;
+    private final HttpCaller leaseRenewalCaller;
 
     private final Consumer<Command> core;
 
     /** A client that passes the replies to the core as commands. */
     public StateClient(EventLoop loop, Settings settings, Consumer<Command> core) {
-        caller = new HttpCaller(loop, settings.state());
-        renewals = new HttpCaller(loop, settings.state());
+        caller = new HttpCaller(loop, settings.storeAddress());
+        leaseRenewalCaller = new HttpCaller(loop, settings.storeAddress());
         this.core = core;
     }
 
     /** Sends a call. The core gets exactly one reply; its status is 0 on failure or timeout. */
     public void call(Effect.StateCall call) {
         StateFormat.Request request = StateFormat.request(call.operation());
-        long wait = call.operation() instanceof Effect.StateOp.Watch w ? w.blockMs() : 0;
-        HttpCaller line = call.urgent() ? renewals : caller;
-        line.call(
+        long blockMs = call.operation() instanceof Effect.StateOp.Watch watch ? watch.blockMs() : 0;
+        HttpCaller selectedCaller = call.urgent() ? leaseRenewalCaller : caller;
+        selectedCaller.call(
                 request.path(),
                 request.body(),
-                Tuning.STATE_TIMEOUT_MS + wait,
+                Tuning.STORE_TIMEOUT_MS + blockMs,
                 (status, body) -> core.accept(new Command.StateReply(call.callId(), status, body)));
     }
 }
--- a/src/main/java/org/shoreusher/user/HttpFrontend.java
+++ b/src/main/java/org/shoreusher/user/HttpFrontend.java
@@ -57,16 +57,16 @@
     private static final String CANCEL = "/cancel";
 
     /** A request to which the core has not responded yet; {@code sinceNs}: when it arrived. */
-    private record Waiting(
+    private record PendingRequest(
             ChannelHandlerContext channel, boolean keepAlive, long sinceNs, boolean user) {}
 
     private final EventLoopGroup loop;
     private final Settings settings;
     private final Predicate<Command> core;
     private final LongSupplier lagMs;
-    private final Long2ObjectOpenHashMap<Waiting> waiting = new Long2ObjectOpenHashMap<>();
+    private final Long2ObjectOpenHashMap<PendingRequest> waiting = new Long2ObjectOpenHashMap<>();
     private final Histogram userLatency =
-            new Histogram(TimeUnit.SECONDS.toMicros(Tuning.LATENCY_LINE_S), 2);
+            new Histogram(TimeUnit.SECONDS.toMicros(Tuning.LATENCY_LOG_INTERVAL_S), 2);
     private long nextRequest = 1;
 
     /** Open connections, ordered by their last request, least recent first. */
@@ -94,8 +94,9 @@
                 (int)
                         Math.ceil(
                                 Math.max(
-                                        Tuning.IDLE_WORKER_S,
-                                        Tuning.IDLE_WORKER_REPORTS * settings.reportS()));
+                                        Tuning.MIN_IDLE_WORKER_TIMEOUT_S,
+                                        Tuning.IDLE_WORKER_HEARTBEAT_INTERVALS
+                                                * settings.heartbeatIntervalS()));
     }
 
     /** Binds to the front address and accepts connections. */
@@ -104,48 +105,49 @@
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
-                .option(ChannelOption.SO_BACKLOG, settings.sockets())
+                .option(ChannelOption.SO_BACKLOG, settings.maxSockets())
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(
                         new ChannelInitializer<SocketChannel>() {
                             @Override
-                            protected void initChannel(SocketChannel ch) {
-                                Pace pace = new Pace();
-                                ch.pipeline()
+                            protected void initChannel(SocketChannel channel) {
+                                ConnectionTimeouts pace = new ConnectionTimeouts();
+                                channel.pipeline()
                                         .addLast(
                                                 pace,
                                                 new HttpServerCodec(),
-                                                new Bodies(),
-                                                new Requests(pace));
+                                                new BodyAggregator(),
+                                                new RequestHandler(pace));
                             }
                         })
-                .bind(settings.front().ip(), settings.front().port())
+                .bind(settings.frontAddress().ip(), settings.frontAddress().port())
                 .sync();
     }
 
     /** Sends the core's response, unless the connection has been closed meanwhile. */
-    public void answer(Effect.Respond answer) {
-        Waiting w = waiting.remove(answer.requestId());
-        if (w == null) {
+    public void respond(Effect.Respond answer) {
+        PendingRequest pendingRequest = waiting.remove(answer.requestId());
+        if (pendingRequest == null) {
             return;
         }
-        if (w.user) {
+        if (pendingRequest.user) {
             userLatency.recordValue(
                     Math.min(
                             userLatency.getHighestTrackableValue(),
-                            TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - w.sinceNs)));
+                            TimeUnit.NANOSECONDS.toMicros(
+                                    System.nanoTime() - pendingRequest.sinceNs)));
         }
         Response response = answer.response();
         send(
-                w.channel,
-                w.keepAlive,
-                ResponseFormat.status(response),
+                pendingRequest.channel,
+                pendingRequest.keepAlive,
+                ResponseFormat.statusCode(response),
                 ResponseFormat.body(response),
                 ResponseFormat.retryAfterS(response));
     }
 
     /** A line on the latencies of user requests since the last call, which are then reset. */
-    public String latency() {
+    public String drainLatencySummary() {
         String line =
                 "users: "
                         + userLatency.getTotalCount()
@@ -163,7 +165,7 @@
     }
 
     /** Number of open connections. */
-    public int connections() {
+    public int connectionCount() {
         return connections.size();
     }
 
@@ -198,9 +200,9 @@
      * Aggregates a request and its body. A body above the limit is answered with 400 before it has
      * arrived completely.
      */
-    private static final class Bodies extends HttpObjectAggregator {
-        Bodies() {
-            super(Tuning.MAX_BODY);
+    private static final class BodyAggregator extends HttpObjectAggregator {
+        BodyAggregator() {
+            super(Tuning.MAX_REQUEST_BODY_BYTES);
         }
 
         @Override
@@ -209,28 +211,29 @@
                     ctx,
                     false,
                     400,
-                    ResponseFormat.error("the body is longer than " + Tuning.MAX_BODY + " bytes"),
+                    ResponseFormat.errorBody(
+                            "the body is longer than " + Tuning.MAX_REQUEST_BODY_BYTES + " bytes"),
                     0);
         }
     }
 
     /** Closes connections that are idle, or whose request does not arrive in time. */
-    private final class Pace extends ChannelInboundHandlerAdapter {
-        private ScheduledFuture<?> limit;
+    private final class ConnectionTimeouts extends ChannelInboundHandlerAdapter {
+        private ScheduledFuture<?> timeout;
         private boolean inRequest;
 
-        void begin(ChannelHandlerContext ctx, int seconds) {
-            if (limit != null) {
-                limit.cancel(false);
+        void restart(ChannelHandlerContext ctx, int seconds) {
+            if (timeout != null) {
+                timeout.cancel(false);
             }
-            limit = ctx.executor().schedule(() -> ctx.close(), seconds, TimeUnit.SECONDS);
+            timeout = ctx.executor().schedule(() -> ctx.close(), seconds, TimeUnit.SECONDS);
         }
 
         /** Restarts the idle timeout after a request has arrived completely. */
-        void complete(ChannelHandlerContext ctx, boolean worker) {
+        void onRequestComplete(ChannelHandlerContext ctx, boolean worker) {
             inRequest = false;
             connections.addAndMoveToLast(ctx.channel());
-            begin(ctx, worker ? workerIdleS : Tuning.IDLE_CONNECTION_S);
+            restart(ctx, worker ? workerIdleS : Tuning.IDLE_CONNECTION_TIMEOUT_S);
         }
 
         @Override
@@ -238,11 +241,11 @@
             // When all sockets are in use, the least recently used connection is closed. After a
             // network partition, up to half of the machines leave connections behind that still
             // look open; rejecting new ones would lock out all reachable clients.
-            if (connections.size() >= settings.sockets() - Tuning.OWN_SOCKETS) {
+            if (connections.size() >= settings.maxSockets() - Tuning.RESERVED_SOCKETS) {
                 connections.removeFirst().close();
             }
             connections.addAndMoveToLast(ctx.channel());
-            begin(ctx, Tuning.IDLE_CONNECTION_S);
+            restart(ctx, Tuning.IDLE_CONNECTION_TIMEOUT_S);
             ctx.fireChannelActive();
         }
 
@@ -250,7 +253,7 @@
         public void channelRead(ChannelHandlerContext ctx, Object bytes) {
             if (!inRequest) {
                 inRequest = true;
-                begin(ctx, Tuning.REQUEST_READ_S);
+                restart(ctx, Tuning.REQUEST_READ_TIMEOUT_S);
             }
             ctx.fireChannelRead(bytes);
         }
@@ -258,41 +261,41 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             connections.remove(ctx.channel());
-            if (limit != null) {
-                limit.cancel(false);
+            if (timeout != null) {
+                timeout.cancel(false);
             }
             ctx.fireChannelInactive();
         }
     }
 
     /** Decodes requests into commands. */
-    private final class Requests extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private final Pace pace;
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+        private final ConnectionTimeouts timeouts;
         private long current;
 
-        Requests(Pace pace) {
-            this.pace = pace;
+        RequestHandler(ConnectionTimeouts timeouts) {
+            this.timeouts = timeouts;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest http) {
             boolean keepAlive = HttpUtil.isKeepAlive(http);
             if (!http.decoderResult().isSuccess()) {
-                pace.complete(ctx, false);
-                send(ctx, false, 400, ResponseFormat.error("malformed HTTP"), 0);
+                timeouts.onRequestComplete(ctx, false);
+                send(ctx, false, 400, ResponseFormat.errorBody("malformed HTTP"), 0);
                 return;
             }
             String path = http.uri();
             boolean user = path.startsWith(JOBS);
             current = nextRequest++;
-            pace.complete(ctx, path.equals(HELLO));
+            timeouts.onRequestComplete(ctx, path.equals(HELLO));
             // Load shedding: workers are served first, since their leases would expire, then
             // submissions and cancellations, then polls.
             if (user
                     && lagMs.getAsLong()
                             > (http.method().equals(HttpMethod.GET)
-                                    ? Tuning.SHED_POLLS_MS
-                                    : Tuning.SHED_USERS_MS)) {
+                                    ? Tuning.SHED_POLLS_LAG_MS
+                                    : Tuning.SHED_WRITES_LAG_MS)) {
                 send(ctx, keepAlive, 503, Map.of(), Tuning.retryAfterS(current));
                 return;
             }
@@ -300,7 +303,7 @@
             if (command == null) {
                 return;
             }
-            waiting.put(current, new Waiting(ctx, keepAlive, System.nanoTime(), user));
+            waiting.put(current, new PendingRequest(ctx, keepAlive, System.nanoTime(), user));
             // One request at a time: reading resumes with the response.
             ctx.channel().config().setAutoRead(false);
             if (!core.test(command)) {
@@ -315,14 +318,15 @@
             boolean get = http.method().equals(HttpMethod.GET);
             if (post && path.equals(HELLO)) {
                 try {
-                    WorkerReport report = WorkerFormat.report(FieldMap.cbor(bytes(http.content())));
+                    WorkerReport report =
+                            WorkerFormat.readHeartbeat(FieldMap.parseCbor(bytes(http.content())));
                     return new Command.Report(current, report);
-                } catch (IOException | FieldMap.Missing e) {
+                } catch (IOException | FieldMap.InvalidFieldException e) {
                     send(
                             ctx,
                             keepAlive,
                             400,
-                            ResponseFormat.error(String.valueOf(e.getMessage())),
+                            ResponseFormat.errorBody(String.valueOf(e.getMessage())),
                             0);
                     return null;
                 }
@@ -345,7 +349,7 @@
                     ctx,
                     keepAlive,
                     path.equals(JOBS) || path.equals(HELLO) || path.equals("/ready") ? 405 : 404,
-                    ResponseFormat.error("no such path or method"),
+                    ResponseFormat.errorBody("no such path or method"),
                     0);
             return null;
         }
@@ -353,19 +357,19 @@
         private Command submission(byte[] body) {
             String id = null;
             try {
-                FieldMap t = FieldMap.cbor(body);
-                id = t.textOr("name_id", null);
-                JobSpec spec = UserFormat.job(t);
+                FieldMap fields = FieldMap.parseCbor(body);
+                id = fields.textOr("name_id", null);
+                JobSpec spec = UserFormat.readSubmission(fields);
                 return new Command.Submit(current, id, spec, null);
             } catch (IOException e) {
                 return new Command.Submit(current, null, null, "the body is not one CBOR map");
-            } catch (FieldMap.Missing e) {
+            } catch (FieldMap.InvalidFieldException e) {
                 return new Command.Submit(current, id, null, e.getMessage());
             }
         }
 
-        private byte[] bytes(ByteBuf buf) {
-            return ByteBufUtil.getBytes(buf);
+        private byte[] bytes(ByteBuf buffer) {
+            return ByteBufUtil.getBytes(buffer);
         }
 
         @Override
--- a/src/main/java/org/shoreusher/wire/CloudFormat.java
+++ b/src/main/java/org/shoreusher/wire/CloudFormat.java
@@ -18,68 +18,74 @@
     private CloudFormat() {}
 
     /** The HTTP request of a cloud operation. */
-    public static StateFormat.Request request(CloudOp op) {
-        if (op instanceof CloudOp.Types) {
+    public static StateFormat.Request request(CloudOp operation) {
+        if (operation instanceof CloudOp.Types) {
             return new StateFormat.Request("/flavors", null);
         }
-        if (op instanceof CloudOp.Listing list) {
+        if (operation instanceof CloudOp.Listing listing) {
             String after =
-                    list.afterMachineId() == null ? "" : "after=" + list.afterMachineId() + "&";
-            return new StateFormat.Request("/rentals?" + after + "most=" + Tuning.PAGE, null);
+                    listing.afterMachineId() == null
+                            ? ""
+                            : "after=" + listing.afterMachineId() + "&";
+            return new StateFormat.Request(
+                    "/rentals?" + after + "most=" + Tuning.PAGE_ENTRIES, null);
         }
         Map<String, Object> body = new LinkedHashMap<>();
-        if (op instanceof CloudOp.Return back) {
-            body.put("boxes", back.machineIds());
+        if (operation instanceof CloudOp.Return termination) {
+            body.put("boxes", termination.machineIds());
             return new StateFormat.Request("/rentals/return", body);
         }
-        CloudOp.Rent rent = (CloudOp.Rent) op;
-        body.put("hire", rent.name());
-        body.put("press", rent.type());
-        body.put("yard", rent.zone());
-        body.put("loaners", rent.spot());
-        body.put("number", (long) rent.count());
+        CloudOp.Rent provision = (CloudOp.Rent) operation;
+        body.put("hire", provision.name());
+        body.put("press", provision.type());
+        body.put("yard", provision.zone());
+        body.put("loaners", provision.spot());
+        body.put("number", (long) provision.count());
         return new StateFormat.Request("/rentals", body);
     }
 
     /** Decodes the machine types of a response. */
-    public static List<MachineType> types(FieldMap t) throws FieldMap.Missing {
-        List<MachineType> out = new ArrayList<>();
-        for (FieldMap m : t.list("presses")) {
-            double price = m.numberOr("rate", 1);
-            out.add(
+    public static List<MachineType> readTypes(FieldMap response)
+            throws FieldMap.InvalidFieldException {
+        List<MachineType> types = new ArrayList<>();
+        for (FieldMap type : response.maps("presses")) {
+            double price = type.numberOr("rate", 1);
+            types.add(
                     new MachineType(
-                            m.text("sku"),
-                            m.number("cpus"),
-                            m.numberOr("gpus", 0),
-                            m.number("mem_gb"),
-                            m.numberOr("cache_gb", 0),
-                            m.numberOr("pull_gb_per_s", 1),
+                            type.text("sku"),
+                            type.number("cpus"),
+                            type.numberOr("gpus", 0),
+                            type.number("mem_gb"),
+                            type.numberOr("cache_gb", 0),
+                            type.numberOr("pull_gb_per_s", 1),
                             price,
-                            m.numberOr("low_price", price),
-                            m.numberOr("ready_s", 60),
-                            m.texts("yards")));
+                            type.numberOr("low_price", price),
+                            type.numberOr("ready_s", 60),
+                            type.texts("yards")));
         }
-        return out;
+        return types;
     }
 
     /** Decodes the names of the machines that a provision request has created. */
-    public static List<String> rented(FieldMap t) throws FieldMap.Missing {
-        return t.texts("boxes");
+    public static List<String> readMachineNames(FieldMap response)
+            throws FieldMap.InvalidFieldException {
+        return response.texts("boxes");
     }
 
     /** Decodes a page of the inventory. */
-    public static ListPage machines(FieldMap t) throws FieldMap.Missing {
-        List<Listed> out = new ArrayList<>();
-        for (FieldMap m : t.list("boxes")) {
-            out.add(
+    public static ListPage readMachinePage(FieldMap response)
+            throws FieldMap.InvalidFieldException {
+        List<Listed> machines = new ArrayList<>();
+        for (FieldMap machine : response.maps("boxes")) {
+            machines.add(
                     new Listed(
-                            m.text("name_id"),
-                            m.text("press"),
-                            m.text("yard"),
-                            m.flagOr("loaners", false),
-                            m.text("status"),
-                            m.numberOr("age_s", 0)));
+                            machine.text("name_id"),
+                            machine.text("press"),
+                            machine.text("yard"),
+                            machine.flagOr("loaners", false),
+                            machine.text("status"),
+                            machine.numberOr("age_s", 0)));
         }
-        return new ListPage(out, t.flagOr("more", false));
+        return new ListPage(machines, response.flagOr("more", false));
     }
 }
--- a/src/main/java/org/shoreusher/wire/FieldMap.java
+++ b/src/main/java/org/shoreusher/wire/FieldMap.java
@@ -25,19 +25,19 @@
             CBORFactory.builder()
                     .streamReadConstraints(
                             StreamReadConstraints.builder()
-                                    .maxNestingDepth(Tuning.MAX_DEPTH)
+                                    .maxNestingDepth(Tuning.MAX_NESTING_DEPTH)
                                     .build())
                     .build();
     private static final JsonFactory JSON =
             JsonFactory.builder()
                     .streamReadConstraints(
                             StreamReadConstraints.builder()
-                                    .maxNestingDepth(Tuning.MAX_DEPTH)
+                                    .maxNestingDepth(Tuning.MAX_NESTING_DEPTH)
                                     .build())
                     .build();
 
     /** Thrown for a field that is missing, or whose value has the wrong type or is not allowed. */
-    public static final class Missing extends Exception {
+    public static final class InvalidFieldException extends Exception {
         private static final long serialVersionUID = 1L;
 
         /**
@@ -45,7 +45,7 @@
          *
          * @param message names the field and what it must be
          */
-        public Missing(String message) {
+        public InvalidFieldException(String message) {
             super(message, null, false, false);
         }
     }
@@ -62,9 +62,9 @@
      *
      * @throws IOException if the bytes are not exactly one map
      */
-    public static FieldMap cbor(byte[] body) throws IOException {
-        try (JsonParser p = CBOR.createParser(body)) {
-            return whole(p);
+    public static FieldMap parseCbor(byte[] body) throws IOException {
+        try (JsonParser parser = CBOR.createParser(body)) {
+            return integer(parser);
         }
     }
 
@@ -73,9 +73,9 @@
      *
      * @throws IOException if the bytes are not exactly one map
      */
-    public static FieldMap json(byte[] body) throws IOException {
-        try (JsonParser p = JSON.createParser(body)) {
-            return whole(p);
+    public static FieldMap parseJson(byte[] body) throws IOException {
+        try (JsonParser parser = JSON.createParser(body)) {
+            return integer(parser);
         }
     }
 
@@ -84,59 +84,59 @@
      *
      * @throws IOException if the text is not valid TOML
      */
-    public static FieldMap toml(byte[] text) throws IOException {
+    public static FieldMap parseToml(byte[] text) throws IOException {
         // Not a constant: a controller reads TOML once, at its start.
-        try (JsonParser p = new TomlFactory().createParser(text)) {
-            return whole(p);
+        try (JsonParser parser = new TomlFactory().createParser(text)) {
+            return integer(parser);
         }
     }
 
-    private static FieldMap whole(JsonParser p) throws IOException {
-        if (p.nextToken() != JsonToken.START_OBJECT) {
+    private static FieldMap integer(JsonParser parser) throws IOException {
+        if (parser.nextToken() != JsonToken.START_OBJECT) {
             throw new IOException("not a map");
         }
         @SuppressWarnings("unchecked")
-        Map<String, Object> map = (Map<String, Object>) value(p);
-        if (p.nextToken() != null) {
+        Map<String, Object> map = (Map<String, Object>) value(parser);
+        if (parser.nextToken() != null) {
             throw new IOException("more than one value");
         }
         return new FieldMap(map);
     }
 
-    private static Object value(JsonParser p) throws IOException {
-        switch (p.currentToken()) {
+    private static Object value(JsonParser parser) throws IOException {
+        switch (parser.currentToken()) {
             case START_OBJECT -> {
                 Map<String, Object> map = new LinkedHashMap<>();
-                while (p.nextToken() == JsonToken.FIELD_NAME) {
-                    String name = p.currentName();
-                    p.nextToken();
-                    map.put(name, value(p));
+                while (parser.nextToken() == JsonToken.FIELD_NAME) {
+                    String name = parser.currentName();
+                    parser.nextToken();
+                    map.put(name, value(parser));
                 }
-                if (p.currentToken() != JsonToken.END_OBJECT) {
+                if (parser.currentToken() != JsonToken.END_OBJECT) {
                     throw new IOException("unfinished map");
                 }
                 return map;
             }
             case START_ARRAY -> {
                 List<Object> list = new ArrayList<>();
-                while (p.nextToken() != JsonToken.END_ARRAY) {
-                    if (p.currentToken() == null) {
+                while (parser.nextToken() != JsonToken.END_ARRAY) {
+                    if (parser.currentToken() == null) {
                         throw new IOException("unfinished list");
                     }
-                    list.add(value(p));
+                    list.add(value(parser));
                 }
                 return list;
             }
             case VALUE_STRING -> {
-                return p.getText();
+                return parser.getText();
             }
             case VALUE_NUMBER_INT -> {
-                return p.getNumberType() == JsonParser.NumberType.BIG_INTEGER
-                        ? p.getBigIntegerValue()
-                        : (Object) p.getLongValue();
+                return parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
+                        ? parser.getBigIntegerValue()
+                        : (Object) parser.getLongValue();
             }
             case VALUE_NUMBER_FLOAT -> {
-                return p.getDoubleValue();
+                return parser.getDoubleValue();
             }
             case VALUE_TRUE -> {
                 return Boolean.TRUE;
@@ -167,42 +167,42 @@
 
     private static byte[] encode(JsonFactory format, Map<String, ?> map) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(256);
-        try (JsonGenerator g = format.createGenerator(out)) {
-            write(g, map);
+        try (JsonGenerator generator = format.createGenerator(out)) {
+            write(generator, map);
         } catch (IOException e) {
             throw new IllegalStateException("a message of this program can't be encoded", e);
         }
         return out.toByteArray();
     }
 
-    private static void write(JsonGenerator g, Object v) throws IOException {
-        if (v instanceof Map<?, ?> m) {
-            g.writeStartObject(v, m.size());
-            for (Map.Entry<?, ?> e : m.entrySet()) {
-                g.writeFieldName((String) e.getKey());
-                write(g, e.getValue());
+    private static void write(JsonGenerator generator, Object value) throws IOException {
+        if (value instanceof Map<?, ?> nested) {
+            generator.writeStartObject(value, nested.size());
+            for (Map.Entry<?, ?> entry : nested.entrySet()) {
+                generator.writeFieldName((String) entry.getKey());
+                write(generator, entry.getValue());
             }
-            g.writeEndObject();
-        } else if (v instanceof Iterable<?> l) {
-            g.writeStartArray();
-            for (Object o : l) {
-                write(g, o);
+            generator.writeEndObject();
+        } else if (value instanceof Iterable<?> list) {
+            generator.writeStartArray();
+            for (Object element : list) {
+                write(generator, element);
             }
-            g.writeEndArray();
-        } else if (v instanceof String s) {
-            g.writeString(s);
-        } else if (v instanceof Long || v instanceof Integer) {
-            g.writeNumber(((Number) v).longValue());
-        } else if (v instanceof java.math.BigInteger b) {
-            g.writeNumber(b);
-        } else if (v instanceof Number n) {
-            g.writeNumber(n.doubleValue());
-        } else if (v instanceof Boolean b) {
-            g.writeBoolean(b);
-        } else if (v == null) {
-            g.writeNull();
+            generator.writeEndArray();
+        } else if (value instanceof String s) {
+            generator.writeString(s);
+        } else if (value instanceof Long || value instanceof Integer) {
+            generator.writeNumber(((Number) value).longValue());
+        } else if (value instanceof java.math.BigInteger b) {
+            generator.writeNumber(b);
+        } else if (value instanceof Number n) {
+            generator.writeNumber(n.doubleValue());
+        } else if (value instanceof Boolean b) {
+            generator.writeBoolean(b);
+        } else if (value == null) {
+            generator.writeNull();
         } else {
-            throw new IOException("no wire form for " + v.getClass());
+            throw new IOException("no wire form for " + value.getClass());
         }
     }
 
@@ -217,103 +217,103 @@
     }
 
     /** A required map. */
-    public FieldMap map(String field) throws Missing {
+    public FieldMap map(String field) throws InvalidFieldException {
         @SuppressWarnings("unchecked")
-        Map<String, Object> m =
-                map.get(field) instanceof Map<?, ?> v ? (Map<String, Object>) v : null;
-        if (m == null) {
-            throw new Missing(field + " must be a map");
+        Map<String, Object> nested =
+                map.get(field) instanceof Map<?, ?> value ? (Map<String, Object>) value : null;
+        if (nested == null) {
+            throw new InvalidFieldException(field + " must be a map");
         }
-        return new FieldMap(m);
+        return new FieldMap(nested);
     }
 
     /** A list of maps; empty if the field is absent. */
-    public List<FieldMap> list(String field) throws Missing {
-        List<FieldMap> out = new ArrayList<>();
-        for (Object o : rawList(field)) {
-            if (!(o instanceof Map<?, ?>)) {
-                throw new Missing(field + " must hold maps");
+    public List<FieldMap> maps(String field) throws InvalidFieldException {
+        List<FieldMap> maps = new ArrayList<>();
+        for (Object item : rawList(field)) {
+            if (!(item instanceof Map<?, ?>)) {
+                throw new InvalidFieldException(field + " must hold maps");
             }
             @SuppressWarnings("unchecked")
-            Map<String, Object> m = (Map<String, Object>) o;
-            out.add(new FieldMap(m));
+            Map<String, Object> element = (Map<String, Object>) item;
+            maps.add(new FieldMap(element));
         }
-        return out;
+        return maps;
     }
 
     /** A list of text; empty if the field is absent. */
-    public List<String> texts(String field) throws Missing {
-        List<String> out = new ArrayList<>();
-        for (Object o : rawList(field)) {
-            if (!(o instanceof String s)) {
-                throw new Missing(field + " must hold text");
+    public List<String> texts(String field) throws InvalidFieldException {
+        List<String> texts = new ArrayList<>();
+        for (Object item : rawList(field)) {
+            if (!(item instanceof String s)) {
+                throw new InvalidFieldException(field + " must hold text");
             }
-            out.add(s);
+            texts.add(s);
         }
-        return List.copyOf(out);
+        return List.copyOf(texts);
     }
 
-    private List<?> rawList(String field) throws Missing {
-        Object v = map.get(field);
-        if (v == null) {
+    private List<?> rawList(String field) throws InvalidFieldException {
+        Object value = map.get(field);
+        if (value == null) {
             return List.of();
         }
-        if (v instanceof List<?> l) {
-            return l;
+        if (value instanceof List<?> list) {
+            return list;
         }
-        throw new Missing(field + " must be a list");
+        throw new InvalidFieldException(field + " must be a list");
     }
 
     /** A required text. */
-    public String text(String field) throws Missing {
+    public String text(String field) throws InvalidFieldException {
         if (map.get(field) instanceof String s) {
             return s;
         }
-        throw new Missing(field + " must be text");
+        throw new InvalidFieldException(field + " must be text");
     }
 
     /** An optional text with a default value. */
-    public String textOr(String field, String other) throws Missing {
-        return has(field) ? text(field) : other;
+    public String textOr(String field, String defaultValue) throws InvalidFieldException {
+        return has(field) ? text(field) : defaultValue;
     }
 
     /** A required finite number. */
-    public double number(String field) throws Missing {
+    public double number(String field) throws InvalidFieldException {
         if (map.get(field) instanceof Number n && Double.isFinite(n.doubleValue())) {
             return n.doubleValue();
         }
-        throw new Missing(field + " must be a number");
+        throw new InvalidFieldException(field + " must be a number");
     }
 
     /** An optional finite number with a default value. */
-    public double numberOr(String field, double other) throws Missing {
-        return has(field) ? number(field) : other;
+    public double numberOr(String field, double defaultValue) throws InvalidFieldException {
+        return has(field) ? number(field) : defaultValue;
     }
 
     /** A required integer. */
-    public long whole(String field) throws Missing {
-        Object v = map.get(field);
-        if (v instanceof Long || v instanceof Integer) {
-            return ((Number) v).longValue();
+    public long integer(String field) throws InvalidFieldException {
+        Object value = map.get(field);
+        if (value instanceof Long || value instanceof Integer) {
+            return ((Number) value).longValue();
         }
-        throw new Missing(field + " must be a whole number");
+        throw new InvalidFieldException(field + " must be a whole number");
     }
 
     /** An optional integer with a default value. */
-    public long wholeOr(String field, long other) throws Missing {
-        return has(field) ? whole(field) : other;
+    public long integerOr(String field, long defaultValue) throws InvalidFieldException {
+        return has(field) ? integer(field) : defaultValue;
     }
 
     /** A required boolean. */
-    public boolean flag(String field) throws Missing {
+    public boolean flag(String field) throws InvalidFieldException {
         if (map.get(field) instanceof Boolean b) {
             return b;
         }
-        throw new Missing(field + " must be true or false");
+        throw new InvalidFieldException(field + " must be true or false");
     }
 
     /** An optional boolean with a default value. */
-    public boolean flagOr(String field, boolean other) throws Missing {
-        return has(field) ? flag(field) : other;
+    public boolean flagOr(String field, boolean defaultValue) throws InvalidFieldException {
+        return has(field) ? flag(field) : defaultValue;
     }
 }
--- a/src/main/java/org/shoreusher/wire/ResponseFormat.java
+++ b/src/main/java/org/shoreusher/wire/ResponseFormat.java
@@ -17,7 +17,7 @@
     private ResponseFormat() {}
 
     /** The HTTP status code of a response. */
-    public static int status(Response response) {
+    public static int statusCode(Response response) {
         if (response instanceof Response.JobState state) {
             return state.created() ? CREATED : OK;
         } else if (response instanceof Response.NotFound) {
@@ -36,7 +36,7 @@
 
     /** Value of the Retry-After header in s; 0 if there is none. */
     public static int retryAfterS(Response response) {
-        return response instanceof Response.Unavailable later ? later.retryAfterS() : 0;
+        return response instanceof Response.Unavailable unavailable ? unavailable.retryAfterS() : 0;
     }
 
     /** The body of a response, to be encoded as CBOR. */
@@ -44,19 +44,19 @@
         if (response instanceof Response.JobState state) {
             return jobState(state);
         } else if (response instanceof Response.Orders orders) {
-            return WorkerFormat.answer(orders.fencingToken(), orders.orders());
-        } else if (response instanceof Response.Elsewhere elsewhere) {
-            return Map.of("foreman", elsewhere.host());
+            return WorkerFormat.heartbeatResponse(orders.fencingToken(), orders.orders());
+        } else if (response instanceof Response.Elsewhere redirect) {
+            return Map.of("foreman", redirect.host());
         } else if (response instanceof Response.Malformed malformed) {
-            return error(malformed.reason());
+            return errorBody(malformed.reason());
         } else if (response instanceof Response.CannotRun cannot) {
-            return error(cannot.reason());
+            return errorBody(cannot.reason());
         }
         return Map.of();
     }
 
     /** The body of an error response. */
-    public static Map<String, Object> error(String problem) {
+    public static Map<String, Object> errorBody(String problem) {
         return Map.of("error", problem);
     }
 
--- a/src/main/java/org/shoreusher/wire/StateFormat.java
+++ b/src/main/java/org/shoreusher/wire/StateFormat.java
@@ -21,15 +21,15 @@
     public record Entry(String key, Map<String, Object> value, long version) {}
 
     /** The HTTP request of a store operation. */
-    public static Request request(StateOp op) {
-        if (op instanceof StateOp.Get get) {
+    public static Request request(StateOp operation) {
+        if (operation instanceof StateOp.Get get) {
             return new Request("/store/" + get.key(), null);
         }
-        if (op instanceof StateOp.Page page) {
+        if (operation instanceof StateOp.Page page) {
             String after = page.afterKey() == null ? "" : "&after=" + page.afterKey();
-            return new Request("/store?prefix=" + after + "&most=" + Tuning.PAGE, null);
+            return new Request("/store?prefix=" + after + "&most=" + Tuning.PAGE_ENTRIES, null);
         }
-        if (op instanceof StateOp.Watch watch) {
+        if (operation instanceof StateOp.Watch watch) {
             return new Request(
                     "/watch?prefix=&after="
                             + watch.afterRevision()
@@ -37,12 +37,14 @@
                             + watch.blockMs(),
                     null);
         }
-        StateOp.Multi multi = (StateOp.Multi) op;
+        StateOp.Multi compareAndSwap = (StateOp.Multi) operation;
         List<Object> guards = new ArrayList<>();
-        multi.preconditions()
+        compareAndSwap
+                .preconditions()
                 .forEach((key, version) -> guards.add(map("k", key, "stamp", version)));
         List<Object> writes = new ArrayList<>();
-        multi.writes()
+        compareAndSwap
+                .writes()
                 .forEach(
                         (key, value) ->
                                 writes.add(
@@ -58,51 +60,55 @@
     }
 
     private static Map<String, Object> map(Object... pairs) {
-        Map<String, Object> m = new LinkedHashMap<>();
+        Map<String, Object> fields = new LinkedHashMap<>();
         for (int i = 0; i < pairs.length; i += 2) {
-            m.put((String) pairs[i], pairs[i + 1]);
+            fields.put((String) pairs[i], pairs[i + 1]);
         }
-        return m;
+        return fields;
     }
 
     /** Decodes the entry of a single read. */
-    public static Entry entry(FieldMap t) throws FieldMap.Missing {
-        return new Entry(t.text("k"), t.map("value").asMap(), t.whole("stamp"));
+    public static Entry readEntry(FieldMap fields) throws FieldMap.InvalidFieldException {
+        return new Entry(fields.text("k"), fields.map("value").asMap(), fields.integer("stamp"));
     }
 
     /** Decodes the entries of a page. */
-    public static List<Entry> page(FieldMap t) throws FieldMap.Missing {
-        List<Entry> out = new ArrayList<>();
-        for (FieldMap e : t.list("entries")) {
-            out.add(entry(e));
+    public static List<Entry> readPage(FieldMap response) throws FieldMap.InvalidFieldException {
+        List<Entry> entries = new ArrayList<>();
+        for (FieldMap entryFields : response.maps("entries")) {
+            entries.add(readEntry(entryFields));
         }
-        return out;
+        return entries;
     }
 
     /** Whether more pages follow this one. */
-    public static boolean more(FieldMap t) throws FieldMap.Missing {
-        return t.flagOr("more", false);
+    public static boolean hasMorePages(FieldMap response) throws FieldMap.InvalidFieldException {
+        return response.flagOr("more", false);
     }
 
     /** The store's revision at the time of the response. */
-    public static long revision(FieldMap t) throws FieldMap.Missing {
-        return t.whole("ledger");
+    public static long readRevision(FieldMap response) throws FieldMap.InvalidFieldException {
+        return response.integer("ledger");
     }
 
     /** Decodes the changes that a watch returned, in order of revision. */
-    public static List<Entry> changes(FieldMap t) throws FieldMap.Missing {
-        List<Entry> out = new ArrayList<>();
-        for (FieldMap e : t.list("log")) {
-            out.add(
-                    e.has("remove")
-                            ? new Entry(e.text("remove"), null, e.whole("stamp"))
-                            : new Entry(e.text("write"), e.map("value").asMap(), e.whole("stamp")));
+    public static List<Entry> readChanges(FieldMap response) throws FieldMap.InvalidFieldException {
+        List<Entry> changes = new ArrayList<>();
+        for (FieldMap change : response.maps("log")) {
+            changes.add(
+                    change.has("remove")
+                            ? new Entry(change.text("remove"), null, change.integer("stamp"))
+                            : new Entry(
+                                    change.text("write"),
+                                    change.map("value").asMap(),
+                                    change.integer("stamp")));
         }
-        return out;
+        return changes;
     }
 
     /** The keys whose preconditions failed. */
-    public static List<String> failed(FieldMap t) throws FieldMap.Missing {
-        return t.texts("failed");
+    public static List<String> readFailedKeys(FieldMap response)
+            throws FieldMap.InvalidFieldException {
+        return response.texts("failed");
     }
 }
--- a/src/main/java/org/shoreusher/wire/UserFormat.java
+++ b/src/main/java/org/shoreusher/wire/UserFormat.java
@@ -22,7 +22,7 @@
      * In the store only: a service is stored as a sweep with this field, since versions that
      * predate services cannot read any other shape.
      */
-    private static final String KEPT_UP = "kept_up";
+    private static final String SERVICE_MARK = "kept_up";
 
     /** The fields without which a stored specification cannot be decoded. */
     private static final Set<String> REQUIRED_FIELDS =
@@ -31,7 +31,7 @@
                     "queue",
                     "crew",
                     "shape",
-                    KEPT_UP,
+                    SERVICE_MARK,
                     "urgency",
                     "sheets",
                     "cpus",
@@ -53,79 +53,87 @@
      *
      * @throws FieldMap.Missing with the first error in the job
      */
-    public static JobSpec job(FieldMap t) throws FieldMap.Missing {
-        String shape = t.text("shape");
+    public static JobSpec readSubmission(FieldMap fields) throws FieldMap.InvalidFieldException {
+        String shape = fields.text("shape");
         // Gang scheduling and other shapes would be decoded here; the protocol has none today.
         need(shape.equals(SWEEP) || shape.equals(SERVICE), "shape must be sweep or service");
-        return job(t, shape.equals(SWEEP) ? WorkloadType.BATCH : WorkloadType.SERVICE);
+        return readSubmission(
+                fields, shape.equals(SWEEP) ? WorkloadType.BATCH : WorkloadType.SERVICE);
     }
 
-    /** Decodes a specification from the store, as {@link #description} encodes it. */
-    public static JobSpec described(FieldMap t) throws FieldMap.Missing {
-        return job(t, t.flagOr(KEPT_UP, false) ? WorkloadType.SERVICE : WorkloadType.BATCH);
+    /** Decodes a specification from the store, as {@link #writeDescription} encodes it. */
+    public static JobSpec readDescription(FieldMap fields) throws FieldMap.InvalidFieldException {
+        return readSubmission(
+                fields,
+                fields.flagOr(SERVICE_MARK, false) ? WorkloadType.SERVICE : WorkloadType.BATCH);
     }
 
-    private static JobSpec job(FieldMap t, WorkloadType shape) throws FieldMap.Missing {
-        String id = t.text("name_id");
+    private static JobSpec readSubmission(FieldMap fields, WorkloadType shape)
+            throws FieldMap.InvalidFieldException {
+        String id = fields.text("name_id");
         need(JobSpec.isValidId(id), "name_id must look like wk-000412");
-        long tasks = t.whole("sheets");
+        long tasks = fields.integer("sheets");
         need(
-                tasks >= 1 && tasks <= Tuning.MAX_TASKS,
-                "sheets must be between 1 and " + Tuning.MAX_TASKS);
-        double cpus = amount(t, "cpus");
-        double gpus = amount(t, "gpus");
-        double mem = amount(t, "mem_gb");
-        List<String> types = t.has("presses") ? t.texts("presses") : null;
-        double deadline = t.has("due_s") ? amount(t, "due_s") : Double.NaN;
+                tasks >= 1 && tasks <= Tuning.MAX_TASKS_PER_JOB,
+                "sheets must be between 1 and " + Tuning.MAX_TASKS_PER_JOB);
+        double cpus = amount(fields, "cpus");
+        double gpus = amount(fields, "gpus");
+        double memGb = amount(fields, "mem_gb");
+        List<String> types = fields.has("presses") ? fields.texts("presses") : null;
+        double deadlineS = fields.has("due_s") ? amount(fields, "due_s") : Double.NaN;
         return new JobSpec(
                 id,
-                t.text("queue"),
-                t.text("crew"),
+                fields.text("queue"),
+                fields.text("crew"),
                 shape,
-                priority(t.text("urgency")),
+                priority(fields.text("urgency")),
                 (int) tasks,
                 cpus,
                 gpus,
-                mem,
-                t.text("plate"),
-                amount(t, "size_gb"),
+                memGb,
+                fields.text("plate"),
+                amount(fields, "size_gb"),
                 types,
-                t.textOr("yard", null),
-                t.flag("one_zone"),
-                t.flag("scatter"),
-                t.flag("loaners"),
-                amount(t, "runtime_s"),
-                amount(t, "proof_interval_s"),
-                amount(t, "proof_s"),
-                deadline);
+                fields.textOr("yard", null),
+                fields.flag("one_zone"),
+                fields.flag("scatter"),
+                fields.flag("loaners"),
+                amount(fields, "runtime_s"),
+                amount(fields, "proof_interval_s"),
+                amount(fields, "proof_s"),
+                deadlineS);
     }
 
-    private static double amount(FieldMap t, String field) throws FieldMap.Missing {
-        double v = t.number(field);
+    private static double amount(FieldMap fields, String field)
+            throws FieldMap.InvalidFieldException {
+        double value = fields.number(field);
         need(
-                v >= 0 && v < Double.POSITIVE_INFINITY,
+                value >= 0 && value < Double.POSITIVE_INFINITY,
                 field + " must be a number that is not negative");
-        return v;
+        return value;
     }
 
-    private static void need(boolean ok, String message) throws FieldMap.Missing {
-        if (!ok) {
-            throw new FieldMap.Missing(message);
+    private static void need(boolean condition, String message)
+            throws FieldMap.InvalidFieldException {
+        if (!condition) {
+            throw new FieldMap.InvalidFieldException(message);
         }
     }
 
-    private static Priority priority(String text) throws FieldMap.Missing {
+    private static Priority priority(String text) throws FieldMap.InvalidFieldException {
         return switch (text) {
             case "prod" -> Priority.PRODUCTION;
             case "high" -> Priority.HIGH;
             case "standard" -> Priority.NORMAL;
             case "low" -> Priority.LOW;
-            default -> throw new FieldMap.Missing("urgency must be prod, high, standard or low");
+            default ->
+                    throw new FieldMap.InvalidFieldException(
+                            "urgency must be prod, high, standard or low");
         };
     }
 
-    private static String text(Priority p) {
-        return switch (p) {
+    private static String text(Priority priority) {
+        return switch (priority) {
             case PRODUCTION -> "prod";
             case HIGH -> "high";
             case NORMAL -> "standard";
@@ -133,59 +141,59 @@
         };
     }
 
-    /** Encodes a job as users submit it, such that {@link #job} decodes it. */
-    public static Map<String, Object> map(JobSpec j) {
-        Map<String, Object> m = description(j);
-        if (m.remove(KEPT_UP) != null) {
-            m.put("shape", SERVICE);
+    /** Encodes a job as users submit it, such that {@link #readSubmission} decodes it. */
+    public static Map<String, Object> writeSubmission(JobSpec job) {
+        Map<String, Object> fields = writeDescription(job);
+        if (fields.remove(SERVICE_MARK) != null) {
+            fields.put("shape", SERVICE);
         }
-        return m;
+        return fields;
     }
 
-    /** Encodes a job as the store keeps it, such that {@link #described} decodes it. */
-    public static Map<String, Object> description(JobSpec j) {
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("name_id", j.id());
-        m.put("queue", j.jobClass());
-        m.put("crew", j.team());
-        m.put("shape", SWEEP);
-        if (!j.workloadType().runsToCompletion()) {
-            m.put(KEPT_UP, true);
+    /** Encodes a job as the store keeps it, such that {@link #readDescription} decodes it. */
+    public static Map<String, Object> writeDescription(JobSpec job) {
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put("name_id", job.id());
+        fields.put("queue", job.jobClass());
+        fields.put("crew", job.team());
+        fields.put("shape", SWEEP);
+        if (!job.workloadType().runsToCompletion()) {
+            fields.put(SERVICE_MARK, true);
         }
-        m.put("urgency", text(j.priority()));
-        m.put("sheets", (long) j.taskCount());
-        m.put("cpus", j.cpus());
-        m.put("gpus", j.gpus());
-        m.put("mem_gb", j.memGb());
-        m.put("plate", j.image());
-        m.put("size_gb", j.imageGb());
-        if (j.machineTypes() != null) {
-            m.put("presses", j.machineTypes());
+        fields.put("urgency", text(job.priority()));
+        fields.put("sheets", (long) job.taskCount());
+        fields.put("cpus", job.cpus());
+        fields.put("gpus", job.gpus());
+        fields.put("mem_gb", job.memGb());
+        fields.put("plate", job.image());
+        fields.put("size_gb", job.imageGb());
+        if (job.machineTypes() != null) {
+            fields.put("presses", job.machineTypes());
         }
-        if (j.zone() != null) {
-            m.put("yard", j.zone());
+        if (job.zone() != null) {
+            fields.put("yard", job.zone());
         }
-        m.put("one_zone", j.singleZone());
-        m.put("scatter", j.spreadAcrossZones());
-        m.put("loaners", j.spotAllowed());
-        m.put("runtime_s", j.estimatedRunS());
-        m.put("proof_interval_s", j.checkpointIntervalS());
-        m.put("proof_s", j.checkpointDurationS());
-        if (!Double.isNaN(j.deadlineS())) {
-            m.put("due_s", j.deadlineS());
+        fields.put("one_zone", job.singleZone());
+        fields.put("scatter", job.spreadAcrossZones());
+        fields.put("loaners", job.spotAllowed());
+        fields.put("runtime_s", job.estimatedRunS());
+        fields.put("proof_interval_s", job.checkpointIntervalS());
+        fields.put("proof_s", job.checkpointDurationS());
+        if (!Double.isNaN(job.deadlineS())) {
+            fields.put("due_s", job.deadlineS());
         }
-        return m;
+        return fields;
     }
 
     /**
-     * A stored specification without the fields that only starting tasks needs. {@link #described}
-     * still decodes it, with the job's team and its tasks' resources.
+     * A stored specification without the fields that only starting tasks needs. {@link
+     * #readDescription} still decodes it, with the job's team and its tasks' resources.
      */
     public static Map<String, Object> resourcesOnly(Map<String, Object> description) {
-        Map<String, Object> shorter = new LinkedHashMap<>(description);
-        shorter.keySet().retainAll(REQUIRED_FIELDS);
-        shorter.put("queue", "");
-        shorter.put("plate", "");
-        return shorter;
+        Map<String, Object> reduced = new LinkedHashMap<>(description);
+        reduced.keySet().retainAll(REQUIRED_FIELDS);
+        reduced.put("queue", "");
+        reduced.put("plate", "");
+        return reduced;
     }
 }
--- a/src/main/java/org/shoreusher/wire/WorkerFormat.java
+++ b/src/main/java/org/shoreusher/wire/WorkerFormat.java
@@ -22,42 +22,43 @@
      *
      * @throws FieldMap.Missing with the first error in it
      */
-    public static WorkerReport report(FieldMap t) throws FieldMap.Missing {
+    public static WorkerReport readHeartbeat(FieldMap heartbeat)
+            throws FieldMap.InvalidFieldException {
         List<TaskReport> tasks = new ArrayList<>();
-        for (FieldMap s : t.list("sheets")) {
-            String name = s.text("sheet");
-            int slash = name.lastIndexOf('/');
+        for (FieldMap taskFields : heartbeat.maps("sheets")) {
+            String taskName = taskFields.text("sheet");
+            int slash = taskName.lastIndexOf('/');
             if (slash < 1) {
-                throw new FieldMap.Missing("sheet must look like wk-000412/3");
+                throw new FieldMap.InvalidFieldException("sheet must look like wk-000412/3");
             }
             int index;
             try {
-                index = Integer.parseInt(name.substring(slash + 1));
+                index = Integer.parseInt(taskName.substring(slash + 1));
             } catch (NumberFormatException e) {
-                throw new FieldMap.Missing("sheet must look like wk-000412/3");
+                throw new FieldMap.InvalidFieldException("sheet must look like wk-000412/3");
             }
-            TaskState state = state(s.text("status"));
+            TaskState state = state(taskFields.text("status"));
             tasks.add(
                     new TaskReport(
-                            name.substring(0, slash),
+                            taskName.substring(0, slash),
                             index,
-                            s.whole("try"),
+                            taskFields.integer("try"),
                             state,
                             state == TaskState.EXITED
-                                    ? cause(s.textOr("cause", ""))
+                                    ? cause(taskFields.textOr("cause", ""))
                                     : ExitCause.NONE,
-                            s.flagOr("stored", false)));
+                            taskFields.flagOr("stored", false)));
         }
         return new WorkerReport(
-                t.text("box"),
-                t.textOr("addr", ""),
-                t.text("press"),
-                t.text("yard"),
-                t.flagOr("loaners", false),
-                t.whole("shift"),
-                t.whole("tally"),
-                t.wholeOr("baton", 0),
-                t.numberOr("warning_s", Double.NaN),
+                heartbeat.text("box"),
+                heartbeat.textOr("addr", ""),
+                heartbeat.text("press"),
+                heartbeat.text("yard"),
+                heartbeat.flagOr("loaners", false),
+                heartbeat.integer("shift"),
+                heartbeat.integer("tally"),
+                heartbeat.integerOr("baton", 0),
+                heartbeat.numberOr("warning_s", Double.NaN),
                 tasks);
     }
 
@@ -83,39 +84,40 @@
     }
 
     /** Encodes orders as a list of maps. */
-    public static List<Object> orders(List<WorkerOrder> orders) {
-        List<Object> out = new ArrayList<>(orders.size());
-        for (WorkerOrder o : orders) {
-            Map<String, Object> m = new LinkedHashMap<>();
-            m.put(
+    public static List<Object> writeOrders(List<WorkerOrder> orders) {
+        List<Object> encoded = new ArrayList<>(orders.size());
+        for (WorkerOrder order : orders) {
+            Map<String, Object> fields = new LinkedHashMap<>();
+            fields.put(
                     "verb",
-                    switch (o.kind()) {
+                    switch (order.kind()) {
                         case START -> "run";
                         case STOP -> "halt";
                         case FORGET -> "forget";
                     });
-            m.put("sheet", o.jobId() + "/" + o.taskIndex());
-            m.put("try", o.attemptNumber());
-            if (o.kind() == WorkerOrder.Kind.STOP) {
-                m.put("wind_down_s", o.gracePeriodS());
+            fields.put("sheet", order.jobId() + "/" + order.taskIndex());
+            fields.put("try", order.attemptNumber());
+            if (order.kind() == WorkerOrder.Kind.STOP) {
+                fields.put("wind_down_s", order.gracePeriodS());
             }
-            out.add(m);
+            encoded.add(fields);
         }
-        return out;
+        return encoded;
     }
 
     /** The body of the response to an accepted heartbeat. */
-    public static Map<String, Object> answer(long term, List<WorkerOrder> orders) {
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("baton", term);
-        m.put("orders", orders(orders));
-        return m;
+    public static Map<String, Object> heartbeatResponse(long term, List<WorkerOrder> orders) {
+        Map<String, Object> body = new LinkedHashMap<>();
+        body.put("baton", term);
+        body.put("orders", writeOrders(orders));
+        return body;
     }
 
     /** The body of a direct call with orders; {@code session} is the worker's session. */
-    public static Map<String, Object> direct(long term, long session, List<WorkerOrder> orders) {
-        Map<String, Object> m = answer(term, orders);
-        m.put("shift", session);
-        return m;
+    public static Map<String, Object> directOrders(
+            long term, long session, List<WorkerOrder> orders) {
+        Map<String, Object> body = heartbeatResponse(term, orders);
+        body.put("shift", session);
+        return body;
     }
 }
--- a/src/main/java/org/shoreusher/worker/WorkerClient.java
+++ b/src/main/java/org/shoreusher/worker/WorkerClient.java
@@ -25,18 +25,18 @@
      * Sends orders without waiting for a response. Dropped if the address is invalid or too many
      * calls are in flight; the worker then gets them with the response to its next heartbeat.
      */
-    public void send(Effect.Orders orders) {
-        Settings.Address address = Settings.addressOrNull(orders.workerAddress());
-        if (address == null || inFlight >= Tuning.ORDERS_AT_ONCE) {
+    public void sendOrders(Effect.Orders orders) {
+        Settings.Address address = Settings.parseAddressOrNull(orders.workerAddress());
+        if (address == null || inFlight >= Tuning.MAX_DIRECT_ORDERS_IN_FLIGHT) {
             return;
         }
         inFlight++;
         new HttpCaller(loop, address, 0)
                 .call(
                         "/orders",
-                        WorkerFormat.direct(
+                        WorkerFormat.directOrders(
                                 orders.fencingToken(), orders.workerIncarnation(), orders.orders()),
-                        Tuning.ORDERS_TIMEOUT_MS,
+                        Tuning.DIRECT_ORDERS_TIMEOUT_MS,
                         (status, body) -> inFlight--);
     }
 }
--- a/src/test/java/org/shoreusher/cli/ServiceRehearsalTest.java
+++ b/src/test/java/org/shoreusher/cli/ServiceRehearsalTest.java
@@ -10,12 +10,12 @@
     @Example
     void aServiceComesBackWhenItsMachineIsLostAndEndsWhenItIsCancelled() throws Exception {
         try (ServiceRehearsal story = new ServiceRehearsal()) {
-            byte[] file = story.settings().getBytes(StandardCharsets.UTF_8);
+            byte[] file = story.settingsJson().getBytes(StandardCharsets.UTF_8);
             Service controller = new Service(Settings.parse(file), Features.NONE, "rehearsal/test");
             Thread thread = new Thread(() -> run(controller));
             thread.start();
             try {
-                story.play();
+                story.run();
             } finally {
                 controller.stop();
                 thread.join();
--- a/src/test/java/org/shoreusher/core/FinishedRecordsTest.java
+++ b/src/test/java/org/shoreusher/core/FinishedRecordsTest.java
@@ -90,7 +90,7 @@
                 record.put(job.id, TaskRanges.format(set));
                 // A successor splits a shard's own record that is too long to be written again.
                 if (FieldMap.jsonLength(record)
-                        > (c == 0 ? Math.min(former, s.valueBytes()) : former) * 0.75) {
+                        > (c == 0 ? Math.min(former, s.maxValueBytes()) : former) * 0.75) {
                     record.remove(job.id);
                 }
             }
@@ -118,7 +118,9 @@
                     FinishedRecords.layOut(jobs, s, c -> store.getOrDefault(c, Map.of()));
             Map<Integer, Map<String, Object>> writes = new LinkedHashMap<>();
             writes.put(0, laid.recordValue(0));
-            for (int c = 1; c < laid.recordCount() && writes.size() < s.txnOps(); c++) {
+            for (int c = 1;
+                    c < laid.recordCount() && writes.size() < s.maxTransactionWrites();
+                    c++) {
                 Map<String, Object> wanted = laid.recordValue(c);
                 if (!wanted.equals(store.get(c))) {
                     writes.put(c, wanted);
@@ -127,7 +129,7 @@
             writes.forEach(
                     (c, record) ->
                             assertTrue(
-                                    FieldMap.jsonLength(record) <= s.valueBytes(),
+                                    FieldMap.jsonLength(record) <= s.maxValueBytes(),
                                     "record " + c + " of " + FieldMap.jsonLength(record)));
             if (r.nextInt(4) > 0 || beat > 40) {
                 store.putAll(writes);
@@ -171,7 +173,7 @@
         }
         Map<String, BitSet> found = new LinkedHashMap<>(covered);
         for (Map<String, Object> piece : FinishedRecords.splitIntoRecords(done, s, covered::get)) {
-            assertTrue(FieldMap.jsonLength(piece) <= s.valueBytes());
+            assertTrue(FieldMap.jsonLength(piece) <= s.maxValueBytes());
             piece.forEach(
                     (id, ranges) -> {
                         BitSet set = TaskRanges.parse((String) ranges);
--- a/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
+++ b/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
@@ -265,7 +265,7 @@
                                 (key, value) ->
                                         assertTrue(
                                                 org.shoreusher.wire.FieldMap.jsonLength(value)
-                                                        <= s.valueBytes(),
+                                                        <= s.maxValueBytes(),
                                                 key));
                 outbox.onReply(new StateReply(call.callId(), 200, Map.of("ledger", ++revision)));
             }
--- a/src/test/java/org/shoreusher/core/StartMarksTest.java
+++ b/src/test/java/org/shoreusher/core/StartMarksTest.java
@@ -93,7 +93,8 @@
                         .forEach(
                                 (key, value) ->
                                         assertTrue(
-                                                FieldMap.jsonLength(value) <= SETTINGS.valueBytes(),
+                                                FieldMap.jsonLength(value)
+                                                        <= SETTINGS.maxValueBytes(),
                                                 key));
                 boolean fails = round < 20 || (round < 100 && random.nextInt(3) > 0);
                 outbox.onReply(
--- a/src/test/java/org/shoreusher/measure/MeasurementsTest.java
+++ b/src/test/java/org/shoreusher/measure/MeasurementsTest.java
@@ -6,7 +6,7 @@
 import net.jqwik.api.Example;
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.DefaultParser;
-import org.shoreusher.measure.Measurements.BadOption;
+import org.shoreusher.measure.Measurements.InvalidOptionException;
 
 /** The options of the measurements; the measurements themselves take minutes. */
 class MeasurementsTest {
@@ -17,18 +17,22 @@
     @Example
     void optionsOutOfBoundsAreNamedWithWhatIsAllowed() throws Exception {
         CommandLine line = parse("--machines", "5000", "--silent", "much", "--kills", "2.5");
-        BadOption machines =
+        InvalidOptionException machines =
                 assertThrows(
-                        BadOption.class, () -> Measurements.whole(line, "machines", 4, 4_000, 400));
+                        InvalidOptionException.class,
+                        () -> Measurements.integer(line, "machines", 4, 4_000, 400));
         assertEquals("--machines must be a number from 4 to 4000", machines.getMessage());
-        BadOption silent =
+        InvalidOptionException silent =
                 assertThrows(
-                        BadOption.class, () -> Measurements.number(line, "silent", 0, 0.5, 0.1));
+                        InvalidOptionException.class,
+                        () -> Measurements.number(line, "silent", 0, 0.5, 0.1));
         assertEquals("--silent must be a number from 0 to 0.5", silent.getMessage());
-        BadOption kills =
-                assertThrows(BadOption.class, () -> Measurements.whole(line, "kills", 1, 9, 5));
+        InvalidOptionException kills =
+                assertThrows(
+                        InvalidOptionException.class,
+                        () -> Measurements.integer(line, "kills", 1, 9, 5));
         assertEquals("--kills must be a whole number", kills.getMessage());
-        assertEquals(7, Measurements.whole(line, "seed", 0, 9, 7));
+        assertEquals(7, Measurements.integer(line, "seed", 0, 9, 7));
     }
 
     @Example
--- a/src/test/java/org/shoreusher/model/CloudModel.java
+++ b/src/test/java/org/shoreusher/model/CloudModel.java
@@ -94,7 +94,7 @@
     }
 
     private long listLagMs() {
-        return (long) (world.settings.listLagS() * 1000);
+        return (long) (world.settings.inventoryLagS() * 1000);
     }
 
     /**
--- a/src/test/java/org/shoreusher/model/EffectHash.java
+++ b/src/test/java/org/shoreusher/model/EffectHash.java
@@ -37,7 +37,7 @@
     void take(String host, Effect effect) {
         if (effect instanceof Effect.Respond a) {
             begin(ANSWER, host).putLong(a.requestId());
-            stream.putInt(ResponseFormat.status(a.response()));
+            stream.putInt(ResponseFormat.statusCode(a.response()));
             stream.putInt(ResponseFormat.retryAfterS(a.response()));
             body(ResponseFormat.body(a.response()));
         } else if (effect instanceof Effect.StateCall c) {
@@ -48,10 +48,10 @@
             request(CloudFormat.request(c.operation()));
         } else if (effect instanceof Effect.Orders o) {
             begin(ORDERS, host).putString(o.workerAddress());
-            body(WorkerFormat.direct(o.fencingToken(), o.workerIncarnation(), o.orders()));
+            body(WorkerFormat.directOrders(o.fencingToken(), o.workerIncarnation(), o.orders()));
         } else if (effect instanceof Effect.Tell t) {
             begin(HINT, host);
-            bytes(hints.write(t.message()));
+            bytes(hints.encode(t.message()));
         } else if (effect instanceof Effect.SendToPeer s) {
             begin(STANDBY, host).putString(s.host());
             bytes(MessageBytes.of(s.message()));
--- a/src/test/java/org/shoreusher/model/FormerFormatsTest.java
+++ b/src/test/java/org/shoreusher/model/FormerFormatsTest.java
@@ -35,14 +35,14 @@
     private static Map<String, Object> former() {
         try (InputStream in =
                 FormerFormatsTest.class.getResourceAsStream("/formats-before-services.json")) {
-            return FieldMap.json(in.readAllBytes()).asMap();
+            return FieldMap.parseJson(in.readAllBytes()).asMap();
         } catch (java.io.IOException e) {
             throw new AssertionError(e);
         }
     }
 
     private static Settings limits(int valueBytes, int txnOps) {
-        return ModelSettings.limits(ModelSettings.usual().stateWriteRps(), valueBytes, txnOps);
+        return ModelSettings.limits(ModelSettings.usual().storeWritesPerS(), valueBytes, txnOps);
     }
 
     @SuppressWarnings("unchecked")
@@ -209,10 +209,10 @@
     @SuppressWarnings("unchecked")
     private static JobSpec describedAgain(SingleNode node, String id) {
         try {
-            return UserFormat.described(
+            return UserFormat.readDescription(
                     new FieldMap(
                             (Map<String, Object>) node.state().value("job/" + id).get("spec")));
-        } catch (FieldMap.Missing e) {
+        } catch (FieldMap.InvalidFieldException e) {
             throw new AssertionError(e);
         }
     }
@@ -222,7 +222,9 @@
         Settings s = limits(2_048, 6);
         Settings of =
                 new SettingsBuilder(s)
-                        .host("node-0", List.of(new Settings.Member("node-1", s.back(), "b")))
+                        .host(
+                                "node-0",
+                                List.of(new Settings.Member("node-1", s.peerAddress(), "b")))
                         .nodes(2)
                         .build();
         SingleNode node = new SingleNode(of);
@@ -331,7 +333,7 @@
                         "begun",
                         0L,
                         "spec",
-                        UserFormat.description(anywhere("wk-000020"))));
+                        UserFormat.writeDescription(anywhere("wk-000020"))));
         node.stored(
                 "part/0",
                 Map.of(
@@ -369,14 +371,14 @@
     /** The encoding of gossip is the same in both versions. */
     @Example
     void hintsOfTheFormerVersionAreRead() {
-        Hint hint = new HintCodec().read(HexFormat.of().parseHex(HINT));
+        Hint hint = new HintCodec().decode(HexFormat.of().parseHex(HINT));
         assertNotNull(hint);
         assertEquals("node-1", hint.senderHost());
         assertEquals(
                 new Hint.PartHint(12.5, 3, 4, Map.of("team-0", new Hint.Claim(8, 16))),
                 hint.shards().get(0));
         assertEquals(Map.of("wk-000001", 5), hint.completedTasks());
-        assertEquals(HINT, HexFormat.of().formatHex(new HintCodec().write(hint)));
-        assertNull(new HintCodec().read(new byte[] {1, 2, 3}));
+        assertEquals(HINT, HexFormat.of().formatHex(new HintCodec().encode(hint)));
+        assertNull(new HintCodec().decode(new byte[] {1, 2, 3}));
     }
 }
--- a/src/test/java/org/shoreusher/model/FormerJobs.java
+++ b/src/test/java/org/shoreusher/model/FormerJobs.java
@@ -43,7 +43,7 @@
             record.put("tasks", (long) spec.taskCount());
             record.put("accepted", FormerOwner.WALL_MS + world.now);
             record.put("begun", 0L);
-            record.put("spec", UserFormat.description(spec));
+            record.put("spec", UserFormat.writeDescription(spec));
             guards.put("job/" + spec.id(), 0L);
             records.put(spec.id(), record);
             wishes.add(new UserModel.Wish(spec, false, 2_000));
@@ -111,7 +111,7 @@
                 id,
                 wish.spec.taskCount(),
                 "CANCELLED",
-                UserFormat.description(wish.spec),
+                UserFormat.writeDescription(wish.spec),
                 status -> {
                     if (status == 200 && !wish.doneTold) {
                         wish.cancelTold = true;
--- a/src/test/java/org/shoreusher/model/FormerOwner.java
+++ b/src/test/java/org/shoreusher/model/FormerOwner.java
@@ -136,7 +136,7 @@
         if (before != null
                 && WALL_MS + world.now
                         <= ((Number) before.get("expiry")).longValue()
-                                + world.settings.clockOffMs()
+                                + world.settings.maxClockOffsetMs()
                                 + WAIT_MS) {
             return;
         }
--- a/src/test/java/org/shoreusher/model/LargerRecordsTest.java
+++ b/src/test/java/org/shoreusher/model/LargerRecordsTest.java
@@ -22,7 +22,8 @@
 
     private static Settings limits() {
         Settings usual = ModelSettings.usual();
-        return ModelSettings.limits(usual.stateWriteRps(), VALUE_BYTES, usual.txnOps());
+        return ModelSettings.limits(
+                usual.storeWritesPerS(), VALUE_BYTES, usual.maxTransactionWrites());
     }
 
     /** A job whose list of machine types alone is longer than a value may be. */
@@ -42,7 +43,7 @@
         record.put("tasks", 2L);
         record.put("accepted", node.now);
         record.put("begun", 0L);
-        record.put("spec", UserFormat.description(longJob()));
+        record.put("spec", UserFormat.writeDescription(longJob()));
         assertTrue(FieldMap.jsonLength(record) > VALUE_BYTES);
         node.state().put("job/" + ID, record);
     }
@@ -71,7 +72,7 @@
 
     /** The complete record of the cancelled job would be rejected each time. */
     @Example
-    void aLongJobIsCancelled() throws FieldMap.Missing {
+    void aLongJobIsCancelled() throws FieldMap.InvalidFieldException {
         node.left();
         acceptedBefore();
         node.steps(40);
@@ -80,7 +81,7 @@
         assertEquals("aborted", node.ask(ID));
         Map<String, Object> record = node.state().value("job/" + ID);
         assertTrue(FieldMap.jsonLength(record) <= VALUE_BYTES);
-        JobSpec left = UserFormat.described(new FieldMap(record).map("spec"));
+        JobSpec left = UserFormat.readDescription(new FieldMap(record).map("spec"));
         assertEquals("team-0", left.team());
         assertEquals(2.0, left.cpus());
     }
--- a/src/test/java/org/shoreusher/model/ModelSettings.java
+++ b/src/test/java/org/shoreusher/model/ModelSettings.java
@@ -81,7 +81,7 @@
                         new Settings.Team("team-0", 3_000, 5_000, 0, 0),
                         new Settings.Team("team-1", 3_000, 8_000, 0, 0))
                 .workers(5, 26, 46)
-                .limits(usual().stateWriteRps(), 8_192, 20)
+                .limits(usual().storeWritesPerS(), 8_192, 20)
                 .sockets(2_600)
                 .clockOffMs(25)
                 .build();
--- a/src/test/java/org/shoreusher/model/ReportsTest.java
+++ b/src/test/java/org/shoreusher/model/ReportsTest.java
@@ -274,7 +274,7 @@
      */
     @Example
     void ordersAndReportsStayBelowTheirBound() {
-        node.openJob("wk-1", Tuning.MAX_TASKS, 0.001);
+        node.openJob("wk-1", Tuning.MAX_TASKS_PER_JOB, 0.001);
         node.left("host-1");
         node.steps(20);
         node.report("host-1", 1, 5);
@@ -283,7 +283,7 @@
             node.steps(3);
             started = node.report("host-1", seq, 6).size();
         }
-        assertEquals(Tuning.MOST_TASKS_ON_MACHINE, started);
+        assertEquals(Tuning.MAX_TASKS_PER_MACHINE, started);
     }
 
     /**
@@ -305,7 +305,8 @@
                 ranAt = node.now - startedAt;
             }
         }
-        long agreed = Tuning.HINT_STALE_MS + (long) (ModelSettings.usual().workerLeaseS() * 1000);
+        long agreed =
+                Tuning.MAX_GOSSIP_AGE_MS + (long) (ModelSettings.usual().workerLeaseS() * 1000);
         assertTrue(ranAt > agreed, "too early: " + ranAt);
         assertTrue(ranAt < agreed + 2_500, "too late: " + ranAt);
     }
--- a/src/test/java/org/shoreusher/model/Rules.java
+++ b/src/test/java/org/shoreusher/model/Rules.java
@@ -63,8 +63,8 @@
         double usedGpus = usage.gpus(spec.team());
         int inZone = usage.tasksInZone(job, machine.zone);
         int ofJob = usage.tasks(job);
-        if (used > world.settings.teams().get(spec.team()).cpusMax()
-                || usedGpus > world.settings.teams().get(spec.team()).gpusMax()) {
+        if (used > world.settings.teams().get(spec.team()).maxCpus()
+                || usedGpus > world.settings.teams().get(spec.team()).maxGpus()) {
             broken("quota", spec.team() + " uses " + used + " CPUs, " + usedGpus + " GPUs");
         }
         if (usage.cpusOn(machine) > CloudModel.cpus(machine.type)) {
@@ -79,7 +79,8 @@
     }
 
     private void checkCancelled(String task, UserModel.Wish w) {
-        if (w.cancelTold && world.now - w.cancelToldAt > world.settings.cancelS() * 1000) {
+        if (w.cancelTold
+                && world.now - w.cancelToldAt > world.settings.cancellationLimitS() * 1000) {
             broken("ran_cancelled", task);
         }
     }
@@ -152,7 +153,7 @@
             used.merge(e.getValue(), o.cpus(), Double::sum);
             team += o.team().equals(spec.team()) ? o.cpus() : 0;
         }
-        if (!waits || team + spec.cpus() > world.settings.teams().get(spec.team()).cpusMax()) {
+        if (!waits || team + spec.cpus() > world.settings.teams().get(spec.team()).maxCpus()) {
             return false;
         }
         for (WorkerModel m : world.cloud.machines()) {
--- a/src/test/java/org/shoreusher/model/ServicesTest.java
+++ b/src/test/java/org/shoreusher/model/ServicesTest.java
@@ -193,7 +193,7 @@
         w.rules.end();
         assertEquals(List.of(), w.rules.violations, () -> String.join("\n", w.log));
         assertTrue(
-                longest[0] > strict.valueBytes(),
+                longest[0] > strict.maxValueBytes(),
                 () -> "the former version wrote nothing long: " + longest[0]);
         assertEquals(
                 0,
--- a/src/test/java/org/shoreusher/model/SingleNode.java
+++ b/src/test/java/org/shoreusher/model/SingleNode.java
@@ -187,7 +187,7 @@
                         "begun",
                         0L,
                         "spec",
-                        UserFormat.map(spec(id, tasks, 2, false))));
+                        UserFormat.writeSubmission(spec(id, tasks, 2, false))));
     }
 
     /**
@@ -241,7 +241,7 @@
                         "begun",
                         1L,
                         "spec",
-                        UserFormat.map(spec(id, 2, 2, oneZone))));
+                        UserFormat.writeSubmission(spec(id, 2, 2, oneZone))));
     }
 
     /** Stores an open job with this number of tasks, any of which may have been started. */
@@ -266,7 +266,7 @@
                         "accepted",
                         now,
                         "spec",
-                        UserFormat.map(spec)));
+                        UserFormat.writeSubmission(spec)));
     }
 
     private static JobSpec spec(String id, int tasks, double cpus, boolean oneZone) {
--- a/src/test/java/org/shoreusher/model/StateModel.java
+++ b/src/test/java/org/shoreusher/model/StateModel.java
@@ -66,8 +66,8 @@
     StateModel(World world) {
         this.world = world;
         inForce = world.former == null ? world.settings : world.former;
-        requests = new TokenBucket(inForce.stateRps(), inForce.stateRps());
-        writes = new TokenBucket(inForce.stateWriteRps(), inForce.stateWriteRps());
+        requests = new TokenBucket(inForce.storeRequestsPerS(), inForce.storeRequestsPerS());
+        writes = new TokenBucket(inForce.storeWritesPerS(), inForce.storeWritesPerS());
     }
 
     void outage(long forMs) {
@@ -77,7 +77,7 @@
     /** The current version's limits come into force. */
     void lowerLimits() {
         inForce = world.settings;
-        writes = new TokenBucket(inForce.stateWriteRps(), inForce.stateWriteRps());
+        writes = new TokenBucket(inForce.storeWritesPerS(), inForce.storeWritesPerS());
     }
 
     /**
@@ -87,11 +87,14 @@
     private boolean within(String host, StateOp.Multi op) {
         Settings s = world.old(host) ? inForce : world.settings;
         boolean ok =
-                op.writes().size() <= s.txnOps()
-                        && op.preconditions().size() <= 4 * s.txnOps()
+                op.writes().size() <= s.maxTransactionWrites()
+                        && op.preconditions().size() <= 4 * s.maxTransactionWrites()
                         && op.writes().values().stream()
                                 .allMatch(
-                                        v -> v == null || FieldMap.jsonLength(v) <= s.valueBytes());
+                                        v ->
+                                                v == null
+                                                        || FieldMap.jsonLength(v)
+                                                                <= s.maxValueBytes());
         if (!ok && !world.old(host)) {
             throw new AssertionError("transaction of " + host + " above its limits: " + op);
         }
@@ -224,7 +227,7 @@
 
     /** A burst is worth one second, so a transaction of more changes never succeeds. */
     private boolean mayWrite(int changes) {
-        return changes <= Math.max(1, inForce.stateWriteRps())
+        return changes <= Math.max(1, inForce.storeWritesPerS())
                 && writes.tryAcquire(changes, world.now);
     }
 
@@ -323,7 +326,7 @@
         if (waiters.contains(w)) {
             if (away(w.host) || viewStalled(w.host)) {
                 // Open watches stay open during an outage; the caller's timeout comes first.
-                world.in(Tuning.WATCH_BLOCK_MS, () -> expire(w));
+                world.in(Tuning.WATCH_LONG_POLL_MS, () -> expire(w));
             } else {
                 waiters.remove(w);
                 answer(w);
--- a/src/test/java/org/shoreusher/model/WireAnswer.java
+++ b/src/test/java/org/shoreusher/model/WireAnswer.java
@@ -9,7 +9,7 @@
     static WireAnswer of(Effect.Respond answer) {
         return new WireAnswer(
                 answer.requestId(),
-                ResponseFormat.status(answer.response()),
+                ResponseFormat.statusCode(answer.response()),
                 World.copy(ResponseFormat.body(answer.response())),
                 ResponseFormat.retryAfterS(answer.response()));
     }
--- a/src/test/java/org/shoreusher/model/WorkerModel.java
+++ b/src/test/java/org/shoreusher/model/WorkerModel.java
@@ -198,7 +198,7 @@
         nextReportAt =
                 world.now
                         + (long)
-                                (world.settings.reportS()
+                                (world.settings.heartbeatIntervalS()
                                         * 1000
                                         * (0.75 + world.random.nextDouble() / 2));
         long sentAt = world.now;
@@ -285,7 +285,7 @@
         if (o.fencingToken() >= token && o.workerIncarnation() == session) {
             token = o.fencingToken();
             seq++;
-            orders(WorkerFormat.direct(o.fencingToken(), o.workerIncarnation(), o.orders()));
+            orders(WorkerFormat.directOrders(o.fencingToken(), o.workerIncarnation(), o.orders()));
         }
     }
 
--- a/src/test/java/org/shoreusher/model/World.java
+++ b/src/test/java/org/shoreusher/model/World.java
@@ -134,7 +134,7 @@
         cloud = new CloudModel(this, capacity);
         users = new UserModel(this);
         rules = new Rules(this);
-        for (int i = 0; i < settings.nodes(); i++) {
+        for (int i = 0; i < settings.nodeCount(); i++) {
             processes.add(new Process("node-" + i, i));
         }
         ON_NEW.get().accept(this, seed);
@@ -179,7 +179,7 @@
 
     static Map<String, Object> copy(Map<String, Object> value) {
         try {
-            return value == null ? null : FieldMap.cbor(FieldMap.toCbor(value)).asMap();
+            return value == null ? null : FieldMap.parseCbor(FieldMap.toCbor(value)).asMap();
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -212,7 +212,7 @@
 
         void start() {
             life++;
-            wallOff = (long) ((random.nextDouble() * 2 - 1) * settings.clockOffMs());
+            wallOff = (long) ((random.nextDouble() * 2 - 1) * settings.maxClockOffsetMs());
             node =
                     new Node(
                             ownSettings(),
@@ -233,7 +233,7 @@
             List<Settings.Member> members =
                     processes.stream()
                             .filter(p -> p != this)
-                            .map(p -> new Settings.Member(p.host, s.back(), p.zone()))
+                            .map(p -> new Settings.Member(p.host, s.peerAddress(), p.zone()))
                             .toList();
             return new SettingsBuilder(s).host(host, members).build();
         }
@@ -276,7 +276,7 @@
         private void tick(int ofLife) {
             if (life == ofLife) {
                 take(new Command.Tick());
-                in(Tuning.TICK_MS, () -> tick(ofLife));
+                in(Tuning.TICK_INTERVAL_MS, () -> tick(ofLife));
             }
         }
 
@@ -344,7 +344,7 @@
                 }
             } else if (effect instanceof Effect.StateCall c) {
                 long timeout =
-                        Tuning.STATE_TIMEOUT_MS
+                        Tuning.STORE_TIMEOUT_MS
                                 + (c.operation() instanceof Effect.StateOp.Watch w
                                         ? w.blockMs()
                                         : 0);
--- a/src/test/java/org/shoreusher/net/ConnectionsTest.java
+++ b/src/test/java/org/shoreusher/net/ConnectionsTest.java
@@ -38,7 +38,7 @@
             group.next()
                     .execute(
                             () ->
-                                    client.send(
+                                    client.sendOrders(
                                             new Effect.Orders(
                                                     "127.0.0.1:" + server.getLocalPort(),
                                                     1,
@@ -82,7 +82,10 @@
         int port = freePort();
         HttpFrontend front =
                 new HttpFrontend(
-                        group, settings(port, Tuning.OWN_SOCKETS + 2), command -> true, () -> 0L);
+                        group,
+                        settings(port, Tuning.RESERVED_SOCKETS + 2),
+                        command -> true,
+                        () -> 0L);
         front.listen();
         try (Socket first = new Socket(InetAddress.getLoopbackAddress(), port);
                 Socket second = new Socket(InetAddress.getLoopbackAddress(), port)) {
@@ -105,14 +108,18 @@
     void aBodyThatIsTooLongIsMalformed() throws Exception {
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         int port = freePort();
-        new HttpFrontend(group, settings(port, Tuning.OWN_SOCKETS + 2), command -> true, () -> 0L)
+        new HttpFrontend(
+                        group,
+                        settings(port, Tuning.RESERVED_SOCKETS + 2),
+                        command -> true,
+                        () -> 0L)
                 .listen();
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(20_000);
             socket.getOutputStream()
                     .write(
                             ("POST /v2/runs HTTP/1.1\r\nhost: x\r\ncontent-length: "
-                                            + (Tuning.MAX_BODY + 1)
+                                            + (Tuning.MAX_REQUEST_BODY_BYTES + 1)
                                             + "\r\n\r\n")
                                     .getBytes(StandardCharsets.US_ASCII));
             byte[] bytes = new byte[4_096];
--- a/src/test/java/org/shoreusher/peer/HintCodecTest.java
+++ b/src/test/java/org/shoreusher/peer/HintCodecTest.java
@@ -34,7 +34,7 @@
                         Map.of(part, 700),
                         counts,
                         Map.of());
-        assertEquals(hint, codec.read(codec.write(hint)));
+        assertEquals(hint, codec.decode(codec.encode(hint)));
     }
 
     /**
@@ -43,7 +43,7 @@
      */
     @Property(tries = 500, seed = "6")
     void otherBytesAreRefused(@ForAll byte[] bytes) {
-        Hint hint = codec.read(bytes);
+        Hint hint = codec.decode(bytes);
         assertTrue(hint == null || hint.senderHost() != null);
     }
 }
--- a/src/test/java/org/shoreusher/peer/MessageBytes.java
+++ b/src/test/java/org/shoreusher/peer/MessageBytes.java
@@ -8,6 +8,6 @@
 
     /** The message as it is sent to another controller. */
     public static byte[] of(StandbyMessage message) {
-        return StandbyCodec.write(message);
+        return StandbyCodec.encode(message);
     }
 }
--- a/src/test/java/org/shoreusher/peer/StandbyCodecTest.java
+++ b/src/test/java/org/shoreusher/peer/StandbyCodecTest.java
@@ -52,16 +52,16 @@
     void everyMessageIsReadAsItWasWritten() {
         LogAcknowledgement refused = new LogAcknowledgement(STREAM, 0, false);
         LogAcknowledgement accepted = new LogAcknowledgement(STREAM, 1L << 40, true);
-        assertEquals(frame(20, ""), StandbyCodec.read(StandbyCodec.write(frame(20, ""))));
-        assertEquals(refused, StandbyCodec.read(StandbyCodec.write(refused)));
-        assertEquals(accepted, StandbyCodec.read(StandbyCodec.write(accepted)));
+        assertEquals(frame(20, ""), StandbyCodec.decode(StandbyCodec.encode(frame(20, ""))));
+        assertEquals(refused, StandbyCodec.decode(StandbyCodec.encode(refused)));
+        assertEquals(accepted, StandbyCodec.decode(StandbyCodec.encode(accepted)));
     }
 
     /** The longest frame that settings allow, with names of 100 bytes. */
     @Example
     void theLongestFrameIsBelowTheBoundOfAMessage() {
-        byte[] bytes = StandbyCodec.write(frame(500, "x".repeat(100)));
-        assertTrue(bytes.length < Tuning.MAX_HINT, () -> "bytes " + bytes.length);
+        byte[] bytes = StandbyCodec.encode(frame(500, "x".repeat(100)));
+        assertTrue(bytes.length < Tuning.MAX_PEER_MESSAGE_BYTES, () -> "bytes " + bytes.length);
     }
 
     /**
@@ -71,23 +71,23 @@
     @Example
     void neitherIsTakenForTheOther() {
         Hint hint = new Hint("node-0", 5, true, 1, Map.of(), Map.of(), Map.of(), Map.of());
-        byte[] hintBytes = new HintCodec().write(hint);
-        byte[] frameBytes = StandbyCodec.write(frame(3, ""));
-        assertFalse(StandbyCodec.marks(hintBytes[0]));
-        assertTrue(StandbyCodec.marks(frameBytes[0]));
-        assertNull(StandbyCodec.read(hintBytes));
-        assertNull(new HintCodec().read(frameBytes));
+        byte[] hintBytes = new HintCodec().encode(hint);
+        byte[] frameBytes = StandbyCodec.encode(frame(3, ""));
+        assertFalse(StandbyCodec.startsStandbyMessage(hintBytes[0]));
+        assertTrue(StandbyCodec.startsStandbyMessage(frameBytes[0]));
+        assertNull(StandbyCodec.decode(hintBytes));
+        assertNull(new HintCodec().decode(frameBytes));
     }
 
     @Example
     void otherFormsAndWhatIsCutOffAreRefused() {
-        byte[] good = StandbyCodec.write(frame(3, ""));
+        byte[] good = StandbyCodec.encode(frame(3, ""));
         byte[] otherForm = good.clone();
         otherForm[1]++;
-        assertNull(StandbyCodec.read(otherForm));
-        assertNull(StandbyCodec.read(Arrays.copyOf(good, good.length + 1)));
+        assertNull(StandbyCodec.decode(otherForm));
+        assertNull(StandbyCodec.decode(Arrays.copyOf(good, good.length + 1)));
         for (int length = 0; length < good.length; length++) {
-            assertNull(StandbyCodec.read(Arrays.copyOf(good, length)));
+            assertNull(StandbyCodec.decode(Arrays.copyOf(good, length)));
         }
     }
 
@@ -95,11 +95,11 @@
     @Property(tries = 2_000, seed = "17", shrinking = ShrinkingMode.OFF)
     void bytesWithErrorsDoNoHarm(@ForAll long seed) {
         Random random = new Random(seed);
-        byte[] bytes = StandbyCodec.write(frame(5, ""));
+        byte[] bytes = StandbyCodec.encode(frame(5, ""));
         for (int i = 1 + random.nextInt(4); i > 0; i--) {
             bytes[2 + random.nextInt(bytes.length - 2)] = (byte) random.nextInt();
         }
-        Object read = StandbyCodec.read(bytes);
+        Object read = StandbyCodec.decode(bytes);
         assertTrue(read == null || read instanceof LogFrame || read instanceof LogAcknowledgement);
     }
 }
--- a/src/test/java/org/shoreusher/settings/FeaturesFileTest.java
+++ b/src/test/java/org/shoreusher/settings/FeaturesFileTest.java
@@ -13,7 +13,7 @@
 
 /** The features file. */
 class FeaturesFileTest {
-    private static Features parse(String text) throws Settings.Invalid {
+    private static Features parse(String text) throws Settings.InvalidSettingsException {
         Settings settings = SettingsTest.parse(SettingsTest.GOOD.replace("guarantee\"", KNOWN));
         return FeaturesFile.parse(text.getBytes(StandardCharsets.UTF_8), settings);
     }
@@ -21,14 +21,14 @@
     private static final String KNOWN = "finished\",\"class\":\"rush\"";
 
     @Example
-    void aFeatureIsOffUnlessItsSectionIsThere() throws Settings.Invalid {
+    void aFeatureIsOffUnlessItsSectionIsThere() throws Settings.InvalidSettingsException {
         assertEquals(Features.NONE, parse(""));
         assertNull(parse("[balance]\nenabled = false\nspread_margin = 0.5").balance());
         assertEquals(BalanceSettings.DEFAULTS, parse("[balance]").balance());
     }
 
     @Example
-    void readsEverySetting() throws Settings.Invalid {
+    void readsEverySetting() throws Settings.InvalidSettingsException {
         BalanceSettings balance =
                 parse(
                                 """
@@ -64,7 +64,7 @@
     }
 
     @Example
-    void readsTheSettingsOfTheStandby() throws Settings.Invalid {
+    void readsTheSettingsOfTheStandby() throws Settings.InvalidSettingsException {
         assertNull(parse("[standby]\nenabled = false").standby());
         assertEquals(StandbySettings.DEFAULTS, parse("[standby]").standby());
         assertEquals(
@@ -145,10 +145,12 @@
             }
         };
         for (String[] c : cases) {
-            Settings.Invalid e = assertThrows(Settings.Invalid.class, () -> parse(c[0]), c[0]);
+            Settings.InvalidSettingsException e =
+                    assertThrows(Settings.InvalidSettingsException.class, () -> parse(c[0]), c[0]);
             assertEquals(c[1], e.getMessage());
         }
-        Settings.Invalid e = assertThrows(Settings.Invalid.class, () -> parse("[balance"));
+        Settings.InvalidSettingsException e =
+                assertThrows(Settings.InvalidSettingsException.class, () -> parse("[balance"));
         assertEquals(1, e.getMessage().lines().count());
     }
 }
--- a/src/test/java/org/shoreusher/settings/SettingsBuilder.java
+++ b/src/test/java/org/shoreusher/settings/SettingsBuilder.java
@@ -29,20 +29,20 @@
         this.base = base;
         host = base.host();
         members = base.members();
-        nodes = base.nodes();
+        nodes = base.nodeCount();
         zones = base.zones();
         teams = base.teams();
-        reportS = base.reportS();
+        reportS = base.heartbeatIntervalS();
         workerLeaseS = base.workerLeaseS();
-        cancelS = base.cancelS();
-        stateRps = base.stateRps();
-        stateWriteRps = base.stateWriteRps();
-        valueBytes = base.valueBytes();
-        txnOps = base.txnOps();
-        cloudRps = base.cloudRps();
-        listLagS = base.listLagS();
-        sockets = base.sockets();
-        clockOffMs = base.clockOffMs();
+        cancelS = base.cancellationLimitS();
+        stateRps = base.storeRequestsPerS();
+        stateWriteRps = base.storeWritesPerS();
+        valueBytes = base.maxValueBytes();
+        txnOps = base.maxTransactionWrites();
+        cloudRps = base.cloudRequestsPerS();
+        listLagS = base.inventoryLagS();
+        sockets = base.maxSockets();
+        clockOffMs = base.maxClockOffsetMs();
     }
 
     /** Sets the host and the other members. */
@@ -126,11 +126,11 @@
         return new Settings(
                 host,
                 base.zone(),
-                base.front(),
-                base.back(),
+                base.frontAddress(),
+                base.peerAddress(),
                 members,
-                base.cloud(),
-                base.state(),
+                base.cloudAddress(),
+                base.storeAddress(),
                 nodes,
                 zones,
                 teams,
--- a/src/test/java/org/shoreusher/settings/SettingsTest.java
+++ b/src/test/java/org/shoreusher/settings/SettingsTest.java
@@ -26,16 +26,16 @@
               "clock_off_ms":25.0}}\
             """;
 
-    static Settings parse(String text) throws Settings.Invalid {
+    static Settings parse(String text) throws Settings.InvalidSettingsException {
         return Settings.parse(text.getBytes(StandardCharsets.UTF_8));
     }
 
     @Example
-    void readsWhatThePlatformHandsOver() throws Settings.Invalid {
+    void readsWhatThePlatformHandsOver() throws Settings.InvalidSettingsException {
         Settings s = parse(GOOD);
         assertEquals(new Settings.Address("127.0.0.2", 8081), s.members().get(0).address());
-        assertEquals(8192, s.valueBytes());
-        assertEquals(2, s.teams().get("t").cpusMax());
+        assertEquals(8192, s.maxValueBytes());
+        assertEquals(2, s.teams().get("t").maxCpus());
     }
 
     /**
@@ -43,7 +43,7 @@
      * every job was rejected permanently.
      */
     @Example
-    void aLimitOfZeroOrNoneIsNoLimit() throws Settings.Invalid {
+    void aLimitOfZeroOrNoneIsNoLimit() throws Settings.InvalidSettingsException {
         String given = "\"cpus\":1.0,\"cpus_max\":2,\"gpus\":0.0,\"gpus_max\":0.0";
         for (String none :
                 new String[] {
@@ -53,8 +53,8 @@
                     "\"cpus\":5,\"cpus_max\":0"
                 }) {
             Settings.Team team = parse(GOOD.replace(given, none)).teams().get("t");
-            assertEquals(Double.POSITIVE_INFINITY, team.cpusMax(), none);
-            assertEquals(Double.POSITIVE_INFINITY, team.gpusMax(), none);
+            assertEquals(Double.POSITIVE_INFINITY, team.maxCpus(), none);
+            assertEquals(Double.POSITIVE_INFINITY, team.maxGpus(), none);
         }
     }
 
@@ -77,19 +77,21 @@
             {"\"count\":2", "\"count\":0", "count"}
         };
         for (String[] c : cases) {
-            Settings.Invalid e =
-                    assertThrows(Settings.Invalid.class, () -> parse(GOOD.replace(c[0], c[1])));
+            Settings.InvalidSettingsException e =
+                    assertThrows(
+                            Settings.InvalidSettingsException.class,
+                            () -> parse(GOOD.replace(c[0], c[1])));
             assertTrue(e.getMessage().contains(c[2]), e.getMessage());
         }
     }
 
     /** The store's burst is a second's worth: a larger transaction would never succeed. */
     @Example
-    void aTransactionFitsTheBurstOfTheStateService() throws Settings.Invalid {
-        assertEquals(20, parse(GOOD).txnOps());
+    void aTransactionFitsTheBurstOfTheStateService() throws Settings.InvalidSettingsException {
+        assertEquals(20, parse(GOOD).maxTransactionWrites());
         String rate = "\"write_rps\":25.0";
-        assertEquals(6, parse(GOOD.replace(rate, "\"write_rps\":6.5")).txnOps());
-        assertEquals(4, parse(GOOD.replace(rate, "\"write_rps\":3")).txnOps());
+        assertEquals(6, parse(GOOD.replace(rate, "\"write_rps\":6.5")).maxTransactionWrites());
+        assertEquals(4, parse(GOOD.replace(rate, "\"write_rps\":3")).maxTransactionWrites());
     }
 
     /**
@@ -97,7 +99,7 @@
      * they change nothing.
      */
     @Example
-    void limitsToComeCountFromTheStart() throws Settings.Invalid {
+    void limitsToComeCountFromTheStart() throws Settings.InvalidSettingsException {
         String ops = "\"txn_ops\":20";
         Settings s =
                 parse(
@@ -106,8 +108,8 @@
                                 ops
                                         + ",\"next\":{\"write_rps\":18.0,"
                                         + "\"value_kb\":2.0,\"txn_ops\":6}"));
-        assertEquals(List.of(18.0, 200.0), List.of(s.stateWriteRps(), s.stateRps()));
-        assertEquals(List.of(2048, 6), List.of(s.valueBytes(), s.txnOps()));
+        assertEquals(List.of(18.0, 200.0), List.of(s.storeWritesPerS(), s.storeRequestsPerS()));
+        assertEquals(List.of(2048, 6), List.of(s.maxValueBytes(), s.maxTransactionWrites()));
         Settings wider =
                 parse(
                         GOOD.replace(
@@ -126,9 +128,9 @@
             {"7", "next"}
         };
         for (String[] w : wrong) {
-            Settings.Invalid e =
+            Settings.InvalidSettingsException e =
                     assertThrows(
-                            Settings.Invalid.class,
+                            Settings.InvalidSettingsException.class,
                             () -> parse(GOOD.replace(ops, ops + ",\"next\":" + w[0])));
             assertTrue(e.getMessage().contains(w[1]), e.getMessage());
         }
--- a/src/test/java/org/shoreusher/wire/FormatsTest.java
+++ b/src/test/java/org/shoreusher/wire/FormatsTest.java
@@ -45,14 +45,14 @@
 
     @Property(tries = 300, seed = "1")
     void cborKeepsEveryMap(@ForAll("maps") Map<String, Object> map) throws IOException {
-        assertEquals(map, FieldMap.cbor(FieldMap.toCbor(map)).asMap());
+        assertEquals(map, FieldMap.parseCbor(FieldMap.toCbor(map)).asMap());
     }
 
     /** Whatever the bytes, reading ends in a map or in the one exception that means 400. */
     @Property(tries = 500, seed = "2")
     void anyBytesAreAMapOrRefused(@ForAll byte[] bytes) {
         try {
-            FieldMap.cbor(bytes).asMap();
+            FieldMap.parseCbor(bytes).asMap();
         } catch (IOException e) {
             assertTrue(bytes.length >= 0);
         }
@@ -62,11 +62,12 @@
     @Property(tries = 500, seed = "3")
     void aSpoiledJobIsReadOrRefused(
             @ForAll("jobs") JobSpec job, @ForAll int at, @ForAll byte value) {
-        byte[] bytes = FieldMap.toCbor(UserFormat.map(job));
+        byte[] bytes = FieldMap.toCbor(UserFormat.writeSubmission(job));
         bytes[Math.floorMod(at, bytes.length)] = value;
         try {
-            assertTrue(JobSpec.isValidId(UserFormat.job(FieldMap.cbor(bytes)).id()));
-        } catch (IOException | FieldMap.Missing e) {
+            assertTrue(
+                    JobSpec.isValidId(UserFormat.readSubmission(FieldMap.parseCbor(bytes)).id()));
+        } catch (IOException | FieldMap.InvalidFieldException e) {
             assertTrue(e.getMessage() != null);
         }
     }
@@ -107,8 +108,12 @@
     }
 
     @Property(tries = 300, seed = "4")
-    void jobsComeBackFromTheWire(@ForAll("jobs") JobSpec job) throws IOException, FieldMap.Missing {
-        assertEquals(job, UserFormat.job(FieldMap.cbor(FieldMap.toCbor(UserFormat.map(job)))));
+    void jobsComeBackFromTheWire(@ForAll("jobs") JobSpec job)
+            throws IOException, FieldMap.InvalidFieldException {
+        assertEquals(
+                job,
+                UserFormat.readSubmission(
+                        FieldMap.parseCbor(FieldMap.toCbor(UserFormat.writeSubmission(job)))));
     }
 
     @Example
@@ -132,12 +137,12 @@
                         -1.0);
         wrong.forEach(
                 (field, value) -> {
-                    Map<String, Object> map = new LinkedHashMap<>(UserFormat.map(job));
+                    Map<String, Object> map = new LinkedHashMap<>(UserFormat.writeSubmission(job));
                     map.put(field, value);
-                    FieldMap.Missing e =
+                    FieldMap.InvalidFieldException e =
                             assertThrows(
-                                    FieldMap.Missing.class,
-                                    () -> UserFormat.job(new FieldMap(map)));
+                                    FieldMap.InvalidFieldException.class,
+                                    () -> UserFormat.readSubmission(new FieldMap(map)));
                     assertTrue(e.getMessage().contains(field), e.getMessage());
                 });
     }
@@ -149,7 +154,7 @@
     @Example
     void everyFieldThatMayNotBeNullIsNeeded() {
         Map<String, Object> whole =
-                UserFormat.map(
+                UserFormat.writeSubmission(
                         new JobSpecBuilder("wk-1")
                                 .team("team")
                                 .priority(JobSpec.Priority.LOW)
@@ -170,11 +175,11 @@
                 Map<String, Object> map = new LinkedHashMap<>(whole);
                 map.put(field, value);
                 if (value == null && List.of("presses", "yard", "due_s").contains(field)) {
-                    assertDoesNotThrow(() -> UserFormat.job(new FieldMap(map)), field);
+                    assertDoesNotThrow(() -> UserFormat.readSubmission(new FieldMap(map)), field);
                 } else {
                     assertThrows(
-                            FieldMap.Missing.class,
-                            () -> UserFormat.job(new FieldMap(map)),
+                            FieldMap.InvalidFieldException.class,
+                            () -> UserFormat.readSubmission(new FieldMap(map)),
                             field + " " + value);
                 }
             }
@@ -182,7 +187,7 @@
     }
 
     @Example
-    void readsAReportWithFieldsItDoesNotKnow() throws FieldMap.Missing {
+    void readsAReportWithFieldsItDoesNotKnow() throws FieldMap.InvalidFieldException {
         Map<String, Object> report =
                 new LinkedHashMap<>(
                         Map.of(
@@ -220,7 +225,7 @@
                                 "stored",
                                 true),
                         Map.of("sheet", "wk-000412/4", "try", 8L, "status", "flushing")));
-        WorkerReport r = WorkerFormat.report(new FieldMap(report));
+        WorkerReport r = WorkerFormat.readHeartbeat(new FieldMap(report));
         assertTrue(Double.isNaN(r.interruptionNoticeS()));
         assertEquals(
                 List.of(
@@ -267,6 +272,6 @@
                                         "wind_down_s",
                                         10.0),
                                 Map.of("verb", "forget", "sheet", "wk-3/0", "try", 1L))),
-                WorkerFormat.direct(41, 1, orders));
+                WorkerFormat.directOrders(41, 1, orders));
     }
 }
