--- a/src/main/java/org/shoreusher/balance/BalanceStatistics.java
+++ b/src/main/java/org/shoreusher/balance/BalanceStatistics.java
@@ -14,7 +14,7 @@
     private final Histogram spread = new Histogram(MAX_PER_MILLE, DIGITS);
     private final Histogram migrationMs = new Histogram(MAX_DURATION_MS, DIGITS);
     private final Histogram repeatedWorkMs = new Histogram(MAX_DURATION_MS, DIGITS);
-    private final Map<Move.Reason, Integer> abandoned = new EnumMap<>(Move.Reason.class);
+    private final Map<Migration.Reason, Integer> abandoned = new EnumMap<>(Migration.Reason.class);
     private int begun;
     private int started;
     private int completed;
@@ -47,7 +47,7 @@
     }
 
     /** Counts an abandoned migration. */
-    void recordAbandoned(Move.Reason reason) {
+    void recordAbandoned(Migration.Reason reason) {
         abandoned.merge(reason, 1, Integer::sum);
     }
 
--- a/src/main/java/org/shoreusher/balance/Balancer.java
+++ b/src/main/java/org/shoreusher/balance/Balancer.java
@@ -24,11 +24,11 @@
     private final BalanceSettings settings;
     private final Timeouts timeouts;
     private final LoadModel load = new LoadModel();
-    private final TeamHeat highDemandTeams;
-    private final MoveBudget budget;
-    private final MovePlanner planner;
+    private final HighDemandTeams highDemandTeams;
+    private final MigrationBudget budget;
+    private final MigrationPlanner planner;
     private final BalanceStatistics statistics = new BalanceStatistics();
-    private final Map<TaskId, Move> migrations = new LinkedHashMap<>();
+    private final Map<TaskId, Migration> migrations = new LinkedHashMap<>();
 
     /**
      * Machines that no task may leave until the given time (ms), because one has just been migrated
@@ -46,9 +46,9 @@
     public Balancer(BalanceSettings settings, Timeouts timeouts) {
         this.settings = settings;
         this.timeouts = timeouts;
-        highDemandTeams = new TeamHeat(settings, load);
-        budget = new MoveBudget(settings);
-        planner = new MovePlanner(settings, load);
+        highDemandTeams = new HighDemandTeams(settings, load);
+        budget = new MigrationBudget(settings);
+        planner = new MigrationPlanner(settings, load);
     }
 
     /** Returns the load of the machines, which the caller keeps up to date. */
@@ -57,7 +57,7 @@
     }
 
     /** Returns the budget of migrations, which the caller keeps up to date with tasks and jobs. */
-    public MoveBudget budget() {
+    public MigrationBudget budget() {
         return budget;
     }
 
@@ -102,7 +102,7 @@
      *
      * @return the migrations that have begun
      */
-    public List<Move> planMigrations(FleetView view, long nowMs) {
+    public List<Migration> planMigrations(SchedulerView view, long nowMs) {
         sourceCooldownUntilMs.values().removeIf(untilMs -> untilMs <= nowMs);
         targetCooldownUntilMs.values().removeIf(untilMs -> untilMs <= nowMs);
         PlanningRound round = new PlanningRound(nowMs);
@@ -113,9 +113,9 @@
         return round.begun;
     }
 
-    private Move begin(MovePlanner.PlannedMigration planned, long nowMs) {
-        Move migration =
-                new Move(
+    private Migration begin(MigrationPlanner.PlannedMigration planned, long nowMs) {
+        Migration migration =
+                new Migration(
                         planned.task(),
                         planned.target(),
                         planned.gainS(),
@@ -131,9 +131,9 @@
      * The limits of one planning round, from the migrations in progress and those that the round
      * has begun.
      */
-    private final class PlanningRound implements MovePlanner.MigrationLimits {
+    private final class PlanningRound implements MigrationPlanner.MigrationLimits {
         private final long nowMs;
-        private final List<Move> begun = new ArrayList<>();
+        private final List<Migration> begun = new ArrayList<>();
 
         PlanningRound(long nowMs) {
             this.nowMs = nowMs;
@@ -147,7 +147,7 @@
         }
 
         @Override
-        public boolean canMigrate(MovableTask task) {
+        public boolean canMigrate(MigratableTask task) {
             return !migrations.containsKey(task.id()) && budget.allowsMigration(task, nowMs);
         }
 
@@ -167,7 +167,7 @@
         public double outgoingCpus(String machine, String team) {
             return cpus(
                     migration ->
-                            migration.state() == Move.State.STOPPING
+                            migration.state() == Migration.State.STOPPING
                                     && migration.task().machine().equals(machine)
                                     && migration.task().team().equals(team));
         }
@@ -187,18 +187,18 @@
         }
 
         @Override
-        public void begin(MovePlanner.PlannedMigration planned) {
+        public void begin(MigrationPlanner.PlannedMigration planned) {
             begun.add(Balancer.this.begin(planned, nowMs));
         }
 
-        private double cpus(Predicate<Move> filter) {
+        private double cpus(Predicate<Migration> filter) {
             return migrations.values().stream()
                     .filter(filter)
                     .mapToDouble(migration -> migration.task().cpus())
                     .sum();
         }
 
-        private long count(Predicate<Move> filter) {
+        private long count(Predicate<Migration> filter) {
             return migrations.values().stream().filter(filter).count();
         }
     }
@@ -209,7 +209,7 @@
     }
 
     /** Returns the migration of a task that is in progress; null if there is none. */
-    public Move migration(TaskId task) {
+    public Migration migration(TaskId task) {
         return migrations.get(task);
     }
 
@@ -218,13 +218,13 @@
      *
      * @param saved whether the source has reported that the task wrote a checkpoint
      */
-    public void markLeftSource(Move migration, boolean saved, long nowMs) {
+    public void markLeftSource(Migration migration, boolean saved, long nowMs) {
         settleCost(migration, saved ? 0 : migration.task().unsavedS());
         migration.markLeftSource(nowMs + timeouts.targetStartMs());
     }
 
     /** The task of a migration completed before it was stopped. */
-    public void markCompleted(Move migration, long nowMs) {
+    public void markCompleted(Migration migration, long nowMs) {
         settleCost(migration, 0);
         migration.markCompleted();
         statistics.recordCompleted();
@@ -232,15 +232,15 @@
     }
 
     /** The task of a migration was started at its target. */
-    public void markStarted(Move migration, long nowMs) {
+    public void markStarted(Migration migration, long nowMs) {
         migration.markStarted();
         statistics.recordStarted(nowMs - migration.begunAtMs());
         finish(migration, nowMs);
     }
 
     /** Abandons a migration. */
-    public void abandon(Move migration, Move.Reason reason, long nowMs) {
-        if (migration.state() == Move.State.STOPPING) {
+    public void abandon(Migration migration, Migration.Reason reason, long nowMs) {
+        if (migration.state() == Migration.State.STOPPING) {
             // The task may still lose the work since its last checkpoint.
             settleCost(migration, migration.task().unsavedS());
         }
@@ -250,21 +250,21 @@
     }
 
     /** Returns why a migration has timed out; null if it has not. */
-    public Move.Reason timeoutReason(Move migration, long nowMs) {
+    public Migration.Reason timeoutReason(Migration migration, long nowMs) {
         if (!migration.isOverdue(nowMs)) {
             return null;
         }
-        return migration.state() == Move.State.STOPPING
-                ? Move.Reason.SOURCE_SILENT
-                : Move.Reason.TARGET_SILENT;
+        return migration.state() == Migration.State.STOPPING
+                ? Migration.Reason.SOURCE_SILENT
+                : Migration.Reason.TARGET_SILENT;
     }
 
-    private void settleCost(Move migration, double repeatedS) {
+    private void settleCost(Migration migration, double repeatedS) {
         budget.settle(migration.task(), repeatedS);
         statistics.recordRepeatedWork(repeatedS);
     }
 
-    private void finish(Move migration, long nowMs) {
+    private void finish(Migration migration, long nowMs) {
         migrations.remove(migration.task().id());
         long untilMs = nowMs + Math.round(settings.cooldownS() * 1_000);
         targetCooldownUntilMs.put(migration.task().machine(), untilMs);
--- a/src/main/java/org/shoreusher/balance/TeamHeat.java
+++ b/src/main/java/org/shoreusher/balance/HighDemandTeams.java
@@ -9,7 +9,7 @@
  * Only their load is spread; tasks of the other teams are packed on the fullest machine, so that
  * machines become idle and can be scaled in.
  */
-final class TeamHeat {
+final class HighDemandTeams {
     /**
      * Factor on the threshold below which a team stops being a high-demand one; the hysteresis
      * prevents flapping.
@@ -22,7 +22,7 @@
     private Map<String, Double> demandCpus = Map.of();
 
     /** Creates an empty set of high-demand teams. */
-    TeamHeat(BalanceSettings settings, LoadModel load) {
+    HighDemandTeams(BalanceSettings settings, LoadModel load) {
         this.settings = settings;
         this.load = load;
     }
--- a/src/main/java/org/shoreusher/balance/MovableTask.java
+++ b/src/main/java/org/shoreusher/balance/MigratableTask.java
@@ -8,7 +8,7 @@
  * @param unsavedS seconds of progress that would be repeated if writing a checkpoint failed
  * @param saveS seconds that writing a checkpoint takes when it is stopped
  */
-public record MovableTask(
+public record MigratableTask(
         TaskId id,
         String jobClass,
         String team,
--- a/src/main/java/org/shoreusher/balance/Move.java
+++ b/src/main/java/org/shoreusher/balance/Migration.java
@@ -7,7 +7,7 @@
  * is reached only after it has certainly left the source. Every other outcome puts the task back
  * into the queue, unless it completed before it was stopped.
  */
-public final class Move {
+public final class Migration {
     /** State of a migration. */
     public enum State {
         /** The task has been told to stop; capacity is reserved at the target. */
@@ -49,7 +49,7 @@
         REBUILD
     }
 
-    private final MovableTask task;
+    private final MigratableTask task;
     private final String target;
     private final double gainS;
     private final long begunAtMs;
@@ -62,7 +62,7 @@
      *
      * @param deadlineMs time (ms) by which the task must have left the source
      */
-    Move(MovableTask task, String target, double gainS, long nowMs, long deadlineMs) {
+    Migration(MigratableTask task, String target, double gainS, long nowMs, long deadlineMs) {
         this.task = task;
         this.target = target;
         this.gainS = gainS;
@@ -71,7 +71,7 @@
     }
 
     /** Returns the task as it was when the migration began. */
-    public MovableTask task() {
+    public MigratableTask task() {
         return task;
     }
 
--- a/src/main/java/org/shoreusher/balance/MoveBudget.java
+++ b/src/main/java/org/shoreusher/balance/MigrationBudget.java
@@ -13,7 +13,7 @@
  * <p>Nothing is stored. The tasks of a job that was started under a previous leader count as having
  * used up their migrations, so that a failover never refills a budget.
  */
-public final class MoveBudget {
+public final class MigrationBudget {
     /** The run time of a job class and what migrations have cost it. */
     private static final class ClassUsage {
         private int runningTasks;
@@ -34,7 +34,7 @@
     private final Set<String> exhaustedJobs = new HashSet<>();
     private final Map<String, ClassUsage> usageByClass = new HashMap<>();
 
-    MoveBudget(BalanceSettings settings) {
+    MigrationBudget(BalanceSettings settings) {
         this.settings = settings;
     }
 
@@ -66,7 +66,7 @@
     }
 
     /** Whether a task may be migrated now. */
-    boolean allowsMigration(MovableTask task, long nowMs) {
+    boolean allowsMigration(MigratableTask task, long nowMs) {
         ClassBudget budget = settings.budget(task.jobClass());
         ClassUsage usage = usage(task.jobClass());
         usage.advanceTo(nowMs);
@@ -77,7 +77,7 @@
     }
 
     /** Counts a migration that begins. Its unsaved work is at risk until {@link #settle}. */
-    void begin(MovableTask task) {
+    void begin(MigratableTask task) {
         migrations
                 .computeIfAbsent(task.id().job(), job -> new HashMap<>())
                 .merge(task.id().index(), 1, Integer::sum);
@@ -89,7 +89,7 @@
      *
      * @param repeatedS seconds of its work that must be repeated
      */
-    void settle(MovableTask task, double repeatedS) {
+    void settle(MigratableTask task, double repeatedS) {
         ClassUsage usage = usage(task.jobClass());
         usage.atRiskS -= task.unsavedS();
         usage.repeatedS += repeatedS;
--- a/src/main/java/org/shoreusher/balance/MovePlanner.java
+++ b/src/main/java/org/shoreusher/balance/MigrationPlanner.java
@@ -9,7 +9,7 @@
  * machines with the largest share of the team's load to machines whose share stays below. A
  * planning round examines a bounded number of machines; the next round continues where it ended.
  */
-final class MovePlanner {
+final class MigrationPlanner {
     /**
      * A migration worth its cost.
      *
@@ -17,7 +17,7 @@
      * @param target the machine to which it goes
      * @param gainS expected gain in seconds
      */
-    record PlannedMigration(MovableTask task, String target, double gainS) {}
+    record PlannedMigration(MigratableTask task, String target, double gainS) {}
 
     /** Limits on further migrations, from those in progress. */
     interface MigrationLimits {
@@ -25,7 +25,7 @@
         boolean canBeginForTeam(String team);
 
         /** Whether the task may be migrated, given its budget and the migrations in progress. */
-        boolean canMigrate(MovableTask task);
+        boolean canMigrate(MigratableTask task);
 
         /** Whether tasks may leave the machine: none has recently been migrated to it. */
         boolean canLeave(String machine);
@@ -63,7 +63,7 @@
     private int nextTargetIndex;
 
     /** Creates a planner that reads the given load. */
-    MovePlanner(BalanceSettings settings, LoadModel load) {
+    MigrationPlanner(BalanceSettings settings, LoadModel load) {
         this.settings = settings;
         this.load = load;
     }
@@ -72,7 +72,7 @@
      * Selects migrations of a team. Each begins at once, so that the next selection takes it into
      * account.
      */
-    void choose(String team, FleetView view, MigrationLimits limits) {
+    void choose(String team, SchedulerView view, MigrationLimits limits) {
         double shareLimit = load.meanShare(team) + settings.spreadMargin();
         if (load.skew(team) <= settings.spreadMargin() + settings.hysteresis()) {
             return;
@@ -133,13 +133,13 @@
             MachineLoad source,
             List<MachineLoad> targets,
             String team,
-            FleetView view,
+            SchedulerView view,
             MigrationLimits limits) {
         if (!limits.canLeave(source.id())) {
             return null;
         }
         PlannedMigration best = null;
-        for (MovableTask task : view.migratableTasks(source.id(), team)) {
+        for (MigratableTask task : view.migratableTasks(source.id(), team)) {
             // Upper bound: a target that already has the image.
             double maxGainS = task.remainingS() - task.saveS() - START_LAG_S;
             if (!limits.canMigrate(task) || (best != null && best.gainS() >= maxGainS)) {
@@ -160,15 +160,15 @@
         return best;
     }
 
-    private static double costS(MovableTask task, MachineLoad target) {
+    private static double costS(MigratableTask task, MachineLoad target) {
         return target.imageFetchS(task.image(), task.imageGb()) + task.saveS() + START_LAG_S;
     }
 
-    private static double gainS(MovableTask task, MachineLoad target) {
+    private static double gainS(MigratableTask task, MachineLoad target) {
         return task.remainingS() - costS(task, target);
     }
 
-    private boolean isWorthwhile(MovableTask task, MachineLoad target) {
+    private boolean isWorthwhile(MigratableTask task, MachineLoad target) {
         return task.remainingS() >= settings.minGainFactor() * costS(task, target);
     }
 
@@ -177,7 +177,7 @@
      * before.
      */
     private static boolean reducesSkew(
-            MachineLoad source, MachineLoad target, MovableTask task, MigrationLimits limits) {
+            MachineLoad source, MachineLoad target, MigratableTask task, MigrationLimits limits) {
         double shareAfter =
                 projectedShare(target, task.team(), limits) + task.cpus() / target.cpus();
         return shareAfter < source.cpus(task.team()) / source.cpus();
--- a/src/main/java/org/shoreusher/balance/FleetView.java
+++ b/src/main/java/org/shoreusher/balance/SchedulerView.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /** The scheduler's current state of machines and tasks, as far as the balancer needs it. */
-public interface FleetView {
+public interface SchedulerView {
     /** Returns the tasks of a team on a machine that may be migrated now. */
-    List<MovableTask> migratableTasks(String machine, String team);
+    List<MigratableTask> migratableTasks(String machine, String team);
 
     /**
      * Whether a machine is responsive, accepts work, and has capacity for the task within the job's
      * constraints.
      */
-    boolean canAccept(String machine, MovableTask task);
+    boolean canAccept(String machine, MigratableTask task);
 }
--- a/src/main/java/org/shoreusher/cli/Rehearsal.java
+++ b/src/main/java/org/shoreusher/cli/ClassArchiveRun.java
@@ -10,17 +10,17 @@
 
 /**
  * Run by the build only: loads all classes of the program, starts a controller on loopback and runs
- * {@link ServiceRehearsal} against it, so that the JVM archives the classes that start-up and the
+ * {@link ServiceSmokeCheck} against it, so that the JVM archives the classes that start-up and the
  * first requests need. Exits with 1 if a step of the scenario fails.
  */
-final class Rehearsal {
-    private Rehearsal() {}
+final class ClassArchiveRun {
+    private ClassArchiveRun() {}
 
     /** Runs the scenario and exits. */
     public static void main(String[] args) throws Exception {
         loadOwnClasses();
         int code = 0;
-        try (ServiceRehearsal scenario = new ServiceRehearsal()) {
+        try (ServiceSmokeCheck scenario = new ServiceSmokeCheck()) {
             Path file = Files.createTempFile("rehearsal", ".json");
             Files.writeString(file, scenario.settingsJson(), StandardCharsets.UTF_8);
             String[] flags = {"--features", "deploy/features.toml", "--config", file.toString()};
@@ -41,7 +41,7 @@
         try (JarFile file = new JarFile(jar)) {
             for (JarEntry entry : (Iterable<JarEntry>) file.stream()::iterator) {
                 if (entry.getName().endsWith(".class")) {
-                    Class.forName(className(entry), false, Rehearsal.class.getClassLoader());
+                    Class.forName(className(entry), false, ClassArchiveRun.class.getClassLoader());
                 }
             }
         }
--- a/src/main/java/org/shoreusher/cli/Service.java
+++ b/src/main/java/org/shoreusher/cli/Service.java
@@ -7,16 +7,16 @@
 import java.util.concurrent.TimeUnit;
 import org.agrona.concurrent.ManyToOneConcurrentArrayQueue;
 import org.shoreusher.cloud.CloudClient;
-import org.shoreusher.core.ClockReading;
-import org.shoreusher.core.Command;
-import org.shoreusher.core.Effect;
 import org.shoreusher.core.Node;
-import org.shoreusher.peer.Peers;
-import org.shoreusher.peer.StandbyLines;
+import org.shoreusher.core.message.ClockReading;
+import org.shoreusher.core.message.Command;
+import org.shoreusher.core.message.Effect;
+import org.shoreusher.peer.GossipTransport;
+import org.shoreusher.peer.StandbyTransport;
 import org.shoreusher.settings.Features;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
-import org.shoreusher.state.StateClient;
+import org.shoreusher.store.StoreClient;
 import org.shoreusher.user.HttpFrontend;
 import org.shoreusher.worker.WorkerClient;
 import org.slf4j.Logger;
@@ -35,11 +35,11 @@
     private final EventLoop loop = group.next();
     private final ManyToOneConcurrentArrayQueue<Command> queue;
     private final List<Command> batch = new ArrayList<>(Tuning.MAX_COMMANDS_PER_BATCH);
-    private final StateClient state;
+    private final StoreClient state;
     private final CloudClient cloud;
     private final WorkerClient workers;
-    private final Peers gossip;
-    private final StandbyLines standby;
+    private final GossipTransport gossip;
+    private final StandbyTransport standby;
     private final HttpFrontend frontend;
     private boolean batchScheduled;
     private long lastTickMs;
@@ -56,11 +56,11 @@
                 new ManyToOneConcurrentArrayQueue<>(
                         Math.max(Tuning.MIN_COMMAND_QUEUE_CAPACITY, settings.maxSockets()));
         node = new Node(settings, features, processName, Tuning.SHARD_COUNT);
-        state = new StateClient(loop, settings, this::enqueue);
+        state = new StoreClient(loop, settings, this::enqueue);
         cloud = new CloudClient(loop, settings, this::enqueue);
         workers = new WorkerClient(loop);
-        gossip = new Peers(group, settings, this::offer);
-        standby = new StandbyLines(group, settings);
+        gossip = new GossipTransport(group, settings, this::offer);
+        standby = new StandbyTransport(group, settings);
         frontend = new HttpFrontend(group, settings, this::offer, this::lagMs);
     }
 
@@ -164,15 +164,15 @@
     private void perform(Effect effect) {
         if (effect instanceof Effect.Respond e) {
             frontend.respond(e);
-        } else if (effect instanceof Effect.StateCall e) {
+        } else if (effect instanceof Effect.StoreCall e) {
             state.call(e);
         } else if (effect instanceof Effect.CloudCall e) {
             cloud.call(e);
-        } else if (effect instanceof Effect.Orders e) {
+        } else if (effect instanceof Effect.SendOrders e) {
             workers.sendOrders(e);
-        } else if (effect instanceof Effect.Tell e) {
+        } else if (effect instanceof Effect.SendGossip e) {
             gossip.broadcast(e.message());
-        } else if (effect instanceof Effect.SendToPeer e) {
+        } else if (effect instanceof Effect.SendStandbyMessage e) {
             standby.send(e.host(), e.message());
         } else if (effect instanceof Effect.Log e) {
             if (e.debugOnly()) {
--- a/src/main/java/org/shoreusher/cli/ServiceRehearsal.java
+++ b/src/main/java/org/shoreusher/cli/ServiceSmokeCheck.java
@@ -14,7 +14,7 @@
 import org.shoreusher.standin.ControllerClient;
 import org.shoreusher.standin.JobProfile;
 import org.shoreusher.standin.StandInServer;
-import org.shoreusher.standin.StateStandIn;
+import org.shoreusher.standin.StoreStandIn;
 import org.shoreusher.standin.TaskHistory;
 import org.shoreusher.standin.WorkerStandIn;
 
@@ -24,7 +24,7 @@
  * on another one, and the service is cancelled. Throws IllegalStateException at the first step that
  * does not happen in time.
  */
-final class ServiceRehearsal implements AutoCloseable {
+final class ServiceSmokeCheck implements AutoCloseable {
     /** The job id of the service. */
     static final String SERVICE_ID = "wk-000900";
 
@@ -68,10 +68,10 @@
                     MACHINES,
                     identity -> new WorkerStandIn(identity, environment));
     private final StandInServer cloudServer = new StandInServer(cloud::handle);
-    private final StateStandIn store = new StateStandIn();
+    private final StoreStandIn store = new StoreStandIn();
     private final StandInServer storeServer = new StandInServer(store::handle);
 
-    ServiceRehearsal() throws IOException {}
+    ServiceSmokeCheck() throws IOException {}
 
     /** The settings of the controller to be checked, as JSON. */
     String settingsJson() {
--- a/src/main/java/org/shoreusher/cloud/CloudClient.java
+++ b/src/main/java/org/shoreusher/cloud/CloudClient.java
@@ -2,13 +2,13 @@
 
 import io.netty.channel.EventLoop;
 import java.util.function.Consumer;
-import org.shoreusher.core.Command;
-import org.shoreusher.core.Effect;
+import org.shoreusher.core.message.Command;
+import org.shoreusher.core.message.Effect;
 import org.shoreusher.net.HttpCaller;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 import org.shoreusher.wire.CloudFormat;
-import org.shoreusher.wire.StateFormat;
+import org.shoreusher.wire.StoreFormat;
 
 /** Client of the cloud's interface: carries out the core's cloud calls. */
 public final class CloudClient {
@@ -23,7 +23,7 @@
 
     /** Sends a call. The core gets exactly one reply; its status is 0 on failure or timeout. */
     public void call(Effect.CloudCall call) {
-        StateFormat.Request request = CloudFormat.request(call.operation());
+        StoreFormat.Request request = CloudFormat.request(call.operation());
         caller.call(
                 request.path(),
                 request.body(),
--- a/src/main/java/org/shoreusher/core/Node.java
+++ b/src/main/java/org/shoreusher/core/Node.java
@@ -2,11 +2,27 @@
 
 import java.util.Arrays;
 import java.util.List;
-import org.shoreusher.core.Hint.PartHint;
-import org.shoreusher.core.StoreSchema.JobRecord;
-import org.shoreusher.core.StoreSchema.JobStatus;
-import org.shoreusher.core.StoreSchema.MachineRecord;
-import org.shoreusher.core.StoreSchema.PartRecord;
+import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.gossip.PeerGossip;
+import org.shoreusher.core.job.SubmissionBatches;
+import org.shoreusher.core.machine.MachineIndex;
+import org.shoreusher.core.machine.MachineTypeCatalog;
+import org.shoreusher.core.message.ClockReading;
+import org.shoreusher.core.message.Command;
+import org.shoreusher.core.message.Effect;
+import org.shoreusher.core.message.GossipMessage;
+import org.shoreusher.core.message.GossipMessage.ShardSummary;
+import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.core.message.Response;
+import org.shoreusher.core.store.Outbox;
+import org.shoreusher.core.store.StoreCache;
+import org.shoreusher.core.store.StoreSchema;
+import org.shoreusher.core.store.StoreSchema.JobRecord;
+import org.shoreusher.core.store.StoreSchema.JobStatus;
+import org.shoreusher.core.store.StoreSchema.MachineRecord;
+import org.shoreusher.core.store.StoreSchema.ShardRecord;
+import org.shoreusher.core.store.VersionNegotiation;
+import org.shoreusher.core.user.UserRequests;
 import org.shoreusher.settings.Features;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
@@ -24,14 +40,14 @@
 public final class Node {
     private final Settings settings;
     private final Outbox outbox;
-    private final StoreView storeCache;
+    private final StoreCache storeCache;
     private final MachineIndex machineIndex = new MachineIndex();
-    private final Arrivals submissionBatches;
-    private final MachineTypes machineTypes;
-    private final MemberFormats versionNegotiation;
-    private final Parts shards;
+    private final SubmissionBatches submissionBatches;
+    private final MachineTypeCatalog machineTypes;
+    private final VersionNegotiation versionNegotiation;
+    private final Shards shards;
     private final UserRequests userRequests;
-    private final PeerHints peerGossip;
+    private final PeerGossip peerGossip;
 
     /** CPUs of jobs assigned to each shard since this node last sent gossip. */
     private final double[] assignedCpus;
@@ -50,12 +66,13 @@
         this.settings = settings;
         assignedCpus = new double[shardCount];
         outbox = new Outbox(settings, shardCount);
-        storeCache = new StoreView(outbox, settings, this::onStoreChange);
-        submissionBatches = new Arrivals(settings, outbox, storeCache);
-        machineTypes = new MachineTypes(settings, outbox, storeCache);
+        storeCache = new StoreCache(outbox, settings, this::onStoreChange);
+        submissionBatches = new SubmissionBatches(settings, outbox, storeCache);
+        machineTypes = new MachineTypeCatalog(settings, outbox, storeCache);
         versionNegotiation =
-                new MemberFormats(settings, features, outbox, storeCache, processName, shardCount);
-        peerGossip = new PeerHints(settings, outbox, shardCount, this::ledShard);
+                new VersionNegotiation(
+                        settings, features, outbox, storeCache, processName, shardCount);
+        peerGossip = new PeerGossip(settings, outbox, shardCount, this::ledShard);
         NodeContext context =
                 new NodeContext(
                         settings,
@@ -66,13 +83,13 @@
                         machineIndex,
                         machineTypes,
                         versionNegotiation);
-        shards = new Parts(shardCount, context, peerGossip, processName);
+        shards = new Shards(shardCount, context, peerGossip, processName);
         userRequests =
                 new UserRequests(
                         context, processName, this::taskCounts, this::shardWithMostHeadroom);
     }
 
-    private Part ledShard(int shardNumber) {
+    private Shard ledShard(int shardNumber) {
         return shards.ledShard(shardNumber);
     }
 
@@ -102,9 +119,9 @@
     }
 
     private void handle(Command command) {
-        if (command instanceof Command.Report r) {
+        if (command instanceof Command.Heartbeat r) {
             handleHeartbeat(r);
-        } else if (command instanceof Command.StateReply r) {
+        } else if (command instanceof Command.StoreReply r) {
             outbox.onReply(r);
         } else if (command instanceof Command.Poll p) {
             userRequests.poll(p.requestId(), p.jobId());
@@ -112,7 +129,7 @@
             userRequests.submit(s.requestId(), s.jobId(), s.spec(), s.validationError());
         } else if (command instanceof Command.Cancel c) {
             userRequests.cancel(c.requestId(), c.jobId());
-        } else if (command instanceof Command.Ready r) {
+        } else if (command instanceof Command.ReadinessCheck r) {
             if (isReady()) {
                 outbox.respond(r.requestId(), new Response.Ready());
             } else {
@@ -120,9 +137,9 @@
             }
         } else if (command instanceof Command.CloudReply r) {
             outbox.onReply(r);
-        } else if (command instanceof Command.PeerHint p) {
+        } else if (command instanceof Command.Gossip p) {
             peerGossip.receive(p.message());
-        } else if (command instanceof Command.FromPeer p) {
+        } else if (command instanceof Command.Standby p) {
             handleStandbyMessage(p.message());
         }
     }
@@ -131,7 +148,7 @@
         if (message instanceof LogFrame frame) {
             shards.standbyReplicas().receive(frame);
         } else if (message instanceof LogAcknowledgement acknowledgement) {
-            Part shard = shards.ledShard(acknowledgement.stream().shardNumber());
+            Shard shard = shards.ledShard(acknowledgement.stream().shardNumber());
             if (shard != null) {
                 shard.standbyReplication().handleAcknowledgement(acknowledgement);
             }
@@ -151,19 +168,19 @@
                 || !peerGossip.anyPeerReachesStore();
     }
 
-    private void handleHeartbeat(Command.Report command) {
+    private void handleHeartbeat(Command.Heartbeat command) {
         String machineId = command.workerHeartbeat().machineId();
         MachineRecord machineRecord = machineIndex.get(machineId);
         int shardNumber =
                 machineRecord == null
                         ? shardOfUnrecordedMachine(machineId)
                         : machineRecord.shardNumber();
-        Part shard = shards.ledShard(shardNumber);
+        Shard shard = shards.ledShard(shardNumber);
         if (shard != null) {
             shard.heartbeatHandler().handle(command.requestId(), command.workerHeartbeat());
             return;
         }
-        PartRecord shardRecord = storeCache.isLoaded() ? shards.shardRecord(shardNumber) : null;
+        ShardRecord shardRecord = storeCache.isLoaded() ? shards.shardRecord(shardNumber) : null;
         if (shardRecord == null) {
             outbox.respondUnavailable(command.requestId());
         } else if (shardRecord.leaderHost().equals(settings.host())
@@ -172,7 +189,7 @@
             if (redirectHost == null) {
                 outbox.respondUnavailable(command.requestId());
             } else {
-                outbox.respond(command.requestId(), new Response.Elsewhere(redirectHost));
+                outbox.respond(command.requestId(), new Response.Redirect(redirectHost));
             }
         } else {
             boolean awaitFailover =
@@ -185,7 +202,7 @@
                     awaitFailover ? peerGossip.interimHost(shardRecord.leaderHost()) : null;
             outbox.respond(
                     command.requestId(),
-                    new Response.Elsewhere(
+                    new Response.Redirect(
                             redirectHost == null ? shardRecord.leaderHost() : redirectHost));
         }
     }
@@ -204,7 +221,7 @@
         return shards.shardByHash(machineId);
     }
 
-    private void onStoreChange(String key, StoreView.Entry before, StoreView.Entry after) {
+    private void onStoreChange(String key, StoreCache.Entry before, StoreCache.Entry after) {
         versionNegotiation.onStoreChange(key);
         if (key.startsWith(StoreSchema.JOB_PREFIX)) {
             if (after != null) {
@@ -218,9 +235,9 @@
                 && key.indexOf('/', StoreSchema.SHARD_PREFIX.length()) < 0
                 && after != null) {
             int shardNumber = Integer.parseInt(key.substring(StoreSchema.SHARD_PREFIX.length()));
-            PartRecord shardRecord = PartRecord.fromMap(after.value());
+            ShardRecord shardRecord = ShardRecord.fromMap(after.value());
             if (before == null
-                    || !PartRecord.fromMap(before.value()).leader().equals(shardRecord.leader())) {
+                    || !ShardRecord.fromMap(before.value()).leader().equals(shardRecord.leader())) {
                 peerGossip.leaderChanged(shardNumber);
             }
             shards.onShardRecordChange(shardNumber, shardRecord);
@@ -241,7 +258,7 @@
 
     private void onJobRecordChange(String jobId, JobRecord record) {
         for (int shardNumber = 0; shardNumber < shards.shardCount(); shardNumber++) {
-            Part shard = shards.ledShard(shardNumber);
+            Shard shard = shards.ledShard(shardNumber);
             if (shard != null && shardNumber == record.shardNumber()) {
                 shard.openJobs().recordChanged(jobId, record);
             } else if (shard != null) {
@@ -261,7 +278,7 @@
 
     private Response.TaskCounts taskCounts(String jobId) {
         for (int shardNumber = 0; shardNumber < shards.shardCount(); shardNumber++) {
-            Part shard = shards.ledShard(shardNumber);
+            Shard shard = shards.ledShard(shardNumber);
             Job job = shard == null ? null : shard.jobs().get(jobId);
             if (job != null) {
                 return new Response.TaskCounts(
@@ -279,8 +296,9 @@
         int bestShard = 0;
         double mostHeadroom = Double.NEGATIVE_INFINITY;
         for (int shardNumber = 0; shardNumber < shards.shardCount(); shardNumber++) {
-            PartHint summary = peerGossip.shardSummary(shardNumber);
-            Hint.Claim teamDemand = summary == null ? null : summary.teamDemands().get(spec.team());
+            ShardSummary summary = peerGossip.shardSummary(shardNumber);
+            GossipMessage.TeamDemand teamDemand =
+                    summary == null ? null : summary.teamDemands().get(spec.team());
             // Jobs of one team are kept in one shard where possible, so that the team's quota is
             // not split.
             double headroom =
--- a/src/main/java/org/shoreusher/core/NodeContext.java
+++ b/src/main/java/org/shoreusher/core/NodeContext.java
@@ -1,5 +1,11 @@
 package org.shoreusher.core;
 
+import org.shoreusher.core.job.SubmissionBatches;
+import org.shoreusher.core.machine.MachineIndex;
+import org.shoreusher.core.machine.MachineTypeCatalog;
+import org.shoreusher.core.store.Outbox;
+import org.shoreusher.core.store.StoreCache;
+import org.shoreusher.core.store.VersionNegotiation;
 import org.shoreusher.settings.Features;
 import org.shoreusher.settings.Settings;
 
@@ -15,12 +21,12 @@
  * @param machineTypes the machine types that the cloud offers
  * @param versionNegotiation the stored formats that every member supports
  */
-record NodeContext(
+public record NodeContext(
         Settings settings,
         Features features,
         Outbox outbox,
-        StoreView storeCache,
-        Arrivals submissionBatches,
+        StoreCache storeCache,
+        SubmissionBatches submissionBatches,
         MachineIndex machineIndex,
-        MachineTypes machineTypes,
-        MemberFormats versionNegotiation) {}
+        MachineTypeCatalog machineTypes,
+        VersionNegotiation versionNegotiation) {}
--- a/src/main/java/org/shoreusher/core/Part.java
+++ b/src/main/java/org/shoreusher/core/Shard.java
@@ -4,7 +4,36 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import org.shoreusher.core.Hint.PartHint;
+import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.cluster.ResourceLedger;
+import org.shoreusher.core.gossip.ShardDemand;
+import org.shoreusher.core.heartbeat.HeartbeatHandler;
+import org.shoreusher.core.job.CompletionRecords;
+import org.shoreusher.core.job.HighWaterMarks;
+import org.shoreusher.core.job.OpenJobs;
+import org.shoreusher.core.job.RunTimeEstimates;
+import org.shoreusher.core.job.SubmissionBatches;
+import org.shoreusher.core.job.TerminalStateWriter;
+import org.shoreusher.core.leadership.LeaderLease;
+import org.shoreusher.core.leadership.ShardLeadership;
+import org.shoreusher.core.machine.Autoscaler;
+import org.shoreusher.core.machine.MachineIndex;
+import org.shoreusher.core.machine.MachineLifecycle;
+import org.shoreusher.core.machine.MachineRecords;
+import org.shoreusher.core.machine.MachineTypeCatalog;
+import org.shoreusher.core.message.GossipMessage.ShardSummary;
+import org.shoreusher.core.reconcile.PromotedAttemptLog;
+import org.shoreusher.core.reconcile.Reconciliation;
+import org.shoreusher.core.replication.StandbyReplication;
+import org.shoreusher.core.schedule.BinPacker;
+import org.shoreusher.core.schedule.QuotaHeadroom;
+import org.shoreusher.core.schedule.QuotaShares;
+import org.shoreusher.core.schedule.SchedulingOrder;
+import org.shoreusher.core.schedule.TaskEviction;
+import org.shoreusher.core.schedule.TaskMigration;
+import org.shoreusher.core.store.Outbox;
+import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 
@@ -13,16 +42,16 @@
  * which this node becomes the leader until the leadership is lost.
  *
  * <p>Invariant: every write to the key-value store has the shard's fencing key as a precondition,
- * so a write that arrives after a later leadership change has no effect. {@link Reports} describes
- * which invariants hold for the starts of tasks.
+ * so a write that arrives after a later leadership change has no effect. {@link HeartbeatHandler}
+ * describes which invariants hold for the starts of tasks.
  */
-final class Part {
+public final class Shard {
     /**
      * What gossip tells about other controllers and their shards. It may be outdated or missing.
      */
-    interface Others {
+    public interface PeerView {
         /** Returns the latest summary of a shard, or null if there is no recent one. */
-        PartHint shardSummary(int shardNumber);
+        ShardSummary shardSummary(int shardNumber);
 
         /**
          * Returns whether every other member has just reported that the key-value store does not
@@ -48,36 +77,36 @@
         long storeOutageGossipValidUntilMs();
     }
 
-    final int shardNumber;
+    public final int shardNumber;
     private final int shardCount;
-    private final Others peerView;
-    private final Quota quotaShares;
+    private final PeerView peerView;
+    private final QuotaShares quotaShares;
     private final Settings settings;
     private final Outbox outbox;
-    private final StoreView storeCache;
-    private final MachineTypes machineTypes;
-    private final PartOwnership leadership;
-    private final Fleet autoscaler;
-    private final Estimates runTimeEstimates = new Estimates();
-    private final Urgency schedulingOrder;
+    private final StoreCache storeCache;
+    private final MachineTypeCatalog machineTypes;
+    private final ShardLeadership leadership;
+    private final Autoscaler autoscaler;
+    private final RunTimeEstimates runTimeEstimates = new RunTimeEstimates();
+    private final SchedulingOrder schedulingOrder;
     private final OpenJobs openJobs;
     private final Object2ObjectOpenHashMap<String, Machine> machines =
             new Object2ObjectOpenHashMap<>();
     private final ResourceLedger resourceLedger = new ResourceLedger();
-    private final Arrivals submissionBatches;
+    private final SubmissionBatches submissionBatches;
     private final MachineIndex machineIndex;
     private final MachineRecords machineRecords;
-    private final OtherParts shardDemand;
-    private final StartMarks highWaterMarks;
-    private final Reports heartbeatHandler;
+    private final ShardDemand shardDemand;
+    private final HighWaterMarks highWaterMarks;
+    private final HeartbeatHandler heartbeatHandler;
 
-    private final FinalStates terminalStateWriter;
-    private final TaskStops taskEviction;
+    private final TerminalStateWriter terminalStateWriter;
+    private final TaskEviction taskEviction;
 
-    private final Rebuild reconciliation;
-    private final TeamRoom quotaHeadroom;
-    private final Balancing taskMigration;
-    private final AttemptReplication standbyReplication;
+    private final Reconciliation reconciliation;
+    private final QuotaHeadroom quotaHeadroom;
+    private final TaskMigration taskMigration;
+    private final StandbyReplication standbyReplication;
     private final MachineLifecycle lifecycle;
     private long nextSchedulingPassMs;
     private long nextStatusLineMs;
@@ -93,13 +122,13 @@
      * @param leadership the leadership that was acquired
      * @param promotedAttempts the attempt log of the previous leader, if this node was its standby
      */
-    Part(
+    Shard(
             int shardNumber,
             int shardCount,
             NodeContext context,
-            Others peerView,
-            PartOwnership leadership,
-            Inheritance promotedAttempts) {
+            PeerView peerView,
+            ShardLeadership leadership,
+            PromotedAttemptLog promotedAttempts) {
         this.shardNumber = shardNumber;
         this.shardCount = shardCount;
         this.peerView = peerView;
@@ -111,7 +140,7 @@
         this.machineIndex = context.machineIndex();
         this.leadership = leadership;
         this.quotaShares =
-                new Quota(
+                new QuotaShares(
                         shardNumber,
                         shardCount,
                         settings,
@@ -120,21 +149,22 @@
                         leadership.fencingPrecondition());
         this.machineRecords =
                 new MachineRecords(shardNumber, context, leadership, machines, this::removeMachine);
-        this.schedulingOrder = new Urgency(settings, runTimeEstimates);
+        this.schedulingOrder = new SchedulingOrder(settings, runTimeEstimates);
         this.openJobs = new OpenJobs(this, outbox);
         Map<String, Job> jobs = openJobs.byId();
-        this.autoscaler = new Fleet(this, settings, outbox, machineTypes);
-        this.shardDemand = new OtherParts(shardNumber, shardCount, peerView, jobs, machines);
-        this.highWaterMarks = new StartMarks(shardNumber, shardCount, context, leadership, jobs);
+        this.autoscaler = new Autoscaler(this, settings, outbox, machineTypes);
+        this.shardDemand = new ShardDemand(shardNumber, shardCount, peerView, jobs, machines);
+        this.highWaterMarks =
+                new HighWaterMarks(shardNumber, shardCount, context, leadership, jobs);
         this.terminalStateWriter =
-                new FinalStates(outbox, storeCache, submissionBatches, leadership);
-        this.taskEviction = new TaskStops(this, outbox);
-        this.taskMigration = new Balancing(this, context, resourceLedger);
+                new TerminalStateWriter(outbox, storeCache, submissionBatches, leadership);
+        this.taskEviction = new TaskEviction(this, outbox);
+        this.taskMigration = new TaskMigration(this, context, resourceLedger);
         resourceLedger.addListener(taskMigration);
-        this.standbyReplication = new AttemptReplication(this, context, peerView, leadership);
+        this.standbyReplication = new StandbyReplication(this, context, peerView, leadership);
         resourceLedger.addListener(standbyReplication);
         this.reconciliation =
-                new Rebuild(
+                new Reconciliation(
                         this,
                         context,
                         leadership,
@@ -145,64 +175,65 @@
                 new MachineLifecycle(
                         this, shardCount, context, peerView, leadership, resourceLedger);
         this.quotaHeadroom =
-                new TeamRoom(settings, quotaShares, resourceLedger, reconciliation, shardDemand);
-        this.heartbeatHandler = new Reports(this, context, resourceLedger, highWaterMarks);
+                new QuotaHeadroom(
+                        settings, quotaShares, resourceLedger, reconciliation, shardDemand);
+        this.heartbeatHandler = new HeartbeatHandler(this, context, resourceLedger, highWaterMarks);
     }
 
     // ---- collaborators and state -------------------------------------------------------------
 
     /** The stored records of the shard's machines. */
-    MachineRecords machineRecords() {
+    public MachineRecords machineRecords() {
         return machineRecords;
     }
 
     /** Handles the heartbeats of the shard's workers. */
-    Reports heartbeatHandler() {
+    HeartbeatHandler heartbeatHandler() {
         return heartbeatHandler;
     }
 
     /** The demand of the other shards. */
-    OtherParts shardDemand() {
+    public ShardDemand shardDemand() {
         return shardDemand;
     }
 
     /** Writes the terminal states of jobs. */
-    FinalStates terminalStateWriter() {
+    public TerminalStateWriter terminalStateWriter() {
         return terminalStateWriter;
     }
 
     /** Evicts running tasks. */
-    TaskStops taskEviction() {
+    public TaskEviction taskEviction() {
         return taskEviction;
     }
 
     /** Returns the summary of this shard that gossip carries to the other nodes. */
-    PartHint summary() {
+    public ShardSummary summary() {
         return shardDemand.summarize(autoscaler);
     }
 
     /** Decides when machines are added and removed. */
-    Fleet autoscaler() {
+    public Autoscaler autoscaler() {
         return autoscaler;
     }
 
     /** The leadership of this shard. */
-    PartOwnership leadership() {
+    public ShardLeadership leadership() {
         return leadership;
     }
 
     /** Returns whether the leadership has ended for good. */
-    boolean isLeadershipLost() {
+    public boolean isLeadershipLost() {
         return leadership.isLost();
     }
 
     /** Returns whether this node is the leader and its lease is valid. */
-    boolean isLeader() {
+    public boolean isLeader() {
         return leadership.isLeader();
     }
 
     /** The leader's current term, which workers receive as the fencing token. */
-    long term() {
+    public long term() {
         return leadership.term();
     }
 
@@ -242,47 +273,47 @@
                 > Math.max(1, runningMachines * Tuning.STEP_DOWN_UNREACHABLE_SHARE);
     }
 
-    private FinishedRecords completionRecords() {
-        return FinishedRecords.layOut(jobs().values(), settings, leadership::storedCompletions);
+    private CompletionRecords completionRecords() {
+        return CompletionRecords.layOut(jobs().values(), settings, leadership::storedCompletions);
     }
 
     /** Estimates of the run times of tasks. */
-    Estimates runTimeEstimates() {
+    public RunTimeEstimates runTimeEstimates() {
         return runTimeEstimates;
     }
 
     /** The order in which jobs are scheduled. */
-    Urgency schedulingOrder() {
+    public SchedulingOrder schedulingOrder() {
         return schedulingOrder;
     }
 
     /** The shard's open jobs, by id. */
-    Map<String, Job> jobs() {
+    public Map<String, Job> jobs() {
         return openJobs.byId();
     }
 
     /** The shard's open jobs. */
-    OpenJobs openJobs() {
+    public OpenJobs openJobs() {
         return openJobs;
     }
 
     /** Reconciles the state of the shard with its workers after a leadership change. */
-    Rebuild reconciliation() {
+    public Reconciliation reconciliation() {
         return reconciliation;
     }
 
     /** Replicates the log of task attempts to the standby. */
-    AttemptReplication standbyReplication() {
+    public StandbyReplication standbyReplication() {
         return standbyReplication;
     }
 
     /** The shard's machines, by id. */
-    Map<String, Machine> machines() {
+    public Map<String, Machine> machines() {
         return machines;
     }
 
     /** Returns whether the shard's stored state has been loaded. */
-    boolean isLoaded() {
+    public boolean isLoaded() {
         return reconciliation.isLoaded();
     }
 
@@ -290,27 +321,27 @@
      * Returns whether reconciliation is complete: it is known of every task whether it runs, and
      * where.
      */
-    boolean isReconciled() {
+    public boolean isReconciled() {
         return reconciliation.isComplete();
     }
 
     /** Follows the machines from provisioning to termination. */
-    MachineLifecycle lifecycle() {
+    public MachineLifecycle lifecycle() {
         return lifecycle;
     }
 
     /** What the teams may still use of their quotas. */
-    TeamRoom quotaHeadroom() {
+    public QuotaHeadroom quotaHeadroom() {
         return quotaHeadroom;
     }
 
     /** Migrates tasks between machines. */
-    Balancing taskMigration() {
+    public TaskMigration taskMigration() {
         return taskMigration;
     }
 
     /** Forgets a machine that is gone or belongs to another shard. */
-    void removeMachine(String machineId) {
+    public void removeMachine(String machineId) {
         machines.remove(machineId);
         taskMigration.onMachineRemoved(machineId);
     }
@@ -319,7 +350,7 @@
      * Returns whether a machine may be given new tasks: it sends heartbeats, receives its orders,
      * and is neither reserved for another shard nor under an interruption notice.
      */
-    boolean isAvailable(Machine machine) {
+    public boolean isAvailable(Machine machine) {
         return machine.state == Machine.State.UP
                 && machine.reconciled
                 && !machine.evacuating
@@ -329,7 +360,7 @@
     }
 
     /** The time in ms after its last heartbeat from which a machine counts as unresponsive. */
-    double heartbeatTimeoutMs() {
+    public double heartbeatTimeoutMs() {
         return settings.heartbeatIntervalS() * 1000 * Tuning.UNRESPONSIVE_HEARTBEAT_INTERVALS;
     }
 
@@ -346,10 +377,10 @@
      * The next leader relies on this: it does not wait for a grace period that it has not itself
      * confirmed by gossip.
      */
-    boolean canAnswerHeartbeats() {
+    public boolean canAnswerHeartbeats() {
         return !isLeadershipLost()
                 && reconciliation.isLoaded()
-                && storeCache.ageMs() < PartLease.maxStoreCacheAgeMs(settings)
+                && storeCache.ageMs() < LeaderLease.maxStoreCacheAgeMs(settings)
                 && (isLeader()
                         || (leadership.mayExtendWorkerLeases()
                                 && peerView.isStoreUnavailableToAllPeers()));
@@ -362,7 +393,7 @@
      * cache must first have caught up with what others wrote meanwhile, which may include a
      * cancellation that was confirmed to a user.
      */
-    boolean canStartTasks() {
+    public boolean canStartTasks() {
         return reconciliation.isLoaded()
                 && isLeader()
                 && storeCache.ageMs() < Tuning.MAX_STORE_CACHE_AGE_MS
@@ -409,12 +440,12 @@
         taskMigration.step();
         if (outbox.now.monotonicMs() >= nextStatusLineMs) {
             nextStatusLineMs = outbox.now.monotonicMs() + Tuning.STATUS_LOG_INTERVAL_MS;
-            outbox.logDebug(PartStatus.statusLine(this, storeCache.size()));
+            outbox.logDebug(ShardStatus.statusLine(this, storeCache.size()));
         }
     }
 
     /** Returns the CPUs of all running machines. */
-    double totalCpus() {
+    public double totalCpus() {
         double totalCpus = 0;
         for (Machine machine : machines.values()) {
             totalCpus += machine.state == Machine.State.UP ? machine.type.cpus() : 0;
@@ -428,25 +459,25 @@
      * Returns whether a machine's worker lease has certainly expired, so that its worker has
      * stopped all tasks.
      */
-    boolean hasWorkerLeaseExpired(Machine machine) {
+    public boolean hasWorkerLeaseExpired(Machine machine) {
         return outbox.now.monotonicMs()
-                > machine.leaseRenewedAtMs + PartLease.workerLeaseBoundMs(settings);
+                > machine.leaseRenewedAtMs + LeaderLease.workerLeaseBoundMs(settings);
     }
 
     // ---- placement ---------------------------------------------------------------------------
 
     /** Returns a bin packer over all available machines that have free capacity now. */
-    Planner binPacker() {
-        List<Planner.Slot> capacities = new ArrayList<>();
+    public BinPacker binPacker() {
+        List<BinPacker.MachineCapacity> capacities = new ArrayList<>();
         for (Machine machine : machines.values()) {
             if (isAvailable(machine)) {
-                Planner.Slot capacity = new Planner.Slot(machine);
+                BinPacker.MachineCapacity capacity = new BinPacker.MachineCapacity(machine);
                 if (!capacity.isFull()) {
                     capacities.add(capacity);
                 }
             }
         }
-        return new Planner(
+        return new BinPacker(
                 capacities,
                 quotaHeadroom::cpuHeadroom,
                 quotaHeadroom::gpuHeadroom,
--- a/src/main/java/org/shoreusher/core/PartStatus.java
+++ b/src/main/java/org/shoreusher/core/ShardStatus.java
@@ -1,10 +1,11 @@
 package org.shoreusher.core;
 
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
+import org.shoreusher.core.cluster.Machine;
 
 /** Describes the state of a shard for operators. */
-final class PartStatus {
-    private PartStatus() {}
+final class ShardStatus {
+    private ShardStatus() {}
 
     /**
      * Returns one line for the log: machines by state, CPUs in use, and tasks waiting by job class.
@@ -12,7 +13,7 @@
      * @param shard the shard
      * @param keysInMemory the number of keys in the store cache
      */
-    static String statusLine(Part shard, int keysInMemory) {
+    static String statusLine(Shard shard, int keysInMemory) {
         int[] machinesByState = new int[Machine.State.values().length];
         double usedCpus = 0;
         for (Machine machine : shard.machines().values()) {
--- a/src/main/java/org/shoreusher/core/Parts.java
+++ b/src/main/java/org/shoreusher/core/Shards.java
@@ -4,9 +4,19 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.shoreusher.core.Effect.StateOp;
-import org.shoreusher.core.StoreSchema.FinishedRecord;
-import org.shoreusher.core.StoreSchema.PartRecord;
+import org.shoreusher.core.job.CompletionRecords;
+import org.shoreusher.core.leadership.LeaderLease;
+import org.shoreusher.core.leadership.ShardLeadership;
+import org.shoreusher.core.message.ClockReading;
+import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.core.reconcile.PromotedAttemptLog;
+import org.shoreusher.core.replication.StandbyReplicas;
+import org.shoreusher.core.store.Outbox;
+import org.shoreusher.core.store.StoreCache;
+import org.shoreusher.core.store.StoreSchema;
+import org.shoreusher.core.store.StoreSchema.CompletionRecord;
+import org.shoreusher.core.store.StoreSchema.ShardRecord;
+import org.shoreusher.core.store.TaskRanges;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 import org.shoreusher.standby.LogStream;
@@ -17,9 +27,9 @@
  * Acquires the leadership of shards that have no leader, spreads the leaderships evenly over the
  * nodes, and holds the shards that this node leads.
  */
-final class Parts {
+public final class Shards {
     /** What gossip tells about other nodes as candidates for leadership. */
-    interface Peers extends Part.Others {
+    public interface LeadershipPeerView extends Shard.PeerView {
         /**
          * Returns how many peers should be the first to try for a shard without a leader: those
          * that lead fewer shards than this node, or as many and have been up for a shorter time.
@@ -39,12 +49,12 @@
 
     private final Settings settings;
     private final Outbox outbox;
-    private final StoreView storeCache;
+    private final StoreCache storeCache;
     private final NodeContext context;
     private final String processName;
-    private final Peers peerView;
-    private final AttemptReplicas standbyReplicas;
-    private final Part[] ledShards;
+    private final LeadershipPeerView peerView;
+    private final StandbyReplicas standbyReplicas;
+    private final Shard[] ledShards;
     private final int firstCandidate;
     private final long[] vacantSinceMs;
     private long nextRebalanceMs;
@@ -59,14 +69,14 @@
      * @param peerView what gossip tells about other nodes
      * @param processName the name of this process, HOST/SUFFIX
      */
-    Parts(int count, NodeContext context, Peers peerView, String processName) {
+    Shards(int count, NodeContext context, LeadershipPeerView peerView, String processName) {
         settings = context.settings();
         outbox = context.outbox();
         storeCache = context.storeCache();
         this.context = context;
         this.peerView = peerView;
-        standbyReplicas = new AttemptReplicas(context, processName, count);
-        ledShards = new Part[count];
+        standbyReplicas = new StandbyReplicas(context, processName, count);
+        ledShards = new Shard[count];
         firstCandidate =
                 (int)
                                 settings.members().stream()
@@ -81,23 +91,23 @@
     }
 
     /** Returns the shard if this node leads it, or null. */
-    Part ledShard(int shardNumber) {
+    Shard ledShard(int shardNumber) {
         return shardNumber >= 0 && shardNumber < ledShards.length ? ledShards[shardNumber] : null;
     }
 
     /** Returns how many shards this node leads. */
     int ledShardCount() {
         int count = 0;
-        for (Part shard : ledShards) {
+        for (Shard shard : ledShards) {
             count += shard != null ? 1 : 0;
         }
         return count;
     }
 
     /** Returns a shard's record from the store cache, or null if there is none. */
-    PartRecord shardRecord(int shardNumber) {
-        StoreView.Entry entry = storeCache.get(StoreSchema.shardKey(shardNumber));
-        return entry == null ? null : PartRecord.fromMap(entry.value());
+    ShardRecord shardRecord(int shardNumber) {
+        StoreCache.Entry entry = storeCache.get(StoreSchema.shardKey(shardNumber));
+        return entry == null ? null : ShardRecord.fromMap(entry.value());
     }
 
     /**
@@ -113,7 +123,7 @@
     }
 
     /** The attempt logs that this node receives as a standby. */
-    AttemptReplicas standbyReplicas() {
+    StandbyReplicas standbyReplicas() {
         return standbyReplicas;
     }
 
@@ -147,7 +157,7 @@
             // Each node begins with a different shard, so that nodes that start together do not
             // compete for the same one.
             int shardNumber = (firstCandidate + offset) % ledShards.length;
-            PartRecord record = shardRecord(shardNumber);
+            ShardRecord record = shardRecord(shardNumber);
             // An acquisition by this process that got no answer may have been applied; no node acts
             // on that leadership.
             boolean isOwnUnconfirmedAcquisition =
@@ -155,7 +165,7 @@
             if (ledShards[shardNumber] != null
                     || (record != null
                             && !isOwnUnconfirmedAcquisition
-                            && !PartLease.isAcquirable(
+                            && !LeaderLease.isAcquirable(
                                     settings, record.leaseExpiryWallMs(), outbox.now))) {
                 vacantSinceMs[shardNumber] = 0;
             } else if (vacantSinceMs[shardNumber] == 0) {
@@ -177,7 +187,7 @@
      * the shard's record names tries first. The other nodes grant it a head start as long as gossip
      * from it arrives; if it has failed unnoticed, no more than the head start is lost.
      */
-    private long acquisitionDelayMs(PartRecord record) {
+    private long acquisitionDelayMs(ShardRecord record) {
         String namedStandby = record == null ? null : record.standby();
         if (namedStandby != null && namedStandby.equals(processName)) {
             return 0;
@@ -200,7 +210,7 @@
         if (!peerView.isAnyPeerLeadingTwoFewer(ledShardCount())) {
             return;
         }
-        for (Part shard : ledShards) {
+        for (Shard shard : ledShards) {
             if (shard != null && shard.isLeader() && shard.isReconciled()) {
                 shard.stepDown("for a node that holds fewer");
                 return;
@@ -213,8 +223,8 @@
      * records, split into records of a size that may be written.
      */
     private List<Map<String, Object>> completionsWithoutOverflowRecord(
-            int shardNumber, PartRecord previousRecord) {
-        return FinishedRecords.splitIntoRecords(
+            int shardNumber, ShardRecord previousRecord) {
+        return CompletionRecords.splitIntoRecords(
                 previousRecord.completedRanges(),
                 settings,
                 jobId -> completionsInOverflowRecords(shardNumber, jobId));
@@ -226,11 +236,11 @@
      */
     private BitSet completionsInOverflowRecords(int shardNumber, String jobId) {
         BitSet completed = new BitSet();
-        StoreView.Entry entry;
+        StoreCache.Entry entry;
         for (int chunk = 1;
                 (entry = storeCache.get(StoreSchema.completionKey(shardNumber, chunk))) != null;
                 chunk++) {
-            if (FinishedRecord.fromMap(entry.value()).completedRanges().get(jobId)
+            if (CompletionRecord.fromMap(entry.value()).completedRanges().get(jobId)
                     instanceof String ranges) {
                 completed.or(TaskRanges.parse(ranges));
             }
@@ -260,11 +270,11 @@
             preconditions.put(StoreSchema.completionKey(shardNumber, chunk + offset), 0L);
             writes.put(
                     StoreSchema.completionKey(shardNumber, chunk + offset),
-                    new FinishedRecord(pieces.get(offset)).toMap());
+                    new CompletionRecord(pieces.get(offset)).toMap());
         }
         acquisitionInFlight =
                 outbox.callStoreForLease(
-                        new StateOp.Multi(preconditions, writes),
+                        new StoreOperation.CompareAndSwap(preconditions, writes),
                         reply -> {
                             acquisitionInFlight = false;
                             if (reply.status() == 200) {
@@ -274,7 +284,7 @@
                         });
     }
 
-    private void acquireLeadership(int shardNumber, PartRecord previousRecord) {
+    private void acquireLeadership(int shardNumber, ShardRecord previousRecord) {
         nextAcquisitionMs = outbox.now.monotonicMs() + Tuning.ACQUISITION_INTERVAL_MS;
         boolean exceedsSizeLimit =
                 previousRecord != null
@@ -288,15 +298,15 @@
             writeOverflowRecords(shardNumber, pieces);
             return;
         }
-        StoreView.Entry termEntry = storeCache.get(StoreSchema.TERM_KEY);
+        StoreCache.Entry termEntry = storeCache.get(StoreSchema.TERM_KEY);
         long term =
                 1 + (termEntry == null ? 0 : ((Number) termEntry.value().get("term")).longValue());
         ClockReading sentAt = outbox.now;
-        AttemptReplicas.FencingRecord replaced = standbyReplicas.fencingRecord(shardNumber);
-        PartRecord record =
-                new PartRecord(
+        StandbyReplicas.FencingRecord replaced = standbyReplicas.fencingRecord(shardNumber);
+        ShardRecord record =
+                new ShardRecord(
                         processName,
-                        sentAt.wallMs() + PartLease.durationMs(settings),
+                        sentAt.wallMs() + LeaderLease.durationMs(settings),
                         term,
                         previousRecord == null || exceedsSizeLimit
                                 ? Map.of()
@@ -313,13 +323,13 @@
         writes.put(StoreSchema.TERM_KEY, Map.of("term", term));
         acquisitionInFlight =
                 outbox.callStoreForLease(
-                        new StateOp.Multi(preconditions, writes),
+                        new StoreOperation.CompareAndSwap(preconditions, writes),
                         reply -> {
                             acquisitionInFlight = false;
                             if (reply.status() == 200) {
                                 long revision = storeCache.applyOwnWrites(reply, writes);
-                                PartOwnership leadership =
-                                        new PartOwnership(
+                                ShardLeadership leadership =
+                                        new ShardLeadership(
                                                 shardNumber,
                                                 settings,
                                                 outbox,
@@ -346,9 +356,9 @@
     /** Starts to act as the leader after the store has confirmed the acquisition. */
     private void onLeadershipAcquired(
             int shardNumber,
-            PartRecord previousRecord,
-            AttemptReplicas.FencingRecord replaced,
-            PartOwnership leadership) {
+            ShardRecord previousRecord,
+            StandbyReplicas.FencingRecord replaced,
+            ShardLeadership leadership) {
         nextAcquisitionMs = outbox.now.monotonicMs();
         outbox.logInfo(
                 "takeover: part "
@@ -357,12 +367,12 @@
                         + leadership.term()
                         + (previousRecord == null ? ", new" : " from " + previousRecord.leader()));
         String namedStandby = previousRecord == null ? null : previousRecord.standby();
-        Inheritance promotedAttempts =
-                new Inheritance(
+        PromotedAttemptLog promotedAttempts =
+                new PromotedAttemptLog(
                         standbyReplicas.promote(shardNumber, namedStandby, replaced),
                         outcome -> standbyReplicas.recordOutcome(shardNumber, outcome));
         ledShards[shardNumber] =
-                new Part(
+                new Shard(
                         shardNumber,
                         ledShards.length,
                         context,
@@ -377,8 +387,8 @@
      * @param shardNumber the shard's number
      * @param record the new record
      */
-    void onShardRecordChange(int shardNumber, PartRecord record) {
-        Part shard = ledShard(shardNumber);
+    void onShardRecordChange(int shardNumber, ShardRecord record) {
+        Shard shard = ledShard(shardNumber);
         if (shard != null) {
             shard.leadership().onShardRecordChange(record);
         }
--- a/src/main/java/org/shoreusher/core/Job.java
+++ b/src/main/java/org/shoreusher/core/cluster/Job.java
@@ -1,80 +1,82 @@
-package org.shoreusher.core;
+package org.shoreusher.core.cluster;
 
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap;
 import it.unimi.dsi.fastutil.objects.ObjectOpenHashSet;
 import java.util.BitSet;
+import org.shoreusher.core.job.CompletionRecords;
+import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.settings.Tuning;
 
 /**
  * The state of a job at the leader of its shard. Every task is pending, active or completed. A task
  * is named by its index, from 0 on.
  */
-final class Job {
+public final class Job {
     /** The user's id of the job. */
-    final String id;
+    public final String id;
 
     /** What the user asked for. */
-    final JobSpec spec;
+    public final JobSpec spec;
 
     /** When the job was accepted: ms since the epoch, by the clock of the accepting node. */
-    final long acceptedAtMs;
+    public final long acceptedAtMs;
 
     /** Tasks that the leader knows to be completed. */
-    final BitSet completedTasks = new BitSet();
+    public final BitSet completedTasks = new BitSet();
 
     /** Completed tasks whose completion the store has recorded. */
-    BitSet durablyCompletedTasks = new BitSet();
+    public BitSet durablyCompletedTasks = new BitSet();
 
     /** Tasks that are to be started. Change it through {@link #setPending} only. */
-    final BitSet pendingTasks = new BitSet();
+    public final BitSet pendingTasks = new BitSet();
 
     /**
      * The current attempt of each active task, by task index. Surplus attempts that are only being
      * stopped are not in it.
      */
-    final Int2ObjectOpenHashMap<TaskAttempt> activeAttempts = new Int2ObjectOpenHashMap<>();
+    public final Int2ObjectOpenHashMap<TaskAttempt> activeAttempts = new Int2ObjectOpenHashMap<>();
 
     /** Machines on which a task of the job has failed. */
-    final ObjectOpenHashSet<String> failedMachineIds = new ObjectOpenHashSet<>();
+    public final ObjectOpenHashSet<String> failedMachineIds = new ObjectOpenHashSet<>();
 
     /**
      * The index of the completion record that holds each slice of the job's tasks; -1: none yet.
-     * See {@link FinishedRecords}.
+     * See {@link CompletionRecords}.
      */
-    int[] completionRecordBySlice = {};
+    public int[] completionRecordBySlice = {};
 
     /** The index of the record that holds the job's high-water mark; -1: none yet. */
-    int highWaterMarkRecordIndex = -1;
+    public int highWaterMarkRecordIndex = -1;
 
     /** The number of tasks in {@link #pendingTasks}. */
-    int pendingCount;
+    public int pendingCount;
 
     /**
      * The durable high-water mark: only tasks with a lower index may be started. A successor reads
      * it from the store and so knows that no other task has ever been started.
      */
-    int highWaterMark;
+    public int highWaterMark;
 
     /** The job is in a terminal state or belongs to another shard: none of its tasks may start. */
-    boolean closed;
+    public boolean closed;
 
     /** A write of the terminal state awaits its reply. */
-    boolean terminalWriteInFlight;
+    public boolean terminalWriteInFlight;
 
     /**
      * The zones of the job's active tasks are not yet known. That is so for a job with a zone rule
      * that was started under a previous leader, until all machines have sent a heartbeat.
      */
-    boolean taskZonesUnknown;
+    public boolean taskZonesUnknown;
 
     /**
      * The zone that should get the larger half of the replicas, for a service that is spread across
      * zones and has an odd number of them; null: any zone.
      */
-    String largerHalfZone;
+    public String largerHalfZone;
 
     /** The number of starts that this leader has ordered or inherited. */
-    int startedCount;
+    public int startedCount;
 
     private int observedRunCount;
     private double observedRunSumS;
@@ -86,14 +88,14 @@
     private long backoffUntilMs = Long.MIN_VALUE;
 
     /** A job without any pending task. */
-    Job(String id, JobSpec spec, long acceptedAtMs) {
+    public Job(String id, JobSpec spec, long acceptedAtMs) {
         this.id = id;
         this.spec = spec;
         this.acceptedAtMs = acceptedAtMs;
     }
 
     /** Marks a task as pending, or as not pending. */
-    void setPending(int taskIndex, boolean pending) {
+    public void setPending(int taskIndex, boolean pending) {
         if (pendingTasks.get(taskIndex) != pending) {
             pendingTasks.set(taskIndex, pending);
             pendingCount += pending ? 1 : -1;
@@ -101,12 +103,12 @@
     }
 
     /** Whether any task has ever been started, as far as this leader knows. */
-    boolean hasStarted() {
+    public boolean hasStarted() {
         return startedCount > 0 || !activeAttempts.isEmpty() || !completedTasks.isEmpty();
     }
 
     /** Marks as pending every task from an index on that is neither completed nor active. */
-    void markPendingFrom(int firstTaskIndex) {
+    public void markPendingFrom(int firstTaskIndex) {
         for (int taskIndex = completedTasks.nextClearBit(firstTaskIndex);
                 taskIndex < spec.taskCount();
                 taskIndex = completedTasks.nextClearBit(taskIndex + 1)) {
@@ -120,7 +122,7 @@
      * The lowest high-water mark under which the next {@code count} pending tasks may be started; 0
      * if no task is pending.
      */
-    int highWaterMarkForNext(int count) {
+    public int highWaterMarkForNext(int count) {
         int lastTaskIndex = -1;
         for (int i = 0; i < count; i++) {
             int next = pendingTasks.nextSetBit(lastTaskIndex + 1);
@@ -133,29 +135,29 @@
     }
 
     /** Records how long a completed task ran. */
-    void recordRunTime(double runTimeS) {
+    public void recordRunTime(double runTimeS) {
         observedRunCount++;
         observedRunSumS += runTimeS;
     }
 
     /** The number of recorded run times. */
-    int observedRunCount() {
+    public int observedRunCount() {
         return observedRunCount;
     }
 
     /** The mean of the recorded run times, in seconds; NaN if there is none. */
-    double meanRunTimeS() {
+    public double meanRunTimeS() {
         return observedRunSumS / observedRunCount;
     }
 
     /** Whether all tasks are completed. Never true of a service. */
-    boolean isComplete() {
+    public boolean isComplete() {
         return spec.workloadType().runsToCompletion()
                 && completedTasks.cardinality() >= spec.taskCount();
     }
 
     /** Whether starts are delayed because attempts have failed. */
-    boolean isBackingOff(long nowMs) {
+    public boolean isBackingOff(long nowMs) {
         return nowMs < backoffUntilMs;
     }
 
@@ -163,7 +165,7 @@
      * Records a failed attempt. While no task has completed, each further failure doubles the delay
      * before the next start, up to {@link Tuning#MAX_FAILURE_BACKOFF_MS}.
      */
-    void recordFailure(String machineId, long nowMs) {
+    public void recordFailure(String machineId, long nowMs) {
         failedMachineIds.add(machineId);
         failureCount++;
         if (completedTasks.isEmpty() && failureCount > 1) {
@@ -175,7 +177,7 @@
     /**
      * Forgets all failures: a replica has run for long, so the cause was a machine or has passed.
      */
-    void resetFailures() {
+    public void resetFailures() {
         failureCount = 0;
         failedMachineIds.clear();
     }
@@ -184,7 +186,7 @@
      * Whether the job itself is probably faulty: its tasks have failed on several machines and none
      * has completed.
      */
-    boolean isSuspectedFaulty() {
+    public boolean isSuspectedFaulty() {
         return completedTasks.isEmpty() && failedMachineIds.size() > 1;
     }
 }
--- a/src/main/java/org/shoreusher/core/ResourceLedger.java
+++ b/src/main/java/org/shoreusher/core/cluster/ResourceLedger.java
@@ -1,17 +1,18 @@
-package org.shoreusher.core;
+package org.shoreusher.core.cluster;
 
 import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap;
 import java.util.ArrayList;
 import java.util.List;
+import org.shoreusher.core.message.JobSpec;
 
 /**
  * Accounts for every task attempt of a shard that is or may be on a machine: in the machine's used
  * resources, in the team's usage, and in the job. A task is pending, active or completed, and only
  * {@link #remove} makes an active task pending again.
  */
-final class ResourceLedger {
+public final class ResourceLedger {
     /** Is told of every attempt that is added or removed. */
-    interface Listener {
+    public interface Listener {
         /** The attempt is or may be on its machine from now on. */
         void attemptAdded(TaskAttempt attempt);
 
@@ -32,20 +33,20 @@
     private final Object2DoubleOpenHashMap<String> inheritedGpus = new Object2DoubleOpenHashMap<>();
 
     /** Adds a listener; listeners are called in the order in which they were added. */
-    void addListener(Listener listener) {
+    public void addListener(Listener listener) {
         listeners.add(listener);
     }
 
     /**
      * Charges one task to its team's usage while it is on no machine, such as during a migration.
      */
-    void reserve(JobSpec spec) {
+    public void reserve(JobSpec spec) {
         usedCpusByTeam.addTo(spec.team(), spec.cpus());
         usedGpusByTeam.addTo(spec.team(), spec.gpus());
     }
 
     /** Undoes {@link #reserve}. */
-    void release(JobSpec spec) {
+    public void release(JobSpec spec) {
         usedCpusByTeam.addTo(spec.team(), -spec.cpus());
         usedGpusByTeam.addTo(spec.team(), -spec.gpus());
     }
@@ -54,28 +55,28 @@
      * Counts an attempt that a previous leader has started and that the machine's first heartbeat
      * to this leader shows.
      */
-    void recordInherited(TaskAttempt attempt) {
+    public void recordInherited(TaskAttempt attempt) {
         inheritedCpus.addTo(attempt.job.spec.team(), attempt.job.spec.cpus());
         inheritedGpus.addTo(attempt.job.spec.team(), attempt.job.spec.gpus());
     }
 
     /** CPUs of the team's tasks that were found on machines after the failover. */
-    double inheritedCpus(String team) {
+    public double inheritedCpus(String team) {
         return inheritedCpus.getDouble(team);
     }
 
     /** GPUs of the team's tasks that were found on machines after the failover. */
-    double inheritedGpus(String team) {
+    public double inheritedGpus(String team) {
         return inheritedGpus.getDouble(team);
     }
 
     /** CPUs that the team's tasks use. */
-    double usedCpus(String team) {
+    public double usedCpus(String team) {
         return usedCpusByTeam.getDouble(team);
     }
 
     /** GPUs that the team's tasks use. */
-    double usedGpus(String team) {
+    public double usedGpus(String team) {
         return usedGpusByTeam.getDouble(team);
     }
 
@@ -85,7 +86,7 @@
      * @param assignedToJob whether it is the task's current attempt; false: a surplus one, to be
      *     stopped
      */
-    void add(TaskAttempt attempt, boolean assignedToJob) {
+    public void add(TaskAttempt attempt, boolean assignedToJob) {
         JobSpec spec = attempt.job.spec;
         attempt.machine.tasks.put(Machine.taskKey(attempt.job.id, attempt.taskIndex), attempt);
         attempt.machine.cpusUsed += spec.cpus();
@@ -107,7 +108,7 @@
      * machine, so a task that was seen on this machine is on none that has not yet sent a
      * heartbeat.
      */
-    void remove(TaskAttempt attempt) {
+    public void remove(TaskAttempt attempt) {
         Machine machine = attempt.machine;
         JobSpec spec = attempt.job.spec;
         if (!machine.tasks.remove(Machine.taskKey(attempt.job.id, attempt.taskIndex), attempt)) {
--- a/src/main/java/org/shoreusher/core/TaskAttempt.java
+++ b/src/main/java/org/shoreusher/core/cluster/TaskAttempt.java
@@ -1,9 +1,9 @@
-package org.shoreusher.core;
+package org.shoreusher.core.cluster;
 
 /** One attempt to run a task: the task is or may be on the attempt's machine. */
-final class TaskAttempt {
+public final class TaskAttempt {
     /** How far the attempt has come, by the machine's last heartbeat. */
-    enum State {
+    public enum State {
         /** The start was ordered; the next heartbeat shows whether the machine carried it out. */
         START_ORDERED,
         /** The machine is fetching the image. */
@@ -15,46 +15,46 @@
     }
 
     /** The task's job. */
-    final Job job;
+    public final Job job;
 
     /** The task's index in its job. */
-    final int taskIndex;
+    public final int taskIndex;
 
     /**
      * A number that no other attempt of the shard has: the leader's fencing token in the high bits,
      * a counter in the low ones.
      */
-    final long attemptNumber;
+    public final long attemptNumber;
 
     /** The machine that the attempt is on. */
-    final Machine machine;
+    public final Machine machine;
 
     /** When this leader ordered the start, or first learned of the attempt; steady ms. */
-    final long createdMs;
+    public final long createdMs;
 
     /** How far the attempt has come. */
-    State state;
+    public State state;
 
     /**
      * The attempt is to be stopped without a checkpoint: its job was cancelled or is not known, or
      * the task has completed on another machine.
      */
-    boolean mustStop;
+    public boolean mustStop;
 
     /** The attempt is being evicted gracefully; the task is pending again once it has exited. */
-    boolean beingEvicted;
+    public boolean beingEvicted;
 
     /** The machine has reported that a checkpoint was written when the task was stopped. */
-    boolean checkpointed;
+    public boolean checkpointed;
 
     /** When a heartbeat first showed the task running, steady ms; -1: none has. */
-    long runningSinceMs = -1;
+    public long runningSinceMs = -1;
 
     /** When the last direct stop order was sent; steady ms. */
-    long lastStopOrderMs = Long.MIN_VALUE / 2;
+    public long lastStopOrderMs = Long.MIN_VALUE / 2;
 
     /** An attempt that is neither stopped nor evicted. */
-    TaskAttempt(
+    public TaskAttempt(
             Job job,
             int taskIndex,
             long attemptNumber,
--- a/src/main/java/org/shoreusher/core/PeerHints.java
+++ b/src/main/java/org/shoreusher/core/gossip/PeerGossip.java
@@ -1,11 +1,20 @@
-package org.shoreusher.core;
+package org.shoreusher.core.gossip;
 
 import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap;
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.function.IntFunction;
-import org.shoreusher.core.Hint.PartHint;
-import org.shoreusher.core.StoreSchema.PartRecord;
+import org.shoreusher.core.Shard;
+import org.shoreusher.core.Shards;
+import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.leadership.LeaderLease;
+import org.shoreusher.core.message.Effect;
+import org.shoreusher.core.message.GossipMessage;
+import org.shoreusher.core.message.GossipMessage.ShardSummary;
+import org.shoreusher.core.message.Response;
+import org.shoreusher.core.message.WorkerHeartbeat;
+import org.shoreusher.core.store.Outbox;
+import org.shoreusher.core.store.StoreSchema.ShardRecord;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 
@@ -13,15 +22,15 @@
  * The gossip between the nodes: the last message of each peer, and the messages that this node
  * sends. Correctness never depends on it: a wrong or missing message costs time only.
  */
-final class PeerHints implements Parts.Peers {
+public final class PeerGossip implements Shards.LeadershipPeerView {
     private final Settings settings;
     private final Outbox outbox;
 
     /** The shards that this node leads, by number; null for another shard. */
-    private final IntFunction<Part> ownShards;
+    private final IntFunction<Shard> ownShards;
 
     /** The last message of each peer, by host. */
-    private final Object2ObjectOpenHashMap<String, Hint> lastMessages =
+    private final Object2ObjectOpenHashMap<String, GossipMessage> lastMessages =
             new Object2ObjectOpenHashMap<>();
 
     /** When that message was received, by host; steady ms. */
@@ -40,7 +49,8 @@
     private final RedirectedWorkers[] redirected;
 
     /** No messages yet. */
-    PeerHints(Settings settings, Outbox outbox, int shardCount, IntFunction<Part> ownShards) {
+    public PeerGossip(
+            Settings settings, Outbox outbox, int shardCount, IntFunction<Shard> ownShards) {
         this.settings = settings;
         this.outbox = outbox;
         this.ownShards = ownShards;
@@ -49,7 +59,7 @@
     }
 
     /** Notes when the first batch of commands is handled; later calls do nothing. */
-    void noteStart() {
+    public void noteStart() {
         if (startedMs < 0) {
             startedMs = outbox.now.monotonicMs();
             // An earlier process on this host may have said so until it ended.
@@ -58,13 +68,13 @@
     }
 
     /** A message from a peer has arrived. */
-    void receive(Hint message) {
+    public void receive(GossipMessage message) {
         lastMessages.put(message.senderHost(), message);
         receivedAtMs.put(message.senderHost(), outbox.now.monotonicMs());
     }
 
     /** Whether any peer has lately said that it reaches the store. */
-    boolean anyPeerReachesStore() {
+    public boolean anyPeerReachesStore() {
         return lastMessages.values().stream()
                 .anyMatch(message -> isFresh(message) && message.storeReachable());
     }
@@ -75,13 +85,14 @@
      * @param machineCount the number of machines of all shards
      * @return whether the worker should be kept away from the shard's leader for now
      */
-    boolean recordRedirectedWorker(int shardNumber, WorkerReport heartbeat, int machineCount) {
+    public boolean recordRedirectedWorker(
+            int shardNumber, WorkerHeartbeat heartbeat, int machineCount) {
         return redirected[shardNumber].recordRedirect(
                 heartbeat, machineCount, outbox.now.monotonicMs());
     }
 
     /** The shard has another leader than before. */
-    void leaderChanged(int shardNumber) {
+    public void leaderChanged(int shardNumber) {
         redirected[shardNumber].clear();
     }
 
@@ -89,8 +100,8 @@
      * The task counts of a job in the shard of another leader, for display; zeros if no message
      * names the job.
      */
-    Response.TaskCounts taskCounts(String jobId) {
-        for (Hint message : lastMessages.values()) {
+    public Response.TaskCounts taskCounts(String jobId) {
+        for (GossipMessage message : lastMessages.values()) {
             if (message.runningTasks().containsKey(jobId)
                     || message.completedTasks().containsKey(jobId)) {
                 return new Response.TaskCounts(
@@ -122,7 +133,7 @@
 
     @Override
     public boolean isResponsive(String host) {
-        Hint message = lastMessages.get(host);
+        GossipMessage message = lastMessages.get(host);
         return message != null && isFresh(message);
     }
 
@@ -137,7 +148,7 @@
     @Override
     public int workersUnableToReachLeader(int part) {
         int workers = 0;
-        for (Hint message : lastMessages.values()) {
+        for (GossipMessage message : lastMessages.values()) {
             // The largest count, not the sum: a redirected worker goes back and forth between
             // peers.
             workers =
@@ -151,7 +162,7 @@
     }
 
     /** Whether the message is recent enough to be used. */
-    private boolean isFresh(Hint message) {
+    private boolean isFresh(GossipMessage message) {
         return outbox.now.monotonicMs() - receivedAtMs.get(message.senderHost())
                 < Tuning.MAX_GOSSIP_AGE_MS;
     }
@@ -160,9 +171,9 @@
      * Whether a shard's leader has probably failed: its lease has expired, or it has missed a lease
      * renewal and its gossip has stopped.
      */
-    boolean isSuspectedDown(PartRecord record) {
+    public boolean isSuspectedDown(ShardRecord record) {
         long remainingLeaseMs = record.leaseExpiryWallMs() - outbox.now.wallMs();
-        Hint message = lastMessages.get(record.leaderHost());
+        GossipMessage message = lastMessages.get(record.leaderHost());
         boolean isQuiet =
                 message == null
                         || outbox.now.monotonicMs() - receivedAtMs.get(record.leaderHost())
@@ -170,8 +181,8 @@
         return remainingLeaseMs < 0
                 || (isQuiet
                         && remainingLeaseMs
-                                < PartLease.durationMs(settings)
-                                        - PartLease.renewalIntervalMs(settings)
+                                < LeaderLease.durationMs(settings)
+                                        - LeaderLease.renewalIntervalMs(settings)
                                         - Tuning.PEER_UNRESPONSIVE_MS);
     }
 
@@ -181,7 +192,7 @@
      * whole timeout, again and again, while its lease runs out. Redirected between two responsive
      * nodes it asks every half second, so the successor hears from it at once.
      */
-    String interimHost(String leaderHost) {
+    public String interimHost(String leaderHost) {
         return lastMessages.values().stream()
                 .filter(
                         message ->
@@ -190,18 +201,18 @@
                                         && outbox.now.monotonicMs()
                                                         - receivedAtMs.get(message.senderHost())
                                                 < Tuning.PEER_UNRESPONSIVE_MS)
-                .map(Hint::senderHost)
+                .map(GossipMessage::senderHost)
                 .sorted()
                 .findFirst()
                 .orElse(null);
     }
 
     @Override
-    public PartHint shardSummary(int part) {
+    public ShardSummary shardSummary(int part) {
         if (ownShards.apply(part) != null) {
             return ownShards.apply(part).isLeader() ? ownShards.apply(part).summary() : null;
         }
-        for (Hint message : lastMessages.values()) {
+        for (GossipMessage message : lastMessages.values()) {
             if (isFresh(message) && message.shards().containsKey(part)) {
                 return message.shards().get(part);
             }
@@ -226,7 +237,7 @@
                                                                                 member.host())))
                                         .count();
         double up = (outbox.now.monotonicMs() - startedMs) / 1000.0;
-        for (Hint message : lastMessages.values()) {
+        for (GossipMessage message : lastMessages.values()) {
             if (isFresh(message)
                     && message.storeReachable()
                     && (message.shards().size() < ownedCount
@@ -250,17 +261,17 @@
     }
 
     /** Sends a message to the peers if one is due; returns whether it did. */
-    boolean sendIfDue() {
+    public boolean sendIfDue() {
         if (outbox.now.monotonicMs() < nextSendMs) {
             return false;
         }
         nextSendMs = outbox.now.monotonicMs() + Tuning.GOSSIP_INTERVAL_MS;
-        HashMap<Integer, PartHint> summaries = new HashMap<>();
+        HashMap<Integer, ShardSummary> summaries = new HashMap<>();
         HashMap<Integer, Integer> redirectedWorkers = new HashMap<>();
         HashMap<String, Integer> runningTasks = new HashMap<>();
         HashMap<String, Integer> completedTasks = new HashMap<>();
         for (int shardNumber = 0; shardNumber < redirected.length; shardNumber++) {
-            Part shard = ownShards.apply(shardNumber);
+            Shard shard = ownShards.apply(shardNumber);
             int workers =
                     redirected[shardNumber].countRepeatedlyRedirected(outbox.now.monotonicMs());
             if (workers > 0) {
@@ -277,8 +288,8 @@
         boolean storeReachable = outbox.sinceStoreReplyMs() < Tuning.READINESS_STORE_TIMEOUT_MS;
         lastSaidUnreachableMs = storeReachable ? lastSaidUnreachableMs : outbox.now.monotonicMs();
         outbox.add(
-                new Effect.Tell(
-                        new Hint(
+                new Effect.SendGossip(
+                        new GossipMessage(
                                 settings.host(),
                                 outbox.now.wallMs(),
                                 storeReachable,
--- a/src/main/java/org/shoreusher/core/RedirectedWorkers.java
+++ b/src/main/java/org/shoreusher/core/gossip/RedirectedWorkers.java
@@ -1,6 +1,7 @@
-package org.shoreusher.core;
+package org.shoreusher.core.gossip;
 
 import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap;
+import org.shoreusher.core.message.WorkerHeartbeat;
 import org.shoreusher.settings.Tuning;
 
 /**
@@ -37,7 +38,7 @@
      * @param machineCount the number of machines of all shards
      * @param nowMs steady clock, ms
      */
-    boolean recordRedirect(WorkerReport heartbeat, int machineCount, long nowMs) {
+    boolean recordRedirect(WorkerHeartbeat heartbeat, int machineCount, long nowMs) {
         RedirectHistory history =
                 historyByMachine.computeIfAbsent(
                         heartbeat.machineId(), machineId -> new RedirectHistory());
--- a/src/main/java/org/shoreusher/core/OtherParts.java
+++ b/src/main/java/org/shoreusher/core/gossip/ShardDemand.java
@@ -1,26 +1,31 @@
-package org.shoreusher.core;
+package org.shoreusher.core.gossip;
 
 import java.util.HashMap;
 import java.util.Map;
-import org.shoreusher.core.Hint.Claim;
-import org.shoreusher.core.Hint.PartHint;
+import org.shoreusher.core.Shard;
+import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.machine.Autoscaler;
+import org.shoreusher.core.message.GossipMessage.ShardSummary;
+import org.shoreusher.core.message.GossipMessage.TeamDemand;
+import org.shoreusher.core.message.JobSpec;
 
 /**
  * The demand of a shard and that of the others: the summary that the others get by gossip, and what
  * their summaries say.
  */
-final class OtherParts {
+public final class ShardDemand {
     private final int shardNumber;
     private final int shardCount;
-    private final Part.Others peers;
+    private final Shard.PeerView peers;
     private final Map<String, Job> jobs;
     private final Map<String, Machine> machines;
 
     /** The demand of one shard; {@code jobs} and {@code machines} are live views. */
-    OtherParts(
+    public ShardDemand(
             int shardNumber,
             int shardCount,
-            Part.Others peers,
+            Shard.PeerView peers,
             Map<String, Job> jobs,
             Map<String, Machine> machines) {
         this.shardNumber = shardNumber;
@@ -31,33 +36,36 @@
     }
 
     /** CPUs of a team's quota that the other shards need, as far as fresh summaries tell. */
-    double demandElsewhereCpus(String team) {
+    public double demandElsewhereCpus(String team) {
         double cpus = 0;
         for (int otherShard = 0; otherShard < shardCount; otherShard++) {
-            PartHint summary = otherShard == shardNumber ? null : peers.shardSummary(otherShard);
-            Claim demand = summary == null ? null : summary.teamDemands().get(team);
+            ShardSummary summary =
+                    otherShard == shardNumber ? null : peers.shardSummary(otherShard);
+            TeamDemand demand = summary == null ? null : summary.teamDemands().get(team);
             cpus += demand == null ? 0 : demand.highPriorityCpus() + demand.otherCpus();
         }
         return cpus;
     }
 
     /** A team's demand in each shard, by number; null where there is no fresh summary. */
-    Claim[] demandByShard(String team) {
-        Claim[] demands = new Claim[shardCount];
+    public TeamDemand[] demandByShard(String team) {
+        TeamDemand[] demands = new TeamDemand[shardCount];
         for (int otherShard = 0; otherShard < shardCount; otherShard++) {
-            PartHint summary = otherShard == shardNumber ? null : peers.shardSummary(otherShard);
+            ShardSummary summary =
+                    otherShard == shardNumber ? null : peers.shardSummary(otherShard);
             demands[otherShard] =
                     otherShard == shardNumber
                             ? ownDemand(team)
                             : summary == null
                                     ? null
-                                    : summary.teamDemands().getOrDefault(team, new Claim(0, 0));
+                                    : summary.teamDemands()
+                                            .getOrDefault(team, new TeamDemand(0, 0));
         }
         return demands;
     }
 
     /** The team's demand in this shard. */
-    private Claim ownDemand(String team) {
+    private TeamDemand ownDemand(String team) {
         double highPriorityCpus = 0;
         double otherCpus = 0;
         for (Job job : jobs.values()) {
@@ -70,14 +78,14 @@
                 }
             }
         }
-        return new Claim(highPriorityCpus, otherCpus);
+        return new TeamDemand(highPriorityCpus, otherCpus);
     }
 
     /**
      * The CPUs of the team's largest task in this shard; 0 if there is none. A share of the quota
      * that is smaller than this would be useless.
      */
-    double largestTaskCpus(String team) {
+    public double largestTaskCpus(String team) {
         double most = 0;
         for (Job job : jobs.values()) {
             most = job.spec.team().equals(team) ? Math.max(most, job.spec.cpus()) : most;
@@ -86,7 +94,7 @@
     }
 
     /** The summary of this shard for the others. */
-    PartHint summarize(Fleet autoscaler) {
+    public ShardSummary summarize(Autoscaler autoscaler) {
         double cpuHeadroom = 0;
         int idleMachines = 0;
         for (Machine machine : machines.values()) {
@@ -96,32 +104,33 @@
                             : 0;
             idleMachines += autoscaler.isSurplus(machine) ? 1 : 0;
         }
-        Map<String, Claim> demands = new HashMap<>();
+        Map<String, TeamDemand> demands = new HashMap<>();
         for (Job job : jobs.values()) {
             cpuHeadroom -= job.pendingCount * job.spec.cpus();
             demands.computeIfAbsent(job.spec.team(), this::ownDemand);
         }
-        return new PartHint(cpuHeadroom, idleMachines, autoscaler.machineShortfall(), demands);
+        return new ShardSummary(cpuHeadroom, idleMachines, autoscaler.machineShortfall(), demands);
     }
 
     /** The number of machines for which the other shards have no work. */
-    int idleMachinesElsewhere() {
+    public int idleMachinesElsewhere() {
         int idleMachines = 0;
         for (int otherShard = 0; otherShard < shardCount; otherShard++) {
-            PartHint summary = otherShard == shardNumber ? null : peers.shardSummary(otherShard);
+            ShardSummary summary =
+                    otherShard == shardNumber ? null : peers.shardSummary(otherShard);
             idleMachines += summary == null ? 0 : summary.idleMachines();
         }
         return idleMachines;
     }
 
     /** The number of further machines that another shard could use now. */
-    int machineShortfallOf(int otherShard) {
-        PartHint summary = peers.shardSummary(otherShard);
+    public int machineShortfallOf(int otherShard) {
+        ShardSummary summary = peers.shardSummary(otherShard);
         return summary == null ? 0 : summary.machineShortfall();
     }
 
     /** The number of the other shard that could use most machines; -1 if none needs any. */
-    int shardWithLargestShortfall() {
+    public int shardWithLargestShortfall() {
         int best = -1;
         for (int otherShard = 0; otherShard < shardCount; otherShard++) {
             if (otherShard != shardNumber
--- a/src/main/java/org/shoreusher/core/Reports.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/HeartbeatHandler.java
@@ -1,14 +1,32 @@
-package org.shoreusher.core;
+package org.shoreusher.core.heartbeat;
 
 import java.util.ArrayList;
 import java.util.List;
 import org.shoreusher.balance.TaskId;
-import org.shoreusher.core.StoreSchema.JobRecord;
-import org.shoreusher.core.StoreSchema.JobStatus;
-import org.shoreusher.core.StoreSchema.MachineRecord;
-import org.shoreusher.core.WorkerReport.ExitCause;
-import org.shoreusher.core.WorkerReport.TaskReport;
-import org.shoreusher.core.WorkerReport.TaskState;
+import org.shoreusher.core.NodeContext;
+import org.shoreusher.core.Shard;
+import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.cluster.ResourceLedger;
+import org.shoreusher.core.cluster.TaskAttempt;
+import org.shoreusher.core.job.HighWaterMarks;
+import org.shoreusher.core.job.SubmissionBatches;
+import org.shoreusher.core.leadership.LeaderLease;
+import org.shoreusher.core.machine.MachineIndex;
+import org.shoreusher.core.machine.MachineTypeCatalog;
+import org.shoreusher.core.message.Response;
+import org.shoreusher.core.message.WorkerHeartbeat;
+import org.shoreusher.core.message.WorkerHeartbeat.ExitCause;
+import org.shoreusher.core.message.WorkerHeartbeat.TaskState;
+import org.shoreusher.core.message.WorkerHeartbeat.TaskStatus;
+import org.shoreusher.core.message.WorkerOrder;
+import org.shoreusher.core.schedule.BinPacker;
+import org.shoreusher.core.schedule.PlacementPlan;
+import org.shoreusher.core.schedule.TaskEviction;
+import org.shoreusher.core.store.Outbox;
+import org.shoreusher.core.store.StoreSchema.JobRecord;
+import org.shoreusher.core.store.StoreSchema.JobStatus;
+import org.shoreusher.core.store.StoreSchema.MachineRecord;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 
@@ -18,20 +36,24 @@
  * <p>Guarantees: a task is started only in the answer to the newest heartbeat of its machine, only
  * while the leader's lease is valid, and only if no machine can be running the task.
  */
-final class Reports {
-    private final Part shard;
+public final class HeartbeatHandler {
+    private final Shard shard;
     private final Settings settings;
     private final Outbox outbox;
-    private final Arrivals submissionBatches;
+    private final SubmissionBatches submissionBatches;
     private final MachineIndex machineIndex;
-    private final MachineTypes machineTypes;
+    private final MachineTypeCatalog machineTypes;
     private final ResourceLedger ledger;
-    private final ReportReader heartbeatReader;
-    private final Placement placementPlan;
+    private final HeartbeatReader heartbeatReader;
+    private final PlacementPlan placementPlan;
     private long nextAttemptNumber = 1;
 
     /** Creates the handler of one shard that this process leads. */
-    Reports(Part shard, NodeContext context, ResourceLedger ledger, StartMarks highWaterMarks) {
+    public HeartbeatHandler(
+            Shard shard,
+            NodeContext context,
+            ResourceLedger ledger,
+            HighWaterMarks highWaterMarks) {
         this.shard = shard;
         settings = context.settings();
         outbox = context.outbox();
@@ -39,8 +61,8 @@
         machineIndex = context.machineIndex();
         machineTypes = context.machineTypes();
         this.ledger = ledger;
-        heartbeatReader = new ReportReader(shard, context, ledger);
-        placementPlan = new Placement(shard, outbox, highWaterMarks);
+        heartbeatReader = new HeartbeatReader(shard, context, ledger);
+        placementPlan = new PlacementPlan(shard, outbox, highWaterMarks);
     }
 
     /**
@@ -49,7 +71,7 @@
      * emitted later. Heartbeats that must not be answered get an "unavailable" answer, and the
      * worker tries another node.
      */
-    void handle(long requestId, WorkerReport heartbeat) {
+    public void handle(long requestId, WorkerHeartbeat heartbeat) {
         if (!shard.canAnswerHeartbeats() || heartbeat.fencingToken() > shard.term()) {
             if (!shard.isLeadershipLost() && heartbeat.fencingToken() > shard.term()) {
                 shard.leadership().raiseTerm(heartbeat.fencingToken());
@@ -72,7 +94,8 @@
             machine.leaseRenewedAtMs = Math.max(machine.leaseRenewedAtMs, outbox.now.monotonicMs());
             outbox.respond(
                     requestId,
-                    new Response.Orders(shard.term(), stopOrdersForCancelledJobs(heartbeat)));
+                    new Response.HeartbeatAccepted(
+                            shard.term(), stopOrdersForCancelledJobs(heartbeat)));
             return;
         }
         // The worker no longer waits for the answer to a delayed or duplicated heartbeat, and the
@@ -114,7 +137,7 @@
      * previous leader. Without this check a one-way partition between one worker and the leader
      * delayed the reconciliation of the whole shard for as long as the partition lasted.
      */
-    private boolean hasPreviousLeaseExpired(Machine machine, WorkerReport heartbeat) {
+    private boolean hasPreviousLeaseExpired(Machine machine, WorkerHeartbeat heartbeat) {
         boolean isNewer = heartbeat.isNewerThan(machine.session, machine.sequenceNumber);
         if (isNewer) {
             machine.session = heartbeat.incarnation();
@@ -123,10 +146,10 @@
         return isNewer
                 && outbox.now.monotonicMs()
                         > machine.previousLeaderRenewalAtMs
-                                + PartLease.workerLeaseBoundMs(settings);
+                                + LeaderLease.workerLeaseBoundMs(settings);
     }
 
-    private Machine registerMachine(WorkerReport heartbeat) {
+    private Machine registerMachine(WorkerHeartbeat heartbeat) {
         // A delayed heartbeat must not register a terminated machine again, whether its record
         // still exists or not.
         if (shard.autoscaler().inventory().isTerminated(heartbeat.machineId())) {
@@ -158,8 +181,8 @@
      * durable, and to stop tasks that must not run or are being evicted.
      */
     private void addForgetAndStopOrders(
-            Machine machine, WorkerReport heartbeat, List<WorkerOrder> orders) {
-        for (TaskReport task : heartbeat.tasks()) {
+            Machine machine, WorkerHeartbeat heartbeat, List<WorkerOrder> orders) {
+        for (TaskStatus task : heartbeat.tasks()) {
             if (task.state() == TaskState.EXITED && canForget(task)) {
                 orders.add(
                         new WorkerOrder(
@@ -172,9 +195,9 @@
         }
         for (TaskAttempt attempt : machine.tasks.values()) {
             if (attempt.mustStop) {
-                orders.add(TaskStops.stopOrder(attempt, 0));
+                orders.add(TaskEviction.stopOrder(attempt, 0));
             } else if (attempt.beingEvicted && attempt.state != TaskAttempt.State.CHECKPOINTING) {
-                orders.add(TaskStops.stopOrder(attempt, TaskStops.gracePeriodS(attempt)));
+                orders.add(TaskEviction.stopOrder(attempt, TaskEviction.gracePeriodS(attempt)));
             }
         }
     }
@@ -185,9 +208,9 @@
      * given as early as possible because leadership may change so often that a leader answers a
      * worker only once (seen with ten leaders in two minutes).
      */
-    private List<WorkerOrder> stopOrdersForCancelledJobs(WorkerReport heartbeat) {
+    private List<WorkerOrder> stopOrdersForCancelledJobs(WorkerHeartbeat heartbeat) {
         List<WorkerOrder> orders = new ArrayList<>();
-        for (TaskReport task : heartbeat.tasks()) {
+        for (TaskStatus task : heartbeat.tasks()) {
             if (task.state() != TaskState.EXITED && shard.jobs().get(task.jobId()) == null) {
                 JobRecord record = submissionBatches.jobRecord(task.jobId());
                 if (record != null && record.status() == JobStatus.CANCELLED) {
@@ -208,7 +231,7 @@
      * Whether the worker may forget an exited task: always after a failure or a stop, and after a
      * completion once the completion record or the job's terminal state is in the store.
      */
-    private boolean canForget(TaskReport task) {
+    private boolean canForget(TaskStatus task) {
         if (task.exitCause() != ExitCause.COMPLETED) {
             return true;
         }
@@ -232,7 +255,7 @@
         int remainingTasks =
                 Tuning.MAX_TASKS_PER_MACHINE
                         - Math.max(machine.tasks.size(), machine.reportedTaskCount);
-        for (Planner.PlacedTasks placed : placementPlan.takeTasksToStart(machine)) {
+        for (BinPacker.PlacedTasks placed : placementPlan.takeTasksToStart(machine)) {
             int taskIndex = -1;
             for (int i = 0; i < placed.taskCount() && remainingTasks > 0; i++, remainingTasks--) {
                 taskIndex = placed.job().pendingTasks.nextSetBit(taskIndex + 1);
--- a/src/main/java/org/shoreusher/core/ReportReader.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/HeartbeatReader.java
@@ -1,24 +1,34 @@
-package org.shoreusher.core;
+package org.shoreusher.core.heartbeat;
 
 import it.unimi.dsi.fastutil.objects.ObjectOpenHashSet;
-import org.shoreusher.core.StoreSchema.JobRecord;
-import org.shoreusher.core.WorkerReport.ExitCause;
-import org.shoreusher.core.WorkerReport.TaskReport;
-import org.shoreusher.core.WorkerReport.TaskState;
+import org.shoreusher.core.NodeContext;
+import org.shoreusher.core.Shard;
+import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.cluster.ResourceLedger;
+import org.shoreusher.core.cluster.TaskAttempt;
+import org.shoreusher.core.job.SubmissionBatches;
+import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.core.message.WorkerHeartbeat;
+import org.shoreusher.core.message.WorkerHeartbeat.ExitCause;
+import org.shoreusher.core.message.WorkerHeartbeat.TaskState;
+import org.shoreusher.core.message.WorkerHeartbeat.TaskStatus;
+import org.shoreusher.core.store.Outbox;
+import org.shoreusher.core.store.StoreSchema.JobRecord;
 import org.shoreusher.settings.Tuning;
 
 /**
  * Applies a worker's newest heartbeat to the leader's state of the machine, of its tasks and of
  * their jobs.
  */
-final class ReportReader {
-    private final Part shard;
+final class HeartbeatReader {
+    private final Shard shard;
     private final Outbox outbox;
-    private final Arrivals submissionBatches;
+    private final SubmissionBatches submissionBatches;
     private final ResourceLedger ledger;
 
     /** Creates the reader of one shard that this process leads. */
-    ReportReader(Part shard, NodeContext context, ResourceLedger ledger) {
+    HeartbeatReader(Shard shard, NodeContext context, ResourceLedger ledger) {
         this.shard = shard;
         this.ledger = ledger;
         outbox = context.outbox();
@@ -29,7 +39,7 @@
      * Applies a heartbeat. The caller has checked that it is newer than all heartbeats applied
      * before. Attempts that it does not show are removed, since they never started or have ended.
      */
-    void apply(Machine machine, WorkerReport heartbeat) {
+    void apply(Machine machine, WorkerHeartbeat heartbeat) {
         machine.session = heartbeat.incarnation();
         machine.sequenceNumber = heartbeat.sequenceNumber();
         machine.address = heartbeat.address();
@@ -47,7 +57,7 @@
         shard.taskMigration().onMachineReported(machine);
         machine.reportedTaskCount = heartbeat.tasks().size();
         ObjectOpenHashSet<String> presentTaskKeys = new ObjectOpenHashSet<>();
-        for (TaskReport task : heartbeat.tasks()) {
+        for (TaskStatus task : heartbeat.tasks()) {
             String taskKey = Machine.taskKey(task.jobId(), task.taskIndex());
             if (task.state() == TaskState.EXITED) {
                 recordExitedTask(machine, taskKey, task);
@@ -91,7 +101,7 @@
      * Records a task that is on the machine, and marks it to be stopped if it must not run there.
      */
     private void recordPresentTask(
-            Machine machine, String taskKey, TaskReport task, long fencingToken) {
+            Machine machine, String taskKey, TaskStatus task, long fencingToken) {
         TaskAttempt attempt = machine.tasks.get(taskKey);
         if (attempt != null && attempt.attemptNumber != task.attemptNumber()) {
             ledger.remove(attempt);
@@ -155,7 +165,7 @@
     }
 
     /** Records a task that has exited, with its completion or its failure. */
-    private void recordExitedTask(Machine machine, String taskKey, TaskReport task) {
+    private void recordExitedTask(Machine machine, String taskKey, TaskStatus task) {
         TaskAttempt attempt = machine.tasks.get(taskKey);
         boolean isCurrentAttempt = attempt != null && attempt.attemptNumber == task.attemptNumber();
         if (isCurrentAttempt) {
--- a/src/main/java/org/shoreusher/core/FinishedRecords.java
+++ b/src/main/java/org/shoreusher/core/job/CompletionRecords.java
@@ -1,4 +1,4 @@
-package org.shoreusher.core;
+package org.shoreusher.core.job;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -9,6 +9,8 @@
 import java.util.Map;
 import java.util.function.Function;
 import java.util.function.IntFunction;
+import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.store.TaskRanges;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 import org.shoreusher.wire.FieldMap;
@@ -24,7 +26,7 @@
  * previous leader may have had a higher limit or other slices. A slice that has to move for that
  * reason leaves its old record only after its new record is durable.
  */
-final class FinishedRecords {
+public final class CompletionRecords {
     /** The completed tasks of one slice, and the index of its record. */
     private record StoredSlice(Job job, int recordIndex, BitSet completedTasks) {}
 
@@ -41,7 +43,7 @@
 
     private final List<StoredSlice> storedSlices = new ArrayList<>();
 
-    private FinishedRecords(
+    private CompletionRecords(
             Collection<Job> jobs,
             int maxRecordBytes,
             IntFunction<Map<String, Object>> storedRecord) {
@@ -55,11 +57,12 @@
      *
      * @param storedRecord reads the stored value of a record by its index; empty if there is none
      */
-    static FinishedRecords layOut(
+    public static CompletionRecords layOut(
             Collection<Job> jobs,
             Settings settings,
             IntFunction<Map<String, Object>> storedRecord) {
-        FinishedRecords layout = new FinishedRecords(jobs, maxRecordBytes(settings), storedRecord);
+        CompletionRecords layout =
+                new CompletionRecords(jobs, maxRecordBytes(settings), storedRecord);
         layout.recordCount(0);
         layout.assignRecords();
         jobs.forEach(layout::addSlices);
@@ -92,7 +95,7 @@
     }
 
     /** Notes that a record of a previous leader holds these completed tasks of the job. */
-    static void adoptStoredRecord(
+    public static void adoptStoredRecord(
             Job job, BitSet completedTasks, int recordIndex, Settings settings) {
         int maxRecordBytes = maxRecordBytes(settings);
         cutIntoSlices(job, maxRecordBytes);
@@ -204,7 +207,7 @@
     }
 
     /** The number of records. */
-    int recordCount() {
+    public int recordCount() {
         return chunks.size();
     }
 
@@ -212,7 +215,7 @@
      * The value that a record should have now: its own slices, and stored tasks of other slices
      * that no other record holds yet. If that exceeds the limit, it is the stored value, unchanged.
      */
-    Map<String, Object> recordValue(int recordIndex) {
+    public Map<String, Object> recordValue(int recordIndex) {
         Map<String, BitSet> wanted = new LinkedHashMap<>(chunks.get(recordIndex));
         Map<String, Object> storedValue = storedRecord.apply(recordIndex);
         for (Job job : jobs) {
@@ -244,7 +247,7 @@
     }
 
     /** Updates each job's durably completed tasks from the stored records. */
-    void markDurable() {
+    public void markDurable() {
         for (StoredSlice storedSlice : storedSlices) {
             if (storedRecord.apply(storedSlice.recordIndex).get(storedSlice.job.id)
                     instanceof String ranges) {
@@ -262,7 +265,7 @@
      * @param storedElsewhere the completed tasks of a job that other records hold already; they are
      *     left out
      */
-    static List<Map<String, Object>> splitIntoRecords(
+    public static List<Map<String, Object>> splitIntoRecords(
             Map<String, Object> rangesByJob,
             Settings settings,
             Function<String, BitSet> storedElsewhere) {
--- a/src/main/java/org/shoreusher/core/StartMarks.java
+++ b/src/main/java/org/shoreusher/core/job/HighWaterMarks.java
@@ -1,4 +1,4 @@
-package org.shoreusher.core;
+package org.shoreusher.core.job;
 
 import it.unimi.dsi.fastutil.objects.Object2IntLinkedOpenHashMap;
 import it.unimi.dsi.fastutil.objects.Object2IntMap;
@@ -7,9 +7,15 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.shoreusher.core.Effect.StateOp;
-import org.shoreusher.core.StoreSchema.JobRecord;
-import org.shoreusher.core.StoreSchema.MarkRecord;
+import org.shoreusher.core.NodeContext;
+import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.leadership.ShardLeadership;
+import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.core.store.Outbox;
+import org.shoreusher.core.store.StoreCache;
+import org.shoreusher.core.store.StoreSchema;
+import org.shoreusher.core.store.StoreSchema.HighWaterMarkRecord;
+import org.shoreusher.core.store.StoreSchema.JobRecord;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 import org.shoreusher.wire.FieldMap;
@@ -26,7 +32,7 @@
  * effect after its successor has read the marks. With several shards, the job's own record must
  * exist as well: two nodes may have accepted the job for different shards.
  */
-final class StartMarks {
+public final class HighWaterMarks {
     /** A mark that is being written, and the index of its record. */
     private record PendingMark(Job job, int recordIndex, int highWaterMark) {}
 
@@ -34,9 +40,9 @@
     private final int shardCount;
     private final Settings settings;
     private final Outbox outbox;
-    private final StoreView storeCache;
-    private final Arrivals submissionBatches;
-    private final PartOwnership leadership;
+    private final StoreCache storeCache;
+    private final SubmissionBatches submissionBatches;
+    private final ShardLeadership leadership;
     private final Map<String, Job> jobs;
 
     /** The least time between two writes, in ms; it bounds the share of the write rate. */
@@ -52,11 +58,11 @@
     private long nextWriteMs;
 
     /** The marks of one shard; see {@link #load}. */
-    StartMarks(
+    public HighWaterMarks(
             int shardNumber,
             int shardCount,
             NodeContext context,
-            PartOwnership leadership,
+            ShardLeadership leadership,
             Map<String, Job> jobs) {
         this.shardNumber = shardNumber;
         this.shardCount = shardCount;
@@ -74,7 +80,7 @@
     }
 
     /** Reads the marks that previous leaders have written. */
-    void load() {
+    public void load() {
         for (int recordIndex = 0;
                 storeCache.get(StoreSchema.highWaterMarkKey(shardNumber, recordIndex)) != null;
                 recordIndex++) {
@@ -92,7 +98,7 @@
     }
 
     /** Requests a mark for tasks that are to be started soon; one that is too low is ignored. */
-    void request(Job job, int highWaterMark) {
+    public void request(Job job, int highWaterMark) {
         if (highWaterMark > job.highWaterMark) {
             requestedMarks.put(job, Math.max(highWaterMark, requestedMarks.getInt(job)));
         }
@@ -103,7 +109,7 @@
      * reason is requested again by the next placement plan. Does nothing while a write is in
      * flight.
      */
-    void writeRequestedMarks() {
+    public void writeRequestedMarks() {
         if (writeInFlight
                 || requestedMarks.isEmpty()
                 || !leadership.isLeader()
@@ -148,16 +154,16 @@
                                     StoreSchema.highWaterMarkKey(shardNumber, recordIndex)));
                     writes.put(
                             StoreSchema.highWaterMarkKey(shardNumber, recordIndex),
-                            MarkRecord.toMap(marks));
+                            HighWaterMarkRecord.toMap(marks));
                 });
         writeInFlight =
                 outbox.callStore(
-                        new StateOp.Multi(preconditions, writes),
+                        new StoreOperation.CompareAndSwap(preconditions, writes),
                         reply -> {
                             writeInFlight = false;
                             if (reply.status() == 200 && !leadership.isLost()) {
                                 storeCache.applyOwnWrites(reply, writes);
-                                pendingMarks.forEach(StartMarks::applyDurableMark);
+                                pendingMarks.forEach(HighWaterMarks::applyDurableMark);
                             }
                         });
         nextWriteMs = writeInFlight ? outbox.now.monotonicMs() + writeIntervalMs : nextWriteMs;
@@ -205,9 +211,11 @@
     }
 
     private Map<String, Integer> storedMarks(int recordIndex) {
-        StoreView.Entry entry =
+        StoreCache.Entry entry =
                 storeCache.get(StoreSchema.highWaterMarkKey(shardNumber, recordIndex));
-        return entry == null ? Map.of() : MarkRecord.fromMap(entry.value()).highWaterMarks();
+        return entry == null
+                ? Map.of()
+                : HighWaterMarkRecord.fromMap(entry.value()).highWaterMarks();
     }
 
     /** The stored marks of a record, without those of jobs that are no longer open. */
@@ -238,7 +246,7 @@
     }
 
     private static int encodedBytes(Map<String, Integer> marks) {
-        return marks.keySet().stream().mapToInt(StartMarks::encodedBytes).sum();
+        return marks.keySet().stream().mapToInt(HighWaterMarks::encodedBytes).sum();
     }
 
     private static int encodedBytes(String jobId) {
--- a/src/main/java/org/shoreusher/core/OpenJobs.java
+++ b/src/main/java/org/shoreusher/core/job/OpenJobs.java
@@ -1,27 +1,31 @@
-package org.shoreusher.core;
+package org.shoreusher.core.job;
 
 import it.unimi.dsi.fastutil.objects.Object2ObjectLinkedOpenHashMap;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import org.shoreusher.core.StoreSchema.JobRecord;
-import org.shoreusher.core.StoreSchema.JobStatus;
+import org.shoreusher.core.Shard;
+import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.cluster.TaskAttempt;
+import org.shoreusher.core.store.Outbox;
+import org.shoreusher.core.store.StoreSchema.JobRecord;
+import org.shoreusher.core.store.StoreSchema.JobStatus;
 
 /** The open jobs of a shard, as the cache of the store shows them. */
-final class OpenJobs {
-    private final Part shard;
+public final class OpenJobs {
+    private final Shard shard;
     private final Outbox outbox;
     private final Object2ObjectLinkedOpenHashMap<String, Job> jobs =
             new Object2ObjectLinkedOpenHashMap<>();
 
     /** No jobs yet. */
-    OpenJobs(Part shard, Outbox outbox) {
+    public OpenJobs(Shard shard, Outbox outbox) {
         this.shard = shard;
         this.outbox = outbox;
     }
 
     /** The jobs by id, in the order in which they became known; a live view. */
-    Map<String, Job> byId() {
+    public Map<String, Job> byId() {
         return jobs;
     }
 
@@ -29,7 +33,7 @@
      * The record of a job of this shard has appeared or changed in the cache of the store. Ignored
      * until the shard's state has been loaded, which reads all records.
      */
-    void recordChanged(String jobId, JobRecord record) {
+    public void recordChanged(String jobId, JobRecord record) {
         if (!shard.isLoaded()) {
             return;
         }
@@ -45,7 +49,7 @@
     }
 
     /** Adds a job of this shard. One in a terminal state is returned but not kept. */
-    Job add(String jobId, JobRecord record) {
+    public Job add(String jobId, JobRecord record) {
         Job job = new Job(jobId, record.parseSpec(), record.acceptedWallMs());
         job.closed = record.status() != JobStatus.OPEN;
         job.highWaterMark = record.highWaterMark();
@@ -59,7 +63,7 @@
      * Removes a job that is in a terminal state or belongs to another shard, and stops its active
      * tasks. Does nothing if there is no such job.
      */
-    void close(String jobId) {
+    public void close(String jobId) {
         Job job = jobs.remove(jobId);
         if (job == null) {
             return;
@@ -78,7 +82,7 @@
      * Jobs with pending tasks that may be started now, in the order in which they should get
      * resources.
      */
-    List<Job> inSchedulingOrder() {
+    public List<Job> inSchedulingOrder() {
         List<Job> schedulable = new ArrayList<>();
         for (Job job : jobs.values()) {
             if (job.pendingCount > 0
--- a/src/main/java/org/shoreusher/core/Estimates.java
+++ b/src/main/java/org/shoreusher/core/job/RunTimeEstimates.java
@@ -1,13 +1,14 @@
-package org.shoreusher.core;
+package org.shoreusher.core.job;
 
 import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap;
+import org.shoreusher.core.cluster.Job;
 import org.shoreusher.settings.Tuning;
 
 /**
  * Estimates of task run times: the mean of the job's own completed tasks, or else the user's
  * estimate times the recent mean ratio of actual to estimated run times in the job's class.
  */
-final class Estimates {
+public final class RunTimeEstimates {
     /**
      * The exponentially weighted mean of actual to estimated run time, by job class. It is an array
      * of one element, so that an update allocates nothing.
@@ -16,7 +17,7 @@
             new Object2ObjectOpenHashMap<>();
 
     /** Records how long a completed task of the job ran. */
-    void recordRunTime(Job job, double runTimeS) {
+    public void recordRunTime(Job job, double runTimeS) {
         job.recordRunTime(runTimeS);
         if (job.spec.estimatedRunS() > 0) {
             double ratio = runTimeS / job.spec.estimatedRunS();
@@ -27,7 +28,7 @@
     }
 
     /** The expected run time of a task of the job, in seconds; at least 1. */
-    double expectedRunS(Job job) {
+    public double expectedRunS(Job job) {
         if (job.observedRunCount() > 0) {
             return Math.max(Tuning.MIN_RUN_TIME_S, job.meanRunTimeS());
         }
--- a/src/main/java/org/shoreusher/core/Arrivals.java
+++ b/src/main/java/org/shoreusher/core/job/SubmissionBatches.java
@@ -1,4 +1,4 @@
-package org.shoreusher.core;
+package org.shoreusher.core.job;
 
 import it.unimi.dsi.fastutil.objects.Object2ObjectLinkedOpenHashMap;
 import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap;
@@ -7,9 +7,13 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.BiConsumer;
-import org.shoreusher.core.Effect.StateOp;
-import org.shoreusher.core.StoreSchema.ArrivalRecord;
-import org.shoreusher.core.StoreSchema.JobRecord;
+import org.shoreusher.core.leadership.ShardLeadership;
+import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.core.store.Outbox;
+import org.shoreusher.core.store.StoreCache;
+import org.shoreusher.core.store.StoreSchema;
+import org.shoreusher.core.store.StoreSchema.JobRecord;
+import org.shoreusher.core.store.StoreSchema.SubmissionBatchRecord;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 
@@ -22,13 +26,13 @@
  * none; from then on only that record counts. So a job is started, cancelled and completed once
  * even if two nodes accept it in two batches, or a batch becomes visible late.
  */
-final class Arrivals {
+public final class SubmissionBatches {
     /** A job as its batch has it, and the version of the batch in the store. */
     private record BatchedJob(JobRecord record, long version) {}
 
     private final Settings settings;
     private final Outbox outbox;
-    private final StoreView storeCache;
+    private final StoreCache storeCache;
 
     /** The jobs without a record of their own, by id. */
     private final Object2ObjectLinkedOpenHashMap<String, BatchedJob> jobsWithoutOwnRecord =
@@ -44,7 +48,7 @@
     private long nextRemovalMs;
 
     /** No batches yet. */
-    Arrivals(Settings settings, Outbox outbox, StoreView storeCache) {
+    public SubmissionBatches(Settings settings, Outbox outbox, StoreCache storeCache) {
         this.settings = settings;
         this.outbox = outbox;
         this.storeCache = storeCache;
@@ -54,8 +58,8 @@
      * The record of a job in the cache of the store: its own, or else that of its batch; null if
      * there is neither.
      */
-    JobRecord jobRecord(String jobId) {
-        StoreView.Entry ownEntry = storeCache.get(StoreSchema.jobKey(jobId));
+    public JobRecord jobRecord(String jobId) {
+        StoreCache.Entry ownEntry = storeCache.get(StoreSchema.jobKey(jobId));
         if (ownEntry != null) {
             return JobRecord.fromMap(ownEntry.value());
         }
@@ -64,7 +68,7 @@
     }
 
     /** Calls {@code action} with the id and record of each job that has no record of its own. */
-    void forEachJob(BiConsumer<String, JobRecord> action) {
+    public void forEachJob(BiConsumer<String, JobRecord> action) {
         jobsWithoutOwnRecord.forEach((jobId, batched) -> action.accept(jobId, batched.record));
     }
 
@@ -76,7 +80,8 @@
      * @param after the batch; null if it was removed
      * @param onNewJob called with the id and record of each job that is new by it
      */
-    void batchChanged(String key, StoreView.Entry after, BiConsumer<String, JobRecord> onNewJob) {
+    public void batchChanged(
+            String key, StoreCache.Entry after, BiConsumer<String, JobRecord> onNewJob) {
         if (after == null) {
             Set<String> removedJobIds = batches.remove(key);
             if (removedJobIds != null) {
@@ -84,7 +89,7 @@
             }
             return;
         }
-        Map<String, JobRecord> jobs = ArrivalRecord.fromMap(after.value()).jobs();
+        Map<String, JobRecord> jobs = SubmissionBatchRecord.fromMap(after.value()).jobs();
         Set<String> withoutOwnRecord = new HashSet<>();
         jobs.forEach(
                 (jobId, record) -> {
@@ -107,14 +112,14 @@
     }
 
     /** The job has got a record of its own; the batch no longer counts for it. */
-    void ownRecordCreated(String jobId) {
+    public void ownRecordCreated(String jobId) {
         if (jobsWithoutOwnRecord.remove(jobId) != null) {
             batches.values().forEach(jobIds -> jobIds.remove(jobId));
         }
     }
 
     /** Removes batches all of whose jobs have records of their own, from time to time. */
-    void removeEmptyBatches(PartOwnership leadership) {
+    public void removeEmptyBatches(ShardLeadership leadership) {
         if (removalInFlight || outbox.now.monotonicMs() < nextRemovalMs) {
             return;
         }
@@ -131,7 +136,7 @@
         if (!writes.isEmpty()) {
             removalInFlight =
                     outbox.callStore(
-                            new StateOp.Multi(preconditions, writes),
+                            new StoreOperation.CompareAndSwap(preconditions, writes),
                             reply -> {
                                 removalInFlight = false;
                                 if (reply.status() == 200) {
--- a/src/main/java/org/shoreusher/core/EndedJobs.java
+++ b/src/main/java/org/shoreusher/core/job/TerminalJobCache.java
@@ -1,9 +1,12 @@
-package org.shoreusher.core;
+package org.shoreusher.core.job;
 
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
 import java.util.ArrayDeque;
-import org.shoreusher.core.StoreSchema.JobRecord;
+import org.shoreusher.core.store.Outbox;
+import org.shoreusher.core.store.StoreCache;
+import org.shoreusher.core.store.StoreSchema;
+import org.shoreusher.core.store.StoreSchema.JobRecord;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 
@@ -11,13 +14,13 @@
  * Jobs in a terminal state, which never changes. Their records are evicted from the cache of the
  * store; a bounded number is kept here, and the store keeps all of them.
  */
-final class EndedJobs {
+public final class TerminalJobCache {
     /** A cancelled job, and when its record is evicted; steady ms. */
     private record PendingEviction(String jobId, long evictAtMs) {}
 
     private final Settings settings;
     private final Outbox outbox;
-    private final StoreView storeCache;
+    private final StoreCache storeCache;
 
     /** Jobs evicted from the cache of the store; those dropped here can be read from the store. */
     private final Cache<String, JobRecord> terminalJobs =
@@ -30,19 +33,19 @@
     private final ArrayDeque<PendingEviction> pendingEvictions = new ArrayDeque<>();
 
     /** An empty cache. */
-    EndedJobs(Settings settings, Outbox outbox, StoreView storeCache) {
+    public TerminalJobCache(Settings settings, Outbox outbox, StoreCache storeCache) {
         this.settings = settings;
         this.outbox = outbox;
         this.storeCache = storeCache;
     }
 
     /** The record of a job in a terminal state; null if it is not in memory. */
-    JobRecord get(String jobId) {
+    public JobRecord get(String jobId) {
         return terminalJobs.getIfPresent(jobId);
     }
 
     /** A job has completed: moves its record from the cache of the store to this one. */
-    void jobCompleted(String jobId, JobRecord record) {
+    public void jobCompleted(String jobId, JobRecord record) {
         terminalJobs.put(jobId, record);
         storeCache.evict(StoreSchema.jobKey(jobId));
     }
@@ -51,7 +54,7 @@
      * A job has been cancelled: schedules the eviction of its record for a time when its tasks have
      * surely been stopped.
      */
-    void jobCancelled(String jobId) {
+    public void jobCancelled(String jobId) {
         pendingEvictions.add(
                 new PendingEviction(
                         jobId,
@@ -65,11 +68,11 @@
     /**
      * Evicts the records of cancelled jobs that are due, and keeps them here without their specs.
      */
-    void evictCancelledJobs() {
+    public void evictCancelledJobs() {
         while (!pendingEvictions.isEmpty()
                 && pendingEvictions.peek().evictAtMs() <= outbox.now.monotonicMs()) {
             String jobId = pendingEvictions.poll().jobId();
-            StoreView.Entry entry = storeCache.get(StoreSchema.jobKey(jobId));
+            StoreCache.Entry entry = storeCache.get(StoreSchema.jobKey(jobId));
             if (entry != null) {
                 JobRecord record = JobRecord.fromMap(entry.value());
                 terminalJobs.put(
--- a/src/main/java/org/shoreusher/core/FinalStates.java
+++ b/src/main/java/org/shoreusher/core/job/TerminalStateWriter.java
@@ -1,30 +1,35 @@
-package org.shoreusher.core;
+package org.shoreusher.core.job;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import org.shoreusher.core.Effect.StateOp;
-import org.shoreusher.core.StoreSchema.JobRecord;
+import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.leadership.ShardLeadership;
+import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.core.store.Outbox;
+import org.shoreusher.core.store.StoreCache;
+import org.shoreusher.core.store.StoreSchema;
+import org.shoreusher.core.store.StoreSchema.JobRecord;
 
 /**
  * Writes the terminal state of jobs whose last task has completed. Users are told of the state only
  * after the write is durable.
  */
-final class FinalStates {
+public final class TerminalStateWriter {
     private final Outbox outbox;
-    private final StoreView storeCache;
-    private final Arrivals submissionBatches;
-    private final PartOwnership leadership;
+    private final StoreCache storeCache;
+    private final SubmissionBatches submissionBatches;
+    private final ShardLeadership leadership;
 
     /** Jobs whose last task has completed and whose terminal state is not yet durable. */
     private final List<Job> completedJobs = new ArrayList<>();
 
     /** A writer for the jobs of one shard. */
-    FinalStates(
+    public TerminalStateWriter(
             Outbox outbox,
-            StoreView storeCache,
-            Arrivals submissionBatches,
-            PartOwnership leadership) {
+            StoreCache storeCache,
+            SubmissionBatches submissionBatches,
+            ShardLeadership leadership) {
         this.outbox = outbox;
         this.storeCache = storeCache;
         this.submissionBatches = submissionBatches;
@@ -35,7 +40,7 @@
      * Queues the job if its last task has completed. To be called when a task completes, and for
      * each job that this leader takes over.
      */
-    void taskCompleted(Job job) {
+    public void taskCompleted(Job job) {
         if (job.isComplete() && !completedJobs.contains(job)) {
             completedJobs.add(job);
         }
@@ -45,7 +50,7 @@
      * Sends the writes that are due, as far as the request rate allows. Does nothing unless this
      * node is the leader.
      */
-    void writeTerminalStates() {
+    public void writeTerminalStates() {
         if (completedJobs.isEmpty() || !leadership.isLeader()) {
             return;
         }
@@ -60,7 +65,7 @@
             // A failed precondition means that a cancellation came first; the watch will show it.
             job.terminalWriteInFlight =
                     outbox.callStore(
-                            new StateOp.Multi(
+                            new StoreOperation.CompareAndSwap(
                                     leadership.preconditions(
                                             StoreSchema.jobKey(job.id),
                                             storeCache.version(StoreSchema.jobKey(job.id))),
--- a/src/main/java/org/shoreusher/core/PartLease.java
+++ b/src/main/java/org/shoreusher/core/leadership/LeaderLease.java
@@ -1,5 +1,6 @@
-package org.shoreusher.core;
+package org.shoreusher.core.leadership;
 
+import org.shoreusher.core.message.ClockReading;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 
@@ -9,7 +10,7 @@
  * never overlap. Elapsed time is also measured by the monotonic clock, so a wall clock that is set
  * back extends nothing.
  */
-final class PartLease {
+public final class LeaderLease {
     private final long safetyMarginMs;
     private final long gracePeriodMs;
     private long expiryWallMs;
@@ -20,7 +21,7 @@
      *
      * @param settings the deployment's settings
      */
-    PartLease(Settings settings) {
+    public LeaderLease(Settings settings) {
         safetyMarginMs = settings.maxClockOffsetMs() + Tuning.LEASE_EXPIRY_MARGIN_MS;
         gracePeriodMs = gracePeriodMs(settings);
     }
@@ -32,7 +33,7 @@
      * lease, the grace period and the worker's lease together stay below the time limit of a
      * cancellation.
      */
-    static long gracePeriodMs(Settings settings) {
+    public static long gracePeriodMs(Settings settings) {
         double gracePeriodMs =
                 settings.cancellationLimitS() * 1000
                         - durationMs(settings)
@@ -53,7 +54,7 @@
      * lease), the drift of both clocks, and a margin for the confirmation's way to the user. A
      * lease renewal shows no cancellations, so it is irrelevant here.
      */
-    static long maxStoreCacheAgeMs(Settings settings) {
+    public static long maxStoreCacheAgeMs(Settings settings) {
         return (long) (settings.cancellationLimitS() * 1000 * (1 - Tuning.MAX_CLOCK_DRIFT))
                 - workerLeaseBoundMs(settings)
                 - Tuning.CANCELLATION_MARGIN_MS;
@@ -65,7 +66,7 @@
      * expire. (With worker leases of 10 s, a leader's lease of 9 s made every crash of a leader
      * kill its tasks.)
      */
-    static long durationMs(Settings settings) {
+    public static long durationMs(Settings settings) {
         double workerLeaseShareMs =
                 settings.workerLeaseS() * 1000 * Tuning.LEADER_LEASE_WORKER_LEASE_SHARE;
         return (long)
@@ -79,7 +80,7 @@
     }
 
     /** Returns the ms between renewals: a third of the lease, so that two renewals may fail. */
-    static long renewalIntervalMs(Settings settings) {
+    public static long renewalIntervalMs(Settings settings) {
         return durationMs(settings) / 3;
     }
 
@@ -87,7 +88,7 @@
      * Returns the ms after the last valid answer at which a worker's lease has certainly expired,
      * whatever the clock drift.
      */
-    static long workerLeaseBoundMs(Settings settings) {
+    public static long workerLeaseBoundMs(Settings settings) {
         return (long) Math.ceil(settings.workerLeaseS() * 1000 * (1 + Tuning.MAX_CLOCK_DRIFT))
                 + Tuning.WORKER_LEASE_MARGIN_MS;
     }
@@ -98,7 +99,7 @@
      * @param confirmedExpiryWallMs the expiry that was written, in wall-clock ms
      * @param sentAt the clocks when the write was sent
      */
-    void onConfirmed(long confirmedExpiryWallMs, ClockReading sentAt) {
+    public void onConfirmed(long confirmedExpiryWallMs, ClockReading sentAt) {
         expiryWallMs = confirmedExpiryWallMs;
         expiryMonotonicMs =
                 sentAt.monotonicMs()
@@ -113,7 +114,7 @@
     }
 
     /** Returns whether the leader may give orders. */
-    boolean isValid(ClockReading now) {
+    public boolean isValid(ClockReading now) {
         return remainingMs(now) > 0;
     }
 
@@ -135,7 +136,8 @@
      * @param recordedExpiryWallMs the expiry in the shard's record, in wall-clock ms
      * @param now the clocks
      */
-    static boolean isAcquirable(Settings settings, long recordedExpiryWallMs, ClockReading now) {
+    public static boolean isAcquirable(
+            Settings settings, long recordedExpiryWallMs, ClockReading now) {
         return now.wallMs()
                 > recordedExpiryWallMs
                         + settings.maxClockOffsetMs()
--- a/src/main/java/org/shoreusher/core/NamedStandby.java
+++ b/src/main/java/org/shoreusher/core/leadership/NamedStandby.java
@@ -1,4 +1,4 @@
-package org.shoreusher.core;
+package org.shoreusher.core.leadership;
 
 import java.util.HashSet;
 import java.util.Objects;
--- a/src/main/java/org/shoreusher/core/PartOwnership.java
+++ b/src/main/java/org/shoreusher/core/leadership/ShardLeadership.java
@@ -1,16 +1,21 @@
-package org.shoreusher.core;
+package org.shoreusher.core.leadership;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.function.Supplier;
-import org.shoreusher.core.Command.StateReply;
-import org.shoreusher.core.Effect.StateOp;
-import org.shoreusher.core.StoreSchema.FinishedRecord;
-import org.shoreusher.core.StoreSchema.PartRecord;
+import org.shoreusher.core.job.CompletionRecords;
+import org.shoreusher.core.message.ClockReading;
+import org.shoreusher.core.message.Command.StoreReply;
+import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.core.store.Outbox;
+import org.shoreusher.core.store.StoreCache;
+import org.shoreusher.core.store.StoreSchema;
+import org.shoreusher.core.store.StoreSchema.CompletionRecord;
+import org.shoreusher.core.store.StoreSchema.ShardRecord;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 import org.shoreusher.wire.FieldMap;
-import org.shoreusher.wire.StateFormat;
+import org.shoreusher.wire.StoreFormat;
 
 /**
  * The leadership of one shard: its lease, its term, and the fencing precondition of every write for
@@ -20,13 +25,13 @@
  * <p>The fencing key of a shard is written only when its leader changes. Each write has the key's
  * version as a precondition, so the writes of a previous leader fail, however late they arrive.
  */
-final class PartOwnership {
+public final class ShardLeadership {
     private final int shardNumber;
     private final Settings settings;
     private final Outbox outbox;
-    private final StoreView storeCache;
+    private final StoreCache storeCache;
     private final String processName;
-    private final PartLease lease;
+    private final LeaderLease lease;
     private final NamedStandby standby = new NamedStandby();
     private final long fencingVersion;
     private final long acquiredAtMs;
@@ -57,12 +62,12 @@
      * @param sentAt the clocks when the acquisition was sent
      * @param version the revision at which the store applied it
      */
-    PartOwnership(
+    public ShardLeadership(
             int shardNumber,
             Settings settings,
             Outbox outbox,
-            StoreView storeCache,
-            PartRecord record,
+            StoreCache storeCache,
+            ShardRecord record,
             ClockReading sentAt,
             long version) {
         this.shardNumber = shardNumber;
@@ -76,18 +81,18 @@
         recordVersion = version;
         acquiredAtMs = outbox.now.monotonicMs();
         leaderSinceMs = acquiredAtMs;
-        lease = new PartLease(settings);
+        lease = new LeaderLease(settings);
         lease.onConfirmed(record.leaseExpiryWallMs(), sentAt);
-        nextRenewalMs = sentAt.monotonicMs() + PartLease.renewalIntervalMs(settings);
+        nextRenewalMs = sentAt.monotonicMs() + LeaderLease.renewalIntervalMs(settings);
     }
 
     /** The name of the leading process, HOST/SUFFIX. */
-    String processName() {
+    public String processName() {
         return processName;
     }
 
     /** Returns whether the leadership has ended for good. */
-    boolean isLost() {
+    public boolean isLost() {
         return isLost;
     }
 
@@ -96,13 +101,13 @@
      *
      * @param standbyProcess the standby's process name; null: none
      */
-    void nameStandby(String standbyProcess) {
+    public void nameStandby(String standbyProcess) {
         standby.setDesired(standbyProcess);
         nextRenewalMs = Math.min(nextRenewalMs, outbox.now.monotonicMs());
     }
 
     /** Returns whether the record names no standby and no write in flight can still name one. */
-    boolean hasDefinitelyNoStandby() {
+    public boolean hasDefinitelyNoStandby() {
         return standby.isDefinitelyNone();
     }
 
@@ -110,7 +115,7 @@
      * Returns whether this node is the leader and its lease is valid, so that it may give orders
      * and change the stored state.
      */
-    boolean isLeader() {
+    public boolean isLeader() {
         return !isLost && lease.isValid(outbox.now);
     }
 
@@ -118,7 +123,7 @@
      * Returns whether heartbeats may be answered without orders, which extends the leases of the
      * workers: while the lease is valid and for a grace period after its expiry.
      */
-    boolean mayExtendWorkerLeases() {
+    public boolean mayExtendWorkerLeases() {
         return !isLost && lease.isWithinGracePeriod(outbox.now);
     }
 
@@ -126,7 +131,7 @@
      * The leader's current term, which workers receive as the fencing token. It starts at the
      * acquisition's term and can be raised.
      */
-    long term() {
+    public long term() {
         return term;
     }
 
@@ -134,7 +139,7 @@
      * The term of the acquisition. A worker that has seen it, or a higher one, has been answered by
      * this leader.
      */
-    long acquisitionTerm() {
+    public long acquisitionTerm() {
         return acquisitionTerm;
     }
 
@@ -142,22 +147,22 @@
      * The revision of the acquisition. A store cache that has reached it shows all writes of
      * previous leaders.
      */
-    long acquisitionRevision() {
+    public long acquisitionRevision() {
         return fencingVersion;
     }
 
     /** The monotonic time in ms since which the lease has been valid without interruption. */
-    long leaderSinceMs() {
+    public long leaderSinceMs() {
         return leaderSinceMs;
     }
 
     /** The monotonic time in ms at which the acquisition was confirmed. */
-    long acquiredAtMs() {
+    public long acquiredAtMs() {
         return acquiredAtMs;
     }
 
     /** Returns the precondition that fails after a later leadership change. */
-    Map<String, Long> fencingPrecondition() {
+    public Map<String, Long> fencingPrecondition() {
         return Map.of(StoreSchema.fencingKey(shardNumber), fencingVersion);
     }
 
@@ -165,7 +170,7 @@
      * Returns whether the store cache shows everything that was written before the renewal that
      * ended the last lease expiry.
      */
-    boolean isStoreCacheCaughtUp() {
+    public boolean isStoreCacheCaughtUp() {
         if (requiredRevision > 0 && storeCache.revision() >= requiredRevision) {
             requiredRevision = 0;
         }
@@ -173,7 +178,7 @@
     }
 
     /** Logs an expiry of the lease, once. */
-    void logLeaseExpiry() {
+    public void logLeaseExpiry() {
         if (!isLeader() && !isLost && !expiryLogged) {
             expiryLogged = true;
             outbox.logInfo(
@@ -188,17 +193,17 @@
      * @param completionSupplier supplies the completion records to write; supplies null as long as
      *     they are not loaded
      */
-    void renewLease(Supplier<FinishedRecords> completionSupplier) {
+    public void renewLease(Supplier<CompletionRecords> completionSupplier) {
         if (renewalInFlight || outbox.now.monotonicMs() < nextRenewalMs) {
             return;
         }
         ClockReading sentAt = outbox.now;
         long expiryWallMs =
-                Math.max(lease.expiryWallMs(), sentAt.wallMs() + PartLease.durationMs(settings));
-        FinishedRecords completions = completionSupplier.get();
+                Math.max(lease.expiryWallMs(), sentAt.wallMs() + LeaderLease.durationMs(settings));
+        CompletionRecords completions = completionSupplier.get();
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
-        PartRecord record =
-                new PartRecord(
+        ShardRecord record =
+                new ShardRecord(
                         processName,
                         expiryWallMs,
                         term,
@@ -224,14 +229,14 @@
                     || storeCache.get(StoreSchema.completionKey(shardNumber, chunk)) == null) {
                 writes.put(
                         StoreSchema.completionKey(shardNumber, chunk),
-                        new FinishedRecord(completedRanges).toMap());
+                        new CompletionRecord(completedRanges).toMap());
                 lastWrittenChunk = chunk;
             }
         }
         standby.onWriteSent(record.standby());
         renewalInFlight =
                 outbox.callStoreForLease(
-                        new StateOp.Multi(
+                        new StoreOperation.CompareAndSwap(
                                 preconditions(StoreSchema.shardKey(shardNumber), recordVersion),
                                 writes),
                         reply -> {
@@ -246,16 +251,16 @@
      *
      * @param chunk 0 for the shard's own record, a higher number for an overflow record
      */
-    Map<String, Object> storedCompletions(int chunk) {
+    public Map<String, Object> storedCompletions(int chunk) {
         if (chunk == 0) {
             return completionsInShardRecord();
         }
-        StoreView.Entry entry = storeCache.get(StoreSchema.completionKey(shardNumber, chunk));
-        return entry == null ? Map.of() : FinishedRecord.fromMap(entry.value()).completedRanges();
+        StoreCache.Entry entry = storeCache.get(StoreSchema.completionKey(shardNumber, chunk));
+        return entry == null ? Map.of() : CompletionRecord.fromMap(entry.value()).completedRanges();
     }
 
     private Map<String, Object> completionsInShardRecord() {
-        return PartRecord.fromMap(storeCache.get(StoreSchema.shardKey(shardNumber)).value())
+        return ShardRecord.fromMap(storeCache.get(StoreSchema.shardKey(shardNumber)).value())
                 .completedRanges();
     }
 
@@ -266,7 +271,7 @@
      * @param version the version that the key must have; 0: the key must be absent
      * @return that precondition and the fencing precondition
      */
-    Map<String, Long> preconditions(String key, long version) {
+    public Map<String, Long> preconditions(String key, long version) {
         Map<String, Long> preconditions = new LinkedHashMap<>();
         preconditions.put(StoreSchema.fencingKey(shardNumber), fencingVersion);
         preconditions.put(key, version);
@@ -274,10 +279,10 @@
     }
 
     private void onRenewalReply(
-            StateReply reply,
-            PartRecord record,
+            StoreReply reply,
+            ShardRecord record,
             ClockReading sentAt,
-            FinishedRecords completions,
+            CompletionRecords completions,
             Map<String, Map<String, Object>> writes) {
         if (isLost) {
             return;
@@ -288,7 +293,7 @@
             standby.onRecordConfirmed(record.standby());
             nextRenewalMs =
                     standby.isDesiredStored()
-                            ? sentAt.monotonicMs() + PartLease.renewalIntervalMs(settings)
+                            ? sentAt.monotonicMs() + LeaderLease.renewalIntervalMs(settings)
                             : outbox.now.monotonicMs();
             if (expiryLogged && isLeader()) {
                 expiryLogged = false;
@@ -311,7 +316,7 @@
             // was applied.
             renewalInFlight =
                     outbox.callStoreForLease(
-                            new StateOp.Multi(
+                            new StoreOperation.CompareAndSwap(
                                     Map.of(StoreSchema.fencingKey(shardNumber), fencingVersion),
                                     Map.of()),
                             fencingReply -> {
@@ -321,7 +326,8 @@
                                 }
                             });
             outbox.callStore(
-                    new StateOp.Get(StoreSchema.shardKey(shardNumber)), this::onShardRecordRead);
+                    new StoreOperation.Get(StoreSchema.shardKey(shardNumber)),
+                    this::onShardRecordRead);
         }
     }
 
@@ -332,13 +338,13 @@
         lease.onConfirmed(expiryWallMs, sentAt);
     }
 
-    private void onShardRecordRead(StateReply reply) {
+    private void onShardRecordRead(StoreReply reply) {
         if (isLost || reply.status() != 200) {
             return;
         }
         try {
-            StateFormat.Entry entry = StateFormat.readEntry(new FieldMap(reply.body()));
-            PartRecord record = PartRecord.fromMap(entry.value());
+            StoreFormat.Entry entry = StoreFormat.readEntry(new FieldMap(reply.body()));
+            ShardRecord record = ShardRecord.fromMap(entry.value());
             if (!record.leader().equals(processName)) {
                 loseLeadership("taken by " + record.leader());
             } else if (entry.version() > recordVersion) {
@@ -359,11 +365,11 @@
      *
      * @param observedToken the token that the worker has seen
      */
-    void raiseTerm(long observedToken) {
+    public void raiseTerm(long observedToken) {
         if (renewalInFlight || !isLeader()) {
             return;
         }
-        StoreView.Entry termEntry = storeCache.get(StoreSchema.TERM_KEY);
+        StoreCache.Entry termEntry = storeCache.get(StoreSchema.TERM_KEY);
         long storedTerm =
                 termEntry == null ? 0 : ((Number) termEntry.value().get("term")).longValue();
         long raisedTerm = Math.max(storedTerm, observedToken) + 1;
@@ -371,8 +377,8 @@
                 preconditions(StoreSchema.shardKey(shardNumber), recordVersion);
         preconditions.put(StoreSchema.TERM_KEY, termEntry == null ? 0 : termEntry.version());
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
-        PartRecord record =
-                new PartRecord(
+        ShardRecord record =
+                new ShardRecord(
                         processName,
                         lease.expiryWallMs(),
                         raisedTerm,
@@ -383,7 +389,7 @@
         standby.onWriteSent(record.standby());
         renewalInFlight =
                 outbox.callStoreForLease(
-                        new StateOp.Multi(preconditions, writes),
+                        new StoreOperation.CompareAndSwap(preconditions, writes),
                         reply -> {
                             renewalInFlight = false;
                             if (reply.status() == 200 && !isLost) {
@@ -408,7 +414,7 @@
      *
      * @param record the record that the store cache now shows
      */
-    void onShardRecordChange(PartRecord record) {
+    public void onShardRecordChange(ShardRecord record) {
         if (!record.leader().equals(processName)) {
             loseLeadership("taken by " + record.leader());
         }
@@ -423,15 +429,16 @@
      * @param reason the reason, for the log
      * @param completions the completed tasks to store with the record
      */
-    void stepDown(String reason, FinishedRecords completions) {
+    public void stepDown(String reason, CompletionRecords completions) {
         if (renewalInFlight) {
             return;
         }
         // The standby takes over at once, and it knows every order that left this leader.
-        PartRecord record =
-                new PartRecord(processName, 0, term, completions.recordValue(0), standby.desired());
+        ShardRecord record =
+                new ShardRecord(
+                        processName, 0, term, completions.recordValue(0), standby.desired());
         if (outbox.callStoreForLease(
-                new StateOp.Multi(
+                new StoreOperation.CompareAndSwap(
                         preconditions(StoreSchema.shardKey(shardNumber), recordVersion),
                         Map.of(StoreSchema.shardKey(shardNumber), record.toMap())),
                 reply -> {})) {
--- a/src/main/java/org/shoreusher/core/Fleet.java
+++ b/src/main/java/org/shoreusher/core/machine/Autoscaler.java
@@ -1,4 +1,4 @@
-package org.shoreusher.core;
+package org.shoreusher.core.machine;
 
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 import java.util.ArrayList;
@@ -6,7 +6,14 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import org.shoreusher.core.Effect.CloudOp;
+import org.shoreusher.core.Shard;
+import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.message.Effect.CloudOperation;
+import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.core.message.MachineType;
+import org.shoreusher.core.schedule.BinPacker;
+import org.shoreusher.core.store.Outbox;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 
@@ -14,16 +21,16 @@
  * Scales the machines of one shard out and in: plans once a second what to provision, drain and
  * hand over to other shards, and runs the calls to the cloud that follow from it.
  */
-final class Fleet {
-    private final Part shard;
+public final class Autoscaler {
+    private final Shard shard;
     private final Settings settings;
     private final Outbox outbox;
-    private final MachineTypes typeCatalog;
-    private final Rentals scaleOut;
-    private final MachineList inventory;
-    private final StandbyCapacity reservedReplicaCapacity;
-    private final Retirement machineCordon;
-    private final Returns scaleIn;
+    private final MachineTypeCatalog typeCatalog;
+    private final ScaleOut scaleOut;
+    private final CloudInventory inventory;
+    private final ReservedReplicaCapacity reservedReplicaCapacity;
+    private final MachineCordon machineCordon;
+    private final ScaleIn scaleIn;
 
     /** Usable machines that the last plan had no tasks for. */
     private final Set<Machine> surplusMachines = new HashSet<>();
@@ -35,23 +42,25 @@
     private long nextPlanMs;
 
     /** Creates the autoscaler of a shard. */
-    Fleet(Part shard, Settings settings, Outbox outbox, MachineTypes typeCatalog) {
+    public Autoscaler(
+            Shard shard, Settings settings, Outbox outbox, MachineTypeCatalog typeCatalog) {
         this.shard = shard;
         this.settings = settings;
         this.outbox = outbox;
         this.typeCatalog = typeCatalog;
-        scaleOut = new Rentals(shard, settings, outbox, this);
-        inventory = new MachineList(shard, settings, outbox, typeCatalog);
-        reservedReplicaCapacity = new StandbyCapacity(shard, settings, typeCatalog, scaleOut);
-        machineCordon = new Retirement(shard, settings, outbox);
-        scaleIn = new Returns(shard, outbox);
+        scaleOut = new ScaleOut(shard, settings, outbox, this);
+        inventory = new CloudInventory(shard, settings, outbox, typeCatalog);
+        reservedReplicaCapacity =
+                new ReservedReplicaCapacity(shard, settings, typeCatalog, scaleOut);
+        machineCordon = new MachineCordon(shard, settings, outbox);
+        scaleIn = new ScaleIn(shard, outbox);
     }
 
     /**
      * Runs what is due, as long as this node holds the shard's lease and knows the machine types.
      * While reconciliation is incomplete, machines are only added.
      */
-    void step() {
+    public void step() {
         if (!shard.isLeader() || !typeCatalog.isLoaded()) {
             return;
         }
@@ -71,7 +80,7 @@
     }
 
     /** The cloud's machine list as last read. */
-    MachineList inventory() {
+    public CloudInventory inventory() {
         return inventory;
     }
 
@@ -80,7 +89,7 @@
      *
      * @param requestedWallMs wall-clock ms at which the request was sent
      */
-    void addProvisioned(String id, CloudOp.Rent request, long requestedWallMs) {
+    void addProvisioned(String id, CloudOperation.Provision request, long requestedWallMs) {
         if (!shard.isLeadershipLost()
                 && !shard.machines().containsKey(id)
                 && !inventory.isTerminated(id)) {
@@ -105,16 +114,16 @@
     // ---- scale out ---------------------------------------------------------------------------
 
     private void plan() {
-        List<Planner.Slot> capacities = machineCapacities();
+        List<BinPacker.MachineCapacity> capacities = machineCapacities();
         capacities.addAll(scaleOut.pendingCapacity());
-        Planner binPacker =
-                new Planner(
+        BinPacker binPacker =
+                new BinPacker(
                         capacities,
                         shard.quotaHeadroom()::cpuHeadroomForScaleOut,
                         shard.quotaHeadroom()::gpuHeadroom);
         List<Job> jobs = shard.openJobs().inSchedulingOrder();
         int maxNewMachines = scaleOut.maxNewMachines();
-        List<Planner.Slot> toProvision = new ArrayList<>();
+        List<BinPacker.MachineCapacity> toProvision = new ArrayList<>();
         Object2IntOpenHashMap<String> machinesPerZone = countPerZone();
         for (Job job : jobs) {
             MachineType cheapestType = cheapestType(job.spec);
@@ -158,13 +167,13 @@
     private void provisionFor(
             Job job,
             int taskCount,
-            Planner binPacker,
-            List<Planner.Slot> toProvision,
+            BinPacker binPacker,
+            List<BinPacker.MachineCapacity> toProvision,
             int maxNewMachines,
             Object2IntOpenHashMap<String> machinesPerZone) {
         int unplaced = taskCount;
         while (unplaced > 0 && toProvision.size() < maxNewMachines) {
-            Rentals.MachineKind kind = chooseKind(job.spec, machinesPerZone);
+            ScaleOut.MachineKind kind = chooseKind(job.spec, machinesPerZone);
             if (kind == null) {
                 return;
             }
@@ -175,7 +184,8 @@
             int count =
                     Math.max(1, Math.min(machinesPerRound, maxNewMachines - toProvision.size()));
             for (int i = 0; i < count; i++) {
-                Planner.Slot capacity = new Planner.Slot(type, kind.zone(), kind.spot());
+                BinPacker.MachineCapacity capacity =
+                        new BinPacker.MachineCapacity(type, kind.zone(), kind.spot());
                 toProvision.add(capacity);
                 binPacker.addCapacity(capacity);
             }
@@ -185,14 +195,14 @@
     }
 
     /** The free capacity of machines that can start tasks or are booting. */
-    private List<Planner.Slot> machineCapacities() {
-        List<Planner.Slot> capacities = new ArrayList<>();
+    private List<BinPacker.MachineCapacity> machineCapacities() {
+        List<BinPacker.MachineCapacity> capacities = new ArrayList<>();
         for (Machine machine : shard.machines().values()) {
             // A machine that a previous leader used has no capacity until it is reconciled: it may
             // hold tasks, or be unreachable.
             if (shard.isAvailable(machine)
                     || (machine.state == Machine.State.BOOTING && !machine.mayHaveRunTasks)) {
-                capacities.add(new Planner.Slot(machine));
+                capacities.add(new BinPacker.MachineCapacity(machine));
             }
         }
         return capacities;
@@ -203,8 +213,8 @@
      * every waiting task at once.
      */
     private void measureShortfall(List<Job> jobs) {
-        Planner binPacker =
-                new Planner(
+        BinPacker binPacker =
+                new BinPacker(
                         machineCapacities(),
                         shard.quotaHeadroom()::cpuHeadroomForScaleOut,
                         shard.quotaHeadroom()::gpuHeadroom);
@@ -223,7 +233,7 @@
 
     /** Tasks of a job that fit on an empty machine. */
     private static int tasksPerMachine(MachineType type, JobSpec spec) {
-        return new Planner.Slot(type, "", true).fittingTaskCount(spec);
+        return new BinPacker.MachineCapacity(type, "", true).fittingTaskCount(spec);
     }
 
     /** The shard's machines in each zone, requested ones included. */
@@ -235,12 +245,12 @@
     }
 
     /** Whether the last plan had no tasks for this machine. */
-    boolean isSurplus(Machine machine) {
+    public boolean isSurplus(Machine machine) {
         return surplusMachines.contains(machine);
     }
 
     /** How many more machines the shard could fill at once. */
-    int machineShortfall() {
+    public int machineShortfall() {
         return machineShortfall;
     }
 
@@ -344,15 +354,15 @@
      * cheapest type was considered, tasks waited in a deployment with few large machines although
      * hundreds of small ones were available.
      */
-    private Rentals.MachineKind chooseKind(
+    private ScaleOut.MachineKind chooseKind(
             JobSpec spec, Object2IntOpenHashMap<String> machinesPerZone) {
-        Rentals.MachineKind spot = chooseKind(spec, true, machinesPerZone);
+        ScaleOut.MachineKind spot = chooseKind(spec, true, machinesPerZone);
         return spot != null ? spot : chooseKind(spec, false, machinesPerZone);
     }
 
-    private Rentals.MachineKind chooseKind(
+    private ScaleOut.MachineKind chooseKind(
             JobSpec spec, boolean spot, Object2IntOpenHashMap<String> machinesPerZone) {
-        Rentals.MachineKind best = null;
+        ScaleOut.MachineKind best = null;
         double lowestPrice = Double.MAX_VALUE;
         for (MachineType type : typeCatalog.all()) {
             double price = pricePerTask(type, spot, spec);
@@ -362,7 +372,7 @@
                 continue;
             }
             for (String zone : type.zones()) {
-                Rentals.MachineKind kind = new Rentals.MachineKind(type.name(), zone, spot);
+                ScaleOut.MachineKind kind = new ScaleOut.MachineKind(type.name(), zone, spot);
                 boolean better =
                         best == null
                                 || price < lowestPrice
--- a/src/main/java/org/shoreusher/core/MachineList.java
+++ b/src/main/java/org/shoreusher/core/machine/CloudInventory.java
@@ -1,4 +1,4 @@
-package org.shoreusher.core;
+package org.shoreusher.core.machine;
 
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
 import it.unimi.dsi.fastutil.objects.ObjectLinkedOpenHashSet;
@@ -6,10 +6,14 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import org.shoreusher.core.Command.CloudReply;
-import org.shoreusher.core.Command.ListPage;
-import org.shoreusher.core.Command.Listed;
-import org.shoreusher.core.Effect.CloudOp;
+import org.shoreusher.core.Shard;
+import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.message.ClockReading;
+import org.shoreusher.core.message.Command.CloudReply;
+import org.shoreusher.core.message.Command.ListedMachine;
+import org.shoreusher.core.message.Command.MachineListPage;
+import org.shoreusher.core.message.Effect.CloudOperation;
+import org.shoreusher.core.store.Outbox;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 import org.shoreusher.wire.CloudFormat;
@@ -19,11 +23,11 @@
  * Polls the cloud's machine list, which lags behind, for one shard. From it the shard learns which
  * of its machines have been terminated, and which machines have no record and need to be adopted.
  */
-final class MachineList {
-    private final Part shard;
+public final class CloudInventory {
+    private final Shard shard;
     private final Settings settings;
     private final Outbox outbox;
-    private final MachineTypes typeCatalog;
+    private final MachineTypeCatalog typeCatalog;
 
     /** Listed machines without a record, with the steady ms at which they were first seen. */
     private final Object2LongOpenHashMap<String> unrecordedSinceMs = new Object2LongOpenHashMap<>();
@@ -46,7 +50,7 @@
      *
      * @param requestedAt when the first page was requested
      */
-    private record PartialList(ClockReading requestedAt, List<Listed> machines) {
+    private record PartialList(ClockReading requestedAt, List<ListedMachine> machines) {
         /** The last machine so far, after which the next page begins; null for the first page. */
         String lastMachineId() {
             return machines.isEmpty() ? null : machines.get(machines.size() - 1).machineId();
@@ -54,7 +58,7 @@
     }
 
     /** Creates the inventory of a shard; nothing is listed yet. */
-    MachineList(Part shard, Settings settings, Outbox outbox, MachineTypes typeCatalog) {
+    CloudInventory(Shard shard, Settings settings, Outbox outbox, MachineTypeCatalog typeCatalog) {
         this.shard = shard;
         this.settings = settings;
         this.outbox = outbox;
@@ -73,12 +77,12 @@
     }
 
     /** Whether the machine is known to have been terminated. */
-    boolean isTerminated(String id) {
+    public boolean isTerminated(String id) {
         return terminatedIds.contains(id);
     }
 
     /** Whether the newest complete list has the machine. */
-    boolean isListed(String id) {
+    public boolean isListed(String id) {
         return listedIds.contains(id);
     }
 
@@ -99,7 +103,8 @@
         }
         awaitingReply =
                 outbox.callCloud(
-                        new CloudOp.Listing(partialList.lastMachineId()), this::handlePage);
+                        new CloudOperation.ListMachines(partialList.lastMachineId()),
+                        this::handlePage);
     }
 
     private void handlePage(CloudReply reply) {
@@ -116,7 +121,7 @@
             return;
         }
         try {
-            ListPage page = CloudFormat.readMachinePage(new FieldMap(reply.body()));
+            MachineListPage page = CloudFormat.readMachinePage(new FieldMap(reply.body()));
             current.machines().addAll(page.machines());
             if (page.hasMore() && !page.machines().isEmpty()) {
                 partialList = current;
@@ -129,9 +134,9 @@
         }
     }
 
-    private void applyList(List<Listed> listedMachines, ClockReading requestedAt) {
+    private void applyList(List<ListedMachine> listedMachines, ClockReading requestedAt) {
         Set<String> ids = new HashSet<>();
-        for (Listed listedMachine : listedMachines) {
+        for (ListedMachine listedMachine : listedMachines) {
             ids.add(listedMachine.machineId());
             Machine machine = shard.machines().get(listedMachine.machineId());
             if (machine != null && listedMachine.state().equals("failed")) {
@@ -164,7 +169,7 @@
      * Adopts a listed machine without a record once it has been listed for long enough that no
      * reply to a provisioning request can still be on its way.
      */
-    private void adoptIfStillListed(Listed listedMachine) {
+    private void adoptIfStillListed(ListedMachine listedMachine) {
         if (!unrecordedSinceMs.containsKey(listedMachine.machineId())) {
             unrecordedSinceMs.put(listedMachine.machineId(), outbox.now.monotonicMs());
         } else if (outbox.now.monotonicMs() - unrecordedSinceMs.getLong(listedMachine.machineId())
--- a/src/main/java/org/shoreusher/core/Retirement.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineCordon.java
@@ -1,5 +1,10 @@
-package org.shoreusher.core;
+package org.shoreusher.core.machine;
 
+import org.shoreusher.core.Shard;
+import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.cluster.TaskAttempt;
+import org.shoreusher.core.leadership.LeaderLease;
+import org.shoreusher.core.store.Outbox;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 
@@ -8,13 +13,13 @@
  * notice or behind a one-way partition, unresponsive ones, and those that failed to boot. They are
  * drained and then terminated.
  */
-final class Retirement {
-    private final Part shard;
+final class MachineCordon {
+    private final Shard shard;
     private final Settings settings;
     private final Outbox outbox;
 
     /** Creates the cordon of a shard. */
-    Retirement(Part shard, Settings settings, Outbox outbox) {
+    MachineCordon(Shard shard, Settings settings, Outbox outbox) {
         this.shard = shard;
         this.settings = settings;
         this.outbox = outbox;
@@ -101,7 +106,7 @@
                 && (machine.state == Machine.State.UP || machine.state == Machine.State.BOOTING)
                 && machine.tasks.isEmpty()
                 && sinceLeaseRenewalMs(machine)
-                        > PartLease.workerLeaseBoundMs(settings) + Tuning.MIN_BILLED_MS;
+                        > LeaderLease.workerLeaseBoundMs(settings) + Tuning.MIN_BILLED_MS;
     }
 
     /**
--- a/src/main/java/org/shoreusher/core/MachineIndex.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineIndex.java
@@ -1,12 +1,14 @@
-package org.shoreusher.core;
+package org.shoreusher.core.machine;
 
 import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap;
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
 import java.util.function.BiConsumer;
-import org.shoreusher.core.StoreSchema.MachineGroupRecord;
-import org.shoreusher.core.StoreSchema.MachineRecord;
+import org.shoreusher.core.store.StoreCache;
+import org.shoreusher.core.store.StoreSchema;
+import org.shoreusher.core.store.StoreSchema.MachineGroupRecord;
+import org.shoreusher.core.store.StoreSchema.MachineRecord;
 
 /**
  * The records of all machines by machine name, from this node's cache of the store. The store keeps
@@ -14,19 +16,19 @@
  * that a leader with a larger value limit wrote. The narrow one has precedence, but the machine
  * counts as used if either says so.
  */
-final class MachineIndex {
+public final class MachineIndex {
     private final Object2ObjectOpenHashMap<String, MachineRecord> recordsById =
             new Object2ObjectOpenHashMap<>();
     private final Object2ObjectOpenHashMap<String, Map<String, MachineRecord>> groupsByKey =
             new Object2ObjectOpenHashMap<>();
 
     /** Returns the machine's record, or null. */
-    MachineRecord get(String id) {
+    public MachineRecord get(String id) {
         return recordsById.get(id);
     }
 
     /** The records of all machines by machine name; not to be changed. */
-    Map<String, MachineRecord> recordsById() {
+    public Map<String, MachineRecord> recordsById() {
         return recordsById;
     }
 
@@ -44,8 +46,8 @@
      * @param onRecordChange called with each machine whose record is new or different now
      * @throws IllegalStateException if the value can't be parsed
      */
-    void updateGroup(
-            String key, StoreView.Entry entry, BiConsumer<String, MachineRecord> onRecordChange) {
+    public void updateGroup(
+            String key, StoreCache.Entry entry, BiConsumer<String, MachineRecord> onRecordChange) {
         Map<String, MachineRecord> updatedGroup =
                 entry == null
                         ? Map.of()
--- a/src/main/java/org/shoreusher/core/MachineLifecycle.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineLifecycle.java
@@ -1,21 +1,29 @@
-package org.shoreusher.core;
+package org.shoreusher.core.machine;
 
-import org.shoreusher.core.StoreSchema.MachineRecord;
+import org.shoreusher.core.NodeContext;
+import org.shoreusher.core.Shard;
+import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.cluster.ResourceLedger;
+import org.shoreusher.core.leadership.LeaderLease;
+import org.shoreusher.core.leadership.ShardLeadership;
+import org.shoreusher.core.message.MachineType;
+import org.shoreusher.core.store.Outbox;
+import org.shoreusher.core.store.StoreSchema.MachineRecord;
 import org.shoreusher.settings.Settings;
 
 /**
  * Adds machines to a shard and removes them, with the tasks that are or may be on them. One for
  * each shard that this node leads.
  */
-final class MachineLifecycle {
-    private final Part shard;
+public final class MachineLifecycle {
+    private final Shard shard;
     private final int shardCount;
     private final Settings settings;
     private final Outbox outbox;
     private final MachineIndex machineIndex;
-    private final MachineTypes typeCatalog;
-    private final Part.Others peerView;
-    private final PartOwnership leadership;
+    private final MachineTypeCatalog typeCatalog;
+    private final Shard.PeerView peerView;
+    private final ShardLeadership leadership;
     private final ResourceLedger ledger;
 
     /**
@@ -23,12 +31,12 @@
      *
      * @param shardCount number of shards of the cluster
      */
-    MachineLifecycle(
-            Part shard,
+    public MachineLifecycle(
+            Shard shard,
             int shardCount,
             NodeContext context,
-            Part.Others peerView,
-            PartOwnership leadership,
+            Shard.PeerView peerView,
+            ShardLeadership leadership,
             ResourceLedger ledger) {
         this.shard = shard;
         this.shardCount = shardCount;
@@ -46,7 +54,7 @@
      *
      * @return the machine; null if its type is unknown
      */
-    Machine addRecordedMachine(String id, MachineRecord record) {
+    public Machine addRecordedMachine(String id, MachineRecord record) {
         MachineType type = typeCatalog.get(record.type());
         if (type == null) {
             return null;
@@ -63,7 +71,7 @@
                         + Math.max(
                                 0,
                                 Math.min(
-                                        PartLease.gracePeriodMs(settings),
+                                        LeaderLease.gracePeriodMs(settings),
                                         peerView.storeOutageGossipValidUntilMs()
                                                 - leadership.acquiredAtMs()));
         machine.previousLeaderRenewalAtMs = machine.leaseRenewedAtMs;
@@ -78,7 +86,7 @@
      * @param provisionedWallMs wall-clock ms at which it was requested
      * @return the machine; null if {@code type} is null
      */
-    Machine addNewMachine(
+    public Machine addNewMachine(
             String id, MachineType type, String zone, boolean spot, long provisionedWallMs) {
         if (type == null) {
             return null;
@@ -94,7 +102,7 @@
      * Puts the tasks of machines whose worker leases have expired back into the queue. The worker
      * has killed them by then.
      */
-    void expireWorkerLeases() {
+    public void expireWorkerLeases() {
         for (Machine machine : shard.machines().values()) {
             if (!machine.tasks.isEmpty() && shard.hasWorkerLeaseExpired(machine)) {
                 outbox.logInfo(
@@ -144,7 +152,7 @@
      * Applies a changed machine record: adds a machine that was handed over to this shard, and
      * removes an empty one that belongs to another shard now.
      */
-    void applyRecord(String id, MachineRecord record) {
+    public void applyRecord(String id, MachineRecord record) {
         Machine machine = shard.machines().get(id);
         // A write made before the machine was terminated may reach the cache after that.
         if (shard.isLoaded()
--- a/src/main/java/org/shoreusher/core/MachineRecords.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineRecords.java
@@ -1,4 +1,4 @@
-package org.shoreusher.core;
+package org.shoreusher.core.machine;
 
 import it.unimi.dsi.fastutil.objects.ObjectLinkedOpenHashSet;
 import java.util.ArrayList;
@@ -7,9 +7,16 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import org.shoreusher.core.Effect.StateOp;
-import org.shoreusher.core.StoreSchema.MachineGroupRecord;
-import org.shoreusher.core.StoreSchema.MachineRecord;
+import org.shoreusher.core.NodeContext;
+import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.leadership.ShardLeadership;
+import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.core.store.Outbox;
+import org.shoreusher.core.store.StoreCache;
+import org.shoreusher.core.store.StoreSchema;
+import org.shoreusher.core.store.StoreSchema.MachineGroupRecord;
+import org.shoreusher.core.store.StoreSchema.MachineRecord;
+import org.shoreusher.core.store.VersionNegotiation;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 
@@ -19,14 +26,14 @@
  * changes, and on the leader's fencing token: shards that share a group can't undo each other's
  * writes, and a previous leader can't write at all.
  */
-final class MachineRecords {
+public final class MachineRecords {
     private final int shardNumber;
     private final Settings settings;
     private final Outbox outbox;
-    private final StoreView storeCache;
+    private final StoreCache storeCache;
     private final MachineIndex machineIndex;
-    private final MemberFormats versionNegotiation;
-    private final PartOwnership leadership;
+    private final VersionNegotiation versionNegotiation;
+    private final ShardLeadership leadership;
     private final Map<String, Machine> machines;
 
     /** Called with a machine that belongs to another shard now. */
@@ -50,10 +57,10 @@
      * @param machines the shard's machines by name; read, never changed
      * @param onHandedOver called with each machine that belongs to another shard now
      */
-    MachineRecords(
+    public MachineRecords(
             int shardNumber,
             NodeContext context,
-            PartOwnership leadership,
+            ShardLeadership leadership,
             Map<String, Machine> machines,
             Consumer<String> onHandedOver) {
         this.onHandedOver = onHandedOver;
@@ -68,7 +75,7 @@
     }
 
     /** Has the record of a machine that is new, used or terminated written or removed. */
-    void markDirty(String id) {
+    public void markDirty(String id) {
         dirtyIds.add(id);
     }
 
@@ -112,7 +119,7 @@
      * machines, in batches: a few hundred machines that boot within seconds would otherwise use up
      * the store's rate limit. At most one write is in flight.
      */
-    void write() {
+    public void write() {
         if (writeInFlight
                 || (dirtyIds.isEmpty() && wideGroupsToSplit.isEmpty())
                 || !leadership.isLeader()
@@ -146,7 +153,7 @@
         }
         writeInFlight =
                 outbox.callStore(
-                        new StateOp.Multi(preconditions, writes),
+                        new StoreOperation.CompareAndSwap(preconditions, writes),
                         reply -> {
                             writeInFlight = false;
                             if (leadership.isLost()) {
--- a/src/main/java/org/shoreusher/core/MachineTypes.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineTypeCatalog.java
@@ -1,12 +1,16 @@
-package org.shoreusher.core;
+package org.shoreusher.core.machine;
 
 import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap;
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
-import org.shoreusher.core.Command.CloudReply;
-import org.shoreusher.core.Effect.CloudOp;
-import org.shoreusher.core.Effect.StateOp;
+import org.shoreusher.core.message.Command.CloudReply;
+import org.shoreusher.core.message.Effect.CloudOperation;
+import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.core.message.MachineType;
+import org.shoreusher.core.store.Outbox;
+import org.shoreusher.core.store.StoreCache;
+import org.shoreusher.core.store.StoreSchema;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 import org.shoreusher.wire.CloudFormat;
@@ -17,17 +21,17 @@
  * writes them to the key-value store, so that a node that restarts during an outage of the cloud's
  * API has them.
  */
-final class MachineTypes {
+public final class MachineTypeCatalog {
     private final Settings settings;
     private final Outbox outbox;
-    private final StoreView storeCache;
+    private final StoreCache storeCache;
     private final Object2ObjectOpenHashMap<String, MachineType> typesByName =
             new Object2ObjectOpenHashMap<>();
     private boolean requestInFlight;
     private long nextRequestMs;
 
     /** Creates an empty catalog. */
-    MachineTypes(Settings settings, Outbox outbox, StoreView storeCache) {
+    public MachineTypeCatalog(Settings settings, Outbox outbox, StoreCache storeCache) {
         this.settings = settings;
         this.outbox = outbox;
         this.storeCache = storeCache;
@@ -37,17 +41,17 @@
      * Whether the types are known, from the cloud or the store. Without them no machine can be
      * used.
      */
-    boolean isLoaded() {
+    public boolean isLoaded() {
         return !typesByName.isEmpty();
     }
 
     /** Returns the type of this name, or null. */
-    MachineType get(String name) {
+    public MachineType get(String name) {
         return typesByName.get(name);
     }
 
     /** All types, in no particular order. */
-    Collection<MachineType> all() {
+    public Collection<MachineType> all() {
         return typesByName.values();
     }
 
@@ -57,14 +61,14 @@
      *
      * @param provisioning whether this node leads a shard, and so provisions machines
      */
-    void step(boolean provisioning) {
+    public void step(boolean provisioning) {
         if (!storeCache.isLoaded()
                 || requestInFlight
                 || outbox.now.monotonicMs() < nextRequestMs
                 || (isLoaded() && !provisioning)) {
             return;
         }
-        requestInFlight = outbox.callCloud(new CloudOp.Types(), this::handleReply);
+        requestInFlight = outbox.callCloud(new CloudOperation.ListTypes(), this::handleReply);
     }
 
     private void handleReply(CloudReply reply) {
@@ -79,7 +83,7 @@
                         && FieldMap.jsonLength(reply.body()) <= settings.maxValueBytes();
         if (parse(reply.body()) && shouldStore) {
             outbox.callStore(
-                    new StateOp.Multi(
+                    new StoreOperation.CompareAndSwap(
                             Map.of(StoreSchema.MACHINE_TYPES_KEY, 0L),
                             Map.of(StoreSchema.MACHINE_TYPES_KEY, reply.body())),
                     stored -> {});
@@ -87,7 +91,7 @@
     }
 
     /** Takes the types from the store unless they are known already. */
-    void loadFromStore(Map<String, Object> value) {
+    public void loadFromStore(Map<String, Object> value) {
         if (!isLoaded()) {
             parse(value);
         }
--- a/src/main/java/org/shoreusher/core/StandbyCapacity.java
+++ b/src/main/java/org/shoreusher/core/machine/ReservedReplicaCapacity.java
@@ -1,8 +1,15 @@
-package org.shoreusher.core;
+package org.shoreusher.core.machine;
 
 import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap;
 import java.util.Comparator;
 import java.util.List;
+import org.shoreusher.core.Shard;
+import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.cluster.TaskAttempt;
+import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.core.message.MachineType;
+import org.shoreusher.core.schedule.BinPacker;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 
@@ -11,11 +18,11 @@
  * a replica that lost its machine must restart, sooner than a machine boots. Batch tasks may use
  * these machines meanwhile and are preempted.
  */
-final class StandbyCapacity {
-    private final Part shard;
+final class ReservedReplicaCapacity {
+    private final Shard shard;
     private final Settings settings;
-    private final MachineTypes machineTypes;
-    private final Rentals scaleOut;
+    private final MachineTypeCatalog machineTypes;
+    private final ScaleOut scaleOut;
 
     /** CPUs on on-demand machines that no replica uses, by zone. */
     private final Object2DoubleOpenHashMap<String> freeCpusByZone =
@@ -31,7 +38,8 @@
     private String zoneWithMostCapacity;
 
     /** Creates the reservation of one shard. */
-    StandbyCapacity(Part shard, Settings settings, MachineTypes machineTypes, Rentals scaleOut) {
+    ReservedReplicaCapacity(
+            Shard shard, Settings settings, MachineTypeCatalog machineTypes, ScaleOut scaleOut) {
         this.shard = shard;
         this.settings = settings;
         this.machineTypes = machineTypes;
@@ -44,7 +52,7 @@
      * @param requested machines to request so far
      * @param maxMachines upper bound on the number of machines in the request
      */
-    void step(List<Planner.Slot> requested, int maxMachines) {
+    void step(List<BinPacker.MachineCapacity> requested, int maxMachines) {
         MachineType type =
                 machineTypes.all().stream()
                         .min(
@@ -80,8 +88,10 @@
         for (String zone : type.zones()) {
             while (freeCpusByZone.getDouble(zone) < targetCpusPerZone
                     && requested.size() < maxMachines
-                    && !scaleOut.isUnavailable(new Rentals.MachineKind(type.name(), zone, false))) {
-                Planner.Slot capacity = new Planner.Slot(type, zone, false);
+                    && !scaleOut.isUnavailable(
+                            new ScaleOut.MachineKind(type.name(), zone, false))) {
+                BinPacker.MachineCapacity capacity =
+                        new BinPacker.MachineCapacity(type, zone, false);
                 requested.add(capacity);
                 addCapacity(capacity);
             }
@@ -106,7 +116,7 @@
                 : zoneWithMostCapacity;
     }
 
-    private void addCapacity(Planner.Slot capacity) {
+    private void addCapacity(BinPacker.MachineCapacity capacity) {
         if (!capacity.spot) {
             freeCpusByZone.addTo(capacity.zone, capacity.type.cpus());
         }
--- a/src/main/java/org/shoreusher/core/Returns.java
+++ b/src/main/java/org/shoreusher/core/machine/ScaleIn.java
@@ -1,19 +1,22 @@
-package org.shoreusher.core;
+package org.shoreusher.core.machine;
 
 import java.util.ArrayList;
 import java.util.List;
-import org.shoreusher.core.Effect.CloudOp;
+import org.shoreusher.core.Shard;
+import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.message.Effect.CloudOperation;
+import org.shoreusher.core.store.Outbox;
 import org.shoreusher.settings.Tuning;
 
 /** Terminates the drained machines of a shard once they are empty; one call at a time. */
-final class Returns {
-    private final Part shard;
+final class ScaleIn {
+    private final Shard shard;
     private final Outbox outbox;
     private boolean terminationInFlight;
     private long nextTerminationMs;
 
     /** Creates the scale-in of a shard. */
-    Returns(Part shard, Outbox outbox) {
+    ScaleIn(Shard shard, Outbox outbox) {
         this.shard = shard;
         this.outbox = outbox;
     }
@@ -39,7 +42,7 @@
         }
         terminationInFlight =
                 outbox.callCloud(
-                        new CloudOp.Return(List.copyOf(ids)),
+                        new CloudOperation.Terminate(List.copyOf(ids)),
                         reply -> {
                             terminationInFlight = false;
                             if (reply.status() != 200) {
--- a/src/main/java/org/shoreusher/core/Rentals.java
+++ b/src/main/java/org/shoreusher/core/machine/ScaleOut.java
@@ -1,12 +1,15 @@
-package org.shoreusher.core;
+package org.shoreusher.core.machine;
 
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.shoreusher.core.Command.CloudReply;
-import org.shoreusher.core.Effect.CloudOp;
+import org.shoreusher.core.Shard;
+import org.shoreusher.core.message.Command.CloudReply;
+import org.shoreusher.core.message.Effect.CloudOperation;
+import org.shoreusher.core.schedule.BinPacker;
+import org.shoreusher.core.store.Outbox;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 import org.shoreusher.wire.CloudFormat;
@@ -20,7 +23,7 @@
  * name until it has one, and no name is ever used for another request, by this leader or a later
  * one.
  */
-final class Rentals {
+final class ScaleOut {
     /**
      * What the cloud's capacity is counted by.
      *
@@ -31,20 +34,20 @@
 
     /** A request that has no final answer yet. */
     private static final class PendingRequest {
-        final CloudOp.Rent request;
-        final Planner.Slot emptyCapacity;
+        final CloudOperation.Provision request;
+        final BinPacker.MachineCapacity emptyCapacity;
         boolean inFlight;
         long requestedWallMs;
 
-        PendingRequest(CloudOp.Rent request, Planner.Slot emptyCapacity) {
+        PendingRequest(CloudOperation.Provision request, BinPacker.MachineCapacity emptyCapacity) {
             this.request = request;
             this.emptyCapacity = emptyCapacity;
         }
     }
 
-    private final Part shard;
+    private final Shard shard;
     private final Outbox outbox;
-    private final Fleet autoscaler;
+    private final Autoscaler autoscaler;
     private final int maxPendingRequests;
 
     /** Steady ms until which a kind that had no capacity is not requested again. */
@@ -63,7 +66,7 @@
     private long nextAttemptMs;
 
     /** Creates the scale-out of a shard; nothing is requested yet. */
-    Rentals(Part shard, Settings settings, Outbox outbox, Fleet autoscaler) {
+    ScaleOut(Shard shard, Settings settings, Outbox outbox, Autoscaler autoscaler) {
         this.shard = shard;
         this.outbox = outbox;
         this.autoscaler = autoscaler;
@@ -82,12 +85,12 @@
     }
 
     /** The capacity of the machines that have been requested and not been provisioned yet. */
-    List<Planner.Slot> pendingCapacity() {
-        List<Planner.Slot> capacities = new ArrayList<>();
+    List<BinPacker.MachineCapacity> pendingCapacity() {
+        List<BinPacker.MachineCapacity> capacities = new ArrayList<>();
         for (PendingRequest pendingRequest : pendingRequests) {
             for (int i = 0; i < pendingRequest.request.count(); i++) {
                 capacities.add(
-                        new Planner.Slot(
+                        new BinPacker.MachineCapacity(
                                 pendingRequest.emptyCapacity.type,
                                 pendingRequest.emptyCapacity.zone,
                                 pendingRequest.emptyCapacity.spot));
@@ -97,10 +100,10 @@
     }
 
     /** Requests machines like these, at most {@link #maxNewMachines} of them. */
-    void requestMachines(List<Planner.Slot> toProvision) {
+    void requestMachines(List<BinPacker.MachineCapacity> toProvision) {
         Map<MachineKind, Integer> countByKind = new LinkedHashMap<>();
-        Map<MachineKind, Planner.Slot> capacityByKind = new LinkedHashMap<>();
-        for (Planner.Slot capacity : toProvision) {
+        Map<MachineKind, BinPacker.MachineCapacity> capacityByKind = new LinkedHashMap<>();
+        for (BinPacker.MachineCapacity capacity : toProvision) {
             MachineKind kind = new MachineKind(capacity.type.name(), capacity.zone, capacity.spot);
             countByKind.merge(kind, 1, Integer::sum);
             capacityByKind.putIfAbsent(kind, capacity);
@@ -112,8 +115,8 @@
                             remaining -= Tuning.MAX_MACHINES_PER_PROVISION) {
                         // The name contains the term, so that no other leader uses it, nor this
                         // node after a restart.
-                        CloudOp.Rent request =
-                                new CloudOp.Rent(
+                        CloudOperation.Provision request =
+                                new CloudOperation.Provision(
                                         "part-"
                                                 + shard.shardNumber
                                                 + "-"
@@ -156,7 +159,7 @@
     }
 
     private void handleReply(PendingRequest pendingRequest, CloudReply reply) {
-        CloudOp.Rent request = pendingRequest.request;
+        CloudOperation.Provision request = pendingRequest.request;
         MachineKind kind = new MachineKind(request.type(), request.zone(), request.spot());
         boolean isOutOfCapacity =
                 reply.status() == 503
@@ -187,7 +190,10 @@
     }
 
     private void handleProvisioned(
-            CloudOp.Rent request, MachineKind kind, CloudReply reply, long requestedWallMs) {
+            CloudOperation.Provision request,
+            MachineKind kind,
+            CloudReply reply,
+            long requestedWallMs) {
         try {
             List<String> machineIds = CloudFormat.readMachineNames(new FieldMap(reply.body()));
             outbox.logInfo(
