--- a/src/main/java/org/shoreusher/core/ClockReading.java
+++ b/src/main/java/org/shoreusher/core/message/ClockReading.java
@@ -1,4 +1,4 @@
-package org.shoreusher.core;
+package org.shoreusher.core.message;
 
 /**
  * A reading of both clocks of a process.
--- a/src/main/java/org/shoreusher/core/Command.java
+++ b/src/main/java/org/shoreusher/core/message/Command.java
@@ -1,13 +1,14 @@
-package org.shoreusher.core;
+package org.shoreusher.core.message;
 
 import java.util.List;
 import java.util.Map;
+import org.shoreusher.core.Node;
 import org.shoreusher.standby.StandbyMessage;
 
 /**
  * An input of {@link Node#step}. Request ids and call ids link an answer to what it answers: a
  * request id is answered by {@link Effect.Respond}, a call id was issued by {@link
- * Effect.StateCall} or {@link Effect.CloudCall}.
+ * Effect.StoreCall} or {@link Effect.CloudCall}.
  */
 public sealed interface Command {
 
@@ -44,7 +45,7 @@
      *
      * @param requestId the request to answer
      */
-    record Ready(long requestId) implements Command {}
+    record ReadinessCheck(long requestId) implements Command {}
 
     /**
      * A worker sends a heartbeat.
@@ -52,7 +53,7 @@
      * @param requestId the request to answer
      * @param workerHeartbeat the content of the heartbeat
      */
-    record Report(long requestId, WorkerReport workerHeartbeat) implements Command {}
+    record Heartbeat(long requestId, WorkerHeartbeat workerHeartbeat) implements Command {}
 
     /**
      * The key-value store answered a call, or the call failed.
@@ -62,7 +63,7 @@
      *     executed, or may yet be
      * @param body the fields of the answer
      */
-    record StateReply(long callId, int status, Map<String, Object> body) implements Command {}
+    record StoreReply(long callId, int status, Map<String, Object> body) implements Command {}
 
     /**
      * The cloud answered a call, or the call failed.
@@ -79,14 +80,14 @@
      *
      * @param message the gossip message
      */
-    record PeerHint(Hint message) implements Command {}
+    record Gossip(GossipMessage message) implements Command {}
 
     /**
      * A message of the standby replication from another controller.
      *
      * @param message a frame of the attempt log, or an acknowledgement
      */
-    record FromPeer(StandbyMessage message) implements Command {}
+    record Standby(StandbyMessage message) implements Command {}
 
     /** Time has passed; due work is done. */
     record Tick() implements Command {}
@@ -101,7 +102,7 @@
      * @param state its state in the words of the cloud
      * @param ageS seconds since it was provisioned
      */
-    record Listed(
+    record ListedMachine(
             String machineId, String type, String zone, boolean spot, String state, double ageS) {}
 
     /**
@@ -110,5 +111,5 @@
      * @param machines the machines on the page
      * @param hasMore whether further pages follow
      */
-    record ListPage(List<Listed> machines, boolean hasMore) {}
+    record MachineListPage(List<ListedMachine> machines, boolean hasMore) {}
 }
--- a/src/main/java/org/shoreusher/core/Effect.java
+++ b/src/main/java/org/shoreusher/core/message/Effect.java
@@ -1,7 +1,8 @@
-package org.shoreusher.core;
+package org.shoreusher.core.message;
 
 import java.util.List;
 import java.util.Map;
+import org.shoreusher.core.Node;
 import org.shoreusher.standby.StandbyMessage;
 
 /** An output of {@link Node#step}: an action that the surrounding process carries out. */
@@ -16,14 +17,14 @@
     record Respond(long requestId, Response response) implements Effect {}
 
     /**
-     * Calls the key-value store. The answer arrives as a {@link Command.StateReply}.
+     * Calls the key-value store. The answer arrives as a {@link Command.StoreReply}.
      *
      * @param callId the id under which the answer is expected
      * @param operation the operation
      * @param urgent whether the call renews or acquires a leader's lease, and so must not queue
      *     behind other calls
      */
-    record StateCall(long callId, StateOp operation, boolean urgent) implements Effect {}
+    record StoreCall(long callId, StoreOperation operation, boolean urgent) implements Effect {}
 
     /**
      * Calls the cloud. The answer arrives as a {@link Command.CloudReply}.
@@ -31,7 +32,7 @@
      * @param callId the id under which the answer is expected
      * @param operation the operation
      */
-    record CloudCall(long callId, CloudOp operation) implements Effect {}
+    record CloudCall(long callId, CloudOperation operation) implements Effect {}
 
     /**
      * Sends orders directly to a worker, without waiting for its next heartbeat. No answer is
@@ -44,7 +45,7 @@
      *     incarnation the worker drops them
      * @param orders the orders
      */
-    record Orders(
+    record SendOrders(
             String workerAddress,
             long fencingToken,
             long workerIncarnation,
@@ -56,7 +57,7 @@
      *
      * @param message the gossip message
      */
-    record Tell(Hint message) implements Effect {}
+    record SendGossip(GossipMessage message) implements Effect {}
 
     /**
      * Sends a message of the standby replication to one controller; it may be lost.
@@ -64,7 +65,7 @@
      * @param host the controller's host
      * @param message a frame of the attempt log, or an acknowledgement
      */
-    record SendToPeer(String host, StandbyMessage message) implements Effect {}
+    record SendStandbyMessage(String host, StandbyMessage message) implements Effect {}
 
     /**
      * Writes one line to the log for operators.
@@ -75,20 +76,20 @@
     record Log(String line, boolean debugOnly) implements Effect {}
 
     /** An operation of the key-value store. */
-    sealed interface StateOp {
+    sealed interface StoreOperation {
         /**
          * Reads one key.
          *
          * @param key the key
          */
-        record Get(String key) implements StateOp {}
+        record Get(String key) implements StoreOperation {}
 
         /**
          * Reads a page of all entries in the order of their keys.
          *
          * @param afterKey the last key of the previous page; null for the first page
          */
-        record Page(String afterKey) implements StateOp {}
+        record Page(String afterKey) implements StoreOperation {}
 
         /**
          * Writes several keys atomically, if all preconditions are met; otherwise nothing is
@@ -99,8 +100,9 @@
          * @param writes the new values by key; a null value removes the key. If empty, the
          *     operation is a linearizable check of the preconditions
          */
-        record Multi(Map<String, Long> preconditions, Map<String, Map<String, Object>> writes)
-                implements StateOp {}
+        record CompareAndSwap(
+                Map<String, Long> preconditions, Map<String, Map<String, Object>> writes)
+                implements StoreOperation {}
 
         /**
          * Waits for changes and reads them.
@@ -108,13 +110,13 @@
          * @param afterRevision the revision after which changes are wanted
          * @param blockMs how long the store waits for a first change, in ms; 0: not at all
          */
-        record Watch(long afterRevision, long blockMs) implements StateOp {}
+        record Watch(long afterRevision, long blockMs) implements StoreOperation {}
     }
 
     /** An operation of the cloud. */
-    sealed interface CloudOp {
+    sealed interface CloudOperation {
         /** Reads the machine types and their prices. */
-        record Types() implements CloudOp {}
+        record ListTypes() implements CloudOperation {}
 
         /**
          * Provisions machines.
@@ -125,21 +127,21 @@
          * @param spot whether spot machines are wanted
          * @param count how many machines are wanted; the cloud may provision fewer
          */
-        record Rent(String name, String type, String zone, boolean spot, int count)
-                implements CloudOp {}
+        record Provision(String name, String type, String zone, boolean spot, int count)
+                implements CloudOperation {}
 
         /**
          * Terminates machines.
          *
          * @param machineIds the ids of the machines
          */
-        record Return(List<String> machineIds) implements CloudOp {}
+        record Terminate(List<String> machineIds) implements CloudOperation {}
 
         /**
          * Lists the provisioned machines, page by page.
          *
          * @param afterMachineId the last machine id of the previous page; null for the first page
          */
-        record Listing(String afterMachineId) implements CloudOp {}
+        record ListMachines(String afterMachineId) implements CloudOperation {}
     }
 }
--- a/src/main/java/org/shoreusher/core/Hint.java
+++ b/src/main/java/org/shoreusher/core/message/GossipMessage.java
@@ -1,4 +1,4 @@
-package org.shoreusher.core;
+package org.shoreusher.core.message;
 
 import java.util.Map;
 
@@ -17,12 +17,12 @@
  * @param runningTasks the number of active tasks by job id, for display
  * @param completedTasks the number of completed tasks by job id, for display
  */
-public record Hint(
+public record GossipMessage(
         String senderHost,
         long sentWallMs,
         boolean storeReachable,
         double uptimeS,
-        Map<Integer, PartHint> shards,
+        Map<Integer, ShardSummary> shards,
         Map<Integer, Integer> redirectedWorkers,
         Map<String, Integer> runningTasks,
         Map<String, Integer> completedTasks) {
@@ -36,11 +36,11 @@
      * @param machineShortfall the number of further machines that the shard could use now
      * @param teamDemands the demand of each team with an open job in the shard
      */
-    public record PartHint(
+    public record ShardSummary(
             double cpuHeadroom,
             int idleMachines,
             int machineShortfall,
-            Map<String, Claim> teamDemands) {}
+            Map<String, TeamDemand> teamDemands) {}
 
     /**
      * What a team's pending and active tasks need of its quota.
@@ -48,5 +48,5 @@
      * @param highPriorityCpus CPUs of tasks with high or production priority
      * @param otherCpus CPUs of the other tasks
      */
-    public record Claim(double highPriorityCpus, double otherCpus) {}
+    public record TeamDemand(double highPriorityCpus, double otherCpus) {}
 }
--- a/src/main/java/org/shoreusher/core/JobSpec.java
+++ b/src/main/java/org/shoreusher/core/message/JobSpec.java
@@ -1,4 +1,4 @@
-package org.shoreusher.core;
+package org.shoreusher.core.message;
 
 import java.util.List;
 import org.shoreusher.settings.Tuning;
@@ -53,7 +53,7 @@
      * A description that accounts for the resources of a task whose real description is not known.
      * No task may be started from it.
      */
-    static JobSpec withResourcesOnly(
+    public static JobSpec withResourcesOnly(
             String id, String team, double cpus, double gpus, double memGb) {
         return new JobSpec(
                 id,
--- a/src/main/java/org/shoreusher/core/MachineType.java
+++ b/src/main/java/org/shoreusher/core/message/MachineType.java
@@ -1,4 +1,4 @@
-package org.shoreusher.core;
+package org.shoreusher.core.message;
 
 import java.util.List;
 import org.shoreusher.settings.Tuning;
--- a/src/main/java/org/shoreusher/core/Response.java
+++ b/src/main/java/org/shoreusher/core/message/Response.java
@@ -1,4 +1,4 @@
-package org.shoreusher.core;
+package org.shoreusher.core.message;
 
 import java.util.List;
 
@@ -16,10 +16,10 @@
      * @param taskCounts task counts for display; null where they were not asked for
      * @param created whether this request created the job
      */
-    record JobState(String jobId, Shown displayState, TaskCounts taskCounts, boolean created)
+    record JobState(String jobId, DisplayState displayState, TaskCounts taskCounts, boolean created)
             implements Response {
         /** A job that this request did not create, without task counts. */
-        JobState(String id, Shown shown) {
+        public JobState(String id, DisplayState shown) {
             this(id, shown, null, false);
         }
     }
@@ -33,7 +33,7 @@
     record TaskCounts(int completed, int running) {}
 
     /** The states of a job as users see them. */
-    enum Shown {
+    enum DisplayState {
         PENDING,
         RUNNING,
         DONE,
@@ -70,12 +70,12 @@
      * @param fencingToken the fencing token: the leader's term
      * @param orders the orders for the worker
      */
-    record Orders(long fencingToken, List<WorkerOrder> orders) implements Response {}
+    record HeartbeatAccepted(long fencingToken, List<WorkerOrder> orders) implements Response {}
 
     /**
      * A worker should send its heartbeats to another controller.
      *
      * @param host that controller's host
      */
-    record Elsewhere(String host) implements Response {}
+    record Redirect(String host) implements Response {}
 }
--- a/src/main/java/org/shoreusher/core/WorkerReport.java
+++ b/src/main/java/org/shoreusher/core/message/WorkerHeartbeat.java
@@ -1,4 +1,4 @@
-package org.shoreusher.core;
+package org.shoreusher.core.message;
 
 import java.util.List;
 
@@ -19,7 +19,7 @@
  *     notice; NaN if there is no notice
  * @param tasks all tasks on the machine, including exited ones that it was not yet told to forget
  */
-public record WorkerReport(
+public record WorkerHeartbeat(
         String machineId,
         String address,
         String machineType,
@@ -29,7 +29,7 @@
         long sequenceNumber,
         long fencingToken,
         double interruptionNoticeS,
-        List<TaskReport> tasks) {
+        List<TaskStatus> tasks) {
 
     /** The states of a task on its machine. */
     public enum TaskState {
@@ -70,7 +70,7 @@
      * @param exitCause why it has exited; {@link ExitCause#NONE} unless it has
      * @param checkpointed whether it was stopped and its progress was saved in a checkpoint
      */
-    public record TaskReport(
+    public record TaskStatus(
             String jobId,
             int taskIndex,
             long attemptNumber,
@@ -78,7 +78,7 @@
             ExitCause exitCause,
             boolean checkpointed) {
         /** The status of a task without saved progress. */
-        public TaskReport(
+        public TaskStatus(
                 String jobId,
                 int taskIndex,
                 long attemptNumber,
--- a/src/main/java/org/shoreusher/core/WorkerOrder.java
+++ b/src/main/java/org/shoreusher/core/message/WorkerOrder.java
@@ -1,4 +1,4 @@
-package org.shoreusher.core;
+package org.shoreusher.core.message;
 
 /**
  * An order from the leader to a worker. Orders name the attempt, so that a repeated order never
--- a/src/main/java/org/shoreusher/core/Inheritance.java
+++ b/src/main/java/org/shoreusher/core/reconcile/PromotedAttemptLog.java
@@ -1,4 +1,4 @@
-package org.shoreusher.core;
+package org.shoreusher.core.reconcile;
 
 import java.util.function.Consumer;
 import org.shoreusher.standby.AttemptTable;
@@ -11,4 +11,5 @@
  *     attempts have to be learnt from heartbeats
  * @param onRejected called with the reason when the log turns out to be wrong after all
  */
-record Inheritance(AttemptTable attemptTable, Consumer<PromotionOutcome> onRejected) {}
+public record PromotedAttemptLog(
+        AttemptTable attemptTable, Consumer<PromotionOutcome> onRejected) {}
--- a/src/main/java/org/shoreusher/core/Rebuild.java
+++ b/src/main/java/org/shoreusher/core/reconcile/Reconciliation.java
@@ -1,12 +1,28 @@
-package org.shoreusher.core;
+package org.shoreusher.core.reconcile;
 
 import java.util.BitSet;
 import java.util.List;
 import java.util.Map;
-import org.shoreusher.core.StoreSchema.JobRecord;
-import org.shoreusher.core.StoreSchema.JobStatus;
-import org.shoreusher.core.StoreSchema.MachineRecord;
-import org.shoreusher.core.WorkerReport.TaskReport;
+import org.shoreusher.core.NodeContext;
+import org.shoreusher.core.Shard;
+import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.cluster.ResourceLedger;
+import org.shoreusher.core.cluster.TaskAttempt;
+import org.shoreusher.core.job.CompletionRecords;
+import org.shoreusher.core.job.HighWaterMarks;
+import org.shoreusher.core.job.SubmissionBatches;
+import org.shoreusher.core.leadership.ShardLeadership;
+import org.shoreusher.core.machine.MachineIndex;
+import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.core.message.WorkerHeartbeat.TaskStatus;
+import org.shoreusher.core.store.Outbox;
+import org.shoreusher.core.store.StoreCache;
+import org.shoreusher.core.store.StoreSchema;
+import org.shoreusher.core.store.StoreSchema.JobRecord;
+import org.shoreusher.core.store.StoreSchema.JobStatus;
+import org.shoreusher.core.store.StoreSchema.MachineRecord;
+import org.shoreusher.core.store.TaskRanges;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 import org.shoreusher.standby.Attempt;
@@ -24,18 +40,18 @@
  * They keep counting against their machine's resources and their team's quota until a heartbeat
  * arrives or the worker lease has certainly expired.
  */
-final class Rebuild {
-    private final Part shard;
+public final class Reconciliation {
+    private final Shard shard;
     private final Settings settings;
     private final Outbox outbox;
-    private final StoreView storeCache;
-    private final Arrivals submissionBatches;
+    private final StoreCache storeCache;
+    private final SubmissionBatches submissionBatches;
     private final MachineIndex machineIndex;
-    private final PartOwnership leadership;
-    private final StartMarks highWaterMarks;
+    private final ShardLeadership leadership;
+    private final HighWaterMarks highWaterMarks;
     private final ResourceLedger ledger;
 
-    private final Inheritance promotedLog;
+    private final PromotedAttemptLog promotedLog;
 
     /** Whether the attempts come from the replicated log of the previous leader. */
     private boolean usesPromotedLog;
@@ -49,13 +65,13 @@
     private double unreconciledGpus;
 
     /** Creates the reconciliation of a shard whose leadership this process has just acquired. */
-    Rebuild(
-            Part shard,
+    public Reconciliation(
+            Shard shard,
             NodeContext context,
-            PartOwnership leadership,
-            StartMarks highWaterMarks,
+            ShardLeadership leadership,
+            HighWaterMarks highWaterMarks,
             ResourceLedger ledger,
-            Inheritance promotedLog) {
+            PromotedAttemptLog promotedLog) {
         this.shard = shard;
         this.ledger = ledger;
         this.promotedLog = promotedLog;
@@ -69,7 +85,7 @@
     }
 
     /** Whether the stored state of the shard has been loaded. */
-    boolean isLoaded() {
+    public boolean isLoaded() {
         return loaded;
     }
 
@@ -77,17 +93,17 @@
      * Whether all attempts on machines are known: from the replicated log, or because every machine
      * has sent a heartbeat or its worker lease has certainly expired.
      */
-    boolean isComplete() {
+    public boolean isComplete() {
         return complete;
     }
 
     /** CPUs of machines whose tasks are unknown; tasks of any team may use them. */
-    double unreconciledCpus() {
+    public double unreconciledCpus() {
         return unreconciledCpus;
     }
 
     /** GPUs of machines whose tasks are unknown; tasks of any team may use them. */
-    double unreconciledGpus() {
+    public double unreconciledGpus() {
         return unreconciledGpus;
     }
 
@@ -96,7 +112,7 @@
      * store cache must have reached the revision at which leadership was acquired. Then restores
      * the attempts from the replicated log if there is one that can be used.
      */
-    void loadFromStore() {
+    public void loadFromStore() {
         loaded = true;
         storeCache
                 .entriesWithPrefix(StoreSchema.JOB_PREFIX)
@@ -239,7 +255,7 @@
      * @param fencingToken the fencing token: the highest term that the worker had seen when it sent
      *     the heartbeat
      */
-    void handleUnknownAttempt(Machine machine, TaskReport task, long fencingToken) {
+    public void handleUnknownAttempt(Machine machine, TaskStatus task, long fencingToken) {
         boolean fromPreviousLeader =
                 task.attemptNumber() >>> Tuning.ATTEMPT_SEQUENCE_BITS
                         < leadership.acquisitionTerm();
@@ -276,7 +292,7 @@
                         BitSet completedTasks = TaskRanges.parse((String) ranges);
                         job.completedTasks.or(completedTasks);
                         job.durablyCompletedTasks.or(completedTasks);
-                        FinishedRecords.adoptStoredRecord(job, completedTasks, chunk, settings);
+                        CompletionRecords.adoptStoredRecord(job, completedTasks, chunk, settings);
                     }
                 });
     }
@@ -285,7 +301,7 @@
      * Completes the reconciliation once every machine that may run tasks has sent a heartbeat or
      * its worker lease has certainly expired.
      */
-    void step() {
+    public void step() {
         if (!complete && countUnreconciled() == 0) {
             isComplete("from reports");
         }
--- a/src/main/java/org/shoreusher/core/AttemptReplicas.java
+++ b/src/main/java/org/shoreusher/core/replication/StandbyReplicas.java
@@ -1,7 +1,12 @@
-package org.shoreusher.core;
+package org.shoreusher.core.replication;
 
 import java.util.EnumMap;
 import java.util.Map;
+import org.shoreusher.core.NodeContext;
+import org.shoreusher.core.message.Effect;
+import org.shoreusher.core.store.Outbox;
+import org.shoreusher.core.store.StoreCache;
+import org.shoreusher.core.store.StoreSchema;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.standby.AttemptLogReceiver;
 import org.shoreusher.standby.AttemptTable;
@@ -15,11 +20,11 @@
  * The attempt logs that this node receives as the standby of shard leaders, and their use when this
  * node becomes the leader of a shard. Does nothing when the warm standby is off.
  */
-final class AttemptReplicas {
+public final class StandbyReplicas {
     private final Settings settings;
     private final StandbySettings standbySettings;
     private final Outbox outbox;
-    private final StoreView storeCache;
+    private final StoreCache storeCache;
     private final String processName;
     private final AttemptLogReceiver[] receivers;
     private final Map<PromotionOutcome, Integer> outcomeCounts =
@@ -31,7 +36,7 @@
      * @param processName the name of this process, HOST/SUFFIX; no other process ever had it
      * @param shardCount the number of shards
      */
-    AttemptReplicas(NodeContext context, String processName, int shardCount) {
+    public StandbyReplicas(NodeContext context, String processName, int shardCount) {
         settings = context.settings();
         standbySettings = context.features().standby();
         outbox = context.outbox();
@@ -49,7 +54,7 @@
      * process of this host is rejected, so that the leader need not wait for its timeout: that
      * process and its table are gone.
      */
-    void receive(LogFrame frame) {
+    public void receive(LogFrame frame) {
         LogStream stream = frame.stream();
         if (isDisabled() || stream.shardNumber() < 0 || stream.shardNumber() >= receivers.length) {
             return;
@@ -66,7 +71,9 @@
             return;
         }
         if (acknowledgement != null) {
-            outbox.add(new Effect.SendToPeer(LogStream.hostOf(stream.leader()), acknowledgement));
+            outbox.add(
+                    new Effect.SendStandbyMessage(
+                            LogStream.hostOf(stream.leader()), acknowledgement));
         }
     }
 
@@ -89,11 +96,11 @@
      * @param leader the leader process, HOST/SUFFIX
      * @param term the leadership term as acquired
      */
-    record FencingRecord(String leader, long term) {}
+    public record FencingRecord(String leader, long term) {}
 
     /** The shard's fencing record in the store cache; null if there is none. */
-    FencingRecord fencingRecord(int shardNumber) {
-        StoreView.Entry entry = storeCache.get(StoreSchema.fencingKey(shardNumber));
+    public FencingRecord fencingRecord(int shardNumber) {
+        StoreCache.Entry entry = storeCache.get(StoreSchema.fencingKey(shardNumber));
         if (entry == null
                 || !(entry.value().get("owner") instanceof String leader)
                 || !(entry.value().get("term") instanceof Number term)) {
@@ -111,7 +118,7 @@
      * @return the attempts that may be on the shard's machines; null if the log can't be used and
      *     they have to be learnt from heartbeats
      */
-    AttemptTable promote(int shardNumber, String namedStandby, FencingRecord previous) {
+    public AttemptTable promote(int shardNumber, String namedStandby, FencingRecord previous) {
         AttemptLogReceiver receiver = receivers[shardNumber];
         receivers[shardNumber] = null;
         if (isDisabled() || previous == null) {
@@ -126,7 +133,7 @@
     }
 
     /** Counts and logs the outcome of a promotion. */
-    void recordOutcome(int shardNumber, PromotionOutcome outcome) {
+    public void recordOutcome(int shardNumber, PromotionOutcome outcome) {
         int occurrences = outcomeCounts.merge(outcome, 1, Integer::sum);
         outbox.logInfo(
                 "promotion: part "
--- a/src/main/java/org/shoreusher/core/AttemptReplication.java
+++ b/src/main/java/org/shoreusher/core/replication/StandbyReplication.java
@@ -1,10 +1,23 @@
-package org.shoreusher.core;
+package org.shoreusher.core.replication;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
+import org.shoreusher.core.NodeContext;
+import org.shoreusher.core.Shard;
+import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.cluster.ResourceLedger;
+import org.shoreusher.core.cluster.TaskAttempt;
+import org.shoreusher.core.leadership.ShardLeadership;
+import org.shoreusher.core.message.Effect;
+import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.core.message.Response;
+import org.shoreusher.core.message.WorkerOrder;
+import org.shoreusher.core.store.Outbox;
+import org.shoreusher.core.store.VersionNegotiation;
 import org.shoreusher.settings.Tuning;
 import org.shoreusher.standby.Attempt;
 import org.shoreusher.standby.AttemptId;
@@ -26,7 +39,7 @@
  * it is sent. A standby that does not acknowledge in time is first removed from the record. Until
  * the store has confirmed the removal, nothing is started.
  */
-final class AttemptReplication implements ResourceLedger.Listener {
+public final class StandbyReplication implements ResourceLedger.Listener {
     /** ms; longer durations are recorded as this one. */
     private static final long MAX_HELD_MS = 10_000;
 
@@ -53,11 +66,11 @@
     private record HeldAnswer(
             long requestId, List<WorkerOrder> orders, long lastChange, long heldSinceMs) {}
 
-    private final Part shard;
+    private final Shard shard;
     private final Outbox outbox;
-    private final PartOwnership leadership;
-    private final MemberFormats versionNegotiation;
-    private final Part.Others peerView;
+    private final ShardLeadership leadership;
+    private final VersionNegotiation versionNegotiation;
+    private final Shard.PeerView peerView;
     private final StandbySettings settings;
     private final AttemptLogSender logSender;
     private final StandbyChooser standbyChooser;
@@ -75,8 +88,8 @@
     private final Histogram heldDurationMs = new Histogram(MAX_HELD_MS, 2);
 
     /** Creates the replication of a shard that this process leads, without a standby at first. */
-    AttemptReplication(
-            Part shard, NodeContext context, Part.Others peerView, PartOwnership leadership) {
+    public StandbyReplication(
+            Shard shard, NodeContext context, Shard.PeerView peerView, ShardLeadership leadership) {
         this.shard = shard;
         this.peerView = peerView;
         this.leadership = leadership;
@@ -152,7 +165,7 @@
     // ---- answers to heartbeats ---------------------------------------------------------------
 
     /** Whether the state of replication permits starts, held or not. */
-    boolean canStartTasks() {
+    public boolean canStartTasks() {
         return phase != Phase.REMOVING_NAME;
     }
 
@@ -164,7 +177,7 @@
      * Discards the held answer to a machine's previous heartbeat. A newer heartbeat has arrived, so
      * the worker does not wait for that answer any more.
      */
-    void discardHeldAnswer(Machine machine) {
+    public void discardHeldAnswer(Machine machine) {
         HeldAnswer superseded = heldAnswers.remove(machine);
         if (superseded != null) {
             outbox.respondUnavailable(superseded.requestId);
@@ -174,8 +187,8 @@
     /**
      * Answers a heartbeat: at once, or as soon as the standby has acknowledged the starts in it.
      */
-    void answerOrHold(long requestId, Machine machine, List<WorkerOrder> orders) {
-        boolean containsStarts = orders.stream().anyMatch(AttemptReplication::isStart);
+    public void answerOrHold(long requestId, Machine machine, List<WorkerOrder> orders) {
+        boolean containsStarts = orders.stream().anyMatch(StandbyReplication::isStart);
         if (containsStarts && requiresAcknowledgement()) {
             heldAnswers.put(
                     machine, new HeldAnswer(requestId, orders, logSender.changeCount(), nowMs()));
@@ -191,7 +204,7 @@
     private void sendAnswer(long requestId, Machine machine, List<WorkerOrder> orders) {
         machine.lastReplyAtMs = outbox.now.monotonicMs();
         machine.leaseRenewedAtMs = outbox.now.monotonicMs();
-        outbox.respond(requestId, new Response.Orders(shard.term(), orders));
+        outbox.respond(requestId, new Response.HeartbeatAccepted(shard.term(), orders));
     }
 
     /**
@@ -253,14 +266,14 @@
     // ---- the standby -------------------------------------------------------------------------
 
     /** Handles an acknowledgement of the standby. */
-    void handleAcknowledgement(LogAcknowledgement acknowledgement) {
+    public void handleAcknowledgement(LogAcknowledgement acknowledgement) {
         if (!isDisabled()) {
             logSender.handleAcknowledgement(acknowledgement);
         }
     }
 
     /** Advances the phase, sends the next frame, and sends held answers that are acknowledged. */
-    void step() {
+    public void step() {
         if (isDisabled()) {
             return;
         }
@@ -284,7 +297,7 @@
         LogFrame frame = logSender.nextFrame(nowMs());
         if (frame != null) {
             String host = LogStream.hostOf(frame.stream().standby());
-            outbox.add(new Effect.SendToPeer(host, frame));
+            outbox.add(new Effect.SendStandbyMessage(host, frame));
         }
         if (nowMs() >= nextStatisticsMs) {
             nextStatisticsMs = nowMs() + Tuning.STATUS_LOG_INTERVAL_MS;
@@ -397,7 +410,7 @@
     }
 
     /** Drops all held answers, because leadership of the shard is lost. */
-    void close() {
+    public void close() {
         heldAnswers.values().forEach(heldAnswer -> outbox.respondUnavailable(heldAnswer.requestId));
         heldAnswers.clear();
     }
--- a/src/main/java/org/shoreusher/core/Planner.java
+++ b/src/main/java/org/shoreusher/core/schedule/BinPacker.java
@@ -1,4 +1,4 @@
-package org.shoreusher.core;
+package org.shoreusher.core.schedule;
 
 import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap;
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
@@ -6,24 +6,28 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.function.ToDoubleFunction;
+import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.core.message.MachineType;
 import org.shoreusher.settings.Tuning;
 
 /**
  * Best-fit bin packing of waiting tasks: each task goes to the machine with the least free capacity
  * that still fits it, so that machines empty out and can be scaled in.
  *
- * <p>A plan describes the moment at which it is made. {@link Placement} caches it between
+ * <p>A plan describes the moment at which it is made. {@link PlacementPlan} caches it between
  * heartbeats, since starts are sent only in responses to heartbeats. Not thread-safe.
  */
-final class Planner {
+public final class BinPacker {
     /** The capacity of one machine that is still free while a plan is made. */
-    static final class Slot {
+    public static final class MachineCapacity {
         /** The machine; null if it has not been provisioned yet. */
-        final Machine machine;
+        public final Machine machine;
 
-        final MachineType type;
-        final String zone;
-        final boolean spot;
+        public final MachineType type;
+        public final String zone;
+        public final boolean spot;
 
         /**
          * Whether this is an on-demand machine that costs far more than a spot one. It is filled
@@ -41,7 +45,7 @@
         private double sortKey;
 
         /** The capacity of an existing machine that is free now. */
-        Slot(Machine machine) {
+        public MachineCapacity(Machine machine) {
             this(
                     machine,
                     machine.type,
@@ -53,11 +57,11 @@
         }
 
         /** The capacity of an empty machine that has not been provisioned yet. */
-        Slot(MachineType type, String zone, boolean spot) {
+        public MachineCapacity(MachineType type, String zone, boolean spot) {
             this(null, type, zone, spot, type.cpus(), type.gpus(), type.memGb());
         }
 
-        private Slot(
+        private MachineCapacity(
                 Machine machine,
                 MachineType type,
                 String zone,
@@ -76,7 +80,7 @@
         }
 
         /** Returns how many tasks of the job fit into the free capacity. */
-        int fittingTaskCount(JobSpec spec) {
+        public int fittingTaskCount(JobSpec spec) {
             double taskCount = Integer.MAX_VALUE;
             taskCount =
                     spec.cpus() > 0
@@ -98,7 +102,7 @@
         }
 
         /** Whether neither CPUs nor GPUs are left, so that hardly any task fits. */
-        boolean isFull() {
+        public boolean isFull() {
             return freeCpus <= Tuning.EPSILON && freeGpus <= Tuning.EPSILON;
         }
 
@@ -130,7 +134,7 @@
      * @param capacity the machine
      * @param taskCount number of tasks
      */
-    record PlacedTasks(Job job, Slot capacity, int taskCount) {}
+    public record PlacedTasks(Job job, MachineCapacity capacity, int taskCount) {}
 
     /**
      * Passes over the machines while a job is placed, in this order. Image locality is weighed
@@ -177,8 +181,8 @@
         double teamCpusUsed(Machine machine, String team);
     }
 
-    private static final Comparator<Slot> BY_SORT_KEY =
-            Comparator.comparingDouble((Slot capacity) -> capacity.sortKey)
+    private static final Comparator<MachineCapacity> BY_SORT_KEY =
+            Comparator.comparingDouble((MachineCapacity capacity) -> capacity.sortKey)
                     .thenComparing(
                             capacity -> capacity.machine == null ? "~" : capacity.machine.id);
 
@@ -189,7 +193,7 @@
     private final Object2DoubleOpenHashMap<String> plannedGpus = new Object2DoubleOpenHashMap<>();
 
     /** Machines that still have free capacity. */
-    private final List<Slot> capacities;
+    private final List<MachineCapacity> capacities;
 
     private final List<PlacedTasks> placedTasks = new ArrayList<>();
     private long machinesScanned;
@@ -201,8 +205,8 @@
      * @param cpuHeadroom CPUs of the quota that a team may still use
      * @param gpuHeadroom GPUs of the quota that a team may still use
      */
-    Planner(
-            List<Slot> capacities,
+    public BinPacker(
+            List<MachineCapacity> capacities,
             ToDoubleFunction<String> cpuHeadroom,
             ToDoubleFunction<String> gpuHeadroom) {
         this(capacities, cpuHeadroom, gpuHeadroom, SpreadLimit.NONE);
@@ -216,8 +220,8 @@
      * @param gpuHeadroom GPUs of the quota that a team may still use
      * @param spreadLimit limit on a team's load on one machine
      */
-    Planner(
-            List<Slot> capacities,
+    public BinPacker(
+            List<MachineCapacity> capacities,
             ToDoubleFunction<String> cpuHeadroom,
             ToDoubleFunction<String> gpuHeadroom,
             SpreadLimit spreadLimit) {
@@ -228,12 +232,12 @@
     }
 
     /** Returns everything placed so far, in the order of placement. */
-    List<PlacedTasks> placedTasks() {
+    public List<PlacedTasks> placedTasks() {
         return placedTasks;
     }
 
     /** Adds a machine to place tasks on. */
-    void addCapacity(Slot capacity) {
+    public void addCapacity(MachineCapacity capacity) {
         capacities.add(capacity);
     }
 
@@ -278,7 +282,7 @@
      *
      * @return how many tasks found no machine although the quota allows them
      */
-    int place(Job job, int requested) {
+    public int place(Job job, int requested) {
         JobSpec spec = job.spec;
         int unplaced = Math.min(requested, maxTasksWithinQuota(spec));
         if (unplaced <= 0) {
@@ -322,7 +326,7 @@
         int unplaced = requested;
         boolean anyFull = false;
         for (int i = 0; i < capacities.size() && unplaced > 0; i++) {
-            Slot capacity = capacities.get(i);
+            MachineCapacity capacity = capacities.get(i);
             if (!spec.allowsMachine(capacity.type.name(), capacity.zone, capacity.spot)) {
                 continue;
             }
@@ -345,13 +349,13 @@
             }
         }
         if (anyFull) {
-            capacities.removeIf(Slot::isFull);
+            capacities.removeIf(MachineCapacity::isFull);
         }
         return unplaced;
     }
 
     /** Returns how many more tasks of the job this pass allows on a machine. */
-    private int maxTasksWithinSpread(Slot capacity, JobSpec spec, SpreadPass pass) {
+    private int maxTasksWithinSpread(MachineCapacity capacity, JobSpec spec, SpreadPass pass) {
         if (capacity.machine == null || spec.cpus() <= 0 || pass == SpreadPass.UNLIMITED) {
             return Integer.MAX_VALUE;
         }
@@ -371,7 +375,7 @@
      *
      * @return the reserved machines, which take no further tasks in this plan
      */
-    List<Machine> reserveMachines(JobSpec spec, int requested) {
+    public List<Machine> reserveMachines(JobSpec spec, int requested) {
         List<Machine> reserved = new ArrayList<>();
         if (requested <= 0) {
             return reserved;
@@ -379,7 +383,7 @@
         capacities.forEach(capacity -> capacity.sortKey = capacity.freeCpus);
         capacities.sort(BY_SORT_KEY);
         for (int i = capacities.size() - 1; i >= 0 && reserved.size() < requested; i--) {
-            Slot capacity = capacities.get(i);
+            MachineCapacity capacity = capacities.get(i);
             if (capacity.machine != null
                     && spec.allowsMachine(capacity.type.name(), capacity.zone, capacity.spot)
                     && capacity.type.canFit(spec)
@@ -396,7 +400,7 @@
      * share of the task's time there that the fetch would take. A slightly emptier machine that has
      * the image is preferred.
      */
-    private static double imageFetchCost(Slot capacity, JobSpec spec) {
+    private static double imageFetchCost(MachineCapacity capacity, JobSpec spec) {
         if (capacity.machine != null && capacity.machine.cachedImages.contains(spec.image())) {
             return 0;
         }
--- a/src/main/java/org/shoreusher/core/Placement.java
+++ b/src/main/java/org/shoreusher/core/schedule/PlacementPlan.java
@@ -1,4 +1,4 @@
-package org.shoreusher.core;
+package org.shoreusher.core.schedule;
 
 import it.unimi.dsi.fastutil.objects.Object2IntLinkedOpenHashMap;
 import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap;
@@ -6,6 +6,11 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import org.shoreusher.core.Shard;
+import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.job.HighWaterMarks;
+import org.shoreusher.core.store.Outbox;
 import org.shoreusher.settings.Tuning;
 
 /**
@@ -16,11 +21,11 @@
  * in proportion to its cost: a small deployment plans on every heartbeat, a large one a few times a
  * second.
  */
-final class Placement {
-    private final Part shard;
+public final class PlacementPlan {
+    private final Shard shard;
     private final Outbox outbox;
-    private final StartMarks highWaterMarks;
-    private final Object2ObjectOpenHashMap<Machine, List<Planner.PlacedTasks>> plannedTasks =
+    private final HighWaterMarks highWaterMarks;
+    private final Object2ObjectOpenHashMap<Machine, List<BinPacker.PlacedTasks>> plannedTasks =
             new Object2ObjectOpenHashMap<>();
 
     /** Tasks that no machine had capacity for, by job, in scheduling order. */
@@ -34,7 +39,7 @@
     private long nextPlanMs = Long.MIN_VALUE;
 
     /** Creates an empty plan; the first call of {@link #takeTasksToStart} fills it. */
-    Placement(Part shard, Outbox outbox, StartMarks highWaterMarks) {
+    public PlacementPlan(Shard shard, Outbox outbox, HighWaterMarks highWaterMarks) {
         this.highWaterMarks = highWaterMarks;
         this.shard = shard;
         this.outbox = outbox;
@@ -44,25 +49,25 @@
      * Returns the tasks that are to start now on a machine that has sent a heartbeat, and removes
      * them from the plan.
      */
-    List<Planner.PlacedTasks> takeTasksToStart(Machine machine) {
+    public List<BinPacker.PlacedTasks> takeTasksToStart(Machine machine) {
         if (outbox.now.monotonicMs() >= nextPlanMs) {
             plan();
         }
-        List<Planner.PlacedTasks> plannedHere = plannedTasks.remove(machine);
+        List<BinPacker.PlacedTasks> plannedHere = plannedTasks.remove(machine);
         if (plannedHere == null && unplacedTasks.isEmpty()) {
             return List.of();
         }
         // The plan may be outdated: the machine, the team's usage or the job may have changed, so
         // everything is checked again. A job is placed in one call, its planned and its unplaced
         // tasks together, because the packer does not count its own placements as tasks of the job.
-        Planner packer =
-                new Planner(
-                        new ArrayList<>(List.of(new Planner.Slot(machine))),
+        BinPacker packer =
+                new BinPacker(
+                        new ArrayList<>(List.of(new BinPacker.MachineCapacity(machine))),
                         shard.quotaHeadroom()::cpuHeadroom,
                         shard.quotaHeadroom()::gpuHeadroom);
         Set<Job> triedJobs = new HashSet<>();
         if (plannedHere != null) {
-            for (Planner.PlacedTasks placed : plannedHere) {
+            for (BinPacker.PlacedTasks placed : plannedHere) {
                 triedJobs.add(placed.job());
                 place(packer, placed.job(), placed.taskCount());
             }
@@ -85,7 +90,7 @@
      * Places the tasks of a job that are planned for the machine, and as many of its unplaced ones
      * as fit.
      */
-    private void place(Planner packer, Job job, int plannedCount) {
+    private void place(BinPacker packer, Job job, int plannedCount) {
         int placedBefore = packer.placedTasks().size();
         int unplaced = unplacedTasks.getInt(job);
         packer.place(job, Math.min(plannedCount + unplaced, job.pendingCount));
@@ -107,15 +112,15 @@
      * job on one machine; they are merged, because each part placed on its own later would ignore
      * the others in the job's zone constraints.
      */
-    private void addPlanned(Planner.PlacedTasks placed) {
-        List<Planner.PlacedTasks> plannedHere =
+    private void addPlanned(BinPacker.PlacedTasks placed) {
+        List<BinPacker.PlacedTasks> plannedHere =
                 plannedTasks.computeIfAbsent(
                         placed.capacity().machine, machine -> new ArrayList<>());
         int lastIndex = plannedHere.size() - 1;
         if (lastIndex >= 0 && plannedHere.get(lastIndex).job() == placed.job()) {
             int count = plannedHere.get(lastIndex).taskCount() + placed.taskCount();
             plannedHere.set(
-                    lastIndex, new Planner.PlacedTasks(placed.job(), placed.capacity(), count));
+                    lastIndex, new BinPacker.PlacedTasks(placed.job(), placed.capacity(), count));
         } else {
             plannedHere.add(placed);
         }
@@ -129,7 +134,7 @@
         if (jobs.isEmpty()) {
             return;
         }
-        Planner packer = shard.binPacker();
+        BinPacker packer = shard.binPacker();
         double totalCpus = shard.totalCpus();
         double reservableCpus = totalCpus * Tuning.MAX_RESERVED_CPU_SHARE;
         double markAheadCpus = totalCpus * Tuning.HIGH_WATER_MARK_LOOKAHEAD_SHARE;
--- a/src/main/java/org/shoreusher/core/Preemption.java
+++ b/src/main/java/org/shoreusher/core/schedule/Preemption.java
@@ -1,9 +1,15 @@
-package org.shoreusher.core;
+package org.shoreusher.core.schedule;
 
 import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
+import org.shoreusher.core.Shard;
+import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.cluster.TaskAttempt;
+import org.shoreusher.core.message.ClockReading;
+import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.settings.Tuning;
 
 /**
@@ -18,7 +24,7 @@
             new Object2DoubleOpenHashMap<>();
     private final List<TaskAttempt> victims = new ArrayList<>();
     private final List<TaskAttempt> chosen = new ArrayList<>();
-    private final Urgency schedulingOrder;
+    private final SchedulingOrder schedulingOrder;
     private final ClockReading now;
     private double reclaimedCpus;
 
@@ -26,7 +32,7 @@
      * Collects the tasks that can be preempted now, and the CPUs of those that are already
      * stopping.
      */
-    Preemption(Part shard, Urgency schedulingOrder, ClockReading now) {
+    Preemption(Shard shard, SchedulingOrder schedulingOrder, ClockReading now) {
         this.schedulingOrder = schedulingOrder;
         this.now = now;
         for (Machine machine : shard.machines().values()) {
@@ -59,7 +65,7 @@
      * @param orderedJobs jobs in scheduling order
      * @param packer capacity that is free now; waiting tasks are placed in it
      */
-    List<TaskAttempt> choose(List<Job> orderedJobs, Planner packer) {
+    List<TaskAttempt> choose(List<Job> orderedJobs, BinPacker packer) {
         for (Job job : orderedJobs) {
             boolean isHighPriority = job.spec.priority().compareTo(JobSpec.Priority.HIGH) <= 0;
             if (job.isSuspectedFaulty()
--- a/src/main/java/org/shoreusher/core/TeamRoom.java
+++ b/src/main/java/org/shoreusher/core/schedule/QuotaHeadroom.java
@@ -1,25 +1,28 @@
-package org.shoreusher.core;
+package org.shoreusher.core.schedule;
 
+import org.shoreusher.core.cluster.ResourceLedger;
+import org.shoreusher.core.gossip.ShardDemand;
+import org.shoreusher.core.reconcile.Reconciliation;
 import org.shoreusher.settings.Settings;
 
 /**
  * The quota headroom of teams in a shard: the shard's share of the quota, less what its tasks use
  * and what machines that have not reported since the failover may be running.
  */
-final class TeamRoom {
+public final class QuotaHeadroom {
     private final Settings settings;
-    private final Quota quotaShares;
+    private final QuotaShares quotaShares;
     private final ResourceLedger ledger;
-    private final Rebuild reconciliation;
-    private final OtherParts shardDemand;
+    private final Reconciliation reconciliation;
+    private final ShardDemand shardDemand;
 
     /** Creates the headroom of one shard. */
-    TeamRoom(
+    public QuotaHeadroom(
             Settings settings,
-            Quota quotaShares,
+            QuotaShares quotaShares,
             ResourceLedger ledger,
-            Rebuild reconciliation,
-            OtherParts shardDemand) {
+            Reconciliation reconciliation,
+            ShardDemand shardDemand) {
         this.settings = settings;
         this.quotaShares = quotaShares;
         this.ledger = ledger;
@@ -28,17 +31,17 @@
     }
 
     /** Returns the CPUs that tasks of the team use or may be using. */
-    double cpusUsed(String team) {
+    public double cpusUsed(String team) {
         return ledger.usedCpus(team) + unconfirmedCpus(team);
     }
 
     /** Returns the CPUs with which further tasks of the team may start; may be negative. */
-    double cpuHeadroom(String team) {
+    public double cpuHeadroom(String team) {
         return quotaShares.cpuShareForStarts(team) - ledger.usedCpus(team) - unconfirmedCpus(team);
     }
 
     /** Returns the GPUs with which further tasks of the team may start; may be negative. */
-    double gpuHeadroom(String team) {
+    public double gpuHeadroom(String team) {
         Settings.Team teamSettings = settings.teams().get(team);
         return quotaShares.gpuShare(team)
                 - ledger.usedGpus(team)
@@ -69,7 +72,7 @@
      * Returns the CPUs with which tasks could start if this shard got all of the quota that other
      * shards do not demand. Scaling out is based on this.
      */
-    double cpuHeadroomForScaleOut(String team) {
+    public double cpuHeadroomForScaleOut(String team) {
         Settings.Team teamSettings = settings.teams().get(team);
         double availableLimit =
                 teamSettings == null
--- a/src/main/java/org/shoreusher/core/Quota.java
+++ b/src/main/java/org/shoreusher/core/schedule/QuotaShares.java
@@ -1,4 +1,4 @@
-package org.shoreusher.core;
+package org.shoreusher.core.schedule;
 
 import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap;
 import it.unimi.dsi.fastutil.objects.ObjectOpenHashSet;
@@ -6,9 +6,12 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.function.Function;
-import org.shoreusher.core.Effect.StateOp;
-import org.shoreusher.core.Hint.Claim;
-import org.shoreusher.core.StoreSchema.QuotaRecord;
+import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.core.message.GossipMessage.TeamDemand;
+import org.shoreusher.core.store.Outbox;
+import org.shoreusher.core.store.StoreCache;
+import org.shoreusher.core.store.StoreSchema;
+import org.shoreusher.core.store.StoreSchema.QuotaRecord;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 
@@ -21,7 +24,7 @@
  * shards never use the same CPU. For a resource without a quota the record contains 0, which is not
  * read.
  */
-final class Quota {
+public final class QuotaShares {
     /**
      * A write that lowers this shard's share.
      *
@@ -34,7 +37,7 @@
     private final int shardCount;
     private final Settings settings;
     private final Outbox outbox;
-    private final StoreView storeCache;
+    private final StoreCache storeCache;
     private final Map<String, Long> fencingPreconditions;
 
     /** Transfers whose outcome is unknown; until it is known the lower share applies. */
@@ -58,12 +61,12 @@
      *
      * @param fencingPreconditions preconditions of every write: this shard's leadership
      */
-    Quota(
+    public QuotaShares(
             int shardNumber,
             int shardCount,
             Settings settings,
             Outbox outbox,
-            StoreView storeCache,
+            StoreCache storeCache,
             Map<String, Long> fencingPreconditions) {
         this.shardNumber = shardNumber;
         this.shardCount = shardCount;
@@ -113,7 +116,7 @@
     }
 
     private QuotaRecord storedShares(String team) {
-        StoreView.Entry entry = storeCache.get(StoreSchema.quotaKey(team));
+        StoreCache.Entry entry = storeCache.get(StoreSchema.quotaKey(team));
         return entry == null ? null : QuotaRecord.fromMap(entry.value(), shardCount);
     }
 
@@ -124,9 +127,9 @@
      * @param demands each shard's demand for a team, null where no recent gossip is known
      * @param quantum smallest useful transfer for a team, in CPUs
      */
-    void step(
+    public void step(
             Function<String, Double> cpusUsed,
-            Function<String, Claim[]> demands,
+            Function<String, TeamDemand[]> demands,
             Function<String, Double> quantum) {
         if (shardCount == 1 || outbox.now.monotonicMs() < nextStepMs) {
             return;
@@ -165,7 +168,7 @@
         if (!writes.isEmpty() && !creationInFlight) {
             creationInFlight =
                     outbox.callStore(
-                            new StateOp.Multi(preconditions, writes),
+                            new StoreOperation.CompareAndSwap(preconditions, writes),
                             reply -> {
                                 creationInFlight = false;
                                 if (reply.status() == 200) {
@@ -179,7 +182,8 @@
         return Double.isInfinite(limit) ? 0 : limit;
     }
 
-    private void rebalance(Settings.Team team, double cpusUsed, Claim[] demands, double quantum) {
+    private void rebalance(
+            Settings.Team team, double cpusUsed, TeamDemand[] demands, double quantum) {
         QuotaRecord stored = storedShares(team.name());
         Transfer pending = pendingTransfers.get(team.name());
         if (pending != null
@@ -243,7 +247,7 @@
                 Map.of(StoreSchema.quotaKey(team), transfer.record.toMap());
         boolean sent =
                 outbox.callStore(
-                        new StateOp.Multi(preconditions, writes),
+                        new StoreOperation.CompareAndSwap(preconditions, writes),
                         reply -> {
                             teamsInFlight.remove(team);
                             if (reply.status() == 200) {
@@ -265,8 +269,8 @@
      * @param currentShares current share of each shard
      * @param quantum shares are rounded to a multiple of this
      */
-    static double[] targetShares(
-            double limit, Claim[] demands, double[] currentShares, double quantum) {
+    public static double[] targetShares(
+            double limit, TeamDemand[] demands, double[] currentShares, double quantum) {
         int shardCount = currentShares.length;
         double[] targetShares = new double[shardCount];
         double remaining = limit;
@@ -279,7 +283,7 @@
         }
         for (int level = 0; level < 2; level++) {
             double sum = 0;
-            for (Claim demand : demands) {
+            for (TeamDemand demand : demands) {
                 sum +=
                         demand == null
                                 ? 0
--- a/src/main/java/org/shoreusher/core/ReplicaPreemption.java
+++ b/src/main/java/org/shoreusher/core/schedule/ReplicaPreemption.java
@@ -1,8 +1,14 @@
-package org.shoreusher.core;
+package org.shoreusher.core.schedule;
 
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
+import org.shoreusher.core.Shard;
+import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.cluster.TaskAttempt;
+import org.shoreusher.core.message.ClockReading;
+import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.settings.Tuning;
 
 /**
@@ -45,7 +51,7 @@
         }
     }
 
-    private final Part shard;
+    private final Shard shard;
     private final ClockReading now;
     private final List<ProspectiveCapacity> capacities = new ArrayList<>();
 
@@ -53,7 +59,7 @@
      * Collects the batch tasks on every machine that accepts work, those with the least lost work
      * first.
      */
-    ReplicaPreemption(Part shard, ClockReading now) {
+    ReplicaPreemption(Shard shard, ClockReading now) {
         this.shard = shard;
         this.now = now;
         for (Machine machine : shard.machines().values()) {
@@ -104,11 +110,11 @@
         List<TaskAttempt> chosen = new ArrayList<>();
         for (Job job : services) {
             JobSpec spec = job.spec;
-            Planner.ZoneConstraints zoneConstraints = new Planner.ZoneConstraints(job);
+            BinPacker.ZoneConstraints zoneConstraints = new BinPacker.ZoneConstraints(job);
             int unplaced =
                     Math.min(
                             job.pendingCount,
-                            new Planner(
+                            new BinPacker(
                                             new ArrayList<>(),
                                             shard.quotaHeadroom()::cpuHeadroom,
                                             shard.quotaHeadroom()::gpuHeadroom)
--- a/src/main/java/org/shoreusher/core/Urgency.java
+++ b/src/main/java/org/shoreusher/core/schedule/SchedulingOrder.java
@@ -1,7 +1,10 @@
-package org.shoreusher.core;
+package org.shoreusher.core.schedule;
 
 import java.util.Comparator;
 import java.util.List;
+import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.job.RunTimeEstimates;
+import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 
@@ -14,7 +17,7 @@
  * under overload, pure least-slack-first would start every job just too late. Jobs that have waited
  * so long that they risk starvation come before all others.
  */
-final class Urgency {
+public final class SchedulingOrder {
     /**
      * The sort key of one job at one moment, computed once per job and scheduling round.
      *
@@ -27,18 +30,18 @@
             Job job, int priorityBand, int missedObjectives, double remainingCpuS, double slackS) {}
 
     private final Settings settings;
-    private final Estimates estimates;
+    private final RunTimeEstimates estimates;
 
     /**
      * Creates an order that uses the deployment's service-level objectives and run-time estimates.
      */
-    Urgency(Settings settings, Estimates estimates) {
+    public SchedulingOrder(Settings settings, RunTimeEstimates estimates) {
         this.settings = settings;
         this.estimates = estimates;
     }
 
     /** Sorts the jobs in place, in the order in which they are to be scheduled. */
-    void sort(List<Job> jobs, long wallMs) {
+    public void sort(List<Job> jobs, long wallMs) {
         List<JobRank> ranks = new java.util.ArrayList<>(jobs.size());
         for (Job job : jobs) {
             ranks.add(rank(job, wallMs));
@@ -58,7 +61,7 @@
      * Returns the seconds within which the job must finish to meet the nearest service-level
      * objective that is still attainable; {@link Double#MAX_VALUE} if there is none.
      */
-    double timeToNearestObjectiveS(Job job, long wallMs) {
+    public double timeToNearestObjectiveS(Job job, long wallMs) {
         double ageS = (wallMs - job.acceptedAtMs) / 1000.0;
         double runS = estimates.expectedRunS(job);
         double timeLeftS = Double.MAX_VALUE;
--- a/src/main/java/org/shoreusher/core/TaskStops.java
+++ b/src/main/java/org/shoreusher/core/schedule/TaskEviction.java
@@ -1,19 +1,26 @@
-package org.shoreusher.core;
+package org.shoreusher.core.schedule;
 
 import java.util.List;
+import org.shoreusher.core.Shard;
+import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.cluster.TaskAttempt;
+import org.shoreusher.core.message.Effect;
+import org.shoreusher.core.message.WorkerOrder;
+import org.shoreusher.core.store.Outbox;
 import org.shoreusher.settings.Tuning;
 
 /**
  * Evicts tasks of a shard: selects them for preemption, and sends stop orders directly to their
  * workers.
  */
-final class TaskStops {
-    private final Part shard;
+public final class TaskEviction {
+    private final Shard shard;
     private final Outbox outbox;
     private long nextPreemptionMs;
 
     /** Creates the eviction of one shard. */
-    TaskStops(Part shard, Outbox outbox) {
+    public TaskEviction(Shard shard, Outbox outbox) {
         this.shard = shard;
         this.outbox = outbox;
     }
@@ -23,7 +30,7 @@
      * #preemptForPriority} this happens at once, without a grace period, and also during
      * reconciliation.
      */
-    void preemptForReplicas() {
+    public void preemptForReplicas() {
         if (!shard.canStartTasks()
                 || shard.jobs().values().stream()
                         .allMatch(
@@ -41,7 +48,7 @@
     }
 
     /** Stops preemptible tasks where waiting work of higher priority finds no capacity. */
-    void preemptForPriority() {
+    public void preemptForPriority() {
         // Until all machines have reported, the tasks that they may still be running limit the
         // headroom, and stopping known tasks would not change that.
         if (outbox.now.monotonicMs() < nextPreemptionMs
@@ -63,7 +70,7 @@
     }
 
     /** Returns the grace period, in seconds, that a stopped task gets to write a checkpoint. */
-    static double gracePeriodS(TaskAttempt attempt) {
+    public static double gracePeriodS(TaskAttempt attempt) {
         return attempt.job.spec.checkpointDurationS() * Tuning.CHECKPOINT_GRACE_FACTOR;
     }
 
@@ -72,7 +79,7 @@
      *
      * @param gracePeriodS seconds until the task is killed
      */
-    static WorkerOrder stopOrder(TaskAttempt attempt, double gracePeriodS) {
+    public static WorkerOrder stopOrder(TaskAttempt attempt, double gracePeriodS) {
         return new WorkerOrder(
                 WorkerOrder.Kind.STOP,
                 attempt.job.id,
@@ -87,7 +94,7 @@
      *
      * @param gracePeriodS seconds until the task is killed
      */
-    void sendStop(TaskAttempt attempt, double gracePeriodS) {
+    public void sendStop(TaskAttempt attempt, double gracePeriodS) {
         Machine machine = attempt.machine;
         // An unresponsive machine most likely cannot be reached: its lease expires, or its next
         // heartbeat is answered with the order.
@@ -99,7 +106,7 @@
                         > Tuning.STOP_ORDER_RETRY_MS) {
             attempt.lastStopOrderMs = outbox.now.monotonicMs();
             outbox.add(
-                    new Effect.Orders(
+                    new Effect.SendOrders(
                             machine.address,
                             shard.term(),
                             machine.session,
--- a/src/main/java/org/shoreusher/core/Balancing.java
+++ b/src/main/java/org/shoreusher/core/schedule/TaskMigration.java
@@ -1,4 +1,4 @@
-package org.shoreusher.core;
+package org.shoreusher.core.schedule;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,10 +8,19 @@
 import java.util.Map;
 import org.shoreusher.balance.BalanceSettings;
 import org.shoreusher.balance.Balancer;
-import org.shoreusher.balance.FleetView;
-import org.shoreusher.balance.MovableTask;
-import org.shoreusher.balance.Move;
+import org.shoreusher.balance.MigratableTask;
+import org.shoreusher.balance.Migration;
+import org.shoreusher.balance.SchedulerView;
 import org.shoreusher.balance.TaskId;
+import org.shoreusher.core.NodeContext;
+import org.shoreusher.core.Shard;
+import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.cluster.ResourceLedger;
+import org.shoreusher.core.cluster.TaskAttempt;
+import org.shoreusher.core.leadership.LeaderLease;
+import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.core.store.Outbox;
 import org.shoreusher.settings.Tuning;
 
 /**
@@ -24,17 +33,18 @@
  * Afterwards, until its start, its resources at the target and its team's quota are reserved, so it
  * is never counted twice.
  */
-final class Balancing implements ResourceLedger.Listener, Planner.SpreadLimit, FleetView {
+public final class TaskMigration
+        implements ResourceLedger.Listener, BinPacker.SpreadLimit, SchedulerView {
     /** A migration in progress, with the capacity reserved at its target. */
     private static final class Reservation {
-        private final Move migration;
+        private final Migration migration;
         private final TaskAttempt source;
         private final Machine target;
 
         /** Whether the task has left the source; its team's quota is then reserved. */
         private boolean hasLeftSource;
 
-        Reservation(Move migration, TaskAttempt source, Machine target) {
+        Reservation(Migration migration, TaskAttempt source, Machine target) {
             this.migration = migration;
             this.source = source;
             this.target = target;
@@ -45,7 +55,7 @@
         }
     }
 
-    private final Part shard;
+    private final Shard shard;
     private final Outbox outbox;
     private final ResourceLedger ledger;
     private final Balancer balancer;
@@ -54,7 +64,7 @@
     private long nextLogMs;
 
     /** Creates the migrations of one shard; disabled if the features have no balance section. */
-    Balancing(Part shard, NodeContext context, ResourceLedger ledger) {
+    public TaskMigration(Shard shard, NodeContext context, ResourceLedger ledger) {
         this.shard = shard;
         this.ledger = ledger;
         outbox = context.outbox();
@@ -67,7 +77,7 @@
         // reports soon after.
         long reportMs = Math.round(context.settings().heartbeatIntervalS() * 1_000);
         return new Balancer.Timeouts(
-                PartLease.workerLeaseBoundMs(context.settings()) + 2 * reportMs,
+                LeaderLease.workerLeaseBoundMs(context.settings()) + 2 * reportMs,
                 Tuning.MIGRATION_START_HEARTBEAT_INTERVALS * reportMs);
     }
 
@@ -78,7 +88,7 @@
     // ---- events of the shard -----------------------------------------------------------------
 
     /** A machine has sent a heartbeat. */
-    void onMachineReported(Machine machine) {
+    public void onMachineReported(Machine machine) {
         if (!isDisabled()) {
             balancer.load()
                     .addMachine(
@@ -90,21 +100,21 @@
     }
 
     /** A machine no longer belongs to the shard. */
-    void onMachineRemoved(String id) {
+    public void onMachineRemoved(String id) {
         if (!isDisabled()) {
             balancer.load().removeMachine(id);
         }
     }
 
     /** A job was started under a previous leader. */
-    void onJobBegunByPreviousLeader(Job job) {
+    public void onJobBegunByPreviousLeader(Job job) {
         if (!isDisabled()) {
             balancer.budget().markBegunByPreviousLeader(job.id);
         }
     }
 
     /** A job has reached a terminal state. */
-    void onJobEnded(Job job) {
+    public void onJobEnded(Job job) {
         if (!isDisabled()) {
             balancer.budget().removeJob(job.id);
         }
@@ -139,7 +149,7 @@
                             + reservation.migration.task().id()
                             + " had completed before it was stopped");
         } else if (attempt.job.closed) {
-            abandon(reservation, Move.Reason.JOB_CLOSED);
+            abandon(reservation, Migration.Reason.JOB_CLOSED);
         } else {
             balancer.markLeftSource(
                     reservation.migration, attempt.checkpointed, outbox.now.monotonicMs());
@@ -156,25 +166,25 @@
      * first: work that has just been submitted would otherwise be placed before its team counts as
      * a high-demand one.
      */
-    Planner.SpreadLimit spreadLimit() {
+    public BinPacker.SpreadLimit spreadLimit() {
         if (isDisabled()) {
-            return Planner.SpreadLimit.NONE;
+            return BinPacker.SpreadLimit.NONE;
         }
         balancer.updateDemand(unmetDemand());
         return this;
     }
 
     @Override
-    public double maxTeamCpus(Machine machine, JobSpec spec, Planner.SpreadPass pass) {
+    public double maxTeamCpus(Machine machine, JobSpec spec, BinPacker.SpreadPass pass) {
         if (!balancer.isHighDemand(spec.team())) {
             return Double.POSITIVE_INFINITY;
         }
-        boolean withinLimit = pass == Planner.SpreadPass.WITHIN_LIMIT;
+        boolean withinLimit = pass == BinPacker.SpreadPass.WITHIN_LIMIT;
         if (!withinLimit && !machine.cachedImages.contains(spec.image())) {
             return 0;
         }
-        boolean beyondLimit = pass == Planner.SpreadPass.IMAGE_BEYOND_LIMIT;
-        double fetchShare = beyondLimit ? Planner.imageFetchShare(machine.type, spec) : 0;
+        boolean beyondLimit = pass == BinPacker.SpreadPass.IMAGE_BEYOND_LIMIT;
+        double fetchShare = beyondLimit ? BinPacker.imageFetchShare(machine.type, spec) : 0;
         return balancer.maxTeamCpus(machine.id, spec.team(), spec.cpus(), fetchShare);
     }
 
@@ -184,7 +194,7 @@
     }
 
     /** Whether a migrated task waits for this machine's heartbeat. */
-    boolean hasReadyTasks(Machine machine) {
+    public boolean hasReadyTasks(Machine machine) {
         return machine.reservedTaskCount > 0
                 && reservations.values().stream()
                         .anyMatch(
@@ -196,7 +206,7 @@
      * Returns the migrated tasks that are to start now on a machine that has sent a heartbeat.
      * Their state becomes waiting, and their reserved capacity is free for them.
      */
-    List<TaskId> takeReadyTasks(Machine machine) {
+    public List<TaskId> takeReadyTasks(Machine machine) {
         List<TaskId> readyTasks = new ArrayList<>();
         if (!hasReadyTasks(machine)) {
             return readyTasks;
@@ -206,11 +216,11 @@
                 continue;
             }
             if (reservation.source.job.closed) {
-                abandon(reservation, Move.Reason.JOB_CLOSED);
+                abandon(reservation, Migration.Reason.JOB_CLOSED);
             } else if (shard.quotaHeadroom().cpuHeadroom(reservation.spec().team())
                     < -Tuning.EPSILON) {
                 // The quota share may have been lowered since the task left its source.
-                abandon(reservation, Move.Reason.TEAM_LIMIT);
+                abandon(reservation, Migration.Reason.TEAM_LIMIT);
             } else {
                 release(reservation);
                 balancer.markStarted(reservation.migration, outbox.now.monotonicMs());
@@ -232,7 +242,7 @@
     // ---- migration ---------------------------------------------------------------------------
 
     /** Checks the migrations in progress and begins new ones. */
-    void step() {
+    public void step() {
         if (isDisabled() || outbox.now.monotonicMs() < nextStepMs) {
             return;
         }
@@ -268,19 +278,19 @@
     }
 
     private void checkProgress(Reservation reservation) {
-        Move.Reason timeoutReason =
+        Migration.Reason timeoutReason =
                 balancer.timeoutReason(reservation.migration, outbox.now.monotonicMs());
         if (reservation.source.job.closed) {
-            abandon(reservation, Move.Reason.JOB_CLOSED);
+            abandon(reservation, Migration.Reason.JOB_CLOSED);
         } else if (shard.machines().get(reservation.target.id) != reservation.target
                 || !shard.isAvailable(reservation.target)) {
-            abandon(reservation, Move.Reason.TARGET_LOST);
+            abandon(reservation, Migration.Reason.TARGET_LOST);
         } else if (timeoutReason != null) {
             abandon(reservation, timeoutReason);
         }
     }
 
-    private void begin(Move migration) {
+    private void begin(Migration migration) {
         Job job = shard.jobs().get(migration.task().id().job());
         TaskAttempt attempt = job.activeAttempts.get(migration.task().id().index());
         Reservation reservation =
@@ -288,7 +298,7 @@
         reservations.put(migration.task().id(), reservation);
         reservation.target.reserve(reservation.spec(), 1);
         attempt.beingEvicted = true;
-        shard.taskEviction().sendStop(attempt, TaskStops.gracePeriodS(attempt));
+        shard.taskEviction().sendStop(attempt, TaskEviction.gracePeriodS(attempt));
         outbox.logInfo(
                 "move: %s from %s to %s, spread of %s %.2f, gain %.0f s"
                         .formatted(
@@ -301,12 +311,12 @@
     }
 
     /** Abandons all migrations: the known state of the machines has turned out to be wrong. */
-    void abandonAll() {
+    public void abandonAll() {
         List.copyOf(reservations.values())
-                .forEach(reservation -> abandon(reservation, Move.Reason.REBUILD));
+                .forEach(reservation -> abandon(reservation, Migration.Reason.REBUILD));
     }
 
-    private void abandon(Reservation reservation, Move.Reason reason) {
+    private void abandon(Reservation reservation, Migration.Reason reason) {
         release(reservation);
         balancer.abandon(reservation.migration, reason, outbox.now.monotonicMs());
         outbox.logInfo(
@@ -336,8 +346,8 @@
     }
 
     @Override
-    public List<MovableTask> migratableTasks(String machine, String team) {
-        List<MovableTask> migratable = new ArrayList<>();
+    public List<MigratableTask> migratableTasks(String machine, String team) {
+        List<MigratableTask> migratable = new ArrayList<>();
         Machine m = shard.machines().get(machine);
         if (m == null || !shard.isAvailable(m)) {
             return migratable;
@@ -366,10 +376,10 @@
                 && shard.schedulingOrder().isPreemptible(attempt.job, outbox.now.wallMs());
     }
 
-    private MovableTask toMigratableTask(TaskAttempt attempt) {
+    private MigratableTask toMigratableTask(TaskAttempt attempt) {
         JobSpec spec = attempt.job.spec;
         double ranS = (outbox.now.monotonicMs() - attempt.runningSinceMs) / 1000.0;
-        return new MovableTask(
+        return new MigratableTask(
                 new TaskId(attempt.job.id, attempt.taskIndex),
                 spec.jobClass(),
                 spec.team(),
@@ -383,13 +393,13 @@
     }
 
     @Override
-    public boolean canAccept(String machine, MovableTask task) {
+    public boolean canAccept(String machine, MigratableTask task) {
         Machine m = shard.machines().get(machine);
         Job job = shard.jobs().get(task.id().job());
         if (m == null || job == null || !shard.isAvailable(m) || !m.hasDurableUseRecord) {
             return false;
         }
-        Planner.Slot capacity = new Planner.Slot(m);
+        BinPacker.MachineCapacity capacity = new BinPacker.MachineCapacity(m);
         return !capacity.expensive
                 && !job.failedMachineIds.contains(machine)
                 && m.tasks.size() + m.reservedTaskCount < Tuning.MAX_TASKS_PER_MACHINE
--- a/src/main/java/org/shoreusher/core/ConfirmedReads.java
+++ b/src/main/java/org/shoreusher/core/store/LinearizableReads.java
@@ -1,4 +1,4 @@
-package org.shoreusher.core;
+package org.shoreusher.core.store;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -8,14 +8,16 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.LongPredicate;
-import org.shoreusher.core.Command.StateReply;
-import org.shoreusher.core.Effect.StateOp;
-import org.shoreusher.core.StoreSchema.JobRecord;
-import org.shoreusher.core.StoreSchema.JobStatus;
+import org.shoreusher.core.job.SubmissionBatches;
+import org.shoreusher.core.job.TerminalJobCache;
+import org.shoreusher.core.message.Command.StoreReply;
+import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.core.store.StoreSchema.JobRecord;
+import org.shoreusher.core.store.StoreSchema.JobStatus;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 import org.shoreusher.wire.FieldMap;
-import org.shoreusher.wire.StateFormat;
+import org.shoreusher.wire.StoreFormat;
 
 /**
  * Linearizable reads of jobs for users. A read is answered only after the key-value store has
@@ -23,7 +25,7 @@
  * reads share one such call: it checks the cached versions as the preconditions of an empty
  * compare-and-swap.
  */
-final class ConfirmedReads {
+public final class LinearizableReads {
     /**
      * A pending read of a job. The callback receives the record of the job, or null if there is no
      * such job.
@@ -38,9 +40,9 @@
 
     private final Settings settings;
     private final Outbox outbox;
-    private final StoreView storeCache;
-    private final Arrivals submissionBatches;
-    private final EndedJobs terminalJobs;
+    private final StoreCache storeCache;
+    private final SubmissionBatches submissionBatches;
+    private final TerminalJobCache terminalJobs;
 
     /** Rejects a request if this node is overloaded; returns whether it did. */
     private final LongPredicate rejectIfOverloaded;
@@ -61,12 +63,12 @@
      * @param rejectIfOverloaded rejects a request if this node is overloaded, and returns whether
      *     it did
      */
-    ConfirmedReads(
+    public LinearizableReads(
             Settings settings,
             Outbox outbox,
-            StoreView storeCache,
-            Arrivals submissionBatches,
-            EndedJobs terminalJobs,
+            StoreCache storeCache,
+            SubmissionBatches submissionBatches,
+            TerminalJobCache terminalJobs,
             LongPredicate rejectIfOverloaded) {
         this.settings = settings;
         this.outbox = outbox;
@@ -77,7 +79,7 @@
     }
 
     /** Returns how many reads are pending. */
-    int pendingCount() {
+    public int pendingCount() {
         return singleReadsInFlight + pendingReads.size() + awaitingRevision.size();
     }
 
@@ -90,7 +92,7 @@
      * @param jobId the id of the job
      * @param callback receives the record, or null if there is no such job
      */
-    void readBatched(long requestId, String jobId, Consumer<JobRecord> callback) {
+    public void readBatched(long requestId, String jobId, Consumer<JobRecord> callback) {
         JobRecord terminalRecord = terminalJobs.get(jobId);
         JobRecord batchedRecord = submissionBatches.jobRecord(jobId);
         if (terminalRecord == null
@@ -109,7 +111,7 @@
      * Sends the reads collected so far in one call. While enough calls are in flight, reads are
      * collected further.
      */
-    void sendBatch() {
+    public void sendBatch() {
         if (pendingReads.isEmpty() || batchesInFlight >= Tuning.MAX_LINEARIZABLE_READS_IN_FLIGHT) {
             return;
         }
@@ -127,7 +129,7 @@
         pendingReads.subList(0, batch.size()).clear();
         boolean isSent =
                 outbox.callStoreForUser(
-                        new StateOp.Multi(preconditions, Map.of()),
+                        new StoreOperation.CompareAndSwap(preconditions, Map.of()),
                         reply -> {
                             batchesInFlight--;
                             onBatchReply(reply, batch, preconditions);
@@ -140,11 +142,11 @@
     }
 
     private void onBatchReply(
-            StateReply reply, List<PendingRead> batch, Map<String, Long> preconditions) {
+            StoreReply reply, List<PendingRead> batch, Map<String, Long> preconditions) {
         Set<String> changedKeys = new HashSet<>();
         if (reply.status() == 409) {
             try {
-                changedKeys.addAll(StateFormat.readFailedKeys(new FieldMap(reply.body())));
+                changedKeys.addAll(StoreFormat.readFailedKeys(new FieldMap(reply.body())));
             } catch (FieldMap.InvalidFieldException e) {
                 batch.forEach(read -> changedKeys.add(StoreSchema.jobKey(read.jobId())));
             }
@@ -175,7 +177,7 @@
      * Continues a read after the store has confirmed that the job has no record of its own. There
      * is no such job, unless a submission batch contains it at the revision of this answer.
      */
-    private void answerOrAwaitRevision(PendingRead read, StateReply reply) {
+    private void answerOrAwaitRevision(PendingRead read, StoreReply reply) {
         JobRecord cached = cachedRecord(read.jobId());
         if (cached != null) {
             read.callback().accept(cached);
@@ -185,7 +187,7 @@
             awaitingRevision.add(
                     new ReadAwaitingRevision(
                             read,
-                            StateFormat.readRevision(new FieldMap(reply.body())),
+                            StoreFormat.readRevision(new FieldMap(reply.body())),
                             outbox.now.monotonicMs()));
         } catch (FieldMap.InvalidFieldException e) {
             outbox.respondUnavailable(read.requestId());
@@ -196,7 +198,7 @@
      * Answers the reads whose revision the store cache has reached, and rejects those that have
      * waited too long.
      */
-    void answerCaughtUpReads() {
+    public void answerCaughtUpReads() {
         for (ReadAwaitingRevision awaiting : List.copyOf(awaitingRevision)) {
             if (storeCache.revision() >= awaiting.revision()) {
                 awaitingRevision.remove(awaiting);
@@ -217,7 +219,7 @@
      * @param jobId the id of the job
      * @param callback receives the record, or null if there is no such job
      */
-    void readIndividually(long requestId, String jobId, Consumer<JobRecord> callback) {
+    public void readIndividually(long requestId, String jobId, Consumer<JobRecord> callback) {
         readIndividually(new PendingRead(requestId, jobId, callback));
     }
 
@@ -228,7 +230,7 @@
         singleReadsInFlight++;
         boolean isSent =
                 outbox.callStoreForUser(
-                        new StateOp.Get(StoreSchema.jobKey(read.jobId())),
+                        new StoreOperation.Get(StoreSchema.jobKey(read.jobId())),
                         reply -> {
                             singleReadsInFlight--;
                             if (reply.status() == 404) {
@@ -240,8 +242,8 @@
                                 return;
                             }
                             try {
-                                StateFormat.Entry entry =
-                                        StateFormat.readEntry(new FieldMap(reply.body()));
+                                StoreFormat.Entry entry =
+                                        StoreFormat.readEntry(new FieldMap(reply.body()));
                                 storeCache.apply(entry.key(), entry.value(), entry.version());
                                 read.callback().accept(JobRecord.fromMap(entry.value()));
                             } catch (FieldMap.InvalidFieldException x) {
--- a/src/main/java/org/shoreusher/core/Outbox.java
+++ b/src/main/java/org/shoreusher/core/store/Outbox.java
@@ -1,13 +1,16 @@
-package org.shoreusher.core;
+package org.shoreusher.core.store;
 
 import it.unimi.dsi.fastutil.longs.Long2ObjectOpenHashMap;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import org.shoreusher.core.Command.CloudReply;
-import org.shoreusher.core.Command.StateReply;
-import org.shoreusher.core.Effect.CloudOp;
-import org.shoreusher.core.Effect.StateOp;
+import org.shoreusher.core.message.ClockReading;
+import org.shoreusher.core.message.Command.CloudReply;
+import org.shoreusher.core.message.Command.StoreReply;
+import org.shoreusher.core.message.Effect;
+import org.shoreusher.core.message.Effect.CloudOperation;
+import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.core.message.Response;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 
@@ -15,8 +18,8 @@
  * Collects the effects of a batch, tracks the calls whose answers are pending, and keeps calls
  * within the rate limits of the key-value store and the cloud by token buckets.
  */
-final class Outbox {
-    private final Long2ObjectOpenHashMap<Consumer<StateReply>> pendingStoreCalls =
+public final class Outbox {
+    private final Long2ObjectOpenHashMap<Consumer<StoreReply>> pendingStoreCalls =
             new Long2ObjectOpenHashMap<>();
     private final Long2ObjectOpenHashMap<Consumer<CloudReply>> pendingCloudCalls =
             new Long2ObjectOpenHashMap<>();
@@ -29,7 +32,7 @@
     private long nextCallId = 1;
     private long storeAnsweredAtMs = Long.MIN_VALUE / 2;
     private long storeFailedAtMs = Long.MIN_VALUE / 2;
-    ClockReading now = new ClockReading(0, 0);
+    public ClockReading now = new ClockReading(0, 0);
 
     /**
      * Creates an empty outbox with full token buckets.
@@ -37,7 +40,7 @@
      * @param settings the deployment's settings, which give the rate limits of all nodes together
      * @param shardCount the number of shards
      */
-    Outbox(Settings settings, int shardCount) {
+    public Outbox(Settings settings, int shardCount) {
         int leaders = Math.min(settings.nodeCount(), shardCount);
         // The shares of leaders' and users' writes add up to a little more than the rate limit,
         // because they rarely coincide. If they do, the store answers 429, and the write is tried
@@ -63,7 +66,7 @@
     }
 
     /** Returns the writes per second that a shard's leader plans to make at most. */
-    static double leaderWritesPerS(Settings settings, int shardCount) {
+    public static double leaderWritesPerS(Settings settings, int shardCount) {
         return settings.storeWritesPerS()
                 * Tuning.RATE_LIMIT_USE_SHARE
                 * Tuning.LEADER_WRITE_SHARE
@@ -71,29 +74,29 @@
     }
 
     /** Returns the effects collected since the last call, in order, and starts an empty list. */
-    List<Effect> drainEffects() {
+    public List<Effect> drainEffects() {
         List<Effect> drained = effects;
         effects = new ArrayList<>();
         return drained;
     }
 
     /** Adds an effect. */
-    void add(Effect effect) {
+    public void add(Effect effect) {
         effects.add(effect);
     }
 
     /** Logs a line for operators. */
-    void logInfo(String line) {
+    public void logInfo(String line) {
         effects.add(new Effect.Log(line, false));
     }
 
     /** Logs a line at debug level. */
-    void logDebug(String line) {
+    public void logDebug(String line) {
         effects.add(new Effect.Log(line, true));
     }
 
     /** Answers a request. */
-    void respond(long requestId, Response response) {
+    public void respond(long requestId, Response response) {
         effects.add(new Effect.Respond(requestId, response));
     }
 
@@ -101,7 +104,7 @@
      * Answers at once that a request can't be served now. The suggested retry delay depends on the
      * request, so that not all senders retry at the same time.
      */
-    void respondUnavailable(long requestId) {
+    public void respondUnavailable(long requestId) {
         respond(requestId, new Response.Unavailable(Tuning.retryAfterS(requestId)));
     }
 
@@ -112,7 +115,7 @@
      * @param callback called with the answer, or with status 0 if there is none
      * @return false if the rate limit leaves no token; then nothing is sent
      */
-    boolean callStore(StateOp operation, Consumer<StateReply> callback) {
+    public boolean callStore(StoreOperation operation, Consumer<StoreReply> callback) {
         return tryCallStore(operation, leaderWriteTokens, callback);
     }
 
@@ -122,14 +125,14 @@
      *
      * @return false if the rate limit leaves no token; then nothing is sent
      */
-    boolean callStoreForUser(StateOp operation, Consumer<StateReply> callback) {
+    public boolean callStoreForUser(StoreOperation operation, Consumer<StoreReply> callback) {
         return tryCallStore(operation, userWriteTokens, callback);
     }
 
     private boolean tryCallStore(
-            StateOp operation, TokenBucket writeBucket, Consumer<StateReply> callback) {
+            StoreOperation operation, TokenBucket writeBucket, Consumer<StoreReply> callback) {
         int writeCount =
-                operation instanceof StateOp.Multi compareAndSwap
+                operation instanceof StoreOperation.CompareAndSwap compareAndSwap
                         ? compareAndSwap.writes().size()
                         : 0;
         if (!storeCallTokens.tryAcquire(1, now.monotonicMs())) {
@@ -149,7 +152,8 @@
      *
      * @return false if the rate limit leaves no token; then nothing is sent
      */
-    boolean callStoreForLease(StateOp.Multi operation, Consumer<StateReply> callback) {
+    public boolean callStoreForLease(
+            StoreOperation.CompareAndSwap operation, Consumer<StoreReply> callback) {
         if (!renewalTokens.tryAcquire(1, now.monotonicMs())) {
             return false;
         }
@@ -158,10 +162,11 @@
         return true;
     }
 
-    private void sendStoreCall(StateOp operation, boolean urgent, Consumer<StateReply> callback) {
+    private void sendStoreCall(
+            StoreOperation operation, boolean urgent, Consumer<StoreReply> callback) {
         long callId = nextCallId++;
         pendingStoreCalls.put(callId, callback);
-        effects.add(new Effect.StateCall(callId, operation, urgent));
+        effects.add(new Effect.StoreCall(callId, operation, urgent));
     }
 
     /**
@@ -171,7 +176,7 @@
      * @param callback called with the answer, or with status 0 if there is none
      * @return false if the rate limit leaves no token; then nothing is sent
      */
-    boolean callCloud(CloudOp operation, Consumer<CloudReply> callback) {
+    public boolean callCloud(CloudOperation operation, Consumer<CloudReply> callback) {
         if (!cloudCallTokens.tryAcquire(1, now.monotonicMs())) {
             return false;
         }
@@ -182,21 +187,21 @@
     }
 
     /** Passes an answer of the key-value store to the callback of its call. */
-    void onReply(StateReply reply) {
+    public void onReply(StoreReply reply) {
         // A 429 shows that the store is available; only a missing answer and 503 count as failures.
         if (reply.status() == 0 || reply.status() == 503) {
             storeFailedAtMs = now.monotonicMs();
         } else {
             storeAnsweredAtMs = now.monotonicMs();
         }
-        Consumer<StateReply> callback = pendingStoreCalls.remove(reply.callId());
+        Consumer<StoreReply> callback = pendingStoreCalls.remove(reply.callId());
         if (callback != null) {
             callback.accept(reply);
         }
     }
 
     /** Passes an answer of the cloud to the callback of its call. */
-    void onReply(CloudReply reply) {
+    public void onReply(CloudReply reply) {
         Consumer<CloudReply> callback = pendingCloudCalls.remove(reply.callId());
         if (callback != null) {
             callback.accept(reply);
@@ -204,7 +209,7 @@
     }
 
     /** Returns the ms since the last successful answer of the key-value store. */
-    long sinceStoreReplyMs() {
+    public long sinceStoreReplyMs() {
         return now.monotonicMs() - storeAnsweredAtMs;
     }
 
@@ -212,7 +217,7 @@
      * Returns whether the key-value store is unavailable: the latest call failed, and no call has
      * succeeded for longer than the call timeout.
      */
-    boolean isStoreUnavailable() {
+    public boolean isStoreUnavailable() {
         return storeFailedAtMs >= storeAnsweredAtMs
                 && sinceStoreReplyMs() > Tuning.STORE_TIMEOUT_MS;
     }
--- a/src/main/java/org/shoreusher/core/StoreView.java
+++ b/src/main/java/org/shoreusher/core/store/StoreCache.java
@@ -1,32 +1,32 @@
-package org.shoreusher.core;
+package org.shoreusher.core.store;
 
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
 import java.util.Map;
 import java.util.SortedMap;
 import java.util.TreeMap;
-import org.shoreusher.core.Command.StateReply;
-import org.shoreusher.core.Effect.StateOp;
+import org.shoreusher.core.message.Command.StoreReply;
+import org.shoreusher.core.message.Effect.StoreOperation;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 import org.shoreusher.wire.FieldMap;
-import org.shoreusher.wire.StateFormat;
+import org.shoreusher.wire.StoreFormat;
 
 /**
  * This node's cached copy of the key-value store. It is loaded page by page, then kept current by a
  * single watch, and loaded again when the watch has fallen too far behind (status 410). Changes are
  * applied by version, so pages, watch results and this node's own writes may arrive in any order.
  */
-final class StoreView {
+public final class StoreCache {
     /**
      * The value of one key.
      *
      * @param value the stored fields
      * @param version the revision at which the key was last written
      */
-    record Entry(Map<String, Object> value, long version) {}
+    public record Entry(Map<String, Object> value, long version) {}
 
     /** Receives every change of the cache. */
-    interface Listener {
+    public interface Listener {
         /**
          * Called after an entry was added, changed or removed.
          *
@@ -63,7 +63,7 @@
      * @param settings the deployment's settings
      * @param listener receives every change
      */
-    StoreView(Outbox outbox, Settings settings, Listener listener) {
+    public StoreCache(Outbox outbox, Settings settings, Listener listener) {
         // A change wakes the watches of all nodes. Under a low rate limit they would use up all
         // calls.
         double callsPerS =
@@ -77,7 +77,7 @@
     }
 
     /** Returns whether the cache has been complete once. */
-    boolean isLoaded() {
+    public boolean isLoaded() {
         return isLoaded;
     }
 
@@ -85,24 +85,24 @@
      * Returns the revision up to which the cache contains every change; -1 while it is being
      * loaded.
      */
-    long revision() {
+    public long revision() {
         return loading ? -1 : revision;
     }
 
     /** Returns the ms since the last moment at which the cache was known to be complete. */
-    long ageMs() {
+    public long ageMs() {
         return outbox.now.monotonicMs() - completeAtMs;
     }
 
     /** Returns the entry of a key, or null. */
-    Entry get(String key) {
+    public Entry get(String key) {
         return entries.get(key);
     }
 
     /**
      * Returns the version of a key; 0 if it is absent. This is the form that preconditions have.
      */
-    long version(String key) {
+    public long version(String key) {
         Entry entry = entries.get(key);
         return entry == null ? 0 : entry.version();
     }
@@ -111,17 +111,17 @@
      * Returns whether the cache contains the key, or contained it at a revision that the watch has
      * not passed yet.
      */
-    boolean containsOrRecentlyRemoved(String key) {
+    public boolean containsOrRecentlyRemoved(String key) {
         return entries.containsKey(key) || removalVersions.containsKey(key);
     }
 
     /** Returns the number of keys in memory. */
-    int size() {
+    public int size() {
         return entries.size();
     }
 
     /** Returns a live view of the entries whose keys start with a prefix. */
-    SortedMap<String, Entry> entriesWithPrefix(String prefix) {
+    public SortedMap<String, Entry> entriesWithPrefix(String prefix) {
         return entries.subMap(prefix, prefix + Character.MAX_VALUE);
     }
 
@@ -132,7 +132,7 @@
      * @param value the stored fields; null: the key was removed
      * @param version the revision of the change
      */
-    void apply(String key, Map<String, Object> value, long version) {
+    public void apply(String key, Map<String, Object> value, long version) {
         Entry before = entries.get(key);
         if ((before != null && before.version() >= version)
                 || removalVersions.getLong(key) >= version) {
@@ -159,10 +159,10 @@
      * @param writes the values that were written
      * @return the revision at which the store applied the write
      */
-    long applyOwnWrites(StateReply reply, Map<String, Map<String, Object>> writes) {
+    public long applyOwnWrites(StoreReply reply, Map<String, Map<String, Object>> writes) {
         long appliedRevision;
         try {
-            appliedRevision = StateFormat.readRevision(new FieldMap(reply.body()));
+            appliedRevision = StoreFormat.readRevision(new FieldMap(reply.body()));
         } catch (FieldMap.InvalidFieldException e) {
             throw new IllegalStateException(
                     "the state service confirmed a write without its revision: " + e.getMessage());
@@ -175,7 +175,7 @@
      * Removes a key from memory only. A watch may yet deliver changes from before the key's last
      * version; they must not restore the key, or a completed job would count as open.
      */
-    void evict(String key) {
+    public void evict(String key) {
         Entry entry = entries.remove(key);
         if (entry != null && entry.version() > revision) {
             removalVersions.put(key, entry.version());
@@ -183,15 +183,15 @@
     }
 
     /** Requests the next page or the next watch when it is due. */
-    void step() {
+    public void step() {
         if (requestInFlight || outbox.now.monotonicMs() < nextRequestMs) {
             return;
         }
         long sentAt = outbox.now.monotonicMs();
-        StateOp operation =
+        StoreOperation operation =
                 loading
-                        ? new StateOp.Page(lastPageKey)
-                        : new StateOp.Watch(
+                        ? new StoreOperation.Page(lastPageKey)
+                        : new StoreOperation.Watch(
                                 revision,
                                 isLoaded && revision >= requiredRevision
                                         ? Tuning.WATCH_LONG_POLL_MS
@@ -210,7 +210,7 @@
                         });
     }
 
-    private void onReply(StateReply reply, long sentAt) throws FieldMap.InvalidFieldException {
+    private void onReply(StoreReply reply, long sentAt) throws FieldMap.InvalidFieldException {
         if (reply.status() == 410) {
             reload();
             return;
@@ -229,10 +229,10 @@
             onPage(body);
             return;
         }
-        for (StateFormat.Entry change : StateFormat.readChanges(body)) {
+        for (StoreFormat.Entry change : StoreFormat.readChanges(body)) {
             apply(change.key(), change.value(), change.version());
         }
-        revision = Math.max(revision, StateFormat.readRevision(body));
+        revision = Math.max(revision, StoreFormat.readRevision(body));
         removalVersions
                 .object2LongEntrySet()
                 .removeIf(removal -> removal.getLongValue() <= revision);
@@ -246,15 +246,15 @@
     }
 
     private void onPage(FieldMap body) throws FieldMap.InvalidFieldException {
-        long pageRevision = StateFormat.readRevision(body);
+        long pageRevision = StoreFormat.readRevision(body);
         if (lastPageKey == null) {
             firstPageRevision = pageRevision;
         }
-        for (StateFormat.Entry entry : StateFormat.readPage(body)) {
+        for (StoreFormat.Entry entry : StoreFormat.readPage(body)) {
             pagedEntries.put(entry.key(), new Entry(entry.value(), entry.version()));
             lastPageKey = entry.key();
         }
-        if (StateFormat.hasMorePages(body) && lastPageKey != null) {
+        if (StoreFormat.hasMorePages(body) && lastPageKey != null) {
             return;
         }
         // Pages are read at different revisions. Watching from the first page's revision on makes
--- a/src/main/java/org/shoreusher/core/StoreSchema.java
+++ b/src/main/java/org/shoreusher/core/store/StoreSchema.java
@@ -1,4 +1,4 @@
-package org.shoreusher.core;
+package org.shoreusher.core.store;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -6,6 +6,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import org.shoreusher.core.job.HighWaterMarks;
+import org.shoreusher.core.job.SubmissionBatches;
+import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.settings.Tuning;
 import org.shoreusher.wire.FieldMap;
 import org.shoreusher.wire.UserFormat;
@@ -14,28 +17,28 @@
  * The keys and values of this service in the key-value store. Records convert themselves to and
  * from the store's generic fields.
  */
-final class StoreSchema {
+public final class StoreSchema {
     /** The key of the term counter, which every change of a leader increments. */
-    static final String TERM_KEY = "term";
+    public static final String TERM_KEY = "term";
 
     /** The key of the last known machine types. */
-    static final String MACHINE_TYPES_KEY = "types";
+    public static final String MACHINE_TYPES_KEY = "types";
 
     /**
      * The prefix of the records of jobs that were accepted together. It sorts before the prefix of
      * jobs: a cache that is loaded page by page then learns of submissions first, and of their
      * jobs' progress afterwards.
      */
-    static final String SUBMISSION_BATCH_PREFIX = "arrived/";
+    public static final String SUBMISSION_BATCH_PREFIX = "arrived/";
 
     /** The prefix of jobs' records. */
-    static final String JOB_PREFIX = "job/";
+    public static final String JOB_PREFIX = "job/";
 
     /** The prefix of the records of machine groups. */
-    static final String MACHINE_PREFIX = "machine/";
+    public static final String MACHINE_PREFIX = "machine/";
 
     /** The prefix of all keys of a shard. */
-    static final String SHARD_PREFIX = "part/";
+    public static final String SHARD_PREFIX = "part/";
 
     /** The prefix of the keys under which nodes record the formats that they support. */
     static final String NODE_PREFIX = "node/";
@@ -45,7 +48,7 @@
     private StoreSchema() {}
 
     /** The key of a shard's record. */
-    static String shardKey(int shardNumber) {
+    public static String shardKey(int shardNumber) {
         return SHARD_PREFIX + shardNumber;
     }
 
@@ -53,7 +56,7 @@
      * The fencing key of a shard. It is written only when the leader changes, and its version is a
      * precondition of all writes for the shard.
      */
-    static String fencingKey(int shardNumber) {
+    public static String fencingKey(int shardNumber) {
         return SHARD_PREFIX + shardNumber + FENCING_SUFFIX;
     }
 
@@ -63,17 +66,17 @@
     }
 
     /** The key of an overflow record of completed tasks. */
-    static String completionKey(int shardNumber, int chunk) {
+    public static String completionKey(int shardNumber, int chunk) {
         return SHARD_PREFIX + shardNumber + "/done/" + chunk;
     }
 
     /** The key of a record of high-water marks. */
-    static String highWaterMarkKey(int shardNumber, int chunk) {
+    public static String highWaterMarkKey(int shardNumber, int chunk) {
         return SHARD_PREFIX + shardNumber + "/begun/" + chunk;
     }
 
     /** The key of a job's own record. */
-    static String jobKey(String jobId) {
+    public static String jobKey(String jobId) {
         return JOB_PREFIX + jobId;
     }
 
@@ -83,7 +86,7 @@
      * @param processName the name of the accepting process
      * @param sequenceNumber counts the records of that process
      */
-    static String submissionBatchKey(String processName, long sequenceNumber) {
+    public static String submissionBatchKey(String processName, long sequenceNumber) {
         return SUBMISSION_BATCH_PREFIX + processName + "/" + sequenceNumber;
     }
 
@@ -95,7 +98,7 @@
      * @param valueBytes the size limit of values in the store, which decides between wide and
      *     narrow groups
      */
-    static String machineGroupKey(String machineId, int valueBytes) {
+    public static String machineGroupKey(String machineId, int valueBytes) {
         return machineGroupKey(machineId, valueBytes >= Tuning.WIDE_GROUP_MIN_VALUE_BYTES);
     }
 
@@ -106,7 +109,7 @@
      * @param wide whether the wide group of up to a hundred machines is meant, or the narrow one of
      *     up to ten
      */
-    static String machineGroupKey(String machineId, boolean wide) {
+    public static String machineGroupKey(String machineId, boolean wide) {
         int suffixLength = wide ? 2 : 1;
         return MACHINE_PREFIX
                 + machineId.substring(0, Math.max(0, machineId.length() - suffixLength));
@@ -118,7 +121,7 @@
     }
 
     /** The key of a team's quota shares. */
-    static String quotaKey(String team) {
+    public static String quotaKey(String team) {
         return "quota/" + team;
     }
 
@@ -133,17 +136,17 @@
      *     null: none. Versions from before the standby replication drop this field when they
      *     acquire the shard
      */
-    record PartRecord(
+    public record ShardRecord(
             String leader,
             long leaseExpiryWallMs,
             long term,
             Map<String, Object> completedRanges,
             String standby) {
         /** Reads the record from its stored fields. */
-        static PartRecord fromMap(Map<String, Object> value) {
+        public static ShardRecord fromMap(Map<String, Object> value) {
             try {
                 FieldMap fields = new FieldMap(value);
-                return new PartRecord(
+                return new ShardRecord(
                         fields.text("owner"),
                         fields.integer("expiry"),
                         fields.integer("term"),
@@ -156,7 +159,7 @@
         }
 
         /** Returns the stored fields of the record. */
-        Map<String, Object> toMap() {
+        public Map<String, Object> toMap() {
             Map<String, Object> fields = new LinkedHashMap<>();
             fields.put("owner", leader);
             fields.put("expiry", leaseExpiryWallMs);
@@ -169,14 +172,14 @@
         }
 
         /** Returns the leader's host. */
-        String leaderHost() {
+        public String leaderHost() {
             int slash = leader.lastIndexOf('/');
             return slash < 0 ? leader : leader.substring(0, slash);
         }
     }
 
     /** The durable status of a job. */
-    enum JobStatus {
+    public enum JobStatus {
         OPEN,
         DONE,
         CANCELLED
@@ -192,11 +195,11 @@
      * @param taskCount the number of tasks
      * @param acceptedWallMs when the job was accepted, in wall-clock ms
      * @param highWaterMark 0 for a job whose high-water mark is in the shard's records of marks,
-     *     see {@link StartMarks}. In records from before there were such, no task from this number
-     *     on had ever been started
+     *     see {@link HighWaterMarks}. In records from before there were such, no task from this
+     *     number on had ever been started
      * @param specFields the fields of the job's description; null for a completed job
      */
-    record JobRecord(
+    public record JobRecord(
             int shardNumber,
             JobStatus status,
             int taskCount,
@@ -204,7 +207,7 @@
             int highWaterMark,
             Map<String, Object> specFields) {
         /** Reads the record from its stored fields. */
-        static JobRecord fromMap(Map<String, Object> value) {
+        public static JobRecord fromMap(Map<String, Object> value) {
             try {
                 FieldMap fields = new FieldMap(value);
                 int taskCount = (int) fields.integer("tasks");
@@ -225,7 +228,7 @@
         }
 
         /** Returns the record of a newly accepted job; the time is in wall-clock ms. */
-        static JobRecord open(int shardNumber, JobSpec spec, long acceptedWallMs) {
+        public static JobRecord open(int shardNumber, JobSpec spec, long acceptedWallMs) {
             return new JobRecord(
                     shardNumber,
                     JobStatus.OPEN,
@@ -236,7 +239,7 @@
         }
 
         /** Returns the record of the job once it is completed. */
-        JobRecord asDone() {
+        public JobRecord asDone() {
             return new JobRecord(
                     shardNumber, JobStatus.DONE, taskCount, acceptedWallMs, highWaterMark, null);
         }
@@ -249,7 +252,7 @@
          *
          * @param maxValueBytes the size limit of a value in bytes
          */
-        JobRecord asCancelled(int maxValueBytes) {
+        public JobRecord asCancelled(int maxValueBytes) {
             JobRecord full =
                     new JobRecord(
                             shardNumber,
@@ -272,7 +275,7 @@
         }
 
         /** Parses the job's description; the record must have one. */
-        JobSpec parseSpec() {
+        public JobSpec parseSpec() {
             try {
                 return UserFormat.readDescription(new FieldMap(specFields));
             } catch (FieldMap.InvalidFieldException e) {
@@ -282,7 +285,7 @@
         }
 
         /** Returns the stored fields of the record. */
-        Map<String, Object> toMap() {
+        public Map<String, Object> toMap() {
             Map<String, Object> fields = new LinkedHashMap<>();
             fields.put("part", (long) shardNumber);
             fields.put("status", status.name());
@@ -302,11 +305,11 @@
      *
      * @param completedRanges completed tasks as ranges by job
      */
-    record FinishedRecord(Map<String, Object> completedRanges) {
+    public record CompletionRecord(Map<String, Object> completedRanges) {
         /** Reads the record from its stored fields. */
-        static FinishedRecord fromMap(Map<String, Object> value) {
+        public static CompletionRecord fromMap(Map<String, Object> value) {
             try {
-                return new FinishedRecord(new FieldMap(value).map("done").asMap());
+                return new CompletionRecord(new FieldMap(value).map("done").asMap());
             } catch (FieldMap.InvalidFieldException e) {
                 throw new IllegalStateException(
                         "a record of finished tasks of this service can't be read: "
@@ -315,7 +318,7 @@
         }
 
         /** Returns the stored fields of the record. */
-        Map<String, Object> toMap() {
+        public Map<String, Object> toMap() {
             return Map.of("done", completedRanges);
         }
     }
@@ -325,9 +328,9 @@
      *
      * @param highWaterMarks by job, the task number from which on no task has ever been started
      */
-    record MarkRecord(Map<String, Integer> highWaterMarks) {
+    public record HighWaterMarkRecord(Map<String, Integer> highWaterMarks) {
         /** Reads the record from its stored fields. */
-        static MarkRecord fromMap(Map<String, Object> value) {
+        public static HighWaterMarkRecord fromMap(Map<String, Object> value) {
             Map<String, Integer> highWaterMarks = new LinkedHashMap<>();
             try {
                 FieldMap fields = new FieldMap(value).map("begun");
@@ -338,11 +341,11 @@
                 throw new IllegalStateException(
                         "a record of marks of this service can't be read: " + e.getMessage());
             }
-            return new MarkRecord(highWaterMarks);
+            return new HighWaterMarkRecord(highWaterMarks);
         }
 
         /** Returns the stored fields of a record of these marks. */
-        static Map<String, Object> toMap(Map<String, Integer> highWaterMarks) {
+        public static Map<String, Object> toMap(Map<String, Integer> highWaterMarks) {
             Map<String, Object> fields = new LinkedHashMap<>();
             highWaterMarks.forEach(
                     (jobId, highWaterMark) -> fields.put(jobId, (long) highWaterMark));
@@ -351,13 +354,13 @@
     }
 
     /**
-     * Jobs that were accepted together; see {@link Arrivals}.
+     * Jobs that were accepted together; see {@link SubmissionBatches}.
      *
      * @param jobs the records of the jobs, by id
      */
-    record ArrivalRecord(Map<String, JobRecord> jobs) {
+    public record SubmissionBatchRecord(Map<String, JobRecord> jobs) {
         /** Reads the record from its stored fields. */
-        static ArrivalRecord fromMap(Map<String, Object> value) {
+        public static SubmissionBatchRecord fromMap(Map<String, Object> value) {
             Map<String, JobRecord> jobs = new LinkedHashMap<>();
             try {
                 for (String jobId : new FieldMap(value).map("jobs").asMap().keySet()) {
@@ -369,13 +372,13 @@
                 throw new IllegalStateException(
                         "a record of arrivals of this service can't be read: " + e.getMessage());
             }
-            return new ArrivalRecord(jobs);
+            return new SubmissionBatchRecord(jobs);
         }
 
         /**
          * Returns the stored fields of a record of these jobs, which are already in stored form.
          */
-        static Map<String, Object> toMap(Map<String, Map<String, Object>> jobs) {
+        public static Map<String, Object> toMap(Map<String, Map<String, Object>> jobs) {
             return Map.of("jobs", jobs);
         }
     }
@@ -386,14 +389,14 @@
      * @param cpus the CPUs of each shard
      * @param gpus the GPUs of each shard
      */
-    record QuotaRecord(double[] cpus, double[] gpus) {
+    public record QuotaRecord(double[] cpus, double[] gpus) {
         /**
          * Reads the record from its stored fields.
          *
          * @param value the stored fields
          * @param shardCount the number of shards
          */
-        static QuotaRecord fromMap(Map<String, Object> value, int shardCount) {
+        public static QuotaRecord fromMap(Map<String, Object> value, int shardCount) {
             return new QuotaRecord(
                     sharesFrom(value.get("cpus"), shardCount),
                     sharesFrom(value.get("gpus"), shardCount));
@@ -414,7 +417,7 @@
         }
 
         /** Returns equal shares in whole units; the first shard also gets the remainder. */
-        static QuotaRecord splitEvenly(double cpus, double gpus, int shardCount) {
+        public static QuotaRecord splitEvenly(double cpus, double gpus, int shardCount) {
             return new QuotaRecord(splitEvenly(cpus, shardCount), splitEvenly(gpus, shardCount));
         }
 
@@ -426,7 +429,7 @@
         }
 
         /** Returns the stored fields of the record. */
-        Map<String, Object> toMap() {
+        public Map<String, Object> toMap() {
             Map<String, Object> fields = new LinkedHashMap<>();
             fields.put("cpus", Arrays.stream(cpus).boxed().toList());
             fields.put("gpus", Arrays.stream(gpus).boxed().toList());
@@ -445,7 +448,7 @@
      * @param mayHaveRunTasks whether tasks may have been started on it; written before the first
      *     start
      */
-    record MachineRecord(
+    public record MachineRecord(
             int shardNumber,
             String type,
             String zone,
@@ -453,7 +456,7 @@
             long provisionedWallMs,
             boolean mayHaveRunTasks) {
         /** Returns the record with the mark that tasks may have been started on the machine. */
-        MachineRecord withRunTasks() {
+        public MachineRecord withRunTasks() {
             return new MachineRecord(shardNumber, type, zone, spot, provisionedWallMs, true);
         }
     }
@@ -465,14 +468,14 @@
      *
      * @param machines the records by machine id
      */
-    record MachineGroupRecord(Map<String, MachineRecord> machines) {
+    public record MachineGroupRecord(Map<String, MachineRecord> machines) {
         /**
          * Reads the group from its stored fields.
          *
          * @param key the key of the group, from which the machine ids are completed
          * @param value the stored fields
          */
-        static MachineGroupRecord fromMap(String key, Map<String, Object> value) {
+        public static MachineGroupRecord fromMap(String key, Map<String, Object> value) {
             try {
                 FieldMap fields = new FieldMap(value);
                 List<String> names = fields.texts("names");
@@ -509,7 +512,7 @@
          * @param machines the records by machine id
          * @return the fields; null, which removes the key, if there are no machines
          */
-        static Map<String, Object> toMap(String key, Map<String, MachineRecord> machines) {
+        public static Map<String, Object> toMap(String key, Map<String, MachineRecord> machines) {
             if (machines.isEmpty()) {
                 return null;
             }
--- a/src/main/java/org/shoreusher/core/TaskRanges.java
+++ b/src/main/java/org/shoreusher/core/store/TaskRanges.java
@@ -1,4 +1,4 @@
-package org.shoreusher.core;
+package org.shoreusher.core.store;
 
 import java.util.BitSet;
 
--- a/src/main/java/org/shoreusher/core/TokenBucket.java
+++ b/src/main/java/org/shoreusher/core/store/TokenBucket.java
@@ -1,4 +1,4 @@
-package org.shoreusher.core;
+package org.shoreusher.core.store;
 
 /** A token bucket: limits a rate of calls and allows bursts. */
 public final class TokenBucket {
--- a/src/main/java/org/shoreusher/core/MemberFormats.java
+++ b/src/main/java/org/shoreusher/core/store/VersionNegotiation.java
@@ -1,11 +1,11 @@
-package org.shoreusher.core;
+package org.shoreusher.core.store;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Predicate;
-import org.shoreusher.core.Effect.StateOp;
+import org.shoreusher.core.message.Effect.StoreOperation;
 import org.shoreusher.settings.Features;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
@@ -22,7 +22,7 @@
  * downgrade is detected when the member becomes the leader of a shard: the fencing key then names a
  * process on that host that has written no version record.
  */
-final class MemberFormats {
+public final class VersionNegotiation {
     /**
      * The first format with services, with narrow machine groups, and with completion records of a
      * job in several overflow records.
@@ -40,7 +40,7 @@
     private final Settings settings;
     private final Features features;
     private final Outbox outbox;
-    private final StoreView storeCache;
+    private final StoreCache storeCache;
     private final String processName;
     private final int shardCount;
     private boolean writeInFlight;
@@ -65,11 +65,11 @@
      * @param processName the name of this process, HOST/SUFFIX
      * @param shardCount the number of shards
      */
-    MemberFormats(
+    public VersionNegotiation(
             Settings settings,
             Features features,
             Outbox outbox,
-            StoreView storeCache,
+            StoreCache storeCache,
             String processName,
             int shardCount) {
         this.settings = settings;
@@ -81,7 +81,7 @@
     }
 
     /** Called for each change of a key in the store cache. */
-    void onStoreChange(String key) {
+    public void onStoreChange(String key) {
         if (key.startsWith(StoreSchema.NODE_PREFIX) || StoreSchema.isFencingKey(key)) {
             membersWithoutServices = null;
         }
@@ -91,7 +91,7 @@
      * Writes this process's version record if it is missing, and logs when services become enabled
      * or disabled.
      */
-    void step() {
+    public void step() {
         if (!storeCache.isLoaded()) {
             return;
         }
@@ -104,7 +104,7 @@
     }
 
     private boolean hasCurrentVersionRecord() {
-        StoreView.Entry versionRecord = storeCache.get(StoreSchema.nodeKey(settings.host()));
+        StoreCache.Entry versionRecord = storeCache.get(StoreSchema.nodeKey(settings.host()));
         return versionRecord != null
                 && processName.equals(versionRecord.value().get(PROCESS_NAME_FIELD));
     }
@@ -121,7 +121,8 @@
         Map<String, Map<String, Object>> writes = Map.of(key, versionRecord);
         writeInFlight =
                 outbox.callStore(
-                        new StateOp.Multi(Map.of(key, storeCache.version(key)), writes),
+                        new StoreOperation.CompareAndSwap(
+                                Map.of(key, storeCache.version(key)), writes),
                         reply -> {
                             writeInFlight = false;
                             if (reply.status() == 200) {
@@ -135,10 +136,10 @@
      *
      * @param isResponsive whether gossip from the controller of a host has arrived recently
      */
-    List<StandbyChooser.Candidate> standbyCandidates(Predicate<String> isResponsive) {
+    public List<StandbyChooser.Candidate> standbyCandidates(Predicate<String> isResponsive) {
         List<StandbyChooser.Candidate> candidates = new ArrayList<>();
         for (Settings.Member member : settings.members()) {
-            StoreView.Entry versionRecord = storeCache.get(StoreSchema.nodeKey(member.host()));
+            StoreCache.Entry versionRecord = storeCache.get(StoreSchema.nodeKey(member.host()));
             if (versionRecord != null
                     && versionRecord.value().get(STANDBY_LOG_FIELD) instanceof Number logFormat
                     && logFormat.longValue() == STANDBY_LOG_FORMAT
@@ -155,7 +156,7 @@
      * Returns whether every member is known to support services. Only stored records count, not
      * gossip.
      */
-    boolean areServicesSupported() {
+    public boolean areServicesSupported() {
         return membersWithoutServices().isEmpty();
     }
 
@@ -171,7 +172,7 @@
     }
 
     private long supportedFormat(String host) {
-        StoreView.Entry versionRecord = storeCache.get(StoreSchema.nodeKey(host));
+        StoreCache.Entry versionRecord = storeCache.get(StoreSchema.nodeKey(host));
         if (versionRecord == null
                 || !(versionRecord.value().get(FORMAT_FIELD) instanceof Number format)) {
             return 1;
@@ -184,12 +185,12 @@
      * without having written one itself. Each process of this version writes its record at its
      * start, so a later leader without one runs an old version.
      */
-    private boolean isDowngraded(String host, StoreView.Entry versionRecord) {
+    private boolean isDowngraded(String host, StoreCache.Entry versionRecord) {
         Object recordedProcess = versionRecord.value().get(PROCESS_NAME_FIELD);
         for (int shardNumber = 0;
                 shardNumber < shardCount && recordedProcess != null;
                 shardNumber++) {
-            StoreView.Entry fencingEntry = storeCache.get(StoreSchema.fencingKey(shardNumber));
+            StoreCache.Entry fencingEntry = storeCache.get(StoreSchema.fencingKey(shardNumber));
             if (fencingEntry != null
                     && fencingEntry.version() > versionRecord.version()
                     && fencingEntry.value().get("owner") instanceof String leader
--- a/src/main/java/org/shoreusher/core/Acceptance.java
+++ b/src/main/java/org/shoreusher/core/user/SubmissionCommit.java
@@ -1,4 +1,4 @@
-package org.shoreusher.core;
+package org.shoreusher.core.user;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -8,23 +8,29 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 import java.util.function.ToIntFunction;
-import org.shoreusher.core.Command.StateReply;
-import org.shoreusher.core.Effect.StateOp;
-import org.shoreusher.core.StoreSchema.ArrivalRecord;
-import org.shoreusher.core.StoreSchema.JobRecord;
+import org.shoreusher.core.job.SubmissionBatches;
+import org.shoreusher.core.message.Command.StoreReply;
+import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.core.message.Response;
+import org.shoreusher.core.store.Outbox;
+import org.shoreusher.core.store.StoreCache;
+import org.shoreusher.core.store.StoreSchema;
+import org.shoreusher.core.store.StoreSchema.JobRecord;
+import org.shoreusher.core.store.StoreSchema.SubmissionBatchRecord;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 import org.shoreusher.wire.FieldMap;
-import org.shoreusher.wire.StateFormat;
+import org.shoreusher.wire.StoreFormat;
 
 /**
  * Makes submissions durable by group commit, and answers them. A single submission gets a record of
  * its own. Submissions that arrive while the write before them is in flight, or waits for a token
- * of the rate limit, share a record; see {@link Arrivals}. One write for each would make a hundred
- * simultaneous submissions wait up to six seconds at twenty writes a second. Submissions that do
- * not fit into the next writes are refused at once.
+ * of the rate limit, share a record; see {@link SubmissionBatches}. One write for each would make a
+ * hundred simultaneous submissions wait up to six seconds at twenty writes a second. Submissions
+ * that do not fit into the next writes are refused at once.
  */
-final class Acceptance {
+final class SubmissionCommit {
     /** A job that is to be written, with all requests that submit it. */
     private record PendingSubmission(
             JobSpec spec,
@@ -35,7 +41,7 @@
 
     private final Settings settings;
     private final Outbox outbox;
-    private final StoreView storeCache;
+    private final StoreCache storeCache;
     private final String processName;
     private final ToIntFunction<JobSpec> shardWithMostHeadroom;
 
@@ -59,10 +65,10 @@
      * @param onAlreadyKnown called for a job that has become durable by another submission
      * @param onTooLong called for a description that exceeds the limit on a record
      */
-    Acceptance(
+    SubmissionCommit(
             Settings settings,
             Outbox outbox,
-            StoreView storeCache,
+            StoreCache storeCache,
             String processName,
             ToIntFunction<JobSpec> shardWithMostHeadroom,
             BiConsumer<Long, String> onAlreadyKnown,
@@ -153,11 +159,11 @@
             preconditions.put(key, 0L);
             Map<String, Map<String, Object>> jobs = new LinkedHashMap<>();
             batch.forEach(submission -> jobs.put(submission.spec.id(), submission.recordValue));
-            writes.put(key, ArrivalRecord.toMap(jobs));
+            writes.put(key, SubmissionBatchRecord.toMap(jobs));
         }
         boolean sent =
                 outbox.callStoreForUser(
-                        new StateOp.Multi(preconditions, writes),
+                        new StoreOperation.CompareAndSwap(preconditions, writes),
                         reply -> {
                             writesInFlight--;
                             handleReply(reply, batch, writes);
@@ -170,7 +176,7 @@
     }
 
     private void handleReply(
-            StateReply reply,
+            StoreReply reply,
             List<PendingSubmission> batch,
             Map<String, Map<String, Object>> writes) {
         if (reply.status() == 200) {
@@ -183,7 +189,7 @@
                                                     requestId,
                                                     new Response.JobState(
                                                             submission.spec.id(),
-                                                            Response.Shown.PENDING,
+                                                            Response.DisplayState.PENDING,
                                                             null,
                                                             true))));
         } else if (reply.status() == 409) {
@@ -203,9 +209,9 @@
         }
     }
 
-    private static Set<String> failedPreconditions(StateReply reply) {
+    private static Set<String> failedPreconditions(StoreReply reply) {
         try {
-            return new HashSet<>(StateFormat.readFailedKeys(new FieldMap(reply.body())));
+            return new HashSet<>(StoreFormat.readFailedKeys(new FieldMap(reply.body())));
         } catch (FieldMap.InvalidFieldException e) {
             return Set.of();
         }
--- a/src/main/java/org/shoreusher/core/UserRequests.java
+++ b/src/main/java/org/shoreusher/core/user/UserRequests.java
@@ -1,44 +1,55 @@
-package org.shoreusher.core;
+package org.shoreusher.core.user;
 
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.ToIntFunction;
-import org.shoreusher.core.Command.StateReply;
-import org.shoreusher.core.Effect.StateOp;
-import org.shoreusher.core.Response.Shown;
-import org.shoreusher.core.StoreSchema.JobRecord;
-import org.shoreusher.core.StoreSchema.JobStatus;
+import org.shoreusher.core.NodeContext;
+import org.shoreusher.core.job.SubmissionBatches;
+import org.shoreusher.core.job.TerminalJobCache;
+import org.shoreusher.core.machine.MachineTypeCatalog;
+import org.shoreusher.core.message.Command.StoreReply;
+import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.core.message.Response;
+import org.shoreusher.core.message.Response.DisplayState;
+import org.shoreusher.core.store.LinearizableReads;
+import org.shoreusher.core.store.Outbox;
+import org.shoreusher.core.store.StoreCache;
+import org.shoreusher.core.store.StoreSchema;
+import org.shoreusher.core.store.StoreSchema.JobRecord;
+import org.shoreusher.core.store.StoreSchema.JobStatus;
+import org.shoreusher.core.store.VersionNegotiation;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 
 /**
  * Answers the requests of users. A terminal state is answered from memory, since it never changes.
  * Any other state is answered only after a linearizable read of the key-value store, see {@link
- * ConfirmedReads}. A request that cannot be served now is refused at once.
+ * LinearizableReads}. A request that cannot be served now is refused at once.
  */
-final class UserRequests {
+public final class UserRequests {
     private static final String NO_ID = "name_id must look like wk-000412";
     private static final String NEVER_RUNS =
             "can never run: unknown team, no machine type that fits, or above the team's limit";
     private static final String TOO_LONG = "the description is longer than a record may be";
 
     /** The source of task counts, which are for display only. */
-    interface CountSource {
+    public interface CountSource {
         /** The completed and running tasks of a job, as far as this node knows. */
         Response.TaskCounts counts(String jobId);
     }
 
     private final Settings settings;
     private final Outbox outbox;
-    private final StoreView storeCache;
-    private final MachineTypes machineTypes;
-    private final MemberFormats versionNegotiation;
+    private final StoreCache storeCache;
+    private final MachineTypeCatalog machineTypes;
+    private final VersionNegotiation versionNegotiation;
     private final CountSource countSource;
-    private final Arrivals submissionBatches;
-    private final Acceptance submissionCommit;
+    private final SubmissionBatches submissionBatches;
+    private final SubmissionCommit submissionCommit;
 
-    private final EndedJobs terminalJobs;
-    private final ConfirmedReads linearizableReads;
+    private final TerminalJobCache terminalJobs;
+    private final LinearizableReads linearizableReads;
 
     /** Writes that await their reply. */
     private int writesInFlight;
@@ -49,7 +60,7 @@
      * @param processName the name of this process, which no other process has ever had
      * @param shardWithMostHeadroom the number of the shard that a new job should go to
      */
-    UserRequests(
+    public UserRequests(
             NodeContext context,
             String processName,
             CountSource counts,
@@ -61,9 +72,9 @@
         versionNegotiation = context.versionNegotiation();
         this.countSource = counts;
         submissionBatches = context.submissionBatches();
-        terminalJobs = new EndedJobs(settings, outbox, storeCache);
+        terminalJobs = new TerminalJobCache(settings, outbox, storeCache);
         linearizableReads =
-                new ConfirmedReads(
+                new LinearizableReads(
                         settings,
                         outbox,
                         storeCache,
@@ -71,7 +82,7 @@
                         terminalJobs,
                         this::rejectIfOverloaded);
         submissionCommit =
-                new Acceptance(
+                new SubmissionCommit(
                         settings,
                         outbox,
                         storeCache,
@@ -89,7 +100,7 @@
     // ---- requests ----------------------------------------------------------------------------
 
     /** A user asks for the state of a job. */
-    void poll(long requestId, String jobId) {
+    public void poll(long requestId, String jobId) {
         if (!JobSpec.isValidId(jobId)) {
             outbox.respond(requestId, new Response.NotFound());
             return;
@@ -110,21 +121,25 @@
         Response.TaskCounts taskCounts = countSource.counts(jobId);
         return switch (record.status()) {
             case DONE ->
-                    jobState(jobId, Shown.DONE, new Response.TaskCounts(record.taskCount(), 0));
+                    jobState(
+                            jobId,
+                            DisplayState.DONE,
+                            new Response.TaskCounts(record.taskCount(), 0));
             case CANCELLED ->
                     jobState(
                             jobId,
-                            Shown.CANCELLED,
+                            DisplayState.CANCELLED,
                             new Response.TaskCounts(taskCounts.completed(), 0));
             case OPEN ->
                     jobState(
                             jobId,
-                            taskCounts.running() > 0 ? Shown.RUNNING : Shown.PENDING,
+                            taskCounts.running() > 0 ? DisplayState.RUNNING : DisplayState.PENDING,
                             taskCounts);
         };
     }
 
-    private static Response jobState(String jobId, Shown displayState, Response.TaskCounts counts) {
+    private static Response jobState(
+            String jobId, DisplayState displayState, Response.TaskCounts counts) {
         return new Response.JobState(jobId, displayState, counts, false);
     }
 
@@ -134,7 +149,7 @@
      * @param spec the job; null if the body of the request can't be used
      * @param validationError what is wrong with the body; null if nothing is
      */
-    void submit(long requestId, String jobId, JobSpec spec, String validationError) {
+    public void submit(long requestId, String jobId, JobSpec spec, String validationError) {
         if (!JobSpec.isValidId(jobId)) {
             outbox.respond(
                     requestId,
@@ -197,12 +212,12 @@
                 new Response.JobState(
                         jobId,
                         switch (record.status()) {
-                            case DONE -> Shown.DONE;
-                            case CANCELLED -> Shown.CANCELLED;
+                            case DONE -> DisplayState.DONE;
+                            case CANCELLED -> DisplayState.CANCELLED;
                             case OPEN ->
                                     countSource.counts(jobId).running() > 0
-                                            ? Shown.RUNNING
-                                            : Shown.PENDING;
+                                            ? DisplayState.RUNNING
+                                            : DisplayState.PENDING;
                         }));
     }
 
@@ -243,7 +258,7 @@
     }
 
     /** A user cancels a job. */
-    void cancel(long requestId, String jobId) {
+    public void cancel(long requestId, String jobId) {
         if (!JobSpec.isValidId(jobId)) {
             outbox.respond(requestId, new Response.NotFound());
             return;
@@ -258,9 +273,9 @@
         if (record == null) {
             outbox.respond(requestId, new Response.NotFound());
         } else if (record.status() == JobStatus.DONE) {
-            outbox.respond(requestId, new Response.JobState(jobId, Shown.DONE));
+            outbox.respond(requestId, new Response.JobState(jobId, DisplayState.DONE));
         } else if (record.status() == JobStatus.CANCELLED) {
-            outbox.respond(requestId, new Response.JobState(jobId, Shown.CANCELLED));
+            outbox.respond(requestId, new Response.JobState(jobId, DisplayState.CANCELLED));
         } else {
             Map<String, Map<String, Object>> writes =
                     Map.of(
@@ -268,7 +283,7 @@
                             record.asCancelled(settings.maxValueBytes()).toMap());
             write(
                     requestId,
-                    new StateOp.Multi(
+                    new StoreOperation.CompareAndSwap(
                             Map.of(
                                     StoreSchema.jobKey(jobId),
                                     storeCache.version(StoreSchema.jobKey(jobId))),
@@ -277,7 +292,8 @@
                     reply -> {
                         if (reply.status() == 200) {
                             outbox.respond(
-                                    requestId, new Response.JobState(jobId, Shown.CANCELLED));
+                                    requestId,
+                                    new Response.JobState(jobId, DisplayState.CANCELLED));
                         } else if (triesLeft > 1) {
                             linearizableReads.readIndividually(
                                     requestId,
@@ -296,7 +312,10 @@
      * precondition failed (409), and refuses the request on any other reply.
      */
     private void write(
-            long requestId, StateOp.Multi operation, int triesLeft, Consumer<StateReply> onReply) {
+            long requestId,
+            StoreOperation.CompareAndSwap operation,
+            int triesLeft,
+            Consumer<StoreReply> onReply) {
         if (rejectIfOverloaded(requestId)) {
             return;
         }
@@ -324,7 +343,7 @@
     }
 
     /** Sends the writes and reads that have gathered, and gives the answers that are due. */
-    void step() {
+    public void step() {
         submissionCommit.commitPending();
         linearizableReads.answerCaughtUpReads();
         terminalJobs.evictCancelledJobs();
@@ -332,7 +351,7 @@
     }
 
     /** The jobs in a terminal state, which the cache of the store evicts. */
-    EndedJobs terminalJobs() {
+    public TerminalJobCache terminalJobs() {
         return terminalJobs;
     }
 
--- a/src/main/java/org/shoreusher/measure/BalanceMeasurement.java
+++ b/src/main/java/org/shoreusher/measure/BalanceMeasurement.java
@@ -79,14 +79,14 @@
                         3,
                         machines,
                         new CloudStandIn.MachineOffer(CPUS, 64, FETCH_GB_PER_S, List.of("a", "b")),
-                        BookFairLoad.teamCpuLimits(machines * CPUS),
+                        DoubledTeamLoad.teamCpuLimits(machines * CPUS),
                         REPORT_S,
                         LEASE_S,
                         on ? features : null);
         BalanceSettings settings = BalanceSettings.DEFAULTS;
-        SpreadSamples spread =
-                new SpreadSamples(
-                        BookFairLoad.DOUBLED_TEAM,
+        LoadSpreadSampler spread =
+                new LoadSpreadSampler(
+                        DoubledTeamLoad.DOUBLED_TEAM,
                         settings.spreadMargin(),
                         settings.spreadMargin() + settings.hysteresis());
         try (Cluster cluster = new Cluster(shape)) {
@@ -100,12 +100,13 @@
         }
     }
 
-    private void play(Cluster cluster, SpreadSamples spread) throws InterruptedException {
+    private void play(Cluster cluster, LoadSpreadSampler spread) throws InterruptedException {
         long beganMs = ControllerProcess.nowMs();
         long nextSampleMs = beganMs;
-        List<BookFairLoad.Arrival> arrivals =
-                new BookFairLoad(seed, FETCH_GB_PER_S).arrivals(machines * CPUS, doublesMs, endMs);
-        for (BookFairLoad.Arrival arrival : arrivals) {
+        List<DoubledTeamLoad.Arrival> arrivals =
+                new DoubledTeamLoad(seed, FETCH_GB_PER_S)
+                        .arrivals(machines * CPUS, doublesMs, endMs);
+        for (DoubledTeamLoad.Arrival arrival : arrivals) {
             nextSampleMs = sampleUntil(beganMs + arrival.atMs(), nextSampleMs, cluster, spread);
             jobs.put(arrival.job().id(), arrival.job());
             submittedMs.put(arrival.job().id(), ControllerProcess.nowMs());
@@ -115,7 +116,7 @@
     }
 
     /** Samples the spread until a point in time; returns when the next sample is due. */
-    private long sampleUntil(long untilMs, long firstMs, Cluster cluster, SpreadSamples spread)
+    private long sampleUntil(long untilMs, long firstMs, Cluster cluster, LoadSpreadSampler spread)
             throws InterruptedException {
         long nextMs = firstMs;
         while (ControllerProcess.nowMs() < untilMs) {
@@ -130,7 +131,7 @@
     }
 
     /** Records when the spread is back within its bound, and prints every tenth sample. */
-    private void printSample(Cluster cluster, SpreadSamples spread) {
+    private void printSample(Cluster cluster, LoadSpreadSampler spread) {
         samples++;
         long atMs = samples * SAMPLE_MS;
         if (returnedMs < 0 && atMs > doublesMs && spread.latest() <= spread.bound()) {
@@ -146,7 +147,7 @@
         }
     }
 
-    private void report(Cluster cluster, SpreadSamples spread) {
+    private void report(Cluster cluster, LoadSpreadSampler spread) {
         TaskHistory history = cluster.history();
         Histogram waits = waits(history);
         int moves = 0;
@@ -200,7 +201,7 @@
     private double repeatedS(TaskHistory history) {
         double seconds = 0;
         for (Map.Entry<String, Double> e : history.repeatedWorkSByJob().entrySet()) {
-            boolean hot = jobs.get(e.getKey()).jobClass().equals(BookFairLoad.DOUBLED_CLASS);
+            boolean hot = jobs.get(e.getKey()).jobClass().equals(DoubledTeamLoad.DOUBLED_CLASS);
             seconds += hot ? e.getValue() : 0;
         }
         return seconds;
@@ -211,12 +212,13 @@
         for (String task : history.completedTasks()) {
             JobRequest job = jobs.get(task.substring(0, task.indexOf('/')));
             JobProfile profile = job.profile();
-            seconds += job.jobClass().equals(BookFairLoad.DOUBLED_CLASS) ? profile.runTimeS() : 0;
+            seconds +=
+                    job.jobClass().equals(DoubledTeamLoad.DOUBLED_CLASS) ? profile.runTimeS() : 0;
         }
         return seconds;
     }
 
-    private void check(TaskHistory history, SpreadSamples spread, BalanceSettings settings) {
+    private void check(TaskHistory history, LoadSpreadSampler spread, BalanceSettings settings) {
         if (!history.violations().isEmpty()) {
             throw new IllegalStateException(String.join("; ", history.violations()));
         }
--- a/src/main/java/org/shoreusher/measure/Cluster.java
+++ b/src/main/java/org/shoreusher/measure/Cluster.java
@@ -18,7 +18,7 @@
 import org.shoreusher.standin.ControllerClient;
 import org.shoreusher.standin.JobProfile;
 import org.shoreusher.standin.StandInServer;
-import org.shoreusher.standin.StateStandIn;
+import org.shoreusher.standin.StoreStandIn;
 import org.shoreusher.standin.TaskHistory;
 import org.shoreusher.standin.WorkerStandIn;
 
@@ -83,7 +83,7 @@
                         topology.machineCount(),
                         identity -> new WorkerStandIn(identity, environment));
         cloudServer = new StandInServer(cloud::handle);
-        storeServer = new StandInServer(new StateStandIn()::handle);
+        storeServer = new StandInServer(new StoreStandIn()::handle);
         directory = Files.createTempDirectory("shoreusher-measure");
     }
 
--- a/src/main/java/org/shoreusher/measure/BookFairLoad.java
+++ b/src/main/java/org/shoreusher/measure/DoubledTeamLoad.java
@@ -15,7 +15,7 @@
  * images, and short tasks of another team. Inter-arrival times are exponential, job sizes and run
  * times log-normal, and images Zipf-distributed, all from one seed.
  */
-final class BookFairLoad {
+final class DoubledTeamLoad {
     /** The team whose load doubles. */
     static final String DOUBLED_TEAM = "fair";
 
@@ -50,7 +50,7 @@
     private final ZipfDistribution images;
     private int nextId = 1;
 
-    BookFairLoad(int seed, double fetchGbPerS) {
+    DoubledTeamLoad(int seed, double fetchGbPerS) {
         random = new Well19937c(seed);
         this.fetchGbPerS = fetchGbPerS;
         tasks = new LogNormalDistribution(random, Math.log(TASKS_MEDIAN), TASKS_SIGMA);
--- a/src/main/java/org/shoreusher/measure/TakeoverFigures.java
+++ b/src/main/java/org/shoreusher/measure/FailoverFigures.java
@@ -6,7 +6,7 @@
 import org.HdrHistogram.Histogram;
 
 /** Durations of the failovers of one configuration in ms, and their outcomes. */
-final class TakeoverFigures {
+final class FailoverFigures {
     private static final long LONGEST_MS = 600_000;
     private static final int DIGITS = 3;
 
--- a/src/main/java/org/shoreusher/measure/TakeoverMeasurement.java
+++ b/src/main/java/org/shoreusher/measure/FailoverMeasurement.java
@@ -23,7 +23,7 @@
  * machines at once, a job was not done at the end, a controller exited by itself, or no standby was
  * promoted.
  */
-final class TakeoverMeasurement {
+final class FailoverMeasurement {
     static final Options OPTIONS =
             new Options()
                     .addOption("m", "machines", true, "machines, default 400")
@@ -71,11 +71,11 @@
     private final Random random;
     private final boolean standby;
     private final double silentShare;
-    private final TakeoverFigures figures = new TakeoverFigures();
+    private final FailoverFigures figures = new FailoverFigures();
     private final List<JobRequest> jobs = new ArrayList<>();
     private int submitted;
 
-    private TakeoverMeasurement(
+    private FailoverMeasurement(
             int machines,
             int kills,
             int jobsAtOnce,
@@ -99,7 +99,7 @@
         double silent = Measurements.number(line, "silent", 0, 0.5, 0.1);
         for (double share : silent > 0 ? new double[] {0, silent} : new double[] {0}) {
             for (boolean standby : new boolean[] {false, true}) {
-                new TakeoverMeasurement(machines, kills, jobsAtOnce, seed, standby, share).play();
+                new FailoverMeasurement(machines, kills, jobsAtOnce, seed, standby, share).play();
             }
         }
     }
--- a/src/main/java/org/shoreusher/measure/SpreadSamples.java
+++ b/src/main/java/org/shoreusher/measure/LoadSpreadSampler.java
@@ -8,7 +8,7 @@
 import org.shoreusher.standin.WorkerStandIn;
 
 /** Samples the spread of one team over time, as measured on the stand-ins. */
-final class SpreadSamples {
+final class LoadSpreadSampler {
     private static final double THOUSAND = 1_000;
     private static final int DIGITS = 2;
 
@@ -37,7 +37,7 @@
      * @param margin the margin of the spread
      * @param bound the spread above which tasks are migrated
      */
-    SpreadSamples(String team, double margin, double bound) {
+    LoadSpreadSampler(String team, double margin, double bound) {
         this.team = team;
         this.margin = margin;
         this.bound = bound;
@@ -61,7 +61,7 @@
         shares.recordValue(Math.round(Math.min(1, latest) * THOUSAND));
         long nowMs = ControllerProcess.nowMs();
         aboveBound.sample(latest > bound, nowMs);
-        double most = (load.meanShare(team) + margin) * machineCpus - BookFairLoad.CPUS;
+        double most = (load.meanShare(team) + margin) * machineCpus - DoubledTeamLoad.CPUS;
         boolean room =
                 machines.workers().stream()
                         .map(worker -> worker.identity().id())
@@ -69,7 +69,7 @@
                                 id ->
                                         load.teamCpusOn(id, team) <= most
                                                 && used.getOrDefault(id, 0.0)
-                                                        <= machineCpus - BookFairLoad.CPUS);
+                                                        <= machineCpus - DoubledTeamLoad.CPUS);
         avoidable.sample(latest > bound && room, nowMs);
     }
 
--- a/src/main/java/org/shoreusher/measure/Measurements.java
+++ b/src/main/java/org/shoreusher/measure/Measurements.java
@@ -39,7 +39,7 @@
         try {
             switch (words[0]) {
                 case "takeover" ->
-                        TakeoverMeasurement.run(parse(TakeoverMeasurement.OPTIONS, rest));
+                        FailoverMeasurement.run(parse(FailoverMeasurement.OPTIONS, rest));
                 case "fleet" -> FleetMeasurement.run(parse(FleetMeasurement.OPTIONS, rest));
                 case "balance" -> BalanceMeasurement.run(parse(BalanceMeasurement.OPTIONS, rest));
                 default -> {
--- a/src/main/java/org/shoreusher/peer/HintCodec.java
+++ b/src/main/java/org/shoreusher/peer/GossipCodec.java
@@ -7,45 +7,45 @@
 import com.esotericsoftware.kryo.io.Output;
 import java.util.HashMap;
 import java.util.Map;
-import org.shoreusher.core.Hint;
-import org.shoreusher.core.Hint.Claim;
-import org.shoreusher.core.Hint.PartHint;
+import org.shoreusher.core.message.GossipMessage;
+import org.shoreusher.core.message.GossipMessage.ShardSummary;
+import org.shoreusher.core.message.GossipMessage.TeamDemand;
 import org.shoreusher.settings.Tuning;
 
 /**
  * Encodes and decodes gossip with Kryo. Only registered classes are decoded, so foreign bytes
  * cannot create other objects. Not thread-safe.
  */
-public final class HintCodec {
+public final class GossipCodec {
     private final Kryo kryo = new Kryo();
 
     /** A codec with only the gossip message registered. */
-    public HintCodec() {
+    public GossipCodec() {
         kryo.setRegistrationRequired(true);
         kryo.setReferences(false);
-        kryo.register(Hint.class, new GossipSerializer());
+        kryo.register(GossipMessage.class, new GossipSerializer());
     }
 
     /** Encodes a message. */
-    public byte[] encode(Hint message) {
+    public byte[] encode(GossipMessage message) {
         Output out = new Output(Tuning.PEER_MESSAGE_BUFFER_BYTES, Tuning.MAX_PEER_MESSAGE_BYTES);
         kryo.writeObject(out, message);
         return out.toBytes();
     }
 
     /** Decodes a message; null if the bytes are not a valid one. */
-    public Hint decode(byte[] bytes) {
+    public GossipMessage decode(byte[] bytes) {
         try {
-            return kryo.readObject(new Input(bytes), Hint.class);
+            return kryo.readObject(new Input(bytes), GossipMessage.class);
         } catch (KryoException | IllegalArgumentException | IndexOutOfBoundsException e) {
             return null;
         }
     }
 
     /** Encodes the fields in a fixed order, which all versions share. */
-    private static final class GossipSerializer extends Serializer<Hint> {
+    private static final class GossipSerializer extends Serializer<GossipMessage> {
         @Override
-        public void write(Kryo kryo, Output output, Hint message) {
+        public void write(Kryo kryo, Output output, GossipMessage message) {
             output.writeString(message.senderHost());
             output.writeLong(message.sentWallMs());
             output.writeBoolean(message.storeReachable());
@@ -88,7 +88,7 @@
         }
 
         @Override
-        public Hint read(Kryo kryo, Input input, Class<? extends Hint> type) {
+        public GossipMessage read(Kryo kryo, Input input, Class<? extends GossipMessage> type) {
             String from = input.readString();
             if (from == null) {
                 throw new KryoException("a hint without sender");
@@ -96,11 +96,11 @@
             long sentWallMs = input.readLong();
             boolean stateOk = input.readBoolean();
             double upS = input.readDouble();
-            Map<Integer, PartHint> shards = new HashMap<>();
+            Map<Integer, ShardSummary> shards = new HashMap<>();
             for (int i = readEntryCount(input); i > 0; i--) {
                 shards.put(
                         input.readVarInt(true),
-                        new PartHint(
+                        new ShardSummary(
                                 input.readDouble(),
                                 input.readVarInt(true),
                                 input.readVarInt(true),
@@ -110,7 +110,7 @@
             for (int i = readEntryCount(input); i > 0; i--) {
                 redirectedWorkers.put(input.readVarInt(true), input.readVarInt(true));
             }
-            return new Hint(
+            return new GossipMessage(
                     from,
                     sentWallMs,
                     stateOk,
@@ -121,10 +121,11 @@
                     counts(input));
         }
 
-        private static Map<String, Claim> readDemands(Input input) {
-            Map<String, Claim> demands = new HashMap<>();
+        private static Map<String, TeamDemand> readDemands(Input input) {
+            Map<String, TeamDemand> demands = new HashMap<>();
             for (int i = readEntryCount(input); i > 0; i--) {
-                demands.put(input.readString(), new Claim(input.readDouble(), input.readDouble()));
+                demands.put(
+                        input.readString(), new TeamDemand(input.readDouble(), input.readDouble()));
             }
             return demands;
         }
--- a/src/main/java/org/shoreusher/peer/Peers.java
+++ b/src/main/java/org/shoreusher/peer/GossipTransport.java
@@ -20,8 +20,8 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.shoreusher.core.Command;
-import org.shoreusher.core.Hint;
+import org.shoreusher.core.message.Command;
+import org.shoreusher.core.message.GossipMessage;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 import org.shoreusher.standby.StandbyMessage;
@@ -32,18 +32,18 @@
  * Sends gossip to the other controllers, and receives their gossip and standby messages. Gossip
  * that cannot be sent at once is dropped. Frames have a length prefix of 4 bytes.
  */
-public final class Peers {
+public final class GossipTransport {
     private static final Logger LOG = LoggerFactory.getLogger("shoreusher");
 
     private final EventLoopGroup loop;
     private final Settings settings;
     private final Consumer<Command> core;
-    private final HintCodec codec = new HintCodec();
+    private final GossipCodec codec = new GossipCodec();
     private final Map<String, Channel> connections = new HashMap<>();
     private final Map<String, Boolean> connecting = new HashMap<>();
 
     /** A transport that passes received messages to the core as commands. */
-    public Peers(EventLoopGroup loop, Settings settings, Consumer<Command> core) {
+    public GossipTransport(EventLoopGroup loop, Settings settings, Consumer<Command> core) {
         this.loop = loop;
         this.settings = settings;
         this.core = core;
@@ -73,7 +73,7 @@
     }
 
     /** Sends a message to each connected peer, and starts connecting to the others. */
-    public void broadcast(Hint message) {
+    public void broadcast(GossipMessage message) {
         byte[] bytes = codec.encode(message);
         for (Settings.Member member : settings.members()) {
             Channel connection = connections.get(member.host());
@@ -130,10 +130,10 @@
         private Command command(byte[] bytes) {
             if (bytes.length > 0 && StandbyCodec.startsStandbyMessage(bytes[0])) {
                 StandbyMessage message = StandbyCodec.decode(bytes);
-                return message == null ? null : new Command.FromPeer(message);
+                return message == null ? null : new Command.Standby(message);
             }
-            Hint gossip = codec.decode(bytes);
-            return gossip == null ? null : new Command.PeerHint(gossip);
+            GossipMessage gossip = codec.decode(bytes);
+            return gossip == null ? null : new Command.Gossip(gossip);
         }
 
         @Override
--- a/src/main/java/org/shoreusher/peer/StandbyLines.java
+++ b/src/main/java/org/shoreusher/peer/StandbyTransport.java
@@ -23,7 +23,7 @@
  * without the feature closes the connection on them, which must not lose gossip. Messages that
  * cannot be sent at once are dropped; the leader sends them again, or gives up its standby.
  */
-public final class StandbyLines {
+public final class StandbyTransport {
     private final Map<String, Settings.Address> addresses = new HashMap<>();
     private final Map<String, Channel> connections = new HashMap<>();
     private final Map<String, byte[]> pendingMessages = new HashMap<>();
@@ -32,7 +32,7 @@
     private long bytesSent;
 
     /** A transport to the members in the settings. */
-    public StandbyLines(EventLoopGroup loop, Settings settings) {
+    public StandbyTransport(EventLoopGroup loop, Settings settings) {
         settings.members().forEach(member -> addresses.put(member.host(), member.address()));
         bootstrap =
                 new Bootstrap()
--- a/src/main/java/org/shoreusher/standin/StateStandIn.java
+++ b/src/main/java/org/shoreusher/standin/StoreStandIn.java
@@ -10,7 +10,7 @@
 import org.shoreusher.wire.FieldMap;
 
 /** An in-memory key-value store with versions, transactions and watches, and without limits. */
-public final class StateStandIn {
+public final class StoreStandIn {
     private static final String KEY_PATH = "/store/";
 
     /** A stored value with its version. */
--- a/src/main/java/org/shoreusher/state/StateClient.java
+++ b/src/main/java/org/shoreusher/store/StoreClient.java
@@ -1,16 +1,16 @@
-package org.shoreusher.state;
+package org.shoreusher.store;
 
 import io.netty.channel.EventLoop;
 import java.util.function.Consumer;
-import org.shoreusher.core.Command;
-import org.shoreusher.core.Effect;
+import org.shoreusher.core.message.Command;
+import org.shoreusher.core.message.Effect;
 import org.shoreusher.net.HttpCaller;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
-import org.shoreusher.wire.StateFormat;
+import org.shoreusher.wire.StoreFormat;
 
 /** Client of the key-value store: carries out the core's store calls. */
-public final class StateClient {
+public final class StoreClient {
     private final HttpCaller caller;
 
     /**
@@ -22,21 +22,22 @@
     private final Consumer<Command> core;
 
     /** A client that passes the replies to the core as commands. */
-    public StateClient(EventLoop loop, Settings settings, Consumer<Command> core) {
+    public StoreClient(EventLoop loop, Settings settings, Consumer<Command> core) {
         caller = new HttpCaller(loop, settings.storeAddress());
         leaseRenewalCaller = new HttpCaller(loop, settings.storeAddress());
         this.core = core;
     }
 
     /** Sends a call. The core gets exactly one reply; its status is 0 on failure or timeout. */
-    public void call(Effect.StateCall call) {
-        StateFormat.Request request = StateFormat.request(call.operation());
-        long blockMs = call.operation() instanceof Effect.StateOp.Watch watch ? watch.blockMs() : 0;
+    public void call(Effect.StoreCall call) {
+        StoreFormat.Request request = StoreFormat.request(call.operation());
+        long blockMs =
+                call.operation() instanceof Effect.StoreOperation.Watch watch ? watch.blockMs() : 0;
         HttpCaller selectedCaller = call.urgent() ? leaseRenewalCaller : caller;
         selectedCaller.call(
                 request.path(),
                 request.body(),
                 Tuning.STORE_TIMEOUT_MS + blockMs,
-                (status, body) -> core.accept(new Command.StateReply(call.callId(), status, body)));
+                (status, body) -> core.accept(new Command.StoreReply(call.callId(), status, body)));
     }
 }
--- a/src/main/java/org/shoreusher/user/HttpFrontend.java
+++ b/src/main/java/org/shoreusher/user/HttpFrontend.java
@@ -35,11 +35,11 @@
 import java.util.function.LongSupplier;
 import java.util.function.Predicate;
 import org.HdrHistogram.Histogram;
-import org.shoreusher.core.Command;
-import org.shoreusher.core.Effect;
-import org.shoreusher.core.JobSpec;
-import org.shoreusher.core.Response;
-import org.shoreusher.core.WorkerReport;
+import org.shoreusher.core.message.Command;
+import org.shoreusher.core.message.Effect;
+import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.core.message.Response;
+import org.shoreusher.core.message.WorkerHeartbeat;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 import org.shoreusher.wire.FieldMap;
@@ -318,9 +318,9 @@
             boolean get = http.method().equals(HttpMethod.GET);
             if (post && path.equals(HELLO)) {
                 try {
-                    WorkerReport report =
+                    WorkerHeartbeat report =
                             WorkerFormat.readHeartbeat(FieldMap.parseCbor(bytes(http.content())));
-                    return new Command.Report(current, report);
+                    return new Command.Heartbeat(current, report);
                 } catch (IOException | FieldMap.InvalidFieldException e) {
                     send(
                             ctx,
@@ -343,7 +343,7 @@
                         path.substring(JOBS.length() + 1, path.length() - CANCEL.length()));
             }
             if (get && path.equals("/ready")) {
-                return new Command.Ready(current);
+                return new Command.ReadinessCheck(current);
             }
             send(
                     ctx,
--- a/src/main/java/org/shoreusher/wire/CloudFormat.java
+++ b/src/main/java/org/shoreusher/wire/CloudFormat.java
@@ -4,10 +4,10 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.shoreusher.core.Command.ListPage;
-import org.shoreusher.core.Command.Listed;
-import org.shoreusher.core.Effect.CloudOp;
-import org.shoreusher.core.MachineType;
+import org.shoreusher.core.message.Command.ListedMachine;
+import org.shoreusher.core.message.Command.MachineListPage;
+import org.shoreusher.core.message.Effect.CloudOperation;
+import org.shoreusher.core.message.MachineType;
 import org.shoreusher.settings.Tuning;
 
 /**
@@ -18,30 +18,30 @@
     private CloudFormat() {}
 
     /** The HTTP request of a cloud operation. */
-    public static StateFormat.Request request(CloudOp operation) {
-        if (operation instanceof CloudOp.Types) {
-            return new StateFormat.Request("/flavors", null);
+    public static StoreFormat.Request request(CloudOperation operation) {
+        if (operation instanceof CloudOperation.ListTypes) {
+            return new StoreFormat.Request("/flavors", null);
         }
-        if (operation instanceof CloudOp.Listing listing) {
+        if (operation instanceof CloudOperation.ListMachines listing) {
             String after =
                     listing.afterMachineId() == null
                             ? ""
                             : "after=" + listing.afterMachineId() + "&";
-            return new StateFormat.Request(
+            return new StoreFormat.Request(
                     "/rentals?" + after + "most=" + Tuning.PAGE_ENTRIES, null);
         }
         Map<String, Object> body = new LinkedHashMap<>();
-        if (operation instanceof CloudOp.Return termination) {
+        if (operation instanceof CloudOperation.Terminate termination) {
             body.put("boxes", termination.machineIds());
-            return new StateFormat.Request("/rentals/return", body);
+            return new StoreFormat.Request("/rentals/return", body);
         }
-        CloudOp.Rent provision = (CloudOp.Rent) operation;
+        CloudOperation.Provision provision = (CloudOperation.Provision) operation;
         body.put("hire", provision.name());
         body.put("press", provision.type());
         body.put("yard", provision.zone());
         body.put("loaners", provision.spot());
         body.put("number", (long) provision.count());
-        return new StateFormat.Request("/rentals", body);
+        return new StoreFormat.Request("/rentals", body);
     }
 
     /** Decodes the machine types of a response. */
@@ -73,12 +73,12 @@
     }
 
     /** Decodes a page of the inventory. */
-    public static ListPage readMachinePage(FieldMap response)
+    public static MachineListPage readMachinePage(FieldMap response)
             throws FieldMap.InvalidFieldException {
-        List<Listed> machines = new ArrayList<>();
+        List<ListedMachine> machines = new ArrayList<>();
         for (FieldMap machine : response.maps("boxes")) {
             machines.add(
-                    new Listed(
+                    new ListedMachine(
                             machine.text("name_id"),
                             machine.text("press"),
                             machine.text("yard"),
@@ -86,6 +86,6 @@
                             machine.text("status"),
                             machine.numberOr("age_s", 0)));
         }
-        return new ListPage(machines, response.flagOr("more", false));
+        return new MachineListPage(machines, response.flagOr("more", false));
     }
 }
--- a/src/main/java/org/shoreusher/wire/ResponseFormat.java
+++ b/src/main/java/org/shoreusher/wire/ResponseFormat.java
@@ -2,7 +2,7 @@
 
 import java.util.LinkedHashMap;
 import java.util.Map;
-import org.shoreusher.core.Response;
+import org.shoreusher.core.message.Response;
 
 /** Encodes responses to users, workers and the load balancer. */
 public final class ResponseFormat {
@@ -28,7 +28,7 @@
             return UNPROCESSABLE;
         } else if (response instanceof Response.Unavailable) {
             return UNAVAILABLE;
-        } else if (response instanceof Response.Elsewhere) {
+        } else if (response instanceof Response.Redirect) {
             return MISDIRECTED;
         }
         return OK;
@@ -43,9 +43,9 @@
     public static Map<String, Object> body(Response response) {
         if (response instanceof Response.JobState state) {
             return jobState(state);
-        } else if (response instanceof Response.Orders orders) {
+        } else if (response instanceof Response.HeartbeatAccepted orders) {
             return WorkerFormat.heartbeatResponse(orders.fencingToken(), orders.orders());
-        } else if (response instanceof Response.Elsewhere redirect) {
+        } else if (response instanceof Response.Redirect redirect) {
             return Map.of("foreman", redirect.host());
         } else if (response instanceof Response.Malformed malformed) {
             return errorBody(malformed.reason());
--- a/src/main/java/org/shoreusher/wire/StateFormat.java
+++ b/src/main/java/org/shoreusher/wire/StoreFormat.java
@@ -4,15 +4,15 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.shoreusher.core.Effect.StateOp;
+import org.shoreusher.core.message.Effect.StoreOperation;
 import org.shoreusher.settings.Tuning;
 
 /**
  * Encodes requests to the key-value store and decodes its responses. The protocol calls an entry's
  * version "stamp", the store's revision "ledger", and preconditions "guards".
  */
-public final class StateFormat {
-    private StateFormat() {}
+public final class StoreFormat {
+    private StoreFormat() {}
 
     /** An HTTP request: a GET if the body is null, else a POST. */
     public record Request(String path, Map<String, Object> body) {}
@@ -21,15 +21,15 @@
     public record Entry(String key, Map<String, Object> value, long version) {}
 
     /** The HTTP request of a store operation. */
-    public static Request request(StateOp operation) {
-        if (operation instanceof StateOp.Get get) {
+    public static Request request(StoreOperation operation) {
+        if (operation instanceof StoreOperation.Get get) {
             return new Request("/store/" + get.key(), null);
         }
-        if (operation instanceof StateOp.Page page) {
+        if (operation instanceof StoreOperation.Page page) {
             String after = page.afterKey() == null ? "" : "&after=" + page.afterKey();
             return new Request("/store?prefix=" + after + "&most=" + Tuning.PAGE_ENTRIES, null);
         }
-        if (operation instanceof StateOp.Watch watch) {
+        if (operation instanceof StoreOperation.Watch watch) {
             return new Request(
                     "/watch?prefix=&after="
                             + watch.afterRevision()
@@ -37,7 +37,7 @@
                             + watch.blockMs(),
                     null);
         }
-        StateOp.Multi compareAndSwap = (StateOp.Multi) operation;
+        StoreOperation.CompareAndSwap compareAndSwap = (StoreOperation.CompareAndSwap) operation;
         List<Object> guards = new ArrayList<>();
         compareAndSwap
                 .preconditions()
--- a/src/main/java/org/shoreusher/wire/UserFormat.java
+++ b/src/main/java/org/shoreusher/wire/UserFormat.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.shoreusher.core.JobSpec;
-import org.shoreusher.core.JobSpec.Priority;
-import org.shoreusher.core.JobSpec.WorkloadType;
+import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.core.message.JobSpec.Priority;
+import org.shoreusher.core.message.JobSpec.WorkloadType;
 import org.shoreusher.settings.Tuning;
 
 /**
--- a/src/main/java/org/shoreusher/wire/WorkerFormat.java
+++ b/src/main/java/org/shoreusher/wire/WorkerFormat.java
@@ -4,11 +4,11 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.shoreusher.core.WorkerOrder;
-import org.shoreusher.core.WorkerReport;
-import org.shoreusher.core.WorkerReport.ExitCause;
-import org.shoreusher.core.WorkerReport.TaskReport;
-import org.shoreusher.core.WorkerReport.TaskState;
+import org.shoreusher.core.message.WorkerHeartbeat;
+import org.shoreusher.core.message.WorkerHeartbeat.ExitCause;
+import org.shoreusher.core.message.WorkerHeartbeat.TaskState;
+import org.shoreusher.core.message.WorkerHeartbeat.TaskStatus;
+import org.shoreusher.core.message.WorkerOrder;
 
 /**
  * Decodes heartbeats of workers and encodes orders to them. The protocol calls a task "sheet", a
@@ -22,9 +22,9 @@
      *
      * @throws FieldMap.Missing with the first error in it
      */
-    public static WorkerReport readHeartbeat(FieldMap heartbeat)
+    public static WorkerHeartbeat readHeartbeat(FieldMap heartbeat)
             throws FieldMap.InvalidFieldException {
-        List<TaskReport> tasks = new ArrayList<>();
+        List<TaskStatus> tasks = new ArrayList<>();
         for (FieldMap taskFields : heartbeat.maps("sheets")) {
             String taskName = taskFields.text("sheet");
             int slash = taskName.lastIndexOf('/');
@@ -39,7 +39,7 @@
             }
             TaskState state = state(taskFields.text("status"));
             tasks.add(
-                    new TaskReport(
+                    new TaskStatus(
                             taskName.substring(0, slash),
                             index,
                             taskFields.integer("try"),
@@ -49,7 +49,7 @@
                                     : ExitCause.NONE,
                             taskFields.flagOr("stored", false)));
         }
-        return new WorkerReport(
+        return new WorkerHeartbeat(
                 heartbeat.text("box"),
                 heartbeat.textOr("addr", ""),
                 heartbeat.text("press"),
--- a/src/main/java/org/shoreusher/worker/WorkerClient.java
+++ b/src/main/java/org/shoreusher/worker/WorkerClient.java
@@ -1,7 +1,7 @@
 package org.shoreusher.worker;
 
 import io.netty.channel.EventLoop;
-import org.shoreusher.core.Effect;
+import org.shoreusher.core.message.Effect;
 import org.shoreusher.net.HttpCaller;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
@@ -25,7 +25,7 @@
      * Sends orders without waiting for a response. Dropped if the address is invalid or too many
      * calls are in flight; the worker then gets them with the response to its next heartbeat.
      */
-    public void sendOrders(Effect.Orders orders) {
+    public void sendOrders(Effect.SendOrders orders) {
         Settings.Address address = Settings.parseAddressOrNull(orders.workerAddress());
         if (address == null || inFlight >= Tuning.MAX_DIRECT_ORDERS_IN_FLIGHT) {
             return;
--- a/src/test/java/org/shoreusher/balance/BalancerTest.java
+++ b/src/test/java/org/shoreusher/balance/BalancerTest.java
@@ -18,69 +18,72 @@
                 0.2, 0.05, 0.1, atOnce, atOnce, atOnce, cooldownS, 2, budget, Map.of());
     }
 
-    private static final ClassBudget AMPLE = new ClassBudget(5, 1);
+    private static final ClassBudget AMPLE_BUDGET = new ClassBudget(5, 1);
 
-    private static TestFleet crowded(BalanceSettings settings) {
-        TestFleet fleet = new TestFleet(settings).machines(4);
+    private static FakeScheduler schedulerWithOneFullMachine(BalanceSettings settings) {
+        FakeScheduler scheduler = new FakeScheduler(settings).addMachines(4);
         for (int i = 0; i < 8; i++) {
-            fleet.task(0, 1);
+            scheduler.addTask(0, 1);
         }
-        return fleet;
+        return scheduler;
     }
 
     @Example
-    void aCrowdedMachineIsRelievedUntilTheSpreadIsWithinItsMargin() {
-        TestFleet fleet = crowded(settings(8, 0, AMPLE));
-        assertEquals(7.0 / 8 - 8.0 / 32, fleet.balancer.load().skew(TestFleet.TEAM));
+    void migratesFromAFullMachineUntilTheSkewIsWithinItsMargin() {
+        FakeScheduler scheduler = schedulerWithOneFullMachine(settings(8, 0, AMPLE_BUDGET));
+        assertEquals(7.0 / 8 - 8.0 / 32, scheduler.balancer.load().skew(FakeScheduler.TEAM));
         for (int i = 0; i < 10; i++) {
-            fleet.plan().forEach(fleet::carryOut);
+            scheduler.planMigrations().forEach(scheduler::complete);
         }
         // 7 of 8 CPUs less one task, and a mean of a quarter: within 0.25 with hysteresis.
-        assertTrue(fleet.balancer.load().skew(TestFleet.TEAM) <= 0.25);
-        assertEquals(List.of(), fleet.plan(), "nothing is left to be done");
+        assertTrue(scheduler.balancer.load().skew(FakeScheduler.TEAM) <= 0.25);
+        assertEquals(List.of(), scheduler.planMigrations(), "nothing is left to be done");
     }
 
     @Example
-    void withinTheMarginAndItsHysteresisNothingMoves() {
-        TestFleet fleet = new TestFleet(settings(8, 0, AMPLE)).machines(4);
+    void migratesNothingWithinTheMarginAndItsHysteresis() {
+        FakeScheduler scheduler = new FakeScheduler(settings(8, 0, AMPLE_BUDGET)).addMachines(4);
         // Spread 3/8 - 4/32 = 0.25, just at margin and hysteresis.
         for (int i = 0; i < 4; i++) {
-            fleet.task(0, 1);
+            scheduler.addTask(0, 1);
         }
-        assertEquals(List.of(), fleet.plan());
-        fleet.task(0, 1);
-        assertNotEquals(List.of(), fleet.plan());
+        assertEquals(List.of(), scheduler.planMigrations());
+        scheduler.addTask(0, 1);
+        assertNotEquals(List.of(), scheduler.planMigrations());
     }
 
     @Example
-    void atMostSoManyMovesAreUnderWay() {
-        TestFleet fleet = crowded(settings(1, 0, AMPLE));
+    void limitsConcurrentMigrations() {
+        FakeScheduler scheduler = schedulerWithOneFullMachine(settings(1, 0, AMPLE_BUDGET));
         for (int i = 8; i < 16; i++) {
-            fleet.task(1, 1);
+            scheduler.addTask(1, 1);
         }
-        List<Move> first = fleet.plan();
+        List<Migration> first = scheduler.planMigrations();
         assertEquals(1, first.size());
-        assertEquals(List.of(), fleet.plan());
-        fleet.balancer.abandon(first.get(0), Move.Reason.TARGET_LOST, 0);
-        assertEquals(1, fleet.plan().size());
+        assertEquals(List.of(), scheduler.planMigrations());
+        scheduler.balancer.abandon(first.get(0), Migration.Reason.TARGET_LOST, 0);
+        assertEquals(1, scheduler.planMigrations().size());
     }
 
     @Example
-    void zonesHaveACapOfTheirOwn() {
-        BalanceSettings one = new BalanceSettings(0.2, 0.05, 0.1, 8, 8, 1, 0, 2, AMPLE, Map.of());
-        TestFleet fleet = new TestFleet(one).machines(6);
+    void limitsConcurrentMigrationsPerZone() {
+        BalanceSettings one =
+                new BalanceSettings(0.2, 0.05, 0.1, 8, 8, 1, 0, 2, AMPLE_BUDGET, Map.of());
+        FakeScheduler scheduler = new FakeScheduler(one).addMachines(6);
         for (int machine = 0; machine < 4; machine++) {
             for (int i = 0; i < (machine < 3 ? 8 : 0); i++) {
-                fleet.task(machine, 1);
+                scheduler.addTask(machine, 1);
             }
         }
-        List<Move> moves = fleet.plan();
+        List<Migration> migrations = scheduler.planMigrations();
         long intoOne =
-                moves.stream()
-                        .filter(m -> Integer.parseInt(m.target().substring(2)) % 2 == 0)
+                migrations.stream()
+                        .filter(
+                                migration ->
+                                        Integer.parseInt(migration.target().substring(2)) % 2 == 0)
                         .count();
-        assertTrue(intoOne <= 1 && moves.size() - intoOne <= 1, moves::toString);
-        assertFalse(moves.isEmpty());
+        assertTrue(intoOne <= 1 && migrations.size() - intoOne <= 1, migrations::toString);
+        assertFalse(migrations.isEmpty());
     }
 
     /**
@@ -88,47 +91,50 @@
      * receives none. An oscillating load must not make tasks oscillate.
      */
     @Example
-    void machinesRestAfterAMove() {
-        TestFleet fleet = crowded(settings(1, 15, AMPLE));
-        Move move = fleet.plan().get(0);
-        fleet.carryOut(move);
-        int target = Integer.parseInt(move.target().substring(2));
+    void machinesCoolDownAfterAMigration() {
+        FakeScheduler scheduler = schedulerWithOneFullMachine(settings(1, 15, AMPLE_BUDGET));
+        Migration migration = scheduler.planMigrations().get(0);
+        scheduler.complete(migration);
+        int target = Integer.parseInt(migration.target().substring(2));
         for (int i = 0; i < 7; i++) {
-            fleet.task(target, 1);
+            scheduler.addTask(target, 1);
         }
-        fleet.nowMs = 14_000;
-        for (Move next = move; next != null; next = first(fleet.plan())) {
-            assertNotEquals(move.target(), next.task().machine(), "came just now");
+        scheduler.nowMs = 14_000;
+        for (Migration next = migration;
+                next != null;
+                next = firstOrNull(scheduler.planMigrations())) {
+            assertNotEquals(migration.target(), next.task().machine(), "came just now");
             assertNotEquals("m-0", next.target(), "left just now");
-            if (next != move) {
-                fleet.carryOut(next);
+            if (next != migration) {
+                scheduler.complete(next);
             }
         }
-        fleet.nowMs = 29_000;
-        assertEquals(move.target(), first(fleet.plan()).task().machine());
+        scheduler.nowMs = 29_000;
+        assertEquals(migration.target(), firstOrNull(scheduler.planMigrations()).task().machine());
     }
 
-    private static Move first(List<Move> moves) {
-        return moves.isEmpty() ? null : moves.get(0);
+    private static Migration firstOrNull(List<Migration> migrations) {
+        return migrations.isEmpty() ? null : migrations.get(0);
     }
 
     @Example
-    void aMoveMustBeWorthItsCost() {
-        TestFleet fleet = new TestFleet(settings(8, 0, AMPLE)).machines(4);
+    void migratesOnlyWhenTheGainExceedsTheCost() {
+        FakeScheduler scheduler = new FakeScheduler(settings(8, 0, AMPLE_BUDGET)).addMachines(4);
         for (int i = 0; i < 8; i++) {
             // An image fetch of 2 s, a checkpoint of 1 s and a heartbeat delay of 2 s, times the
             // gain factor of 2, make 10 s.
-            fleet.task(0, 1, 9.9, 0);
+            scheduler.addTask(0, 1, 9.9, 0);
         }
-        assertEquals(List.of(), fleet.plan());
-        fleet.task(0, 0, 10, 0);
-        assertEquals(1, fleet.plan().size());
+        assertEquals(List.of(), scheduler.planMigrations());
+        scheduler.addTask(0, 0, 10, 0);
+        assertEquals(1, scheduler.planMigrations().size());
     }
 
     @Example
-    void aTaskIsMovedOnlyAsOftenAsItsClassAllows() {
-        TestFleet fleet = crowded(settings(8, 0, new ClassBudget(0, 1)));
-        assertEquals(List.of(), fleet.plan());
+    void limitsMigrationsPerTaskByJobClass() {
+        FakeScheduler scheduler =
+                schedulerWithOneFullMachine(settings(8, 0, new ClassBudget(0, 1)));
+        assertEquals(List.of(), scheduler.planMigrations());
     }
 
     /**
@@ -136,67 +142,78 @@
      * that was really repeated stays counted.
      */
     @Example
-    void repeatedWorkIsBoundedByTheWorkDone() {
-        TestFleet fleet = new TestFleet(settings(8, 0, new ClassBudget(5, 0.1))).machines(6);
+    void boundsRepeatedWorkByTheWorkDone() {
+        FakeScheduler scheduler =
+                new FakeScheduler(settings(8, 0, new ClassBudget(5, 0.1))).addMachines(6);
         for (int i = 0; i < 8; i++) {
-            fleet.task(0, 1, 300, 10);
-            fleet.task(1, 1, 300, 10);
+            scheduler.addTask(0, 1, 300, 10);
+            scheduler.addTask(1, 1, 300, 10);
         }
-        assertEquals(List.of(), fleet.plan(), "nothing has been done yet");
+        assertEquals(List.of(), scheduler.planMigrations(), "nothing has been done yet");
         // Two tasks on machines for 50 s.
-        fleet.balancer.budget().addTask("c", 0);
-        fleet.balancer.budget().addTask("c", 0);
-        fleet.nowMs = 50_000;
-        List<Move> one = fleet.plan();
+        scheduler.balancer.budget().addTask("c", 0);
+        scheduler.balancer.budget().addTask("c", 0);
+        scheduler.nowMs = 50_000;
+        List<Migration> one = scheduler.planMigrations();
         assertEquals(1, one.size());
-        fleet.balancer.markLeftSource(one.get(0), false, 0);
-        assertEquals(10, fleet.balancer.budget().repeatedS("c"));
-        assertEquals(List.of(), fleet.plan(), "the save has failed");
-        fleet.balancer.budget().removeTask("c", 50_000);
-        fleet.nowMs = 149_000;
-        assertEquals(List.of(), fleet.plan(), "one task more for 99 s");
-        fleet.nowMs = 150_000;
-        assertEquals(1, fleet.plan().size());
+        scheduler.balancer.markLeftSource(one.get(0), false, 0);
+        assertEquals(10, scheduler.balancer.budget().repeatedS("c"));
+        assertEquals(List.of(), scheduler.planMigrations(), "the save has failed");
+        scheduler.balancer.budget().removeTask("c", 50_000);
+        scheduler.nowMs = 149_000;
+        assertEquals(List.of(), scheduler.planMigrations(), "one task more for 99 s");
+        scheduler.nowMs = 150_000;
+        assertEquals(1, scheduler.planMigrations().size());
     }
 
     /**
      * A failover must not refill a budget: jobs that were started before it are not migrated again.
      */
     @Example
-    void jobsBegunUnderAnOwnerBeforeAreNotMoved() {
-        TestFleet fleet = crowded(settings(8, 0, AMPLE));
-        fleet.balancer.budget().markBegunByPreviousLeader("wk-1");
-        assertEquals(List.of(), fleet.plan());
+    void doesNotMigrateJobsStartedUnderAPreviousLeader() {
+        FakeScheduler scheduler = schedulerWithOneFullMachine(settings(8, 0, AMPLE_BUDGET));
+        scheduler.balancer.budget().markBegunByPreviousLeader("wk-1");
+        assertEquals(List.of(), scheduler.planMigrations());
     }
 
     @Example
-    void teamsThatAreNotHotHaveNoLimit() {
-        TestFleet fleet = new TestFleet(settings(8, 0, AMPLE)).machines(100);
-        fleet.task(0, 1);
-        fleet.balancer.updateDemand(Map.of(TestFleet.TEAM, 40.0));
-        assertFalse(fleet.balancer.isHighDemand(TestFleet.TEAM));
-        assertTrue(Double.isInfinite(fleet.balancer.maxTeamCpus("m-0", TestFleet.TEAM, 1, 0)));
-        fleet.balancer.updateDemand(Map.of(TestFleet.TEAM, 159.0));
-        assertTrue(fleet.balancer.isHighDemand(TestFleet.TEAM));
+    void limitsCpusPerMachineOnlyForHighDemandTeams() {
+        FakeScheduler scheduler = new FakeScheduler(settings(8, 0, AMPLE_BUDGET)).addMachines(100);
+        scheduler.addTask(0, 1);
+        scheduler.balancer.updateDemand(Map.of(FakeScheduler.TEAM, 40.0));
+        assertFalse(scheduler.balancer.isHighDemand(FakeScheduler.TEAM));
+        assertTrue(
+                Double.isInfinite(scheduler.balancer.maxTeamCpus("m-0", FakeScheduler.TEAM, 1, 0)));
+        scheduler.balancer.updateDemand(Map.of(FakeScheduler.TEAM, 159.0));
+        assertTrue(scheduler.balancer.isHighDemand(FakeScheduler.TEAM));
         // A fifth of all CPUs and a margin of a fifth.
-        assertEquals(3.2, fleet.balancer.maxTeamCpus("m-0", TestFleet.TEAM, 1, 0), 1e-9);
-        assertEquals(5, fleet.balancer.maxTeamCpus("m-0", TestFleet.TEAM, 5, 0), "one task always");
-        assertEquals(4, fleet.balancer.maxTeamCpus("m-0", TestFleet.TEAM, 1, 0.1), 1e-9);
-        fleet.balancer.updateDemand(Map.of(TestFleet.TEAM, 70.0));
-        assertTrue(fleet.balancer.isHighDemand(TestFleet.TEAM), "cools only well below the bound");
+        assertEquals(3.2, scheduler.balancer.maxTeamCpus("m-0", FakeScheduler.TEAM, 1, 0), 1e-9);
+        assertEquals(
+                5,
+                scheduler.balancer.maxTeamCpus("m-0", FakeScheduler.TEAM, 5, 0),
+                "one task always");
+        assertEquals(4, scheduler.balancer.maxTeamCpus("m-0", FakeScheduler.TEAM, 1, 0.1), 1e-9);
+        scheduler.balancer.updateDemand(Map.of(FakeScheduler.TEAM, 70.0));
+        assertTrue(
+                scheduler.balancer.isHighDemand(FakeScheduler.TEAM),
+                "cools only well below the bound");
     }
 
     @Example
-    void aMoveThatTakesTooLongSaysWhichSideIsSilent() {
-        TestFleet fleet = crowded(settings(1, 0, AMPLE));
-        Move move = fleet.plan().get(0);
-        assertNull(fleet.balancer.timeoutReason(move, 19_999));
-        assertEquals(Move.Reason.SOURCE_SILENT, fleet.balancer.timeoutReason(move, 20_000));
-        fleet.balancer.markLeftSource(move, true, 20_000);
-        assertNull(fleet.balancer.timeoutReason(move, 29_999));
-        assertEquals(Move.Reason.TARGET_SILENT, fleet.balancer.timeoutReason(move, 30_000));
-        fleet.balancer.abandon(move, Move.Reason.TARGET_SILENT, 30_000);
-        assertNull(fleet.balancer.timeoutReason(move, 90_000));
-        assertNull(fleet.balancer.migration(move.task().id()));
+    void reportsWhichSideOfAnOverdueMigrationIsUnresponsive() {
+        FakeScheduler scheduler = schedulerWithOneFullMachine(settings(1, 0, AMPLE_BUDGET));
+        Migration migration = scheduler.planMigrations().get(0);
+        assertNull(scheduler.balancer.timeoutReason(migration, 19_999));
+        assertEquals(
+                Migration.Reason.SOURCE_SILENT,
+                scheduler.balancer.timeoutReason(migration, 20_000));
+        scheduler.balancer.markLeftSource(migration, true, 20_000);
+        assertNull(scheduler.balancer.timeoutReason(migration, 29_999));
+        assertEquals(
+                Migration.Reason.TARGET_SILENT,
+                scheduler.balancer.timeoutReason(migration, 30_000));
+        scheduler.balancer.abandon(migration, Migration.Reason.TARGET_SILENT, 30_000);
+        assertNull(scheduler.balancer.timeoutReason(migration, 90_000));
+        assertNull(scheduler.balancer.migration(migration.task().id()));
     }
 }
--- /dev/null
+++ b/src/test/java/org/shoreusher/balance/FakeScheduler.java
@@ -0,0 +1,122 @@
+package org.shoreusher.balance;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/** A scheduler with a few machines and tasks of one team, all of which the balancer may migrate. */
+final class FakeScheduler implements SchedulerView {
+    static final String TEAM = "t";
+    static final double MACHINE_CPUS = 8;
+
+    /** A task and the machine that it is on. */
+    private static final class PlacedTask {
+        private final MigratableTask task;
+        private String machine;
+
+        PlacedTask(MigratableTask task) {
+            this.task = task;
+            machine = task.machine();
+        }
+    }
+
+    final Balancer balancer;
+    private final List<PlacedTask> tasks = new ArrayList<>();
+    private int nextIndex;
+    long nowMs;
+
+    FakeScheduler(BalanceSettings settings) {
+        balancer = new Balancer(settings, new Balancer.Timeouts(20_000, 10_000));
+    }
+
+    static String machineId(int number) {
+        return "m-" + number;
+    }
+
+    FakeScheduler addMachines(int count) {
+        for (int i = 0; i < count; i++) {
+            balancer.load().addMachine(machineId(i), i % 2 == 0 ? "a" : "b", MACHINE_CPUS, 1);
+        }
+        return this;
+    }
+
+    /** Adds a running task with a long remaining run time and a short checkpoint. */
+    MigratableTask addTask(int machine, double cpus) {
+        return addTask(machine, cpus, 300, 0);
+    }
+
+    MigratableTask addTask(int machine, double cpus, double remainingS, double unsavedS) {
+        MigratableTask task =
+                new MigratableTask(
+                        new TaskId("wk-1", nextIndex++),
+                        "c",
+                        TEAM,
+                        cpus,
+                        "image",
+                        2,
+                        machineId(machine),
+                        remainingS,
+                        unsavedS,
+                        1);
+        tasks.add(new PlacedTask(task));
+        balancer.load().addTask(machineId(machine), TEAM, cpus, "image");
+        return task;
+    }
+
+    /** Plans migrations for the current time. */
+    List<Migration> planMigrations() {
+        balancer.updateDemand(java.util.Map.of(TEAM, MACHINE_CPUS * 100));
+        return balancer.planMigrations(this, nowMs);
+    }
+
+    /** Carries a migration out to its end. */
+    void complete(Migration migration) {
+        PlacedTask placed = findTask(migration.task().id());
+        balancer.load().removeTask(placed.machine, TEAM, placed.task.cpus());
+        balancer.markLeftSource(migration, true, nowMs);
+        balancer.load().addTask(migration.target(), TEAM, placed.task.cpus(), "image");
+        balancer.markStarted(migration, nowMs);
+        placed.machine = migration.target();
+    }
+
+    private PlacedTask findTask(TaskId id) {
+        return tasks.stream()
+                .filter(placed -> placed.task.id().equals(id))
+                .findFirst()
+                .orElseThrow();
+    }
+
+    /** CPUs that the tasks on a machine use. */
+    private double usedCpus(String machine) {
+        return tasks.stream()
+                .filter(placed -> placed.machine.equals(machine))
+                .mapToDouble(placed -> placed.task.cpus())
+                .sum();
+    }
+
+    @Override
+    public List<MigratableTask> migratableTasks(String machine, String team) {
+        return tasks.stream()
+                .filter(placed -> placed.machine.equals(machine))
+                .map(placed -> withMachine(placed.task, machine))
+                .toList();
+    }
+
+    private static MigratableTask withMachine(MigratableTask task, String machine) {
+        return new MigratableTask(
+                task.id(),
+                task.jobClass(),
+                task.team(),
+                task.cpus(),
+                task.image(),
+                task.imageGb(),
+                machine,
+                task.remainingS(),
+                task.unsavedS(),
+                task.saveS());
+    }
+
+    @Override
+    public boolean canAccept(String machine, MigratableTask task) {
+        return usedCpus(machine) + task.cpus() <= MACHINE_CPUS;
+    }
+}
--- a/src/test/java/org/shoreusher/balance/LoadModelTest.java
+++ b/src/test/java/org/shoreusher/balance/LoadModelTest.java
@@ -17,14 +17,14 @@
     private static final double EPSILON = 1e-9;
 
     /** A task that the test has added. */
-    private record Booked(String machine, String team, double cpus) {}
+    private record PlacedTask(String machine, String team, double cpus) {}
 
     @Property(tries = 100, seed = "5", shrinking = ShrinkingMode.OFF)
-    void agreesWithSumsMadeAnew(@ForAll long seed) {
+    void matchesSumsComputedFromScratch(@ForAll long seed) {
         Random random = new Random(seed);
         LoadModel load = new LoadModel();
         Map<String, Double> machines = new HashMap<>();
-        List<Booked> tasks = new ArrayList<>();
+        List<PlacedTask> tasks = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             String machine = "m-" + random.nextInt(6);
             switch (random.nextInt(5)) {
@@ -36,41 +36,44 @@
                     if (random.nextInt(8) == 0) {
                         load.removeMachine(machine);
                         machines.remove(machine);
-                        tasks.removeIf(t -> t.machine.equals(machine));
+                        tasks.removeIf(task -> task.machine.equals(machine));
                     }
                 }
                 case 2 -> {
                     if (!tasks.isEmpty()) {
-                        Booked t = tasks.remove(random.nextInt(tasks.size()));
-                        load.removeTask(t.machine, t.team, t.cpus);
+                        PlacedTask task = tasks.remove(random.nextInt(tasks.size()));
+                        load.removeTask(task.machine, task.team, task.cpus);
                     }
                 }
                 default -> {
-                    Booked t = new Booked(machine, "t-" + random.nextInt(2), 1 + random.nextInt(3));
-                    load.addTask(t.machine, t.team, t.cpus, "image");
+                    PlacedTask task =
+                            new PlacedTask(
+                                    machine, "t-" + random.nextInt(2), 1 + random.nextInt(3));
+                    load.addTask(task.machine, task.team, task.cpus, "image");
                     if (machines.containsKey(machine)) {
-                        tasks.add(t);
+                        tasks.add(task);
                     }
                 }
             }
             for (String team : List.of("t-0", "t-1")) {
-                assertEquals(spread(machines, tasks, team), load.skew(team), EPSILON);
+                assertEquals(expectedSkew(machines, tasks, team), load.skew(team), EPSILON);
             }
         }
     }
 
     /** The formula of the load model's class comment, term by term. */
-    private static double spread(Map<String, Double> machines, List<Booked> tasks, String team) {
+    private static double expectedSkew(
+            Map<String, Double> machines, List<PlacedTask> tasks, String team) {
         double all = 0;
         double used = 0;
         double most = 0;
         for (Map.Entry<String, Double> machine : machines.entrySet()) {
             double cpus = 0;
             double largest = 0;
-            for (Booked t : tasks) {
-                if (t.machine.equals(machine.getKey()) && t.team.equals(team)) {
-                    cpus += t.cpus;
-                    largest = Math.max(largest, t.cpus);
+            for (PlacedTask task : tasks) {
+                if (task.machine.equals(machine.getKey()) && task.team.equals(team)) {
+                    cpus += task.cpus;
+                    largest = Math.max(largest, task.cpus);
                 }
             }
             all += machine.getValue();
@@ -82,7 +85,7 @@
 
     /** Calls that name unknown machines or teams change nothing. */
     @Example
-    void unknownNamesChangeNothing() {
+    void ignoresUnknownMachinesAndTeams() {
         LoadModel load = new LoadModel();
         load.addTask("nowhere", "t", 4, "image");
         load.removeTask("nowhere", "t", 4);
