--- a/src/test/java/org/shoreusher/balance/OptimumTest.java
+++ b/src/test/java/org/shoreusher/balance/MigrationPlannerOptimalityTest.java
@@ -17,7 +17,7 @@
  * Compares the planner's migrations with the optimum that an integer solver finds for small
  * clusters.
  */
-class OptimumTest {
+class MigrationPlannerOptimalityTest {
     private static final int MACHINES = 5;
     private static final int CASES = 30;
     private static final double MARGIN = 0.05;
@@ -27,47 +27,54 @@
      * that any assignment of the tasks has.
      */
     @Example
-    void endsWithinATaskAndTheMarginOfTheOptimum() {
+    void endsWithinOneTaskAndTheMarginOfTheOptimum() {
         Random random = new Random(17);
         for (int i = 0; i < CASES; i++) {
             List<int[]> tasks = new ArrayList<>();
             for (int t = 0; t < 9; t++) {
                 int[] task = {random.nextInt(2), 1 + random.nextInt(3)};
-                if (used(tasks, task[0]) + task[1] <= TestFleet.MACHINE_CPUS) {
+                if (usedCpus(tasks, task[0]) + task[1] <= FakeScheduler.MACHINE_CPUS) {
                     tasks.add(task);
                 }
             }
-            double planned = planned(tasks);
-            double optimum = optimum(tasks);
+            double planned = plannedMaximum(tasks);
+            double optimum = optimalMaximum(tasks);
             int largest = tasks.stream().mapToInt(t -> t[1]).max().orElseThrow();
             assertTrue(
-                    planned <= optimum + largest + MARGIN * TestFleet.MACHINE_CPUS,
+                    planned <= optimum + largest + MARGIN * FakeScheduler.MACHINE_CPUS,
                     () -> "planned " + planned + ", optimum " + optimum);
         }
     }
 
-    private static double used(List<int[]> tasks, int machine) {
+    private static double usedCpus(List<int[]> tasks, int machine) {
         return tasks.stream().filter(t -> t[0] == machine).mapToInt(t -> t[1]).sum();
     }
 
     /** The highest use of a machine, in CPUs, after the planner has nothing left to migrate. */
-    private static double planned(List<int[]> tasks) {
+    private static double plannedMaximum(List<int[]> tasks) {
         ClassBudget ample = new ClassBudget(100, 1);
-        TestFleet fleet =
-                new TestFleet(new BalanceSettings(MARGIN, 0, 0.01, 8, 8, 8, 0, 1, ample, Map.of()))
-                        .machines(MACHINES);
+        FakeScheduler scheduler =
+                new FakeScheduler(
+                                new BalanceSettings(
+                                        MARGIN, 0, 0.01, 8, 8, 8, 0, 1, ample, Map.of()))
+                        .addMachines(MACHINES);
         for (int[] task : tasks) {
-            fleet.task(task[0], task[1]);
+            scheduler.addTask(task[0], task[1]);
         }
-        for (List<Move> moves = fleet.plan(); !moves.isEmpty(); moves = fleet.plan()) {
-            moves.forEach(fleet::carryOut);
+        for (List<Migration> migrations = scheduler.planMigrations();
+                !migrations.isEmpty();
+                migrations = scheduler.planMigrations()) {
+            migrations.forEach(scheduler::complete);
         }
         double most = 0;
         for (int m = 0; m < MACHINES; m++) {
             most =
                     Math.max(
                             most,
-                            fleet.balancer.load().teamCpusOn(TestFleet.machine(m), TestFleet.TEAM));
+                            scheduler
+                                    .balancer
+                                    .load()
+                                    .teamCpusOn(FakeScheduler.machineId(m), FakeScheduler.TEAM));
         }
         return most;
     }
@@ -76,7 +83,7 @@
      * The lowest possible highest use, in CPUs: each task is on one machine, and the highest use is
      * minimised.
      */
-    private static double optimum(List<int[]> tasks) {
+    private static double optimalMaximum(List<int[]> tasks) {
         ExpressionsBasedModel model = new ExpressionsBasedModel();
         Variable largest = model.newVariable("largest").lower(0).weight(1);
         Variable[][] on = new Variable[tasks.size()][MACHINES];
--- a/src/test/java/org/shoreusher/balance/MoveTest.java
+++ b/src/test/java/org/shoreusher/balance/MigrationTest.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.constraints.Size;
 
 /** The state machine of a migration under every order of events. */
-class MoveTest {
+class MigrationTest {
     /** The events that can happen to a migration. */
     enum Event {
         LEFT_SOURCE,
@@ -20,35 +20,35 @@
     }
 
     @Property(tries = 500, seed = "11", shrinking = ShrinkingMode.OFF)
-    void startsOnlyAfterTheSourceWasLeftAndEndsOnce(@ForAll @Size(max = 6) List<Event> events) {
-        MovableTask task =
-                new MovableTask(new TaskId("j", 0), "c", "t", 1, "i", 1, "source", 100, 0, 1);
-        Move move = new Move(task, "target", 10, 0, 1_000);
+    void startsOnlyAfterLeavingTheSourceAndEndsOnce(@ForAll @Size(max = 6) List<Event> events) {
+        MigratableTask task =
+                new MigratableTask(new TaskId("j", 0), "c", "t", 1, "i", 1, "source", 100, 0, 1);
+        Migration migration = new Migration(task, "target", 10, 0, 1_000);
         boolean left = false;
         for (Event event : events) {
-            Move.State before = move.state();
+            Migration.State before = migration.state();
             boolean allowed =
                     switch (event) {
-                        case LEFT_SOURCE, COMPLETED -> before == Move.State.STOPPING;
-                        case STARTED -> left && before == Move.State.STARTING;
+                        case LEFT_SOURCE, COMPLETED -> before == Migration.State.STOPPING;
+                        case STARTED -> left && before == Migration.State.STARTING;
                         case ABANDONED -> !before.isTerminal();
                     };
             if (allowed) {
-                apply(move, event);
+                applyEvent(migration, event);
                 left |= event == Event.LEFT_SOURCE;
             } else {
-                assertThrows(IllegalStateException.class, () -> apply(move, event));
-                assertEquals(before, move.state(), "nothing has changed");
+                assertThrows(IllegalStateException.class, () -> applyEvent(migration, event));
+                assertEquals(before, migration.state(), "nothing has changed");
             }
         }
     }
 
-    private static void apply(Move move, Event event) {
+    private static void applyEvent(Migration migration, Event event) {
         switch (event) {
-            case LEFT_SOURCE -> move.markLeftSource(2_000);
-            case STARTED -> move.markStarted();
-            case COMPLETED -> move.markCompleted();
-            default -> move.abandon(Move.Reason.TARGET_LOST);
+            case LEFT_SOURCE -> migration.markLeftSource(2_000);
+            case STARTED -> migration.markStarted();
+            case COMPLETED -> migration.markCompleted();
+            default -> migration.abandon(Migration.Reason.TARGET_LOST);
         }
     }
 }
--- a/src/test/java/org/shoreusher/cli/ServiceRehearsalTest.java
+++ b/src/test/java/org/shoreusher/cli/ServiceSmokeCheckTest.java
@@ -6,16 +6,16 @@
 import org.shoreusher.settings.Settings;
 
 /** The checks that the build runs against a service, with a whole controller over loopback. */
-class ServiceRehearsalTest {
+class ServiceSmokeCheckTest {
     @Example
-    void aServiceComesBackWhenItsMachineIsLostAndEndsWhenItIsCancelled() throws Exception {
-        try (ServiceRehearsal story = new ServiceRehearsal()) {
-            byte[] file = story.settingsJson().getBytes(StandardCharsets.UTF_8);
+    void serviceRecoversFromAMachineLossAndEndsWhenCancelled() throws Exception {
+        try (ServiceSmokeCheck smokeCheck = new ServiceSmokeCheck()) {
+            byte[] file = smokeCheck.settingsJson().getBytes(StandardCharsets.UTF_8);
             Service controller = new Service(Settings.parse(file), Features.NONE, "rehearsal/test");
             Thread thread = new Thread(() -> run(controller));
             thread.start();
             try {
-                story.run();
+                smokeCheck.run();
             } finally {
                 controller.stop();
                 thread.join();
@@ -26,7 +26,7 @@
     private static void run(Service controller) {
         try {
             controller.run();
-        } catch (InterruptedException e) {
+        } catch (InterruptedException exception) {
             Thread.currentThread().interrupt();
         }
     }
--- a/src/test/java/org/shoreusher/core/OrderTestData.java
+++ b/src/test/java/org/shoreusher/core/CoreTestData.java
@@ -2,13 +2,15 @@
 
 import java.util.List;
 import java.util.Map;
+import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.settings.Settings;
 
 /** Settings and jobs for tests of a leader's classes. */
-final class OrderTestData {
-    private OrderTestData() {}
+public final class CoreTestData {
+    private CoreTestData() {}
 
-    static Settings settings(List<Settings.Objective> objectives) {
+    public static Settings settings(List<Settings.Objective> objectives) {
         Settings.Address nowhere = new Settings.Address("127.0.0.1", 1);
         return new Settings(
                 "n",
@@ -35,7 +37,7 @@
                 25);
     }
 
-    static Job job(
+    public static Job job(
             String id,
             String jobClass,
             JobSpec.Priority priority,
@@ -50,10 +52,10 @@
                                 .jobClass(jobClass)
                                 .team("team")
                                 .priority(priority)
-                                .tasks(tasks)
+                                .taskCount(tasks)
                                 .cpus(2)
                                 .image("i")
-                                .estimateS(estimate)
+                                .estimatedRunS(estimate)
                                 .deadlineS(deadline)
                                 .build(),
                         acceptedMs);
--- a/src/test/java/org/shoreusher/core/JobSpecBuilder.java
+++ b/src/test/java/org/shoreusher/core/JobSpecBuilder.java
@@ -1,28 +1,29 @@
 package org.shoreusher.core;
 
 import java.util.List;
+import org.shoreusher.core.message.JobSpec;
 
 /** Builds a job for tests: by default a batch job of high priority with one small task. */
 public final class JobSpecBuilder {
     private final String id;
     private String jobClass = "class";
     private String team = "team-0";
-    private JobSpec.WorkloadType shape = JobSpec.WorkloadType.BATCH;
+    private JobSpec.WorkloadType workloadType = JobSpec.WorkloadType.BATCH;
     private JobSpec.Priority priority = JobSpec.Priority.HIGH;
-    private int tasks = 1;
+    private int taskCount = 1;
     private double cpus = 1;
     private double gpus = 0;
     private double memGb = 1;
     private String image = "img-0";
     private double imageGb = 1;
-    private List<String> types = null;
+    private List<String> machineTypes = null;
     private String zone = null;
-    private boolean oneZone = false;
-    private boolean spread = false;
-    private boolean spot = true;
-    private double estimateS = 5;
-    private double checkpointS = 0;
-    private double saveS = 0;
+    private boolean singleZone = false;
+    private boolean spreadAcrossZones = false;
+    private boolean spotAllowed = true;
+    private double estimatedRunS = 5;
+    private double checkpointIntervalS = 0;
+    private double checkpointDurationS = 0;
     private double deadlineS = Double.NaN;
 
     /** Starts with a job of this id and default values. */
@@ -43,8 +44,8 @@
     }
 
     /** Sets the workload type. */
-    public JobSpecBuilder shape(JobSpec.WorkloadType value) {
-        shape = value;
+    public JobSpecBuilder workloadType(JobSpec.WorkloadType value) {
+        workloadType = value;
         return this;
     }
 
@@ -55,8 +56,8 @@
     }
 
     /** Sets the number of tasks. */
-    public JobSpecBuilder tasks(int value) {
-        tasks = value;
+    public JobSpecBuilder taskCount(int value) {
+        taskCount = value;
         return this;
     }
 
@@ -91,8 +92,8 @@
     }
 
     /** Sets the allowed machine types; null allows all. */
-    public JobSpecBuilder types(List<String> value) {
-        types = value;
+    public JobSpecBuilder machineTypes(List<String> value) {
+        machineTypes = value;
         return this;
     }
 
@@ -103,38 +104,38 @@
     }
 
     /** Sets the flag that all tasks must be in one zone. */
-    public JobSpecBuilder oneZone(boolean value) {
-        oneZone = value;
+    public JobSpecBuilder singleZone(boolean value) {
+        singleZone = value;
         return this;
     }
 
     /** Sets the flag that tasks are spread across zones. */
-    public JobSpecBuilder spread(boolean value) {
-        spread = value;
+    public JobSpecBuilder spreadAcrossZones(boolean value) {
+        spreadAcrossZones = value;
         return this;
     }
 
     /** Sets the flag that spot machines are allowed. */
-    public JobSpecBuilder spot(boolean value) {
-        spot = value;
+    public JobSpecBuilder spotAllowed(boolean value) {
+        spotAllowed = value;
         return this;
     }
 
     /** Sets the estimated run time, in s. */
-    public JobSpecBuilder estimateS(double value) {
-        estimateS = value;
+    public JobSpecBuilder estimatedRunS(double value) {
+        estimatedRunS = value;
         return this;
     }
 
     /** Sets the interval between checkpoints, in s; 0 means none. */
-    public JobSpecBuilder checkpointS(double value) {
-        checkpointS = value;
+    public JobSpecBuilder checkpointIntervalS(double value) {
+        checkpointIntervalS = value;
         return this;
     }
 
     /** Sets the duration of a checkpoint, in s. */
-    public JobSpecBuilder saveS(double value) {
-        saveS = value;
+    public JobSpecBuilder checkpointDurationS(double value) {
+        checkpointDurationS = value;
         return this;
     }
 
@@ -150,22 +151,22 @@
                 id,
                 jobClass,
                 team,
-                shape,
+                workloadType,
                 priority,
-                tasks,
+                taskCount,
                 cpus,
                 gpus,
                 memGb,
                 image,
                 imageGb,
-                types,
+                machineTypes,
                 zone,
-                oneZone,
-                spread,
-                spot,
-                estimateS,
-                checkpointS,
-                saveS,
+                singleZone,
+                spreadAcrossZones,
+                spotAllowed,
+                estimatedRunS,
+                checkpointIntervalS,
+                checkpointDurationS,
                 deadlineS);
     }
 }
--- a/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
+++ b/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
@@ -14,10 +14,23 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.LongRange;
-import org.shoreusher.core.Command.StateReply;
-import org.shoreusher.core.Effect.StateOp;
-import org.shoreusher.core.Hint.Claim;
-import org.shoreusher.core.StoreSchema.QuotaRecord;
+import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.job.HighWaterMarks;
+import org.shoreusher.core.job.SubmissionBatches;
+import org.shoreusher.core.leadership.ShardLeadership;
+import org.shoreusher.core.message.ClockReading;
+import org.shoreusher.core.message.Command.StoreReply;
+import org.shoreusher.core.message.Effect;
+import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.core.message.GossipMessage.TeamDemand;
+import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.core.message.MachineType;
+import org.shoreusher.core.schedule.QuotaShares;
+import org.shoreusher.core.store.Outbox;
+import org.shoreusher.core.store.StoreCache;
+import org.shoreusher.core.store.StoreSchema;
+import org.shoreusher.core.store.StoreSchema.QuotaRecord;
 import org.shoreusher.settings.Features;
 import org.shoreusher.settings.Settings;
 
@@ -28,10 +41,10 @@
     // -----------------------------------------------------------------------
 
     /** Returns the first operation that was sent to the store, or null. */
-    private static StateOp asked(Outbox outbox) {
+    private static StoreOperation nextStoreOperation(Outbox outbox) {
         return outbox.drainEffects().stream()
-                .filter(e -> e instanceof Effect.StateCall)
-                .map(e -> ((Effect.StateCall) e).operation())
+                .filter(effect -> effect instanceof Effect.StoreCall)
+                .map(effect -> ((Effect.StoreCall) effect).operation())
                 .findFirst()
                 .orElse(null);
     }
@@ -41,25 +54,25 @@
      * from before that write must not bring the job back as open, or its tasks would start again.
      */
     @Example
-    void oldNewsDoesNotBringADoneJobBack() {
-        Outbox outbox = new Outbox(OrderTestData.settings(List.of()), 1);
+    void staleWatchResponseDoesNotReviveACompletedJob() {
+        Outbox outbox = new Outbox(CoreTestData.settings(List.of()), 1);
         List<String> seen = new ArrayList<>();
-        StoreView view =
-                new StoreView(
+        StoreCache storeCache =
+                new StoreCache(
                         outbox,
-                        OrderTestData.settings(List.of()),
+                        CoreTestData.settings(List.of()),
                         (key, before, after) -> seen.add(key));
         outbox.now = new ClockReading(1_000, 1_000);
-        view.step();
-        assertTrue(asked(outbox) instanceof StateOp.Page);
+        storeCache.step();
+        assertTrue(nextStoreOperation(outbox) instanceof StoreOperation.Page);
         outbox.onReply(
-                new StateReply(1, 200, Map.of("entries", List.of(), "more", false, "ledger", 5L)));
-        view.apply("job/wk-1", Map.of("status", "DONE"), 9);
-        view.evict("job/wk-1");
-        view.step();
-        assertEquals(new StateOp.Watch(5, 0), asked(outbox));
+                new StoreReply(1, 200, Map.of("entries", List.of(), "more", false, "ledger", 5L)));
+        storeCache.apply("job/wk-1", Map.of("status", "DONE"), 9);
+        storeCache.evict("job/wk-1");
+        storeCache.step();
+        assertEquals(new StoreOperation.Watch(5, 0), nextStoreOperation(outbox));
         outbox.onReply(
-                new StateReply(
+                new StoreReply(
                         2,
                         200,
                         Map.of(
@@ -74,9 +87,9 @@
                                                 Map.of("status", "OPEN"),
                                                 "stamp",
                                                 6L)))));
-        assertNull(view.get("job/wk-1"));
+        assertNull(storeCache.get("job/wk-1"));
         assertEquals(List.of("job/wk-1"), seen);
-        assertTrue(view.isLoaded());
+        assertTrue(storeCache.isLoaded());
     }
 
     /**
@@ -84,78 +97,84 @@
      * outdated is read in pages instead.
      */
     @Example
-    void aViewWhoseWatchKeepsFailingIsReadInPages() {
-        Outbox outbox = new Outbox(OrderTestData.settings(List.of()), 1);
-        StoreView view =
-                new StoreView(
-                        outbox, OrderTestData.settings(List.of()), (key, before, after) -> {});
+    void rereadsTheStoreInPagesWhenTheWatchKeepsFailing() {
+        Outbox outbox = new Outbox(CoreTestData.settings(List.of()), 1);
+        StoreCache storeCache =
+                new StoreCache(
+                        outbox, CoreTestData.settings(List.of()), (key, before, after) -> {});
         outbox.now = new ClockReading(1_000, 1_000);
-        view.step();
-        asked(outbox);
+        storeCache.step();
+        nextStoreOperation(outbox);
         outbox.onReply(
-                new StateReply(1, 200, Map.of("entries", List.of(), "more", false, "ledger", 5L)));
-        view.step();
-        asked(outbox);
-        outbox.onReply(new StateReply(2, 200, Map.of("ledger", 5L, "log", List.of())));
-        StateOp last = null;
-        for (int call = 3; call < 100 && !(last instanceof StateOp.Page); call++) {
+                new StoreReply(1, 200, Map.of("entries", List.of(), "more", false, "ledger", 5L)));
+        storeCache.step();
+        nextStoreOperation(outbox);
+        outbox.onReply(new StoreReply(2, 200, Map.of("ledger", 5L, "log", List.of())));
+        StoreOperation last = null;
+        for (int call = 3; call < 100 && !(last instanceof StoreOperation.Page); call++) {
             outbox.now =
                     new ClockReading(outbox.now.monotonicMs() + 500, outbox.now.wallMs() + 500);
-            view.step();
-            last = asked(outbox);
+            storeCache.step();
+            last = nextStoreOperation(outbox);
             assertTrue(
-                    last instanceof StateOp.Page == outbox.now.monotonicMs() > 21_000 + 500,
+                    last instanceof StoreOperation.Page == outbox.now.monotonicMs() > 21_000 + 500,
                     "at " + outbox.now.monotonicMs() + " asked for " + last);
-            outbox.onReply(new StateReply(call, 0, null));
+            outbox.onReply(new StoreReply(call, 0, null));
         }
-        assertTrue(last instanceof StateOp.Page);
+        assertTrue(last instanceof StoreOperation.Page);
     }
 
     // ---- quota shares
     // --------------------------------------------------------------------------
 
     @Property(tries = 300, seed = "21")
-    void sharesSumToTheLimit(
-            @ForAll @IntRange(max = 500) int limit, @ForAll @IntRange(min = 1, max = 5) int parts) {
-        QuotaRecord record = QuotaRecord.splitEvenly(limit, 0, parts);
+    void quotaSharesSumToTheLimit(
+            @ForAll @IntRange(max = 500) int limit,
+            @ForAll @IntRange(min = 1, max = 5) int shardCount) {
+        QuotaRecord record = QuotaRecord.splitEvenly(limit, 0, shardCount);
         assertEquals(limit, Arrays.stream(record.cpus()).sum(), 1e-9);
         assertTrue(Arrays.stream(record.cpus()).allMatch(c -> c >= 0));
-        QuotaRecord read = QuotaRecord.fromMap(record.toMap(), parts);
+        QuotaRecord read = QuotaRecord.fromMap(record.toMap(), shardCount);
         assertTrue(Arrays.equals(record.cpus(), read.cpus()));
         // Shares for another number of shards are ignored.
-        assertEquals(0, Arrays.stream(QuotaRecord.fromMap(record.toMap(), parts + 1).cpus()).sum());
+        assertEquals(
+                0, Arrays.stream(QuotaRecord.fromMap(record.toMap(), shardCount + 1).cpus()).sum());
     }
 
     /** A shard without a demand report keeps its share, and urgent demand is served first. */
     @Property(tries = 300, seed = "22")
-    void targetsRespectSilenceAndUrgency(@ForAll @LongRange(min = 0) long seed) {
-        Random r = new Random(seed);
-        int parts = 2 + r.nextInt(2);
-        double[] shares = new double[parts];
-        Claim[] claims = new Claim[parts];
-        for (int m = 0; m < parts; m++) {
-            shares[m] = r.nextInt(40);
-            claims[m] = r.nextInt(4) == 0 ? null : new Claim(r.nextInt(30), r.nextInt(60));
+    void quotaTargetsKeepSilentShardsAndPreferUrgentDemand(@ForAll @LongRange(min = 0) long seed) {
+        Random random = new Random(seed);
+        int shardCount = 2 + random.nextInt(2);
+        double[] shares = new double[shardCount];
+        TeamDemand[] demands = new TeamDemand[shardCount];
+        for (int shardNumber = 0; shardNumber < shardCount; shardNumber++) {
+            shares[shardNumber] = random.nextInt(40);
+            demands[shardNumber] =
+                    random.nextInt(4) == 0
+                            ? null
+                            : new TeamDemand(random.nextInt(30), random.nextInt(60));
         }
         double max = Arrays.stream(shares).sum();
-        double[] targets = Quota.targetShares(max, claims, shares, 1);
+        double[] targets = QuotaShares.targetShares(max, demands, shares, 1);
         double urgent =
-                Arrays.stream(claims)
-                        .filter(c -> c != null)
-                        .mapToDouble(Claim::highPriorityCpus)
+                Arrays.stream(demands)
+                        .filter(demand -> demand != null)
+                        .mapToDouble(TeamDemand::highPriorityCpus)
                         .sum();
         double silent = 0;
-        for (int m = 0; m < parts; m++) {
-            silent += claims[m] == null ? shares[m] : 0;
+        for (int shardNumber = 0; shardNumber < shardCount; shardNumber++) {
+            silent += demands[shardNumber] == null ? shares[shardNumber] : 0;
         }
-        for (int m = 0; m < parts; m++) {
-            assertTrue(claims[m] != null || targets[m] == shares[m]);
+        for (int shardNumber = 0; shardNumber < shardCount; shardNumber++) {
+            assertTrue(demands[shardNumber] != null || targets[shardNumber] == shares[shardNumber]);
             assertTrue(
-                    claims[m] == null
+                    demands[shardNumber] == null
                             || urgent > max - silent
-                            || targets[m] >= claims[m].highPriorityCpus() - 0.5);
+                            || targets[shardNumber]
+                                    >= demands[shardNumber].highPriorityCpus() - 0.5);
         }
-        assertTrue(Arrays.stream(targets).sum() <= max + parts);
+        assertTrue(Arrays.stream(targets).sum() <= max + shardCount);
     }
 
     // ---- submissions, marks, failures
@@ -167,39 +186,41 @@
      * nobody would start it. The job's own record takes precedence over both.
      */
     @Example
-    void theOlderOfTwoRecordsOfAnArrivalCounts() {
-        Settings s = OrderTestData.settings(List.of());
+    void olderOfTwoSubmissionRecordsCounts() {
+        Settings settings = CoreTestData.settings(List.of());
         JobSpec spec =
-                OrderTestData.job("wk-1", "c", JobSpec.Priority.HIGH, 3, 1, Double.NaN, 0).spec;
+                CoreTestData.job("wk-1", "c", JobSpec.Priority.HIGH, 3, 1, Double.NaN, 0).spec;
         for (boolean olderFirst : new boolean[] {true, false}) {
-            Outbox outbox = new Outbox(s, 2);
-            Arrivals[] arrivals = new Arrivals[1];
-            List<Integer> told = new ArrayList<>();
-            StoreView view =
-                    new StoreView(
+            Outbox outbox = new Outbox(settings, 2);
+            SubmissionBatches[] submissionBatches = new SubmissionBatches[1];
+            List<Integer> notified = new ArrayList<>();
+            StoreCache storeCache =
+                    new StoreCache(
                             outbox,
-                            s,
+                            settings,
                             (key, before, after) -> {
                                 if (key.startsWith(StoreSchema.SUBMISSION_BATCH_PREFIX)) {
-                                    arrivals[0].batchChanged(
+                                    submissionBatches[0].batchChanged(
                                             key,
                                             after,
-                                            (id, record) -> told.add(record.shardNumber()));
+                                            (id, record) -> notified.add(record.shardNumber()));
                                 }
                             });
-            arrivals[0] = new Arrivals(s, outbox, view);
-            for (int part : olderFirst ? new int[] {1, 0} : new int[] {0, 1}) {
-                view.apply(
-                        StoreSchema.submissionBatchKey("n/" + part, 1),
-                        StoreSchema.ArrivalRecord.toMap(
-                                Map.of("wk-1", StoreSchema.JobRecord.open(part, spec, 0).toMap())),
-                        part == 1 ? 5 : 6);
+            submissionBatches[0] = new SubmissionBatches(settings, outbox, storeCache);
+            for (int shardNumber : olderFirst ? new int[] {1, 0} : new int[] {0, 1}) {
+                storeCache.apply(
+                        StoreSchema.submissionBatchKey("n/" + shardNumber, 1),
+                        StoreSchema.SubmissionBatchRecord.toMap(
+                                Map.of(
+                                        "wk-1",
+                                        StoreSchema.JobRecord.open(shardNumber, spec, 0).toMap())),
+                        shardNumber == 1 ? 5 : 6);
             }
-            assertEquals(1, arrivals[0].jobRecord("wk-1").shardNumber());
-            assertEquals(1, told.get(told.size() - 1));
-            view.apply(
+            assertEquals(1, submissionBatches[0].jobRecord("wk-1").shardNumber());
+            assertEquals(1, notified.get(notified.size() - 1));
+            storeCache.apply(
                     StoreSchema.jobKey("wk-1"), StoreSchema.JobRecord.open(0, spec, 0).toMap(), 7);
-            assertEquals(0, arrivals[0].jobRecord("wk-1").shardNumber());
+            assertEquals(0, submissionBatches[0].jobRecord("wk-1").shardNumber());
         }
     }
 
@@ -208,28 +229,28 @@
      * successor finds each mark.
      */
     @Property(tries = 30, seed = "11")
-    void marksStayBelowTheValueLimit(
+    void highWaterMarkRecordsStayBelowTheValueLimit(
             @ForAll @IntRange(min = 1, max = 400) int count,
             @ForAll @LongRange(min = 0) long seed) {
         Random random = new Random(seed);
-        Settings s = OrderTestData.settings(List.of());
-        Outbox outbox = new Outbox(s, 1);
+        Settings settings = CoreTestData.settings(List.of());
+        Outbox outbox = new Outbox(settings, 1);
         outbox.now = new ClockReading(1_000, 1_000);
-        StoreView view = new StoreView(outbox, s, (key, before, after) -> {});
-        Arrivals arrivals = new Arrivals(s, outbox, view);
-        PartOwnership ownership =
-                new PartOwnership(
+        StoreCache storeCache = new StoreCache(outbox, settings, (key, before, after) -> {});
+        SubmissionBatches submissionBatches = new SubmissionBatches(settings, outbox, storeCache);
+        ShardLeadership leadership =
+                new ShardLeadership(
                         0,
-                        s,
+                        settings,
                         outbox,
-                        view,
-                        new StoreSchema.PartRecord("n/1", 60_000, 1, Map.of(), null),
+                        storeCache,
+                        new StoreSchema.ShardRecord("n/1", 60_000, 1, Map.of(), null),
                         outbox.now,
                         1);
         Map<String, Job> jobs = new java.util.LinkedHashMap<>();
         for (int i = 0; i < count; i++) {
             Job job =
-                    OrderTestData.job(
+                    CoreTestData.job(
                             "wk-" + (1_000_000 + i),
                             "c",
                             JobSpec.Priority.HIGH,
@@ -238,45 +259,61 @@
                             Double.NaN,
                             0);
             jobs.put(job.id, job);
-            view.apply(
+            storeCache.apply(
                     StoreSchema.jobKey(job.id),
                     StoreSchema.JobRecord.open(0, job.spec, 0).toMap(),
                     1);
         }
-        StartMarks marks =
-                new StartMarks(
+        HighWaterMarks highWaterMarks =
+                new HighWaterMarks(
                         0,
                         1,
-                        new NodeContext(s, Features.NONE, outbox, view, arrivals, null, null, null),
-                        ownership,
+                        new NodeContext(
+                                settings,
+                                Features.NONE,
+                                outbox,
+                                storeCache,
+                                submissionBatches,
+                                null,
+                                null,
+                                null),
+                        leadership,
                         jobs);
         long revision = 1;
         for (int round = 0;
                 round < 200 && jobs.values().stream().anyMatch(j -> j.highWaterMark == 0);
                 round++) {
-            jobs.values().forEach(j -> marks.request(j, j.highWaterMark == 0 ? 1 : 0));
+            jobs.values().forEach(j -> highWaterMarks.request(j, j.highWaterMark == 0 ? 1 : 0));
             outbox.now = new ClockReading(outbox.now.monotonicMs() + 300, outbox.now.wallMs() + 10);
-            marks.writeRequestedMarks();
-            for (Effect e : outbox.drainEffects()) {
-                Effect.StateCall call = (Effect.StateCall) e;
-                ((StateOp.Multi) call.operation())
+            highWaterMarks.writeRequestedMarks();
+            for (Effect effect : outbox.drainEffects()) {
+                Effect.StoreCall call = (Effect.StoreCall) effect;
+                ((StoreOperation.CompareAndSwap) call.operation())
                         .writes()
                         .forEach(
                                 (key, value) ->
                                         assertTrue(
                                                 org.shoreusher.wire.FieldMap.jsonLength(value)
-                                                        <= s.maxValueBytes(),
+                                                        <= settings.maxValueBytes(),
                                                 key));
-                outbox.onReply(new StateReply(call.callId(), 200, Map.of("ledger", ++revision)));
+                outbox.onReply(new StoreReply(call.callId(), 200, Map.of("ledger", ++revision)));
             }
         }
         Map<String, Job> taken = new java.util.LinkedHashMap<>();
         jobs.values().forEach(j -> taken.put(j.id, new Job(j.id, j.spec, 0)));
-        new StartMarks(
+        new HighWaterMarks(
                         0,
                         1,
-                        new NodeContext(s, Features.NONE, outbox, view, arrivals, null, null, null),
-                        ownership,
+                        new NodeContext(
+                                settings,
+                                Features.NONE,
+                                outbox,
+                                storeCache,
+                                submissionBatches,
+                                null,
+                                null,
+                                null),
+                        leadership,
                         taken)
                 .load();
         jobs.values()
@@ -290,8 +327,8 @@
 
     /** A job whose tasks fail on every machine is distinguished from a faulty machine. */
     @Example
-    void aJobThatFailsEverywhereIsSuspectAndTriedRarely() {
-        Job job = OrderTestData.job("wk-1", "c", JobSpec.Priority.LOW, 5, 10, Double.NaN, 0);
+    void jobFailingOnEveryMachineIsSuspectAndBacksOff() {
+        Job job = CoreTestData.job("wk-1", "c", JobSpec.Priority.LOW, 5, 10, Double.NaN, 0);
         job.recordFailure("m-1", 1_000);
         assertTrue(!job.isSuspectedFaulty() && !job.isBackingOff(1_000));
         job.recordFailure("m-2", 2_000);
@@ -305,7 +342,7 @@
      * machines of a type, show a slow machine.
      */
     @Example
-    void aSlowMachineIsToldFromASlowTask() {
+    void distinguishesASlowMachineFromASlowTask() {
         MachineType type = new MachineType("t", 8, 0, 16, 10, 1, 1, 0.4, 10, List.of("a"));
         Machine slow = new Machine("m-1", type, "a", true, 0);
         Machine good = new Machine("m-2", type, "a", true, 0);
--- a/src/test/java/org/shoreusher/core/PiecesTest.java
+++ b/src/test/java/org/shoreusher/core/PiecesTest.java
@@ -16,6 +16,15 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.LongRange;
+import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.leadership.LeaderLease;
+import org.shoreusher.core.message.ClockReading;
+import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.core.message.MachineType;
+import org.shoreusher.core.schedule.BinPacker;
+import org.shoreusher.core.store.TaskRanges;
+import org.shoreusher.core.store.TokenBucket;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.SettingsBuilder;
 
@@ -24,13 +33,13 @@
     private static final MachineType TYPE =
             new MachineType("t", 8, 2, 16, 10, 1, 1, 0.4, 10, List.of("a", "b"));
 
-    private static Settings settings(double clockOff, double workerLease, double cancel) {
-        return new SettingsBuilder(OrderTestData.settings(List.of()))
+    private static Settings settings(double clockOffsetMs, double workerLease, double cancel) {
+        return new SettingsBuilder(CoreTestData.settings(List.of()))
                 .teams()
                 .workers(1, workerLease, cancel)
-                .stateRps(100)
-                .limits(100, 1024, 12)
-                .clockOffMs((long) clockOff)
+                .storeRequestsPerS(100)
+                .storeLimits(100, 1024, 12)
+                .maxClockOffsetMs((long) clockOffsetMs)
                 .build();
     }
 
@@ -39,26 +48,26 @@
             int tasks,
             double cpus,
             String zone,
-            boolean one,
-            boolean spread,
+            boolean singleZone,
+            boolean spreadAcrossZones,
             boolean spot) {
         return new JobSpecBuilder(id)
                 .jobClass("c")
                 .team("team")
                 .priority(JobSpec.Priority.NORMAL)
-                .tasks(tasks)
+                .taskCount(tasks)
                 .cpus(cpus)
                 .image("i")
                 .zone(zone)
-                .oneZone(one)
-                .spread(spread)
-                .spot(spot)
-                .estimateS(10)
+                .singleZone(singleZone)
+                .spreadAcrossZones(spreadAcrossZones)
+                .spotAllowed(spot)
+                .estimatedRunS(10)
                 .build();
     }
 
     @Property(tries = 300, seed = "7")
-    void rangesComeBack(@ForAll Set<@IntRange(max = 700) Integer> numbers) {
+    void taskRangesSurviveARoundTrip(@ForAll Set<@IntRange(max = 700) Integer> numbers) {
         BitSet set = new BitSet();
         numbers.forEach(set::set);
         assertEquals(set, TaskRanges.parse(TaskRanges.format(set)));
@@ -66,7 +75,7 @@
 
     /** Whatever the pattern of requests, no second sees more than the burst and the rate. */
     @Property(tries = 200, seed = "8")
-    void tokensNeverExceedTheRate(
+    void neverExceedsTheRate(
             @ForAll @IntRange(min = 1, max = 50) int rate,
             @ForAll List<@IntRange(max = 400) Integer> pauses) {
         TokenBucket bucket = new TokenBucket(rate, rate);
@@ -88,74 +97,82 @@
 
     /** At no real time may a leader act for a shard that a successor may already acquire. */
     @Property(tries = 500, seed = "9")
-    void ownerStopsBeforeTakersMayStart(@ForAll @IntRange(max = 500) int off, @ForAll long seed) {
-        Random r = new Random(seed);
-        Settings s = settings(off, 10, 40);
-        PartLease lease = new PartLease(s);
+    void leaderStopsBeforeSuccessorsMayStart(
+            @ForAll @IntRange(max = 500) int clockOffsetMs, @ForAll long seed) {
+        Random random = new Random(seed);
+        Settings settings = settings(clockOffsetMs, 10, 40);
+        LeaderLease lease = new LeaderLease(settings);
         long written = 1_000_000;
-        long ownerOff = r.nextInt(2 * off + 1) - off;
+        long leaderOffsetMs = random.nextInt(2 * clockOffsetMs + 1) - clockOffsetMs;
         lease.onConfirmed(
-                written + ownerOff + PartLease.durationMs(s),
-                new ClockReading(0, written + ownerOff));
-        for (long t = 0; t < PartLease.durationMs(s) + 4_000; t += 13) {
+                written + leaderOffsetMs + LeaderLease.durationMs(settings),
+                new ClockReading(0, written + leaderOffsetMs));
+        for (long t = 0; t < LeaderLease.durationMs(settings) + 4_000; t += 13) {
             // The wall clock deviates within its bound; the monotonic clock may run up to 0.05%
             // fast.
-            long ownerWall = written + t + r.nextInt(2 * off + 1) - off;
-            long takerWall = written + t + r.nextInt(2 * off + 1) - off;
-            boolean acts = lease.isValid(new ClockReading((long) (t * 1.0005), ownerWall));
+            long leaderWallMs = written + t + random.nextInt(2 * clockOffsetMs + 1) - clockOffsetMs;
+            long successorWallMs =
+                    written + t + random.nextInt(2 * clockOffsetMs + 1) - clockOffsetMs;
+            boolean acts = lease.isValid(new ClockReading((long) (t * 1.0005), leaderWallMs));
             boolean taken =
-                    PartLease.isAcquirable(
-                            s,
-                            written + ownerOff + PartLease.durationMs(s),
-                            new ClockReading(0, takerWall));
+                    LeaderLease.isAcquirable(
+                            settings,
+                            written + leaderOffsetMs + LeaderLease.durationMs(settings),
+                            new ClockReading(0, successorWallMs));
             assertFalse(acts && taken, "both at " + t);
         }
     }
 
     /** A cancellation that the leader cannot see takes effect within its limit all the same. */
     @Property(tries = 200, seed = "10")
-    void graceLeavesTimeForCancellations(
+    void gracePeriodLeavesTimeForCancellations(
             @ForAll @IntRange(min = 2, max = 60) int workerLease,
             @ForAll @IntRange(min = 1, max = 120) int cancel,
-            @ForAll @IntRange(max = 500) int off) {
-        Settings s = settings(off, workerLease, cancel);
-        long grace = PartLease.gracePeriodMs(s);
+            @ForAll @IntRange(max = 500) int clockOffsetMs) {
+        Settings settings = settings(clockOffsetMs, workerLease, cancel);
+        long grace = LeaderLease.gracePeriodMs(settings);
         assertTrue(grace >= 0);
         assertTrue(
                 grace == 0
-                        || PartLease.durationMs(s)
+                        || LeaderLease.durationMs(settings)
                                         + grace
-                                        + PartLease.workerLeaseBoundMs(s)
-                                        + 2 * off
+                                        + LeaderLease.workerLeaseBoundMs(settings)
+                                        + 2 * clockOffsetMs
                                 <= cancel * 1000L);
     }
 
     /** Plans respect the capacity of machines, the quota of teams, zones and machine types. */
     @Property(tries = 400, seed = "11")
-    void plansKeepEveryBound(@ForAll @LongRange(min = 0) long seed) {
-        Random r = new Random(seed);
-        List<Planner.Slot> slots = new ArrayList<>();
-        for (int i = 0; i < 1 + r.nextInt(6); i++) {
-            Machine m = new Machine("m" + i, TYPE, r.nextBoolean() ? "a" : "b", r.nextBoolean(), 0);
-            m.cpusUsed = r.nextInt(9);
-            slots.add(new Planner.Slot(m));
+    void plansRespectMachineQuotaAndZoneLimits(@ForAll @LongRange(min = 0) long seed) {
+        Random random = new Random(seed);
+        List<BinPacker.MachineCapacity> slots = new ArrayList<>();
+        for (int i = 0; i < 1 + random.nextInt(6); i++) {
+            Machine machine =
+                    new Machine(
+                            "m" + i,
+                            TYPE,
+                            random.nextBoolean() ? "a" : "b",
+                            random.nextBoolean(),
+                            0);
+            machine.cpusUsed = random.nextInt(9);
+            slots.add(new BinPacker.MachineCapacity(machine));
         }
-        double limit = r.nextInt(40);
-        Planner planner = new Planner(slots, team -> limit, team -> 0);
+        double limit = random.nextInt(40);
+        BinPacker planner = new BinPacker(slots, team -> limit, team -> 0);
         List<Job> jobs = new ArrayList<>();
-        for (int i = 0; i < 1 + r.nextInt(4); i++) {
-            boolean one = r.nextInt(3) == 0;
+        for (int i = 0; i < 1 + random.nextInt(4); i++) {
+            boolean singleZone = random.nextInt(3) == 0;
             Job job =
                     new Job(
                             "j" + i,
                             spec(
                                     "wk-" + i,
-                                    1 + r.nextInt(9),
-                                    1 + r.nextInt(4),
-                                    r.nextInt(4) == 0 ? "a" : null,
-                                    one,
-                                    !one && r.nextBoolean(),
-                                    r.nextBoolean()),
+                                    1 + random.nextInt(9),
+                                    1 + random.nextInt(4),
+                                    random.nextInt(4) == 0 ? "a" : null,
+                                    singleZone,
+                                    !singleZone && random.nextBoolean(),
+                                    random.nextBoolean()),
                             0);
             jobs.add(job);
             planner.place(job, job.spec.taskCount());
@@ -165,13 +182,18 @@
         for (Job job : jobs) {
             Map<String, Integer> zones = new HashMap<>();
             int count = 0;
-            for (Planner.PlacedTasks p : planner.placedTasks()) {
-                if (p.job() == job) {
-                    assertTrue(job.spec.allowsMachine("t", p.capacity().zone, p.capacity().spot));
-                    zones.merge(p.capacity().zone, p.taskCount(), Integer::sum);
-                    on.merge(p.capacity().machine, p.taskCount() * job.spec.cpus(), Double::sum);
-                    used += p.taskCount() * job.spec.cpus();
-                    count += p.taskCount();
+            for (BinPacker.PlacedTasks placement : planner.placedTasks()) {
+                if (placement.job() == job) {
+                    assertTrue(
+                            job.spec.allowsMachine(
+                                    "t", placement.capacity().zone, placement.capacity().spot));
+                    zones.merge(placement.capacity().zone, placement.taskCount(), Integer::sum);
+                    on.merge(
+                            placement.capacity().machine,
+                            placement.taskCount() * job.spec.cpus(),
+                            Double::sum);
+                    used += placement.taskCount() * job.spec.cpus();
+                    count += placement.taskCount();
                 }
             }
             assertTrue(count <= job.spec.taskCount());
@@ -182,7 +204,7 @@
                             || zones.values().stream().allMatch(n -> n <= half));
         }
         assertTrue(used <= limit);
-        on.forEach((m, cpus) -> assertTrue(cpus <= m.cpusFree()));
+        on.forEach((machine, cpus) -> assertTrue(cpus <= machine.cpusFree()));
     }
 
     @Example
@@ -192,19 +214,21 @@
         Machine full = new Machine("m-full", TYPE, "a", true, 0);
         half.cpusUsed = 4;
         full.cpusUsed = 7;
-        Planner planner =
-                new Planner(
+        BinPacker planner =
+                new BinPacker(
                         new ArrayList<>(
                                 List.of(
-                                        new Planner.Slot(empty),
-                                        new Planner.Slot(half),
-                                        new Planner.Slot(full))),
+                                        new BinPacker.MachineCapacity(empty),
+                                        new BinPacker.MachineCapacity(half),
+                                        new BinPacker.MachineCapacity(full))),
                         t -> 100,
                         t -> 0);
         planner.place(new Job("wk-1", spec("wk-1", 3, 2, null, false, false, true), 0), 3);
         assertEquals(
                 List.of("m-half", "m-empty"),
-                planner.placedTasks().stream().map(p -> p.capacity().machine.id).toList());
+                planner.placedTasks().stream()
+                        .map(placement -> placement.capacity().machine.id)
+                        .toList());
         assertEquals(2, planner.placedTasks().get(0).taskCount());
     }
 
@@ -214,14 +238,17 @@
      * machine. A machine that is too small for the job is never reserved.
      */
     @Example
-    void aMachineIsKeptForALargerTask() {
+    void reservesAMachineForALargerTask() {
         Machine half = new Machine("m-half", TYPE, "a", true, 0);
         Machine full = new Machine("m-full", TYPE, "a", true, 0);
         half.cpusUsed = 4;
         full.cpusUsed = 7;
-        Planner planner =
-                new Planner(
-                        new ArrayList<>(List.of(new Planner.Slot(half), new Planner.Slot(full))),
+        BinPacker planner =
+                new BinPacker(
+                        new ArrayList<>(
+                                List.of(
+                                        new BinPacker.MachineCapacity(half),
+                                        new BinPacker.MachineCapacity(full))),
                         t -> 100,
                         t -> 0);
         assertEquals(
@@ -235,7 +262,9 @@
                 planner.place(new Job("wk-2", spec("wk-2", 3, 1, null, false, false, true), 0), 3));
         assertEquals(
                 List.of("m-full"),
-                planner.placedTasks().stream().map(p -> p.capacity().machine.id).toList());
+                planner.placedTasks().stream()
+                        .map(placement -> placement.capacity().machine.id)
+                        .toList());
         assertEquals(
                 List.of(),
                 planner.reserveMachines(spec("wk-3", 1, 9, null, false, false, true), 1),
--- a/src/test/java/org/shoreusher/core/MachineTest.java
+++ b/src/test/java/org/shoreusher/core/cluster/MachineTest.java
@@ -1,24 +1,27 @@
-package org.shoreusher.core;
+package org.shoreusher.core.cluster;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import net.jqwik.api.Example;
+import org.shoreusher.core.CoreTestData;
+import org.shoreusher.core.message.MachineType;
+import org.shoreusher.core.message.WorkerHeartbeat;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.SettingsBuilder;
 
 /** What a leader concludes from the times of a machine's heartbeats. */
 class MachineTest {
     private static final Settings SETTINGS =
-            new SettingsBuilder(OrderTestData.settings(List.of()))
+            new SettingsBuilder(CoreTestData.settings(List.of()))
                     .teams()
                     .workers(5, 26.5, 46.5)
-                    .stateRps(400)
-                    .limits(50, 8192, 20)
-                    .cloudRps(7)
-                    .listLagS(5)
-                    .sockets(2600)
+                    .storeRequestsPerS(400)
+                    .storeLimits(50, 8192, 20)
+                    .cloudRequestsPerS(7)
+                    .inventoryLagS(5)
+                    .maxSockets(2600)
                     .build();
     private final Machine machine =
             new Machine(
@@ -28,14 +31,23 @@
                     true,
                     0);
 
-    private void report(long session, long seq, long atMs) {
+    private void heartbeat(long incarnation, long sequenceNumber, long atMs) {
         machine.inferReplyDelivery(
-                new WorkerReport(
-                        "host-1", "", "t", "a", true, session, seq, 1, Double.NaN, List.of()),
+                new WorkerHeartbeat(
+                        "host-1",
+                        "",
+                        "t",
+                        "a",
+                        true,
+                        incarnation,
+                        sequenceNumber,
+                        1,
+                        Double.NaN,
+                        List.of()),
                 atMs,
                 SETTINGS);
-        machine.session = session;
-        machine.sequenceNumber = seq;
+        machine.session = incarnation;
+        machine.sequenceNumber = sequenceNumber;
         machine.lastReplyAtMs = atMs;
     }
 
@@ -45,15 +57,15 @@
      * arrive. Ten healthy machines of 250 were once terminated for it.
      */
     @Example
-    void reportsHeldUpByACutMakeNoMachineDeaf() {
-        report(1, 10, 100_000);
-        report(1, 11, 150_000);
-        report(1, 14, 150_001);
-        report(2, 17, 150_002);
+    void heartbeatsDelayedByAPartitionIndicateNoOneWayPartition() {
+        heartbeat(1, 10, 100_000);
+        heartbeat(1, 11, 150_000);
+        heartbeat(1, 14, 150_001);
+        heartbeat(2, 17, 150_002);
         assertFalse(machine.hasOneWayPartition());
-        report(2, 20, 150_500);
+        heartbeat(2, 20, 150_500);
         assertFalse(machine.hasOneWayPartition());
-        report(2, 21, 155_000);
+        heartbeat(2, 21, 155_000);
         assertFalse(machine.hasOneWayPartition());
     }
 
@@ -62,12 +74,12 @@
      * partition: the worker did not receive the responses.
      */
     @Example
-    void aSessionThatEndsInSpiteOfAnswersIsADeafMachines() {
-        report(1, 10, 100_000);
-        report(1, 13, 115_000);
-        report(2, 16, 130_000);
+    void incarnationEndingDespiteResponsesIndicatesAOneWayPartition() {
+        heartbeat(1, 10, 100_000);
+        heartbeat(1, 13, 115_000);
+        heartbeat(2, 16, 130_000);
         assertTrue(machine.hasOneWayPartition());
-        report(2, 17, 135_000);
+        heartbeat(2, 17, 135_000);
         assertFalse(machine.hasOneWayPartition(), "a report in time shows that it hears");
     }
 }
--- a/src/test/java/org/shoreusher/core/FinishedRecordsTest.java
+++ b/src/test/java/org/shoreusher/core/job/CompletionRecordsTest.java
@@ -1,4 +1,4 @@
-package org.shoreusher.core;
+package org.shoreusher.core.job;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -13,6 +13,11 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 import net.jqwik.api.constraints.LongRange;
+import org.shoreusher.core.CoreTestData;
+import org.shoreusher.core.JobSpecBuilder;
+import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.core.store.TaskRanges;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.SettingsBuilder;
 import org.shoreusher.wire.FieldMap;
@@ -21,13 +26,13 @@
  * Completion records stay below the value limit whatever has completed, and durable completions
  * stay durable, whichever version wrote them.
  */
-class FinishedRecordsTest {
+class CompletionRecordsTest {
 
     private static Settings settings(int valueBytes) {
-        return new SettingsBuilder(OrderTestData.settings(List.of()))
+        return new SettingsBuilder(CoreTestData.settings(List.of()))
                 .teams()
-                .stateRps(100)
-                .limits(100, valueBytes, 4)
+                .storeRequestsPerS(100)
+                .storeLimits(100, valueBytes, 4)
                 .build();
     }
 
@@ -39,14 +44,14 @@
                         .jobClass("c")
                         .team("team")
                         .priority(JobSpec.Priority.NORMAL)
-                        .tasks(tasks)
+                        .taskCount(tasks)
                         .image("i")
-                        .estimateS(10)
+                        .estimatedRunS(10)
                         .build(),
                 0);
     }
 
-    private static BitSet of(Map<Integer, Map<String, Object>> store, String id) {
+    private static BitSet storedCompletions(Map<Integer, Map<String, Object>> store, String id) {
         BitSet all = new BitSet();
         store.values()
                 .forEach(
@@ -65,83 +70,93 @@
      * all completions are.
      */
     @Property(tries = 150, seed = "12", shrinking = ShrinkingMode.OFF)
-    void whatIsDurableStaysSo(@ForAll @LongRange(min = 0) long seed) {
-        Random r = new Random(seed);
-        Settings s = settings(new int[] {1024, 2048, 8192}[r.nextInt(3)]);
-        int former = new int[] {1024, 8192}[r.nextInt(2)];
+    void durableCompletionsStayDurable(@ForAll @LongRange(min = 0) long seed) {
+        Random random = new Random(seed);
+        Settings settings = settings(new int[] {1024, 2048, 8192}[random.nextInt(3)]);
+        int previousValueBytes = new int[] {1024, 8192}[random.nextInt(2)];
         List<Job> jobs = new ArrayList<>();
         Map<Integer, Map<String, Object>> store = new LinkedHashMap<>();
         store.put(0, new LinkedHashMap<>());
-        int records = 1 + r.nextInt(4);
-        for (int c = 1; c < records; c++) {
-            store.put(c, new LinkedHashMap<>());
+        int records = 1 + random.nextInt(4);
+        for (int recordNumber = 1; recordNumber < records; recordNumber++) {
+            store.put(recordNumber, new LinkedHashMap<>());
         }
-        for (int i = 0; i < 1 + r.nextInt(12); i++) {
-            Job job = job(i, 1 + r.nextInt(1500));
+        for (int i = 0; i < 1 + random.nextInt(12); i++) {
+            Job job = job(i, 1 + random.nextInt(1500));
             jobs.add(job);
-            for (int copies = r.nextInt(3); copies > 0; copies--) {
+            for (int copies = random.nextInt(3); copies > 0; copies--) {
                 BitSet set = new BitSet();
-                int upTo = r.nextInt(job.spec.taskCount() + 1);
-                for (int t = 0; t < upTo; t++) {
-                    set.set(t, r.nextInt(3) > 0);
+                int upTo = random.nextInt(job.spec.taskCount() + 1);
+                for (int taskIndex = 0; taskIndex < upTo; taskIndex++) {
+                    set.set(taskIndex, random.nextInt(3) > 0);
                 }
-                int c = r.nextInt(records);
-                Map<String, Object> record = store.get(c);
+                int recordNumber = random.nextInt(records);
+                Map<String, Object> record = store.get(recordNumber);
                 record.put(job.id, TaskRanges.format(set));
                 // A successor splits a shard's own record that is too long to be written again.
                 if (FieldMap.jsonLength(record)
-                        > (c == 0 ? Math.min(former, s.maxValueBytes()) : former) * 0.75) {
+                        > (recordNumber == 0
+                                        ? Math.min(previousValueBytes, settings.maxValueBytes())
+                                        : previousValueBytes)
+                                * 0.75) {
                     record.remove(job.id);
                 }
             }
         }
         for (Job job : jobs) {
             store.forEach(
-                    (c, record) -> {
+                    (recordNumber, record) -> {
                         if (record.get(job.id) instanceof String ranges) {
                             BitSet set = TaskRanges.parse(ranges);
                             job.completedTasks.or(set);
                             job.durablyCompletedTasks.or(set);
-                            FinishedRecords.adoptStoredRecord(job, set, c, s);
+                            CompletionRecords.adoptStoredRecord(job, set, recordNumber, settings);
                         }
                     });
         }
         for (int beat = 0; beat < 60; beat++) {
             for (Job job : jobs) {
                 if (beat < 30) {
-                    for (int n = r.nextInt(40); n > 0; n--) {
-                        job.completedTasks.set(r.nextInt(job.spec.taskCount()));
+                    for (int n = random.nextInt(40); n > 0; n--) {
+                        job.completedTasks.set(random.nextInt(job.spec.taskCount()));
                     }
                 }
             }
-            FinishedRecords laid =
-                    FinishedRecords.layOut(jobs, s, c -> store.getOrDefault(c, Map.of()));
+            CompletionRecords completionRecords =
+                    CompletionRecords.layOut(
+                            jobs,
+                            settings,
+                            recordNumber -> store.getOrDefault(recordNumber, Map.of()));
             Map<Integer, Map<String, Object>> writes = new LinkedHashMap<>();
-            writes.put(0, laid.recordValue(0));
-            for (int c = 1;
-                    c < laid.recordCount() && writes.size() < s.maxTransactionWrites();
-                    c++) {
-                Map<String, Object> wanted = laid.recordValue(c);
-                if (!wanted.equals(store.get(c))) {
-                    writes.put(c, wanted);
+            writes.put(0, completionRecords.recordValue(0));
+            for (int recordNumber = 1;
+                    recordNumber < completionRecords.recordCount()
+                            && writes.size() < settings.maxTransactionWrites();
+                    recordNumber++) {
+                Map<String, Object> wanted = completionRecords.recordValue(recordNumber);
+                if (!wanted.equals(store.get(recordNumber))) {
+                    writes.put(recordNumber, wanted);
                 }
             }
             writes.forEach(
-                    (c, record) ->
+                    (recordNumber, record) ->
                             assertTrue(
-                                    FieldMap.jsonLength(record) <= s.maxValueBytes(),
-                                    "record " + c + " of " + FieldMap.jsonLength(record)));
-            if (r.nextInt(4) > 0 || beat > 40) {
+                                    FieldMap.jsonLength(record) <= settings.maxValueBytes(),
+                                    "record "
+                                            + recordNumber
+                                            + " of "
+                                            + FieldMap.jsonLength(record)));
+            if (random.nextInt(4) > 0 || beat > 40) {
                 store.putAll(writes);
-                laid.markDurable();
+                completionRecords.markDurable();
             }
             for (Job job : jobs) {
-                BitSet lost = (BitSet) job.durablyCompletedTasks.clone();
-                lost.andNot(of(store, job.id));
-                assertTrue(lost.isEmpty(), () -> "lost of " + job.id + ": " + lost);
-                BitSet untrue = of(store, job.id);
-                untrue.andNot(job.completedTasks);
-                assertTrue(untrue.isEmpty(), "not finished: " + untrue);
+                BitSet missing = (BitSet) job.durablyCompletedTasks.clone();
+                missing.andNot(storedCompletions(store, job.id));
+                assertTrue(missing.isEmpty(), () -> "lost of " + job.id + ": " + missing);
+                BitSet notCompleted = storedCompletions(store, job.id);
+                notCompleted.andNot(job.completedTasks);
+                assertTrue(notCompleted.isEmpty(), "not finished: " + notCompleted);
             }
         }
         jobs.forEach(job -> assertEquals(job.completedTasks, job.durablyCompletedTasks, job.id));
@@ -152,28 +167,29 @@
      * lost or stored twice.
      */
     @Property(tries = 150, seed = "13", shrinking = ShrinkingMode.OFF)
-    void aRecordThatIsTooLongIsCutUp(@ForAll @LongRange(min = 0) long seed) {
-        Random r = new Random(seed);
-        Settings s = settings(1024 << r.nextInt(2));
+    void splitsAnOversizedRecord(@ForAll @LongRange(min = 0) long seed) {
+        Random random = new Random(seed);
+        Settings settings = settings(1024 << random.nextInt(2));
         Map<String, Object> done = new LinkedHashMap<>();
         Map<String, BitSet> all = new LinkedHashMap<>();
         Map<String, BitSet> covered = new LinkedHashMap<>();
-        for (int i = 0; i < 1 + r.nextInt(20); i++) {
-            Job job = job(i, 1 + r.nextInt(1500));
-            for (int t = 0; t < job.spec.taskCount(); t++) {
-                job.completedTasks.set(t, r.nextBoolean());
+        for (int i = 0; i < 1 + random.nextInt(20); i++) {
+            Job job = job(i, 1 + random.nextInt(1500));
+            for (int taskIndex = 0; taskIndex < job.spec.taskCount(); taskIndex++) {
+                job.completedTasks.set(taskIndex, random.nextBoolean());
             }
-            BitSet there = new BitSet();
-            if (r.nextBoolean()) {
-                there.set(0, r.nextInt(800));
+            BitSet alreadyStored = new BitSet();
+            if (random.nextBoolean()) {
+                alreadyStored.set(0, random.nextInt(800));
             }
             all.put(job.id, job.completedTasks);
-            covered.put(job.id, there);
+            covered.put(job.id, alreadyStored);
             done.put(job.id, TaskRanges.format(job.completedTasks));
         }
         Map<String, BitSet> found = new LinkedHashMap<>(covered);
-        for (Map<String, Object> piece : FinishedRecords.splitIntoRecords(done, s, covered::get)) {
-            assertTrue(FieldMap.jsonLength(piece) <= s.maxValueBytes());
+        for (Map<String, Object> piece :
+                CompletionRecords.splitIntoRecords(done, settings, covered::get)) {
+            assertTrue(FieldMap.jsonLength(piece) <= settings.maxValueBytes());
             piece.forEach(
                     (id, ranges) -> {
                         BitSet set = TaskRanges.parse((String) ranges);
--- a/src/test/java/org/shoreusher/core/StartMarksTest.java
+++ b/src/test/java/org/shoreusher/core/job/HighWaterMarksTest.java
@@ -1,4 +1,4 @@
-package org.shoreusher.core;
+package org.shoreusher.core.job;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,8 +11,19 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.LongRange;
-import org.shoreusher.core.Command.StateReply;
-import org.shoreusher.core.Effect.StateOp;
+import org.shoreusher.core.CoreTestData;
+import org.shoreusher.core.JobSpecBuilder;
+import org.shoreusher.core.NodeContext;
+import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.leadership.ShardLeadership;
+import org.shoreusher.core.message.ClockReading;
+import org.shoreusher.core.message.Command.StoreReply;
+import org.shoreusher.core.message.Effect;
+import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.core.store.Outbox;
+import org.shoreusher.core.store.StoreCache;
+import org.shoreusher.core.store.StoreSchema;
 import org.shoreusher.settings.Features;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.wire.FieldMap;
@@ -20,8 +31,8 @@
 /**
  * High-water marks of started tasks when their writes fail, get no response, or are executed late.
  */
-class StartMarksTest {
-    private static final Settings SETTINGS = OrderTestData.settings(List.of());
+class HighWaterMarksTest {
+    private static final Settings SETTINGS = CoreTestData.settings(List.of());
 
     /**
      * A record was once assigned to a job when the write was made. After failed writes other jobs
@@ -29,20 +40,20 @@
      * none of its jobs would ever start.
      */
     @Property(tries = 100, seed = "431")
-    void recordsStayBelowTheValueLimitAlthoughWritesFail(
+    void recordsStayBelowTheValueLimitWhenWritesFail(
             @ForAll @IntRange(min = 1, max = 300) int count,
             @ForAll @LongRange(min = 0) long seed) {
         Random random = new Random(seed);
         Outbox outbox = new Outbox(SETTINGS, 1);
         outbox.now = new ClockReading(1_000, 1_000);
-        StoreView view = new StoreView(outbox, SETTINGS, (key, before, after) -> {});
-        PartOwnership ownership =
-                new PartOwnership(
+        StoreCache storeCache = new StoreCache(outbox, SETTINGS, (key, before, after) -> {});
+        ShardLeadership leadership =
+                new ShardLeadership(
                         0,
                         SETTINGS,
                         outbox,
-                        view,
-                        new StoreSchema.PartRecord("n/1", 60_000, 1, Map.of(), null),
+                        storeCache,
+                        new StoreSchema.ShardRecord("n/1", 60_000, 1, Map.of(), null),
                         outbox.now,
                         1);
         Map<String, Job> jobs = new LinkedHashMap<>();
@@ -51,44 +62,44 @@
                     new JobSpecBuilder("wk-" + (1_000_000 + i))
                             .jobClass("c")
                             .team("team")
-                            .tasks(1 + random.nextInt(1_000))
+                            .taskCount(1 + random.nextInt(1_000))
                             .cpus(2)
                             .image("i")
-                            .estimateS(1)
+                            .estimatedRunS(1)
                             .build();
             jobs.put(spec.id(), new Job(spec.id(), spec, 0));
-            view.apply(
+            storeCache.apply(
                     StoreSchema.jobKey(spec.id()),
                     StoreSchema.JobRecord.open(0, spec, 0).toMap(),
                     1);
         }
-        StartMarks marks =
-                new StartMarks(
+        HighWaterMarks highWaterMarks =
+                new HighWaterMarks(
                         0,
                         1,
                         new NodeContext(
                                 SETTINGS,
                                 Features.NONE,
                                 outbox,
-                                view,
-                                new Arrivals(SETTINGS, outbox, view),
+                                storeCache,
+                                new SubmissionBatches(SETTINGS, outbox, storeCache),
                                 null,
                                 null,
                                 null),
-                        ownership,
+                        leadership,
                         jobs);
         long revision = 1;
         for (int round = 0;
-                round < 300 && jobs.values().stream().anyMatch(j -> j.highWaterMark == 0);
+                round < 300 && jobs.values().stream().anyMatch(job -> job.highWaterMark == 0);
                 round++) {
             jobs.values().stream()
-                    .filter(j -> j.highWaterMark == 0 && random.nextInt(3) == 0)
-                    .forEach(j -> marks.request(j, 1));
+                    .filter(job -> job.highWaterMark == 0 && random.nextInt(3) == 0)
+                    .forEach(job -> highWaterMarks.request(job, 1));
             outbox.now = new ClockReading(outbox.now.monotonicMs() + 300, outbox.now.wallMs() + 10);
-            marks.writeRequestedMarks();
-            for (Effect e : outbox.drainEffects()) {
-                Effect.StateCall call = (Effect.StateCall) e;
-                ((StateOp.Multi) call.operation())
+            highWaterMarks.writeRequestedMarks();
+            for (Effect effect : outbox.drainEffects()) {
+                Effect.StoreCall call = (Effect.StoreCall) effect;
+                ((StoreOperation.CompareAndSwap) call.operation())
                         .writes()
                         .forEach(
                                 (key, value) ->
@@ -98,7 +109,7 @@
                                                 key));
                 boolean fails = round < 20 || (round < 100 && random.nextInt(3) > 0);
                 outbox.onReply(
-                        new StateReply(
+                        new StoreReply(
                                 call.callId(),
                                 fails ? new int[] {0, 503, 429}[random.nextInt(3)] : 200,
                                 fails ? null : Map.of("ledger", ++revision)));
@@ -106,10 +117,10 @@
         }
         jobs.values()
                 .forEach(
-                        j ->
+                        job ->
                                 assertEquals(
                                         1,
-                                        Math.min(1, j.highWaterMark),
-                                        j.id + " may never begin"));
+                                        Math.min(1, job.highWaterMark),
+                                        job.id + " may never begin"));
     }
 }
--- a/src/test/java/org/shoreusher/core/ArrivalsTest.java
+++ b/src/test/java/org/shoreusher/core/job/SubmissionBatchesTest.java
@@ -1,4 +1,4 @@
-package org.shoreusher.core;
+package org.shoreusher.core.job;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -7,15 +7,21 @@
 import java.util.List;
 import java.util.Map;
 import net.jqwik.api.Example;
+import org.shoreusher.core.CoreTestData;
+import org.shoreusher.core.JobSpecBuilder;
+import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.core.store.Outbox;
+import org.shoreusher.core.store.StoreCache;
+import org.shoreusher.core.store.StoreSchema;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.SettingsBuilder;
 
 /** Records of jobs that were accepted in one batch, beside the jobs' own records. */
-class ArrivalsTest {
+class SubmissionBatchesTest {
     private static final Settings SETTINGS =
-            new SettingsBuilder(OrderTestData.settings(List.of()))
+            new SettingsBuilder(CoreTestData.settings(List.of()))
                     .teams()
-                    .limits(1000, 8192, 12)
+                    .storeLimits(1000, 8192, 12)
                     .build();
 
     /**
@@ -23,45 +29,45 @@
      * which has already left it: the job must not be started again.
      */
     @Example
-    void newsOfAnArrivalAfterThatOfItsEndBeginsNothing() {
+    void submissionSeenAfterItsTerminalStateStartsNothing() {
         JobSpec spec =
                 new JobSpecBuilder("wk-1")
                         .jobClass("c")
                         .team("team")
-                        .tasks(3)
+                        .taskCount(3)
                         .image("i")
-                        .estimateS(1)
+                        .estimatedRunS(1)
                         .build();
         for (boolean ended : new boolean[] {false, true}) {
             Outbox outbox = new Outbox(SETTINGS, 1);
-            Arrivals[] arrivals = new Arrivals[1];
-            List<String> told = new ArrayList<>();
-            StoreView view =
-                    new StoreView(
+            SubmissionBatches[] submissionBatches = new SubmissionBatches[1];
+            List<String> notified = new ArrayList<>();
+            StoreCache storeCache =
+                    new StoreCache(
                             outbox,
                             SETTINGS,
                             (key, before, after) -> {
                                 if (key.startsWith(StoreSchema.SUBMISSION_BATCH_PREFIX)) {
-                                    arrivals[0].batchChanged(
-                                            key, after, (id, record) -> told.add(id));
+                                    submissionBatches[0].batchChanged(
+                                            key, after, (id, record) -> notified.add(id));
                                 }
                             });
-            arrivals[0] = new Arrivals(SETTINGS, outbox, view);
+            submissionBatches[0] = new SubmissionBatches(SETTINGS, outbox, storeCache);
             if (ended) {
-                view.apply(
+                storeCache.apply(
                         StoreSchema.jobKey("wk-1"),
                         StoreSchema.JobRecord.open(0, spec, 0).asDone().toMap(),
                         9);
-                view.evict(StoreSchema.jobKey("wk-1"));
+                storeCache.evict(StoreSchema.jobKey("wk-1"));
             }
-            view.apply(
+            storeCache.apply(
                     StoreSchema.submissionBatchKey("n/1", 1),
-                    StoreSchema.ArrivalRecord.toMap(
+                    StoreSchema.SubmissionBatchRecord.toMap(
                             Map.of("wk-1", StoreSchema.JobRecord.open(0, spec, 0).toMap())),
                     6);
-            assertEquals(ended ? List.of() : List.of("wk-1"), told);
+            assertEquals(ended ? List.of() : List.of("wk-1"), notified);
             if (ended) {
-                assertNull(arrivals[0].jobRecord("wk-1"));
+                assertNull(submissionBatches[0].jobRecord("wk-1"));
             }
         }
     }
--- a/src/test/java/org/shoreusher/core/NamedStandbyTest.java
+++ b/src/test/java/org/shoreusher/core/leadership/NamedStandbyTest.java
@@ -1,4 +1,4 @@
-package org.shoreusher.core;
+package org.shoreusher.core.leadership;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,7 +12,7 @@
     private final NamedStandby standby = new NamedStandby();
 
     @Example
-    void aNameMayStandFromBeforeItsWriteUntilALaterVersionIsKnown() {
+    void nameIsPossibleFromItsWriteUntilALaterRecordIsConfirmed() {
         assertTrue(standby.isDefinitelyNone());
         standby.setDesired(NAME);
         assertTrue(standby.isDefinitelyNone());
@@ -28,7 +28,7 @@
     }
 
     @Example
-    void aRecordReadAnewThatHoldsTheNameKeepsIt() {
+    void rereadRecordWithTheNameKeepsIt() {
         standby.setDesired(NAME);
         standby.onWriteSent(NAME);
         standby.setDesired(null);
--- a/src/test/java/org/shoreusher/core/UrgencyTest.java
+++ b/src/test/java/org/shoreusher/core/schedule/SchedulingOrderTest.java
@@ -1,4 +1,4 @@
-package org.shoreusher.core;
+package org.shoreusher.core.schedule;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,26 +7,30 @@
 import java.util.ArrayList;
 import java.util.List;
 import net.jqwik.api.Example;
+import org.shoreusher.core.CoreTestData;
+import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.job.RunTimeEstimates;
+import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.settings.Settings;
 
 /** The order in which jobs are scheduled. */
-class UrgencyTest {
+class SchedulingOrderTest {
     @Example
-    void whatCanStillMeetItsAimComesBeforeWhatCannot() {
-        Settings s =
-                OrderTestData.settings(
+    void jobsThatCanMeetTheirObjectiveComeBeforeThoseThatCannot() {
+        Settings settings =
+                CoreTestData.settings(
                         List.of(
                                 new Settings.Objective("deadline", "rush", Double.NaN, 0.9, 1),
                                 new Settings.Objective("finished", "slow", 200, 0.8, 1)));
-        Urgency urgency = new Urgency(s, new Estimates());
-        Job late = OrderTestData.job("wk-1", "rush", JobSpec.Priority.NORMAL, 1, 30, 40, 0);
-        Job soon = OrderTestData.job("wk-2", "rush", JobSpec.Priority.NORMAL, 1, 30, 100, 0);
-        Job relaxed = OrderTestData.job("wk-3", "slow", JobSpec.Priority.LOW, 1, 30, Double.NaN, 0);
-        Job high = OrderTestData.job("wk-4", "other", JobSpec.Priority.HIGH, 1, 30, Double.NaN, 0);
+        SchedulingOrder schedulingOrder = new SchedulingOrder(settings, new RunTimeEstimates());
+        Job late = CoreTestData.job("wk-1", "rush", JobSpec.Priority.NORMAL, 1, 30, 40, 0);
+        Job soon = CoreTestData.job("wk-2", "rush", JobSpec.Priority.NORMAL, 1, 30, 100, 0);
+        Job relaxed = CoreTestData.job("wk-3", "slow", JobSpec.Priority.LOW, 1, 30, Double.NaN, 0);
+        Job high = CoreTestData.job("wk-4", "other", JobSpec.Priority.HIGH, 1, 30, Double.NaN, 0);
         List<Job> jobs = new ArrayList<>(List.of(late, relaxed, soon, high));
-        urgency.sort(jobs, 30_000);
+        schedulingOrder.sort(jobs, 30_000);
         assertEquals(
-                List.of("wk-4", "wk-2", "wk-3", "wk-1"), jobs.stream().map(j -> j.id).toList());
+                List.of("wk-4", "wk-2", "wk-3", "wk-1"), jobs.stream().map(job -> job.id).toList());
     }
 
     /**
@@ -35,26 +39,26 @@
      * near its latest start time does not wait.
      */
     @Example
-    void theLeastWorkComesFirstAmongJobsThatCanWait() {
-        Urgency urgency =
-                new Urgency(
-                        OrderTestData.settings(
+    void leastRemainingWorkComesFirstAmongJobsWithSlack() {
+        SchedulingOrder schedulingOrder =
+                new SchedulingOrder(
+                        CoreTestData.settings(
                                 List.of(new Settings.Objective("finished", "rolls", 200, 0.8, 1))),
-                        new Estimates());
+                        new RunTimeEstimates());
         Job large =
-                OrderTestData.job("wk-1", "rolls", JobSpec.Priority.NORMAL, 500, 40, Double.NaN, 0);
+                CoreTestData.job("wk-1", "rolls", JobSpec.Priority.NORMAL, 500, 40, Double.NaN, 0);
         Job small =
-                OrderTestData.job(
+                CoreTestData.job(
                         "wk-2", "rolls", JobSpec.Priority.NORMAL, 20, 40, Double.NaN, 30_000);
         List<Job> jobs = new ArrayList<>(List.of(large, small));
-        urgency.sort(jobs, 40_000);
+        schedulingOrder.sort(jobs, 40_000);
         assertEquals("wk-2", jobs.get(0).id);
         // Without a quota all its tasks may run at once: 40 s, so the latest start time is at 158
         // s.
         Job unlimited =
-                OrderTestData.job("wk-3", "rolls", JobSpec.Priority.NORMAL, 8, 40, Double.NaN, 0);
+                CoreTestData.job("wk-3", "rolls", JobSpec.Priority.NORMAL, 8, 40, Double.NaN, 0);
         jobs = new ArrayList<>(List.of(small, unlimited));
-        urgency.sort(jobs, 145_000);
+        schedulingOrder.sort(jobs, 145_000);
         assertEquals("wk-3", jobs.get(0).id);
     }
 
@@ -63,42 +67,42 @@
      * smaller jobs. Once the guarantee is missed, it waits again.
      */
     @Example
-    void aGuaranteeAboutToBeMissedDoesNotWaitForSmallerJobs() {
-        Urgency urgency =
-                new Urgency(
-                        OrderTestData.settings(
+    void guaranteeAboutToBeMissedComesBeforeSmallerJobs() {
+        SchedulingOrder schedulingOrder =
+                new SchedulingOrder(
+                        CoreTestData.settings(
                                 List.of(
                                         new Settings.Objective("guarantee", "", 90, 0.9, 1),
                                         new Settings.Objective("finished", "rolls", 400, 0.8, 1))),
-                        new Estimates());
+                        new RunTimeEstimates());
         Job large =
-                OrderTestData.job("wk-1", "rolls", JobSpec.Priority.NORMAL, 500, 1, Double.NaN, 0);
+                CoreTestData.job("wk-1", "rolls", JobSpec.Priority.NORMAL, 500, 1, Double.NaN, 0);
         Job small =
-                OrderTestData.job(
+                CoreTestData.job(
                         "wk-2", "rolls", JobSpec.Priority.NORMAL, 5, 1, Double.NaN, 60_000);
         for (long now : new long[] {65_000, 80_000, 100_000}) {
             List<Job> jobs = new ArrayList<>(List.of(small, large));
-            urgency.sort(jobs, now);
+            schedulingOrder.sort(jobs, now);
             assertEquals(now == 80_000 ? "wk-1" : "wk-2", jobs.get(0).id);
         }
     }
 
     /** Only a job that is shortly before its latest start time justifies preemption. */
     @Example
-    void aJobPressesShortlyBeforeItsLastChance() {
-        Urgency urgency =
-                new Urgency(
-                        OrderTestData.settings(
+    void jobIsUrgentShortlyBeforeItsLatestStartTime() {
+        SchedulingOrder schedulingOrder =
+                new SchedulingOrder(
+                        CoreTestData.settings(
                                 List.of(
                                         new Settings.Objective(
                                                 "deadline", "rush", Double.NaN, 0.9, 1))),
-                        new Estimates());
-        Job job = OrderTestData.job("wk-1", "rush", JobSpec.Priority.NORMAL, 1, 30, 100, 0);
+                        new RunTimeEstimates());
+        Job job = CoreTestData.job("wk-1", "rush", JobSpec.Priority.NORMAL, 1, 30, 100, 0);
         // It takes 30 s and a start of 2 s, so the latest start time is at 68 s.
-        assertFalse(urgency.isNearLatestStart(job, 40_000));
-        assertTrue(urgency.isNearLatestStart(job, 50_000));
-        assertTrue(urgency.isNearLatestStart(job, 67_000));
-        assertFalse(urgency.isNearLatestStart(job, 70_000));
+        assertFalse(schedulingOrder.isNearLatestStart(job, 40_000));
+        assertTrue(schedulingOrder.isNearLatestStart(job, 50_000));
+        assertTrue(schedulingOrder.isNearLatestStart(job, 67_000));
+        assertFalse(schedulingOrder.isNearLatestStart(job, 70_000));
     }
 
     /**
@@ -106,16 +110,16 @@
      * priority, by more than four minutes.
      */
     @Example
-    void whatHasNotBegunForLongComesFirst() {
-        Urgency urgency = new Urgency(OrderTestData.settings(List.of()), new Estimates());
-        Job large =
-                OrderTestData.job("wk-1", "large", JobSpec.Priority.LOW, 500, 30, Double.NaN, 0);
-        Job begun =
-                OrderTestData.job("wk-2", "large", JobSpec.Priority.LOW, 500, 30, Double.NaN, 0);
-        begun.startedCount = 1;
+    void starvedJobsComeFirst() {
+        SchedulingOrder schedulingOrder =
+                new SchedulingOrder(CoreTestData.settings(List.of()), new RunTimeEstimates());
+        Job large = CoreTestData.job("wk-1", "large", JobSpec.Priority.LOW, 500, 30, Double.NaN, 0);
+        Job startedJob =
+                CoreTestData.job("wk-2", "large", JobSpec.Priority.LOW, 500, 30, Double.NaN, 0);
+        startedJob.startedCount = 1;
         for (long now : new long[] {100_000, 200_000}) {
             Job urgent =
-                    OrderTestData.job(
+                    CoreTestData.job(
                             "wk-3",
                             "rush",
                             JobSpec.Priority.PRODUCTION,
@@ -123,16 +127,16 @@
                             10,
                             Double.NaN,
                             now - 1_000);
-            List<Job> jobs = new ArrayList<>(List.of(begun, large, urgent));
-            urgency.sort(jobs, now);
+            List<Job> jobs = new ArrayList<>(List.of(startedJob, large, urgent));
+            schedulingOrder.sort(jobs, now);
             assertEquals(now < 150_000 ? "wk-3" : "wk-1", jobs.get(0).id);
         }
     }
 
     @Example
-    void estimatesFollowWhatIsObserved() {
-        Estimates estimates = new Estimates();
-        Job first = OrderTestData.job("wk-1", "c", JobSpec.Priority.LOW, 5, 10, Double.NaN, 0);
+    void estimatesFollowObservedRunTimes() {
+        RunTimeEstimates estimates = new RunTimeEstimates();
+        Job first = CoreTestData.job("wk-1", "c", JobSpec.Priority.LOW, 5, 10, Double.NaN, 0);
         for (int i = 0; i < 100; i++) {
             estimates.recordRunTime(first, 20);
         }
@@ -140,12 +144,12 @@
         assertEquals(
                 20,
                 estimates.expectedRunS(
-                        OrderTestData.job("wk-2", "c", JobSpec.Priority.LOW, 5, 10, Double.NaN, 0)),
+                        CoreTestData.job("wk-2", "c", JobSpec.Priority.LOW, 5, 10, Double.NaN, 0)),
                 0.2);
         assertEquals(
                 10,
                 estimates.expectedRunS(
-                        OrderTestData.job("wk-3", "d", JobSpec.Priority.LOW, 5, 10, Double.NaN, 0)),
+                        CoreTestData.job("wk-3", "d", JobSpec.Priority.LOW, 5, 10, Double.NaN, 0)),
                 1e-9);
     }
 }
--- /dev/null
+++ b/src/test/java/org/shoreusher/core/schedule/ZoneConstraintsTest.java
@@ -0,0 +1,45 @@
+package org.shoreusher.core.schedule;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import net.jqwik.api.Example;
+import org.shoreusher.core.JobSpecBuilder;
+import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.message.JobSpec;
+
+/** At most half of a job's tasks, rounded up, are in one zone. */
+class ZoneConstraintsTest {
+    private static Job spreadService(int replicas) {
+        JobSpec spec =
+                new JobSpecBuilder("wk-1")
+                        .jobClass("gate")
+                        .team("team")
+                        .workloadType(JobSpec.WorkloadType.SERVICE)
+                        .priority(JobSpec.Priority.PRODUCTION)
+                        .taskCount(replicas)
+                        .cpus(2)
+                        .image("img")
+                        .spreadAcrossZones(true)
+                        .spotAllowed(false)
+                        .estimatedRunS(0)
+                        .build();
+        return new Job("wk-1", spec, 0);
+    }
+
+    private static int remainingTasks(int replicas, String largerHalfZone, String zone) {
+        Job job = spreadService(replicas);
+        job.largerHalfZone = largerHalfZone;
+        return new BinPacker.ZoneConstraints(job).remainingTasks(zone);
+    }
+
+    /** A zone with little capacity keeps it for replicas that cannot run anywhere else. */
+    @Example
+    void largerHalfOfAnOddCountGoesToTheZoneWithCapacity() {
+        assertEquals(2, remainingTasks(3, null, "a"));
+        assertEquals(2, remainingTasks(3, null, "b"));
+        assertEquals(1, remainingTasks(3, "b", "a"));
+        assertEquals(2, remainingTasks(3, "b", "b"));
+        assertEquals(2, remainingTasks(4, "b", "a"));
+        assertEquals(2, remainingTasks(4, "b", "b"));
+    }
+}
--- a/src/test/java/org/shoreusher/measure/MeasurementsTest.java
+++ b/src/test/java/org/shoreusher/measure/MeasurementsTest.java
@@ -11,11 +11,11 @@
 /** The options of the measurements; the measurements themselves take minutes. */
 class MeasurementsTest {
     private static CommandLine parse(String... words) throws Exception {
-        return new DefaultParser().parse(TakeoverMeasurement.OPTIONS, words);
+        return new DefaultParser().parse(FailoverMeasurement.OPTIONS, words);
     }
 
     @Example
-    void optionsOutOfBoundsAreNamedWithWhatIsAllowed() throws Exception {
+    void namesOptionsOutOfBoundsWithTheAllowedRange() throws Exception {
         CommandLine line = parse("--machines", "5000", "--silent", "much", "--kills", "2.5");
         InvalidOptionException machines =
                 assertThrows(
@@ -36,7 +36,7 @@
     }
 
     @Example
-    void unknownMeasurementsAndOptionsAreRefused() throws Exception {
+    void rejectsUnknownMeasurementsAndOptions() throws Exception {
         assertEquals(2, Measurements.run(new String[] {}));
         assertEquals(2, Measurements.run(new String[] {"everything"}));
         assertEquals(2, Measurements.run(new String[] {"takeover", "--speed", "1"}));
--- a/src/test/java/org/shoreusher/net/ConnectionsTest.java
+++ b/src/test/java/org/shoreusher/net/ConnectionsTest.java
@@ -13,8 +13,8 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import net.jqwik.api.Example;
-import org.shoreusher.core.Effect;
-import org.shoreusher.core.WorkerOrder;
+import org.shoreusher.core.message.Effect;
+import org.shoreusher.core.message.WorkerOrder;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 import org.shoreusher.user.HttpFrontend;
@@ -30,7 +30,7 @@
      * refused.
      */
     @Example
-    void directCommandsLeaveNoConnectionOpen() throws Exception {
+    void closesConnectionsAfterDirectOrders() throws Exception {
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         try (ServerSocket server = new ServerSocket(0, 10, InetAddress.getLoopbackAddress())) {
             server.setSoTimeout(20_000);
@@ -39,7 +39,7 @@
                     .execute(
                             () ->
                                     client.sendOrders(
-                                            new Effect.Orders(
+                                            new Effect.SendOrders(
                                                     "127.0.0.1:" + server.getLocalPort(),
                                                     1,
                                                     1,
@@ -77,7 +77,7 @@
      * nobody could be served.
      */
     @Example
-    void theConnectionLongestQuietMakesRoom() throws Exception {
+    void closesTheLongestIdleConnectionAtTheSocketLimit() throws Exception {
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         int port = freePort();
         HttpFrontend front =
@@ -89,12 +89,12 @@
         front.listen();
         try (Socket first = new Socket(InetAddress.getLoopbackAddress(), port);
                 Socket second = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            assertEquals(404, ask(first));
-            assertEquals(404, ask(second));
-            assertEquals(404, ask(first));
+            assertEquals(404, requestUnknownPath(first));
+            assertEquals(404, requestUnknownPath(second));
+            assertEquals(404, requestUnknownPath(first));
             try (Socket third = new Socket(InetAddress.getLoopbackAddress(), port)) {
-                assertEquals(404, ask(third));
-                assertEquals(404, ask(first));
+                assertEquals(404, requestUnknownPath(third));
+                assertEquals(404, requestUnknownPath(first));
                 second.setSoTimeout(20_000);
                 assertEquals(-1, second.getInputStream().read());
             }
@@ -105,7 +105,7 @@
 
     /** A body above the protocol's limit is malformed, so that users do not retry. */
     @Example
-    void aBodyThatIsTooLongIsMalformed() throws Exception {
+    void rejectsATooLongBodyAsMalformed() throws Exception {
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         int port = freePort();
         new HttpFrontend(
@@ -138,7 +138,7 @@
         }
     }
 
-    private static int ask(Socket socket) throws Exception {
+    private static int requestUnknownPath(Socket socket) throws Exception {
         socket.setSoTimeout(20_000);
         socket.getOutputStream()
                 .write(
--- a/src/test/java/org/shoreusher/peer/StandbyCodecTest.java
+++ b/src/test/java/org/shoreusher/peer/StandbyCodecTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
-import org.shoreusher.core.Hint;
+import org.shoreusher.core.message.GossipMessage;
 import org.shoreusher.settings.Tuning;
 import org.shoreusher.standby.Attempt;
 import org.shoreusher.standby.AttemptId;
@@ -49,7 +49,7 @@
     }
 
     @Example
-    void everyMessageIsReadAsItWasWritten() {
+    void everyMessageSurvivesARoundTrip() {
         LogAcknowledgement refused = new LogAcknowledgement(STREAM, 0, false);
         LogAcknowledgement accepted = new LogAcknowledgement(STREAM, 1L << 40, true);
         assertEquals(frame(20, ""), StandbyCodec.decode(StandbyCodec.encode(frame(20, ""))));
@@ -59,7 +59,7 @@
 
     /** The longest frame that settings allow, with names of 100 bytes. */
     @Example
-    void theLongestFrameIsBelowTheBoundOfAMessage() {
+    void longestFrameIsBelowTheMessageLimit() {
         byte[] bytes = StandbyCodec.encode(frame(500, "x".repeat(100)));
         assertTrue(bytes.length < Tuning.MAX_PEER_MESSAGE_BYTES, () -> "bytes " + bytes.length);
     }
@@ -69,18 +69,19 @@
      * no gossip as a standby message.
      */
     @Example
-    void neitherIsTakenForTheOther() {
-        Hint hint = new Hint("node-0", 5, true, 1, Map.of(), Map.of(), Map.of(), Map.of());
-        byte[] hintBytes = new HintCodec().encode(hint);
+    void gossipAndStandbyMessagesAreDistinguished() {
+        GossipMessage gossip =
+                new GossipMessage("node-0", 5, true, 1, Map.of(), Map.of(), Map.of(), Map.of());
+        byte[] hintBytes = new GossipCodec().encode(gossip);
         byte[] frameBytes = StandbyCodec.encode(frame(3, ""));
         assertFalse(StandbyCodec.startsStandbyMessage(hintBytes[0]));
         assertTrue(StandbyCodec.startsStandbyMessage(frameBytes[0]));
         assertNull(StandbyCodec.decode(hintBytes));
-        assertNull(new HintCodec().decode(frameBytes));
+        assertNull(new GossipCodec().decode(frameBytes));
     }
 
     @Example
-    void otherFormsAndWhatIsCutOffAreRefused() {
+    void rejectsOtherFormatVersionsAndTruncatedMessages() {
         byte[] good = StandbyCodec.encode(frame(3, ""));
         byte[] otherForm = good.clone();
         otherForm[1]++;
@@ -93,7 +94,7 @@
 
     /** Corrupted bytes are rejected or read as some message; they have no other effect. */
     @Property(tries = 2_000, seed = "17", shrinking = ShrinkingMode.OFF)
-    void bytesWithErrorsDoNoHarm(@ForAll long seed) {
+    void corruptedBytesAreRejectedOrReadAsSomeMessage(@ForAll long seed) {
         Random random = new Random(seed);
         byte[] bytes = StandbyCodec.encode(frame(5, ""));
         for (int i = 1 + random.nextInt(4); i > 0; i--) {
--- a/src/test/java/org/shoreusher/settings/FeaturesFileTest.java
+++ b/src/test/java/org/shoreusher/settings/FeaturesFileTest.java
@@ -14,14 +14,15 @@
 /** The features file. */
 class FeaturesFileTest {
     private static Features parse(String text) throws Settings.InvalidSettingsException {
-        Settings settings = SettingsTest.parse(SettingsTest.GOOD.replace("guarantee\"", KNOWN));
+        Settings settings =
+                SettingsTest.parse(SettingsTest.VALID.replace("guarantee\"", OBJECTIVE_WITH_CLASS));
         return FeaturesFile.parse(text.getBytes(StandardCharsets.UTF_8), settings);
     }
 
-    private static final String KNOWN = "finished\",\"class\":\"rush\"";
+    private static final String OBJECTIVE_WITH_CLASS = "finished\",\"class\":\"rush\"";
 
     @Example
-    void aFeatureIsOffUnlessItsSectionIsThere() throws Settings.InvalidSettingsException {
+    void featureIsOffWithoutItsSection() throws Settings.InvalidSettingsException {
         assertEquals(Features.NONE, parse(""));
         assertNull(parse("[balance]\nenabled = false\nspread_margin = 0.5").balance());
         assertEquals(BalanceSettings.DEFAULTS, parse("[balance]").balance());
@@ -64,7 +65,7 @@
     }
 
     @Example
-    void readsTheSettingsOfTheStandby() throws Settings.InvalidSettingsException {
+    void readsTheStandbySettings() throws Settings.InvalidSettingsException {
         assertNull(parse("[standby]\nenabled = false").standby());
         assertEquals(StandbySettings.DEFAULTS, parse("[standby]").standby());
         assertEquals(
@@ -81,7 +82,7 @@
     }
 
     @Example
-    void saysInOneSentenceWhatIsWrongAndWhatIsAllowed() {
+    void namesTheInvalidSettingAndTheAllowedValues() {
         String[][] cases = {
             {"[balanse]", "features: balanse is unknown; allowed are [balance, standby]"},
             {"balance = 3", "features: balance must be a section"},
@@ -144,13 +145,16 @@
                         + " most_attempts]"
             }
         };
-        for (String[] c : cases) {
-            Settings.InvalidSettingsException e =
-                    assertThrows(Settings.InvalidSettingsException.class, () -> parse(c[0]), c[0]);
-            assertEquals(c[1], e.getMessage());
+        for (String[] testCase : cases) {
+            Settings.InvalidSettingsException exception =
+                    assertThrows(
+                            Settings.InvalidSettingsException.class,
+                            () -> parse(testCase[0]),
+                            testCase[0]);
+            assertEquals(testCase[1], exception.getMessage());
         }
-        Settings.InvalidSettingsException e =
+        Settings.InvalidSettingsException exception =
                 assertThrows(Settings.InvalidSettingsException.class, () -> parse("[balance"));
-        assertEquals(1, e.getMessage().lines().count());
+        assertEquals(1, exception.getMessage().lines().count());
     }
 }
--- a/src/test/java/org/shoreusher/settings/SettingsBuilder.java
+++ b/src/test/java/org/shoreusher/settings/SettingsBuilder.java
@@ -9,40 +9,40 @@
     private final Settings base;
     private String host;
     private List<Settings.Member> members;
-    private int nodes;
+    private int nodeCount;
     private List<String> zones;
     private Map<String, Settings.Team> teams;
-    private double reportS;
+    private double heartbeatIntervalS;
     private double workerLeaseS;
-    private double cancelS;
-    private double stateRps;
-    private double stateWriteRps;
-    private int valueBytes;
-    private int txnOps;
-    private double cloudRps;
-    private double listLagS;
-    private int sockets;
-    private long clockOffMs;
+    private double cancellationLimitS;
+    private double storeRequestsPerS;
+    private double storeWritesPerS;
+    private int maxValueBytes;
+    private int maxTransactionWrites;
+    private double cloudRequestsPerS;
+    private double inventoryLagS;
+    private int maxSockets;
+    private long maxClockOffsetMs;
 
     /** Starts with the values of these settings. */
     public SettingsBuilder(Settings base) {
         this.base = base;
         host = base.host();
         members = base.members();
-        nodes = base.nodeCount();
+        nodeCount = base.nodeCount();
         zones = base.zones();
         teams = base.teams();
-        reportS = base.heartbeatIntervalS();
+        heartbeatIntervalS = base.heartbeatIntervalS();
         workerLeaseS = base.workerLeaseS();
-        cancelS = base.cancellationLimitS();
-        stateRps = base.storeRequestsPerS();
-        stateWriteRps = base.storeWritesPerS();
-        valueBytes = base.maxValueBytes();
-        txnOps = base.maxTransactionWrites();
-        cloudRps = base.cloudRequestsPerS();
-        listLagS = base.inventoryLagS();
-        sockets = base.maxSockets();
-        clockOffMs = base.maxClockOffsetMs();
+        cancellationLimitS = base.cancellationLimitS();
+        storeRequestsPerS = base.storeRequestsPerS();
+        storeWritesPerS = base.storeWritesPerS();
+        maxValueBytes = base.maxValueBytes();
+        maxTransactionWrites = base.maxTransactionWrites();
+        cloudRequestsPerS = base.cloudRequestsPerS();
+        inventoryLagS = base.inventoryLagS();
+        maxSockets = base.maxSockets();
+        maxClockOffsetMs = base.maxClockOffsetMs();
     }
 
     /** Sets the host and the other members. */
@@ -53,8 +53,8 @@
     }
 
     /** Sets the number of nodes. */
-    public SettingsBuilder nodes(int count) {
-        nodes = count;
+    public SettingsBuilder nodeCount(int count) {
+        nodeCount = count;
         return this;
     }
 
@@ -75,49 +75,49 @@
 
     /** Sets the heartbeat interval, the worker lease and the cancellation limit, all in s. */
     public SettingsBuilder workers(double report, double lease, double cancel) {
-        reportS = report;
+        heartbeatIntervalS = report;
         workerLeaseS = lease;
-        cancelS = cancel;
+        cancellationLimitS = cancel;
         return this;
     }
 
     /** Sets the store's requests per second. */
-    public SettingsBuilder stateRps(double requests) {
-        stateRps = requests;
+    public SettingsBuilder storeRequestsPerS(double requests) {
+        storeRequestsPerS = requests;
         return this;
     }
 
     /**
      * Sets the store's limits: changes per second, bytes of a value and changes in a transaction.
      */
-    public SettingsBuilder limits(double writeRps, int bytes, int ops) {
-        stateWriteRps = writeRps;
-        valueBytes = bytes;
-        txnOps = ops;
+    public SettingsBuilder storeLimits(double writeRps, int bytes, int ops) {
+        storeWritesPerS = writeRps;
+        maxValueBytes = bytes;
+        maxTransactionWrites = ops;
         return this;
     }
 
     /** Sets the cloud's calls per second. */
-    public SettingsBuilder cloudRps(double calls) {
-        cloudRps = calls;
+    public SettingsBuilder cloudRequestsPerS(double calls) {
+        cloudRequestsPerS = calls;
         return this;
     }
 
     /** Sets the lag of machine inventories, in s. */
-    public SettingsBuilder listLagS(double seconds) {
-        listLagS = seconds;
+    public SettingsBuilder inventoryLagS(double seconds) {
+        inventoryLagS = seconds;
         return this;
     }
 
     /** Sets the number of sockets. */
-    public SettingsBuilder sockets(int count) {
-        sockets = count;
+    public SettingsBuilder maxSockets(int count) {
+        maxSockets = count;
         return this;
     }
 
     /** Sets the maximum clock offset, in ms. */
-    public SettingsBuilder clockOffMs(long ms) {
-        clockOffMs = ms;
+    public SettingsBuilder maxClockOffsetMs(long afterMs) {
+        maxClockOffsetMs = afterMs;
         return this;
     }
 
@@ -131,20 +131,20 @@
                 members,
                 base.cloudAddress(),
                 base.storeAddress(),
-                nodes,
+                nodeCount,
                 zones,
                 teams,
                 base.objectives(),
-                reportS,
+                heartbeatIntervalS,
                 workerLeaseS,
-                cancelS,
-                stateRps,
-                stateWriteRps,
-                valueBytes,
-                txnOps,
-                cloudRps,
-                listLagS,
-                sockets,
-                clockOffMs);
+                cancellationLimitS,
+                storeRequestsPerS,
+                storeWritesPerS,
+                maxValueBytes,
+                maxTransactionWrites,
+                cloudRequestsPerS,
+                inventoryLagS,
+                maxSockets,
+                maxClockOffsetMs);
     }
 }
--- a/src/test/java/org/shoreusher/settings/SettingsTest.java
+++ b/src/test/java/org/shoreusher/settings/SettingsTest.java
@@ -10,7 +10,7 @@
 
 /** The settings file. */
 class SettingsTest {
-    static final String GOOD =
+    static final String VALID =
             """
             {"host_name":"n-0","zone":"a","front":"127.0.0.1:8080",
              "back":"127.0.0.1:8081","new":{"x":1},
@@ -31,11 +31,11 @@
     }
 
     @Example
-    void readsWhatThePlatformHandsOver() throws Settings.InvalidSettingsException {
-        Settings s = parse(GOOD);
-        assertEquals(new Settings.Address("127.0.0.2", 8081), s.members().get(0).address());
-        assertEquals(8192, s.maxValueBytes());
-        assertEquals(2, s.teams().get("t").maxCpus());
+    void readsThePlatformSettings() throws Settings.InvalidSettingsException {
+        Settings settings = parse(VALID);
+        assertEquals(new Settings.Address("127.0.0.2", 8081), settings.members().get(0).address());
+        assertEquals(8192, settings.maxValueBytes());
+        assertEquals(2, settings.teams().get("t").maxCpus());
     }
 
     /**
@@ -43,7 +43,7 @@
      * every job was rejected permanently.
      */
     @Example
-    void aLimitOfZeroOrNoneIsNoLimit() throws Settings.InvalidSettingsException {
+    void zeroOrMissingQuotaMeansNoLimit() throws Settings.InvalidSettingsException {
         String given = "\"cpus\":1.0,\"cpus_max\":2,\"gpus\":0.0,\"gpus_max\":0.0";
         for (String none :
                 new String[] {
@@ -52,14 +52,14 @@
                     "\"x\":1",
                     "\"cpus\":5,\"cpus_max\":0"
                 }) {
-            Settings.Team team = parse(GOOD.replace(given, none)).teams().get("t");
+            Settings.Team team = parse(VALID.replace(given, none)).teams().get("t");
             assertEquals(Double.POSITIVE_INFINITY, team.maxCpus(), none);
             assertEquals(Double.POSITIVE_INFINITY, team.maxGpus(), none);
         }
     }
 
     @Example
-    void saysWhatIsWrong() {
+    void namesTheInvalidField() {
         String[][] cases = {
             {"\"zone\":\"a\",", "\"zone\":1,", "zone"},
             {"127.0.0.1:8080", "here", "front"},
@@ -76,22 +76,22 @@
             {"\"list_lag_s\":5.0", "\"list_lag_s\":-5.0", "list_lag_s"},
             {"\"count\":2", "\"count\":0", "count"}
         };
-        for (String[] c : cases) {
-            Settings.InvalidSettingsException e =
+        for (String[] testCase : cases) {
+            Settings.InvalidSettingsException exception =
                     assertThrows(
                             Settings.InvalidSettingsException.class,
-                            () -> parse(GOOD.replace(c[0], c[1])));
-            assertTrue(e.getMessage().contains(c[2]), e.getMessage());
+                            () -> parse(VALID.replace(testCase[0], testCase[1])));
+            assertTrue(exception.getMessage().contains(testCase[2]), exception.getMessage());
         }
     }
 
     /** The store's burst is a second's worth: a larger transaction would never succeed. */
     @Example
-    void aTransactionFitsTheBurstOfTheStateService() throws Settings.InvalidSettingsException {
-        assertEquals(20, parse(GOOD).maxTransactionWrites());
+    void limitsTransactionsToTheStoresBurst() throws Settings.InvalidSettingsException {
+        assertEquals(20, parse(VALID).maxTransactionWrites());
         String rate = "\"write_rps\":25.0";
-        assertEquals(6, parse(GOOD.replace(rate, "\"write_rps\":6.5")).maxTransactionWrites());
-        assertEquals(4, parse(GOOD.replace(rate, "\"write_rps\":3")).maxTransactionWrites());
+        assertEquals(6, parse(VALID.replace(rate, "\"write_rps\":6.5")).maxTransactionWrites());
+        assertEquals(4, parse(VALID.replace(rate, "\"write_rps\":3")).maxTransactionWrites());
     }
 
     /**
@@ -99,26 +99,30 @@
      * they change nothing.
      */
     @Example
-    void limitsToComeCountFromTheStart() throws Settings.InvalidSettingsException {
+    void appliesStricterFutureLimitsFromTheStart() throws Settings.InvalidSettingsException {
         String ops = "\"txn_ops\":20";
-        Settings s =
+        Settings settings =
                 parse(
-                        GOOD.replace(
+                        VALID.replace(
                                 ops,
                                 ops
                                         + ",\"next\":{\"write_rps\":18.0,"
                                         + "\"value_kb\":2.0,\"txn_ops\":6}"));
-        assertEquals(List.of(18.0, 200.0), List.of(s.storeWritesPerS(), s.storeRequestsPerS()));
-        assertEquals(List.of(2048, 6), List.of(s.maxValueBytes(), s.maxTransactionWrites()));
+        assertEquals(
+                List.of(18.0, 200.0),
+                List.of(settings.storeWritesPerS(), settings.storeRequestsPerS()));
+        assertEquals(
+                List.of(2048, 6),
+                List.of(settings.maxValueBytes(), settings.maxTransactionWrites()));
         Settings wider =
                 parse(
-                        GOOD.replace(
+                        VALID.replace(
                                 ops,
                                 ops
                                         + ",\"next\":{\"write_rps\":180.0,"
                                         + "\"value_kb\":64,\"txn_ops\":60,\"new\":1}"));
-        assertEquals(parse(GOOD), wider);
-        assertEquals(parse(GOOD), parse(GOOD.replace(ops, ops + ",\"next\":null")));
+        assertEquals(parse(VALID), wider);
+        assertEquals(parse(VALID), parse(VALID.replace(ops, ops + ",\"next\":null")));
         String[][] wrong = {
             {"{\"write_rps\":0}", "state.next.write_rps"},
             {"{\"value_kb\":-2}", "state.next.value_kb"},
@@ -127,12 +131,12 @@
             {"{\"txn_ops\":\"6\"}", "txn_ops"},
             {"7", "next"}
         };
-        for (String[] w : wrong) {
-            Settings.InvalidSettingsException e =
+        for (String[] testCase : wrong) {
+            Settings.InvalidSettingsException exception =
                     assertThrows(
                             Settings.InvalidSettingsException.class,
-                            () -> parse(GOOD.replace(ops, ops + ",\"next\":" + w[0])));
-            assertTrue(e.getMessage().contains(w[1]), e.getMessage());
+                            () -> parse(VALID.replace(ops, ops + ",\"next\":" + testCase[0])));
+            assertTrue(exception.getMessage().contains(testCase[1]), exception.getMessage());
         }
     }
 }
--- a/src/test/java/org/shoreusher/model/FleetTest.java
+++ b/src/test/java/org/shoreusher/simulation/AutoscalerTest.java
@@ -1,4 +1,4 @@
-package org.shoreusher.model;
+package org.shoreusher.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,41 +8,41 @@
 import java.util.List;
 import java.util.Map;
 import net.jqwik.api.Example;
-import org.shoreusher.core.Command;
-import org.shoreusher.core.Effect.CloudOp;
+import org.shoreusher.core.message.Command;
+import org.shoreusher.core.message.Effect.CloudOperation;
 import org.shoreusher.settings.SettingsBuilder;
 
 /** Which machines a leader provisions, keeps and terminates. */
-class FleetTest {
-    private final SingleNode node = new SingleNode();
+class AutoscalerTest {
+    private final SingleNodeSimulation node = new SingleNodeSimulation();
 
     /**
      * An idle machine whose termination was refused takes work again; one whose termination may
      * still be executed does not.
      */
     @Example
-    void aMachineWhoseReturnWasRefusedTakesWork() {
+    void machineWithRefusedTerminationTakesWork() {
         for (int status : new int[] {503, 0}) {
-            SingleNode owner = new SingleNode();
-            owner.left("host-1");
+            SingleNodeSimulation node = new SingleNodeSimulation();
+            node.previousLeaderLeft("host-1");
             boolean[] asked = {false};
-            owner.cloud =
-                    op -> {
-                        asked[0] |= op instanceof CloudOp.Return;
+            node.cloud =
+                    operation -> {
+                        asked[0] |= operation instanceof CloudOperation.Terminate;
                         return new Command.CloudReply(0, status, Map.of("error", "trouble"));
                     };
-            owner.steps(20);
-            int seq = 1;
-            while (!asked[0] && seq < 80) {
-                owner.report("host-1", seq++, 6);
-                owner.steps(15);
+            node.runSteps(20);
+            int sequenceNumber = 1;
+            while (!asked[0] && sequenceNumber < 80) {
+                node.heartbeat("host-1", sequenceNumber++, 6);
+                node.runSteps(15);
             }
             assertTrue(asked[0], "idle for long");
-            owner.openJob("wk-1", 1);
+            node.addOpenJob("wk-1", 1);
             boolean started = false;
             for (int i = 0; i < 5; i++) {
-                owner.steps(15);
-                List<String> orders = owner.report("host-1", seq++, 6);
+                node.runSteps(15);
+                List<String> orders = node.heartbeat("host-1", sequenceNumber++, 6);
                 started |= orders != null && orders.contains("run");
             }
             assertEquals(status == 503, started, "after status " + status);
@@ -55,37 +55,38 @@
      * again once it was answered.
      */
     @Example
-    void rentalsKeepTheirNamesUntilAnswered() {
-        List<CloudOp.Rent> asked = new ArrayList<>();
-        Map<String, CloudOp.Rent> open = new HashMap<>();
+    void provisionRequestsKeepTheirNamesUntilAnswered() {
+        List<CloudOperation.Provision> asked = new ArrayList<>();
+        Map<String, CloudOperation.Provision> open = new HashMap<>();
         node.cloud =
-                op -> {
-                    if (!(op instanceof CloudOp.Rent rent)) {
+                operation -> {
+                    if (!(operation instanceof CloudOperation.Provision provision)) {
                         return new Command.CloudReply(0, 0, null);
                     }
-                    asked.add(rent);
+                    asked.add(provision);
                     assertTrue(
-                            asked.size() <= 2 || open.containsKey(rent.name()),
-                            "asked again after its answer, or more than is wanted: " + rent);
+                            asked.size() <= 2 || open.containsKey(provision.name()),
+                            "asked again after its answer, or more than is wanted: " + provision);
                     assertTrue(
-                            !open.containsKey(rent.name()) || open.get(rent.name()).equals(rent),
-                            "another request under the name of " + rent);
-                    open.put(rent.name(), rent);
+                            !open.containsKey(provision.name())
+                                    || open.get(provision.name()).equals(provision),
+                            "another request under the name of " + provision);
+                    open.put(provision.name(), provision);
                     if (asked.size() < 6) {
                         return new Command.CloudReply(0, 0, null);
                     }
-                    open.remove(rent.name());
+                    open.remove(provision.name());
                     return new Command.CloudReply(
                             0, 200, Map.of("boxes", List.of("host-" + asked.size())));
                 };
-        node.left();
-        node.steps(20);
+        node.previousLeaderLeft();
+        node.runSteps(20);
         // A twelfth of its tasks at once needs two machines, in two zones.
-        node.openJob("wk-1", 24, 8);
-        node.steps(200);
+        node.addOpenJob("wk-1", 24, 8);
+        node.runSteps(200);
         assertEquals(
                 2,
-                asked.stream().map(CloudOp.Rent::name).distinct().count(),
+                asked.stream().map(CloudOperation.Provision::name).distinct().count(),
                 "one request a zone: " + asked);
         assertTrue(open.isEmpty(), "all are answered in the end");
         assertTrue(asked.size() > 6, "repeated: " + asked);
@@ -97,29 +98,29 @@
      * of small machines were available.
      */
     @Example
-    void whenTheCheapestTypeIsGoneTheNextIsRented() {
+    void provisionsTheNextCheapestTypeWhenTheCheapestIsUnavailable() {
         List<String> asked = new ArrayList<>();
         node.cloud =
-                op -> {
-                    if (op instanceof CloudOp.Types) {
+                operation -> {
+                    if (operation instanceof CloudOperation.ListTypes) {
                         return new Command.CloudReply(
                                 0,
                                 200,
                                 Map.of(
                                         "presses",
                                         List.of(
-                                                type("small", 4, 0.2, 0.08),
-                                                type("large", 32, 1.16, 0.43))));
+                                                machineType("small", 4, 0.2, 0.08),
+                                                machineType("large", 32, 1.16, 0.43))));
                     }
-                    if (!(op instanceof CloudOp.Rent rent)) {
+                    if (!(operation instanceof CloudOperation.Provision provision)) {
                         return new Command.CloudReply(0, 0, null);
                     }
-                    asked.add(rent.type() + (rent.spot() ? "" : " ordinary"));
+                    asked.add(provision.type() + (provision.spot() ? "" : " ordinary"));
                     return new Command.CloudReply(0, 503, Map.of("error", "no capacity"));
                 };
-        node.steps(30);
-        node.openJob("wk-1", 100, 1);
-        node.steps(300);
+        node.runSteps(30);
+        node.addOpenJob("wk-1", 100, 1);
+        node.runSteps(300);
         List<String> order = asked.stream().distinct().toList();
         assertEquals(List.of("large", "small", "large ordinary", "small ordinary"), order);
     }
@@ -129,30 +130,30 @@
      * does not take it for one that failed to boot, and keeps it for a while.
      */
     @Example
-    void aTakerKeepsUsedMachinesThatAreSilent() {
+    void successorKeepsUnresponsiveMachinesThatWereUsed() {
         List<String> returned = new ArrayList<>();
-        long[] at = {0};
+        long[] returnedAtMs = {0};
         node.cloud =
-                op -> {
-                    if (op instanceof CloudOp.Return back) {
-                        returned.addAll(back.machineIds());
-                        at[0] = node.now;
+                operation -> {
+                    if (operation instanceof CloudOperation.Terminate termination) {
+                        returned.addAll(termination.machineIds());
+                        returnedAtMs[0] = node.nowMs;
                     }
                     return new Command.CloudReply(
-                            0, op instanceof CloudOp.Return ? 200 : 0, Map.of());
+                            0, operation instanceof CloudOperation.Terminate ? 200 : 0, Map.of());
                 };
-        node.now += 600_000;
-        node.left("host-1");
-        long from = node.now;
-        node.now += 600_000;
+        node.nowMs += 600_000;
+        node.previousLeaderLeft("host-1");
+        long from = node.nowMs;
+        node.nowMs += 600_000;
         for (int i = 0; returned.isEmpty() && i < 3_000; i++) {
-            node.steps(1);
+            node.runSteps(1);
         }
         assertEquals(List.of("host-1"), returned);
         // Its lease of 8 s, and a minute.
         assertTrue(
-                at[0] - from - 600_000 > 60_000,
-                () -> "returned after " + (at[0] - from - 600_000));
+                returnedAtMs[0] - from - 600_000 > 60_000,
+                () -> "returned after " + (returnedAtMs[0] - from - 600_000));
     }
 
     /**
@@ -161,35 +162,38 @@
      * token, and machines that had disappeared counted forever.
      */
     @Example
-    void aListLongerThanABurstOfCallsIsReadWhole() {
-        SingleNode owner =
-                new SingleNode(new SettingsBuilder(ModelSettings.usual()).cloudRps(4).build());
+    void readsAMachineListLongerThanTheCallBurst() {
+        SingleNodeSimulation node =
+                new SingleNodeSimulation(
+                        new SettingsBuilder(SimulationSettings.standard())
+                                .cloudRequestsPerS(4)
+                                .build());
         List<String> pages = new ArrayList<>();
-        owner.cloud =
-                op -> {
-                    if (!(op instanceof CloudOp.Listing listing)) {
+        node.cloud =
+                operation -> {
+                    if (!(operation instanceof CloudOperation.ListMachines listing)) {
                         return new Command.CloudReply(0, 0, null);
                     }
                     pages.add(String.valueOf(listing.afterMachineId()));
-                    return page(listing.afterMachineId(), 4_200);
+                    return machinePage(listing.afterMachineId(), 4_200);
                 };
-        owner.left("host-9");
-        for (int i = 0; i < 600 && !gone(owner, "host-9"); i++) {
-            owner.steps(1);
+        node.previousLeaderLeft("host-9");
+        for (int i = 0; i < 600 && !isGone(node, "host-9"); i++) {
+            node.runSteps(1);
         }
-        assertTrue(gone(owner, "host-9"), () -> "pages asked for: " + pages);
+        assertTrue(isGone(node, "host-9"), () -> "pages asked for: " + pages);
         assertEquals(
                 List.of("null", "host-000500", "host-001000"),
                 pages.subList(0, 3),
                 "in the order of the names");
     }
 
-    private static boolean gone(SingleNode owner, String machine) {
-        return owner.log.stream().anyMatch(line -> line.startsWith("gone: " + machine));
+    private static boolean isGone(SingleNodeSimulation node, String machine) {
+        return node.log.stream().anyMatch(line -> line.startsWith("gone: " + machine));
     }
 
     /** A page of 500 machines of an inventory of this size. */
-    private static Command.CloudReply page(String after, int machines) {
+    private static Command.CloudReply machinePage(String after, int machines) {
         int first = after == null ? 1 : 1 + Integer.parseInt(after.substring("host-".length()));
         int last = Math.min(machines, first + 499);
         List<Object> boxes = new ArrayList<>();
@@ -199,7 +203,7 @@
                             "name_id",
                             String.format("host-%06d", i),
                             "press",
-                            CloudModel.TYPE,
+                            SimulatedCloud.SMALL_TYPE,
                             "yard",
                             "a",
                             "loaners",
@@ -212,7 +216,7 @@
         return new Command.CloudReply(0, 200, Map.of("boxes", boxes, "more", last < machines));
     }
 
-    private static Map<String, Object> type(
+    private static Map<String, Object> machineType(
             String name, double cpus, double price, double spotPrice) {
         return Map.of(
                 "sku",
--- /dev/null
+++ b/src/test/java/org/shoreusher/simulation/CancellationTest.java
@@ -0,0 +1,121 @@
+package org.shoreusher.simulation;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import net.jqwik.api.Example;
+import org.shoreusher.core.message.WorkerHeartbeat.ExitCause;
+import org.shoreusher.core.message.WorkerHeartbeat.TaskState;
+import org.shoreusher.core.message.WorkerHeartbeat.TaskStatus;
+
+/** What a leader does about cancellations that other nodes have confirmed. */
+class CancellationTest {
+    private static final TaskStatus RUNNING =
+            new TaskStatus("wk-1", 0, 1, TaskState.RUNNING, ExitCause.NONE);
+    private final SingleNodeSimulation node = new SingleNodeSimulation();
+
+    /**
+     * The first heartbeat response after a failover contains no other order, since the heartbeat
+     * may be old. It stops cancelled tasks nevertheless: with ten failovers in two minutes, each
+     * leader may send a worker just one response, and each response renews the worker's lease.
+     */
+    @Example
+    void firstHeartbeatResponseAfterFailoverStopsCancelledTasks() {
+        node.cancelAtOtherNode("wk-1", 1);
+        node.addOpenJob("wk-2", 1);
+        node.previousLeaderLeft("host-1");
+        node.runSteps(20);
+        TaskStatus other = new TaskStatus("wk-2", 0, 2, TaskState.RUNNING, ExitCause.NONE);
+        assertEquals(List.of("halt"), node.heartbeat("host-1", 1, 5, RUNNING, other));
+    }
+
+    /**
+     * In the grace period after its lease has expired, a leader starts nothing, but it stops tasks
+     * of jobs that it knows to be cancelled.
+     */
+    @Example
+    void stopsCancelledTasksDuringTheGracePeriod() {
+        node.addOpenJob("wk-1", 1);
+        node.previousLeaderLeft("host-1");
+        node.runSteps(20);
+        node.heartbeat("host-1", 1, 5, RUNNING);
+        node.runSteps(3);
+        assertEquals(List.of(), node.heartbeat("host-1", 2, 6, RUNNING));
+        node.cancelAtOtherNode("wk-1", 1);
+        node.runSteps(3);
+        node.store().outage(60_000);
+        node.runSteps(110);
+        assertTrue(
+                node.log.stream().anyMatch(line -> line.startsWith("lapse")),
+                () -> String.join("\n", node.log));
+        assertEquals(List.of("halt"), node.heartbeat("host-1", 3, 6, RUNNING));
+    }
+
+    /**
+     * An expired lease is renewed, as no successor has acquired the shard. The cache does not yet
+     * contain what was confirmed meanwhile; nothing starts until it does.
+     */
+    @Example
+    void startsNothingAfterLeaseExpiryUntilTheCacheCaughtUp() {
+        node.previousLeaderLeft("host-1");
+        node.runSteps(20);
+        node.addOpenJob("wk-1", 1);
+        node.addOpenJob("wk-2", 1);
+        node.heartbeat("host-1", 1, 5);
+        node.runSteps(3);
+        node.store().refuseHost("node-0", 5_600);
+        node.runSteps(40);
+        node.cancelAtOtherNode("wk-1", 1);
+        node.runSteps(52);
+        assertTrue(
+                node.log.stream().anyMatch(line -> line.startsWith("lapse")),
+                () -> String.join("\n", node.log));
+        node.store().stallCacheUpdates("node-0", 2_000);
+        while (node.log.stream().noneMatch(line -> line.startsWith("renewed"))) {
+            node.runSteps(1);
+        }
+        List<String> orders = node.heartbeat("host-1", 2, 6);
+        assertNotNull(orders, "its lease holds");
+        assertFalse(orders.contains("run"), "the view does not show the cancellation yet");
+        node.runSteps(100);
+        List<String> started = new ArrayList<>();
+        for (int sequenceNumber = 3; sequenceNumber < 8; sequenceNumber++) {
+            node.runSteps(3);
+            started.addAll(node.heartbeatAndGetStarts("host-1", sequenceNumber, 6));
+        }
+        assertTrue(started.contains("wk-2/0"), () -> started + String.join("\n", node.log));
+        assertFalse(started.contains("wk-1/0"), () -> "cancelled: " + started);
+    }
+
+    /**
+     * A cancelled job's record is evicted from memory once none of its tasks can still run. Its
+     * state can be read all the same.
+     */
+    @Example
+    void evictsCancelledJobsFromMemory() {
+        node.previousLeaderLeft();
+        node.runSteps(20);
+        for (int i = 1; i <= 50; i++) {
+            node.cancelAtOtherNode("wk-" + i, 1);
+        }
+        node.runSteps(200);
+        assertTrue(cachedKeys() >= 50, () -> "keys " + cachedKeys());
+        node.runSteps(1_200);
+        assertTrue(cachedKeys() < 20, () -> "keys " + cachedKeys());
+        assertEquals("aborted", node.pollStatus("wk-7"));
+        assertEquals(404, node.pollStatus("wk-777"));
+    }
+
+    private int cachedKeys() {
+        String last =
+                node.log.stream()
+                        .filter(line -> line.startsWith("status"))
+                        .reduce((a, b) -> b)
+                        .orElseThrow();
+        return Integer.parseInt(last.replaceAll(".* (\\d+) keys in memory.*", "$1"));
+    }
+}
--- a/src/test/java/org/shoreusher/model/DecisionDigests.java
+++ b/src/test/java/org/shoreusher/simulation/DecisionDigests.java
@@ -1,4 +1,4 @@
-package org.shoreusher.model;
+package org.shoreusher.simulation;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -15,8 +15,8 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
-import org.shoreusher.core.JobSpec;
 import org.shoreusher.core.JobSpecBuilder;
+import org.shoreusher.core.message.JobSpec;
 
 /**
  * A digest of what the core decides in generated worlds of every kind: one line {@code kind seed
@@ -60,44 +60,49 @@
         plays.add(
                 new Play(
                         "upgrade-of-long-records",
-                        new ServicesTest()::aTakerCutsUpRecordsThatAreTooLong));
-        seeded(plays, "troubles", new ClusterModelTest()::keepsTheRulesThroughTroubles);
-        seeded(plays, "spread", new ClusterModelTest()::keepsTheRulesWithFewChangesAndManyNodes);
-        seeded(plays, "meetings", new MeetingsTest()::keepsTheRulesWhenTroublesMeet);
-        seeded(plays, "services", new ServicesTest()::servicesKeepTheRulesAndComeBack);
-        seeded(plays, "upgrades", new ServicesTest()::anUpgradeToSmallerLimitsKeepsTheRules);
-        seeded(plays, "limits", new ServicesTest()::limitsThatDropAtAnyStepBlockNothing);
-        seeded(plays, "moves", new MovesTest()::keepsTheRulesThroughTroubles);
-        seeded(plays, "moves-of-some", new MovesTest()::someNodesHaveTheFeatureAndOthersDoNot);
+                        new ServicesTest()::successorSplitsOversizedRecords));
+        seeded(plays, "troubles", new ClusterSimulationTest()::keepsInvariantsUnderRandomFaults);
+        seeded(
+                plays,
+                "spread",
+                new ClusterSimulationTest()::keepsInvariantsWithFewWritesAndManyNodes);
+        seeded(plays, "meetings", new CompoundFailuresTest()::keepsInvariantsUnderCompoundFaults);
+        seeded(plays, "services", new ServicesTest()::servicesKeepInvariantsAndRecoverFromFaults);
+        seeded(
+                plays,
+                "upgrades",
+                new ServicesTest()::rollingUpgradeToSmallerStoreLimitsKeepsInvariants);
+        seeded(plays, "limits", new ServicesTest()::storeLimitsDroppingAtAnyStepBlockNoShard);
+        seeded(plays, "moves", new MigrationsTest()::keepsInvariantsUnderRandomFaults);
+        seeded(plays, "moves-of-some", new MigrationsTest()::onlySomeNodesHaveTheFeature);
         seeded(plays, "standby-kills", DecisionDigests::standbyKills);
         seeded(plays, "preemption", DecisionDigests::preemption);
         seeded(plays, "standby-meetings", DecisionDigests::standbyMeetings);
         seeded(
                 plays,
                 "former",
-                new FormerVersionTest()::bothVersionsGoOnWithWhatTheOtherHasWritten);
+                new PreviousVersionInteropTest()::bothVersionsContinueFromEachOthersRecords);
         seeded(
                 plays,
                 "former-standby",
-                new FormerVersionTest()::takesThePartFromOwnersThatKeepAStandby);
-        ServiceTroublesTest services = new ServiceTroublesTest();
+                new PreviousVersionInteropTest()::previousVersionTakesOverFromLeadersWithAStandby);
+        ServiceFaultsTest services = new ServiceFaultsTest();
         plays.add(
                 new Play(
                         "services-zone-lost",
-                        services::servicesWithRulesOnZonesComeBackWhenAZoneIsLost));
-        plays.add(
-                new Play(
-                        "services-notice",
-                        services::allReplicasMoveWhenAllTheirMachinesGetANotice));
-        plays.add(new Play("moves-target-gone", new MovesTest()::theTargetIsGone));
-        plays.add(new Play("moves-owner-ends", new MovesTest()::theOwnerEndsAtAnyStep));
+                        services::servicesWithZoneConstraintsRecoverFromAZoneLoss));
+        plays.add(new Play("services-notice", services::movesAllReplicasOnInterruptionNotices));
+        plays.add(new Play("moves-target-gone", new MigrationsTest()::targetIsTerminated));
+        plays.add(new Play("moves-owner-ends", new MigrationsTest()::leaderCrashesAtAnyStep));
         plays.add(
                 new Play(
-                        "small-jobs", new MeetingsTest()::manySmallJobsOfWhichAQuarterIsCancelled));
+                        "small-jobs",
+                        new CompoundFailuresTest()::manySmallJobsWithAQuarterCancelled));
         plays.add(
                 new Play(
                         "former-formats",
-                        new FormerFormatsTest()::whatTheFormerVersionLeftIsCarriedOn));
+                        new PreviousVersionFormatsTest()
+                                ::continuesFromRecordsOfThePreviousVersion));
         return plays;
     }
 
@@ -108,27 +113,34 @@
     }
 
     private static void standbyKills(long seed) {
-        StandbyWorlds.world(seed, ModelSettings.usual(), StandbyWorlds.kills(seed));
+        StandbySimulations.simulate(
+                seed, SimulationSettings.standard(), StandbySimulations.randomCrashes(seed));
     }
 
     private static void standbyMeetings(long seed) {
-        StandbyWorlds.world(seed, ModelSettings.usual(), MeetingsTest.meetings(seed));
+        StandbySimulations.simulate(
+                seed, SimulationSettings.standard(), CompoundFailuresTest.compoundFaults(seed));
     }
 
     /** Urgent jobs come while tasks that keep checkpoints fill their team's limit. */
     private static void preemption(long seed) {
-        World w = new World(seed, ModelSettings.usual(), 1, World.Sabotage.NONE);
+        ClusterSimulation w =
+                new ClusterSimulation(
+                        seed,
+                        SimulationSettings.standard(),
+                        1,
+                        ClusterSimulation.InjectedDefect.NONE);
         for (int i = 0; i < 9; i++) {
             JobSpec.Priority priority = i < 6 ? JobSpec.Priority.LOW : JobSpec.Priority.HIGH;
             JobSpecBuilder spec =
                     new JobSpecBuilder(String.format("wk-%06d", i))
                             .priority(priority)
-                            .tasks(6)
+                            .taskCount(6)
                             .cpus(1 + i % 2)
-                            .checkpointS(10)
-                            .estimateS(90);
+                            .checkpointIntervalS(10)
+                            .estimatedRunS(90);
             w.users.submit(
-                    new UserModel.Wish(spec.build(), false, 90_000),
+                    new SimulatedUsers.SimulatedJob(spec.build(), false, 90_000),
                     i < 6 ? 1_000 + w.random.nextInt(9_000) : 60_000 + i * 3_000L);
         }
         w.run(200_000, List.of());
@@ -154,7 +166,7 @@
     private static List<String> lines(Play play) {
         List<String> heads = new ArrayList<>();
         List<EffectHash> hashes = new ArrayList<>();
-        World.ON_NEW.set(
+        ClusterSimulation.ON_NEW.set(
                 (world, seed) -> {
                     EffectHash hash = new EffectHash();
                     world.onEffect = hash::take;
@@ -166,7 +178,7 @@
         } catch (AssertionError e) {
             System.err.println("the test of " + heads + " fails: " + firstLine(e));
         } finally {
-            World.ON_NEW.remove();
+            ClusterSimulation.ON_NEW.remove();
         }
         List<String> lines = new ArrayList<>();
         for (int i = 0; i < heads.size(); i++) {
--- a/src/test/java/org/shoreusher/model/EffectHash.java
+++ b/src/test/java/org/shoreusher/simulation/EffectHash.java
@@ -1,4 +1,4 @@
-package org.shoreusher.model;
+package org.shoreusher.simulation;
 
 import com.dynatrace.hash4j.hashing.HashStream64;
 import com.dynatrace.hash4j.hashing.Hashing;
@@ -6,13 +6,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.shoreusher.core.Effect;
-import org.shoreusher.peer.HintCodec;
+import org.shoreusher.core.message.Effect;
+import org.shoreusher.peer.GossipCodec;
 import org.shoreusher.peer.MessageBytes;
 import org.shoreusher.wire.CloudFormat;
 import org.shoreusher.wire.FieldMap;
 import org.shoreusher.wire.ResponseFormat;
-import org.shoreusher.wire.StateFormat;
+import org.shoreusher.wire.StoreFormat;
 import org.shoreusher.wire.WorkerFormat;
 
 /**
@@ -31,7 +31,7 @@
     private static final int STANDBY = 6;
 
     private final HashStream64 stream = Hashing.xxh3_64().hashStream();
-    private final HintCodec hints = new HintCodec();
+    private final GossipCodec hints = new GossipCodec();
     private long effects;
 
     void take(String host, Effect effect) {
@@ -40,19 +40,19 @@
             stream.putInt(ResponseFormat.statusCode(a.response()));
             stream.putInt(ResponseFormat.retryAfterS(a.response()));
             body(ResponseFormat.body(a.response()));
-        } else if (effect instanceof Effect.StateCall c) {
+        } else if (effect instanceof Effect.StoreCall c) {
             begin(STATE, host).putLong(c.callId()).putBoolean(c.urgent());
-            request(StateFormat.request(c.operation()));
+            request(StoreFormat.request(c.operation()));
         } else if (effect instanceof Effect.CloudCall c) {
             begin(CLOUD, host).putLong(c.callId());
             request(CloudFormat.request(c.operation()));
-        } else if (effect instanceof Effect.Orders o) {
+        } else if (effect instanceof Effect.SendOrders o) {
             begin(ORDERS, host).putString(o.workerAddress());
             body(WorkerFormat.directOrders(o.fencingToken(), o.workerIncarnation(), o.orders()));
-        } else if (effect instanceof Effect.Tell t) {
+        } else if (effect instanceof Effect.SendGossip t) {
             begin(HINT, host);
             bytes(hints.encode(t.message()));
-        } else if (effect instanceof Effect.SendToPeer s) {
+        } else if (effect instanceof Effect.SendStandbyMessage s) {
             begin(STANDBY, host).putString(s.host());
             bytes(MessageBytes.of(s.message()));
         }
@@ -68,7 +68,7 @@
         return stream.putByte((byte) kind).putString(host);
     }
 
-    private void request(StateFormat.Request request) {
+    private void request(StoreFormat.Request request) {
         stream.putString(request.body() == null ? "GET" : "POST").putString(request.path());
         if (request.body() != null) {
             body(request.body());
--- /dev/null
+++ b/src/test/java/org/shoreusher/simulation/LargestClusterTest.java
@@ -0,0 +1,73 @@
+package org.shoreusher.simulation;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import net.jqwik.api.Example;
+import org.shoreusher.core.JobSpecBuilder;
+import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.simulation.ClusterSimulation.Fault;
+import org.shoreusher.simulation.ClusterSimulation.InjectedDefect;
+
+/** Four thousand machines, the largest size that the service is meant for. */
+class LargestClusterTest {
+    private static final int MACHINES = 4_000;
+    private static final long ZONE_ISOLATED_MS = 50_000;
+    private static final long LEADER_CRASH_MS = 60_000;
+
+    /**
+     * A zone is isolated from everything, and meanwhile the leader crashes. Half of the machines
+     * are unresponsive during reconciliation. No invariant is violated, and every job ends.
+     */
+    @Example
+    void failoverWhileAZoneIsIsolated() {
+        ClusterSimulation simulation =
+                new ClusterSimulation(
+                        1, SimulationSettings.largest(), 1, InjectedDefect.NONE, MACHINES / 4);
+        for (int i = 0; i < 70; i++) {
+            simulation.users.submit(job(i), 1_000 + i * 500L);
+        }
+        simulation.faultFreeFromMs = 110_000;
+        simulation.run(
+                190_000,
+                List.of(
+                        new Fault(
+                                ZONE_ISOLATED_MS,
+                                x -> x.network.isolateZone("b", "node-1", 35_000)),
+                        new Fault(
+                                LEADER_CRASH_MS,
+                                x ->
+                                        FaultInjection.currentLeaders(x)
+                                                .forEach(controller -> controller.crash(4_000)))));
+        simulation.invariants.checkAtEnd();
+        assertEquals(
+                List.of(),
+                simulation.invariants.violations,
+                () -> String.join("\n", simulation.log));
+        assertTrue(
+                simulation.cloud.peakMachines() >= MACHINES,
+                () -> "had " + simulation.cloud.peakMachines());
+        assertTrue(
+                simulation.log.stream().filter(line -> line.contains("takeover")).count() > 1,
+                "nobody took the part");
+        assertEquals(
+                0,
+                simulation.users.jobs.values().stream()
+                        .filter(x -> !x.doneConfirmed && !x.cancelConfirmed)
+                        .count());
+    }
+
+    private static SimulatedUsers.SimulatedJob job(int number) {
+        JobSpec spec =
+                new JobSpecBuilder(String.format("wk-%06d", number))
+                        .team("team-" + number % 2)
+                        .priority(JobSpec.Priority.values()[1 + number % 3])
+                        .taskCount(400)
+                        .cpus(4)
+                        .image("img-" + number % 5)
+                        .estimatedRunS(20)
+                        .build();
+        return new SimulatedUsers.SimulatedJob(spec, number % 15 == 2, 20_000);
+    }
+}
--- /dev/null
+++ b/src/test/java/org/shoreusher/simulation/MigrationStepsTest.java
@@ -0,0 +1,293 @@
+package org.shoreusher.simulation;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import net.jqwik.api.Example;
+import org.shoreusher.balance.BalanceSettings;
+import org.shoreusher.balance.BalanceSettings.ClassBudget;
+import org.shoreusher.core.JobSpecBuilder;
+import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.core.message.WorkerHeartbeat.ExitCause;
+import org.shoreusher.settings.Features;
+import org.shoreusher.settings.SettingsBuilder;
+
+/** The steps of one migration, message by message. */
+class MigrationStepsTest {
+    /** One migration at a time. */
+    private static final Features FEATURES =
+            new Features(
+                    new BalanceSettings(
+                            0.1, 0.02, 0.05, 1, 1, 1, 5, 1, new ClassBudget(1, 1), Map.of()),
+                    null);
+
+    private static final int MACHINES = 4;
+    private static final int TASKS = 8;
+
+    private SingleNodeSimulation node =
+            new SingleNodeSimulation(SimulationSettings.ampleQuota(), FEATURES);
+    private final List<ScriptedWorker> workers = new ArrayList<>();
+
+    private static JobSpec job() {
+        return new JobSpecBuilder("wk-000001")
+                .taskCount(TASKS)
+                .cpus(1)
+                .estimatedRunS(500)
+                .checkpointIntervalS(10)
+                .checkpointDurationS(1)
+                .build();
+    }
+
+    private void heartbeatAll() {
+        node.runSteps(15);
+        workers.forEach(ScriptedWorker::sendHeartbeat);
+    }
+
+    private ScriptedWorker firstWorker() {
+        return workers.get(0);
+    }
+
+    /**
+     * Starts four machines, the first of which runs all tasks of the only job.
+     *
+     * @param unresponsiveMachines machines that the previous leader used and that never send a
+     *     heartbeat
+     */
+    private void placeAllTasksOnFirstMachine(String... unresponsiveMachines) {
+        node.previousLeaderLeft(unresponsiveMachines);
+        node.runSteps(20);
+        workers.add(new ScriptedWorker(node, "host-1"));
+        for (int i = 0; i < 3; i++) {
+            heartbeatAll();
+        }
+        node.addOpenJob(job());
+        for (int i = 0; i < 5 && firstWorker().taskCount() < TASKS; i++) {
+            heartbeatAll();
+        }
+        assertEquals(TASKS, firstWorker().taskCount(), "all on the first machine");
+        addIdleMachines();
+    }
+
+    /**
+     * The other machines come late: one that is idle for 20 s is terminated, and a task is migrated
+     * only when it has run for longer.
+     */
+    private void addIdleMachines() {
+        for (int i = 0; i < 28; i++) {
+            heartbeatAll();
+        }
+        for (int i = 2; i <= MACHINES; i++) {
+            workers.add(new ScriptedWorker(node, "host-" + i));
+        }
+    }
+
+    /**
+     * Sends heartbeats until a task of the first machine gets a stop order; returns it, or null.
+     */
+    private String awaitStopOrder(int reports) {
+        for (int i = 0; i < reports; i++) {
+            heartbeatAll();
+            if (!firstWorker().tasksToldToStop.isEmpty()) {
+                assertEquals(1, firstWorker().tasksToldToStop.size(), "one move at a time");
+                return firstWorker().tasksToldToStop.get(0);
+            }
+        }
+        return null;
+    }
+
+    private List<ScriptedWorker.StartedTask> startedElsewhere() {
+        return workers.stream().skip(1).flatMap(worker -> worker.startedTasks.stream()).toList();
+    }
+
+    @Example
+    void startsOnTheTargetOnlyAfterTheSourceReportsTheExit() {
+        placeAllTasksOnFirstMachine();
+        String taskName = awaitStopOrder(20);
+        for (int i = 0; i < 3; i++) {
+            heartbeatAll();
+            assertEquals(
+                    List.of(taskName),
+                    firstWorker().tasksToldToStop,
+                    "told again until it is gone");
+            assertEquals(List.of(), startedElsewhere(), "still on its source");
+        }
+        firstWorker().exitTask(taskName, ExitCause.STOPPED, true);
+        heartbeatAll();
+        List<ScriptedWorker.StartedTask> started = startedElsewhere();
+        assertEquals(
+                List.of(taskName),
+                started.stream().map(ScriptedWorker.StartedTask::taskName).toList());
+        assertTrue(
+                node.log.stream().anyMatch(line -> line.startsWith("moved: " + taskName)),
+                "no log line");
+        heartbeatAll();
+        assertEquals(List.of(), startedElsewhere(), "once only");
+    }
+
+    /**
+     * A duplicate of an older heartbeat does not contain the task, as it was made before the task's
+     * start.
+     */
+    @Example
+    void staleHeartbeatOfTheSourceStartsNothing() {
+        placeAllTasksOnFirstMachine();
+        long before = 1;
+        String taskName = awaitStopOrder(50);
+        assertNotEquals(null, taskName);
+        assertNull(node.heartbeat("host-1", before, firstWorker().fencingToken), "refused");
+        workers.stream().skip(1).forEach(ScriptedWorker::sendHeartbeat);
+        assertEquals(List.of(), startedElsewhere());
+    }
+
+    @Example
+    void taskCompletedBeforeTheStopIsNotStartedAgain() {
+        placeAllTasksOnFirstMachine();
+        String taskName = awaitStopOrder(50);
+        firstWorker().exitTask(taskName, ExitCause.COMPLETED, false);
+        for (int i = 0; i < 4; i++) {
+            heartbeatAll();
+            startedElsewhere().forEach(started -> assertNotEquals(taskName, started.taskName()));
+        }
+        assertTrue(node.log.contains("move: " + taskName + " had completed before it was stopped"));
+    }
+
+    /** Capacity on the target stays reserved: jobs that are submitted meanwhile do not use it. */
+    @Example
+    void reservesCapacityOnTheTarget() {
+        placeAllTasksOnFirstMachine();
+        String taskName = awaitStopOrder(50);
+        String line = node.log.get(node.log.size() - 1);
+        node.addOpenJob(
+                new JobSpecBuilder("wk-000002")
+                        .team("team-1")
+                        .taskCount(3)
+                        .cpus(8)
+                        .estimatedRunS(500)
+                        .build());
+        for (int i = 0; i < 4; i++) {
+            heartbeatAll();
+        }
+        long filled = workers.stream().skip(1).filter(worker -> worker.taskCount() == 1).count();
+        assertEquals(2, filled, () -> "the third machine waits for " + taskName + ": " + line);
+        firstWorker().exitTask(taskName, ExitCause.STOPPED, true);
+        heartbeatAll();
+        assertEquals(3, workers.stream().skip(1).filter(worker -> worker.taskCount() == 1).count());
+    }
+
+    /**
+     * A machine reports the task under an attempt of long ago. The end of that attempt says nothing
+     * about the attempt that is being migrated, which is still on its source.
+     */
+    @Example
+    void exitOfAnotherAttemptStartsNothing() {
+        placeAllTasksOnFirstMachine();
+        String taskName = awaitStopOrder(20);
+        String target =
+                node.log.stream().filter(line -> line.startsWith("move: ")).findFirst().get();
+        ScriptedWorker other =
+                workers.stream()
+                        .skip(1)
+                        .filter(worker -> !target.contains(worker.id()))
+                        .findFirst()
+                        .orElseThrow();
+        other.addRunningTask(taskName, 3);
+        heartbeatAll();
+        assertEquals(List.of(taskName), other.tasksToldToStop, "nobody wants it there");
+        other.exitTask(taskName, ExitCause.STOPPED, false);
+        for (int i = 0; i < 3; i++) {
+            heartbeatAll();
+            assertEquals(List.of(), startedElsewhere());
+        }
+    }
+
+    /**
+     * Tasks of a high-demand team are spread on placement, as far as other machines have capacity.
+     */
+    @Example
+    void spreadsTasksOfAHighDemandTeamOnPlacement() {
+        node.previousLeaderLeft();
+        node.runSteps(20);
+        for (int i = 1; i <= MACHINES; i++) {
+            workers.add(new ScriptedWorker(node, "host-" + i));
+        }
+        for (int i = 0; i < 4; i++) {
+            heartbeatAll();
+        }
+        node.addOpenJob(job());
+        for (int i = 0; i < 4; i++) {
+            heartbeatAll();
+        }
+        // A quarter of all CPUs and the margin of a tenth are 2.8 of 8.
+        assertEquals(List.of(2, 2, 2, 2), workers.stream().map(ScriptedWorker::taskCount).toList());
+        // The load doubles, and doubles again: the allowed share rises with it, and nothing
+        // waits.
+        node.addOpenJob(new JobSpecBuilder("wk-000002").taskCount(8).cpus(1).build());
+        for (int i = 0; i < 4; i++) {
+            heartbeatAll();
+        }
+        assertEquals(List.of(4, 4, 4, 4), workers.stream().map(ScriptedWorker::taskCount).toList());
+        node.addOpenJob(new JobSpecBuilder("wk-000003").taskCount(16).cpus(1).build());
+        for (int i = 0; i < 4; i++) {
+            heartbeatAll();
+        }
+        assertEquals(List.of(8, 8, 8, 8), workers.stream().map(ScriptedWorker::taskCount).toList());
+    }
+
+    /** Unknown tasks are stopped as usual, and are not part of any plan. */
+    @Example
+    void ignoresUnknownTasksWhenPlanning() {
+        placeAllTasksOnFirstMachine();
+        workers.get(1).addRunningTask("wk-999999/0", 3);
+        String taskName = awaitStopOrder(20);
+        assertTrue(taskName.startsWith("wk-000001/"), taskName);
+        for (int i = 0; i < 4; i++) {
+            heartbeatAll();
+        }
+        assertEquals(List.of("wk-999999/0"), workers.get(1).tasksToldToStop);
+        assertTrue(node.log.stream().noneMatch(line -> line.contains("move: wk-999999")));
+    }
+
+    /**
+     * Tasks that a previous leader started are not migrated, since the number of their migrations
+     * is unknown.
+     */
+    @Example
+    void doesNotMigrateJobsStartedByAPreviousLeader() {
+        node.previousLeaderLeft("host-1");
+        node.addOpenJob(job());
+        node.runSteps(20);
+        workers.add(new ScriptedWorker(node, "host-1"));
+        firstWorker().fencingToken = 6;
+        for (int i = 0; i < TASKS; i++) {
+            firstWorker().addRunningTask("wk-000001/" + i, 5);
+        }
+        addIdleMachines();
+        assertNull(awaitStopOrder(20));
+        assertEquals(
+                List.of(), firstWorker().tasksToldToStop, "the tasks are wanted where they are");
+    }
+
+    /**
+     * Nothing is migrated while a machine that may run tasks is unresponsive. Workers' leases are
+     * longer here than the age at which a task may be migrated.
+     */
+    @Example
+    void migratesNothingDuringReconciliation() {
+        node =
+                new SingleNodeSimulation(
+                        new SettingsBuilder(SimulationSettings.ampleQuota())
+                                .workers(1.5, 60, 200)
+                                .build(),
+                        FEATURES);
+        placeAllTasksOnFirstMachine("host-9");
+        assertNull(awaitStopOrder(20));
+        assertTrue(
+                node.log.stream().noneMatch(line -> line.startsWith("rebuilt")),
+                "rebuilt too soon");
+    }
+}
--- /dev/null
+++ b/src/test/java/org/shoreusher/simulation/MigrationsTest.java
@@ -0,0 +1,342 @@
+package org.shoreusher.simulation;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.function.BiConsumer;
+import net.jqwik.api.Example;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import net.jqwik.api.ShrinkingMode;
+import net.jqwik.api.constraints.LongRange;
+import org.shoreusher.balance.BalanceSettings;
+import org.shoreusher.balance.BalanceSettings.ClassBudget;
+import org.shoreusher.core.JobSpecBuilder;
+import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.settings.Features;
+import org.shoreusher.simulation.ClusterSimulation.Fault;
+import org.shoreusher.simulation.ClusterSimulation.InjectedDefect;
+
+/**
+ * Simulations in which a team fills the first machines that boot, and its tasks are migrated while
+ * faults occur. Each fault hits the migrations that have just begun.
+ */
+class MigrationsTest {
+    private static final long FAULT_FREE_FROM_MS = 170_000;
+    private static final long END_MS = 330_000;
+
+    /** Two migrations per task, unlimited repeated work, and many concurrent migrations. */
+    private static final Features FEATURES =
+            new Features(
+                    new BalanceSettings(
+                            0.1, 0.02, 0.05, 20, 20, 20, 2, 1, new ClassBudget(2, 1), Map.of()),
+                    null);
+
+    /** The task, source and target of a migration, read from the log line of its beginning. */
+    private record StartedMigration(String taskName, String source, String target) {
+        static StartedMigration of(String line) {
+            String[] words = line.substring(line.indexOf("move: ")).split("[ ,]+");
+            return new StartedMigration(words[1], words[3], words[5]);
+        }
+
+        SimulatedWorker source(ClusterSimulation simulation) {
+            return simulation.cloud.machine(source);
+        }
+
+        SimulatedWorker target(ClusterSimulation simulation) {
+            return simulation.cloud.machine(target);
+        }
+    }
+
+    /**
+     * Runs a simulation in which one team's long tasks fill the first machines, while short tasks
+     * of the other team cause more machines to be provisioned.
+     *
+     * @param onMigration what happens to a migration that has just begun
+     */
+    private static ClusterSimulation simulate(
+            long seed,
+            int shardCount,
+            BiConsumer<ClusterSimulation, StartedMigration> onMigration) {
+        ClusterSimulation simulation =
+                new ClusterSimulation(
+                        seed, SimulationSettings.ampleQuota(), shardCount, InjectedDefect.NONE);
+        simulation.features = FEATURES;
+        for (int i = 0; i < 3; i++) {
+            simulation.users.submit(job(i, "team-0", 10, 60_000), 1_000);
+        }
+        for (int i = 3; i < 9; i++) {
+            simulation.users.submit(job(i, "team-1", 15, 8_000), 1_500 + i * 3_000L);
+        }
+        for (int i = 9; i < 12; i++) {
+            simulation.users.submit(job(i, "team-0", 8, 60_000), 40_000);
+        }
+        simulation.onLog =
+                line -> {
+                    if (line.contains("move: ")
+                            && line.contains(" from ")
+                            && simulation.nowMs < FAULT_FREE_FROM_MS) {
+                        onMigration.accept(simulation, StartedMigration.of(line));
+                    }
+                };
+        simulation.faultFreeFromMs = FAULT_FREE_FROM_MS;
+        simulation.scheduleAt(FAULT_FREE_FROM_MS, simulation.invariants::checkWaitingJobs);
+        simulation.run(END_MS, List.of());
+        simulation.invariants.checkAtEnd();
+        return simulation;
+    }
+
+    private static SimulatedUsers.SimulatedJob job(int number, String team, int tasks, long runMs) {
+        JobSpec spec =
+                new JobSpecBuilder(String.format("wk-%06d", number))
+                        .team(team)
+                        .priority(JobSpec.Priority.NORMAL)
+                        .taskCount(tasks)
+                        .cpus(1)
+                        .image("img-" + number % 2)
+                        .spreadAcrossZones(number % 4 == 3)
+                        .singleZone(number % 5 == 4)
+                        .estimatedRunS(runMs / 1_000.0)
+                        .checkpointIntervalS(4)
+                        .checkpointDurationS(1)
+                        .build();
+        return new SimulatedUsers.SimulatedJob(spec, false, runMs);
+    }
+
+    private static long countLines(ClusterSimulation simulation, String text) {
+        return simulation.log.stream().filter(line -> line.contains(text)).count();
+    }
+
+    private static void assertInvariantsAndCompletion(ClusterSimulation simulation) {
+        assertEquals(
+                List.of(),
+                simulation.invariants.violations,
+                () -> String.join("\n", simulation.log));
+        List<String> open =
+                simulation.users.jobs.values().stream()
+                        .filter(job -> !job.doneConfirmed && !job.cancelConfirmed)
+                        .map(job -> job.spec.id())
+                        .toList();
+        assertEquals(List.of(), open, () -> String.join("\n", simulation.log));
+    }
+
+    /**
+     * Runs several simulations with a fault for each migration. All invariants hold, and migrations
+     * were really hit.
+     */
+    private static void simulateWithFault(
+            BiConsumer<ClusterSimulation, StartedMigration> onMigration, String expected) {
+        long seen = 0;
+        for (long seed = 0; seed < 6; seed++) {
+            int[] hit = {0};
+            ClusterSimulation simulation =
+                    simulate(
+                            seed,
+                            1 + (int) (seed % 2),
+                            (cluster, migration) -> {
+                                // The first of a run, and then one in three. The cloud may have
+                                // reclaimed a machine that the leader still uses.
+                                boolean there =
+                                        migration.source(cluster) != null
+                                                && migration.target(cluster) != null;
+                                if (there && (hit[0]++ == 0 || cluster.random.nextInt(3) == 0)) {
+                                    onMigration.accept(cluster, migration);
+                                }
+                            });
+            assertInvariantsAndCompletion(simulation);
+            assertTrue(hit[0] > 0, "no move began with seed " + seed);
+            seen += countLines(simulation, expected);
+        }
+        assertTrue(seen > 0, "never seen: " + expected);
+    }
+
+    @Example
+    void migratedTasksCompleteOnce() {
+        simulateWithFault((cluster, migration) -> {}, "moved: ");
+    }
+
+    @Example
+    void targetIsTerminated() {
+        simulateWithFault(
+                (cluster, migration) -> cluster.cloud.terminate(migration.target(cluster)),
+                "abandoned, target lost");
+    }
+
+    @Example
+    void targetHangsOrIsPartitioned() {
+        simulateWithFault(
+                (cluster, migration) -> {
+                    SimulatedWorker target = migration.target(cluster);
+                    switch (cluster.random.nextInt(3)) {
+                        case 0 -> target.blockInbound(20_000);
+                        case 1 -> target.hang(15_000);
+                        default ->
+                                cluster.controllers.forEach(
+                                        controller ->
+                                                cluster.network.partition(
+                                                        controller.host, target.id, 15_000));
+                    }
+                },
+                "abandoned, target");
+    }
+
+    @Example
+    void sourceBecomesUnresponsiveAfterTheStopOrder() {
+        simulateWithFault(
+                (cluster, migration) -> {
+                    SimulatedWorker source = migration.source(cluster);
+                    if (cluster.random.nextBoolean()) {
+                        cluster.controllers.forEach(
+                                controller ->
+                                        cluster.network.partition(
+                                                controller.host, source.id, 30_000));
+                    } else {
+                        source.hang(7_000 + cluster.random.nextInt(20_000));
+                    }
+                },
+                "lost its lease");
+    }
+
+    @Example
+    void sourceIsTerminated() {
+        simulateWithFault(
+                (cluster, migration) -> cluster.cloud.terminate(migration.source(cluster)),
+                "gone: ");
+    }
+
+    @Example
+    void sourceOrTargetGetsAnInterruptionNotice() {
+        simulateWithFault(
+                (cluster, migration) -> {
+                    SimulatedWorker machine =
+                            cluster.random.nextBoolean()
+                                    ? migration.source(cluster)
+                                    : migration.target(cluster);
+                    machine.announceInterruption(2_000 + cluster.random.nextInt(4_000));
+                },
+                "move: ");
+    }
+
+    @Example
+    void jobIsCancelledAtAnyStep() {
+        simulateWithFault(
+                (cluster, migration) -> {
+                    SimulatedUsers.SimulatedJob job =
+                            cluster.users.jobs.get(
+                                    migration.taskName.substring(
+                                            0, migration.taskName.indexOf('/')));
+                    cluster.scheduleAfter(
+                            cluster.random.nextInt(6_000), () -> cluster.users.cancel(job));
+                },
+                "abandoned, job closed");
+    }
+
+    @Example
+    void leaderCrashesAtAnyStep() {
+        simulateWithFault(
+                (cluster, migration) ->
+                        cluster.scheduleAfter(
+                                cluster.random.nextInt(6_000),
+                                () -> {
+                                    for (ClusterSimulation.Controller controller :
+                                            FaultInjection.currentLeaders(cluster)) {
+                                        if (controller.isRunning()
+                                                && cluster.nowMs < FAULT_FREE_FROM_MS - 20_000) {
+                                            controller.crash(100 + cluster.random.nextInt(5_000));
+                                        }
+                                    }
+                                }),
+                "takeover: ");
+    }
+
+    /** The leader loses its workers and steps down while migrations are in progress. */
+    @Example
+    void leaderStepsDownDuringMigrations() {
+        simulateWithFault(
+                (cluster, migration) -> {
+                    if (cluster.nowMs < FAULT_FREE_FROM_MS - 40_000) {
+                        FaultInjection.currentLeaders(cluster)
+                                .forEach(
+                                        controller ->
+                                                FaultInjection.isolateFromWorkers(
+                                                        cluster, controller, 25_000));
+                    }
+                },
+                "released: most");
+    }
+
+    @Example
+    void storeOutageDuringMigrations() {
+        simulateWithFault(
+                (cluster, migration) -> cluster.store.outage(3_000 + cluster.random.nextInt(9_000)),
+                "lapse: ");
+    }
+
+    /**
+     * Late duplicates of heartbeats are in every simulation; here every leader gets retained ones
+     * as well.
+     */
+    @Example
+    void staleHeartbeatsArriveDuringFailover() {
+        simulateWithFault(
+                (cluster, migration) -> {
+                    cluster.retainHeartbeats = true;
+                    cluster.scheduleAfter(
+                            3_000,
+                            () ->
+                                    FaultInjection.currentLeaders(cluster)
+                                            .forEach(controller -> controller.crash(300)));
+                },
+                "takeover: ");
+    }
+
+    /** Only some nodes have the feature: the leadership moves between both kinds. */
+    @Property(tries = 6, seed = "23", shrinking = ShrinkingMode.OFF)
+    void onlySomeNodesHaveTheFeature(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
+        ClusterSimulation simulation =
+                new ClusterSimulation(
+                        seed, SimulationSettings.ampleQuota(), 1, InjectedDefect.NONE);
+        simulation.features = FEATURES;
+        simulation.hasFeatures = process -> process != 1;
+        for (int i = 0; i < 8; i++) {
+            simulation.users.submit(job(i, "team-" + i % 2, 10, 40_000), 1_000 + i * 4_000L);
+        }
+        List<Fault> faults = new ArrayList<>();
+        for (int i = 1; i <= 6; i++) {
+            faults.add(
+                    new Fault(
+                            i * 20_000L,
+                            cluster ->
+                                    FaultInjection.currentLeaders(cluster).stream()
+                                            .limit(1)
+                                            .forEach(controller -> controller.crash(200))));
+        }
+        simulation.faultFreeFromMs = FAULT_FREE_FROM_MS;
+        simulation.run(END_MS, faults);
+        simulation.invariants.checkAtEnd();
+        assertInvariantsAndCompletion(simulation);
+    }
+
+    /** Faults of every kind, with the feature on. */
+    @Property(tries = 30, seed = "29", shrinking = ShrinkingMode.OFF)
+    void keepsInvariantsUnderRandomFaults(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
+        ClusterSimulation simulation =
+                new ClusterSimulation(
+                        seed,
+                        SimulationSettings.ampleQuota(),
+                        1 + (int) (seed % 2),
+                        InjectedDefect.NONE);
+        simulation.features = FEATURES;
+        for (int i = 0; i < 12; i++) {
+            simulation.users.submit(
+                    job(i, "team-" + i % 2, 12, i % 3 == 0 ? 8_000 : 40_000), 1_000 + i * 4_000L);
+        }
+        simulation.faultFreeFromMs = 215_000;
+        simulation.run(400_000, FaultInjection.randomFaults(seed, 3));
+        simulation.invariants.checkAtEnd();
+        assertInvariantsAndCompletion(simulation);
+    }
+}
--- a/src/test/java/org/shoreusher/model/LargerRecordsTest.java
+++ b/src/test/java/org/shoreusher/simulation/OversizedRecordsTest.java
@@ -1,4 +1,4 @@
-package org.shoreusher.model;
+package org.shoreusher.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,79 +7,79 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import net.jqwik.api.Example;
-import org.shoreusher.core.JobSpec;
 import org.shoreusher.core.JobSpecBuilder;
+import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.wire.FieldMap;
 import org.shoreusher.wire.UserFormat;
 
 /** Jobs that were accepted when the store allowed longer values than it does now. */
-class LargerRecordsTest {
+class OversizedRecordsTest {
     private static final int VALUE_BYTES = 2_048;
     private static final String ID = "wk-000030";
 
-    private final SingleNode node = new SingleNode(limits());
+    private final SingleNodeSimulation node = new SingleNodeSimulation(limits());
 
     private static Settings limits() {
-        Settings usual = ModelSettings.usual();
-        return ModelSettings.limits(
+        Settings usual = SimulationSettings.standard();
+        return SimulationSettings.withStoreLimits(
                 usual.storeWritesPerS(), VALUE_BYTES, usual.maxTransactionWrites());
     }
 
     /** A job whose list of machine types alone is longer than a value may be. */
-    private static JobSpec longJob() {
+    private static JobSpec oversizedJob() {
         return new JobSpecBuilder(ID)
-                .tasks(2)
+                .taskCount(2)
                 .cpus(2)
                 .image("img")
-                .types(Collections.nCopies(VALUE_BYTES / 4, CloudModel.TYPE))
+                .machineTypes(Collections.nCopies(VALUE_BYTES / 4, SimulatedCloud.SMALL_TYPE))
                 .build();
     }
 
-    private void acceptedBefore() {
+    private void storeOversizedJob() {
         Map<String, Object> record = new LinkedHashMap<>();
         record.put("part", 0L);
         record.put("status", "OPEN");
         record.put("tasks", 2L);
-        record.put("accepted", node.now);
+        record.put("accepted", node.nowMs);
         record.put("begun", 0L);
-        record.put("spec", UserFormat.writeDescription(longJob()));
+        record.put("spec", UserFormat.writeDescription(oversizedJob()));
         assertTrue(FieldMap.jsonLength(record) > VALUE_BYTES);
-        node.state().put("job/" + ID, record);
+        node.store().putDirectly("job/" + ID, record);
     }
 
     /**
      * A 400 would tell the user that the job does not exist, and violate the invariant "forgotten".
      */
     @Example
-    void aRepeatedSubmissionIsAnsweredWithTheStateAlsoByANodeThatLags() {
-        node.left();
-        node.steps(40);
-        node.state().stallViews("node-0", 1_000_000);
-        acceptedBefore();
-        assertEquals(200, node.submit(longJob()));
+    void laggingNodeAnswersARepeatedSubmissionWithTheJobState() {
+        node.previousLeaderLeft();
+        node.runSteps(40);
+        node.store().stallCacheUpdates("node-0", 1_000_000);
+        storeOversizedJob();
+        assertEquals(200, node.submit(oversizedJob()));
     }
 
     @Example
-    void aSubmissionThatIsTooLongIsMalformedOnlyIfNobodyKnowsTheJob() {
-        node.left();
-        node.steps(40);
-        assertEquals(400, node.submit(longJob()));
-        acceptedBefore();
-        node.steps(40);
-        assertEquals(200, node.submit(longJob()));
+    void rejectsAnOversizedSubmissionOnlyIfTheJobIsUnknown() {
+        node.previousLeaderLeft();
+        node.runSteps(40);
+        assertEquals(400, node.submit(oversizedJob()));
+        storeOversizedJob();
+        node.runSteps(40);
+        assertEquals(200, node.submit(oversizedJob()));
     }
 
     /** The complete record of the cancelled job would be rejected each time. */
     @Example
-    void aLongJobIsCancelled() throws FieldMap.InvalidFieldException {
-        node.left();
-        acceptedBefore();
-        node.steps(40);
-        assertEquals("pending", node.ask(ID));
+    void cancelsAnOversizedJob() throws FieldMap.InvalidFieldException {
+        node.previousLeaderLeft();
+        storeOversizedJob();
+        node.runSteps(40);
+        assertEquals("pending", node.pollStatus(ID));
         assertEquals(200, node.cancel(ID));
-        assertEquals("aborted", node.ask(ID));
-        Map<String, Object> record = node.state().value("job/" + ID);
+        assertEquals("aborted", node.pollStatus(ID));
+        Map<String, Object> record = node.store().value("job/" + ID);
         assertTrue(FieldMap.jsonLength(record) <= VALUE_BYTES);
         JobSpec left = UserFormat.readDescription(new FieldMap(record).map("spec"));
         assertEquals("team-0", left.team());
