--- a/src/test/java/org/shoreusher/model/FormerFormatsTest.java
+++ b/src/test/java/org/shoreusher/simulation/PreviousVersionFormatsTest.java
@@ -1,4 +1,4 @@
-package org.shoreusher.model;
+package org.shoreusher.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -12,10 +12,10 @@
 import java.util.List;
 import java.util.Map;
 import net.jqwik.api.Example;
-import org.shoreusher.core.Hint;
-import org.shoreusher.core.JobSpec;
 import org.shoreusher.core.JobSpecBuilder;
-import org.shoreusher.peer.HintCodec;
+import org.shoreusher.core.message.GossipMessage;
+import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.peer.GossipCodec;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.SettingsBuilder;
 import org.shoreusher.wire.FieldMap;
@@ -26,30 +26,36 @@
  * resource contains values that that version wrote itself. Also checks that that version can read
  * what this one writes.
  */
-class FormerFormatsTest {
-    private static final String HINT =
+class PreviousVersionFormatsTest {
+    private static final String GOSSIP_HEX =
             "6e6f64652db10068e5cf8b010000010000000000605340010000000000000029400304017465616d"
                 + "2db00000000000002040000000000000304001000301776b2d3030303030b10201776b2d30303030"
                 + "30b105";
 
-    private static Map<String, Object> former() {
+    private static Map<String, Object> previousVersionValues() {
         try (InputStream in =
-                FormerFormatsTest.class.getResourceAsStream("/formats-before-services.json")) {
+                PreviousVersionFormatsTest.class.getResourceAsStream(
+                        "/formats-before-services.json")) {
             return FieldMap.parseJson(in.readAllBytes()).asMap();
-        } catch (java.io.IOException e) {
-            throw new AssertionError(e);
+        } catch (java.io.IOException exception) {
+            throw new AssertionError(exception);
         }
     }
 
-    private static Settings limits(int valueBytes, int txnOps) {
-        return ModelSettings.limits(ModelSettings.usual().storeWritesPerS(), valueBytes, txnOps);
+    private static Settings settingsWithLimits(int valueBytes, int txnOps) {
+        return SimulationSettings.withStoreLimits(
+                SimulationSettings.standard().storeWritesPerS(), valueBytes, txnOps);
     }
 
     @SuppressWarnings("unchecked")
-    private static SingleNode after(int valueBytes, int txnOps, int steps) {
-        SingleNode node = new SingleNode(limits(valueBytes, txnOps));
-        former().forEach((key, value) -> node.state().put(key, (Map<String, Object>) value));
-        node.steps(steps);
+    private static SingleNodeSimulation nodeOnPreviousVersionStore(
+            int valueBytes, int txnOps, int steps) {
+        SingleNodeSimulation node =
+                new SingleNodeSimulation(settingsWithLimits(valueBytes, txnOps));
+        previousVersionValues()
+                .forEach(
+                        (key, value) -> node.store().putDirectly(key, (Map<String, Object>) value));
+        node.runSteps(steps);
         return node;
     }
 
@@ -58,60 +64,73 @@
      * no value above the limits is written.
      */
     @Example
-    void whatTheFormerVersionLeftIsCarriedOn() {
+    void continuesFromRecordsOfThePreviousVersion() {
         Map<String, BitSet> before = new HashMap<>();
         for (String key : List.of("part/0", "part/0/done/1")) {
-            ((Map<?, ?>) ((Map<?, ?>) former().get(key)).get("done"))
-                    .forEach((id, text) -> before.put((String) id, FormerStore.ranges(text)));
+            ((Map<?, ?>) ((Map<?, ?>) previousVersionValues().get(key)).get("done"))
+                    .forEach(
+                            (id, text) ->
+                                    before.put(
+                                            (String) id, PreviousVersionStore.parseRanges(text)));
         }
         assertEquals(5, before.size());
         for (int valueBytes : new int[] {1_024, 2_048, 8_192}) {
             for (int txnOps : new int[] {4, 6, 12}) {
-                SingleNode node = after(valueBytes, txnOps, 300);
+                SingleNodeSimulation node = nodeOnPreviousVersionStore(valueBytes, txnOps, 300);
                 String limits =
                         valueBytes
                                 + " bytes, "
                                 + txnOps
                                 + " operations\n"
                                 + String.join("\n", node.log);
-                assertTrue(node.log.stream().anyMatch(l -> l.startsWith("takeover")), limits);
+                assertTrue(node.log.stream().anyMatch(line -> line.startsWith("takeover")), limits);
                 before.forEach(
                         (id, set) -> {
-                            BitSet lost = (BitSet) set.clone();
-                            lost.andNot(
-                                    new FormerStore(node.state())
-                                            .finished()
+                            BitSet missing = (BitSet) set.clone();
+                            missing.andNot(
+                                    new PreviousVersionStore(node.store())
+                                            .completedTasks()
                                             .getOrDefault(id, new BitSet()));
-                            assertTrue(lost.isEmpty(), () -> id + " lost " + lost + ", " + limits);
+                            assertTrue(
+                                    missing.isEmpty(),
+                                    () -> id + " lost " + missing + ", " + limits);
                             assertEquals(
                                     (long) set.cardinality(),
-                                    node.answerAbout(id).body().get("done"),
+                                    node.poll(id).body().get("done"),
                                     limits);
                         });
-                assertEquals("pending", node.ask("wk-000006"), limits);
-                assertEquals("pending", node.ask("wk-000007"), limits);
-                assertEquals("aborted", node.ask("wk-000008"), limits);
-                assertEquals("done", node.ask("wk-000009"), limits);
-                assertEquals(404, node.ask("wk-000010"), limits);
-                assertNotNull(node.report("host-000205", 1, 5), "a machine of its records");
+                assertEquals("pending", node.pollStatus("wk-000006"), limits);
+                assertEquals("pending", node.pollStatus("wk-000007"), limits);
+                assertEquals("aborted", node.pollStatus("wk-000008"), limits);
+                assertEquals("done", node.pollStatus("wk-000009"), limits);
+                assertEquals(404, node.pollStatus("wk-000010"), limits);
+                assertNotNull(node.heartbeat("host-000205", 1, 5), "a machine of its records");
                 // Now the machine's record changes, which splits its group where that is too
                 // long.
-                assertEquals(List.of(), node.report("host-000265", 1, 6));
+                assertEquals(List.of(), node.heartbeat("host-000265", 1, 6));
                 for (int step = 0; step < 300; step++) {
-                    node.steps(1);
+                    node.runSteps(1);
                     assertEquals(
                             70,
-                            node.state().all("machine/").entrySet().stream()
+                            node.store().valuesWithPrefix("machine/").entrySet().stream()
                                     .flatMap(
-                                            g ->
-                                                    ((Map<?, ?>) g.getValue().get("machines"))
+                                            machineGroup ->
+                                                    ((Map<?, ?>)
+                                                                    machineGroup
+                                                                            .getValue()
+                                                                            .get("machines"))
                                                             .keySet().stream()
-                                                                    .map(sign -> g.getKey() + sign))
+                                                                    .map(
+                                                                            sign ->
+                                                                                    machineGroup
+                                                                                                    .getKey()
+                                                                                            + sign))
                                     .distinct()
                                     .count(),
                             () -> "a machine stood in no group for a while, " + limits);
                 }
-                Map<String, Map<String, Object>> machines = node.state().all("machine/");
+                Map<String, Map<String, Object>> machines =
+                        node.store().valuesWithPrefix("machine/");
                 assertEquals(
                         valueBytes < 6_000,
                         machines.size() > 1 && !machines.containsKey("machine/host-0002"),
@@ -119,7 +138,9 @@
                 assertEquals(
                         70,
                         machines.values().stream()
-                                .mapToInt(g -> ((Map<?, ?>) g.get("machines")).size())
+                                .mapToInt(
+                                        machineGroup ->
+                                                ((Map<?, ?>) machineGroup.get("machines")).size())
                                 .sum(),
                         limits);
             }
@@ -131,17 +152,17 @@
      * a service.
      */
     @Example
-    void theFormerVersionReadsWhatThisOneWrites() {
-        SingleNode node = after(2_048, 6, 300);
-        node.report("host-000265", 1, 6);
+    void writesRecordsThatThePreviousVersionReads() {
+        SingleNodeSimulation node = nodeOnPreviousVersionStore(2_048, 6, 300);
+        node.heartbeat("host-000265", 1, 6);
         JobSpec service = service("wk-000020", 3);
         assertEquals(201, node.submit(service));
-        node.steps(300);
+        node.runSteps(300);
         assertTrue(
-                node.state().count("node/") > 0,
+                node.store().countWithPrefix("node/") > 0,
                 "notes of formats, which that version skips like all keys it does not know");
-        node.state()
-                .all("")
+        node.store()
+                .valuesWithPrefix("")
                 .forEach(
                         (key, value) -> {
                             if (key.startsWith("job/")) {
@@ -180,12 +201,12 @@
                                 ((Map<?, ?>) value.get("machines"))
                                         .forEach(
                                                 (id, fields) -> {
-                                                    List<?> f = (List<?>) fields;
-                                                    assertEquals(6, f.size());
+                                                    List<?> fieldList = (List<?>) fields;
+                                                    assertEquals(6, fieldList.size());
                                                     assertTrue(
-                                                            ((Number) f.get(1)).intValue()
+                                                            ((Number) fieldList.get(1)).intValue()
                                                                             < names.size()
-                                                                    && ((Number) f.get(2))
+                                                                    && ((Number) fieldList.get(2))
                                                                                     .intValue()
                                                                             < names.size(),
                                                             key);
@@ -203,50 +224,50 @@
                                         .forEach(below -> assertTrue(below instanceof Number, key));
                             }
                         });
-        assertEquals(service, describedAgain(node, service.id()));
+        assertEquals(service, readDescription(node, service.id()));
     }
 
     @SuppressWarnings("unchecked")
-    private static JobSpec describedAgain(SingleNode node, String id) {
+    private static JobSpec readDescription(SingleNodeSimulation node, String id) {
         try {
             return UserFormat.readDescription(
                     new FieldMap(
-                            (Map<String, Object>) node.state().value("job/" + id).get("spec")));
-        } catch (FieldMap.InvalidFieldException e) {
-            throw new AssertionError(e);
+                            (Map<String, Object>) node.store().value("job/" + id).get("spec")));
+        } catch (FieldMap.InvalidFieldException exception) {
+            throw new AssertionError(exception);
         }
     }
 
     /** A cluster of two nodes, of which the other one is not simulated. */
-    private static SingleNode nodeOfTwo() {
-        Settings s = limits(2_048, 6);
-        Settings of =
-                new SettingsBuilder(s)
+    private static SingleNodeSimulation nodeInClusterOfTwo() {
+        Settings settings = settingsWithLimits(2_048, 6);
+        Settings ofTwoNodes =
+                new SettingsBuilder(settings)
                         .host(
                                 "node-0",
-                                List.of(new Settings.Member("node-1", s.peerAddress(), "b")))
-                        .nodes(2)
+                                List.of(new Settings.Member("node-1", settings.peerAddress(), "b")))
+                        .nodeCount(2)
                         .build();
-        SingleNode node = new SingleNode(of);
-        node.left();
-        node.steps(40);
+        SingleNodeSimulation node = new SingleNodeSimulation(ofTwoNodes);
+        node.previousLeaderLeft();
+        node.runSteps(40);
         return node;
     }
 
     private static JobSpec service(String id, int replicas) {
         return new JobSpecBuilder(id)
                 .jobClass("gate")
-                .shape(JobSpec.WorkloadType.SERVICE)
+                .workloadType(JobSpec.WorkloadType.SERVICE)
                 .priority(JobSpec.Priority.PRODUCTION)
-                .tasks(replicas)
+                .taskCount(replicas)
                 .image("img")
-                .spread(true)
-                .spot(false)
-                .estimateS(0)
+                .spreadAcrossZones(true)
+                .spotAllowed(false)
+                .estimatedRunS(0)
                 .build();
     }
 
-    private static long upgradeLines(SingleNode node, String with) {
+    private static long countUpgradeLines(SingleNodeSimulation node, String with) {
         return node.log.stream()
                 .filter(line -> line.startsWith("upgrade: ") && line.contains(with))
                 .count();
@@ -257,21 +278,21 @@
      * says.
      */
     @Example
-    void noServiceBeforeEveryNodeIsKnownToUnderstandIt() {
-        SingleNode node = nodeOfTwo();
+    void refusesServicesUntilEveryNodeSupportsThem() {
+        SingleNodeSimulation node = nodeInClusterOfTwo();
         assertEquals(503, node.submit(service("wk-000020", 3)));
-        assertEquals(1, upgradeLines(node, "refused until the members [node-1]"));
-        assertEquals(0, upgradeLines(node, "all members"));
-        node.stored("node/node-1", Map.of("formats", 2L));
-        node.steps(5);
+        assertEquals(1, countUpgradeLines(node, "refused until the members [node-1]"));
+        assertEquals(0, countUpgradeLines(node, "all members"));
+        node.writeToStore("node/node-1", Map.of("formats", 2L));
+        node.runSteps(5);
         assertEquals(201, node.submit(service("wk-000020", 3)));
         assertEquals(
                 422,
                 node.submit(service("wk-000021", 25)),
                 "all replicas together are above the team's limit");
-        assertEquals("pending", node.ask("wk-000020"));
-        node.steps(100);
-        assertEquals(1, upgradeLines(node, "all members"), "once");
+        assertEquals("pending", node.pollStatus("wk-000020"));
+        node.runSteps(100);
+        assertEquals(1, countUpgradeLines(node, "all members"), "once");
     }
 
     /**
@@ -280,24 +301,24 @@
      * services by its version record.
      */
     @Example
-    void aMemberThatGoesBackStopsNewServices() {
-        SingleNode node = nodeOfTwo();
-        node.stored("node/node-1", Map.of("formats", 2L, "process", "node-1/new"));
-        node.steps(5);
+    void refusesNewServicesAfterAMemberDowngrades() {
+        SingleNodeSimulation node = nodeInClusterOfTwo();
+        node.writeToStore("node/node-1", Map.of("formats", 2L, "process", "node-1/new"));
+        node.runSteps(5);
         assertEquals(201, node.submit(service("wk-000020", 3)));
-        long expiry = node.now + 1_000_000;
-        node.stored("part/0/fence", Map.of("owner", "node-1/old", "term", 9L));
-        node.stored(
+        long expiry = node.nowMs + 1_000_000;
+        node.writeToStore("part/0/fence", Map.of("owner", "node-1/old", "term", 9L));
+        node.writeToStore(
                 "part/0",
                 Map.of("owner", "node-1/old", "expiry", expiry, "term", 9L, "done", Map.of()));
-        node.steps(5);
+        node.runSteps(5);
         assertEquals(503, node.submit(service("wk-000022", 3)));
-        assertEquals(2, upgradeLines(node, "refused until the members [node-1]"));
+        assertEquals(2, countUpgradeLines(node, "refused until the members [node-1]"));
         assertEquals(200, node.submit(service("wk-000020", 3)));
-        node.stored("node/node-1", Map.of("formats", 2L, "process", "node-1/newer"));
-        node.steps(5);
+        node.writeToStore("node/node-1", Map.of("formats", 2L, "process", "node-1/newer"));
+        node.runSteps(5);
         assertEquals(201, node.submit(service("wk-000022", 3)));
-        assertEquals(2, upgradeLines(node, "all members"));
+        assertEquals(2, countUpgradeLines(node, "all members"));
     }
 
     /**
@@ -305,10 +326,10 @@
      * host does not count.
      */
     @Example
-    void everyProcessNotesItself() {
-        SingleNode node = nodeOfTwo();
+    void everyIncarnationWritesItsVersionRecord() {
+        SingleNodeSimulation node = nodeInClusterOfTwo();
         assertEquals(
-                Map.of("formats", 2L, "process", "node-0/1"), node.state().value("node/node-0"));
+                Map.of("formats", 2L, "process", "node-0/1"), node.store().value("node/node-0"));
     }
 
     /**
@@ -316,10 +337,10 @@
      * again all the same.
      */
     @Example
-    void aReplicaThatAFormerOwnerCalledFinishedRunsAgain() {
-        SingleNode node = new SingleNode(limits(8_192, 12));
-        node.left("host-1");
-        node.stored(
+    void restartsAReplicaThatThePreviousVersionMarkedFinished() {
+        SingleNodeSimulation node = new SingleNodeSimulation(settingsWithLimits(8_192, 12));
+        node.previousLeaderLeft("host-1");
+        node.writeToStore(
                 "job/wk-000020",
                 Map.of(
                         "part",
@@ -329,12 +350,12 @@
                         "tasks",
                         1L,
                         "accepted",
-                        node.now,
+                        node.nowMs,
                         "begun",
                         0L,
                         "spec",
-                        UserFormat.writeDescription(anywhere("wk-000020"))));
-        node.stored(
+                        UserFormat.writeDescription(unconstrainedService("wk-000020"))));
+        node.writeToStore(
                 "part/0",
                 Map.of(
                         "owner",
@@ -345,12 +366,13 @@
                         5L,
                         "done",
                         Map.of("wk-000020", "0")));
-        node.steps(40);
-        long seq = 1;
-        node.report("host-1", seq++, 5);
+        node.runSteps(40);
+        long sequenceNumber = 1;
+        node.heartbeat("host-1", sequenceNumber++, 5);
         for (int i = 0; i < 30; i++) {
-            node.steps(3);
-            if (node.startsOf("host-1", seq++, 6).equals(List.of("wk-000020/0"))) {
+            node.runSteps(3);
+            if (node.heartbeatAndGetStarts("host-1", sequenceNumber++, 6)
+                    .equals(List.of("wk-000020/0"))) {
                 return;
             }
         }
@@ -358,27 +380,28 @@
     }
 
     /** A service without placement constraints. */
-    private static JobSpec anywhere(String id) {
+    private static JobSpec unconstrainedService(String id) {
         return new JobSpecBuilder(id)
                 .jobClass("gate")
-                .shape(JobSpec.WorkloadType.SERVICE)
+                .workloadType(JobSpec.WorkloadType.SERVICE)
                 .priority(JobSpec.Priority.PRODUCTION)
                 .image("img")
-                .estimateS(0)
+                .estimatedRunS(0)
                 .build();
     }
 
     /** The encoding of gossip is the same in both versions. */
     @Example
-    void hintsOfTheFormerVersionAreRead() {
-        Hint hint = new HintCodec().decode(HexFormat.of().parseHex(HINT));
-        assertNotNull(hint);
-        assertEquals("node-1", hint.senderHost());
+    void readsGossipOfThePreviousVersion() {
+        GossipMessage gossip = new GossipCodec().decode(HexFormat.of().parseHex(GOSSIP_HEX));
+        assertNotNull(gossip);
+        assertEquals("node-1", gossip.senderHost());
         assertEquals(
-                new Hint.PartHint(12.5, 3, 4, Map.of("team-0", new Hint.Claim(8, 16))),
-                hint.shards().get(0));
-        assertEquals(Map.of("wk-000001", 5), hint.completedTasks());
-        assertEquals(HINT, HexFormat.of().formatHex(new HintCodec().encode(hint)));
-        assertNull(new HintCodec().decode(new byte[] {1, 2, 3}));
+                new GossipMessage.ShardSummary(
+                        12.5, 3, 4, Map.of("team-0", new GossipMessage.TeamDemand(8, 16))),
+                gossip.shards().get(0));
+        assertEquals(Map.of("wk-000001", 5), gossip.completedTasks());
+        assertEquals(GOSSIP_HEX, HexFormat.of().formatHex(new GossipCodec().encode(gossip)));
+        assertNull(new GossipCodec().decode(new byte[] {1, 2, 3}));
     }
 }
--- /dev/null
+++ b/src/test/java/org/shoreusher/simulation/PreviousVersionInteropTest.java
@@ -0,0 +1,217 @@
+package org.shoreusher.simulation;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.BitSet;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import net.jqwik.api.ShrinkingMode;
+import net.jqwik.api.constraints.LongRange;
+import org.shoreusher.simulation.ClusterSimulation.InjectedDefect;
+import org.shoreusher.simulation.PreviousVersionStore.KnownJob;
+
+/**
+ * A node of this version and one of the version before services acquire the shard from each other,
+ * crash while they do so, and continue from each other's records. The store's limits drop at any
+ * time.
+ */
+class PreviousVersionInteropTest {
+    private static final long UPGRADE_MS = 160_000;
+    private static final int MIN_WRITES = 5;
+
+    /**
+     * Two nodes of the current version recover sooner than one, so the previous version leads less
+     * often.
+     */
+    private static final int MIN_WRITES_BESIDE_TWO_NODES = 2;
+
+    private static final long FAULT_FREE_FROM_MS = 220_000;
+    private static final long END_MS = 400_000;
+
+    /** A write of this version must not lose anything that the previous version reads. */
+    private static final class DurableState {
+        private final ClusterSimulation simulation;
+        private final PreviousVersionStore store;
+        private final Map<String, BitSet> completedTasks = new HashMap<>();
+        private final Map<String, Integer> highWaterMarks = new HashMap<>();
+        private final Map<String, Boolean> machineUsage = new HashMap<>();
+
+        /** Transactions of the previous version that changed something. */
+        private int previousVersionWrites;
+
+        DurableState(ClusterSimulation simulation) {
+            this.simulation = simulation;
+            store = new PreviousVersionStore(simulation.store);
+        }
+
+        /** Records what the previous version has written as the state to keep. */
+        void capture() {
+            if (simulation.store.value("part/0") == null) {
+                return;
+            }
+            completedTasks.clear();
+            completedTasks.putAll(store.completedTasks());
+            highWaterMarks.clear();
+            highWaterMarks.putAll(store.highWaterMarks());
+            machineUsage.clear();
+            machineUsage.putAll(store.machineUsage());
+            if (!store.contradictoryMachines().isEmpty()) {
+                simulation.invariants.recordViolation(
+                        "lost", "used or not: " + store.contradictoryMachines());
+            }
+        }
+
+        void checkNothingLost() {
+            if (simulation.store.value("part/0") == null) {
+                return;
+            }
+            Map<String, KnownJob> jobs = store.jobs();
+            Map<String, BitSet> finishedNow = store.completedTasks();
+            Map<String, Integer> marksNow = store.highWaterMarks();
+            jobs.forEach(
+                    (id, job) -> {
+                        if (job.isOpen()) {
+                            BitSet missing =
+                                    (BitSet) completedTasks.getOrDefault(id, new BitSet()).clone();
+                            missing.andNot(finishedNow.getOrDefault(id, new BitSet()));
+                            if (!missing.isEmpty()) {
+                                simulation.invariants.recordViolation(
+                                        "lost", "finished tasks " + missing + " of " + id);
+                            }
+                            if (marksNow.getOrDefault(id, 0) < highWaterMarks.getOrDefault(id, 0)) {
+                                simulation.invariants.recordViolation("lost", "mark of " + id);
+                            }
+                        }
+                    });
+            Map<String, Boolean> machinesNow = store.machineUsage();
+            machineUsage.forEach(
+                    (id, used) -> {
+                        if (used && !machinesNow.getOrDefault(id, true)) {
+                            simulation.invariants.recordViolation(
+                                    "lost", id + " reads as never used");
+                        }
+                    });
+            capture();
+        }
+
+        void onWrite(String host) {
+            if (simulation.runsPreviousVersion(host)) {
+                previousVersionWrites++;
+                capture();
+            } else {
+                checkNothingLost();
+            }
+        }
+    }
+
+    @Property(tries = 40, seed = "2024", shrinking = ShrinkingMode.OFF)
+    void bothVersionsContinueFromEachOthersRecords(
+            @ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
+        simulate(seed, false);
+    }
+
+    /**
+     * The same with two nodes of the current version that keep a warm standby. The previous version
+     * does not know the standby's field, and drops it whenever it writes the shard's record.
+     */
+    @Property(tries = 40, seed = "78", shrinking = ShrinkingMode.OFF)
+    void previousVersionTakesOverFromLeadersWithAStandby(
+            @ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
+        simulate(seed, true);
+    }
+
+    private static void simulate(long seed, boolean standby) {
+        ClusterSimulation simulation =
+                new ClusterSimulation(
+                        seed,
+                        SimulationSettings.withStoreLimits(
+                                60, seed % 3 == 0 ? 1_024 : 2_048, seed % 2 == 0 ? 4 : 6),
+                        SimulationSettings.withStoreLimits(100, 8_192, 12),
+                        1,
+                        InjectedDefect.NONE,
+                        8);
+        simulation.controllers.get(0).startUpgraded();
+        simulation.controllers.get(1).startsOnUpgradeOnly = true;
+        if (standby) {
+            simulation.features = StandbySimulations.FEATURES;
+            simulation.controllers.get(2).startUpgraded();
+        } else {
+            simulation.controllers.get(2).startsOnUpgradeOnly = true;
+        }
+        PreviousVersionLeader previousVersionLeader =
+                new PreviousVersionLeader(simulation, "node-1", 8_192, 12);
+        DurableState durable = new DurableState(simulation);
+        simulation.store.onWrite = durable::onWrite;
+        for (int i = 0; i < 16; i++) {
+            simulation.users.submit(i, 1_000 + simulation.random.nextInt(100_000));
+        }
+        ClusterSimulation.Controller currentNode = simulation.controllers.get(0);
+        for (int i = 0; i < 4; i++) {
+            // The node of the current version is down until the other one's lease has expired, or
+            // both try at once.
+            long atMs = 10_000 + i * 35_000L + simulation.random.nextInt(10_000);
+            simulation.scheduleAt(
+                    atMs, () -> currentNode.crash(1_000 + simulation.random.nextInt(14_000)));
+            if (standby) {
+                // The standby is down as well, so that the previous version gets its turn.
+                simulation.scheduleAt(
+                        atMs,
+                        () ->
+                                simulation
+                                        .controllers
+                                        .get(2)
+                                        .crash(1_000 + simulation.random.nextInt(14_000)));
+            }
+            simulation.scheduleAt(
+                    atMs + simulation.random.nextInt(500),
+                    () -> previousVersionLeader.lead(8_000 + simulation.random.nextInt(9_000)));
+        }
+        if (seed % 5 == 0) {
+            simulation.scheduleAt(
+                    20_000, () -> simulation.store.loseResponses(4, seed % 2 == 0, 60_000));
+        }
+        simulation.scheduleAt(
+                30_000 + simulation.random.nextInt(110_000), simulation.store::applyCurrentLimits);
+        if (standby) {
+            // Once more, so that the named standby takes over.
+            simulation.scheduleAt(
+                    UPGRADE_MS - 10_000,
+                    () ->
+                            FaultInjection.currentLeaders(simulation)
+                                    .forEach(controller -> controller.crash(20_000)));
+        }
+        simulation.scheduleAt(UPGRADE_MS, () -> simulation.controllers.get(1).upgrade(500));
+        simulation.scheduleAt(UPGRADE_MS, () -> simulation.controllers.get(2).upgrade(900));
+        simulation.users.submitService(40, UPGRADE_MS + 20_000, 2, false);
+        simulation.faultFreeFromMs = FAULT_FREE_FROM_MS;
+        simulation.scheduleAt(FAULT_FREE_FROM_MS, simulation.invariants::checkWaitingJobs);
+        simulation.run(END_MS, List.of());
+        simulation.invariants.checkAtEnd();
+        String log = "seed " + seed + "\n" + String.join("\n", simulation.log);
+        assertEquals(List.of(), simulation.invariants.violations, log);
+        assertTrue(
+                previousVersionLeader.failovers > 0,
+                () -> "the former version never took the part\n" + log);
+        assertTrue(
+                durable.previousVersionWrites
+                        > (standby ? MIN_WRITES_BESIDE_TWO_NODES : MIN_WRITES),
+                () -> "it hardly wrote anything: " + durable.previousVersionWrites);
+        assertEquals(
+                List.of(),
+                simulation.users.jobs.values().stream()
+                        .filter(
+                                job ->
+                                        job.accepted
+                                                && job.spec.workloadType().runsToCompletion()
+                                                && !job.doneConfirmed
+                                                && !job.cancelConfirmed)
+                        .map(job -> job.spec.id())
+                        .toList(),
+                log);
+        assertEquals(List.of(), simulation.users.missingReplicas(), log);
+    }
+}
--- a/src/test/java/org/shoreusher/model/FormerStore.java
+++ b/src/test/java/org/shoreusher/simulation/PreviousVersionStore.java
@@ -1,4 +1,4 @@
-package org.shoreusher.model;
+package org.shoreusher.simulation;
 
 import java.util.BitSet;
 import java.util.HashMap;
@@ -13,15 +13,15 @@
  * version alone: it skips keys and fields that the version does not know, and uses no code of the
  * current version.
  */
-final class FormerStore {
-    private final StateModel state;
+final class PreviousVersionStore {
+    private final SimulatedStore store;
 
-    FormerStore(StateModel state) {
-        this.state = state;
+    PreviousVersionStore(SimulatedStore store) {
+        this.store = store;
     }
 
     /** The task numbers of a text such as 0-4,7. */
-    static BitSet ranges(Object text) {
+    static BitSet parseRanges(Object text) {
         BitSet set = new BitSet();
         for (String range : ((String) text).split(",")) {
             String[] ends = range.split("-");
@@ -30,7 +30,7 @@
         return set;
     }
 
-    private static Map<?, ?> map(Map<String, Object> value, String field) {
+    private static Map<?, ?> mapField(Map<String, Object> value, String field) {
         return (Map<?, ?>) value.get(field);
     }
 
@@ -38,15 +38,15 @@
      * Completed tasks by job: those of the shard's own record and of the overflow records up to the
      * first gap.
      */
-    Map<String, BitSet> finished() {
+    Map<String, BitSet> completedTasks() {
         Map<String, BitSet> all = new HashMap<>();
-        for (int c = 0; c == 0 || state.value("part/0/done/" + c) != null; c++) {
-            Map<String, Object> record = state.value(c == 0 ? "part/0" : "part/0/done/" + c);
-            map(record, "done")
+        for (int c = 0; c == 0 || store.value("part/0/done/" + c) != null; c++) {
+            Map<String, Object> record = store.value(c == 0 ? "part/0" : "part/0/done/" + c);
+            mapField(record, "done")
                     .forEach(
                             (id, text) ->
                                     all.computeIfAbsent((String) id, i -> new BitSet())
-                                            .or(ranges(text)));
+                                            .or(parseRanges(text)));
         }
         return all;
     }
@@ -55,10 +55,10 @@
      * High-water marks by job: no task from this number on was ever started. The larger of two
      * marks counts.
      */
-    Map<String, Integer> marks() {
+    Map<String, Integer> highWaterMarks() {
         Map<String, Integer> marks = new HashMap<>();
-        for (int c = 0; state.value("part/0/begun/" + c) != null; c++) {
-            map(state.value("part/0/begun/" + c), "begun")
+        for (int c = 0; store.value("part/0/begun/" + c) != null; c++) {
+            mapField(store.value("part/0/begun/" + c), "begun")
                     .forEach(
                             (id, below) ->
                                     marks.merge(
@@ -71,18 +71,18 @@
      * Machines in any group, and whether all of its records say that it may have run tasks. Which
      * of two records that version uses depends on the order in which it sees them.
      */
-    Map<String, Boolean> machines() {
+    Map<String, Boolean> machineUsage() {
         Map<String, Boolean> machines = new HashMap<>();
-        state.all("machine/")
+        store.valuesWithPrefix("machine/")
                 .forEach(
                         (key, group) ->
-                                map(group, "machines")
+                                mapField(group, "machines")
                                         .forEach(
                                                 (sign, fields) ->
                                                         machines.merge(
                                                                 key.substring("machine/".length())
                                                                         + sign,
-                                                                used(fields),
+                                                                isUsed(fields),
                                                                 Boolean::logicalAnd)));
         return machines;
     }
@@ -91,32 +91,32 @@
      * Machines of which one record says that they may have run tasks, and another says that they
      * have not.
      */
-    Set<String> contradictedMachines() {
-        Map<String, Boolean> all = machines();
+    Set<String> contradictoryMachines() {
+        Map<String, Boolean> all = machineUsage();
         Set<String> contradicted = new TreeSet<>();
-        state.all("machine/")
+        store.valuesWithPrefix("machine/")
                 .forEach(
                         (key, group) ->
-                                map(group, "machines")
+                                mapField(group, "machines")
                                         .forEach(
                                                 (sign, fields) -> {
                                                     String id =
                                                             key.substring("machine/".length())
                                                                     + sign;
-                                                    if (used(fields) && !all.get(id)) {
+                                                    if (isUsed(fields) && !all.get(id)) {
                                                         contradicted.add(id);
                                                     }
                                                 }));
         return contradicted;
     }
 
-    private static boolean used(Object fields) {
+    private static boolean isUsed(Object fields) {
         return ((Number) ((List<?>) fields).get(5)).longValue() == 1;
     }
 
     /** A job as that version knows it. */
-    record KnownJob(String status, int tasks) {
-        boolean open() {
+    record KnownJob(String status, int taskCount) {
+        boolean isOpen() {
             return status.equals("OPEN");
         }
     }
@@ -124,24 +124,24 @@
     /** All jobs: a job's own record takes precedence over a batch record. */
     Map<String, KnownJob> jobs() {
         Map<String, KnownJob> jobs = new TreeMap<>();
-        state.all("arrived/")
+        store.valuesWithPrefix("arrived/")
                 .forEach(
                         (key, value) ->
-                                map(value, "jobs")
+                                mapField(value, "jobs")
                                         .forEach(
                                                 (id, job) ->
                                                         jobs.put(
                                                                 (String) id,
-                                                                job((Map<?, ?>) job))));
-        state.all("job/")
-                .forEach((key, value) -> jobs.put(key.substring("job/".length()), job(value)));
+                                                                readJob((Map<?, ?>) job))));
+        store.valuesWithPrefix("job/")
+                .forEach((key, value) -> jobs.put(key.substring("job/".length()), readJob(value)));
         return jobs;
     }
 
-    private static KnownJob job(Map<?, ?> record) {
+    private static KnownJob readJob(Map<?, ?> record) {
         int tasks = ((Number) record.get("tasks")).intValue();
         KnownJob job = new KnownJob((String) record.get("status"), tasks);
-        if (job.open()) {
+        if (job.isOpen()) {
             // Any other workload type would crash a process of that version.
             Object shape = ((Map<?, ?>) record.get("spec")).get("shape");
             if (!"sweep".equals(shape)) {
--- /dev/null
+++ b/src/test/java/org/shoreusher/simulation/SaturatedCluster.java
@@ -0,0 +1,109 @@
+package org.shoreusher.simulation;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import java.util.Map;
+import java.util.function.BiConsumer;
+import org.shoreusher.core.JobSpecBuilder;
+import org.shoreusher.simulation.ClusterSimulation.Fault;
+import org.shoreusher.simulation.ClusterSimulation.InjectedDefect;
+
+/** Three controllers with a warm standby, teams at their quota, and jobs of short tasks. */
+final class SaturatedCluster {
+    static final long FAULT_MS = 40_000;
+    static final long FAULT_FREE_FROM_MS = 110_000;
+    static final long END_MS = 220_000;
+
+    /** Shorter than the workers' lease of 8 s, and longer than a failover, which takes 4 to 6 s. */
+    static final long UNRESPONSIVE_MS = 6_700;
+
+    /**
+     * For this time, in ms, no worker loses a lease that was renewed before: 8 s less the longest
+     * interval between heartbeats.
+     */
+    static final long LEASES_VALID_MS = 6_000;
+
+    static final long DOWNTIME_MS = 25_000;
+
+    /** Runs a simulation with jobs of short tasks that keep both teams at their quota. */
+    static ClusterSimulation simulate(long seed, List<Fault> faults) {
+        ClusterSimulation simulation =
+                new ClusterSimulation(seed, SimulationSettings.standard(), 1, InjectedDefect.NONE);
+        simulation.features = StandbySimulations.FEATURES;
+        for (int i = 0; i < 16; i++) {
+            simulation.users.submit(
+                    new SimulatedUsers.SimulatedJob(
+                            new JobSpecBuilder(String.format("wk-%06d", i))
+                                    .team("team-" + i % 2)
+                                    .taskCount(20)
+                                    .estimatedRunS(4)
+                                    .build(),
+                            false,
+                            4_000),
+                    1_000 + i * 500L);
+        }
+        simulation.faultFreeFromMs = FAULT_FREE_FROM_MS;
+        simulation.scheduleAt(FAULT_FREE_FROM_MS, simulation.invariants::checkWaitingJobs);
+        simulation.run(END_MS, faults);
+        simulation.invariants.checkAtEnd();
+        return simulation;
+    }
+
+    /** The same with one fault that hits the leader. */
+    static ClusterSimulation simulate(
+            long seed, BiConsumer<ClusterSimulation, ClusterSimulation.Controller> fault) {
+        return simulate(seed, List.of(faultOnLeader(FAULT_MS, fault)));
+    }
+
+    /** A fault that hits the current leader of the shard. */
+    static Fault faultOnLeader(
+            long atMs, BiConsumer<ClusterSimulation, ClusterSimulation.Controller> fault) {
+        return new Fault(
+                atMs,
+                cluster ->
+                        List.copyOf(FaultInjection.currentLeaders(cluster))
+                                .forEach(controller -> fault.accept(cluster, controller)));
+    }
+
+    /** No invariant was violated, every job has ended, and no heartbeat contradicted a log. */
+    static void assertInvariants(ClusterSimulation simulation) {
+        assertEquals(
+                List.of(),
+                simulation.invariants.violations,
+                () -> String.join("\n", simulation.log));
+        assertEquals(
+                List.of(),
+                StandbySimulations.unfinishedJobs(simulation),
+                () -> String.join("\n", simulation.log));
+        assertEquals(
+                0,
+                StandbySimulations.promotionOutcomes(simulation)
+                        .getOrDefault("a report contradicts the log", 0),
+                () -> String.join("\n", simulation.log));
+    }
+
+    /** How many failovers continued from the replicated log. */
+    static int promotionsInSync(ClusterSimulation simulation) {
+        return StandbySimulations.promotionOutcomes(simulation).getOrDefault("in sync", 0);
+    }
+
+    /** The controller that the shard's record names as the standby; null if it names none. */
+    static ClusterSimulation.Controller namedStandby(ClusterSimulation simulation) {
+        Map<String, Object> record = simulation.store.value("part/0");
+        Object standby = record == null ? null : record.get("standby");
+        return simulation.controllers.stream()
+                .filter(
+                        controller ->
+                                standby != null
+                                        && standby.toString().startsWith(controller.host + "/"))
+                .findFirst()
+                .orElse(null);
+    }
+
+    /** How many failovers found that the record names another incarnation, or none. */
+    static int promotionsWithoutName(ClusterSimulation simulation) {
+        return StandbySimulations.promotionOutcomes(simulation)
+                .getOrDefault("the record does not name this process", 0);
+    }
+}
--- /dev/null
+++ b/src/test/java/org/shoreusher/simulation/ServiceFaultsTest.java
@@ -0,0 +1,272 @@
+package org.shoreusher.simulation;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Consumer;
+import net.jqwik.api.Example;
+import org.shoreusher.core.JobSpecBuilder;
+import org.shoreusher.core.message.Command;
+import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.simulation.ClusterSimulation.Fault;
+import org.shoreusher.simulation.ClusterSimulation.InjectedDefect;
+
+/** Simulations with services only, under faults that are hard on them. */
+class ServiceFaultsTest {
+    private static final long FAULT_MS = 60_000;
+    private static final long LEASE_MS = 8_000;
+    private static final long SEEDS = 6;
+
+    private static SimulatedUsers.SimulatedJob service(
+            int number,
+            String team,
+            int replicas,
+            double cpus,
+            boolean singleZone,
+            boolean spreadAcrossZones) {
+        return new SimulatedUsers.SimulatedJob(
+                new JobSpecBuilder(String.format("wk-%06d", number))
+                        .jobClass("gate")
+                        .team(team)
+                        .workloadType(JobSpec.WorkloadType.SERVICE)
+                        .priority(JobSpec.Priority.PRODUCTION)
+                        .taskCount(replicas)
+                        .cpus(cpus)
+                        .singleZone(singleZone)
+                        .spreadAcrossZones(spreadAcrossZones)
+                        .estimatedRunS(0)
+                        .build(),
+                false,
+                1_000);
+    }
+
+    /**
+     * A service that is spread across zones, one of a single zone, and one without zone
+     * constraints.
+     */
+    private static ClusterSimulation createSimulation(long seed) {
+        ClusterSimulation simulation =
+                new ClusterSimulation(seed, SimulationSettings.standard(), 1, InjectedDefect.NONE);
+        simulation.users.submit(service(0, "team-0", 4, 2, false, true), 5_000);
+        simulation.users.submit(service(1, "team-0", 3, 2, true, false), 6_000);
+        simulation.users.submit(service(2, "team-1", 3, 2, false, false), 7_000);
+        return simulation;
+    }
+
+    private static void runWithFault(
+            ClusterSimulation simulation, long untilMs, Consumer<ClusterSimulation> fault) {
+        simulation.scheduleAt(
+                FAULT_MS - 1,
+                () -> assertEquals(List.of(), simulation.users.missingReplicas(), log(simulation)));
+        simulation.run(untilMs, List.of(new Fault(FAULT_MS, fault)));
+        assertEquals(List.of(), simulation.invariants.violations, log(simulation));
+    }
+
+    private static String log(ClusterSimulation simulation) {
+        return String.join("\n", simulation.log);
+    }
+
+    private static List<SimulatedWorker> machinesWithTasks(ClusterSimulation simulation) {
+        List<SimulatedWorker> machines = new ArrayList<>();
+        simulation
+                .cloud
+                .machines()
+                .forEach(
+                        machine -> {
+                            if (machine.hasTasks()) {
+                                machines.add(machine);
+                            }
+                        });
+        return machines;
+    }
+
+    /** The replicas may still run there, and they do: none is started elsewhere. */
+    @Example
+    void machineThatHangsWithinItsLeaseKeepsItsReplicas() {
+        for (long seed = 0; seed < SEEDS; seed++) {
+            ClusterSimulation simulation = createSimulation(seed);
+            int[] starts = {0};
+            runWithFault(
+                    simulation,
+                    100_000,
+                    cluster -> {
+                        starts[0] = cluster.invariants.taskStarts;
+                        machinesWithTasks(cluster).forEach(machine -> machine.hang(LEASE_MS / 2));
+                    });
+            assertTrue(starts[0] >= 10, log(simulation));
+            assertEquals(starts[0], simulation.invariants.taskStarts, log(simulation));
+            assertEquals(List.of(), simulation.users.missingReplicas(), log(simulation));
+        }
+    }
+
+    @Example
+    void movesAllReplicasOnInterruptionNotices() {
+        for (long seed = 0; seed < SEEDS; seed++) {
+            ClusterSimulation simulation = createSimulation(seed);
+            // A boot takes up to 8.5 s here, and the images have to be fetched.
+            runWithFault(
+                    simulation,
+                    FAULT_MS + 30_000,
+                    cluster ->
+                            machinesWithTasks(cluster)
+                                    .forEach(machine -> machine.announceInterruption(10_000)));
+            assertEquals(List.of(), simulation.users.missingReplicas(), log(simulation));
+        }
+    }
+
+    /** The service of one zone may have to move as a whole, and no zone constraint is violated. */
+    @Example
+    void servicesWithZoneConstraintsRecoverFromAZoneLoss() {
+        for (long seed = 0; seed < SEEDS; seed++) {
+            for (String zone : List.of("a", "b")) {
+                ClusterSimulation simulation = createSimulation(seed);
+                runWithFault(
+                        simulation,
+                        FAULT_MS + 60_000,
+                        cluster ->
+                                cluster.cloud
+                                        .machines()
+                                        .forEach(
+                                                machine -> {
+                                                    if (machine.zone.equals(zone)) {
+                                                        cluster.cloud.terminate(machine);
+                                                    }
+                                                }));
+                assertEquals(List.of(), simulation.users.missingReplicas(), log(simulation));
+            }
+        }
+    }
+
+    /**
+     * The possible tasks of the machine count towards the quota until its lease has surely expired.
+     */
+    @Example
+    void serviceAtItsQuotaWaitsForTheLeaseOfAnUnreachableMachine() {
+        for (long seed = 0; seed < SEEDS; seed++) {
+            ClusterSimulation simulation =
+                    new ClusterSimulation(
+                            seed, SimulationSettings.standard(), 1, InjectedDefect.NONE);
+            simulation.users.submit(service(0, "team-0", 12, 2, false, true), 5_000);
+            int[] downAfterLease = {0};
+            simulation.scheduleAt(
+                    FAULT_MS + 30_000,
+                    () -> downAfterLease[0] = simulation.users.missingReplicas().size());
+            runWithFault(
+                    simulation,
+                    FAULT_MS + 40_000,
+                    cluster -> {
+                        SimulatedWorker machine = machinesWithTasks(cluster).get(0);
+                        cluster.controllers.forEach(
+                                controller ->
+                                        cluster.network.partition(
+                                                controller.host, machine.id, 60_000));
+                    });
+            assertEquals(0, downAfterLease[0], log(simulation));
+        }
+    }
+
+    private static void cancelAll(ClusterSimulation simulation, long afterMs) {
+        simulation.scheduleAfter(
+                afterMs, () -> simulation.users.jobs.values().forEach(simulation.users::cancel));
+    }
+
+    private static void assertCancelled(ClusterSimulation simulation) {
+        simulation
+                .users
+                .jobs
+                .values()
+                .forEach(job -> assertTrue(job.cancelConfirmed, log(simulation)));
+        simulation
+                .cloud
+                .machines()
+                .forEach(machine -> assertTrue(!machine.hasTasks(), log(simulation)));
+    }
+
+    @Example
+    void cancelsAServiceWhileItsReplicasMove() {
+        for (long seed = 0; seed < SEEDS; seed++) {
+            ClusterSimulation simulation = createSimulation(seed);
+            long cancelledAfterMs = 200 + seed * 1_000;
+            runWithFault(
+                    simulation,
+                    FAULT_MS + 50_000,
+                    cluster -> {
+                        machinesWithTasks(cluster)
+                                .forEach(machine -> machine.announceInterruption(6_000));
+                        cancelAll(cluster, cancelledAfterMs);
+                    });
+            assertCancelled(simulation);
+        }
+    }
+
+    @Example
+    void cancelsAServiceDuringFailover() {
+        for (long seed = 0; seed < SEEDS; seed++) {
+            ClusterSimulation simulation = createSimulation(seed);
+            long cancelledAfterMs = seed * 2_000;
+            runWithFault(
+                    simulation,
+                    FAULT_MS + 60_000,
+                    cluster -> {
+                        FaultInjection.currentLeaders(cluster)
+                                .forEach(controller -> controller.crash(300));
+                        cancelAll(cluster, cancelledAfterMs);
+                    });
+            assertCancelled(simulation);
+        }
+    }
+
+    /**
+     * The store refuses the leader alone, others confirm the cancellations, and then the store
+     * fails for all nodes for too long.
+     */
+    @Example
+    void cancelsAServiceUnseenByTheLeaderBeforeAnOutage() {
+        for (long seed = 0; seed < SEEDS; seed++) {
+            ClusterSimulation simulation = createSimulation(seed);
+            runWithFault(
+                    simulation,
+                    FAULT_MS + 90_000,
+                    cluster -> {
+                        FaultInjection.currentLeaders(cluster)
+                                .forEach(
+                                        controller ->
+                                                cluster.store.refuseHost(controller.host, 50_000));
+                        cancelAll(cluster, 500);
+                        cluster.scheduleAfter(6_000, () -> cluster.store.outage(40_000));
+                    });
+            assertCancelled(simulation);
+        }
+    }
+
+    private static boolean isRunning(WireResponse response) {
+        return response.status() == 200 && "running".equals(response.body().get("status"));
+    }
+
+    /** A service is polled for as long as it runs: the responses share reads of the store. */
+    @Example
+    void batchesReadsOfThousandsOfPolls() {
+        ClusterSimulation simulation = createSimulation(1);
+        int polls = 3_000;
+        int[] running = {0};
+        int[] handled = {0, 0};
+        simulation.scheduleAt(FAULT_MS - 1, () -> handled[0] = simulation.store.requestsHandled);
+        for (int i = 0; i < polls; i++) {
+            ClusterSimulation.Controller node = simulation.controllers.get(i % 3);
+            simulation.scheduleAt(
+                    FAULT_MS + i * 3L,
+                    () ->
+                            node.request(
+                                    requestId -> new Command.Poll(requestId, "wk-000000"),
+                                    response -> running[0] += isRunning(response) ? 1 : 0));
+        }
+        simulation.scheduleAt(
+                FAULT_MS + polls * 3L + 1_000, () -> handled[1] = simulation.store.requestsHandled);
+        runWithFault(simulation, FAULT_MS + polls * 3L + 2_000, cluster -> {});
+        assertTrue(running[0] > polls * 0.98, () -> "answered: " + running[0]);
+        int requests = handled[1] - handled[0];
+        assertTrue(requests < polls, () -> "requests: " + requests);
+    }
+}
--- /dev/null
+++ b/src/test/java/org/shoreusher/simulation/ServiceReplicaTest.java
@@ -0,0 +1,200 @@
+package org.shoreusher.simulation;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import net.jqwik.api.Example;
+import org.shoreusher.core.JobSpecBuilder;
+import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.core.message.WorkerHeartbeat.ExitCause;
+import org.shoreusher.core.message.WorkerHeartbeat.TaskState;
+import org.shoreusher.core.message.WorkerHeartbeat.TaskStatus;
+
+/** What a leader does with the replicas of services. */
+class ServiceReplicaTest {
+    private final SingleNodeSimulation node = new SingleNodeSimulation();
+    private int nextSequenceNumber = 1;
+
+    private static JobSpec service(String id, int replicas, double cpus) {
+        return new JobSpecBuilder(id)
+                .jobClass("gate")
+                .workloadType(JobSpec.WorkloadType.SERVICE)
+                .priority(JobSpec.Priority.PRODUCTION)
+                .taskCount(replicas)
+                .cpus(cpus)
+                .image("img")
+                .estimatedRunS(0)
+                .build();
+    }
+
+    private void startWithOneMachine() {
+        node.previousLeaderLeft("host-1");
+        node.runSteps(40);
+        node.heartbeat("host-1", nextSequenceNumber++, 5);
+        node.runSteps(3);
+        node.heartbeat("host-1", nextSequenceNumber++, 6);
+        node.runSteps(3);
+    }
+
+    private List<String> heartbeatAndGetStarts(TaskStatus... tasks) {
+        List<String> started = node.heartbeatAndGetStarts("host-1", nextSequenceNumber++, 6, tasks);
+        node.runSteps(3);
+        return started;
+    }
+
+    private static TaskStatus replicaStatus(
+            int n, long attemptNumber, TaskState state, ExitCause exitCause) {
+        return new TaskStatus("wk-1", n, (6L << 24) + attemptNumber, state, exitCause);
+    }
+
+    /**
+     * A replica that exits, even successfully, runs again under a new attempt. The job never
+     * completes, and the worker may forget the old attempt at once.
+     */
+    @Example
+    void restartsAReplicaThatExits() {
+        startWithOneMachine();
+        assertEquals(201, node.submit(service("wk-1", 1, 2)));
+        List<String> first = new ArrayList<>();
+        while (first.isEmpty() && nextSequenceNumber < 20) {
+            first.addAll(heartbeatAndGetStarts());
+        }
+        assertEquals(List.of("wk-1/0"), first);
+        heartbeatAndGetStarts(replicaStatus(0, 1, TaskState.RUNNING, ExitCause.NONE));
+        assertEquals("running", node.pollStatus("wk-1"));
+        for (int i = 0; i < 20; i++) {
+            node.runSteps(20);
+            assertEquals(
+                    List.of(),
+                    heartbeatAndGetStarts(replicaStatus(0, 1, TaskState.RUNNING, ExitCause.NONE)));
+        }
+        List<String> orders =
+                node.heartbeat(
+                        "host-1",
+                        nextSequenceNumber++,
+                        6,
+                        replicaStatus(0, 1, TaskState.EXITED, ExitCause.COMPLETED));
+        assertTrue(orders.contains("forget"), () -> "orders " + orders);
+        List<String> again =
+                new ArrayList<>(orders.contains("run") ? List.of("wk-1/0") : List.of());
+        for (int i = 0; again.isEmpty() && i < 30; i++) {
+            again.addAll(heartbeatAndGetStarts());
+        }
+        assertEquals(List.of("wk-1/0"), again);
+        assertEquals("running", node.pollStatus("wk-1"));
+    }
+
+    /** A replica that fails at once again and again is retried with growing delays. */
+    @Example
+    void backsOffForAReplicaThatAlwaysFails() {
+        startWithOneMachine();
+        node.submit(service("wk-1", 1, 2));
+        int starts = 0;
+        long attemptNumber = 0;
+        boolean there = false;
+        for (int i = 0; i < 400; i++) {
+            List<String> started =
+                    there
+                            ? heartbeatAndGetStarts(
+                                    replicaStatus(
+                                            0, attemptNumber, TaskState.EXITED, ExitCause.ERROR))
+                            : heartbeatAndGetStarts();
+            there = !started.isEmpty();
+            attemptNumber += started.size();
+            starts += started.size();
+        }
+        int all = starts;
+        // In 96 s: with delays of 1, 2, 4, 8, 16 and 30 s.
+        assertTrue(all >= 4 && all <= 12, () -> "starts " + all);
+    }
+
+    /**
+     * A replica that fails at once on every machine is tried on another machine each time, with
+     * backoff. It does not count against the machines: none of them is cordoned.
+     */
+    @Example
+    void doesNotBlameMachinesForAReplicaThatFailsEverywhere() {
+        List<String> machines = List.of("host-1", "host-2", "host-3");
+        node.previousLeaderLeft(machines.toArray(new String[0]));
+        node.runSteps(40);
+        machines.forEach(machine -> node.heartbeat(machine, nextSequenceNumber++, 5));
+        node.runSteps(3);
+        machines.forEach(machine -> node.heartbeat(machine, nextSequenceNumber++, 6));
+        assertEquals(201, node.submit(service("wk-1", 1, 2)));
+        List<String> startedOn = new ArrayList<>();
+        for (int round = 0; round < 150; round++) {
+            for (String machine : machines) {
+                boolean last =
+                        !startedOn.isEmpty() && startedOn.get(startedOn.size() - 1).equals(machine);
+                TaskStatus failed =
+                        replicaStatus(0, startedOn.size(), TaskState.EXITED, ExitCause.ERROR);
+                List<String> started =
+                        last
+                                ? node.heartbeatAndGetStarts(
+                                        machine, nextSequenceNumber++, 6, failed)
+                                : node.heartbeatAndGetStarts(machine, nextSequenceNumber++, 6);
+                node.runSteps(2);
+                started.forEach(taskName -> startedOn.add(machine));
+            }
+        }
+        assertTrue(startedOn.size() >= 4 && startedOn.size() <= 12, () -> "starts " + startedOn);
+        assertEquals(
+                3,
+                startedOn.subList(0, 3).stream().distinct().count(),
+                () -> "starts " + startedOn);
+        assertEquals(
+                List.of(), node.log.stream().filter(line -> line.startsWith("retired")).toList());
+    }
+
+    /**
+     * Batch tasks of lower priority are preempted at once when a replica finds no capacity. The
+     * replica is placed as soon as that is free.
+     */
+    @Example
+    void preemptsBatchTasksForReplicas() {
+        startWithOneMachine();
+        node.addOpenJob("wk-2", 4, 2);
+        List<String> batch = new ArrayList<>();
+        while (batch.isEmpty() && nextSequenceNumber < 20) {
+            batch.addAll(heartbeatAndGetStarts());
+        }
+        assertEquals(4, batch.size());
+        TaskStatus[] running = new TaskStatus[4];
+        for (int i = 0; i < 4; i++) {
+            running[i] =
+                    new TaskStatus(
+                            "wk-2", i, (6L << 24) + 1 + i, TaskState.RUNNING, ExitCause.NONE);
+        }
+        assertFalse(node.heartbeat("host-1", nextSequenceNumber++, 6, running).contains("halt"));
+        assertEquals(201, node.submit(service("wk-1", 1, 2)));
+        node.runSteps(4);
+        List<String> orders = node.heartbeat("host-1", nextSequenceNumber++, 6, running);
+        assertEquals(
+                1,
+                orders.stream().filter(verb -> verb.equals("halt")).count(),
+                () -> "one of them is enough: " + orders);
+        node.runSteps(3);
+        running[0] = new TaskStatus("wk-2", 0, (6L << 24) + 1, TaskState.EXITED, ExitCause.STOPPED);
+        TaskStatus[] all = running;
+        List<String> next = new ArrayList<>();
+        for (int stopped = 0; stopped < 4; stopped++) {
+            TaskStatus[] seen = all.clone();
+            for (int i = 0; i < 4; i++) {
+                seen[i] =
+                        new TaskStatus(
+                                "wk-2",
+                                i,
+                                (6L << 24) + 1 + i,
+                                i == stopped ? TaskState.EXITED : TaskState.RUNNING,
+                                i == stopped ? ExitCause.STOPPED : ExitCause.NONE);
+            }
+            if (next.isEmpty()) {
+                next.addAll(heartbeatAndGetStarts(seen));
+            }
+        }
+        assertEquals(List.of("wk-1/0"), next, "not another batch task");
+    }
+}
--- /dev/null
+++ b/src/test/java/org/shoreusher/simulation/SimulatedCloud.java
@@ -0,0 +1,232 @@
+package org.shoreusher.simulation;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import org.shoreusher.core.message.Effect.CloudOperation;
+
+/**
+ * A simulated cloud with inventories that lag and machines that never boot. It has one machine
+ * type. With more than two zones it also has a large type, which is cheaper per CPU, has little
+ * capacity, and is the only type in the last zone.
+ */
+final class SimulatedCloud {
+    static final String SMALL_TYPE = "box";
+    static final double SMALL_CPUS = 8;
+    static final String LARGE_TYPE = "large";
+    static final double LARGE_CPUS = 32;
+
+    /** Machines in a page of an inventory. */
+    private static final int PAGE_SIZE = 500;
+
+    /** Interval between two inventories, in ms. */
+    private static final long SNAPSHOT_INTERVAL_MS = 500;
+
+    private final ClusterSimulation simulation;
+    private final int capacity;
+    private final TreeMap<String, SimulatedWorker> machines = new TreeMap<>();
+    private final Map<String, SimulatedWorker> machineByAddress = new HashMap<>();
+    private final TreeMap<Long, List<Object>> snapshots = new TreeMap<>();
+    private final Map<String, Map<String, Object>> responsesByRequestName = new HashMap<>();
+    private long outageUntilMs;
+    private int machinesNamed;
+    private int peakMachines;
+
+    /** Whether machines boot within two seconds. */
+    boolean fastBoots;
+
+    SimulatedCloud(ClusterSimulation simulation, int capacity) {
+        this.simulation = simulation;
+        this.capacity = capacity;
+        takeSnapshot();
+    }
+
+    static double cpusOfType(String type) {
+        return type.equals(LARGE_TYPE) ? LARGE_CPUS : SMALL_CPUS;
+    }
+
+    void outage(long durationMs) {
+        outageUntilMs = simulation.nowMs + durationMs;
+    }
+
+    Iterable<SimulatedWorker> machines() {
+        return new ArrayList<>(machines.values());
+    }
+
+    /** The highest number of machines that were provisioned at one time. */
+    int peakMachines() {
+        return peakMachines;
+    }
+
+    /** The machine of that name; null if it does not exist. */
+    SimulatedWorker machine(String id) {
+        return machines.get(id);
+    }
+
+    SimulatedWorker machineByAddress(String address) {
+        return machineByAddress.get(address);
+    }
+
+    void terminate(SimulatedWorker machine) {
+        machines.remove(machine.id);
+        machineByAddress.remove(machine.address());
+        machine.terminate();
+    }
+
+    private void takeSnapshot() {
+        List<Object> list = new ArrayList<>();
+        for (SimulatedWorker machine : machines.values()) {
+            Map<String, Object> fields = new LinkedHashMap<>();
+            fields.put("name_id", machine.id);
+            fields.put("press", machine.type);
+            fields.put("yard", machine.zone);
+            fields.put("loaners", machine.spot);
+            fields.put("status", machine.isUp() ? "running" : "booting");
+            fields.put("age_s", (simulation.nowMs - machine.provisionedAtMs) / 1000.0);
+            list.add(fields);
+        }
+        snapshots.put(simulation.nowMs, list);
+        snapshots.headMap(simulation.nowMs - 2 * listLagMs() - SNAPSHOT_INTERVAL_MS).clear();
+        simulation.scheduleAfter(SNAPSHOT_INTERVAL_MS, this::takeSnapshot);
+    }
+
+    private long listLagMs() {
+        return (long) (simulation.settings.inventoryLagS() * 1000);
+    }
+
+    /**
+     * A page of an inventory, which may be older than the one that the page before was taken from.
+     */
+    private Map<String, Object> page(String after) {
+        long lag = (long) (listLagMs() * 2 * simulation.random.nextDouble());
+        List<Object> list = snapshots.floorEntry(Math.max(0, simulation.nowMs - lag)).getValue();
+        int first = 0;
+        while (after != null
+                && first < list.size()
+                && machineName(list.get(first)).compareTo(after) <= 0) {
+            first++;
+        }
+        int last = Math.min(list.size(), first + PAGE_SIZE);
+        return Map.of("boxes", list.subList(first, last), "more", last < list.size());
+    }
+
+    private static String machineName(Object listed) {
+        return (String) ((Map<?, ?>) listed).get("name_id");
+    }
+
+    void handle(CloudOperation operation, ClusterSimulation.ReplyHandler reply) {
+        if (simulation.nowMs < outageUntilMs) {
+            reply.respond(503, Map.of("error", "trouble"));
+        } else if (operation instanceof CloudOperation.ListTypes) {
+            reply.respond(200, Map.of("presses", machineTypes()));
+        } else if (operation instanceof CloudOperation.ListMachines listing) {
+            reply.respond(200, page(listing.afterMachineId()));
+        } else if (operation instanceof CloudOperation.Terminate termination) {
+            for (String id : termination.machineIds()) {
+                SimulatedWorker machine = machines.get(id);
+                if (machine != null) {
+                    terminate(machine);
+                }
+            }
+            reply.respond(200, Map.of());
+        } else {
+            provision((CloudOperation.Provision) operation, reply);
+        }
+    }
+
+    private List<Object> machineTypes() {
+        List<String> zones = simulation.settings.zones();
+        List<Object> types = new ArrayList<>();
+        types.add(
+                Map.of(
+                        "sku",
+                        SMALL_TYPE,
+                        "cpus",
+                        SMALL_CPUS,
+                        "mem_gb",
+                        32.0,
+                        "rate",
+                        1.0,
+                        "low_price",
+                        0.4,
+                        "ready_s",
+                        5.0,
+                        "yards",
+                        zones.subList(0, Math.max(2, zones.size() - 1))));
+        if (zones.size() > 2) {
+            types.add(
+                    Map.of(
+                            "sku",
+                            LARGE_TYPE,
+                            "cpus",
+                            LARGE_CPUS,
+                            "mem_gb",
+                            64.0,
+                            "rate",
+                            3.0,
+                            "low_price",
+                            1.0,
+                            "ready_s",
+                            6.0,
+                            "yards",
+                            zones));
+        }
+        return types;
+    }
+
+    private void provision(
+            CloudOperation.Provision provision, ClusterSimulation.ReplyHandler reply) {
+        Map<String, Object> before = responsesByRequestName.get(provision.name());
+        if (before != null) {
+            reply.respond(200, before);
+            return;
+        }
+        long used =
+                machines.values().stream()
+                        .filter(
+                                machine ->
+                                        machine.zone.equals(provision.zone())
+                                                && machine.type.equals(provision.type())
+                                                && machine.spot == provision.spot())
+                        .count();
+        int count =
+                (int)
+                        Math.min(
+                                provision.count(),
+                                (provision.type().equals(LARGE_TYPE) ? 1 + capacity / 8 : capacity)
+                                        - used);
+        if (count <= 0) {
+            reply.respond(503, Map.of("error", "no capacity"));
+            return;
+        }
+        List<Object> names = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            String id = String.format("host-%06d", machinesNamed++);
+            SimulatedWorker machine =
+                    new SimulatedWorker(
+                            simulation,
+                            id,
+                            provision.type(),
+                            provision.zone(),
+                            provision.spot(),
+                            machinesNamed);
+            machines.put(id, machine);
+            machineByAddress.put(machine.address(), machine);
+            names.add(id);
+            if (simulation.random.nextInt(12) > 0) {
+                simulation.scheduleAfter(
+                        fastBoots
+                                ? 100 + simulation.random.nextInt(1_800)
+                                : 500 + simulation.random.nextInt(8_000),
+                        machine::boot);
+            }
+        }
+        peakMachines = Math.max(peakMachines, machines.size());
+        Map<String, Object> answer = Map.of("boxes", names);
+        responsesByRequestName.put(provision.name(), answer);
+        reply.respond(200, answer);
+    }
+}
--- a/src/test/java/org/shoreusher/model/ModelSettings.java
+++ b/src/test/java/org/shoreusher/simulation/SimulationSettings.java
@@ -1,4 +1,4 @@
-package org.shoreusher.model;
+package org.shoreusher.simulation;
 
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -7,11 +7,11 @@
 import org.shoreusher.settings.SettingsBuilder;
 
 /** Settings of simulations. */
-final class ModelSettings {
-    private ModelSettings() {}
+final class SimulationSettings {
+    private SimulationSettings() {}
 
     /** Three nodes in two zones, two teams, and limits that allow a busy cluster. */
-    static Settings usual() {
+    static Settings standard() {
         // In this order in every run, since the core goes through the teams.
         Map<String, Settings.Team> teams = new LinkedHashMap<>();
         teams.put("team-0", new Settings.Team("team-0", 16, 24, 0, 0));
@@ -43,31 +43,31 @@
     }
 
     /** The same under other limits of the store. */
-    static Settings limits(double writeRps, int valueBytes, int txnOps) {
-        return new SettingsBuilder(usual()).limits(writeRps, valueBytes, txnOps).build();
+    static Settings withStoreLimits(double writeRps, int valueBytes, int txnOps) {
+        return new SettingsBuilder(standard()).storeLimits(writeRps, valueBytes, txnOps).build();
     }
 
     /**
      * Five nodes in four zones, a store that allows few requests and changes, with the shortest
      * transactions allowed or twice those, a team without quota, and machines of two sizes.
      */
-    static Settings spread(long seed) {
+    static Settings manyNodesFewWrites(long seed) {
         double none = Double.POSITIVE_INFINITY;
-        return new SettingsBuilder(usual())
-                .nodes(5)
+        return new SettingsBuilder(standard())
+                .nodeCount(5)
                 .zones("a", "b", "c", "d")
                 .teams(new Settings.Team("team-0", 0, none, 0, none))
-                .stateRps(120)
-                .limits(20, 4096, seed % 2 == 0 ? 4 : 8)
-                .cloudRps(8)
-                .sockets(1500)
-                .clockOffMs(25)
+                .storeRequestsPerS(120)
+                .storeLimits(20, 4096, seed % 2 == 0 ? 4 : 8)
+                .cloudRequestsPerS(8)
+                .maxSockets(1500)
+                .maxClockOffsetMs(25)
                 .build();
     }
 
     /** Teams with a quota for more than the machines that a few jobs need. */
-    static Settings roomy() {
-        return new SettingsBuilder(usual())
+    static Settings ampleQuota() {
+        return new SettingsBuilder(standard())
                 .teams(
                         new Settings.Team("team-0", 0, 40, 0, 0),
                         new Settings.Team("team-1", 0, 200, 0, 0))
@@ -76,14 +76,14 @@
 
     /** Two large teams, and workers with a heartbeat every 5 s. */
     static Settings large() {
-        return new SettingsBuilder(usual())
+        return new SettingsBuilder(standard())
                 .teams(
                         new Settings.Team("team-0", 3_000, 5_000, 0, 0),
                         new Settings.Team("team-1", 3_000, 8_000, 0, 0))
                 .workers(5, 26, 46)
-                .limits(usual().storeWritesPerS(), 8_192, 20)
-                .sockets(2_600)
-                .clockOffMs(25)
+                .storeLimits(standard().storeWritesPerS(), 8_192, 20)
+                .maxSockets(2_600)
+                .maxClockOffsetMs(25)
                 .build();
     }
 
@@ -93,7 +93,7 @@
                 .teams(
                         new Settings.Team("team-0", 8_000, 24_000, 0, 0),
                         new Settings.Team("team-1", 8_000, 24_000, 0, 0))
-                .sockets(9_000)
+                .maxSockets(9_000)
                 .build();
     }
 }
--- /dev/null
+++ b/src/test/java/org/shoreusher/simulation/StandbyFaultsTest.java
@@ -0,0 +1,115 @@
+package org.shoreusher.simulation;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import net.jqwik.api.Example;
+import org.shoreusher.settings.Settings;
+import org.shoreusher.simulation.ClusterSimulation.Fault;
+
+/**
+ * The random faults of the other tests with a warm standby: on all controllers, on some, and beside
+ * processes with the limits of a previous version that are upgraded one after the other.
+ */
+class StandbyFaultsTest {
+    private static final int SIMULATIONS = 24;
+
+    private final Map<String, Integer> promotionOutcomes = new TreeMap<>();
+
+    private void assertInvariantsAndCount(ClusterSimulation simulation, long seed) {
+        assertEquals(
+                List.of(),
+                simulation.invariants.violations,
+                () -> "seed " + seed + "\n" + String.join("\n", simulation.log));
+        assertEquals(
+                List.of(),
+                StandbySimulations.unfinishedJobs(simulation),
+                () -> "seed " + seed + "\n" + String.join("\n", simulation.log));
+        StandbySimulations.promotionOutcomes(simulation)
+                .forEach((how, n) -> promotionOutcomes.merge(how, n, Integer::sum));
+    }
+
+    private void assertPromotions(int leastInSync) {
+        assertEquals(0, promotionOutcomes.getOrDefault("a report contradicts the log", 0));
+        assertTrue(
+                promotionOutcomes.getOrDefault("in sync", 0) >= leastInSync,
+                () -> "promotions: " + promotionOutcomes);
+    }
+
+    @Example
+    void keepsInvariantsUnderCompoundFaults() {
+        for (long seed = 0; seed < SIMULATIONS; seed++) {
+            assertInvariantsAndCount(
+                    StandbySimulations.simulate(
+                            seed,
+                            SimulationSettings.standard(),
+                            CompoundFailuresTest.compoundFaults(seed)),
+                    seed);
+        }
+        assertPromotions(SIMULATIONS);
+    }
+
+    @Example
+    void keepsInvariantsWithFewWritesAndManyNodes() {
+        for (long seed = 0; seed < SIMULATIONS / 2; seed++) {
+            assertInvariantsAndCount(
+                    StandbySimulations.simulate(
+                            seed,
+                            SimulationSettings.manyNodesFewWrites(seed),
+                            FaultInjection.randomFaults(seed, 5)),
+                    seed);
+        }
+        assertPromotions(SIMULATIONS / 4);
+    }
+
+    /**
+     * Controllers with and without the feature acquire the shard from each other in every order.
+     */
+    @Example
+    void keepsInvariantsWhenOnlySomeNodesHaveTheFeature() {
+        for (long seed = 0; seed < SIMULATIONS; seed++) {
+            ClusterSimulation simulation =
+                    new ClusterSimulation(
+                            seed,
+                            SimulationSettings.standard(),
+                            1,
+                            ClusterSimulation.InjectedDefect.NONE);
+            simulation.features = StandbySimulations.FEATURES;
+            long without = seed % 3;
+            simulation.hasFeatures = process -> process != without;
+            StandbySimulations.submitAndRun(simulation, StandbySimulations.randomCrashes(seed));
+            assertInvariantsAndCount(simulation, seed);
+        }
+        assertPromotions(SIMULATIONS / 2);
+    }
+
+    /** The limits drop while leaders crash, and processes are upgraded one after the other. */
+    @Example
+    void keepsInvariantsWhenStoreLimitsDropDuringFailovers() {
+        Settings previousSettings = SimulationSettings.withStoreLimits(100, 8_192, 20);
+        Settings currentSettings = SimulationSettings.withStoreLimits(40, 4_096, 8);
+        for (long seed = 0; seed < SIMULATIONS / 2; seed++) {
+            ClusterSimulation simulation =
+                    new ClusterSimulation(
+                            seed,
+                            currentSettings,
+                            previousSettings,
+                            1,
+                            ClusterSimulation.InjectedDefect.NONE,
+                            8);
+            simulation.features = StandbySimulations.FEATURES;
+            List<Fault> faults = new java.util.ArrayList<>(StandbySimulations.randomCrashes(seed));
+            for (int i = 0; i < 3; i++) {
+                ClusterSimulation.Controller process = simulation.controllers.get(i);
+                faults.add(new Fault(50_000 + i * 9_000L, cluster -> process.upgrade(1_000)));
+            }
+            faults.add(new Fault(85_000, cluster -> cluster.store.applyCurrentLimits()));
+            StandbySimulations.submitAndRun(simulation, faults);
+            assertInvariantsAndCount(simulation, seed);
+        }
+        assertPromotions(SIMULATIONS / 4);
+    }
+}
--- /dev/null
+++ b/src/test/java/org/shoreusher/simulation/StandbyRandomCrashesTest.java
@@ -0,0 +1,52 @@
+package org.shoreusher.simulation;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import net.jqwik.api.Example;
+
+/**
+ * Leaders crash at random points: in the middle of a batch, between any two effects. No job is
+ * lost, none is duplicated, and the standby takes over from its log.
+ */
+class StandbyRandomCrashesTest {
+    /** Simulations in each run; {@code -Dstandby.worlds=N} runs more. */
+    private static final int SIMULATIONS = Integer.getInteger("standby.worlds", 60);
+
+    @Example
+    void leaderCrashAtAnyEffectLosesAndDuplicatesNothing() {
+        Map<String, Integer> promotions = new TreeMap<>();
+        for (long seed = 0; seed < SIMULATIONS; seed++) {
+            long number = seed;
+            ClusterSimulation simulation =
+                    StandbySimulations.simulate(
+                            seed,
+                            SimulationSettings.standard(),
+                            StandbySimulations.randomCrashes(seed));
+            assertEquals(
+                    List.of(),
+                    simulation.invariants.violations,
+                    () -> "seed " + number + "\n" + String.join("\n", simulation.log));
+            assertEquals(
+                    List.of(),
+                    StandbySimulations.unfinishedJobs(simulation),
+                    () -> "seed " + number + "\n" + String.join("\n", simulation.log));
+            assertEquals(
+                    List.of(),
+                    simulation.log.stream()
+                            .filter(line -> line.contains("the log does not have"))
+                            .toList(),
+                    () -> "seed " + number + "\n" + String.join("\n", simulation.log));
+            StandbySimulations.promotionOutcomes(simulation)
+                    .forEach((how, n) -> promotions.merge(how, n, Integer::sum));
+        }
+        System.out.println("promotions in " + SIMULATIONS + " worlds: " + promotions);
+        assertEquals(0, promotions.getOrDefault("a report contradicts the log", 0));
+        assertTrue(
+                promotions.getOrDefault("in sync", 0) > 2 * SIMULATIONS,
+                () -> "too few promotions from the log: " + promotions);
+    }
+}
--- /dev/null
+++ b/src/test/java/org/shoreusher/simulation/UnseenCancellationsTest.java
@@ -0,0 +1,148 @@
+package org.shoreusher.simulation;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Random;
+import net.jqwik.api.Example;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import net.jqwik.api.ShrinkingMode;
+import net.jqwik.api.constraints.LongRange;
+import org.shoreusher.core.JobSpecBuilder;
+import org.shoreusher.simulation.ClusterSimulation.Fault;
+import org.shoreusher.simulation.ClusterSimulation.InjectedDefect;
+
+/**
+ * Cancellations that are confirmed by another node while the leader cannot see them: the tasks are
+ * stopped in time all the same.
+ */
+class UnseenCancellationsTest {
+    private static final long FAULT_MS = 60_000;
+
+    /** Long tasks of jobs that all run when the fault begins. */
+    private static ClusterSimulation simulate(long seed, List<Fault> faults) {
+        ClusterSimulation simulation =
+                new ClusterSimulation(seed, SimulationSettings.standard(), 1, InjectedDefect.NONE);
+        for (int i = 0; i < 16; i++) {
+            simulation.users.submit(
+                    new SimulatedUsers.SimulatedJob(
+                            new JobSpecBuilder(String.format("wk-%06d", i))
+                                    .team("team-" + i % 2)
+                                    .taskCount(1 + i % 4)
+                                    .image("img-" + i % 3)
+                                    .estimatedRunS(90)
+                                    .build(),
+                            false,
+                            120_000),
+                    1_000 + i * 500L);
+        }
+        simulation.run(220_000, faults);
+        simulation.invariants.checkAtEnd();
+        return simulation;
+    }
+
+    /** Cancels most of the jobs within two seconds. */
+    private static Fault cancelMostJobs(long atMs) {
+        return new Fault(
+                atMs,
+                cluster ->
+                        cluster.users.jobs.values().stream()
+                                .filter(
+                                        job ->
+                                                job.accepted
+                                                        && !job.doneConfirmed
+                                                        && !job.cancelRequested
+                                                        && cluster.random.nextInt(5) > 0)
+                                .toList()
+                                .forEach(
+                                        job ->
+                                                cluster.scheduleAfter(
+                                                        cluster.random.nextInt(1_500),
+                                                        () -> cluster.users.cancel(job))));
+    }
+
+    private static long countConfirmedCancellations(ClusterSimulation simulation) {
+        return simulation.users.jobs.values().stream().filter(job -> job.cancelConfirmed).count();
+    }
+
+    /**
+     * The store refuses the leader alone, other nodes confirm cancellations, and then the store
+     * fails for all nodes: for the length of a shard's lease, for lease and grace period, or for
+     * longer than the limit of a cancellation.
+     */
+    @Property(tries = 40, seed = "60", shrinking = ShrinkingMode.OFF)
+    void stopsTasksInTimeAlthoughTheLeaderNeverSeesTheCancellation(
+            @ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
+        Random random = new Random(seed);
+        long before = 1_000 + random.nextInt(19_000);
+        long outage =
+                new long[] {5_200, 14_500, 31_000, 60_000}[random.nextInt(4)]
+                        + random.nextInt(4_000)
+                        - 2_000;
+        List<Fault> faults = new ArrayList<>();
+        faults.add(
+                new Fault(
+                        FAULT_MS,
+                        simulation ->
+                                FaultInjection.currentLeaders(simulation)
+                                        .forEach(
+                                                controller ->
+                                                        simulation.store.refuseHost(
+                                                                controller.host,
+                                                                before + 14_000))));
+        faults.add(cancelMostJobs(FAULT_MS + random.nextInt(2_000)));
+        faults.add(new Fault(FAULT_MS + before, simulation -> simulation.store.outage(outage)));
+        if (random.nextInt(3) == 0) {
+            faults.add(
+                    new Fault(
+                            FAULT_MS + before,
+                            simulation ->
+                                    simulation
+                                            .cloud
+                                            .machines()
+                                            .forEach(
+                                                    machine ->
+                                                            machine.hang(random.nextInt(8_000)))));
+        }
+        ClusterSimulation simulation = simulate(seed, faults);
+        assertEquals(
+                List.of(),
+                simulation.invariants.violations,
+                () -> "seed " + seed + "\n" + String.join("\n", simulation.log));
+        assertTrue(countConfirmedCancellations(simulation) > 3, "hardly any cancellation");
+    }
+
+    /**
+     * Changes by others do not reach the leader, although its lease renewals do reach the store. It
+     * must not answer its workers forever, since a renewal does not show cancellations.
+     */
+    @Example
+    void leaderWithAStaleCacheReleasesItsWorkers() {
+        for (long seed = 0; seed < 6; seed++) {
+            ClusterSimulation simulation =
+                    simulate(
+                            seed,
+                            List.of(
+                                    new Fault(
+                                            FAULT_MS,
+                                            cluster ->
+                                                    FaultInjection.currentLeaders(cluster)
+                                                            .forEach(
+                                                                    controller ->
+                                                                            cluster.store
+                                                                                    .stallCacheUpdates(
+                                                                                            controller
+                                                                                                    .host,
+                                                                                            100_000))),
+                                    cancelMostJobs(FAULT_MS + 2_500)));
+            assertEquals(
+                    List.of(),
+                    simulation.invariants.violations,
+                    () -> String.join("\n", simulation.log));
+            assertTrue(countConfirmedCancellations(simulation) > 3, "hardly any cancellation");
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/org/shoreusher/simulation/WireResponse.java
@@ -0,0 +1,16 @@
+package org.shoreusher.simulation;
+
+import java.util.Map;
+import org.shoreusher.core.message.Effect;
+import org.shoreusher.wire.ResponseFormat;
+
+/** A response as its receiver sees it on the wire. */
+record WireResponse(long requestId, int status, Map<String, Object> body, int retryAfterS) {
+    static WireResponse of(Effect.Respond response) {
+        return new WireResponse(
+                response.requestId(),
+                ResponseFormat.statusCode(response.response()),
+                ClusterSimulation.deepCopy(ResponseFormat.body(response.response())),
+                ResponseFormat.retryAfterS(response.response()));
+    }
+}
--- a/src/test/java/org/shoreusher/standby/AttemptLogTest.java
+++ b/src/test/java/org/shoreusher/standby/AttemptLogTest.java
@@ -23,16 +23,16 @@
  * messages.
  */
 class AttemptLogTest {
-    private static final String OWNER = "node-0/a";
+    private static final String LEADER = "node-0/a";
     private static final String STANDBY = "node-1/b";
     private static final long TERM = 7;
     private static final int FRAME_RECORDS = 4;
-    private static final int MOST = 1_000;
+    private static final int MAX_ATTEMPTS = 1_000;
     private static final int TIMEOUT_MS = 1_000;
 
-    private final AttemptLogSender sender = new AttemptLogSender(0, TERM, OWNER, FRAME_RECORDS);
-    private final AttemptLogReceiver receiver = new AttemptLogReceiver(MOST);
-    private long now = 1;
+    private final AttemptLogSender sender = new AttemptLogSender(0, TERM, LEADER, FRAME_RECORDS);
+    private final AttemptLogReceiver receiver = new AttemptLogReceiver(MAX_ATTEMPTS);
+    private long nowMs = 1;
 
     private static Attempt attempt(int task) {
         AttemptId id = new AttemptId("wk-000001", task, (TERM << 24) + task);
@@ -40,33 +40,35 @@
     }
 
     /** Delivers frames and acknowledgements until nothing more is due. */
-    private void settle() {
-        for (LogFrame frame = sender.nextFrame(now); frame != null; frame = sender.nextFrame(now)) {
+    private void deliverAll() {
+        for (LogFrame frame = sender.nextFrame(nowMs);
+                frame != null;
+                frame = sender.nextFrame(nowMs)) {
             sender.handleAcknowledgement(receiver.receive(frame));
         }
     }
 
     private PromotionOutcome outcome() {
-        return receiver.promotionOutcome(STANDBY, STANDBY, OWNER, TERM);
+        return receiver.promotionOutcome(STANDBY, STANDBY, LEADER, TERM);
     }
 
     private LogStream stream(long term, long attachment) {
-        return new LogStream(0, term, OWNER, STANDBY, attachment);
+        return new LogStream(0, term, LEADER, STANDBY, attachment);
     }
 
     @Example
-    void aSnapshotInSeveralFramesAndWhatHappensMeanwhileArriveWhole() {
+    void replicatesASnapshotInSeveralFramesWithConcurrentChanges() {
         for (int i = 0; i < 20; i++) {
             sender.recordStart(attempt(i));
         }
-        sender.attach(STANDBY, now);
-        sender.handleAcknowledgement(receiver.receive(sender.nextFrame(now)));
+        sender.attach(STANDBY, nowMs);
+        sender.handleAcknowledgement(receiver.receive(sender.nextFrame(nowMs)));
         assertEquals(PromotionOutcome.SNAPSHOT_INCOMPLETE, outcome());
         assertEquals(0, sender.acknowledgedChangeCount());
         sender.recordStart(attempt(100));
         sender.recordEnd(attempt(19).id());
         sender.recordEnd(attempt(0).id());
-        settle();
+        deliverAll();
         assertTrue(sender.isSnapshotAcknowledged());
         assertEquals(sender.changeCount(), sender.acknowledgedChangeCount());
         assertEquals(PromotionOutcome.IN_SYNC, outcome());
@@ -75,19 +77,19 @@
 
     /** Whatever the network duplicates, loses or delivers late, both tables end up the same. */
     @Property(tries = 200, seed = "41", shrinking = ShrinkingMode.OFF)
-    void bothTablesAgreeOverABadNetwork(@ForAll long seed) {
+    void bothTablesConvergeOverAnUnreliableNetwork(@ForAll long seed) {
         Random random = new Random(seed);
         List<LogFrame> frames = new ArrayList<>();
         List<LogAcknowledgement> answers = new ArrayList<>();
-        sender.attach(STANDBY, now);
+        sender.attach(STANDBY, nowMs);
         for (int step = 0; step < 400; step++) {
-            now += random.nextInt(150);
+            nowMs += random.nextInt(150);
             if (random.nextInt(3) > 0) {
                 sender.recordStart(attempt(random.nextInt(60)));
             } else {
                 sender.recordEnd(attempt(random.nextInt(60)).id());
             }
-            LogFrame frame = sender.nextFrame(now);
+            LogFrame frame = sender.nextFrame(nowMs);
             if (frame != null) {
                 frames.add(frame);
             }
@@ -99,47 +101,47 @@
                 sender.handleAcknowledgement(answers.get(random.nextInt(answers.size())));
             }
         }
-        now += TIMEOUT_MS;
-        settle();
+        nowMs += TIMEOUT_MS;
+        deliverAll();
         assertEquals(sender.changeCount(), sender.acknowledgedChangeCount());
         assertEquals(PromotionOutcome.IN_SYNC, outcome());
         assertEquals(sender.attemptCount(), receiver.attemptCount());
     }
 
     @Example
-    void aFrameIsSentAgainAndASilentStandbyFails() {
-        sender.attach(STANDBY, now);
-        LogFrame first = sender.nextFrame(now);
-        assertNull(sender.nextFrame(now + 100));
-        assertEquals(first, sender.nextFrame(now + 300));
-        assertFalse(sender.hasFailed(now + TIMEOUT_MS, TIMEOUT_MS));
-        assertTrue(sender.hasFailed(now + TIMEOUT_MS + 1, TIMEOUT_MS));
+    void resendsFramesAndFailsAnUnresponsiveStandby() {
+        sender.attach(STANDBY, nowMs);
+        LogFrame first = sender.nextFrame(nowMs);
+        assertNull(sender.nextFrame(nowMs + 100));
+        assertEquals(first, sender.nextFrame(nowMs + 300));
+        assertFalse(sender.hasFailed(nowMs + TIMEOUT_MS, TIMEOUT_MS));
+        assertTrue(sender.hasFailed(nowMs + TIMEOUT_MS + 1, TIMEOUT_MS));
     }
 
     @Example
-    void aStandbyThatFallsFarBehindFails() {
-        sender.attach(STANDBY, now);
-        sender.nextFrame(now);
+    void failsAStandbyThatFallsFarBehind() {
+        sender.attach(STANDBY, nowMs);
+        sender.nextFrame(nowMs);
         for (int i = 0; i < 40 * FRAME_RECORDS; i++) {
             sender.recordStart(attempt(i));
         }
-        assertFalse(sender.hasFailed(now, TIMEOUT_MS));
+        assertFalse(sender.hasFailed(nowMs, TIMEOUT_MS));
         sender.recordStart(attempt(500));
-        assertTrue(sender.hasFailed(now, TIMEOUT_MS));
+        assertTrue(sender.hasFailed(nowMs, TIMEOUT_MS));
     }
 
     @Example
-    void aCheckpointTravelsEverySecond() {
-        sender.attach(STANDBY, now);
-        settle();
-        assertNull(sender.nextFrame(now + 999));
-        LogFrame checked = sender.nextFrame(now + 1_000);
+    void sendsAChecksumEverySecond() {
+        sender.attach(STANDBY, nowMs);
+        deliverAll();
+        assertNull(sender.nextFrame(nowMs + 999));
+        LogFrame checked = sender.nextFrame(nowMs + 1_000);
         assertTrue(checked.records().get(0) instanceof VerifyChecksum);
         assertTrue(receiver.receive(checked).accepted());
     }
 
     @Example
-    void aGapPutsTheStandbyOutOfSync() {
+    void sequenceGapPutsTheStandbyOutOfSync() {
         receiver.receive(new LogFrame(stream(TERM, 1), 1, List.of(new SnapshotBegin())));
         LogFrame third = new LogFrame(stream(TERM, 1), 3, List.of(new AttemptStarted(attempt(1))));
         assertFalse(receiver.receive(third).accepted());
@@ -149,16 +151,16 @@
     }
 
     @Example
-    void aStreamThatDoesNotBeginWithASnapshotIsRefused() {
+    void rejectsAStreamWithoutALeadingSnapshot() {
         LogFrame started =
                 new LogFrame(stream(TERM, 1), 1, List.of(new AttemptStarted(attempt(1))));
         assertFalse(receiver.receive(started).accepted());
     }
 
     @Example
-    void aCheckpointThatDiffersPutsTheStandbyOutOfSync() {
-        sender.attach(STANDBY, now);
-        settle();
+    void differentChecksumPutsTheStandbyOutOfSync() {
+        sender.attach(STANDBY, nowMs);
+        deliverAll();
         assertEquals(PromotionOutcome.IN_SYNC, outcome());
         LogRecord wrong = new VerifyChecksum(new Checksum(1, 0));
         assertFalse(receiver.receive(new LogFrame(stream(TERM, 1), 3, List.of(wrong))).accepted());
@@ -177,13 +179,13 @@
 
     /** Frames of an outdated term or stream change nothing, and get no response. */
     @Example
-    void framesOfFormerStreamsChangeNothing() {
-        LogFrame former = new LogFrame(stream(TERM, 1), 1, List.of(new SnapshotBegin()));
+    void ignoresFramesOfEarlierStreams() {
+        LogFrame earlier = new LogFrame(stream(TERM, 1), 1, List.of(new SnapshotBegin()));
         LogFrame next = new LogFrame(stream(TERM, 2), 1, List.of(new SnapshotBegin()));
         LogFrame later = new LogFrame(stream(TERM + 1, 1), 1, List.of(new SnapshotBegin()));
-        assertTrue(receiver.receive(former).accepted());
+        assertTrue(receiver.receive(earlier).accepted());
         assertTrue(receiver.receive(next).accepted());
-        assertNull(receiver.receive(former));
+        assertNull(receiver.receive(earlier));
         assertTrue(receiver.receive(later).accepted());
         assertNull(receiver.receive(next));
         assertEquals(PromotionOutcome.TERM_MISMATCH, outcome());
@@ -191,34 +193,34 @@
 
     /** Acknowledgements of an earlier stream, or of earlier records, are ignored. */
     @Example
-    void acknowledgementsOfFormerStreamsChangeNothing() {
+    void ignoresAcknowledgementsOfEarlierStreams() {
         sender.recordStart(attempt(1));
-        sender.attach(STANDBY, now);
-        LogAcknowledgement former = receiver.receive(sender.nextFrame(now));
-        sender.attach(STANDBY, now);
-        sender.nextFrame(now);
-        sender.handleAcknowledgement(former);
+        sender.attach(STANDBY, nowMs);
+        LogAcknowledgement earlier = receiver.receive(sender.nextFrame(nowMs));
+        sender.attach(STANDBY, nowMs);
+        sender.nextFrame(nowMs);
+        sender.handleAcknowledgement(earlier);
         assertFalse(sender.isSnapshotAcknowledged());
-        sender.handleAcknowledgement(new LogAcknowledgement(former.stream(), 3, false));
-        assertFalse(sender.hasFailed(now, TIMEOUT_MS));
+        sender.handleAcknowledgement(new LogAcknowledgement(earlier.stream(), 3, false));
+        assertFalse(sender.hasFailed(nowMs, TIMEOUT_MS));
         assertEquals(0, sender.acknowledgedChangeCount());
     }
 
     @Example
-    void onlyTheNamedProcessWithTheWholeLogOfThatTermIsPromoted() {
+    void promotesOnlyTheNamedProcessWithTheCompleteLogOfTheTerm() {
         assertEquals(PromotionOutcome.NO_LOG, outcome());
         sender.recordStart(attempt(1));
-        sender.attach(STANDBY, now);
-        settle();
+        sender.attach(STANDBY, nowMs);
+        deliverAll();
         assertEquals(PromotionOutcome.IN_SYNC, outcome());
         assertEquals(
                 PromotionOutcome.NOT_NAMED,
-                receiver.promotionOutcome(STANDBY, "node-1/c", OWNER, TERM));
+                receiver.promotionOutcome(STANDBY, "node-1/c", LEADER, TERM));
         assertEquals(
-                PromotionOutcome.NOT_NAMED, receiver.promotionOutcome(STANDBY, null, OWNER, TERM));
+                PromotionOutcome.NOT_NAMED, receiver.promotionOutcome(STANDBY, null, LEADER, TERM));
         assertEquals(
                 PromotionOutcome.TERM_MISMATCH,
-                receiver.promotionOutcome(STANDBY, STANDBY, OWNER, TERM + 1));
+                receiver.promotionOutcome(STANDBY, STANDBY, LEADER, TERM + 1));
         assertEquals(
                 PromotionOutcome.TERM_MISMATCH,
                 receiver.promotionOutcome(STANDBY, STANDBY, "node-2/d", TERM));
@@ -227,7 +229,7 @@
     }
 
     @Example
-    void theDigestTellsTablesApartAndNotTheirOrder() {
+    void checksumDependsOnContentAndNotOnOrder() {
         AttemptTable one = new AttemptTable();
         AttemptTable two = new AttemptTable();
         for (int i = 0; i < 9; i++) {
@@ -244,7 +246,7 @@
     }
 
     @Example
-    void anotherZoneComesFirstAndPausesGrowUntilOneStands() {
+    void prefersAnotherZoneAndBacksOffUntilAStandbyIsNamed() {
         StandbyChooser chooser = new StandbyChooser("a");
         StandbyChooser.Candidate near = new StandbyChooser.Candidate("node-1/x", "a");
         StandbyChooser.Candidate far = new StandbyChooser.Candidate("node-2/y", "b");
--- a/src/test/java/org/shoreusher/wire/FormatsTest.java
+++ b/src/test/java/org/shoreusher/wire/FormatsTest.java
@@ -17,10 +17,10 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
-import org.shoreusher.core.JobSpec;
 import org.shoreusher.core.JobSpecBuilder;
-import org.shoreusher.core.WorkerOrder;
-import org.shoreusher.core.WorkerReport;
+import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.core.message.WorkerHeartbeat;
+import org.shoreusher.core.message.WorkerOrder;
 
 /** The formats of users, workers, cloud and store. */
 class FormatsTest {
@@ -44,31 +44,31 @@
     }
 
     @Property(tries = 300, seed = "1")
-    void cborKeepsEveryMap(@ForAll("maps") Map<String, Object> map) throws IOException {
+    void cborPreservesEveryMap(@ForAll("maps") Map<String, Object> map) throws IOException {
         assertEquals(map, FieldMap.parseCbor(FieldMap.toCbor(map)).asMap());
     }
 
     /** Whatever the bytes, reading ends in a map or in the one exception that means 400. */
     @Property(tries = 500, seed = "2")
-    void anyBytesAreAMapOrRefused(@ForAll byte[] bytes) {
+    void arbitraryBytesAreReadAsAMapOrRejected(@ForAll byte[] bytes) {
         try {
             FieldMap.parseCbor(bytes).asMap();
-        } catch (IOException e) {
+        } catch (IOException exception) {
             assertTrue(bytes.length >= 0);
         }
     }
 
     /** A message with one changed byte is read or rejected, and never crashes the reader. */
     @Property(tries = 500, seed = "3")
-    void aSpoiledJobIsReadOrRefused(
+    void corruptedJobIsReadOrRejected(
             @ForAll("jobs") JobSpec job, @ForAll int at, @ForAll byte value) {
         byte[] bytes = FieldMap.toCbor(UserFormat.writeSubmission(job));
         bytes[Math.floorMod(at, bytes.length)] = value;
         try {
             assertTrue(
                     JobSpec.isValidId(UserFormat.readSubmission(FieldMap.parseCbor(bytes)).id()));
-        } catch (IOException | FieldMap.InvalidFieldException e) {
-            assertTrue(e.getMessage() != null);
+        } catch (IOException | FieldMap.InvalidFieldException exception) {
+            assertTrue(exception.getMessage() != null);
         }
     }
 
@@ -89,26 +89,26 @@
                                 new JobSpecBuilder("wk-" + id)
                                         .team("team")
                                         .priority(priority)
-                                        .tasks(tasks)
+                                        .taskCount(tasks)
                                         .cpus(a)
                                         .gpus(a / 2)
                                         .memGb(a / 3)
                                         .image("image")
                                         .imageGb(a)
-                                        .types(types)
+                                        .machineTypes(types)
                                         .zone(zone)
-                                        .oneZone(flag)
-                                        .spread(!flag)
-                                        .spot(flag)
-                                        .estimateS(a)
-                                        .checkpointS(a)
-                                        .saveS(a)
+                                        .singleZone(flag)
+                                        .spreadAcrossZones(!flag)
+                                        .spotAllowed(flag)
+                                        .estimatedRunS(a)
+                                        .checkpointIntervalS(a)
+                                        .checkpointDurationS(a)
                                         .deadlineS(deadline)
                                         .build());
     }
 
     @Property(tries = 300, seed = "4")
-    void jobsComeBackFromTheWire(@ForAll("jobs") JobSpec job)
+    void jobsSurviveARoundTrip(@ForAll("jobs") JobSpec job)
             throws IOException, FieldMap.InvalidFieldException {
         assertEquals(
                 job,
@@ -117,7 +117,7 @@
     }
 
     @Example
-    void wrongFieldsAreNamed() {
+    void namesInvalidFields() {
         JobSpec job = jobs().sample();
         Map<String, Object> wrong =
                 Map.of(
@@ -139,11 +139,11 @@
                 (field, value) -> {
                     Map<String, Object> map = new LinkedHashMap<>(UserFormat.writeSubmission(job));
                     map.put(field, value);
-                    FieldMap.InvalidFieldException e =
+                    FieldMap.InvalidFieldException exception =
                             assertThrows(
                                     FieldMap.InvalidFieldException.class,
                                     () -> UserFormat.readSubmission(new FieldMap(map)));
-                    assertTrue(e.getMessage().contains(field), e.getMessage());
+                    assertTrue(exception.getMessage().contains(field), exception.getMessage());
                 });
     }
 
@@ -152,19 +152,19 @@
      * where one belongs, is rejected.
      */
     @Example
-    void everyFieldThatMayNotBeNullIsNeeded() {
+    void requiresEveryNonNullableField() {
         Map<String, Object> whole =
                 UserFormat.writeSubmission(
                         new JobSpecBuilder("wk-1")
                                 .team("team")
                                 .priority(JobSpec.Priority.LOW)
-                                .tasks(3)
+                                .taskCount(3)
                                 .image("image")
-                                .types(List.of("a"))
+                                .machineTypes(List.of("a"))
                                 .zone("a")
-                                .oneZone(true)
-                                .checkpointS(30)
-                                .saveS(4)
+                                .singleZone(true)
+                                .checkpointIntervalS(30)
+                                .checkpointDurationS(4)
                                 .deadlineS(60)
                                 .build());
         for (String field : whole.keySet()) {
@@ -187,8 +187,8 @@
     }
 
     @Example
-    void readsAReportWithFieldsItDoesNotKnow() throws FieldMap.InvalidFieldException {
-        Map<String, Object> report =
+    void readsAHeartbeatWithUnknownFields() throws FieldMap.InvalidFieldException {
+        Map<String, Object> heartbeat =
                 new LinkedHashMap<>(
                         Map.of(
                                 "box",
@@ -209,8 +209,8 @@
                                 4L,
                                 "new_field",
                                 List.of(1L)));
-        report.put("warning_s", null);
-        report.put(
+        heartbeat.put("warning_s", null);
+        heartbeat.put(
                 "sheets",
                 List.of(
                         Map.of(
@@ -225,28 +225,28 @@
                                 "stored",
                                 true),
                         Map.of("sheet", "wk-000412/4", "try", 8L, "status", "flushing")));
-        WorkerReport r = WorkerFormat.readHeartbeat(new FieldMap(report));
-        assertTrue(Double.isNaN(r.interruptionNoticeS()));
+        WorkerHeartbeat parsed = WorkerFormat.readHeartbeat(new FieldMap(heartbeat));
+        assertTrue(Double.isNaN(parsed.interruptionNoticeS()));
         assertEquals(
                 List.of(
-                        new WorkerReport.TaskReport(
+                        new WorkerHeartbeat.TaskStatus(
                                 "wk-000412",
                                 3,
                                 7,
-                                WorkerReport.TaskState.EXITED,
-                                WorkerReport.ExitCause.STOPPED,
+                                WorkerHeartbeat.TaskState.EXITED,
+                                WorkerHeartbeat.ExitCause.STOPPED,
                                 true),
-                        new WorkerReport.TaskReport(
+                        new WorkerHeartbeat.TaskStatus(
                                 "wk-000412",
                                 4,
                                 8,
-                                WorkerReport.TaskState.CHECKPOINTING,
-                                WorkerReport.ExitCause.NONE)),
-                r.tasks());
+                                WorkerHeartbeat.TaskState.CHECKPOINTING,
+                                WorkerHeartbeat.ExitCause.NONE)),
+                parsed.tasks());
     }
 
     @Example
-    void writesOrdersAsWorkersReadThem() {
+    void writesOrdersInTheWorkerFormat() {
         List<WorkerOrder> orders =
                 new ArrayList<>(
                         List.of(
