--- a/src/test/java/org/shoreusher/model/EffectHash.java
+++ b/src/test/java/org/shoreusher/model/EffectHash.java
@@ -83,7 +83,8 @@
         stream.putByteArray(bytes);
     }
 
-    private static Map<String, Object> byName(Map<?, ?> map) {
+    /** The map with the fields of all maps in it by name. */
+    static Map<String, Object> byName(Map<?, ?> map) {
         Map<String, Object> sorted = new TreeMap<>();
         map.forEach((key, value) -> sorted.put((String) key, inOrder(value)));
         return sorted;
--- /dev/null
+++ b/src/test/java/org/shoreusher/model/RecordedFormats.java
@@ -0,0 +1,174 @@
+package org.shoreusher.model;
+
+import java.io.IOException;
+import java.io.InputStream;
+import java.util.HashMap;
+import java.util.HexFormat;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.stream.Collectors;
+import org.shoreusher.core.Command;
+import org.shoreusher.core.Effect.CloudOp;
+import org.shoreusher.core.Hint;
+import org.shoreusher.core.StoredRecords;
+import org.shoreusher.peer.HintCodec;
+import org.shoreusher.peer.MessageBytes;
+import org.shoreusher.settings.Settings;
+import org.shoreusher.settings.SettingsBuilder;
+import org.shoreusher.standby.Attempt;
+import org.shoreusher.standby.AttemptId;
+import org.shoreusher.standby.AttemptTable.Checkpoint;
+import org.shoreusher.standby.LogAcknowledgement;
+import org.shoreusher.standby.LogFrame;
+import org.shoreusher.standby.LogRecord;
+import org.shoreusher.standby.LogStream;
+import org.shoreusher.standby.StandbyMessage;
+import org.shoreusher.wire.FieldMap;
+
+/**
+ * Stored values and messages of every kind as this version writes them; the resource holds them as
+ * they were recorded. {@code main} prints its content anew, for a kind that is added: what is
+ * recorded already never changes.
+ */
+public final class RecordedFormats {
+    private static final LogStream STREAM = new LogStream(1, 9, "node-0/a1", "node-1/b2", 3);
+
+    private RecordedFormats() {}
+
+    /** Prints the content of the resource. */
+    public static void main(String[] args) {
+        Map<String, Object> sections = new LinkedHashMap<>();
+        sections.put("records", StoredRecords.samples());
+        sections.put("node", writtenByNode(Map.of()));
+        sections.put("messages", messages());
+        StringBuilder text = new StringBuilder("{\n");
+        String section = "";
+        for (Map.Entry<String, Object> entry : sections.entrySet()) {
+            text.append(section).append(json(entry.getKey())).append(":{\n");
+            text.append(
+                    ((Map<?, ?>) entry.getValue())
+                            .entrySet().stream()
+                                    .map(e -> json(e.getKey()) + ":" + json(e.getValue()))
+                                    .collect(Collectors.joining(",\n")));
+            text.append("\n}");
+            section = ",\n";
+        }
+        System.out.println(text.append("\n}"));
+    }
+
+    static FieldMap recorded() throws IOException {
+        try (InputStream in = RecordedFormats.class.getResourceAsStream("/recorded-formats.json")) {
+            return FieldMap.json(in.readAllBytes());
+        }
+    }
+
+    /** What a node writes by itself into a store with such values: term, fence, note and types. */
+    static Map<String, Object> writtenByNode(Map<String, Object> before) {
+        Settings usual = ModelSettings.usual();
+        Settings ofTwo =
+                new SettingsBuilder(usual)
+                        .host("node-0", List.of(new Settings.Member("node-1", usual.back(), "b")))
+                        .nodes(2)
+                        .build();
+        SingleNode node = new SingleNode(ofTwo, StandbyWorlds.FEATURES);
+        before.forEach((key, value) -> node.state().put(key, map(value)));
+        if (before.isEmpty()) {
+            node.cloud = RecordedFormats::types;
+        }
+        node.steps(200);
+        Map<String, Object> written = new LinkedHashMap<>();
+        for (String key : List.of("term", "part/0/fence", "node/node-0", "types")) {
+            written.put(key, node.state().value(key));
+        }
+        return written;
+    }
+
+    private static Command.CloudReply types(CloudOp op) {
+        Map<String, Object> type = new LinkedHashMap<>();
+        type.put("sku", CloudModel.TYPE);
+        type.put("cpus", 8.0);
+        type.put("mem_gb", 32.0);
+        type.put("yards", List.of("a", "b"));
+        return op instanceof CloudOp.Types
+                ? new Command.CloudReply(0, 200, Map.of("presses", List.of(type)))
+                : new Command.CloudReply(0, 0, null);
+    }
+
+    @SuppressWarnings("unchecked")
+    static Map<String, Object> map(Object value) {
+        return (Map<String, Object>) value;
+    }
+
+    // ---- messages ----------------------------------------------------------------------------
+
+    static Map<String, Hint> hints() {
+        Map<Integer, Hint.PartHint> parts = new HashMap<>();
+        parts.put(0, new Hint.PartHint(12.5, 3, 4, Map.of("team-0", new Hint.Claim(8, 16.25))));
+        parts.put(1, new Hint.PartHint(-1, 0, 0, Map.of()));
+        Map<String, Integer> running = Map.of("wk-000001", 5);
+        Map<String, Integer> done = Map.of("wk-000002", 700);
+        Map<String, Hint> hints = new LinkedHashMap<>();
+        hints.put(
+                "hint-empty",
+                new Hint("node-0", 5, false, 0, Map.of(), Map.of(), Map.of(), Map.of()));
+        hints.put(
+                "hint-full",
+                new Hint(
+                        "node-1",
+                        1_700_000_000_000L,
+                        true,
+                        77.5,
+                        parts,
+                        Map.of(1, 300),
+                        running,
+                        done));
+        return hints;
+    }
+
+    static Map<String, StandbyMessage> standbyMessages() {
+        AttemptId id = new AttemptId("wk-000001", 300, (9L << 24) + 1);
+        List<LogRecord> records =
+                List.of(
+                        new LogRecord.SnapshotBegin(),
+                        new LogRecord.Started(
+                                new Attempt(id, "host-000201", "team-0", 0.5, 1, 4.25)),
+                        new LogRecord.SnapshotEnd(new Checkpoint(-5, 1)),
+                        new LogRecord.Ended(id),
+                        new LogRecord.Checked(new Checkpoint(Long.MIN_VALUE, 100_000)));
+        Map<String, StandbyMessage> messages = new LinkedHashMap<>();
+        messages.put("frame", new LogFrame(STREAM, 12, records));
+        messages.put("frame-empty", new LogFrame(STREAM, 1, List.of()));
+        messages.put("acknowledgement", new LogAcknowledgement(STREAM, 1L << 40, true));
+        messages.put("acknowledgement-refused", new LogAcknowledgement(STREAM, 0, false));
+        return messages;
+    }
+
+    static Map<String, Object> messages() {
+        Map<String, Object> hex = new LinkedHashMap<>();
+        hints().forEach((name, hint) -> hex.put(name, hex(new HintCodec().write(hint))));
+        standbyMessages().forEach((name, message) -> hex.put(name, hex(MessageBytes.of(message))));
+        return hex;
+    }
+
+    static String hex(byte[] bytes) {
+        return HexFormat.of().formatHex(bytes);
+    }
+
+    // ---- text --------------------------------------------------------------------------------
+
+    /** JSON text of values whose texts need no escapes. */
+    private static String json(Object value) {
+        if (value instanceof Map<?, ?> map) {
+            return map.entrySet().stream()
+                    .map(e -> json(e.getKey()) + ":" + json(e.getValue()))
+                    .collect(Collectors.joining(",", "{", "}"));
+        }
+        if (value instanceof List<?> list) {
+            return list.stream()
+                    .map(RecordedFormats::json)
+                    .collect(Collectors.joining(",", "[", "]"));
+        }
+        return value instanceof String ? "\"" + value + "\"" : String.valueOf(value);
+    }
+}
--- a/src/test/java/org/shoreusher/peer/MessageBytes.java
+++ b/src/test/java/org/shoreusher/peer/MessageBytes.java
@@ -10,4 +10,9 @@
     public static byte[] of(StandbyMessage message) {
         return StandbyCodec.write(message);
     }
+
+    /** The message in bytes that came from another controller; null if there is none. */
+    public static StandbyMessage read(byte[] bytes) {
+        return StandbyCodec.read(bytes);
+    }
 }
