--- a/src/test/java/org/shoreusher/peer/MessageBytes.java
+++ b/src/test/java/org/shoreusher/peer/MessageBytes.java
@@ -10,4 +10,9 @@
     public static byte[] of(StandbyMessage message) {
         return StandbyCodec.encode(message);
     }
+
+    /** The message in bytes that came from another controller; null if there is none. */
+    public static StandbyMessage read(byte[] bytes) {
+        return StandbyCodec.decode(bytes);
+    }
 }
