--- a/src/main/java/org/shoreusher/core/Node.java
+++ b/src/main/java/org/shoreusher/core/Node.java
@@ -14,6 +14,7 @@
 import org.shoreusher.core.message.GossipMessage.ShardSummary;
 import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.core.message.Response;
+import org.shoreusher.core.store.NodeContext;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.core.store.StoreSchema;
@@ -74,19 +75,18 @@
                         settings, features, outbox, storeCache, processName, shardCount);
         peerGossip = new PeerGossip(settings, outbox, shardCount, this::ledShard);
         NodeContext context =
-                new NodeContext(
-                        settings,
-                        features,
-                        outbox,
-                        storeCache,
-                        submissionBatches,
-                        machineIndex,
-                        machineTypes,
-                        versionNegotiation);
-        shards = new Shards(shardCount, context, peerGossip, processName);
+                new NodeContext(settings, features, outbox, storeCache, versionNegotiation);
+        NodeServices services =
+                new NodeServices(context, submissionBatches, machineIndex, machineTypes);
+        shards = new Shards(shardCount, services, peerGossip, processName);
         userRequests =
                 new UserRequests(
-                        context, processName, this::taskCounts, this::shardWithMostHeadroom);
+                        context,
+                        submissionBatches,
+                        machineTypes,
+                        processName,
+                        this::taskCounts,
+                        this::shardWithMostHeadroom);
     }
 
     private Shard ledShard(int shardNumber) {
@@ -214,7 +214,7 @@
     private int shardOfUnrecordedMachine(String machineId) {
         for (int shardNumber = 0; shardNumber < shards.shardCount(); shardNumber++) {
             if (shards.ledShard(shardNumber) != null
-                    && shards.ledShard(shardNumber).machines().containsKey(machineId)) {
+                    && shards.ledShard(shardNumber).state().machines().containsKey(machineId)) {
                 return shardNumber;
             }
         }
@@ -251,7 +251,7 @@
     private void onMachineRecordChange(String machineId, MachineRecord record) {
         for (int shardNumber = 0; shardNumber < shards.shardCount(); shardNumber++) {
             if (shards.ledShard(shardNumber) != null) {
-                shards.ledShard(shardNumber).lifecycle().applyRecord(machineId, record);
+                shards.ledShard(shardNumber).machineLifecycle().applyRecord(machineId, record);
             }
         }
     }
--- /dev/null
+++ b/src/main/java/org/shoreusher/core/NodeServices.java
@@ -0,0 +1,20 @@
+package org.shoreusher.core;
+
+import org.shoreusher.core.job.SubmissionBatches;
+import org.shoreusher.core.machine.MachineIndex;
+import org.shoreusher.core.machine.MachineTypeCatalog;
+import org.shoreusher.core.store.NodeContext;
+
+/**
+ * The parts of a node that its shards share.
+ *
+ * @param context the collaborators that all classes of the node share
+ * @param submissionBatches jobs that were accepted together and share a stored record
+ * @param machineIndex the machine records of all shards, by machine
+ * @param machineTypes the machine types that the cloud offers
+ */
+record NodeServices(
+        NodeContext context,
+        SubmissionBatches submissionBatches,
+        MachineIndex machineIndex,
+        MachineTypeCatalog machineTypes) {}
--- a/src/main/java/org/shoreusher/core/ShardStatus.java
+++ b/src/main/java/org/shoreusher/core/ShardStatus.java
@@ -16,7 +16,7 @@
     static String statusLine(Shard shard, int keysInMemory) {
         int[] machinesByState = new int[Machine.State.values().length];
         double usedCpus = 0;
-        for (Machine machine : shard.machines().values()) {
+        for (Machine machine : shard.state().machines().values()) {
             machinesByState[machine.state.ordinal()]++;
             usedCpus += machine.cpusUsed;
         }
@@ -25,9 +25,9 @@
                 .values()
                 .forEach(job -> waitingByClass.addTo(job.spec.jobClass(), job.pendingCount));
         return "status: part "
-                + shard.shardNumber
+                + shard.state().shardNumber()
                 + " term "
-                + shard.term()
+                + shard.authority().term()
                 + ", machines "
                 + machinesByState[0]
                 + " booting "
@@ -37,7 +37,7 @@
                 + " leaving, CPUs "
                 + usedCpus
                 + " of "
-                + shard.totalCpus()
+                + shard.state().totalCpus()
                 + ", "
                 + shard.jobs().size()
                 + " jobs, waiting "
--- a/src/main/java/org/shoreusher/core/Shards.java
+++ b/src/main/java/org/shoreusher/core/Shards.java
@@ -6,11 +6,13 @@
 import java.util.Map;
 import org.shoreusher.core.job.CompletionRecords;
 import org.shoreusher.core.leadership.LeaderLease;
+import org.shoreusher.core.leadership.LeadershipPeerView;
 import org.shoreusher.core.leadership.ShardLeadership;
 import org.shoreusher.core.message.ClockReading;
 import org.shoreusher.core.message.Effect.StoreOperation;
 import org.shoreusher.core.reconcile.PromotedAttemptLog;
 import org.shoreusher.core.replication.StandbyReplicas;
+import org.shoreusher.core.store.NodeContext;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.core.store.StoreSchema;
@@ -27,30 +29,11 @@
  * Acquires the leadership of shards that have no leader, spreads the leaderships evenly over the
  * nodes, and holds the shards that this node leads.
  */
-public final class Shards {
-    /** What gossip tells about other nodes as candidates for leadership. */
-    public interface LeadershipPeerView extends Shard.PeerView {
-        /**
-         * Returns how many peers should be the first to try for a shard without a leader: those
-         * that lead fewer shards than this node, or as many and have been up for a shorter time.
-         *
-         * @param ledShardCount how many shards this node leads
-         */
-        int peersWithPriority(int ledShardCount);
-
-        /**
-         * Returns whether a peer that has been up for some time leads at least two shards fewer
-         * than this node.
-         *
-         * @param ledShardCount how many shards this node leads
-         */
-        boolean isAnyPeerLeadingTwoFewer(int ledShardCount);
-    }
-
+final class Shards {
     private final Settings settings;
     private final Outbox outbox;
     private final StoreCache storeCache;
-    private final NodeContext context;
+    private final NodeServices services;
     private final String processName;
     private final LeadershipPeerView peerView;
     private final StandbyReplicas standbyReplicas;
@@ -65,15 +48,16 @@
      * Creates the set of shards, none of which this node leads yet.
      *
      * @param count the number of shards
-     * @param context the node's shared collaborators
+     * @param services the node's shared collaborators
      * @param peerView what gossip tells about other nodes
      * @param processName the name of this process, HOST/SUFFIX
      */
-    Shards(int count, NodeContext context, LeadershipPeerView peerView, String processName) {
+    Shards(int count, NodeServices services, LeadershipPeerView peerView, String processName) {
+        NodeContext context = services.context();
         settings = context.settings();
         outbox = context.outbox();
         storeCache = context.storeCache();
-        this.context = context;
+        this.services = services;
         this.peerView = peerView;
         standbyReplicas = new StandbyReplicas(context, processName, count);
         ledShards = new Shard[count];
@@ -140,7 +124,7 @@
                             "most of its workers reach others, not this node");
                     nextAcquisitionMs = outbox.now.monotonicMs() + Tuning.STEP_DOWN_COOLDOWN_MS;
                 }
-                if (ledShards[shardNumber].isLeadershipLost()) {
+                if (ledShards[shardNumber].authority().isLeadershipLost()) {
                     ledShards[shardNumber].standbyReplication().close();
                     ledShards[shardNumber] = null;
                 }
@@ -192,7 +176,7 @@
         if (namedStandby != null && namedStandby.equals(processName)) {
             return 0;
         }
-        StandbySettings standbySettings = context.features().standby();
+        StandbySettings standbySettings = services.context().features().standby();
         boolean grantsHeadStart =
                 namedStandby != null
                         && standbySettings != null
@@ -211,7 +195,7 @@
             return;
         }
         for (Shard shard : ledShards) {
-            if (shard != null && shard.isLeader() && shard.isReconciled()) {
+            if (shard != null && shard.isLeader() && shard.authority().isReconciled()) {
                 shard.stepDown("for a node that holds fewer");
                 return;
             }
@@ -375,7 +359,7 @@
                 new Shard(
                         shardNumber,
                         ledShards.length,
-                        context,
+                        services,
                         peerView,
                         leadership,
                         promotedAttempts);
--- /dev/null
+++ b/src/main/java/org/shoreusher/core/cluster/ShardContext.java
@@ -0,0 +1,25 @@
+package org.shoreusher.core.cluster;
+
+import org.shoreusher.core.leadership.ShardAuthority;
+import org.shoreusher.core.store.NodeContext;
+import org.shoreusher.core.store.Outbox;
+import org.shoreusher.settings.Settings;
+
+/**
+ * What the collaborators of one shard share.
+ *
+ * @param node the collaborators that all classes of the node share
+ * @param state the shard's jobs and machines
+ * @param authority what this node, as the shard's leader, may do at present
+ */
+public record ShardContext(NodeContext node, ShardState state, ShardAuthority authority) {
+    /** The deployment's settings. */
+    public Settings settings() {
+        return node.settings();
+    }
+
+    /** Collects effects, and tracks calls to the store and to the cloud. */
+    public Outbox outbox() {
+        return node.outbox();
+    }
+}
--- /dev/null
+++ b/src/main/java/org/shoreusher/core/cluster/ShardState.java
@@ -0,0 +1,109 @@
+package org.shoreusher.core.cluster;
+
+import it.unimi.dsi.fastutil.objects.Object2ObjectLinkedOpenHashMap;
+import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap;
+import java.util.Map;
+import java.util.function.Consumer;
+import org.shoreusher.core.leadership.LeaderLease;
+import org.shoreusher.core.store.Outbox;
+import org.shoreusher.settings.Settings;
+import org.shoreusher.settings.Tuning;
+
+/** The open jobs and the machines of one shard, as its leader knows them. */
+public final class ShardState {
+    private final int shardNumber;
+    private final int shardCount;
+    private final Settings settings;
+    private final Outbox outbox;
+    private final Object2ObjectLinkedOpenHashMap<String, Job> jobs =
+            new Object2ObjectLinkedOpenHashMap<>();
+    private final Object2ObjectOpenHashMap<String, Machine> machines =
+            new Object2ObjectOpenHashMap<>();
+    private final ResourceLedger resourceLedger = new ResourceLedger();
+    private Consumer<String> machineRemovalListener = machineId -> {};
+
+    /**
+     * Creates a shard without jobs and machines.
+     *
+     * @param shardNumber the shard's number
+     * @param shardCount the number of shards
+     */
+    public ShardState(int shardNumber, int shardCount, Settings settings, Outbox outbox) {
+        this.shardNumber = shardNumber;
+        this.shardCount = shardCount;
+        this.settings = settings;
+        this.outbox = outbox;
+    }
+
+    /** The shard's number. */
+    public int shardNumber() {
+        return shardNumber;
+    }
+
+    /** The number of shards. */
+    public int shardCount() {
+        return shardCount;
+    }
+
+    /** The open jobs by id, in the order in which they became known; a live view. */
+    public Map<String, Job> jobs() {
+        return jobs;
+    }
+
+    /** The machines by id; a live view. */
+    public Map<String, Machine> machines() {
+        return machines;
+    }
+
+    /** Books the resources of all tasks that are or may be on machines. */
+    public ResourceLedger resourceLedger() {
+        return resourceLedger;
+    }
+
+    /** Sets who is told the id of each machine that is removed. */
+    public void setMachineRemovalListener(Consumer<String> listener) {
+        machineRemovalListener = listener;
+    }
+
+    /** Forgets a machine that is gone or belongs to another shard. */
+    public void removeMachine(String machineId) {
+        machines.remove(machineId);
+        machineRemovalListener.accept(machineId);
+    }
+
+    /**
+     * Returns whether a machine may be given new tasks: it sends heartbeats, receives its orders,
+     * and is neither reserved for another shard nor under an interruption notice.
+     */
+    public boolean isAvailable(Machine machine) {
+        return machine.state == Machine.State.UP
+                && machine.reconciled
+                && !machine.evacuating
+                && !machine.hasOneWayPartition()
+                && Double.isNaN(machine.interruptionNoticeS)
+                && outbox.now.monotonicMs() - machine.lastHeartbeatAtMs < heartbeatTimeoutMs();
+    }
+
+    /** The time in ms after its last heartbeat from which a machine counts as unresponsive. */
+    public double heartbeatTimeoutMs() {
+        return settings.heartbeatIntervalS() * 1000 * Tuning.UNRESPONSIVE_HEARTBEAT_INTERVALS;
+    }
+
+    /** Returns the CPUs of all running machines. */
+    public double totalCpus() {
+        double totalCpus = 0;
+        for (Machine machine : machines.values()) {
+            totalCpus += machine.state == Machine.State.UP ? machine.type.cpus() : 0;
+        }
+        return totalCpus;
+    }
+
+    /**
+     * Returns whether a machine's worker lease has certainly expired, so that its worker has
+     * stopped all tasks.
+     */
+    public boolean hasWorkerLeaseExpired(Machine machine) {
+        return outbox.now.monotonicMs()
+                > machine.leaseRenewedAtMs + LeaderLease.workerLeaseBoundMs(settings);
+    }
+}
--- a/src/main/java/org/shoreusher/core/gossip/PeerGossip.java
+++ b/src/main/java/org/shoreusher/core/gossip/PeerGossip.java
@@ -4,10 +4,9 @@
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.function.IntFunction;
-import org.shoreusher.core.Shard;
-import org.shoreusher.core.Shards;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.leadership.LeaderLease;
+import org.shoreusher.core.leadership.LeadershipPeerView;
 import org.shoreusher.core.message.Effect;
 import org.shoreusher.core.message.GossipMessage;
 import org.shoreusher.core.message.GossipMessage.ShardSummary;
@@ -22,12 +21,12 @@
  * The gossip between the nodes: the last message of each peer, and the messages that this node
  * sends. Correctness never depends on it: a wrong or missing message costs time only.
  */
-public final class PeerGossip implements Shards.LeadershipPeerView {
+public final class PeerGossip implements LeadershipPeerView {
     private final Settings settings;
     private final Outbox outbox;
 
     /** The shards that this node leads, by number; null for another shard. */
-    private final IntFunction<Shard> ownShards;
+    private final IntFunction<? extends LedShardView> ownShards;
 
     /** The last message of each peer, by host. */
     private final Object2ObjectOpenHashMap<String, GossipMessage> lastMessages =
@@ -50,7 +49,10 @@
 
     /** No messages yet. */
     public PeerGossip(
-            Settings settings, Outbox outbox, int shardCount, IntFunction<Shard> ownShards) {
+            Settings settings,
+            Outbox outbox,
+            int shardCount,
+            IntFunction<? extends LedShardView> ownShards) {
         this.settings = settings;
         this.outbox = outbox;
         this.ownShards = ownShards;
@@ -271,7 +273,7 @@
         HashMap<String, Integer> runningTasks = new HashMap<>();
         HashMap<String, Integer> completedTasks = new HashMap<>();
         for (int shardNumber = 0; shardNumber < redirected.length; shardNumber++) {
-            Shard shard = ownShards.apply(shardNumber);
+            LedShardView shard = ownShards.apply(shardNumber);
             int workers =
                     redirected[shardNumber].countRepeatedlyRedirected(outbox.now.monotonicMs());
             if (workers > 0) {
--- a/src/main/java/org/shoreusher/core/gossip/ShardDemand.java
+++ b/src/main/java/org/shoreusher/core/gossip/ShardDemand.java
@@ -2,10 +2,10 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import org.shoreusher.core.Shard;
+import java.util.function.Predicate;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.cluster.Machine;
-import org.shoreusher.core.machine.Autoscaler;
+import org.shoreusher.core.leadership.PeerView;
 import org.shoreusher.core.message.GossipMessage.ShardSummary;
 import org.shoreusher.core.message.GossipMessage.TeamDemand;
 import org.shoreusher.core.message.JobSpec;
@@ -17,7 +17,7 @@
 public final class ShardDemand {
     private final int shardNumber;
     private final int shardCount;
-    private final Shard.PeerView peers;
+    private final PeerView peers;
     private final Map<String, Job> jobs;
     private final Map<String, Machine> machines;
 
@@ -25,7 +25,7 @@
     public ShardDemand(
             int shardNumber,
             int shardCount,
-            Shard.PeerView peers,
+            PeerView peers,
             Map<String, Job> jobs,
             Map<String, Machine> machines) {
         this.shardNumber = shardNumber;
@@ -93,8 +93,13 @@
         return most;
     }
 
-    /** The summary of this shard for the others. */
-    public ShardSummary summarize(Autoscaler autoscaler) {
+    /**
+     * The summary of this shard for the others.
+     *
+     * @param isSurplus whether the shard has no tasks for a machine
+     * @param machineShortfall how many more machines the shard could fill at once
+     */
+    public ShardSummary summarize(Predicate<Machine> isSurplus, int machineShortfall) {
         double cpuHeadroom = 0;
         int idleMachines = 0;
         for (Machine machine : machines.values()) {
@@ -102,14 +107,14 @@
                     machine.state == Machine.State.UP || machine.state == Machine.State.BOOTING
                             ? machine.cpusFree()
                             : 0;
-            idleMachines += autoscaler.isSurplus(machine) ? 1 : 0;
+            idleMachines += isSurplus.test(machine) ? 1 : 0;
         }
         Map<String, TeamDemand> demands = new HashMap<>();
         for (Job job : jobs.values()) {
             cpuHeadroom -= job.pendingCount * job.spec.cpus();
             demands.computeIfAbsent(job.spec.team(), this::ownDemand);
         }
-        return new ShardSummary(cpuHeadroom, idleMachines, autoscaler.machineShortfall(), demands);
+        return new ShardSummary(cpuHeadroom, idleMachines, machineShortfall, demands);
     }
 
     /** The number of machines for which the other shards have no work. */
--- a/src/main/java/org/shoreusher/core/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/HeartbeatHandler.java
@@ -3,26 +3,29 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.shoreusher.balance.TaskId;
-import org.shoreusher.core.NodeContext;
-import org.shoreusher.core.Shard;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.cluster.Machine;
 import org.shoreusher.core.cluster.ResourceLedger;
+import org.shoreusher.core.cluster.ShardContext;
+import org.shoreusher.core.cluster.ShardState;
 import org.shoreusher.core.cluster.TaskAttempt;
-import org.shoreusher.core.job.HighWaterMarks;
+import org.shoreusher.core.job.ShardJobs;
 import org.shoreusher.core.job.SubmissionBatches;
 import org.shoreusher.core.leadership.LeaderLease;
-import org.shoreusher.core.machine.MachineIndex;
-import org.shoreusher.core.machine.MachineTypeCatalog;
+import org.shoreusher.core.leadership.ShardAuthority;
+import org.shoreusher.core.machine.ShardMachines;
 import org.shoreusher.core.message.Response;
 import org.shoreusher.core.message.WorkerHeartbeat;
 import org.shoreusher.core.message.WorkerHeartbeat.ExitCause;
 import org.shoreusher.core.message.WorkerHeartbeat.TaskState;
 import org.shoreusher.core.message.WorkerHeartbeat.TaskStatus;
 import org.shoreusher.core.message.WorkerOrder;
+import org.shoreusher.core.replication.StandbyReplication;
 import org.shoreusher.core.schedule.BinPacker;
 import org.shoreusher.core.schedule.PlacementPlan;
-import org.shoreusher.core.schedule.TaskEviction;
+import org.shoreusher.core.schedule.ShardScheduling;
+import org.shoreusher.core.schedule.TaskMigration;
+import org.shoreusher.core.schedule.TaskStopper;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreSchema.JobRecord;
 import org.shoreusher.core.store.StoreSchema.JobStatus;
@@ -37,32 +40,38 @@
  * while the leader's lease is valid, and only if no machine can be running the task.
  */
 public final class HeartbeatHandler {
-    private final Shard shard;
+    private final ShardState shard;
+    private final ShardAuthority authority;
     private final Settings settings;
     private final Outbox outbox;
-    private final SubmissionBatches submissionBatches;
-    private final MachineIndex machineIndex;
-    private final MachineTypeCatalog machineTypes;
     private final ResourceLedger ledger;
+    private final SubmissionBatches submissionBatches;
+    private final ShardMachines machines;
+    private final TaskMigration taskMigration;
+    private final StandbyReplication standbyReplication;
     private final HeartbeatReader heartbeatReader;
     private final PlacementPlan placementPlan;
     private long nextAttemptNumber = 1;
 
     /** Creates the handler of one shard that this process leads. */
     public HeartbeatHandler(
-            Shard shard,
-            NodeContext context,
-            ResourceLedger ledger,
-            HighWaterMarks highWaterMarks) {
-        this.shard = shard;
+            ShardContext context,
+            ShardJobs jobs,
+            ShardMachines machines,
+            ShardScheduling scheduling,
+            StandbyReplication standbyReplication,
+            HeartbeatReader heartbeatReader) {
+        shard = context.state();
+        authority = context.authority();
         settings = context.settings();
         outbox = context.outbox();
-        submissionBatches = context.submissionBatches();
-        machineIndex = context.machineIndex();
-        machineTypes = context.machineTypes();
-        this.ledger = ledger;
-        heartbeatReader = new HeartbeatReader(shard, context, ledger);
-        placementPlan = new PlacementPlan(shard, outbox, highWaterMarks);
+        ledger = shard.resourceLedger();
+        submissionBatches = jobs.submissionBatches();
+        this.machines = machines;
+        taskMigration = scheduling.taskMigration();
+        this.standbyReplication = standbyReplication;
+        this.heartbeatReader = heartbeatReader;
+        placementPlan = new PlacementPlan(context, scheduling, jobs.highWaterMarks());
     }
 
     /**
@@ -72,9 +81,9 @@
      * worker tries another node.
      */
     public void handle(long requestId, WorkerHeartbeat heartbeat) {
-        if (!shard.canAnswerHeartbeats() || heartbeat.fencingToken() > shard.term()) {
-            if (!shard.isLeadershipLost() && heartbeat.fencingToken() > shard.term()) {
-                shard.leadership().raiseTerm(heartbeat.fencingToken());
+        if (!authority.canAnswerHeartbeats() || heartbeat.fencingToken() > authority.term()) {
+            if (!authority.isLeadershipLost() && heartbeat.fencingToken() > authority.term()) {
+                authority.raiseTerm(heartbeat.fencingToken());
             }
             outbox.respondUnavailable(requestId);
             return;
@@ -89,13 +98,13 @@
         if (machine != null
                 && machine.usedByPreviousLeader
                 && !machine.reconciled
-                && heartbeat.fencingToken() < shard.leadership().acquisitionTerm()
+                && heartbeat.fencingToken() < authority.acquisitionTerm()
                 && !hasPreviousLeaseExpired(machine, heartbeat)) {
             machine.leaseRenewedAtMs = Math.max(machine.leaseRenewedAtMs, outbox.now.monotonicMs());
             outbox.respond(
                     requestId,
                     new Response.HeartbeatAccepted(
-                            shard.term(), stopOrdersForCancelledJobs(heartbeat)));
+                            authority.term(), stopOrdersForCancelledJobs(heartbeat)));
             return;
         }
         // The worker no longer waits for the answer to a delayed or duplicated heartbeat, and the
@@ -109,25 +118,25 @@
             outbox.respondUnavailable(requestId);
             return;
         }
-        shard.standbyReplication().discardHeldAnswer(machine);
+        standbyReplication.discardHeldAnswer(machine);
         machine.inferReplyDelivery(heartbeat, outbox.now.monotonicMs(), settings);
         heartbeatReader.apply(machine, heartbeat);
         List<WorkerOrder> orders = new ArrayList<>();
-        if (shard.isLeader()) {
+        if (authority.isLeader()) {
             addForgetAndStopOrders(machine, heartbeat, orders);
             if (machine.hasDurableUseRecord
                     && (machine.cpusFree() > Tuning.EPSILON
                             || machine.gpusFree() > Tuning.EPSILON
-                            || shard.taskMigration().hasReadyTasks(machine))
-                    && shard.canStartTasks()
-                    && shard.standbyReplication().canStartTasks()
+                            || taskMigration.hasReadyTasks(machine))
+                    && authority.canStartTasks()
+                    && standbyReplication.canStartTasks()
                     && shard.isAvailable(machine)) {
                 startTasks(machine, orders);
             }
         } else {
             orders.addAll(stopOrdersForCancelledJobs(heartbeat));
         }
-        shard.standbyReplication().answerOrHold(requestId, machine, orders);
+        standbyReplication.answerOrHold(requestId, machine, orders);
     }
 
     /**
@@ -152,25 +161,24 @@
     private Machine registerMachine(WorkerHeartbeat heartbeat) {
         // A delayed heartbeat must not register a terminated machine again, whether its record
         // still exists or not.
-        if (shard.autoscaler().inventory().isTerminated(heartbeat.machineId())) {
+        if (machines.terminatedMachines().contains(heartbeat.machineId())) {
             return null;
         }
-        MachineRecord record = machineIndex.get(heartbeat.machineId());
+        MachineRecord record = machines.machineIndex().get(heartbeat.machineId());
         if (record != null) {
-            return record.shardNumber() == shard.shardNumber
-                    ? shard.lifecycle().addRecordedMachine(heartbeat.machineId(), record)
+            return record.shardNumber() == shard.shardNumber()
+                    ? machines.lifecycle().addRecordedMachine(heartbeat.machineId(), record)
                     : null;
         }
         // Nor a machine that a previous leader terminated. A machine that has a fencing token but
         // no record is registered only if the cloud lists it.
-        if (heartbeat.fencingToken() > 0
-                && !shard.autoscaler().inventory().isListed(heartbeat.machineId())) {
+        if (heartbeat.fencingToken() > 0 && !machines.inventory().isListed(heartbeat.machineId())) {
             return null;
         }
-        return shard.lifecycle()
+        return machines.lifecycle()
                 .addNewMachine(
                         heartbeat.machineId(),
-                        machineTypes.get(heartbeat.machineType()),
+                        machines.typeCatalog().get(heartbeat.machineType()),
                         heartbeat.zone(),
                         heartbeat.spot(),
                         outbox.now.wallMs());
@@ -195,9 +203,9 @@
         }
         for (TaskAttempt attempt : machine.tasks.values()) {
             if (attempt.mustStop) {
-                orders.add(TaskEviction.stopOrder(attempt, 0));
+                orders.add(TaskStopper.stopOrder(attempt, 0));
             } else if (attempt.beingEvicted && attempt.state != TaskAttempt.State.CHECKPOINTING) {
-                orders.add(TaskEviction.stopOrder(attempt, TaskEviction.gracePeriodS(attempt)));
+                orders.add(TaskStopper.stopOrder(attempt, TaskStopper.gracePeriodS(attempt)));
             }
         }
     }
@@ -248,7 +256,7 @@
     /** Starts the migrated tasks that wait for this machine, then as many planned tasks as fit. */
     private void startTasks(Machine machine, List<WorkerOrder> orders) {
         // Migrated tasks go first: the machine's resources are already reserved for them.
-        for (TaskId migrated : shard.taskMigration().takeReadyTasks(machine)) {
+        for (TaskId migrated : taskMigration.takeReadyTasks(machine)) {
             startTasks(shard.jobs().get(migrated.job()), migrated.index(), machine, orders);
         }
         // Answer and heartbeat are limited in size, however many small tasks would fit.
@@ -275,7 +283,7 @@
                 new TaskAttempt(
                         job,
                         taskIndex,
-                        shard.term() << Tuning.ATTEMPT_SEQUENCE_BITS | nextAttemptNumber++,
+                        authority.term() << Tuning.ATTEMPT_SEQUENCE_BITS | nextAttemptNumber++,
                         machine,
                         TaskAttempt.State.START_ORDERED,
                         outbox.now.monotonicMs());
--- a/src/main/java/org/shoreusher/core/heartbeat/HeartbeatReader.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/HeartbeatReader.java
@@ -1,18 +1,27 @@
 package org.shoreusher.core.heartbeat;
 
 import it.unimi.dsi.fastutil.objects.ObjectOpenHashSet;
-import org.shoreusher.core.NodeContext;
-import org.shoreusher.core.Shard;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.cluster.Machine;
 import org.shoreusher.core.cluster.ResourceLedger;
+import org.shoreusher.core.cluster.ShardContext;
+import org.shoreusher.core.cluster.ShardState;
 import org.shoreusher.core.cluster.TaskAttempt;
+import org.shoreusher.core.job.RunTimeEstimates;
+import org.shoreusher.core.job.ShardJobs;
 import org.shoreusher.core.job.SubmissionBatches;
+import org.shoreusher.core.job.TerminalStateWriter;
+import org.shoreusher.core.machine.MachineRecords;
+import org.shoreusher.core.machine.ShardMachines;
 import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.core.message.WorkerHeartbeat;
 import org.shoreusher.core.message.WorkerHeartbeat.ExitCause;
 import org.shoreusher.core.message.WorkerHeartbeat.TaskState;
 import org.shoreusher.core.message.WorkerHeartbeat.TaskStatus;
+import org.shoreusher.core.reconcile.Reconciliation;
+import org.shoreusher.core.schedule.ShardScheduling;
+import org.shoreusher.core.schedule.TaskMigration;
+import org.shoreusher.core.schedule.TaskStopper;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreSchema.JobRecord;
 import org.shoreusher.settings.Tuning;
@@ -21,18 +30,35 @@
  * Applies a worker's newest heartbeat to the leader's state of the machine, of its tasks and of
  * their jobs.
  */
-final class HeartbeatReader {
-    private final Shard shard;
+public final class HeartbeatReader {
+    private final ShardState shard;
     private final Outbox outbox;
     private final SubmissionBatches submissionBatches;
     private final ResourceLedger ledger;
+    private final MachineRecords machineRecords;
+    private final RunTimeEstimates runTimeEstimates;
+    private final TerminalStateWriter terminalStateWriter;
+    private final TaskStopper taskStopper;
+    private final TaskMigration taskMigration;
+    private final Reconciliation reconciliation;
 
     /** Creates the reader of one shard that this process leads. */
-    HeartbeatReader(Shard shard, NodeContext context, ResourceLedger ledger) {
-        this.shard = shard;
-        this.ledger = ledger;
+    public HeartbeatReader(
+            ShardContext context,
+            ShardJobs jobs,
+            ShardMachines machines,
+            ShardScheduling scheduling,
+            Reconciliation reconciliation) {
+        shard = context.state();
         outbox = context.outbox();
-        submissionBatches = context.submissionBatches();
+        ledger = shard.resourceLedger();
+        submissionBatches = jobs.submissionBatches();
+        runTimeEstimates = jobs.runTimeEstimates();
+        terminalStateWriter = jobs.terminalStateWriter();
+        machineRecords = machines.machineRecords();
+        taskStopper = scheduling.taskStopper();
+        taskMigration = scheduling.taskMigration();
+        this.reconciliation = reconciliation;
     }
 
     /**
@@ -52,9 +78,9 @@
         }
         if (!machine.mayHaveRunTasks) {
             machine.mayHaveRunTasks = true;
-            shard.machineRecords().markDirty(machine.id);
+            machineRecords.markDirty(machine.id);
         }
-        shard.taskMigration().onMachineReported(machine);
+        taskMigration.onMachineReported(machine);
         machine.reportedTaskCount = heartbeat.tasks().size();
         ObjectOpenHashSet<String> presentTaskKeys = new ObjectOpenHashSet<>();
         for (TaskStatus task : heartbeat.tasks()) {
@@ -108,7 +134,7 @@
             attempt = null;
         }
         if (attempt == null) {
-            shard.reconciliation().handleUnknownAttempt(machine, task, fencingToken);
+            reconciliation.handleUnknownAttempt(machine, task, fencingToken);
             Job job = shard.jobs().get(task.jobId());
             boolean shouldRun =
                     job != null
@@ -186,7 +212,7 @@
                         && job.meanRunTimeS() >= Tuning.MIN_SLOWDOWN_SAMPLE_S) {
                     machine.recordRunTime(runTimeS / job.meanRunTimeS());
                 }
-                shard.runTimeEstimates().recordRunTime(job, runTimeS);
+                runTimeEstimates.recordRunTime(job, runTimeS);
             }
             if (job != null
                     && task.taskIndex() >= 0
@@ -194,11 +220,11 @@
                     && !job.completedTasks.get(task.taskIndex())) {
                 job.completedTasks.set(task.taskIndex());
                 job.setPending(task.taskIndex(), false);
-                shard.terminalStateWriter().taskCompleted(job);
+                terminalStateWriter.taskCompleted(job);
                 TaskAttempt attemptElsewhere = job.activeAttempts.get(task.taskIndex());
                 if (attemptElsewhere != null && attemptElsewhere != attempt) {
                     attemptElsewhere.mustStop = true;
-                    shard.taskEviction().sendStop(attemptElsewhere, 0);
+                    taskStopper.sendStop(attemptElsewhere, 0);
                 }
             }
         }
--- a/src/main/java/org/shoreusher/core/job/CompletionRecords.java
+++ b/src/main/java/org/shoreusher/core/job/CompletionRecords.java
@@ -10,6 +10,7 @@
 import java.util.function.Function;
 import java.util.function.IntFunction;
 import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.leadership.CompletionSnapshot;
 import org.shoreusher.core.store.TaskRanges;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
@@ -26,7 +27,7 @@
  * previous leader may have had a higher limit or other slices. A slice that has to move for that
  * reason leaves its old record only after its new record is durable.
  */
-public final class CompletionRecords {
+public final class CompletionRecords implements CompletionSnapshot {
     /** The completed tasks of one slice, and the index of its record. */
     private record StoredSlice(Job job, int recordIndex, BitSet completedTasks) {}
 
@@ -207,6 +208,7 @@
     }
 
     /** The number of records. */
+    @Override
     public int recordCount() {
         return chunks.size();
     }
@@ -215,6 +217,7 @@
      * The value that a record should have now: its own slices, and stored tasks of other slices
      * that no other record holds yet. If that exceeds the limit, it is the stored value, unchanged.
      */
+    @Override
     public Map<String, Object> recordValue(int recordIndex) {
         Map<String, BitSet> wanted = new LinkedHashMap<>(chunks.get(recordIndex));
         Map<String, Object> storedValue = storedRecord.apply(recordIndex);
@@ -247,6 +250,7 @@
     }
 
     /** Updates each job's durably completed tasks from the stored records. */
+    @Override
     public void markDurable() {
         for (StoredSlice storedSlice : storedSlices) {
             if (storedRecord.apply(storedSlice.recordIndex).get(storedSlice.job.id)
--- a/src/main/java/org/shoreusher/core/job/HighWaterMarks.java
+++ b/src/main/java/org/shoreusher/core/job/HighWaterMarks.java
@@ -7,10 +7,10 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.shoreusher.core.NodeContext;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.leadership.ShardLeadership;
 import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.core.store.NodeContext;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.core.store.StoreSchema;
@@ -62,6 +62,7 @@
             int shardNumber,
             int shardCount,
             NodeContext context,
+            SubmissionBatches submissionBatches,
             ShardLeadership leadership,
             Map<String, Job> jobs) {
         this.shardNumber = shardNumber;
@@ -69,7 +70,7 @@
         settings = context.settings();
         outbox = context.outbox();
         storeCache = context.storeCache();
-        submissionBatches = context.submissionBatches();
+        this.submissionBatches = submissionBatches;
         this.leadership = leadership;
         this.jobs = jobs;
         writeIntervalMs =
--- a/src/main/java/org/shoreusher/core/job/OpenJobs.java
+++ b/src/main/java/org/shoreusher/core/job/OpenJobs.java
@@ -1,32 +1,34 @@
 package org.shoreusher.core.job;
 
-import it.unimi.dsi.fastutil.objects.Object2ObjectLinkedOpenHashMap;
 import java.util.ArrayList;
-import java.util.List;
 import java.util.Map;
-import org.shoreusher.core.Shard;
+import java.util.function.Consumer;
 import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.cluster.ShardContext;
 import org.shoreusher.core.cluster.TaskAttempt;
-import org.shoreusher.core.store.Outbox;
+import org.shoreusher.core.leadership.ShardAuthority;
 import org.shoreusher.core.store.StoreSchema.JobRecord;
 import org.shoreusher.core.store.StoreSchema.JobStatus;
 
 /** The open jobs of a shard, as the cache of the store shows them. */
 public final class OpenJobs {
-    private final Shard shard;
-    private final Outbox outbox;
-    private final Object2ObjectLinkedOpenHashMap<String, Job> jobs =
-            new Object2ObjectLinkedOpenHashMap<>();
+    private final Map<String, Job> jobs;
+    private final ShardAuthority authority;
+    private final Consumer<Job> onJobClosed;
+    private final Consumer<TaskAttempt> stopTask;
 
-    /** No jobs yet. */
-    public OpenJobs(Shard shard, Outbox outbox) {
-        this.shard = shard;
-        this.outbox = outbox;
-    }
-
-    /** The jobs by id, in the order in which they became known; a live view. */
-    public Map<String, Job> byId() {
-        return jobs;
+    /**
+     * Creates the open jobs of a shard.
+     *
+     * @param onJobClosed told of each job that is removed, before its tasks are stopped
+     * @param stopTask sends the order to stop an active task at once
+     */
+    public OpenJobs(
+            ShardContext context, Consumer<Job> onJobClosed, Consumer<TaskAttempt> stopTask) {
+        jobs = context.state().jobs();
+        authority = context.authority();
+        this.onJobClosed = onJobClosed;
+        this.stopTask = stopTask;
     }
 
     /**
@@ -34,7 +36,7 @@
      * until the shard's state has been loaded, which reads all records.
      */
     public void recordChanged(String jobId, JobRecord record) {
-        if (!shard.isLoaded()) {
+        if (!authority.isLoaded()) {
             return;
         }
         if (record.status() != JobStatus.OPEN) {
@@ -69,30 +71,12 @@
             return;
         }
         job.closed = true;
-        shard.taskMigration().onJobEnded(job);
+        onJobClosed.accept(job);
         job.pendingTasks.clear();
         job.pendingCount = 0;
         for (TaskAttempt attempt : new ArrayList<>(job.activeAttempts.values())) {
             attempt.mustStop = true;
-            shard.taskEviction().sendStop(attempt, 0);
-        }
-    }
-
-    /**
-     * Jobs with pending tasks that may be started now, in the order in which they should get
-     * resources.
-     */
-    public List<Job> inSchedulingOrder() {
-        List<Job> schedulable = new ArrayList<>();
-        for (Job job : jobs.values()) {
-            if (job.pendingCount > 0
-                    && !job.closed
-                    && !job.taskZonesUnknown
-                    && !job.isBackingOff(outbox.now.monotonicMs())) {
-                schedulable.add(job);
-            }
+            stopTask.accept(attempt);
         }
-        shard.schedulingOrder().sort(schedulable, outbox.now.wallMs());
-        return schedulable;
     }
 }
--- a/src/main/java/org/shoreusher/core/leadership/ShardLeadership.java
+++ b/src/main/java/org/shoreusher/core/leadership/ShardLeadership.java
@@ -3,7 +3,6 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.function.Supplier;
-import org.shoreusher.core.job.CompletionRecords;
 import org.shoreusher.core.message.ClockReading;
 import org.shoreusher.core.message.Command.StoreReply;
 import org.shoreusher.core.message.Effect.StoreOperation;
@@ -193,14 +192,14 @@
      * @param completionSupplier supplies the completion records to write; supplies null as long as
      *     they are not loaded
      */
-    public void renewLease(Supplier<CompletionRecords> completionSupplier) {
+    public void renewLease(Supplier<CompletionSnapshot> completionSupplier) {
         if (renewalInFlight || outbox.now.monotonicMs() < nextRenewalMs) {
             return;
         }
         ClockReading sentAt = outbox.now;
         long expiryWallMs =
                 Math.max(lease.expiryWallMs(), sentAt.wallMs() + LeaderLease.durationMs(settings));
-        CompletionRecords completions = completionSupplier.get();
+        CompletionSnapshot completions = completionSupplier.get();
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
         ShardRecord record =
                 new ShardRecord(
@@ -282,7 +281,7 @@
             StoreReply reply,
             ShardRecord record,
             ClockReading sentAt,
-            CompletionRecords completions,
+            CompletionSnapshot completions,
             Map<String, Map<String, Object>> writes) {
         if (isLost) {
             return;
@@ -429,7 +428,7 @@
      * @param reason the reason, for the log
      * @param completions the completed tasks to store with the record
      */
-    public void stepDown(String reason, CompletionRecords completions) {
+    public void stepDown(String reason, CompletionSnapshot completions) {
         if (renewalInFlight) {
             return;
         }
--- a/src/main/java/org/shoreusher/core/machine/Autoscaler.java
+++ b/src/main/java/org/shoreusher/core/machine/Autoscaler.java
@@ -6,13 +6,21 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import org.shoreusher.core.Shard;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.cluster.ShardContext;
+import org.shoreusher.core.cluster.ShardState;
+import org.shoreusher.core.gossip.ShardDemand;
+import org.shoreusher.core.job.RunTimeEstimates;
+import org.shoreusher.core.leadership.ShardAuthority;
 import org.shoreusher.core.message.Effect.CloudOperation;
 import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.core.message.MachineType;
 import org.shoreusher.core.schedule.BinPacker;
+import org.shoreusher.core.schedule.JobQueue;
+import org.shoreusher.core.schedule.QuotaHeadroom;
+import org.shoreusher.core.schedule.SchedulingOrder;
+import org.shoreusher.core.schedule.ShardScheduling;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
@@ -22,12 +30,21 @@
  * hand over to other shards, and runs the calls to the cloud that follow from it.
  */
 public final class Autoscaler {
-    private final Shard shard;
+    private final ShardState shard;
+    private final ShardAuthority authority;
     private final Settings settings;
     private final Outbox outbox;
     private final MachineTypeCatalog typeCatalog;
     private final ScaleOut scaleOut;
     private final CloudInventory inventory;
+    private final MachineLifecycle lifecycle;
+    private final MachineRecords machineRecords;
+    private final TerminatedMachines terminatedMachines;
+    private final SchedulingOrder schedulingOrder;
+    private final JobQueue jobQueue;
+    private final QuotaHeadroom quotaHeadroom;
+    private final RunTimeEstimates runTimeEstimates;
+    private final ShardDemand shardDemand;
     private final ReservedReplicaCapacity reservedReplicaCapacity;
     private final MachineCordon machineCordon;
     private final ScaleIn scaleIn;
@@ -43,17 +60,29 @@
 
     /** Creates the autoscaler of a shard. */
     public Autoscaler(
-            Shard shard, Settings settings, Outbox outbox, MachineTypeCatalog typeCatalog) {
-        this.shard = shard;
-        this.settings = settings;
-        this.outbox = outbox;
-        this.typeCatalog = typeCatalog;
-        scaleOut = new ScaleOut(shard, settings, outbox, this);
-        inventory = new CloudInventory(shard, settings, outbox, typeCatalog);
-        reservedReplicaCapacity =
-                new ReservedReplicaCapacity(shard, settings, typeCatalog, scaleOut);
-        machineCordon = new MachineCordon(shard, settings, outbox);
-        scaleIn = new ScaleIn(shard, outbox);
+            ShardContext context,
+            ShardMachines machines,
+            ShardScheduling scheduling,
+            RunTimeEstimates runTimeEstimates,
+            ShardDemand shardDemand) {
+        shard = context.state();
+        authority = context.authority();
+        settings = context.settings();
+        outbox = context.outbox();
+        typeCatalog = machines.typeCatalog();
+        inventory = machines.inventory();
+        lifecycle = machines.lifecycle();
+        machineRecords = machines.machineRecords();
+        terminatedMachines = machines.terminatedMachines();
+        schedulingOrder = scheduling.schedulingOrder();
+        jobQueue = scheduling.jobQueue();
+        quotaHeadroom = scheduling.quotaHeadroom();
+        this.runTimeEstimates = runTimeEstimates;
+        this.shardDemand = shardDemand;
+        scaleOut = new ScaleOut(context, this);
+        reservedReplicaCapacity = new ReservedReplicaCapacity(context, typeCatalog, scaleOut);
+        machineCordon = new MachineCordon(context, scheduling.taskStopper());
+        scaleIn = new ScaleIn(context, lifecycle);
     }
 
     /**
@@ -61,17 +90,17 @@
      * While reconciliation is incomplete, machines are only added.
      */
     public void step() {
-        if (!shard.isLeader() || !typeCatalog.isLoaded()) {
+        if (!authority.isLeader() || !typeCatalog.isLoaded()) {
             return;
         }
         scaleOut.step();
         if (outbox.now.monotonicMs() >= nextPlanMs) {
             nextPlanMs = outbox.now.monotonicMs() + Tuning.AUTOSCALER_INTERVAL_MS;
-            if (shard.isReconciled()) {
+            if (authority.isReconciled()) {
                 machineCordon.step();
             }
             plan();
-            if (shard.isReconciled()) {
+            if (authority.isReconciled()) {
                 handOverSurplus();
             }
         }
@@ -79,27 +108,21 @@
         inventory.step();
     }
 
-    /** The cloud's machine list as last read. */
-    public CloudInventory inventory() {
-        return inventory;
-    }
-
     /**
      * Adds a machine that the cloud has provisioned, unless it is known or terminated already.
      *
      * @param requestedWallMs wall-clock ms at which the request was sent
      */
     void addProvisioned(String id, CloudOperation.Provision request, long requestedWallMs) {
-        if (!shard.isLeadershipLost()
+        if (!authority.isLeadershipLost()
                 && !shard.machines().containsKey(id)
-                && !inventory.isTerminated(id)) {
-            shard.lifecycle()
-                    .addNewMachine(
-                            id,
-                            typeCatalog.get(request.type()),
-                            request.zone(),
-                            request.spot(),
-                            requestedWallMs);
+                && !terminatedMachines.contains(id)) {
+            lifecycle.addNewMachine(
+                    id,
+                    typeCatalog.get(request.type()),
+                    request.zone(),
+                    request.spot(),
+                    requestedWallMs);
         }
     }
 
@@ -119,9 +142,9 @@
         BinPacker binPacker =
                 new BinPacker(
                         capacities,
-                        shard.quotaHeadroom()::cpuHeadroomForScaleOut,
-                        shard.quotaHeadroom()::gpuHeadroom);
-        List<Job> jobs = shard.openJobs().inSchedulingOrder();
+                        quotaHeadroom::cpuHeadroomForScaleOut,
+                        quotaHeadroom::gpuHeadroom);
+        List<Job> jobs = jobQueue.inSchedulingOrder();
         int maxNewMachines = scaleOut.maxNewMachines();
         List<BinPacker.MachineCapacity> toProvision = new ArrayList<>();
         Object2IntOpenHashMap<String> machinesPerZone = countPerZone();
@@ -139,7 +162,7 @@
         }
         Set<Machine> neededMachines = new HashSet<>();
         binPacker.placedTasks().forEach(placed -> neededMachines.add(placed.capacity().machine));
-        if (shard.isReconciled()) {
+        if (authority.isReconciled()) {
             drainIdle(neededMachines);
         }
         surplusMachines.clear();
@@ -155,9 +178,7 @@
         // boot.
         toProvision
                 .subList(
-                        Math.max(
-                                0,
-                                toProvision.size() - shard.shardDemand().idleMachinesElsewhere()),
+                        Math.max(0, toProvision.size() - shardDemand.idleMachinesElsewhere()),
                         toProvision.size())
                 .clear();
         scaleOut.requestMachines(toProvision);
@@ -216,8 +237,8 @@
         BinPacker binPacker =
                 new BinPacker(
                         machineCapacities(),
-                        shard.quotaHeadroom()::cpuHeadroomForScaleOut,
-                        shard.quotaHeadroom()::gpuHeadroom);
+                        quotaHeadroom::cpuHeadroomForScaleOut,
+                        quotaHeadroom::gpuHeadroom);
         double missingMachines = 0;
         cpuShortfall = 0;
         for (Job job : jobs) {
@@ -256,8 +277,8 @@
 
     /** Hands surplus machines over to the shard with the largest shortfall. */
     private void handOverSurplus() {
-        int targetShard = shard.shardDemand().shardWithLargestShortfall();
-        int remaining = targetShard < 0 ? 0 : shard.shardDemand().machineShortfallOf(targetShard);
+        int targetShard = shardDemand.shardWithLargestShortfall();
+        int remaining = targetShard < 0 ? 0 : shardDemand.machineShortfallOf(targetShard);
         updateEvacuation(remaining);
         for (Machine machine : new ArrayList<>(shard.machines().values())) {
             if (remaining > 0
@@ -267,7 +288,7 @@
                     && machine.hasDurableUseRecord
                     && outbox.now.monotonicMs() - machine.idleSinceMs
                             > Tuning.HANDOVER_MIN_IDLE_MS) {
-                shard.machineRecords().handOver(machine, targetShard);
+                machineRecords.handOver(machine, targetShard);
                 remaining--;
                 surplusMachines.remove(machine);
             }
@@ -317,8 +338,8 @@
         if (!job.spec.workloadType().runsToCompletion()) {
             return job.pendingCount;
         }
-        double runTimeS = shard.runTimeEstimates().expectedRunS(job);
-        double slackS = shard.schedulingOrder().timeToNearestObjectiveS(job, outbox.now.wallMs());
+        double runTimeS = runTimeEstimates.expectedRunS(job);
+        double slackS = schedulingOrder.timeToNearestObjectiveS(job, outbox.now.wallMs());
         // A job that can't meet its deadline on a machine that has yet to boot gains nothing from
         // more parallelism.
         boolean isTooLate = slackS < type.bootS() + runTimeS;
--- a/src/main/java/org/shoreusher/core/machine/CloudInventory.java
+++ b/src/main/java/org/shoreusher/core/machine/CloudInventory.java
@@ -1,13 +1,14 @@
 package org.shoreusher.core.machine;
 
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
-import it.unimi.dsi.fastutil.objects.ObjectLinkedOpenHashSet;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import org.shoreusher.core.Shard;
 import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.cluster.ShardContext;
+import org.shoreusher.core.cluster.ShardState;
+import org.shoreusher.core.leadership.ShardAuthority;
 import org.shoreusher.core.message.ClockReading;
 import org.shoreusher.core.message.Command.CloudReply;
 import org.shoreusher.core.message.Command.ListedMachine;
@@ -24,10 +25,13 @@
  * of its machines have been terminated, and which machines have no record and need to be adopted.
  */
 public final class CloudInventory {
-    private final Shard shard;
+    private final ShardState shard;
+    private final ShardAuthority authority;
     private final Settings settings;
     private final Outbox outbox;
     private final MachineTypeCatalog typeCatalog;
+    private final MachineLifecycle lifecycle;
+    private final TerminatedMachines terminatedMachines;
 
     /** Listed machines without a record, with the steady ms at which they were first seen. */
     private final Object2LongOpenHashMap<String> unrecordedSinceMs = new Object2LongOpenHashMap<>();
@@ -35,9 +39,6 @@
     /** Names of the machines in the newest complete list. */
     private Set<String> listedIds = Set.of();
 
-    /** Machines that have been terminated, oldest first; the cloud never uses a name again. */
-    private final ObjectLinkedOpenHashSet<String> terminatedIds = new ObjectLinkedOpenHashSet<>();
-
     private long nextListMs;
 
     /** The list that is being read page by page; null between two lists. */
@@ -58,27 +59,18 @@
     }
 
     /** Creates the inventory of a shard; nothing is listed yet. */
-    CloudInventory(Shard shard, Settings settings, Outbox outbox, MachineTypeCatalog typeCatalog) {
-        this.shard = shard;
-        this.settings = settings;
-        this.outbox = outbox;
+    public CloudInventory(
+            ShardContext context,
+            MachineTypeCatalog typeCatalog,
+            MachineLifecycle lifecycle,
+            TerminatedMachines terminatedMachines) {
+        shard = context.state();
+        authority = context.authority();
+        settings = context.settings();
+        outbox = context.outbox();
         this.typeCatalog = typeCatalog;
-    }
-
-    /**
-     * Remembers that a machine of the shard has been terminated, so that late messages add it not
-     * again.
-     */
-    void recordTermination(String id) {
-        terminatedIds.add(id);
-        if (terminatedIds.size() > Tuning.MAX_REMEMBERED_TERMINATED_MACHINES) {
-            terminatedIds.removeFirst();
-        }
-    }
-
-    /** Whether the machine is known to have been terminated. */
-    public boolean isTerminated(String id) {
-        return terminatedIds.contains(id);
+        this.lifecycle = lifecycle;
+        this.terminatedMachines = terminatedMachines;
     }
 
     /** Whether the newest complete list has the machine. */
@@ -113,11 +105,11 @@
         // Reconciliation waits for machines until a list shows that they are terminated.
         nextListMs =
                 outbox.now.monotonicMs()
-                        + (shard.isReconciled()
+                        + (authority.isReconciled()
                                 ? Tuning.INVENTORY_INTERVAL_MS
                                 : Tuning.RECONCILIATION_INVENTORY_INTERVAL_MS);
         partialList = null;
-        if (reply.status() != 200 || shard.isLeadershipLost()) {
+        if (reply.status() != 200 || authority.isLeadershipLost()) {
             return;
         }
         try {
@@ -140,9 +132,9 @@
             ids.add(listedMachine.machineId());
             Machine machine = shard.machines().get(listedMachine.machineId());
             if (machine != null && listedMachine.state().equals("failed")) {
-                shard.lifecycle().handleMachineFailure(machine);
+                lifecycle.handleMachineFailure(machine);
             }
-            if (machine == null && shard.lifecycle().shouldAdopt(listedMachine.machineId())) {
+            if (machine == null && lifecycle.shouldAdopt(listedMachine.machineId())) {
                 adoptIfStillListed(listedMachine);
             } else {
                 // Otherwise a machine that is terminated later, and that a lagging list still has,
@@ -160,7 +152,7 @@
         for (Machine machine : new ArrayList<>(shard.machines().values())) {
             if (!ids.contains(machine.id)
                     && requestedAt.wallMs() - machine.provisionedWallMs > maxListDelayMs) {
-                shard.lifecycle().removeTerminated(machine, "no longer in the cloud's list");
+                lifecycle.removeTerminated(machine, "no longer in the cloud's list");
             }
         }
     }
@@ -173,20 +165,19 @@
         if (!unrecordedSinceMs.containsKey(listedMachine.machineId())) {
             unrecordedSinceMs.put(listedMachine.machineId(), outbox.now.monotonicMs());
         } else if (outbox.now.monotonicMs() - unrecordedSinceMs.getLong(listedMachine.machineId())
-                > (terminatedIds.contains(listedMachine.machineId())
+                > (terminatedMachines.contains(listedMachine.machineId())
                         ? Tuning.TERMINATED_STILL_LISTED_MS
                         : 2 * Tuning.INVENTORY_INTERVAL_MS)) {
             unrecordedSinceMs.removeLong(listedMachine.machineId());
-            terminatedIds.remove(listedMachine.machineId());
+            terminatedMachines.remove(listedMachine.machineId());
             outbox.logInfo(
-                    "adopted: " + listedMachine.machineId() + " in part " + shard.shardNumber);
-            shard.lifecycle()
-                    .addNewMachine(
-                            listedMachine.machineId(),
-                            typeCatalog.get(listedMachine.type()),
-                            listedMachine.zone(),
-                            listedMachine.spot(),
-                            outbox.now.wallMs() - (long) (listedMachine.ageS() * 1000));
+                    "adopted: " + listedMachine.machineId() + " in part " + shard.shardNumber());
+            lifecycle.addNewMachine(
+                    listedMachine.machineId(),
+                    typeCatalog.get(listedMachine.type()),
+                    listedMachine.zone(),
+                    listedMachine.spot(),
+                    outbox.now.wallMs() - (long) (listedMachine.ageS() * 1000));
         }
     }
 }
--- a/src/main/java/org/shoreusher/core/machine/MachineCordon.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineCordon.java
@@ -1,9 +1,11 @@
 package org.shoreusher.core.machine;
 
-import org.shoreusher.core.Shard;
 import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.cluster.ShardContext;
+import org.shoreusher.core.cluster.ShardState;
 import org.shoreusher.core.cluster.TaskAttempt;
 import org.shoreusher.core.leadership.LeaderLease;
+import org.shoreusher.core.schedule.TaskStopper;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
@@ -14,15 +16,17 @@
  * drained and then terminated.
  */
 final class MachineCordon {
-    private final Shard shard;
+    private final ShardState shard;
+    private final TaskStopper taskStopper;
     private final Settings settings;
     private final Outbox outbox;
 
     /** Creates the cordon of a shard. */
-    MachineCordon(Shard shard, Settings settings, Outbox outbox) {
-        this.shard = shard;
-        this.settings = settings;
-        this.outbox = outbox;
+    MachineCordon(ShardContext context, TaskStopper taskStopper) {
+        shard = context.state();
+        settings = context.settings();
+        outbox = context.outbox();
+        this.taskStopper = taskStopper;
     }
 
     /** Checks all machines of the shard and sets those to be cordoned to draining. */
@@ -117,7 +121,7 @@
         for (TaskAttempt attempt : machine.tasks.values()) {
             if (!attempt.job.spec.workloadType().runsToCompletion() && !attempt.mustStop) {
                 attempt.mustStop = true;
-                shard.taskEviction().sendStop(attempt, 0);
+                taskStopper.sendStop(attempt, 0);
             }
         }
     }
--- a/src/main/java/org/shoreusher/core/machine/MachineLifecycle.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineLifecycle.java
@@ -1,52 +1,40 @@
 package org.shoreusher.core.machine;
 
-import org.shoreusher.core.NodeContext;
-import org.shoreusher.core.Shard;
 import org.shoreusher.core.cluster.Machine;
 import org.shoreusher.core.cluster.ResourceLedger;
-import org.shoreusher.core.leadership.LeaderLease;
-import org.shoreusher.core.leadership.ShardLeadership;
+import org.shoreusher.core.cluster.ShardContext;
+import org.shoreusher.core.cluster.ShardState;
+import org.shoreusher.core.leadership.ShardAuthority;
 import org.shoreusher.core.message.MachineType;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreSchema.MachineRecord;
-import org.shoreusher.settings.Settings;
 
 /**
  * Adds machines to a shard and removes them, with the tasks that are or may be on them. One for
  * each shard that this node leads.
  */
 public final class MachineLifecycle {
-    private final Shard shard;
-    private final int shardCount;
-    private final Settings settings;
+    private final ShardState shard;
+    private final ShardAuthority authority;
     private final Outbox outbox;
-    private final MachineIndex machineIndex;
-    private final MachineTypeCatalog typeCatalog;
-    private final Shard.PeerView peerView;
-    private final ShardLeadership leadership;
     private final ResourceLedger ledger;
+    private final MachineTypeCatalog typeCatalog;
+    private final MachineRecords machineRecords;
+    private final TerminatedMachines terminatedMachines;
 
-    /**
-     * Creates the lifecycle of a shard's machines.
-     *
-     * @param shardCount number of shards of the cluster
-     */
+    /** Creates the lifecycle of a shard's machines. */
     public MachineLifecycle(
-            Shard shard,
-            int shardCount,
-            NodeContext context,
-            Shard.PeerView peerView,
-            ShardLeadership leadership,
-            ResourceLedger ledger) {
-        this.shard = shard;
-        this.shardCount = shardCount;
-        this.peerView = peerView;
-        this.leadership = leadership;
-        this.ledger = ledger;
-        settings = context.settings();
+            ShardContext context,
+            MachineTypeCatalog typeCatalog,
+            MachineRecords machineRecords,
+            TerminatedMachines terminatedMachines) {
+        shard = context.state();
+        authority = context.authority();
         outbox = context.outbox();
-        machineIndex = context.machineIndex();
-        typeCatalog = context.machineTypes();
+        ledger = shard.resourceLedger();
+        this.typeCatalog = typeCatalog;
+        this.machineRecords = machineRecords;
+        this.terminatedMachines = terminatedMachines;
     }
 
     /**
@@ -63,17 +51,7 @@
                 new Machine(id, type, record.zone(), record.spot(), record.provisionedWallMs());
         machine.mayHaveRunTasks = record.mayHaveRunTasks();
         machine.hasDurableUseRecord = record.mayHaveRunTasks();
-        // During an outage of the store the previous leader may have renewed the worker's lease in
-        // its grace period, as long as gossip told it that this node could not reach the store
-        // either.
-        machine.leaseRenewedAtMs =
-                leadership.acquiredAtMs()
-                        + Math.max(
-                                0,
-                                Math.min(
-                                        LeaderLease.gracePeriodMs(settings),
-                                        peerView.storeOutageGossipValidUntilMs()
-                                                - leadership.acquiredAtMs()));
+        machine.leaseRenewedAtMs = authority.previousLeaderRenewalBoundMs();
         machine.previousLeaderRenewalAtMs = machine.leaseRenewedAtMs;
         shard.machines().put(id, machine);
         return machine;
@@ -94,7 +72,7 @@
         Machine machine = new Machine(id, type, zone, spot, provisionedWallMs);
         machine.leaseRenewedAtMs = outbox.now.monotonicMs();
         shard.machines().put(id, machine);
-        shard.machineRecords().markDirty(id);
+        machineRecords.markDirty(id);
         return machine;
     }
 
@@ -109,7 +87,7 @@
                         "silent: "
                                 + machine.id
                                 + " of part "
-                                + shard.shardNumber
+                                + shard.shardNumber()
                                 + " lost its lease with "
                                 + machine.tasks.size()
                                 + " tasks");
@@ -123,11 +101,11 @@
      * Removes a machine that no longer exists, with its tasks and its record. The reason is logged.
      */
     void removeTerminated(Machine machine, String reason) {
-        outbox.logInfo("gone: " + machine.id + " of part " + shard.shardNumber + ", " + reason);
+        outbox.logInfo("gone: " + machine.id + " of part " + shard.shardNumber() + ", " + reason);
         machine.snapshotTasks().forEach(ledger::remove);
         shard.removeMachine(machine.id);
-        shard.machineRecords().markDirty(machine.id);
-        shard.autoscaler().inventory().recordTermination(machine.id);
+        machineRecords.markDirty(machine.id);
+        terminatedMachines.add(machine.id);
     }
 
     /**
@@ -144,8 +122,8 @@
      * Whether this shard, by the hash of the name, is the one to adopt a machine without a record.
      */
     boolean shouldAdopt(String id) {
-        return machineIndex.get(id) == null
-                && Math.floorMod(id.hashCode(), shardCount) == shard.shardNumber;
+        return !machineRecords.isRecorded(id)
+                && Math.floorMod(id.hashCode(), shard.shardCount()) == shard.shardNumber();
     }
 
     /**
@@ -155,14 +133,14 @@
     public void applyRecord(String id, MachineRecord record) {
         Machine machine = shard.machines().get(id);
         // A write made before the machine was terminated may reach the cache after that.
-        if (shard.isLoaded()
+        if (authority.isLoaded()
                 && machine == null
-                && record.shardNumber() == shard.shardNumber
-                && !shard.autoscaler().inventory().isTerminated(id)) {
+                && record.shardNumber() == shard.shardNumber()
+                && !terminatedMachines.contains(id)) {
             addRecordedMachine(id, record);
         } else if (machine != null
                 && machine.tasks.isEmpty()
-                && record.shardNumber() != shard.shardNumber) {
+                && record.shardNumber() != shard.shardNumber()) {
             shard.removeMachine(id);
         }
     }
--- a/src/main/java/org/shoreusher/core/machine/MachineRecords.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineRecords.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import java.util.function.Consumer;
-import org.shoreusher.core.NodeContext;
 import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.cluster.ShardContext;
+import org.shoreusher.core.cluster.ShardState;
 import org.shoreusher.core.leadership.ShardLeadership;
 import org.shoreusher.core.message.Effect.StoreOperation;
 import org.shoreusher.core.store.Outbox;
@@ -27,17 +27,13 @@
  * writes, and a previous leader can't write at all.
  */
 public final class MachineRecords {
-    private final int shardNumber;
+    private final ShardState shard;
     private final Settings settings;
     private final Outbox outbox;
     private final StoreCache storeCache;
     private final MachineIndex machineIndex;
     private final VersionNegotiation versionNegotiation;
     private final ShardLeadership leadership;
-    private final Map<String, Machine> machines;
-
-    /** Called with a machine that belongs to another shard now. */
-    private final Consumer<String> onHandedOver;
 
     /** Machines whose records may differ from {@link #desiredRecord}, oldest first. */
     private final ObjectLinkedOpenHashSet<String> dirtyIds = new ObjectLinkedOpenHashSet<>();
@@ -54,24 +50,22 @@
     /**
      * Creates the records of a shard.
      *
-     * @param machines the shard's machines by name; read, never changed
-     * @param onHandedOver called with each machine that belongs to another shard now
+     * @param machineIndex the machine records of all shards
      */
     public MachineRecords(
-            int shardNumber,
-            NodeContext context,
-            ShardLeadership leadership,
-            Map<String, Machine> machines,
-            Consumer<String> onHandedOver) {
-        this.onHandedOver = onHandedOver;
-        this.shardNumber = shardNumber;
+            ShardContext context, MachineIndex machineIndex, ShardLeadership leadership) {
+        shard = context.state();
         settings = context.settings();
         outbox = context.outbox();
-        storeCache = context.storeCache();
-        machineIndex = context.machineIndex();
-        versionNegotiation = context.versionNegotiation();
+        storeCache = context.node().storeCache();
+        versionNegotiation = context.node().versionNegotiation();
+        this.machineIndex = machineIndex;
         this.leadership = leadership;
-        this.machines = machines;
+    }
+
+    /** Returns whether the store has a record of the machine, whichever shard it belongs to. */
+    boolean isRecorded(String machineId) {
+        return machineIndex.get(machineId) != null;
     }
 
     /** Has the record of a machine that is new, used or terminated written or removed. */
@@ -93,7 +87,7 @@
 
     /** The record that a machine should have; null if none. */
     private MachineRecord desiredRecord(String id) {
-        Machine machine = machines.get(id);
+        Machine machine = shard.machines().get(id);
         if (machine == null) {
             return null;
         }
@@ -102,7 +96,7 @@
         // read "not used" in the narrow one.
         boolean mixedVersions = usesNarrowGroups() && !versionNegotiation.areServicesSupported();
         return new MachineRecord(
-                handingOver ? machine.handoverTargetShard : shardNumber,
+                handingOver ? machine.handoverTargetShard : shard.shardNumber(),
                 machine.type.name(),
                 machine.zone,
                 machine.spot,
@@ -193,10 +187,12 @@
             MachineRecord desired = desiredRecord(id);
             MachineRecord current = group.get(id);
             // A record that assigns the machine to another shard is that shard's to change.
-            if (desired == null && current != null && current.shardNumber() == shardNumber) {
+            if (desired == null
+                    && current != null
+                    && current.shardNumber() == shard.shardNumber()) {
                 group.remove(id);
             } else if (desired != null
-                    && (current == null || current.shardNumber() == shardNumber)) {
+                    && (current == null || current.shardNumber() == shard.shardNumber())) {
                 group.put(id, desired);
             }
         }
@@ -210,8 +206,8 @@
     private boolean isRecordedElsewhere(String id) {
         return machineIndex.group(StoreSchema.machineGroupKey(id, false)).containsKey(id)
                 || (machineIndex.group(StoreSchema.machineGroupKey(id, true)).get(id).shardNumber()
-                                == shardNumber
-                        && !machines.containsKey(id));
+                                == shard.shardNumber()
+                        && !shard.machines().containsKey(id));
     }
 
     /**
@@ -229,8 +225,8 @@
                         .group(wideKey)
                         .forEach(
                                 (otherId, record) -> {
-                                    if (record.shardNumber() == shardNumber
-                                            && machines.containsKey(otherId)) {
+                                    if (record.shardNumber() == shard.shardNumber()
+                                            && shard.machines().containsKey(otherId)) {
                                         dirtyIds.add(otherId);
                                     }
                                 });
@@ -245,20 +241,20 @@
      */
     private void applyWriteResult(List<String> batch) {
         for (String id : batch) {
-            Machine machine = machines.get(id);
+            Machine machine = shard.machines().get(id);
             MachineRecord record = machineIndex.get(id);
-            if (machine != null && record != null && record.shardNumber() != shardNumber) {
+            if (machine != null && record != null && record.shardNumber() != shard.shardNumber()) {
                 if (machine.state == Machine.State.HANDING_OVER) {
                     outbox.logInfo(
                             "handover: "
                                     + id
                                     + " from part "
-                                    + shardNumber
+                                    + shard.shardNumber()
                                     + " to part "
                                     + record.shardNumber());
                 }
-                onHandedOver.accept(id);
-            } else if (record != null && record.shardNumber() != shardNumber) {
+                shard.removeMachine(id);
+            } else if (record != null && record.shardNumber() != shard.shardNumber()) {
                 continue;
             } else if (machine == null
                     && record != null
--- a/src/main/java/org/shoreusher/core/machine/ReservedReplicaCapacity.java
+++ b/src/main/java/org/shoreusher/core/machine/ReservedReplicaCapacity.java
@@ -3,9 +3,10 @@
 import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap;
 import java.util.Comparator;
 import java.util.List;
-import org.shoreusher.core.Shard;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.cluster.ShardContext;
+import org.shoreusher.core.cluster.ShardState;
 import org.shoreusher.core.cluster.TaskAttempt;
 import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.core.message.MachineType;
@@ -19,7 +20,7 @@
  * these machines meanwhile and are preempted.
  */
 final class ReservedReplicaCapacity {
-    private final Shard shard;
+    private final ShardState shard;
     private final Settings settings;
     private final MachineTypeCatalog machineTypes;
     private final ScaleOut scaleOut;
@@ -39,9 +40,9 @@
 
     /** Creates the reservation of one shard. */
     ReservedReplicaCapacity(
-            Shard shard, Settings settings, MachineTypeCatalog machineTypes, ScaleOut scaleOut) {
-        this.shard = shard;
-        this.settings = settings;
+            ShardContext context, MachineTypeCatalog machineTypes, ScaleOut scaleOut) {
+        shard = context.state();
+        settings = context.settings();
         this.machineTypes = machineTypes;
         this.scaleOut = scaleOut;
     }
--- a/src/main/java/org/shoreusher/core/machine/ScaleIn.java
+++ b/src/main/java/org/shoreusher/core/machine/ScaleIn.java
@@ -2,23 +2,26 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.shoreusher.core.Shard;
 import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.cluster.ShardContext;
+import org.shoreusher.core.cluster.ShardState;
 import org.shoreusher.core.message.Effect.CloudOperation;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.settings.Tuning;
 
 /** Terminates the drained machines of a shard once they are empty; one call at a time. */
 final class ScaleIn {
-    private final Shard shard;
+    private final ShardState shard;
     private final Outbox outbox;
+    private final MachineLifecycle lifecycle;
     private boolean terminationInFlight;
     private long nextTerminationMs;
 
     /** Creates the scale-in of a shard. */
-    ScaleIn(Shard shard, Outbox outbox) {
-        this.shard = shard;
-        this.outbox = outbox;
+    ScaleIn(ShardContext context, MachineLifecycle lifecycle) {
+        shard = context.state();
+        outbox = context.outbox();
+        this.lifecycle = lifecycle;
     }
 
     /** Requests the next termination when it is due. */
@@ -57,7 +60,7 @@
                             for (String id : ids) {
                                 Machine machine = shard.machines().get(id);
                                 if (machine != null) {
-                                    shard.lifecycle().removeTerminated(machine, "returned");
+                                    lifecycle.removeTerminated(machine, "returned");
                                 }
                             }
                         });
--- a/src/main/java/org/shoreusher/core/machine/ScaleOut.java
+++ b/src/main/java/org/shoreusher/core/machine/ScaleOut.java
@@ -5,12 +5,13 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.shoreusher.core.Shard;
+import org.shoreusher.core.cluster.ShardContext;
+import org.shoreusher.core.cluster.ShardState;
+import org.shoreusher.core.leadership.ShardAuthority;
 import org.shoreusher.core.message.Command.CloudReply;
 import org.shoreusher.core.message.Effect.CloudOperation;
 import org.shoreusher.core.schedule.BinPacker;
 import org.shoreusher.core.store.Outbox;
-import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.Tuning;
 import org.shoreusher.wire.CloudFormat;
 import org.shoreusher.wire.FieldMap;
@@ -45,7 +46,8 @@
         }
     }
 
-    private final Shard shard;
+    private final ShardState shard;
+    private final ShardAuthority authority;
     private final Outbox outbox;
     private final Autoscaler autoscaler;
     private final int maxPendingRequests;
@@ -66,12 +68,17 @@
     private long nextAttemptMs;
 
     /** Creates the scale-out of a shard; nothing is requested yet. */
-    ScaleOut(Shard shard, Settings settings, Outbox outbox, Autoscaler autoscaler) {
-        this.shard = shard;
-        this.outbox = outbox;
+    ScaleOut(ShardContext context, Autoscaler autoscaler) {
+        shard = context.state();
+        authority = context.authority();
+        outbox = context.outbox();
         this.autoscaler = autoscaler;
         maxPendingRequests =
-                Math.max(1, (int) (settings.cloudRequestsPerS() * Tuning.RATE_LIMIT_USE_SHARE));
+                Math.max(
+                        1,
+                        (int)
+                                (context.settings().cloudRequestsPerS()
+                                        * Tuning.RATE_LIMIT_USE_SHARE));
     }
 
     /** Whether the cloud has recently had no capacity for this kind of machine. */
@@ -118,9 +125,9 @@
                         CloudOperation.Provision request =
                                 new CloudOperation.Provision(
                                         "part-"
-                                                + shard.shardNumber
+                                                + shard.shardNumber()
                                                 + "-"
-                                                + shard.term()
+                                                + authority.term()
                                                 + "-"
                                                 + nextRequestNumber++,
                                         kind.type,
@@ -207,7 +214,7 @@
                             + request.zone()
                             + (request.spot() ? ", spot" : ", ordinary")
                             + " for part "
-                            + shard.shardNumber);
+                            + shard.shardNumber());
             if (machineIds.size() < request.count()) {
                 unavailableUntilMs.put(
                         kind, outbox.now.monotonicMs() + Tuning.NO_CAPACITY_BACKOFF_MS);
--- a/src/main/java/org/shoreusher/core/reconcile/Reconciliation.java
+++ b/src/main/java/org/shoreusher/core/reconcile/Reconciliation.java
@@ -3,19 +3,27 @@
 import java.util.BitSet;
 import java.util.List;
 import java.util.Map;
-import org.shoreusher.core.NodeContext;
-import org.shoreusher.core.Shard;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.cluster.Machine;
 import org.shoreusher.core.cluster.ResourceLedger;
+import org.shoreusher.core.cluster.ShardContext;
+import org.shoreusher.core.cluster.ShardState;
 import org.shoreusher.core.cluster.TaskAttempt;
 import org.shoreusher.core.job.CompletionRecords;
 import org.shoreusher.core.job.HighWaterMarks;
+import org.shoreusher.core.job.OpenJobs;
+import org.shoreusher.core.job.ShardJobs;
 import org.shoreusher.core.job.SubmissionBatches;
+import org.shoreusher.core.job.TerminalStateWriter;
+import org.shoreusher.core.leadership.ReconciliationProgress;
+import org.shoreusher.core.leadership.ShardAuthority;
 import org.shoreusher.core.leadership.ShardLeadership;
 import org.shoreusher.core.machine.MachineIndex;
+import org.shoreusher.core.machine.MachineLifecycle;
+import org.shoreusher.core.machine.ShardMachines;
 import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.core.message.WorkerHeartbeat.TaskStatus;
+import org.shoreusher.core.schedule.TaskMigration;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.core.store.StoreSchema;
@@ -41,70 +49,51 @@
  * arrives or the worker lease has certainly expired.
  */
 public final class Reconciliation {
-    private final Shard shard;
+    private final ShardState shard;
+    private final ShardAuthority authority;
     private final Settings settings;
     private final Outbox outbox;
     private final StoreCache storeCache;
-    private final SubmissionBatches submissionBatches;
-    private final MachineIndex machineIndex;
+    private final ResourceLedger ledger;
     private final ShardLeadership leadership;
+    private final ReconciliationProgress progress;
+    private final OpenJobs openJobs;
+    private final SubmissionBatches submissionBatches;
     private final HighWaterMarks highWaterMarks;
-    private final ResourceLedger ledger;
-
+    private final TerminalStateWriter terminalStateWriter;
+    private final MachineIndex machineIndex;
+    private final MachineLifecycle lifecycle;
+    private final TaskMigration taskMigration;
     private final PromotedAttemptLog promotedLog;
 
     /** Whether the attempts come from the replicated log of the previous leader. */
     private boolean usesPromotedLog;
 
-    private boolean loaded;
-    private boolean complete;
-
-    /** CPUs of machines that are not reconciled; tasks of any team may use them. */
-    private double unreconciledCpus;
-
-    private double unreconciledGpus;
-
     /** Creates the reconciliation of a shard whose leadership this process has just acquired. */
     public Reconciliation(
-            Shard shard,
-            NodeContext context,
+            ShardContext context,
             ShardLeadership leadership,
-            HighWaterMarks highWaterMarks,
-            ResourceLedger ledger,
+            ReconciliationProgress progress,
+            ShardJobs jobs,
+            ShardMachines machines,
+            TaskMigration taskMigration,
             PromotedAttemptLog promotedLog) {
-        this.shard = shard;
-        this.ledger = ledger;
-        this.promotedLog = promotedLog;
+        shard = context.state();
+        authority = context.authority();
         settings = context.settings();
         outbox = context.outbox();
-        storeCache = context.storeCache();
-        submissionBatches = context.submissionBatches();
-        machineIndex = context.machineIndex();
+        storeCache = context.node().storeCache();
+        ledger = shard.resourceLedger();
         this.leadership = leadership;
-        this.highWaterMarks = highWaterMarks;
-    }
-
-    /** Whether the stored state of the shard has been loaded. */
-    public boolean isLoaded() {
-        return loaded;
-    }
-
-    /**
-     * Whether all attempts on machines are known: from the replicated log, or because every machine
-     * has sent a heartbeat or its worker lease has certainly expired.
-     */
-    public boolean isComplete() {
-        return complete;
-    }
-
-    /** CPUs of machines whose tasks are unknown; tasks of any team may use them. */
-    public double unreconciledCpus() {
-        return unreconciledCpus;
-    }
-
-    /** GPUs of machines whose tasks are unknown; tasks of any team may use them. */
-    public double unreconciledGpus() {
-        return unreconciledGpus;
+        this.progress = progress;
+        openJobs = jobs.openJobs();
+        submissionBatches = jobs.submissionBatches();
+        highWaterMarks = jobs.highWaterMarks();
+        terminalStateWriter = jobs.terminalStateWriter();
+        machineIndex = machines.machineIndex();
+        lifecycle = machines.lifecycle();
+        this.taskMigration = taskMigration;
+        this.promotedLog = promotedLog;
     }
 
     /**
@@ -113,29 +102,27 @@
      * the attempts from the replicated log if there is one that can be used.
      */
     public void loadFromStore() {
-        loaded = true;
+        progress.markLoaded();
         storeCache
                 .entriesWithPrefix(StoreSchema.JOB_PREFIX)
                 .forEach(
                         (key, entry) -> {
                             JobRecord record = JobRecord.fromMap(entry.value());
-                            if (record.shardNumber() == shard.shardNumber
+                            if (record.shardNumber() == shard.shardNumber()
                                     && record.status() == JobStatus.OPEN) {
-                                shard.openJobs()
-                                        .add(
-                                                key.substring(StoreSchema.JOB_PREFIX.length()),
-                                                record);
+                                openJobs.add(
+                                        key.substring(StoreSchema.JOB_PREFIX.length()), record);
                             }
                         });
         submissionBatches.forEachJob(
                 (id, record) -> {
-                    if (record.shardNumber() == shard.shardNumber) {
-                        shard.openJobs().add(id, record);
+                    if (record.shardNumber() == shard.shardNumber()) {
+                        openJobs.add(id, record);
                     }
                 });
         loadCompletedTasks(leadership.storedCompletions(0), 0);
         for (int chunk = 1;
-                storeCache.get(StoreSchema.completionKey(shard.shardNumber, chunk)) != null;
+                storeCache.get(StoreSchema.completionKey(shard.shardNumber(), chunk)) != null;
                 chunk++) {
             loadCompletedTasks(leadership.storedCompletions(chunk), chunk);
         }
@@ -143,8 +130,8 @@
                 .recordsById()
                 .forEach(
                         (id, record) -> {
-                            if (record.shardNumber() == shard.shardNumber) {
-                                Machine machine = shard.lifecycle().addRecordedMachine(id, record);
+                            if (record.shardNumber() == shard.shardNumber()) {
+                                Machine machine = lifecycle.addRecordedMachine(id, record);
                                 if (machine != null) {
                                     machine.usedByPreviousLeader = record.mayHaveRunTasks();
                                 }
@@ -153,9 +140,9 @@
         highWaterMarks.load();
         for (Job job : shard.jobs().values()) {
             if (job.highWaterMark > 0) {
-                shard.taskMigration().onJobBegunByPreviousLeader(job);
+                taskMigration.onJobBegunByPreviousLeader(job);
             }
-            shard.terminalStateWriter().taskCompleted(job);
+            terminalStateWriter.taskCompleted(job);
         }
         if (promotedLog.attemptTable() != null) {
             restoreFromLog(promotedLog.attemptTable().copyAttempts());
@@ -201,7 +188,7 @@
 
     private boolean isRecordedInShard(String machineId) {
         MachineRecord record = machineIndex.get(machineId);
-        return record != null && record.shardNumber() == shard.shardNumber;
+        return record != null && record.shardNumber() == shard.shardNumber();
     }
 
     /**
@@ -268,7 +255,7 @@
                 "standby: "
                         + machine.id
                         + " of part "
-                        + shard.shardNumber
+                        + shard.shardNumber()
                         + " shows "
                         + Machine.taskKey(task.jobId(), task.taskIndex())
                         + ", attempt "
@@ -276,8 +263,8 @@
                         + ", which the log does not have");
         promotedLog.onRejected().accept(PromotionOutcome.CONTRADICTED_BY_HEARTBEAT);
         usesPromotedLog = false;
-        complete = false;
-        shard.taskMigration().abandonAll();
+        progress.markIncomplete();
+        taskMigration.abandonAll();
         shard.jobs().values().forEach(this::withholdPossiblyRunningTasks);
         countUnreconciled();
     }
@@ -302,7 +289,7 @@
      * its worker lease has certainly expired.
      */
     public void step() {
-        if (!complete && countUnreconciled() == 0) {
+        if (!progress.isComplete() && countUnreconciled() == 0) {
             isComplete("from reports");
         }
     }
@@ -310,8 +297,8 @@
     /** Counts the machines whose tasks are unknown, and sums up their CPUs and GPUs. */
     private int countUnreconciled() {
         int unreconciled = 0;
-        unreconciledCpus = 0;
-        unreconciledGpus = 0;
+        double unreconciledCpus = 0;
+        double unreconciledGpus = 0;
         for (Machine machine : shard.machines().values()) {
             if (machine.mayHaveRunTasks
                     && !machine.reconciled
@@ -321,12 +308,13 @@
                 unreconciledGpus += machine.type.gpus();
             }
         }
+        progress.setUnreconciled(unreconciledCpus, unreconciledGpus);
         return unreconciled;
     }
 
     /** Ends the reconciliation: all tasks without a live attempt may be started from here on. */
     private void isComplete(String source) {
-        complete = true;
+        progress.markComplete();
         int activeTasks = 0;
         for (Job job : shard.jobs().values()) {
             job.markPendingFrom(0);
@@ -335,9 +323,9 @@
         }
         outbox.logInfo(
                 "rebuilt: part "
-                        + shard.shardNumber
+                        + shard.shardNumber()
                         + " term "
-                        + shard.term()
+                        + authority.term()
                         + " "
                         + source
                         + ", "
--- a/src/main/java/org/shoreusher/core/replication/StandbyReplicas.java
+++ b/src/main/java/org/shoreusher/core/replication/StandbyReplicas.java
@@ -2,8 +2,8 @@
 
 import java.util.EnumMap;
 import java.util.Map;
-import org.shoreusher.core.NodeContext;
 import org.shoreusher.core.message.Effect;
+import org.shoreusher.core.store.NodeContext;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.core.store.StoreSchema;
--- a/src/main/java/org/shoreusher/core/replication/StandbyReplication.java
+++ b/src/main/java/org/shoreusher/core/replication/StandbyReplication.java
@@ -5,12 +5,13 @@
 import java.util.List;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
-import org.shoreusher.core.NodeContext;
-import org.shoreusher.core.Shard;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.cluster.Machine;
 import org.shoreusher.core.cluster.ResourceLedger;
+import org.shoreusher.core.cluster.ShardContext;
 import org.shoreusher.core.cluster.TaskAttempt;
+import org.shoreusher.core.leadership.PeerView;
+import org.shoreusher.core.leadership.ShardAuthority;
 import org.shoreusher.core.leadership.ShardLeadership;
 import org.shoreusher.core.message.Effect;
 import org.shoreusher.core.message.JobSpec;
@@ -66,11 +67,12 @@
     private record HeldAnswer(
             long requestId, List<WorkerOrder> orders, long lastChange, long heldSinceMs) {}
 
-    private final Shard shard;
+    private final ShardAuthority authority;
+    private final int shardNumber;
     private final Outbox outbox;
     private final ShardLeadership leadership;
     private final VersionNegotiation versionNegotiation;
-    private final Shard.PeerView peerView;
+    private final PeerView peerView;
     private final StandbySettings settings;
     private final AttemptLogSender logSender;
     private final StandbyChooser standbyChooser;
@@ -88,20 +90,20 @@
     private final Histogram heldDurationMs = new Histogram(MAX_HELD_MS, 2);
 
     /** Creates the replication of a shard that this process leads, without a standby at first. */
-    public StandbyReplication(
-            Shard shard, NodeContext context, Shard.PeerView peerView, ShardLeadership leadership) {
-        this.shard = shard;
+    public StandbyReplication(ShardContext context, PeerView peerView, ShardLeadership leadership) {
+        authority = context.authority();
+        shardNumber = context.state().shardNumber();
         this.peerView = peerView;
         this.leadership = leadership;
         outbox = context.outbox();
-        versionNegotiation = context.versionNegotiation();
-        settings = context.features().standby();
+        versionNegotiation = context.node().versionNegotiation();
+        settings = context.node().features().standby();
         standbyChooser = new StandbyChooser(context.settings().zone());
         logSender =
                 settings == null
                         ? null
                         : new AttemptLogSender(
-                                shard.shardNumber,
+                                shardNumber,
                                 leadership.acquisitionTerm(),
                                 leadership.processName(),
                                 settings.frameRecords());
@@ -204,7 +206,7 @@
     private void sendAnswer(long requestId, Machine machine, List<WorkerOrder> orders) {
         machine.lastReplyAtMs = outbox.now.monotonicMs();
         machine.leaseRenewedAtMs = outbox.now.monotonicMs();
-        outbox.respond(requestId, new Response.HeartbeatAccepted(shard.term(), orders));
+        outbox.respond(requestId, new Response.HeartbeatAccepted(authority.term(), orders));
     }
 
     /**
@@ -226,7 +228,7 @@
             heldDurationMs.recordValue(Math.min(MAX_HELD_MS, nowMs() - heldAnswer.heldSinceMs));
             // Time has passed since the starts were decided, so the lease, the store cache and the
             // jobs are checked again.
-            if (shard.canAnswerHeartbeats()) {
+            if (authority.canAnswerHeartbeats()) {
                 sendAnswer(
                         heldAnswer.requestId,
                         entry.getKey(),
@@ -245,7 +247,7 @@
             Machine machine, HeldAnswer heldAnswer, boolean includeStarts) {
         boolean canStartTasks =
                 includeStarts
-                        && shard.canStartTasks()
+                        && authority.canStartTasks()
                         && nowMs() - heldAnswer.heldSinceMs <= settings.ackTimeoutMs();
         return heldAnswer.orders.stream()
                 .filter(
@@ -282,7 +284,7 @@
         // is complete this leader's own attempt table is not complete either.
         boolean hasStandby = phase != Phase.NO_STANDBY && phase != Phase.REMOVING_NAME;
         if (hasStandby
-                && (!shard.isReconciled()
+                && (!authority.isReconciled()
                         || logSender.hasFailed(nowMs(), settings.ackTimeoutMs()))) {
             abandonStandby();
         }
@@ -339,8 +341,8 @@
 
     /** Begins to replicate to the best candidate, once all attempts on machines are known. */
     private void tryAttach() {
-        if (!shard.isReconciled()
-                || !shard.isLeader()
+        if (!authority.isReconciled()
+                || !authority.isLeader()
                 || logSender.attemptCount() > settings.mostAttempts()) {
             return;
         }
@@ -369,9 +371,9 @@
             leadership.nameStandby(logSender.standby());
             outbox.logInfo(
                     "standby: part "
-                            + shard.shardNumber
+                            + shardNumber
                             + " term "
-                            + shard.term()
+                            + authority.term()
                             + ", "
                             + logSender.standby()
                             + " is in sync with "
@@ -384,7 +386,7 @@
     private void abandonStandby() {
         outbox.logInfo(
                 "standby: part "
-                        + shard.shardNumber
+                        + shardNumber
                         + " gives "
                         + logSender.standby()
                         + " up, "
--- a/src/main/java/org/shoreusher/core/schedule/BinPacker.java
+++ b/src/main/java/org/shoreusher/core/schedule/BinPacker.java
@@ -156,7 +156,7 @@
     /**
      * Limits how much of a team's load is placed on one machine while other machines have capacity.
      */
-    interface SpreadLimit {
+    public interface SpreadLimit {
         /** No limit. */
         SpreadLimit NONE =
                 new SpreadLimit() {
--- /dev/null
+++ b/src/main/java/org/shoreusher/core/schedule/BinPackerFactory.java
@@ -0,0 +1,46 @@
+package org.shoreusher.core.schedule;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Supplier;
+import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.cluster.ShardState;
+
+/** Creates bin packers over the machines of a shard. */
+public final class BinPackerFactory {
+    private final ShardState shard;
+    private final QuotaHeadroom quotaHeadroom;
+    private final Supplier<BinPacker.SpreadLimit> spreadLimit;
+
+    /**
+     * Creates the factory of one shard.
+     *
+     * @param spreadLimit returns the limit on one team's share of a machine that holds now
+     */
+    public BinPackerFactory(
+            ShardState shard,
+            QuotaHeadroom quotaHeadroom,
+            Supplier<BinPacker.SpreadLimit> spreadLimit) {
+        this.shard = shard;
+        this.quotaHeadroom = quotaHeadroom;
+        this.spreadLimit = spreadLimit;
+    }
+
+    /** Returns a bin packer over all available machines that have free capacity now. */
+    public BinPacker create() {
+        List<BinPacker.MachineCapacity> capacities = new ArrayList<>();
+        for (Machine machine : shard.machines().values()) {
+            if (shard.isAvailable(machine)) {
+                BinPacker.MachineCapacity capacity = new BinPacker.MachineCapacity(machine);
+                if (!capacity.isFull()) {
+                    capacities.add(capacity);
+                }
+            }
+        }
+        return new BinPacker(
+                capacities,
+                quotaHeadroom::cpuHeadroom,
+                quotaHeadroom::gpuHeadroom,
+                spreadLimit.get());
+    }
+}
--- /dev/null
+++ b/src/main/java/org/shoreusher/core/schedule/JobQueue.java
@@ -0,0 +1,40 @@
+package org.shoreusher.core.schedule;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.cluster.ShardContext;
+import org.shoreusher.core.cluster.ShardState;
+import org.shoreusher.core.store.Outbox;
+
+/** The jobs of a shard that wait for resources. */
+public final class JobQueue {
+    private final ShardState shard;
+    private final Outbox outbox;
+    private final SchedulingOrder schedulingOrder;
+
+    /** Creates the queue of a shard. */
+    public JobQueue(ShardContext context, SchedulingOrder schedulingOrder) {
+        shard = context.state();
+        outbox = context.outbox();
+        this.schedulingOrder = schedulingOrder;
+    }
+
+    /**
+     * Returns the jobs with pending tasks that may be started now, in the order in which they
+     * should get resources; a new list.
+     */
+    public List<Job> inSchedulingOrder() {
+        List<Job> schedulable = new ArrayList<>();
+        for (Job job : shard.jobs().values()) {
+            if (job.pendingCount > 0
+                    && !job.closed
+                    && !job.taskZonesUnknown
+                    && !job.isBackingOff(outbox.now.monotonicMs())) {
+                schedulable.add(job);
+            }
+        }
+        schedulingOrder.sort(schedulable, outbox.now.wallMs());
+        return schedulable;
+    }
+}
--- a/src/main/java/org/shoreusher/core/schedule/PlacementPlan.java
+++ b/src/main/java/org/shoreusher/core/schedule/PlacementPlan.java
@@ -6,9 +6,10 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import org.shoreusher.core.Shard;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.cluster.ShardContext;
+import org.shoreusher.core.cluster.ShardState;
 import org.shoreusher.core.job.HighWaterMarks;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.settings.Tuning;
@@ -22,8 +23,11 @@
  * second.
  */
 public final class PlacementPlan {
-    private final Shard shard;
+    private final ShardState shard;
     private final Outbox outbox;
+    private final JobQueue jobQueue;
+    private final QuotaHeadroom quotaHeadroom;
+    private final BinPackerFactory binPackers;
     private final HighWaterMarks highWaterMarks;
     private final Object2ObjectOpenHashMap<Machine, List<BinPacker.PlacedTasks>> plannedTasks =
             new Object2ObjectOpenHashMap<>();
@@ -39,10 +43,14 @@
     private long nextPlanMs = Long.MIN_VALUE;
 
     /** Creates an empty plan; the first call of {@link #takeTasksToStart} fills it. */
-    public PlacementPlan(Shard shard, Outbox outbox, HighWaterMarks highWaterMarks) {
+    public PlacementPlan(
+            ShardContext context, ShardScheduling scheduling, HighWaterMarks highWaterMarks) {
         this.highWaterMarks = highWaterMarks;
-        this.shard = shard;
-        this.outbox = outbox;
+        shard = context.state();
+        outbox = context.outbox();
+        jobQueue = scheduling.jobQueue();
+        quotaHeadroom = scheduling.quotaHeadroom();
+        binPackers = scheduling.binPackers();
     }
 
     /**
@@ -63,8 +71,8 @@
         BinPacker packer =
                 new BinPacker(
                         new ArrayList<>(List.of(new BinPacker.MachineCapacity(machine))),
-                        shard.quotaHeadroom()::cpuHeadroom,
-                        shard.quotaHeadroom()::gpuHeadroom);
+                        quotaHeadroom::cpuHeadroom,
+                        quotaHeadroom::gpuHeadroom);
         Set<Job> triedJobs = new HashSet<>();
         if (plannedHere != null) {
             for (BinPacker.PlacedTasks placed : plannedHere) {
@@ -130,11 +138,11 @@
         plannedTasks.clear();
         unplacedTasks.clear();
         reservedFor.clear();
-        List<Job> jobs = shard.openJobs().inSchedulingOrder();
+        List<Job> jobs = jobQueue.inSchedulingOrder();
         if (jobs.isEmpty()) {
             return;
         }
-        BinPacker packer = shard.binPacker();
+        BinPacker packer = binPackers.create();
         double totalCpus = shard.totalCpus();
         double reservableCpus = totalCpus * Tuning.MAX_RESERVED_CPU_SHARE;
         double markAheadCpus = totalCpus * Tuning.HIGH_WATER_MARK_LOOKAHEAD_SHARE;
--- a/src/main/java/org/shoreusher/core/schedule/Preemption.java
+++ b/src/main/java/org/shoreusher/core/schedule/Preemption.java
@@ -4,9 +4,9 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
-import org.shoreusher.core.Shard;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.cluster.ShardState;
 import org.shoreusher.core.cluster.TaskAttempt;
 import org.shoreusher.core.message.ClockReading;
 import org.shoreusher.core.message.JobSpec;
@@ -32,7 +32,7 @@
      * Collects the tasks that can be preempted now, and the CPUs of those that are already
      * stopping.
      */
-    Preemption(Shard shard, SchedulingOrder schedulingOrder, ClockReading now) {
+    Preemption(ShardState shard, SchedulingOrder schedulingOrder, ClockReading now) {
         this.schedulingOrder = schedulingOrder;
         this.now = now;
         for (Machine machine : shard.machines().values()) {
--- a/src/main/java/org/shoreusher/core/schedule/QuotaHeadroom.java
+++ b/src/main/java/org/shoreusher/core/schedule/QuotaHeadroom.java
@@ -2,7 +2,7 @@
 
 import org.shoreusher.core.cluster.ResourceLedger;
 import org.shoreusher.core.gossip.ShardDemand;
-import org.shoreusher.core.reconcile.Reconciliation;
+import org.shoreusher.core.leadership.ReconciliationProgress;
 import org.shoreusher.settings.Settings;
 
 /**
@@ -13,7 +13,7 @@
     private final Settings settings;
     private final QuotaShares quotaShares;
     private final ResourceLedger ledger;
-    private final Reconciliation reconciliation;
+    private final ReconciliationProgress progress;
     private final ShardDemand shardDemand;
 
     /** Creates the headroom of one shard. */
@@ -21,12 +21,12 @@
             Settings settings,
             QuotaShares quotaShares,
             ResourceLedger ledger,
-            Reconciliation reconciliation,
+            ReconciliationProgress progress,
             ShardDemand shardDemand) {
         this.settings = settings;
         this.quotaShares = quotaShares;
         this.ledger = ledger;
-        this.reconciliation = reconciliation;
+        this.progress = progress;
         this.shardDemand = shardDemand;
     }
 
@@ -46,7 +46,7 @@
         return quotaShares.gpuShare(team)
                 - ledger.usedGpus(team)
                 - unconfirmed(
-                        reconciliation.unreconciledGpus(),
+                        progress.unreconciledGpus(),
                         teamSettings == null ? 0 : teamSettings.maxGpus(),
                         ledger.inheritedGpus(team));
     }
@@ -54,7 +54,7 @@
     private double unconfirmedCpus(String team) {
         Settings.Team teamSettings = settings.teams().get(team);
         return unconfirmed(
-                reconciliation.unreconciledCpus(),
+                progress.unreconciledCpus(),
                 teamSettings == null ? 0 : teamSettings.maxCpus(),
                 ledger.inheritedCpus(team));
     }
--- a/src/main/java/org/shoreusher/core/schedule/ReplicaPreemption.java
+++ b/src/main/java/org/shoreusher/core/schedule/ReplicaPreemption.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
-import org.shoreusher.core.Shard;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.cluster.ShardState;
 import org.shoreusher.core.cluster.TaskAttempt;
 import org.shoreusher.core.message.ClockReading;
 import org.shoreusher.core.message.JobSpec;
@@ -51,7 +51,7 @@
         }
     }
 
-    private final Shard shard;
+    private final QuotaHeadroom quotaHeadroom;
     private final ClockReading now;
     private final List<ProspectiveCapacity> capacities = new ArrayList<>();
 
@@ -59,8 +59,8 @@
      * Collects the batch tasks on every machine that accepts work, those with the least lost work
      * first.
      */
-    ReplicaPreemption(Shard shard, ClockReading now) {
-        this.shard = shard;
+    ReplicaPreemption(ShardState shard, QuotaHeadroom quotaHeadroom, ClockReading now) {
+        this.quotaHeadroom = quotaHeadroom;
         this.now = now;
         for (Machine machine : shard.machines().values()) {
             if (shard.isAvailable(machine)) {
@@ -116,8 +116,8 @@
                             job.pendingCount,
                             new BinPacker(
                                             new ArrayList<>(),
-                                            shard.quotaHeadroom()::cpuHeadroom,
-                                            shard.quotaHeadroom()::gpuHeadroom)
+                                            quotaHeadroom::cpuHeadroom,
+                                            quotaHeadroom::gpuHeadroom)
                                     .maxTasksWithinQuota(spec));
             while (unplaced-- > 0) {
                 ProspectiveCapacity bestCapacity = null;
--- /dev/null
+++ b/src/main/java/org/shoreusher/core/schedule/ShardScheduling.java
@@ -0,0 +1,19 @@
+package org.shoreusher.core.schedule;
+
+/**
+ * The scheduling collaborators of a shard that other packages use.
+ *
+ * @param schedulingOrder the order in which jobs get resources
+ * @param jobQueue the jobs that wait for resources
+ * @param quotaHeadroom what the teams may still use of their quotas
+ * @param binPackers creates bin packers over the machines
+ * @param taskStopper sends orders to stop tasks
+ * @param taskMigration migrates tasks between machines
+ */
+public record ShardScheduling(
+        SchedulingOrder schedulingOrder,
+        JobQueue jobQueue,
+        QuotaHeadroom quotaHeadroom,
+        BinPackerFactory binPackers,
+        TaskStopper taskStopper,
+        TaskMigration taskMigration) {}
--- a/src/main/java/org/shoreusher/core/schedule/TaskMigration.java
+++ b/src/main/java/org/shoreusher/core/schedule/TaskMigration.java
@@ -12,13 +12,15 @@
 import org.shoreusher.balance.Migration;
 import org.shoreusher.balance.SchedulerView;
 import org.shoreusher.balance.TaskId;
-import org.shoreusher.core.NodeContext;
-import org.shoreusher.core.Shard;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.cluster.Machine;
 import org.shoreusher.core.cluster.ResourceLedger;
+import org.shoreusher.core.cluster.ShardContext;
+import org.shoreusher.core.cluster.ShardState;
 import org.shoreusher.core.cluster.TaskAttempt;
+import org.shoreusher.core.job.RunTimeEstimates;
 import org.shoreusher.core.leadership.LeaderLease;
+import org.shoreusher.core.leadership.ShardAuthority;
 import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.settings.Tuning;
@@ -55,7 +57,12 @@
         }
     }
 
-    private final Shard shard;
+    private final ShardState shard;
+    private final ShardAuthority authority;
+    private final SchedulingOrder schedulingOrder;
+    private final RunTimeEstimates runTimeEstimates;
+    private final QuotaHeadroom quotaHeadroom;
+    private final TaskStopper taskStopper;
     private final Outbox outbox;
     private final ResourceLedger ledger;
     private final Balancer balancer;
@@ -64,15 +71,25 @@
     private long nextLogMs;
 
     /** Creates the migrations of one shard; disabled if the features have no balance section. */
-    public TaskMigration(Shard shard, NodeContext context, ResourceLedger ledger) {
-        this.shard = shard;
-        this.ledger = ledger;
+    public TaskMigration(
+            ShardContext context,
+            SchedulingOrder schedulingOrder,
+            RunTimeEstimates runTimeEstimates,
+            QuotaHeadroom quotaHeadroom,
+            TaskStopper taskStopper) {
+        shard = context.state();
+        authority = context.authority();
+        ledger = shard.resourceLedger();
         outbox = context.outbox();
-        BalanceSettings settings = context.features().balance();
+        this.schedulingOrder = schedulingOrder;
+        this.runTimeEstimates = runTimeEstimates;
+        this.quotaHeadroom = quotaHeadroom;
+        this.taskStopper = taskStopper;
+        BalanceSettings settings = context.node().features().balance();
         balancer = settings == null ? null : new Balancer(settings, timeouts(context));
     }
 
-    private Balancer.Timeouts timeouts(NodeContext context) {
+    private Balancer.Timeouts timeouts(ShardContext context) {
         // The source reports the exit before its lease expires, or the lease expires; the target
         // reports soon after.
         long reportMs = Math.round(context.settings().heartbeatIntervalS() * 1_000);
@@ -217,8 +234,7 @@
             }
             if (reservation.source.job.closed) {
                 abandon(reservation, Migration.Reason.JOB_CLOSED);
-            } else if (shard.quotaHeadroom().cpuHeadroom(reservation.spec().team())
-                    < -Tuning.EPSILON) {
+            } else if (quotaHeadroom.cpuHeadroom(reservation.spec().team()) < -Tuning.EPSILON) {
                 // The quota share may have been lowered since the task left its source.
                 abandon(reservation, Migration.Reason.TEAM_LIMIT);
             } else {
@@ -252,14 +268,14 @@
         }
         // No migration begins before all machines have reported, after a lease expiry, or with a
         // stale store cache: the known state of the machines may then be wrong.
-        if (shard.isReconciled() && shard.canStartTasks()) {
+        if (authority.isReconciled() && authority.canStartTasks()) {
             balancer.updateDemand(unmetDemand());
             balancer.planMigrations(this, outbox.now.monotonicMs()).forEach(this::begin);
         }
         if (outbox.now.monotonicMs() >= nextLogMs && balancer.statistics().migrationsBegun() > 0) {
             nextLogMs = outbox.now.monotonicMs() + Tuning.STATUS_LOG_INTERVAL_MS;
             outbox.logDebug(
-                    "balance: part " + shard.shardNumber + " " + balancer.statistics().summary());
+                    "balance: part " + shard.shardNumber() + " " + balancer.statistics().summary());
         }
     }
 
@@ -272,8 +288,7 @@
             }
         }
         wantedCpus.replaceAll(
-                (team, cpus) ->
-                        Math.max(0, Math.min(cpus, shard.quotaHeadroom().cpuHeadroom(team))));
+                (team, cpus) -> Math.max(0, Math.min(cpus, quotaHeadroom.cpuHeadroom(team))));
         return wantedCpus;
     }
 
@@ -298,7 +313,7 @@
         reservations.put(migration.task().id(), reservation);
         reservation.target.reserve(reservation.spec(), 1);
         attempt.beingEvicted = true;
-        shard.taskEviction().sendStop(attempt, TaskEviction.gracePeriodS(attempt));
+        taskStopper.sendStop(attempt, TaskStopper.gracePeriodS(attempt));
         outbox.logInfo(
                 "move: %s from %s to %s, spread of %s %.2f, gain %.0f s"
                         .formatted(
@@ -373,7 +388,7 @@
                 && !spec.spreadAcrossZones()
                 && attempt.job.activeAttempts.get(attempt.taskIndex) == attempt
                 && outbox.now.monotonicMs() - attempt.createdMs > Tuning.MIN_COUNTED_RUN_MS
-                && shard.schedulingOrder().isPreemptible(attempt.job, outbox.now.wallMs());
+                && schedulingOrder.isPreemptible(attempt.job, outbox.now.wallMs());
     }
 
     private MigratableTask toMigratableTask(TaskAttempt attempt) {
@@ -387,7 +402,7 @@
                 spec.image(),
                 spec.imageGb(),
                 attempt.machine.id,
-                shard.runTimeEstimates().expectedRunS(attempt.job) - ranS,
+                runTimeEstimates.expectedRunS(attempt.job) - ranS,
                 Math.min(spec.checkpointIntervalS(), ranS),
                 spec.checkpointDurationS());
     }
--- /dev/null
+++ b/src/main/java/org/shoreusher/core/schedule/TaskStopper.java
@@ -0,0 +1,71 @@
+package org.shoreusher.core.schedule;
+
+import java.util.List;
+import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.cluster.ShardContext;
+import org.shoreusher.core.cluster.ShardState;
+import org.shoreusher.core.cluster.TaskAttempt;
+import org.shoreusher.core.leadership.ShardAuthority;
+import org.shoreusher.core.message.Effect;
+import org.shoreusher.core.message.WorkerOrder;
+import org.shoreusher.core.store.Outbox;
+import org.shoreusher.settings.Tuning;
+
+/** Sends orders to stop tasks directly to their workers. */
+public final class TaskStopper {
+    private final ShardState shard;
+    private final ShardAuthority authority;
+    private final Outbox outbox;
+
+    /** Creates the stopper of one shard. */
+    public TaskStopper(ShardContext context) {
+        shard = context.state();
+        authority = context.authority();
+        outbox = context.outbox();
+    }
+
+    /** Returns the grace period, in seconds, that a stopped task gets to write a checkpoint. */
+    public static double gracePeriodS(TaskAttempt attempt) {
+        return attempt.job.spec.checkpointDurationS() * Tuning.CHECKPOINT_GRACE_FACTOR;
+    }
+
+    /**
+     * Returns an order to stop the task.
+     *
+     * @param gracePeriodS seconds until the task is killed
+     */
+    public static WorkerOrder stopOrder(TaskAttempt attempt, double gracePeriodS) {
+        return new WorkerOrder(
+                WorkerOrder.Kind.STOP,
+                attempt.job.id,
+                attempt.taskIndex,
+                attempt.attemptNumber,
+                gracePeriodS);
+    }
+
+    /**
+     * Sends an order to stop a task directly to its worker. Responses to heartbeats repeat the
+     * order until the task is gone.
+     *
+     * @param gracePeriodS seconds until the task is killed
+     */
+    public void sendStop(TaskAttempt attempt, double gracePeriodS) {
+        Machine machine = attempt.machine;
+        // An unresponsive machine most likely cannot be reached: its lease expires, or its next
+        // heartbeat is answered with the order.
+        if (authority.isLeader()
+                && machine.address != null
+                && machine.reconciled
+                && outbox.now.monotonicMs() - machine.lastHeartbeatAtMs < shard.heartbeatTimeoutMs()
+                && outbox.now.monotonicMs() - attempt.lastStopOrderMs
+                        > Tuning.STOP_ORDER_RETRY_MS) {
+            attempt.lastStopOrderMs = outbox.now.monotonicMs();
+            outbox.add(
+                    new Effect.SendOrders(
+                            machine.address,
+                            authority.term(),
+                            machine.session,
+                            List.of(stopOrder(attempt, gracePeriodS))));
+        }
+    }
+}
--- a/src/main/java/org/shoreusher/core/store/LinearizableReads.java
+++ b/src/main/java/org/shoreusher/core/store/LinearizableReads.java
@@ -7,9 +7,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
+import java.util.function.Function;
 import java.util.function.LongPredicate;
-import org.shoreusher.core.job.SubmissionBatches;
-import org.shoreusher.core.job.TerminalJobCache;
 import org.shoreusher.core.message.Command.StoreReply;
 import org.shoreusher.core.message.Effect.StoreOperation;
 import org.shoreusher.core.store.StoreSchema.JobRecord;
@@ -41,8 +40,8 @@
     private final Settings settings;
     private final Outbox outbox;
     private final StoreCache storeCache;
-    private final SubmissionBatches submissionBatches;
-    private final TerminalJobCache terminalJobs;
+    private final Function<String, JobRecord> batchedRecords;
+    private final Function<String, JobRecord> terminalRecords;
 
     /** Rejects a request if this node is overloaded; returns whether it did. */
     private final LongPredicate rejectIfOverloaded;
@@ -58,8 +57,8 @@
      * @param settings the deployment's settings
      * @param outbox sends the calls to the store
      * @param storeCache the store cache
-     * @param submissionBatches jobs that were accepted together and share a stored record
-     * @param terminalJobs recently terminated jobs
+     * @param batchedRecords returns the record of a job in a submission batch, or null
+     * @param terminalRecords returns the record of a recently terminated job, or null
      * @param rejectIfOverloaded rejects a request if this node is overloaded, and returns whether
      *     it did
      */
@@ -67,14 +66,14 @@
             Settings settings,
             Outbox outbox,
             StoreCache storeCache,
-            SubmissionBatches submissionBatches,
-            TerminalJobCache terminalJobs,
+            Function<String, JobRecord> batchedRecords,
+            Function<String, JobRecord> terminalRecords,
             LongPredicate rejectIfOverloaded) {
         this.settings = settings;
         this.outbox = outbox;
         this.storeCache = storeCache;
-        this.submissionBatches = submissionBatches;
-        this.terminalJobs = terminalJobs;
+        this.batchedRecords = batchedRecords;
+        this.terminalRecords = terminalRecords;
         this.rejectIfOverloaded = rejectIfOverloaded;
     }
 
@@ -93,8 +92,8 @@
      * @param callback receives the record, or null if there is no such job
      */
     public void readBatched(long requestId, String jobId, Consumer<JobRecord> callback) {
-        JobRecord terminalRecord = terminalJobs.get(jobId);
-        JobRecord batchedRecord = submissionBatches.jobRecord(jobId);
+        JobRecord terminalRecord = terminalRecords.apply(jobId);
+        JobRecord batchedRecord = batchedRecords.apply(jobId);
         if (terminalRecord == null
                 && batchedRecord != null
                 && batchedRecord.status() != JobStatus.OPEN) {
@@ -169,8 +168,8 @@
     }
 
     private JobRecord cachedRecord(String jobId) {
-        JobRecord terminalRecord = terminalJobs.get(jobId);
-        return terminalRecord != null ? terminalRecord : submissionBatches.jobRecord(jobId);
+        JobRecord terminalRecord = terminalRecords.apply(jobId);
+        return terminalRecord != null ? terminalRecord : batchedRecords.apply(jobId);
     }
 
     /**
--- a/src/main/java/org/shoreusher/core/user/UserRequests.java
+++ b/src/main/java/org/shoreusher/core/user/UserRequests.java
@@ -3,7 +3,6 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.ToIntFunction;
-import org.shoreusher.core.NodeContext;
 import org.shoreusher.core.job.SubmissionBatches;
 import org.shoreusher.core.job.TerminalJobCache;
 import org.shoreusher.core.machine.MachineTypeCatalog;
@@ -13,6 +12,7 @@
 import org.shoreusher.core.message.Response;
 import org.shoreusher.core.message.Response.DisplayState;
 import org.shoreusher.core.store.LinearizableReads;
+import org.shoreusher.core.store.NodeContext;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.core.store.StoreSchema;
@@ -62,24 +62,26 @@
      */
     public UserRequests(
             NodeContext context,
+            SubmissionBatches submissionBatches,
+            MachineTypeCatalog machineTypes,
             String processName,
             CountSource counts,
             ToIntFunction<JobSpec> shardWithMostHeadroom) {
         settings = context.settings();
         outbox = context.outbox();
         storeCache = context.storeCache();
-        machineTypes = context.machineTypes();
+        this.machineTypes = machineTypes;
         versionNegotiation = context.versionNegotiation();
         this.countSource = counts;
-        submissionBatches = context.submissionBatches();
+        this.submissionBatches = submissionBatches;
         terminalJobs = new TerminalJobCache(settings, outbox, storeCache);
         linearizableReads =
                 new LinearizableReads(
                         settings,
                         outbox,
                         storeCache,
-                        submissionBatches,
-                        terminalJobs,
+                        submissionBatches::jobRecord,
+                        terminalJobs::get,
                         this::rejectIfOverloaded);
         submissionCommit =
                 new SubmissionCommit(
--- a/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
+++ b/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
@@ -27,6 +27,7 @@
 import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.core.message.MachineType;
 import org.shoreusher.core.schedule.QuotaShares;
+import org.shoreusher.core.store.NodeContext;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.core.store.StoreSchema;
@@ -268,15 +269,8 @@
                 new HighWaterMarks(
                         0,
                         1,
-                        new NodeContext(
-                                settings,
-                                Features.NONE,
-                                outbox,
-                                storeCache,
-                                submissionBatches,
-                                null,
-                                null,
-                                null),
+                        new NodeContext(settings, Features.NONE, outbox, storeCache, null),
+                        submissionBatches,
                         leadership,
                         jobs);
         long revision = 1;
@@ -304,15 +298,8 @@
         new HighWaterMarks(
                         0,
                         1,
-                        new NodeContext(
-                                settings,
-                                Features.NONE,
-                                outbox,
-                                storeCache,
-                                submissionBatches,
-                                null,
-                                null,
-                                null),
+                        new NodeContext(settings, Features.NONE, outbox, storeCache, null),
+                        submissionBatches,
                         leadership,
                         taken)
                 .load();
--- a/src/test/java/org/shoreusher/core/job/HighWaterMarksTest.java
+++ b/src/test/java/org/shoreusher/core/job/HighWaterMarksTest.java
@@ -13,7 +13,6 @@
 import net.jqwik.api.constraints.LongRange;
 import org.shoreusher.core.CoreTestData;
 import org.shoreusher.core.JobSpecBuilder;
-import org.shoreusher.core.NodeContext;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.leadership.ShardLeadership;
 import org.shoreusher.core.message.ClockReading;
@@ -21,6 +20,7 @@
 import org.shoreusher.core.message.Effect;
 import org.shoreusher.core.message.Effect.StoreOperation;
 import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.core.store.NodeContext;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.core.store.StoreSchema;
@@ -77,15 +77,8 @@
                 new HighWaterMarks(
                         0,
                         1,
-                        new NodeContext(
-                                SETTINGS,
-                                Features.NONE,
-                                outbox,
-                                storeCache,
-                                new SubmissionBatches(SETTINGS, outbox, storeCache),
-                                null,
-                                null,
-                                null),
+                        new NodeContext(SETTINGS, Features.NONE, outbox, storeCache, null),
+                        new SubmissionBatches(SETTINGS, outbox, storeCache),
                         leadership,
                         jobs);
         long revision = 1;
