--- a/src/main/java/org/shoreusher/cli/Service.java
+++ b/src/main/java/org/shoreusher/cli/Service.java
@@ -15,7 +15,7 @@
 import org.shoreusher.peer.StandbyTransport;
 import org.shoreusher.settings.Features;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
+import org.shoreusher.settings.SharedConstants;
 import org.shoreusher.store.StoreClient;
 import org.shoreusher.user.HttpFrontend;
 import org.shoreusher.worker.WorkerClient;
@@ -34,7 +34,7 @@
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final EventLoop loop = group.next();
     private final ManyToOneConcurrentArrayQueue<Command> queue;
-    private final List<Command> batch = new ArrayList<>(Tuning.MAX_COMMANDS_PER_BATCH);
+    private final List<Command> batch = new ArrayList<>(ServiceConstants.MAX_COMMANDS_PER_BATCH);
     private final StoreClient state;
     private final CloudClient cloud;
     private final WorkerClient workers;
@@ -54,8 +54,10 @@
         this.settings = settings;
         queue =
                 new ManyToOneConcurrentArrayQueue<>(
-                        Math.max(Tuning.MIN_COMMAND_QUEUE_CAPACITY, settings.maxSockets()));
-        node = new Node(settings, features, processName, Tuning.SHARD_COUNT);
+                        Math.max(
+                                ServiceConstants.MIN_COMMAND_QUEUE_CAPACITY,
+                                settings.maxSockets()));
+        node = new Node(settings, features, processName, ServiceConstants.SHARD_COUNT);
         state = new StoreClient(loop, settings, this::enqueue);
         cloud = new CloudClient(loop, settings, this::enqueue);
         workers = new WorkerClient(loop);
@@ -75,17 +77,18 @@
                 settings.frontAddress(),
                 settings.peerAddress());
         lastTickMs = steadyMs();
-        loop.scheduleWithFixedDelay(this::tick, 0, Tuning.TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(
+                this::tick, 0, ServiceConstants.TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         if (LOG.isDebugEnabled()) {
             loop.scheduleAtFixedRate(
                     () -> LOG.debug(frontend.drainLatencySummary()),
-                    Tuning.LATENCY_LOG_INTERVAL_S,
-                    Tuning.LATENCY_LOG_INTERVAL_S,
+                    SharedConstants.LATENCY_LOG_INTERVAL_S,
+                    SharedConstants.LATENCY_LOG_INTERVAL_S,
                     TimeUnit.SECONDS);
             loop.scheduleAtFixedRate(
                     this::logStatus,
-                    Tuning.STATUS_LOG_INTERVAL_MS,
-                    Tuning.STATUS_LOG_INTERVAL_MS,
+                    SharedConstants.STATUS_LOG_INTERVAL_MS,
+                    SharedConstants.STATUS_LOG_INTERVAL_MS,
                     TimeUnit.MILLISECONDS);
         }
         group.terminationFuture().sync();
@@ -106,7 +109,7 @@
 
     private void tick() {
         long now = steadyMs();
-        lastTickDelayMs = Math.max(0, now - lastTickMs - Tuning.TICK_INTERVAL_MS);
+        lastTickDelayMs = Math.max(0, now - lastTickMs - ServiceConstants.TICK_INTERVAL_MS);
         lastTickMs = now;
         offer(new Command.Tick());
     }
@@ -115,7 +118,8 @@
      * ms by which this node lags behind its work: the delay of the last tick, or of the next one.
      */
     private long lagMs() {
-        return Math.max(lastTickDelayMs, steadyMs() - lastTickMs - Tuning.TICK_INTERVAL_MS);
+        return Math.max(
+                lastTickDelayMs, steadyMs() - lastTickMs - ServiceConstants.TICK_INTERVAL_MS);
     }
 
     private static long steadyMs() {
@@ -149,7 +153,7 @@
 
     private void runBatch() {
         batchScheduled = false;
-        queue.drainTo(batch, Tuning.MAX_COMMANDS_PER_BATCH);
+        queue.drainTo(batch, ServiceConstants.MAX_COMMANDS_PER_BATCH);
         List<Effect> effects =
                 node.step(new ClockReading(steadyMs(), System.currentTimeMillis()), batch);
         batch.clear();
--- a/src/main/java/org/shoreusher/cloud/CloudClient.java
+++ b/src/main/java/org/shoreusher/cloud/CloudClient.java
@@ -6,7 +6,6 @@
 import org.shoreusher.core.message.Effect;
 import org.shoreusher.net.HttpCaller;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
 import org.shoreusher.wire.CloudFormat;
 import org.shoreusher.wire.StoreFormat;
 
@@ -27,7 +26,7 @@
         caller.call(
                 request.path(),
                 request.body(),
-                Tuning.CLOUD_TIMEOUT_MS,
+                CloudConstants.CLOUD_TIMEOUT_MS,
                 (status, body) -> core.accept(new Command.CloudReply(call.callId(), status, body)));
     }
 }
--- /dev/null
+++ b/src/main/java/org/shoreusher/core/CoreConstants.java
@@ -0,0 +1,48 @@
+package org.shoreusher.core;
+
+/** Constants of a node, each with its unit and the reason for its value. */
+final class CoreConstants {
+    private CoreConstants() {}
+
+    /**
+     * ms; wait between two attempts to acquire a shard, and for each shard that the node already
+     * leads.
+     */
+    public static final long ACQUISITION_INTERVAL_MS = 700;
+
+    /**
+     * ms; wait after an acquisition that lost to a concurrent one. The store cache needs about this
+     * long to show it.
+     */
+    public static final long ACQUISITION_CONFLICT_RETRY_MS = 100;
+
+    /** ms; how often a node checks whether it leads two shards more than another node. */
+    public static final long SHARD_REBALANCE_INTERVAL_MS = 5_000;
+
+    /** Weight of a team's CPUs in a shard when the shard of the team's next job is chosen. */
+    public static final double TEAM_AFFINITY_WEIGHT = 3;
+
+    /**
+     * Share of its machines that must have contacted other nodes before a leader steps down. A
+     * partitioned zone has about half of them.
+     */
+    public static final double STEP_DOWN_UNREACHABLE_SHARE = 0.6;
+
+    /**
+     * ms; a node that has stepped down for this reason does not try to acquire the shard for so
+     * long.
+     */
+    public static final long STEP_DOWN_COOLDOWN_MS = 15_000;
+
+    /**
+     * ms; how often a leader scans all of its machines and jobs. Heartbeats are answered in
+     * between.
+     */
+    public static final long FULL_SCAN_INTERVAL_MS = 100;
+
+    /**
+     * CPUs; headroom assumed for a shard without fresh gossip, which gets jobs only if all others
+     * are far behind.
+     */
+    public static final double UNKNOWN_SHARD_HEADROOM_CPUS = -1_000;
+}
--- a/src/main/java/org/shoreusher/core/Node.java
+++ b/src/main/java/org/shoreusher/core/Node.java
@@ -3,6 +3,7 @@
 import java.util.Arrays;
 import java.util.List;
 import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.gossip.GossipConstants;
 import org.shoreusher.core.gossip.PeerGossip;
 import org.shoreusher.core.job.SubmissionBatches;
 import org.shoreusher.core.machine.MachineIndex;
@@ -26,7 +27,6 @@
 import org.shoreusher.core.user.UserRequests;
 import org.shoreusher.settings.Features;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
 import org.shoreusher.standby.LogAcknowledgement;
 import org.shoreusher.standby.LogFrame;
 import org.shoreusher.standby.StandbyMessage;
@@ -164,7 +164,7 @@
         if (!storeCache.isLoaded() || !machineTypes.isLoaded()) {
             return false;
         }
-        return outbox.sinceStoreReplyMs() < Tuning.READINESS_STORE_TIMEOUT_MS
+        return outbox.sinceStoreReplyMs() < GossipConstants.READINESS_STORE_TIMEOUT_MS
                 || !peerGossip.anyPeerReachesStore();
     }
 
@@ -302,11 +302,13 @@
             // Jobs of one team are kept in one shard where possible, so that the team's quota is
             // not split.
             double headroom =
-                    (summary == null ? Tuning.UNKNOWN_SHARD_HEADROOM_CPUS : summary.cpuHeadroom())
+                    (summary == null
+                                    ? CoreConstants.UNKNOWN_SHARD_HEADROOM_CPUS
+                                    : summary.cpuHeadroom())
                             - assignedCpus[shardNumber]
                             + (teamDemand == null
                                     ? 0
-                                    : Tuning.TEAM_AFFINITY_WEIGHT
+                                    : CoreConstants.TEAM_AFFINITY_WEIGHT
                                             * (teamDemand.highPriorityCpus()
                                                     + teamDemand.otherCpus()));
             if (headroom > mostHeadroom) {
--- a/src/main/java/org/shoreusher/core/Shard.java
+++ b/src/main/java/org/shoreusher/core/Shard.java
@@ -5,6 +5,7 @@
 import org.shoreusher.core.cluster.Machine;
 import org.shoreusher.core.cluster.ShardContext;
 import org.shoreusher.core.cluster.ShardState;
+import org.shoreusher.core.gossip.GossipConstants;
 import org.shoreusher.core.gossip.LedShardView;
 import org.shoreusher.core.gossip.ShardDemand;
 import org.shoreusher.core.heartbeat.HeartbeatHandler;
@@ -40,7 +41,7 @@
 import org.shoreusher.core.schedule.TaskStopper;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreCache;
-import org.shoreusher.settings.Tuning;
+import org.shoreusher.settings.SharedConstants;
 
 /**
  * A shard that this node leads: composes the collaborators and runs their due work. An instance
@@ -272,7 +273,7 @@
         if (!authority.isLoaded()
                 || !authority.isLeader()
                 || outbox.now.monotonicMs() - leadership.leaderSinceMs()
-                        < Tuning.REDIRECTED_WORKER_RETRY_MS) {
+                        < GossipConstants.REDIRECTED_WORKER_RETRY_MS) {
             return false;
         }
         // This runs in every batch, so machines are counted only if some workers have returned to
@@ -286,7 +287,7 @@
             runningMachines += machine.state == Machine.State.UP ? 1 : 0;
         }
         return unreachableWorkers
-                > Math.max(1, runningMachines * Tuning.STEP_DOWN_UNREACHABLE_SHARE);
+                > Math.max(1, runningMachines * CoreConstants.STEP_DOWN_UNREACHABLE_SHARE);
     }
 
     private CompletionRecords completionRecords() {
@@ -323,7 +324,7 @@
         if (outbox.now.monotonicMs() < nextSchedulingPassMs) {
             return;
         }
-        nextSchedulingPassMs = outbox.now.monotonicMs() + Tuning.FULL_SCAN_INTERVAL_MS;
+        nextSchedulingPassMs = outbox.now.monotonicMs() + CoreConstants.FULL_SCAN_INTERVAL_MS;
         machines.lifecycle().expireWorkerLeases();
         reconciliation.step();
         quotaShares.step(
@@ -333,7 +334,7 @@
         preemption.preemptForPriority();
         scheduling.taskMigration().step();
         if (outbox.now.monotonicMs() >= nextStatusLineMs) {
-            nextStatusLineMs = outbox.now.monotonicMs() + Tuning.STATUS_LOG_INTERVAL_MS;
+            nextStatusLineMs = outbox.now.monotonicMs() + SharedConstants.STATUS_LOG_INTERVAL_MS;
             outbox.logDebug(ShardStatus.statusLine(this, storeCache.size()));
         }
     }
--- a/src/main/java/org/shoreusher/core/Shards.java
+++ b/src/main/java/org/shoreusher/core/Shards.java
@@ -6,6 +6,7 @@
 import java.util.Map;
 import org.shoreusher.core.job.CompletionRecords;
 import org.shoreusher.core.leadership.LeaderLease;
+import org.shoreusher.core.leadership.LeadershipConstants;
 import org.shoreusher.core.leadership.LeadershipPeerView;
 import org.shoreusher.core.leadership.ShardLeadership;
 import org.shoreusher.core.message.ClockReading;
@@ -15,12 +16,12 @@
 import org.shoreusher.core.store.NodeContext;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreCache;
+import org.shoreusher.core.store.StoreConstants;
 import org.shoreusher.core.store.StoreSchema;
 import org.shoreusher.core.store.StoreSchema.CompletionRecord;
 import org.shoreusher.core.store.StoreSchema.ShardRecord;
 import org.shoreusher.core.store.TaskRanges;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
 import org.shoreusher.standby.LogStream;
 import org.shoreusher.standby.StandbySettings;
 import org.shoreusher.wire.FieldMap;
@@ -122,7 +123,8 @@
                 if (ledShards[shardNumber].isUnreachableFromWorkers()) {
                     ledShards[shardNumber].stepDown(
                             "most of its workers reach others, not this node");
-                    nextAcquisitionMs = outbox.now.monotonicMs() + Tuning.STEP_DOWN_COOLDOWN_MS;
+                    nextAcquisitionMs =
+                            outbox.now.monotonicMs() + CoreConstants.STEP_DOWN_COOLDOWN_MS;
                 }
                 if (ledShards[shardNumber].authority().isLeadershipLost()) {
                     ledShards[shardNumber].standbyReplication().close();
@@ -133,7 +135,7 @@
         rebalanceLeadership();
         if (!storeCache.isLoaded()
                 || acquisitionInFlight
-                || storeCache.ageMs() > Tuning.MAX_STORE_CACHE_AGE_MS
+                || storeCache.ageMs() > LeadershipConstants.MAX_STORE_CACHE_AGE_MS
                 || outbox.now.monotonicMs() < nextAcquisitionMs) {
             return;
         }
@@ -181,7 +183,7 @@
                 namedStandby != null
                         && standbySettings != null
                         && peerView.isResponsive(LogStream.hostOf(namedStandby));
-        return peerView.peersWithPriority(ledShardCount()) * Tuning.ACQUISITION_INTERVAL_MS
+        return peerView.peersWithPriority(ledShardCount()) * CoreConstants.ACQUISITION_INTERVAL_MS
                 + (grantsHeadStart ? standbySettings.headStartMs() : 0);
     }
 
@@ -190,7 +192,7 @@
         if (outbox.now.monotonicMs() < nextRebalanceMs) {
             return;
         }
-        nextRebalanceMs = outbox.now.monotonicMs() + Tuning.SHARD_REBALANCE_INTERVAL_MS;
+        nextRebalanceMs = outbox.now.monotonicMs() + CoreConstants.SHARD_REBALANCE_INTERVAL_MS;
         if (!peerView.isAnyPeerLeadingTwoFewer(ledShardCount())) {
             return;
         }
@@ -269,11 +271,11 @@
     }
 
     private void acquireLeadership(int shardNumber, ShardRecord previousRecord) {
-        nextAcquisitionMs = outbox.now.monotonicMs() + Tuning.ACQUISITION_INTERVAL_MS;
+        nextAcquisitionMs = outbox.now.monotonicMs() + CoreConstants.ACQUISITION_INTERVAL_MS;
         boolean exceedsSizeLimit =
                 previousRecord != null
                         && FieldMap.jsonLength(previousRecord.toMap())
-                                > settings.maxValueBytes() * Tuning.RECORD_FILL_SHARE;
+                                > settings.maxValueBytes() * StoreConstants.RECORD_FILL_SHARE;
         List<Map<String, Object>> pieces =
                 exceedsSizeLimit
                         ? completionsWithoutOverflowRecord(shardNumber, previousRecord)
@@ -328,7 +330,7 @@
                                 // for a different one.
                                 nextAcquisitionMs =
                                         outbox.now.monotonicMs()
-                                                + Tuning.ACQUISITION_CONFLICT_RETRY_MS;
+                                                + CoreConstants.ACQUISITION_CONFLICT_RETRY_MS;
                             } else if (previousRecord != null && previousRecord.standby() != null) {
                                 // During an outage of the store the standby had no chance either,
                                 // so its head start begins again.
--- a/src/main/java/org/shoreusher/core/cluster/Job.java
+++ b/src/main/java/org/shoreusher/core/cluster/Job.java
@@ -5,7 +5,6 @@
 import java.util.BitSet;
 import org.shoreusher.core.job.CompletionRecords;
 import org.shoreusher.core.message.JobSpec;
-import org.shoreusher.settings.Tuning;
 
 /**
  * The state of a job at the leader of its shard. Every task is pending, active or completed. A task
@@ -163,14 +162,15 @@
 
     /**
      * Records a failed attempt. While no task has completed, each further failure doubles the delay
-     * before the next start, up to {@link Tuning#MAX_FAILURE_BACKOFF_MS}.
+     * before the next start, up to {@link ClusterConstants#MAX_FAILURE_BACKOFF_MS}.
      */
     public void recordFailure(String machineId, long nowMs) {
         failedMachineIds.add(machineId);
         failureCount++;
         if (completedTasks.isEmpty() && failureCount > 1) {
-            long backoffMs = Tuning.MIN_FAILURE_BACKOFF_MS << Math.min(failureCount - 2, 10);
-            backoffUntilMs = nowMs + Math.min(backoffMs, Tuning.MAX_FAILURE_BACKOFF_MS);
+            long backoffMs =
+                    ClusterConstants.MIN_FAILURE_BACKOFF_MS << Math.min(failureCount - 2, 10);
+            backoffUntilMs = nowMs + Math.min(backoffMs, ClusterConstants.MAX_FAILURE_BACKOFF_MS);
         }
     }
 
--- a/src/main/java/org/shoreusher/core/cluster/Machine.java
+++ b/src/main/java/org/shoreusher/core/cluster/Machine.java
@@ -8,7 +8,6 @@
 import org.shoreusher.core.message.MachineType;
 import org.shoreusher.core.message.WorkerHeartbeat;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
 
 /**
  * What the leader of a shard knows of one machine of that shard. Times are steady-clock ms unless a
@@ -190,7 +189,8 @@
         long sinceReplyMs = nowMs - lastReplyAtMs;
         if (heartbeat.incarnation() > session
                 && sinceReplyMs
-                        < Tuning.WORKER_RESPONSE_TIMEOUT_MS - Tuning.HEARTBEAT_LATENESS_MARGIN_MS) {
+                        < ClusterConstants.WORKER_RESPONSE_TIMEOUT_MS
+                                - ClusterConstants.HEARTBEAT_LATENESS_MARGIN_MS) {
             // Delayed by a network partition and delivered together with the previous heartbeat: a
             // worker without a reply would have waited for its timeout first. Without this check,
             // sound machines were cordoned half a second after a partition had healed.
@@ -198,15 +198,17 @@
         }
         if (heartbeat.incarnation() > session && sinceReplyMs < settings.workerLeaseS() * 1000) {
             unacknowledgedReplies =
-                    Math.max(unacknowledgedReplies + 1, Tuning.ONE_WAY_PARTITION_MISSED_RESPONSES);
+                    Math.max(
+                            unacknowledgedReplies + 1,
+                            ClusterConstants.ONE_WAY_PARTITION_MISSED_RESPONSES);
         } else if (heartbeat.incarnation() > session
                 || sinceReplyMs
                         > Math.max(
-                                Tuning.WORKER_RESPONSE_TIMEOUT_MS,
+                                ClusterConstants.WORKER_RESPONSE_TIMEOUT_MS,
                                 settings.heartbeatIntervalS()
                                                 * 1000
-                                                * Tuning.MAX_HEARTBEAT_INTERVAL_FACTOR
-                                        + Tuning.HEARTBEAT_LATENESS_MARGIN_MS)) {
+                                                * ClusterConstants.MAX_HEARTBEAT_INTERVAL_FACTOR
+                                        + ClusterConstants.HEARTBEAT_LATENESS_MARGIN_MS)) {
             unacknowledgedReplies++;
         } else {
             unacknowledgedReplies = 0;
@@ -218,7 +220,7 @@
      * it. It gets no tasks until a heartbeat shows that a reply did.
      */
     public boolean hasOneWayPartition() {
-        return unacknowledgedReplies >= Tuning.ONE_WAY_PARTITION_MISSED_RESPONSES;
+        return unacknowledgedReplies >= ClusterConstants.ONE_WAY_PARTITION_MISSED_RESPONSES;
     }
 
     /** Records that a task took so many times the mean run time of its job's finished tasks. */
@@ -227,14 +229,15 @@
                 runTimeSamples == 0
                         ? ratioToMean
                         : relativeRunTime
-                                + (ratioToMean - relativeRunTime) * Tuning.SLOWDOWN_SAMPLE_WEIGHT;
+                                + (ratioToMean - relativeRunTime)
+                                        * ClusterConstants.SLOWDOWN_SAMPLE_WEIGHT;
         runTimeSamples++;
     }
 
     /** Whether its tasks take so much longer than elsewhere that it should get no more of them. */
     public boolean isSlow() {
-        return runTimeSamples >= Tuning.MIN_SLOWDOWN_SAMPLES
-                && relativeRunTime > Tuning.SLOW_MACHINE_FACTOR;
+        return runTimeSamples >= ClusterConstants.MIN_SLOWDOWN_SAMPLES
+                && relativeRunTime > ClusterConstants.SLOW_MACHINE_FACTOR;
     }
 
     /** The key of a task in {@link #tasks}: job and array index. */
--- a/src/main/java/org/shoreusher/core/cluster/ShardState.java
+++ b/src/main/java/org/shoreusher/core/cluster/ShardState.java
@@ -7,7 +7,6 @@
 import org.shoreusher.core.leadership.LeaderLease;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
 
 /** The open jobs and the machines of one shard, as its leader knows them. */
 public final class ShardState {
@@ -86,7 +85,9 @@
 
     /** The time in ms after its last heartbeat from which a machine counts as unresponsive. */
     public double heartbeatTimeoutMs() {
-        return settings.heartbeatIntervalS() * 1000 * Tuning.UNRESPONSIVE_HEARTBEAT_INTERVALS;
+        return settings.heartbeatIntervalS()
+                * 1000
+                * ClusterConstants.UNRESPONSIVE_HEARTBEAT_INTERVALS;
     }
 
     /** Returns the CPUs of all running machines. */
--- a/src/main/java/org/shoreusher/core/gossip/PeerGossip.java
+++ b/src/main/java/org/shoreusher/core/gossip/PeerGossip.java
@@ -6,6 +6,7 @@
 import java.util.function.IntFunction;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.leadership.LeaderLease;
+import org.shoreusher.core.leadership.LeadershipConstants;
 import org.shoreusher.core.leadership.LeadershipPeerView;
 import org.shoreusher.core.message.Effect;
 import org.shoreusher.core.message.GossipMessage;
@@ -15,7 +16,6 @@
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreSchema.ShardRecord;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
 
 /**
  * The gossip between the nodes: the last message of each peer, and the messages that this node
@@ -130,7 +130,7 @@
                                         && isFresh(message)
                                         && !message.storeReachable()
                                         && outbox.now.wallMs() - message.sentWallMs()
-                                                < Tuning.MAX_GOSSIP_AGE_MS);
+                                                < GossipConstants.MAX_GOSSIP_AGE_MS);
     }
 
     @Override
@@ -142,9 +142,9 @@
     @Override
     public long storeOutageGossipValidUntilMs() {
         return lastSaidUnreachableMs
-                + Tuning.MAX_GOSSIP_AGE_MS
+                + GossipConstants.MAX_GOSSIP_AGE_MS
                 + 2 * settings.maxClockOffsetMs()
-                + Tuning.LEASE_EXPIRY_MARGIN_MS;
+                + LeadershipConstants.LEASE_EXPIRY_MARGIN_MS;
     }
 
     @Override
@@ -166,7 +166,7 @@
     /** Whether the message is recent enough to be used. */
     private boolean isFresh(GossipMessage message) {
         return outbox.now.monotonicMs() - receivedAtMs.get(message.senderHost())
-                < Tuning.MAX_GOSSIP_AGE_MS;
+                < GossipConstants.MAX_GOSSIP_AGE_MS;
     }
 
     /**
@@ -179,13 +179,13 @@
         boolean isQuiet =
                 message == null
                         || outbox.now.monotonicMs() - receivedAtMs.get(record.leaderHost())
-                                > Tuning.PEER_UNRESPONSIVE_MS;
+                                > GossipConstants.PEER_UNRESPONSIVE_MS;
         return remainingLeaseMs < 0
                 || (isQuiet
                         && remainingLeaseMs
                                 < LeaderLease.durationMs(settings)
                                         - LeaderLease.renewalIntervalMs(settings)
-                                        - Tuning.PEER_UNRESPONSIVE_MS);
+                                        - GossipConstants.PEER_UNRESPONSIVE_MS);
     }
 
     /**
@@ -202,7 +202,7 @@
                                         && !message.senderHost().equals(leaderHost)
                                         && outbox.now.monotonicMs()
                                                         - receivedAtMs.get(message.senderHost())
-                                                < Tuning.PEER_UNRESPONSIVE_MS)
+                                                < GossipConstants.PEER_UNRESPONSIVE_MS)
                 .map(GossipMessage::senderHost)
                 .sorted()
                 .findFirst()
@@ -258,7 +258,7 @@
                                 isFresh(message)
                                         && message.storeReachable()
                                         && message.uptimeS()
-                                                > Tuning.SHARD_REBALANCE_MIN_PEER_UPTIME_S
+                                                > GossipConstants.SHARD_REBALANCE_MIN_PEER_UPTIME_S
                                         && message.shards().size() <= ownedCount - 2);
     }
 
@@ -267,7 +267,7 @@
         if (outbox.now.monotonicMs() < nextSendMs) {
             return false;
         }
-        nextSendMs = outbox.now.monotonicMs() + Tuning.GOSSIP_INTERVAL_MS;
+        nextSendMs = outbox.now.monotonicMs() + GossipConstants.GOSSIP_INTERVAL_MS;
         HashMap<Integer, ShardSummary> summaries = new HashMap<>();
         HashMap<Integer, Integer> redirectedWorkers = new HashMap<>();
         HashMap<String, Integer> runningTasks = new HashMap<>();
@@ -287,7 +287,8 @@
                 }
             }
         }
-        boolean storeReachable = outbox.sinceStoreReplyMs() < Tuning.READINESS_STORE_TIMEOUT_MS;
+        boolean storeReachable =
+                outbox.sinceStoreReplyMs() < GossipConstants.READINESS_STORE_TIMEOUT_MS;
         lastSaidUnreachableMs = storeReachable ? lastSaidUnreachableMs : outbox.now.monotonicMs();
         outbox.add(
                 new Effect.SendGossip(
--- a/src/main/java/org/shoreusher/core/gossip/RedirectedWorkers.java
+++ b/src/main/java/org/shoreusher/core/gossip/RedirectedWorkers.java
@@ -2,7 +2,6 @@
 
 import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap;
 import org.shoreusher.core.message.WorkerHeartbeat;
-import org.shoreusher.settings.Tuning;
 
 /**
  * Workers of a shard that another node leads, and which now send their heartbeats to this node
@@ -47,16 +46,18 @@
         }
         history.isRepeated =
                 history.incarnation > 0
-                        && nowMs - history.lastRedirectMs < Tuning.REDIRECTED_WORKER_RETRY_MS;
-        if (nowMs - history.lastRedirectMs > Tuning.REDIRECT_EPISODE_GAP_MS) {
+                        && nowMs - history.lastRedirectMs
+                                < GossipConstants.REDIRECTED_WORKER_RETRY_MS;
+        if (nowMs - history.lastRedirectMs > GossipConstants.REDIRECT_EPISODE_GAP_MS) {
             history.firstRedirectMs = nowMs;
         }
         history.lastRedirectMs = nowMs;
         history.incarnation = heartbeat.incarnation();
         history.sequenceNumber = heartbeat.sequenceNumber();
-        return nowMs - history.firstRedirectMs < Tuning.MAX_REDIRECT_DELAY_MS
+        return nowMs - history.firstRedirectMs < GossipConstants.MAX_REDIRECT_DELAY_MS
                 && historyByMachine.size()
-                        > Math.max(2, machineCount * Tuning.REDIRECT_DELAY_MIN_WORKER_SHARE);
+                        > Math.max(
+                                2, machineCount * GossipConstants.REDIRECT_DELAY_MIN_WORKER_SHARE);
     }
 
     /** Forgets all workers, because the shard has another leader. */
@@ -76,7 +77,7 @@
                 .removeIf(
                         history ->
                                 nowMs - history.lastRedirectMs
-                                        >= Tuning.REDIRECTED_WORKER_RETRY_MS);
+                                        >= GossipConstants.REDIRECTED_WORKER_RETRY_MS);
         int count = 0;
         for (RedirectHistory history : historyByMachine.values()) {
             count += history.isRepeated ? 1 : 0;
--- a/src/main/java/org/shoreusher/core/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/HeartbeatHandler.java
@@ -3,6 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.shoreusher.balance.TaskId;
+import org.shoreusher.core.cluster.ClusterConstants;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.cluster.Machine;
 import org.shoreusher.core.cluster.ResourceLedger;
@@ -31,7 +32,6 @@
 import org.shoreusher.core.store.StoreSchema.JobStatus;
 import org.shoreusher.core.store.StoreSchema.MachineRecord;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
 
 /**
  * Handles the heartbeats of a shard's workers and answers them with orders.
@@ -125,8 +125,8 @@
         if (authority.isLeader()) {
             addForgetAndStopOrders(machine, heartbeat, orders);
             if (machine.hasDurableUseRecord
-                    && (machine.cpusFree() > Tuning.EPSILON
-                            || machine.gpusFree() > Tuning.EPSILON
+                    && (machine.cpusFree() > ClusterConstants.EPSILON
+                            || machine.gpusFree() > ClusterConstants.EPSILON
                             || taskMigration.hasReadyTasks(machine))
                     && authority.canStartTasks()
                     && standbyReplication.canStartTasks()
@@ -261,7 +261,7 @@
         }
         // Answer and heartbeat are limited in size, however many small tasks would fit.
         int remainingTasks =
-                Tuning.MAX_TASKS_PER_MACHINE
+                ClusterConstants.MAX_TASKS_PER_MACHINE
                         - Math.max(machine.tasks.size(), machine.reportedTaskCount);
         for (BinPacker.PlacedTasks placed : placementPlan.takeTasksToStart(machine)) {
             int taskIndex = -1;
@@ -283,7 +283,8 @@
                 new TaskAttempt(
                         job,
                         taskIndex,
-                        authority.term() << Tuning.ATTEMPT_SEQUENCE_BITS | nextAttemptNumber++,
+                        authority.term() << ClusterConstants.ATTEMPT_SEQUENCE_BITS
+                                | nextAttemptNumber++,
                         machine,
                         TaskAttempt.State.START_ORDERED,
                         outbox.now.monotonicMs());
--- a/src/main/java/org/shoreusher/core/heartbeat/HeartbeatReader.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/HeartbeatReader.java
@@ -1,6 +1,7 @@
 package org.shoreusher.core.heartbeat;
 
 import it.unimi.dsi.fastutil.objects.ObjectOpenHashSet;
+import org.shoreusher.core.cluster.ClusterConstants;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.cluster.Machine;
 import org.shoreusher.core.cluster.ResourceLedger;
@@ -24,7 +25,6 @@
 import org.shoreusher.core.schedule.TaskStopper;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreSchema.JobRecord;
-import org.shoreusher.settings.Tuning;
 
 /**
  * Applies a worker's newest heartbeat to the leader's state of the machine, of its tasks and of
@@ -165,7 +165,7 @@
         if (!attempt.job.spec.workloadType().runsToCompletion()
                 && attempt.runningSinceMs >= 0
                 && outbox.now.monotonicMs() - attempt.runningSinceMs
-                        >= Tuning.FAILURE_BACKOFF_RESET_MS) {
+                        >= HeartbeatConstants.FAILURE_BACKOFF_RESET_MS) {
             attempt.job.resetFailures();
         }
     }
@@ -208,8 +208,8 @@
             machine.failedJobIds.clear();
             if (isCurrentAttempt && job != null && attempt.runningSinceMs >= 0) {
                 double runTimeS = (outbox.now.monotonicMs() - attempt.runningSinceMs) / 1000.0;
-                if (job.observedRunCount() >= Tuning.MIN_SLOWDOWN_SAMPLES
-                        && job.meanRunTimeS() >= Tuning.MIN_SLOWDOWN_SAMPLE_S) {
+                if (job.observedRunCount() >= ClusterConstants.MIN_SLOWDOWN_SAMPLES
+                        && job.meanRunTimeS() >= HeartbeatConstants.MIN_SLOWDOWN_SAMPLE_S) {
                     machine.recordRunTime(runTimeS / job.meanRunTimeS());
                 }
                 runTimeEstimates.recordRunTime(job, runTimeS);
@@ -257,7 +257,7 @@
                 || exitCause == ExitCause.UNKNOWN_TASK) {
             if (attempt.runningSinceMs >= 0
                     && outbox.now.monotonicMs() - attempt.runningSinceMs
-                            >= Tuning.FAILURE_BACKOFF_RESET_MS) {
+                            >= HeartbeatConstants.FAILURE_BACKOFF_RESET_MS) {
                 job.resetFailures();
             }
             job.recordFailure(machine.id, outbox.now.monotonicMs());
--- a/src/main/java/org/shoreusher/core/job/CompletionRecords.java
+++ b/src/main/java/org/shoreusher/core/job/CompletionRecords.java
@@ -11,9 +11,9 @@
 import java.util.function.IntFunction;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.leadership.CompletionSnapshot;
+import org.shoreusher.core.store.StoreConstants;
 import org.shoreusher.core.store.TaskRanges;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
 import org.shoreusher.wire.FieldMap;
 
 /**
@@ -71,19 +71,19 @@
     }
 
     private static int maxRecordBytes(Settings settings) {
-        return (int) (settings.maxValueBytes() * Tuning.RECORD_FILL_SHARE);
+        return (int) (settings.maxValueBytes() * StoreConstants.RECORD_FILL_SHARE);
     }
 
     /**
      * The number of tasks in a slice: as many as fit into a record if every other one completes.
      */
     private static int slice(Job job, int maxRecordBytes) {
-        return Math.max(1, (maxRecordBytes - frameBytes(job)) / Tuning.RECORD_BYTES_PER_TASK);
+        return Math.max(1, (maxRecordBytes - frameBytes(job)) / JobConstants.RECORD_BYTES_PER_TASK);
     }
 
     /** Bytes that a job takes in a record besides its ranges. */
     private static int frameBytes(Job job) {
-        return Tuning.RECORD_ENTRY_OVERHEAD_BYTES + job.id.length();
+        return StoreConstants.RECORD_ENTRY_OVERHEAD_BYTES + job.id.length();
     }
 
     /** Sizes the job's table of slices; all slices are unassigned if their number has changed. */
@@ -115,7 +115,7 @@
         int size = slice(job, maxRecordBytes);
         return frameBytes(job)
                 + Math.min(size, job.spec.taskCount() - slice * size)
-                        * Tuning.RECORD_BYTES_PER_TASK;
+                        * JobConstants.RECORD_BYTES_PER_TASK;
     }
 
     /** Assigns a record to each slice that has none or no longer fits into its own. */
@@ -280,9 +280,9 @@
         for (Map.Entry<String, Object> entry : rangesByJob.entrySet()) {
             BitSet remaining = TaskRanges.parse((String) entry.getValue());
             remaining.andNot(storedElsewhere.apply(entry.getKey()));
-            int frameBytes = Tuning.RECORD_ENTRY_OVERHEAD_BYTES + entry.getKey().length();
+            int frameBytes = StoreConstants.RECORD_ENTRY_OVERHEAD_BYTES + entry.getKey().length();
             int tasksPerPiece =
-                    Math.max(1, (maxRecordBytes - frameBytes) / Tuning.RECORD_BYTES_PER_TASK);
+                    Math.max(1, (maxRecordBytes - frameBytes) / JobConstants.RECORD_BYTES_PER_TASK);
             for (int from = remaining.nextSetBit(0);
                     from >= 0;
                     from = remaining.nextSetBit(from + tasksPerPiece)) {
--- a/src/main/java/org/shoreusher/core/job/HighWaterMarks.java
+++ b/src/main/java/org/shoreusher/core/job/HighWaterMarks.java
@@ -13,11 +13,11 @@
 import org.shoreusher.core.store.NodeContext;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreCache;
+import org.shoreusher.core.store.StoreConstants;
 import org.shoreusher.core.store.StoreSchema;
 import org.shoreusher.core.store.StoreSchema.HighWaterMarkRecord;
 import org.shoreusher.core.store.StoreSchema.JobRecord;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
 import org.shoreusher.wire.FieldMap;
 
 /**
@@ -77,7 +77,7 @@
                 (long)
                         (1000
                                 / (Outbox.leaderWritesPerS(settings, shardCount)
-                                        * Tuning.HIGH_WATER_MARK_WRITE_SHARE));
+                                        * JobConstants.HIGH_WATER_MARK_WRITE_SHARE));
     }
 
     /** Reads the marks that previous leaders have written. */
@@ -178,7 +178,7 @@
                         job.spec.taskCount(),
                         Math.max(
                                 requestedMark,
-                                job.highWaterMark * Tuning.HIGH_WATER_MARK_GROWTH_FACTOR));
+                                job.highWaterMark * JobConstants.HIGH_WATER_MARK_GROWTH_FACTOR));
         // A record of a previous leader may exceed today's limit. It is left as it is, the mark
         // goes
         // to another record, and readers take the larger one.
@@ -243,7 +243,7 @@
     }
 
     private double maxRecordBytes() {
-        return settings.maxValueBytes() * Tuning.RECORD_FILL_SHARE;
+        return settings.maxValueBytes() * StoreConstants.RECORD_FILL_SHARE;
     }
 
     private static int encodedBytes(Map<String, Integer> marks) {
@@ -251,6 +251,6 @@
     }
 
     private static int encodedBytes(String jobId) {
-        return jobId.length() + Tuning.HIGH_WATER_MARK_OVERHEAD_BYTES;
+        return jobId.length() + JobConstants.HIGH_WATER_MARK_OVERHEAD_BYTES;
     }
 }
--- a/src/main/java/org/shoreusher/core/job/RunTimeEstimates.java
+++ b/src/main/java/org/shoreusher/core/job/RunTimeEstimates.java
@@ -2,7 +2,6 @@
 
 import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap;
 import org.shoreusher.core.cluster.Job;
-import org.shoreusher.settings.Tuning;
 
 /**
  * Estimates of task run times: the mean of the job's own completed tasks, or else the user's
@@ -23,18 +22,18 @@
             double ratio = runTimeS / job.spec.estimatedRunS();
             double[] meanRatio =
                     meanRatioByClass.computeIfAbsent(job.spec.jobClass(), c -> new double[] {1});
-            meanRatio[0] += (ratio - meanRatio[0]) * Tuning.RUN_TIME_SAMPLE_WEIGHT;
+            meanRatio[0] += (ratio - meanRatio[0]) * JobConstants.RUN_TIME_SAMPLE_WEIGHT;
         }
     }
 
     /** The expected run time of a task of the job, in seconds; at least 1. */
     public double expectedRunS(Job job) {
         if (job.observedRunCount() > 0) {
-            return Math.max(Tuning.MIN_RUN_TIME_S, job.meanRunTimeS());
+            return Math.max(JobConstants.MIN_RUN_TIME_S, job.meanRunTimeS());
         }
         double[] meanRatio = meanRatioByClass.get(job.spec.jobClass());
         return Math.max(
-                Tuning.MIN_RUN_TIME_S,
+                JobConstants.MIN_RUN_TIME_S,
                 job.spec.estimatedRunS() * (meanRatio == null ? 1 : meanRatio[0]));
     }
 }
--- a/src/main/java/org/shoreusher/core/job/SubmissionBatches.java
+++ b/src/main/java/org/shoreusher/core/job/SubmissionBatches.java
@@ -15,7 +15,6 @@
 import org.shoreusher.core.store.StoreSchema.JobRecord;
 import org.shoreusher.core.store.StoreSchema.SubmissionBatchRecord;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
 
 /**
  * Jobs that were committed together in a shared record, the submission batch, and have no record of
@@ -123,7 +122,8 @@
         if (removalInFlight || outbox.now.monotonicMs() < nextRemovalMs) {
             return;
         }
-        nextRemovalMs = outbox.now.monotonicMs() + Tuning.SUBMISSION_BATCH_CLEANUP_INTERVAL_MS;
+        nextRemovalMs =
+                outbox.now.monotonicMs() + JobConstants.SUBMISSION_BATCH_CLEANUP_INTERVAL_MS;
         Map<String, Long> preconditions = new LinkedHashMap<>(leadership.fencingPrecondition());
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
         batches.forEach(
--- a/src/main/java/org/shoreusher/core/job/TerminalJobCache.java
+++ b/src/main/java/org/shoreusher/core/job/TerminalJobCache.java
@@ -8,7 +8,6 @@
 import org.shoreusher.core.store.StoreSchema;
 import org.shoreusher.core.store.StoreSchema.JobRecord;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
 
 /**
  * Jobs in a terminal state, which never changes. Their records are evicted from the cache of the
@@ -25,7 +24,7 @@
     /** Jobs evicted from the cache of the store; those dropped here can be read from the store. */
     private final Cache<String, JobRecord> terminalJobs =
             Caffeine.newBuilder()
-                    .maximumSize(Tuning.MAX_CACHED_TERMINAL_JOBS)
+                    .maximumSize(JobConstants.MAX_CACHED_TERMINAL_JOBS)
                     .executor(Runnable::run)
                     .build();
 
@@ -62,7 +61,7 @@
                                 + (long)
                                         (settings.cancellationLimitS()
                                                 * 1000
-                                                * Tuning.CANCELLED_JOB_RETENTION_FACTOR)));
+                                                * JobConstants.CANCELLED_JOB_RETENTION_FACTOR)));
     }
 
     /**
--- a/src/main/java/org/shoreusher/core/leadership/LeaderLease.java
+++ b/src/main/java/org/shoreusher/core/leadership/LeaderLease.java
@@ -2,7 +2,7 @@
 
 import org.shoreusher.core.message.ClockReading;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
+import org.shoreusher.settings.SharedConstants;
 
 /**
  * The lease arithmetic of a shard's leader. A leader stops before the stored expiry and a successor
@@ -22,7 +22,7 @@
      * @param settings the deployment's settings
      */
     public LeaderLease(Settings settings) {
-        safetyMarginMs = settings.maxClockOffsetMs() + Tuning.LEASE_EXPIRY_MARGIN_MS;
+        safetyMarginMs = settings.maxClockOffsetMs() + LeadershipConstants.LEASE_EXPIRY_MARGIN_MS;
         gracePeriodMs = gracePeriodMs(settings);
     }
 
@@ -37,10 +37,10 @@
         double gracePeriodMs =
                 settings.cancellationLimitS() * 1000
                         - durationMs(settings)
-                        - Tuning.MAX_STORE_CACHE_AGE_MS / 3.0
+                        - LeadershipConstants.MAX_STORE_CACHE_AGE_MS / 3.0
                         - workerLeaseBoundMs(settings)
                         - 2 * settings.maxClockOffsetMs();
-        return Math.max(0, Math.min(Tuning.MAX_GRACE_PERIOD_MS, (long) gracePeriodMs));
+        return Math.max(0, Math.min(LeadershipConstants.MAX_GRACE_PERIOD_MS, (long) gracePeriodMs));
     }
 
     /**
@@ -55,9 +55,12 @@
      * lease renewal shows no cancellations, so it is irrelevant here.
      */
     public static long maxStoreCacheAgeMs(Settings settings) {
-        return (long) (settings.cancellationLimitS() * 1000 * (1 - Tuning.MAX_CLOCK_DRIFT))
+        return (long)
+                        (settings.cancellationLimitS()
+                                * 1000
+                                * (1 - LeadershipConstants.MAX_CLOCK_DRIFT))
                 - workerLeaseBoundMs(settings)
-                - Tuning.CANCELLATION_MARGIN_MS;
+                - LeadershipConstants.CANCELLATION_MARGIN_MS;
     }
 
     /**
@@ -68,15 +71,17 @@
      */
     public static long durationMs(Settings settings) {
         double workerLeaseShareMs =
-                settings.workerLeaseS() * 1000 * Tuning.LEADER_LEASE_WORKER_LEASE_SHARE;
+                settings.workerLeaseS()
+                        * 1000
+                        * LeadershipConstants.LEADER_LEASE_WORKER_LEASE_SHARE;
         return (long)
                 Math.min(
-                        Tuning.LEADER_LEASE_MS,
+                        SharedConstants.LEADER_LEASE_MS,
                         Math.max(
                                 workerLeaseShareMs,
-                                Tuning.LEADER_LEASE_MIN_MARGINS
+                                LeadershipConstants.LEADER_LEASE_MIN_MARGINS
                                         * (settings.maxClockOffsetMs()
-                                                + Tuning.LEASE_EXPIRY_MARGIN_MS)));
+                                                + LeadershipConstants.LEASE_EXPIRY_MARGIN_MS)));
     }
 
     /** Returns the ms between renewals: a third of the lease, so that two renewals may fail. */
@@ -89,8 +94,12 @@
      * whatever the clock drift.
      */
     public static long workerLeaseBoundMs(Settings settings) {
-        return (long) Math.ceil(settings.workerLeaseS() * 1000 * (1 + Tuning.MAX_CLOCK_DRIFT))
-                + Tuning.WORKER_LEASE_MARGIN_MS;
+        return (long)
+                        Math.ceil(
+                                settings.workerLeaseS()
+                                        * 1000
+                                        * (1 + LeadershipConstants.MAX_CLOCK_DRIFT))
+                + LeadershipConstants.WORKER_LEASE_MARGIN_MS;
     }
 
     /**
@@ -105,7 +114,7 @@
                 sentAt.monotonicMs()
                         + (long)
                                 ((confirmedExpiryWallMs - sentAt.wallMs())
-                                        * (1 - Tuning.MAX_CLOCK_DRIFT));
+                                        * (1 - LeadershipConstants.MAX_CLOCK_DRIFT));
     }
 
     /** The last confirmed expiry in wall-clock ms. */
@@ -141,6 +150,6 @@
         return now.wallMs()
                 > recordedExpiryWallMs
                         + settings.maxClockOffsetMs()
-                        + Tuning.LEASE_EXPIRY_MARGIN_MS;
+                        + LeadershipConstants.LEASE_EXPIRY_MARGIN_MS;
     }
 }
--- a/src/main/java/org/shoreusher/core/leadership/ShardAuthority.java
+++ b/src/main/java/org/shoreusher/core/leadership/ShardAuthority.java
@@ -4,7 +4,6 @@
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
 
 /**
  * What the leader of a shard may do at present, by its lease, the age of its store cache, and the
@@ -122,7 +121,7 @@
     public boolean canStartTasks() {
         return progress.isLoaded()
                 && isLeader()
-                && storeCache.ageMs() < Tuning.MAX_STORE_CACHE_AGE_MS
+                && storeCache.ageMs() < LeadershipConstants.MAX_STORE_CACHE_AGE_MS
                 && leadership.isStoreCacheCaughtUp();
     }
 }
--- a/src/main/java/org/shoreusher/core/leadership/ShardLeadership.java
+++ b/src/main/java/org/shoreusher/core/leadership/ShardLeadership.java
@@ -12,7 +12,6 @@
 import org.shoreusher.core.store.StoreSchema.CompletionRecord;
 import org.shoreusher.core.store.StoreSchema.ShardRecord;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
 import org.shoreusher.wire.FieldMap;
 import org.shoreusher.wire.StoreFormat;
 
@@ -220,7 +219,7 @@
                         && writes.size()
                                 < Math.min(
                                         settings.maxTransactionWrites(),
-                                        Tuning.MAX_COMPLETION_RECORDS_PER_WRITE);
+                                        LeadershipConstants.MAX_COMPLETION_RECORDS_PER_WRITE);
                 offset++) {
             int chunk = 1 + (previousChunk + offset - 1) % overflowChunks;
             Map<String, Object> completedRanges = completions.recordValue(chunk);
@@ -309,7 +308,7 @@
             }
             return;
         }
-        nextRenewalMs = outbox.now.monotonicMs() + Tuning.LEASE_RENEWAL_RETRY_MS;
+        nextRenewalMs = outbox.now.monotonicMs() + LeadershipConstants.LEASE_RENEWAL_RETRY_MS;
         if (reply.status() == 409) {
             // Either another node has become the leader, or an earlier renewal that got no answer
             // was applied.
--- a/src/main/java/org/shoreusher/core/machine/Autoscaler.java
+++ b/src/main/java/org/shoreusher/core/machine/Autoscaler.java
@@ -23,7 +23,6 @@
 import org.shoreusher.core.schedule.ShardScheduling;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
 
 /**
  * Scales the machines of one shard out and in: plans once a second what to provision, drain and
@@ -95,7 +94,7 @@
         }
         scaleOut.step();
         if (outbox.now.monotonicMs() >= nextPlanMs) {
-            nextPlanMs = outbox.now.monotonicMs() + Tuning.AUTOSCALER_INTERVAL_MS;
+            nextPlanMs = outbox.now.monotonicMs() + MachineConstants.AUTOSCALER_INTERVAL_MS;
             if (authority.isReconciled()) {
                 machineCordon.step();
             }
@@ -287,7 +286,7 @@
                     && machine.state == Machine.State.UP
                     && machine.hasDurableUseRecord
                     && outbox.now.monotonicMs() - machine.idleSinceMs
-                            > Tuning.HANDOVER_MIN_IDLE_MS) {
+                            > MachineConstants.HANDOVER_MIN_IDLE_MS) {
                 machineRecords.handOver(machine, targetShard);
                 remaining--;
                 surplusMachines.remove(machine);
@@ -325,7 +324,7 @@
                 && machineShortfall == 0
                 && leastUsed != null
                 && freeCpus - leastUsed.cpusFree()
-                        > largestMachineCpus * Tuning.HANDOVER_MIN_FREE_MACHINES) {
+                        > largestMachineCpus * MachineConstants.HANDOVER_MIN_FREE_MACHINES) {
             leastUsed.evacuating = true;
         }
     }
@@ -347,8 +346,8 @@
                 Math.max(
                         runTimeS,
                         slackS == Double.MAX_VALUE || isTooLate
-                                ? Tuning.SCALE_OUT_HORIZON_S
-                                : slackS * Tuning.SCALE_OUT_DEADLINE_SHARE);
+                                ? MachineConstants.SCALE_OUT_HORIZON_S
+                                : slackS * MachineConstants.SCALE_OUT_DEADLINE_SHARE);
         return (int) Math.ceil(job.pendingCount * Math.min(1, runTimeS / horizonS));
     }
 
@@ -416,7 +415,7 @@
      */
     private boolean isOnDemandWorthwhile(MachineType type) {
         return !type.isOnDemandExpensive()
-                || cpuShortfall > shard.totalCpus() * Tuning.ON_DEMAND_MIN_SHORTAGE_SHARE;
+                || cpuShortfall > shard.totalCpus() * MachineConstants.ON_DEMAND_MIN_SHORTAGE_SHARE;
     }
 
     // ---- scale in ----------------------------------------------------------------------------
@@ -431,8 +430,8 @@
                     && !reservedReplicaCapacity.mustKeep(machine)
                     && outbox.now.monotonicMs() - machine.idleSinceMs
                             > (machine.spot
-                                    ? Tuning.SPOT_IDLE_TIMEOUT_MS
-                                    : Tuning.ON_DEMAND_IDLE_TIMEOUT_MS)) {
+                                    ? MachineConstants.SPOT_IDLE_TIMEOUT_MS
+                                    : MachineConstants.ON_DEMAND_IDLE_TIMEOUT_MS)) {
                 machine.state = Machine.State.DRAINING;
                 machine.drainedAsIdle = true;
             }
--- a/src/main/java/org/shoreusher/core/machine/CloudInventory.java
+++ b/src/main/java/org/shoreusher/core/machine/CloudInventory.java
@@ -16,7 +16,6 @@
 import org.shoreusher.core.message.Effect.CloudOperation;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
 import org.shoreusher.wire.CloudFormat;
 import org.shoreusher.wire.FieldMap;
 
@@ -106,8 +105,8 @@
         nextListMs =
                 outbox.now.monotonicMs()
                         + (authority.isReconciled()
-                                ? Tuning.INVENTORY_INTERVAL_MS
-                                : Tuning.RECONCILIATION_INVENTORY_INTERVAL_MS);
+                                ? MachineConstants.INVENTORY_INTERVAL_MS
+                                : MachineConstants.RECONCILIATION_INVENTORY_INTERVAL_MS);
         partialList = null;
         if (reply.status() != 200 || authority.isLeadershipLost()) {
             return;
@@ -148,7 +147,8 @@
         // is
         // terminated.
         long maxListDelayMs =
-                (long) (2 * settings.inventoryLagS() * 1000) + Tuning.INVENTORY_LAG_MARGIN_MS;
+                (long) (2 * settings.inventoryLagS() * 1000)
+                        + MachineConstants.INVENTORY_LAG_MARGIN_MS;
         for (Machine machine : new ArrayList<>(shard.machines().values())) {
             if (!ids.contains(machine.id)
                     && requestedAt.wallMs() - machine.provisionedWallMs > maxListDelayMs) {
@@ -166,8 +166,8 @@
             unrecordedSinceMs.put(listedMachine.machineId(), outbox.now.monotonicMs());
         } else if (outbox.now.monotonicMs() - unrecordedSinceMs.getLong(listedMachine.machineId())
                 > (terminatedMachines.contains(listedMachine.machineId())
-                        ? Tuning.TERMINATED_STILL_LISTED_MS
-                        : 2 * Tuning.INVENTORY_INTERVAL_MS)) {
+                        ? MachineConstants.TERMINATED_STILL_LISTED_MS
+                        : 2 * MachineConstants.INVENTORY_INTERVAL_MS)) {
             unrecordedSinceMs.removeLong(listedMachine.machineId());
             terminatedMachines.remove(listedMachine.machineId());
             outbox.logInfo(
--- a/src/main/java/org/shoreusher/core/machine/MachineCordon.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineCordon.java
@@ -8,7 +8,6 @@
 import org.shoreusher.core.schedule.TaskStopper;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
 
 /**
  * Cordons machines that must get no more tasks: faulty or slow ones, those with an interruption
@@ -56,7 +55,9 @@
         long partitionedCount =
                 shard.machines().values().stream().filter(Machine::hasOneWayPartition).count();
         return partitionedCount
-                <= Math.max(1, shard.machines().size() * Tuning.MAX_ONE_WAY_PARTITIONED_SHARE);
+                <= Math.max(
+                        1,
+                        shard.machines().size() * MachineConstants.MAX_ONE_WAY_PARTITIONED_SHARE);
     }
 
     /** The reason to cordon a machine, as the rest of a log line; null if there is none. */
@@ -65,7 +66,7 @@
             return " did not come up in " + ageMs(machine) / 1000 + " s";
         }
         if (machine.state == Machine.State.UP
-                && machine.failedJobIds.size() >= Tuning.FAULTY_MACHINE_FAILURES) {
+                && machine.failedJobIds.size() >= MachineConstants.FAULTY_MACHINE_FAILURES) {
             return ", tasks of " + machine.failedJobIds.size() + " jobs failed on it";
         }
         if (machine.state == Machine.State.UP && machine.isSlow()) {
@@ -95,7 +96,8 @@
      */
     private boolean hasFailedToBoot(Machine machine) {
         return !machine.mayHaveRunTasks
-                && ageMs(machine) > Tuning.BOOT_TIMEOUT_FACTOR * machine.type.bootS() * 1000;
+                && ageMs(machine)
+                        > MachineConstants.BOOT_TIMEOUT_FACTOR * machine.type.bootS() * 1000;
     }
 
     private long sinceLeaseRenewalMs(Machine machine) {
@@ -110,7 +112,7 @@
                 && (machine.state == Machine.State.UP || machine.state == Machine.State.BOOTING)
                 && machine.tasks.isEmpty()
                 && sinceLeaseRenewalMs(machine)
-                        > LeaderLease.workerLeaseBoundMs(settings) + Tuning.MIN_BILLED_MS;
+                        > LeaderLease.workerLeaseBoundMs(settings) + MachineConstants.MIN_BILLED_MS;
     }
 
     /**
--- a/src/main/java/org/shoreusher/core/machine/MachineRecords.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineRecords.java
@@ -13,12 +13,12 @@
 import org.shoreusher.core.message.Effect.StoreOperation;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreCache;
+import org.shoreusher.core.store.StoreConstants;
 import org.shoreusher.core.store.StoreSchema;
 import org.shoreusher.core.store.StoreSchema.MachineGroupRecord;
 import org.shoreusher.core.store.StoreSchema.MachineRecord;
 import org.shoreusher.core.store.VersionNegotiation;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
 
 /**
  * Keeps the store's records of a shard's machines up to date, and hands machines over to other
@@ -105,7 +105,7 @@
     }
 
     private boolean usesNarrowGroups() {
-        return settings.maxValueBytes() < Tuning.WIDE_GROUP_MIN_VALUE_BYTES;
+        return settings.maxValueBytes() < StoreConstants.WIDE_GROUP_MIN_VALUE_BYTES;
     }
 
     /**
@@ -159,7 +159,8 @@
                             applyWriteResult(batch);
                         });
         if (writeInFlight) {
-            nextWriteMs = outbox.now.monotonicMs() + Tuning.MACHINE_RECORD_WRITE_INTERVAL_MS;
+            nextWriteMs =
+                    outbox.now.monotonicMs() + MachineConstants.MACHINE_RECORD_WRITE_INTERVAL_MS;
         } else {
             dirtyIds.addAll(batch);
         }
--- a/src/main/java/org/shoreusher/core/machine/MachineTypeCatalog.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineTypeCatalog.java
@@ -12,7 +12,6 @@
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.core.store.StoreSchema;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
 import org.shoreusher.wire.CloudFormat;
 import org.shoreusher.wire.FieldMap;
 
@@ -73,11 +72,11 @@
 
     private void handleReply(CloudReply reply) {
         requestInFlight = false;
-        nextRequestMs = outbox.now.monotonicMs() + Tuning.CLOUD_RETRY_MS;
+        nextRequestMs = outbox.now.monotonicMs() + MachineConstants.CLOUD_RETRY_MS;
         if (reply.status() != 200) {
             return;
         }
-        nextRequestMs = outbox.now.monotonicMs() + Tuning.MACHINE_TYPES_INTERVAL_MS;
+        nextRequestMs = outbox.now.monotonicMs() + MachineConstants.MACHINE_TYPES_INTERVAL_MS;
         boolean shouldStore =
                 storeCache.get(StoreSchema.MACHINE_TYPES_KEY) == null
                         && FieldMap.jsonLength(reply.body()) <= settings.maxValueBytes();
--- a/src/main/java/org/shoreusher/core/machine/ReservedReplicaCapacity.java
+++ b/src/main/java/org/shoreusher/core/machine/ReservedReplicaCapacity.java
@@ -3,6 +3,7 @@
 import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap;
 import java.util.Comparator;
 import java.util.List;
+import org.shoreusher.core.cluster.ClusterConstants;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.cluster.Machine;
 import org.shoreusher.core.cluster.ShardContext;
@@ -12,7 +13,6 @@
 import org.shoreusher.core.message.MachineType;
 import org.shoreusher.core.schedule.BinPacker;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
 
 /**
  * Reserves on-demand machines for replicas of services in every zone: a new service must start, and
@@ -61,7 +61,8 @@
                                         candidate ->
                                                 candidate.onDemandPricePerHour()
                                                         / Math.max(
-                                                                Tuning.EPSILON, candidate.cpus())))
+                                                                ClusterConstants.EPSILON,
+                                                                candidate.cpus())))
                         .orElse(null);
         targetCpusPerZone = type == null ? 0 : targetCpusPerZone(type);
         freeCpusByZone.clear();
@@ -158,9 +159,9 @@
                                         objective.kind().equals("wait")
                                                 && objective.withinS() < type.bootS());
         return largestHalfCpus > 0
-                ? Tuning.RESERVED_CAPACITY_HALF_SERVICES * largestHalfCpus + type.cpus()
+                ? MachineConstants.RESERVED_CAPACITY_HALF_SERVICES * largestHalfCpus + type.cpus()
                 : replicasExpected
-                        ? Math.max(type.cpus(), Tuning.RESERVED_CAPACITY_INITIAL_CPUS)
+                        ? Math.max(type.cpus(), MachineConstants.RESERVED_CAPACITY_INITIAL_CPUS)
                         : 0;
     }
 }
--- a/src/main/java/org/shoreusher/core/machine/ScaleIn.java
+++ b/src/main/java/org/shoreusher/core/machine/ScaleIn.java
@@ -7,7 +7,6 @@
 import org.shoreusher.core.cluster.ShardState;
 import org.shoreusher.core.message.Effect.CloudOperation;
 import org.shoreusher.core.store.Outbox;
-import org.shoreusher.settings.Tuning;
 
 /** Terminates the drained machines of a shard once they are empty; one call at a time. */
 final class ScaleIn {
@@ -34,7 +33,7 @@
             if ((machine.state == Machine.State.DRAINING
                             || machine.state == Machine.State.TERMINATING)
                     && machine.tasks.isEmpty()
-                    && ids.size() < Tuning.MAX_MACHINES_PER_TERMINATE) {
+                    && ids.size() < MachineConstants.MAX_MACHINES_PER_TERMINATE) {
                 // From now on no task may start on it, whatever the outcome of the call.
                 machine.state = Machine.State.TERMINATING;
                 ids.add(machine.id);
@@ -50,7 +49,7 @@
                             terminationInFlight = false;
                             if (reply.status() != 200) {
                                 nextTerminationMs =
-                                        outbox.now.monotonicMs() + Tuning.CLOUD_RETRY_MS;
+                                        outbox.now.monotonicMs() + MachineConstants.CLOUD_RETRY_MS;
                                 ids.forEach(
                                         id ->
                                                 handleUnconfirmedTermination(
--- a/src/main/java/org/shoreusher/core/machine/ScaleOut.java
+++ b/src/main/java/org/shoreusher/core/machine/ScaleOut.java
@@ -12,7 +12,7 @@
 import org.shoreusher.core.message.Effect.CloudOperation;
 import org.shoreusher.core.schedule.BinPacker;
 import org.shoreusher.core.store.Outbox;
-import org.shoreusher.settings.Tuning;
+import org.shoreusher.core.store.StoreConstants;
 import org.shoreusher.wire.CloudFormat;
 import org.shoreusher.wire.FieldMap;
 
@@ -78,7 +78,7 @@
                         1,
                         (int)
                                 (context.settings().cloudRequestsPerS()
-                                        * Tuning.RATE_LIMIT_USE_SHARE));
+                                        * StoreConstants.RATE_LIMIT_USE_SHARE));
     }
 
     /** Whether the cloud has recently had no capacity for this kind of machine. */
@@ -88,7 +88,8 @@
 
     /** How many more machines can be requested now. */
     int maxNewMachines() {
-        return (maxPendingRequests - pendingRequests.size()) * Tuning.MAX_MACHINES_PER_PROVISION;
+        return (maxPendingRequests - pendingRequests.size())
+                * MachineConstants.MAX_MACHINES_PER_PROVISION;
     }
 
     /** The capacity of the machines that have been requested and not been provisioned yet. */
@@ -119,7 +120,7 @@
                 (kind, count) -> {
                     for (int remaining = count;
                             remaining > 0 && pendingRequests.size() < maxPendingRequests;
-                            remaining -= Tuning.MAX_MACHINES_PER_PROVISION) {
+                            remaining -= MachineConstants.MAX_MACHINES_PER_PROVISION) {
                         // The name contains the term, so that no other leader uses it, nor this
                         // node after a restart.
                         CloudOperation.Provision request =
@@ -133,7 +134,9 @@
                                         kind.type,
                                         kind.zone,
                                         kind.spot,
-                                        Math.min(remaining, Tuning.MAX_MACHINES_PER_PROVISION));
+                                        Math.min(
+                                                remaining,
+                                                MachineConstants.MAX_MACHINES_PER_PROVISION));
                         pendingRequests.add(new PendingRequest(request, capacityByKind.get(kind)));
                     }
                 });
@@ -175,7 +178,7 @@
         cloudFailing = reply.status() != 200 && reply.status() != 400 && !isOutOfCapacity;
         if (cloudFailing) {
             // A request without an answer may have taken effect: it is repeated under its name.
-            nextAttemptMs = outbox.now.monotonicMs() + Tuning.CLOUD_RETRY_MS;
+            nextAttemptMs = outbox.now.monotonicMs() + MachineConstants.CLOUD_RETRY_MS;
             return;
         }
         pendingRequests.remove(pendingRequest);
@@ -185,7 +188,8 @@
         if (reply.status() == 200) {
             handleProvisioned(request, kind, reply, pendingRequest.requestedWallMs);
         } else if (isOutOfCapacity) {
-            unavailableUntilMs.put(kind, outbox.now.monotonicMs() + Tuning.NO_CAPACITY_BACKOFF_MS);
+            unavailableUntilMs.put(
+                    kind, outbox.now.monotonicMs() + MachineConstants.NO_CAPACITY_BACKOFF_MS);
         } else {
             outbox.logInfo(
                     "cloud: refused the rental of "
@@ -217,7 +221,7 @@
                             + shard.shardNumber());
             if (machineIds.size() < request.count()) {
                 unavailableUntilMs.put(
-                        kind, outbox.now.monotonicMs() + Tuning.NO_CAPACITY_BACKOFF_MS);
+                        kind, outbox.now.monotonicMs() + MachineConstants.NO_CAPACITY_BACKOFF_MS);
             }
             for (String id : machineIds) {
                 autoscaler.addProvisioned(id, request, requestedWallMs);
--- a/src/main/java/org/shoreusher/core/machine/TerminatedMachines.java
+++ b/src/main/java/org/shoreusher/core/machine/TerminatedMachines.java
@@ -1,7 +1,6 @@
 package org.shoreusher.core.machine;
 
 import it.unimi.dsi.fastutil.objects.ObjectLinkedOpenHashSet;
-import org.shoreusher.settings.Tuning;
 
 /**
  * The machines of a shard that are known to be terminated, so that late messages do not add them
@@ -14,7 +13,7 @@
     /** Adds a machine that has been terminated. */
     void add(String machineId) {
         machineIds.add(machineId);
-        if (machineIds.size() > Tuning.MAX_REMEMBERED_TERMINATED_MACHINES) {
+        if (machineIds.size() > MachineConstants.MAX_REMEMBERED_TERMINATED_MACHINES) {
             machineIds.removeFirst();
         }
     }
--- a/src/main/java/org/shoreusher/core/message/JobSpec.java
+++ b/src/main/java/org/shoreusher/core/message/JobSpec.java
@@ -1,7 +1,6 @@
 package org.shoreusher.core.message;
 
 import java.util.List;
-import org.shoreusher.settings.Tuning;
 
 /**
  * A job as its user described it. Resources are those of one task.
@@ -61,7 +60,7 @@
                 team,
                 WorkloadType.BATCH,
                 Priority.LOW,
-                Tuning.MAX_TASKS_PER_JOB,
+                MessageConstants.MAX_TASKS_PER_JOB,
                 cpus,
                 gpus,
                 memGb,
--- a/src/main/java/org/shoreusher/core/message/MachineType.java
+++ b/src/main/java/org/shoreusher/core/message/MachineType.java
@@ -1,7 +1,6 @@
 package org.shoreusher.core.message;
 
 import java.util.List;
-import org.shoreusher.settings.Tuning;
 
 /**
  * A machine type as the cloud describes it.
@@ -31,7 +30,8 @@
      * run on spot should do so.
      */
     public boolean isOnDemandExpensive() {
-        return onDemandPricePerHour > spotPricePerHour * Tuning.MAX_ON_DEMAND_PRICE_FACTOR;
+        return onDemandPricePerHour
+                > spotPricePerHour * MessageConstants.MAX_ON_DEMAND_PRICE_FACTOR;
     }
 
     /** Whether one task of a job can run on an empty machine of this type, constraints included. */
--- a/src/main/java/org/shoreusher/core/reconcile/Reconciliation.java
+++ b/src/main/java/org/shoreusher/core/reconcile/Reconciliation.java
@@ -3,6 +3,7 @@
 import java.util.BitSet;
 import java.util.List;
 import java.util.Map;
+import org.shoreusher.core.cluster.ClusterConstants;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.cluster.Machine;
 import org.shoreusher.core.cluster.ResourceLedger;
@@ -32,7 +33,6 @@
 import org.shoreusher.core.store.StoreSchema.MachineRecord;
 import org.shoreusher.core.store.TaskRanges;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
 import org.shoreusher.standby.Attempt;
 import org.shoreusher.standby.AttemptId;
 import org.shoreusher.standby.PromotionOutcome;
@@ -244,7 +244,7 @@
      */
     public void handleUnknownAttempt(Machine machine, TaskStatus task, long fencingToken) {
         boolean fromPreviousLeader =
-                task.attemptNumber() >>> Tuning.ATTEMPT_SEQUENCE_BITS
+                task.attemptNumber() >>> ClusterConstants.ATTEMPT_SEQUENCE_BITS
                         < leadership.acquisitionTerm();
         if (!usesPromotedLog
                 || !fromPreviousLeader
--- a/src/main/java/org/shoreusher/core/replication/StandbyReplication.java
+++ b/src/main/java/org/shoreusher/core/replication/StandbyReplication.java
@@ -19,7 +19,7 @@
 import org.shoreusher.core.message.WorkerOrder;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.VersionNegotiation;
-import org.shoreusher.settings.Tuning;
+import org.shoreusher.settings.SharedConstants;
 import org.shoreusher.standby.Attempt;
 import org.shoreusher.standby.AttemptId;
 import org.shoreusher.standby.AttemptLogSender;
@@ -302,7 +302,7 @@
             outbox.add(new Effect.SendStandbyMessage(host, frame));
         }
         if (nowMs() >= nextStatisticsMs) {
-            nextStatisticsMs = nowMs() + Tuning.STATUS_LOG_INTERVAL_MS;
+            nextStatisticsMs = nowMs() + SharedConstants.STATUS_LOG_INTERVAL_MS;
             logStatistics();
         }
     }
--- a/src/main/java/org/shoreusher/core/schedule/BinPacker.java
+++ b/src/main/java/org/shoreusher/core/schedule/BinPacker.java
@@ -6,11 +6,12 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.function.ToDoubleFunction;
+import org.shoreusher.core.cluster.ClusterConstants;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.job.JobConstants;
 import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.core.message.MachineType;
-import org.shoreusher.settings.Tuning;
 
 /**
  * Best-fit bin packing of waiting tasks: each task goes to the machine with the least free capacity
@@ -85,25 +86,27 @@
             taskCount =
                     spec.cpus() > 0
                             ? Math.min(
-                                    taskCount, Math.floor(freeCpus / spec.cpus() + Tuning.EPSILON))
+                                    taskCount,
+                                    Math.floor(freeCpus / spec.cpus() + ClusterConstants.EPSILON))
                             : taskCount;
             taskCount =
                     spec.gpus() > 0
                             ? Math.min(
-                                    taskCount, Math.floor(freeGpus / spec.gpus() + Tuning.EPSILON))
+                                    taskCount,
+                                    Math.floor(freeGpus / spec.gpus() + ClusterConstants.EPSILON))
                             : taskCount;
             taskCount =
                     spec.memGb() > 0
                             ? Math.min(
                                     taskCount,
-                                    Math.floor(freeMemGb / spec.memGb() + Tuning.EPSILON))
+                                    Math.floor(freeMemGb / spec.memGb() + ClusterConstants.EPSILON))
                             : taskCount;
             return (int) Math.max(0, taskCount);
         }
 
         /** Whether neither CPUs nor GPUs are left, so that hardly any task fits. */
         public boolean isFull() {
-            return freeCpus <= Tuning.EPSILON && freeGpus <= Tuning.EPSILON;
+            return freeCpus <= ClusterConstants.EPSILON && freeGpus <= ClusterConstants.EPSILON;
         }
 
         /** Returns the CPUs on this machine that the current plan assigns to a team. */
@@ -262,7 +265,7 @@
                                     (cpuHeadroom.applyAsDouble(spec.team())
                                                             - plannedCpus.getDouble(spec.team()))
                                                     / spec.cpus()
-                                            + Tuning.EPSILON));
+                                            + ClusterConstants.EPSILON));
         }
         if (spec.gpus() > 0) {
             taskCount =
@@ -272,7 +275,7 @@
                                     (gpuHeadroom.applyAsDouble(spec.team())
                                                             - plannedGpus.getDouble(spec.team()))
                                                     / spec.gpus()
-                                            + Tuning.EPSILON));
+                                            + ClusterConstants.EPSILON));
         }
         return (int) Math.max(0, taskCount);
     }
@@ -300,11 +303,13 @@
                         capacity.sortKey =
                                 (capacity.freeCpus + imageFetchCost(capacity, spec))
                                                 / Math.max(1, capacity.type.cpus())
-                                        + (capacity.expensive ? Tuning.ON_DEMAND_RANK_PENALTY : 0)
+                                        + (capacity.expensive
+                                                ? ScheduleConstants.ON_DEMAND_RANK_PENALTY
+                                                : 0)
                                         + (capacity.machine != null
                                                         && job.failedMachineIds.contains(
                                                                 capacity.machine.id)
-                                                ? Tuning.FAILED_MACHINE_RANK_PENALTY
+                                                ? ScheduleConstants.FAILED_MACHINE_RANK_PENALTY
                                                 : 0));
         capacities.sort(BY_SORT_KEY);
         ZoneConstraints zoneConstraints = new ZoneConstraints(job);
@@ -366,7 +371,8 @@
         double used =
                 spreadLimit.teamCpusUsed(capacity.machine, spec.team())
                         + capacity.plannedCpus(spec.team());
-        return (int) Math.max(0, Math.floor((allowed - used) / spec.cpus() + Tuning.EPSILON));
+        return (int)
+                Math.max(0, Math.floor((allowed - used) / spec.cpus() + ClusterConstants.EPSILON));
     }
 
     /**
@@ -413,8 +419,11 @@
      */
     static double imageFetchShare(MachineType type, JobSpec spec) {
         double fetchS =
-                spec.imageGb() / Math.max(Tuning.MIN_IMAGE_FETCH_GB_PER_S, type.imageFetchGbPerS());
-        return fetchS / (fetchS + Math.max(Tuning.MIN_RUN_TIME_S, spec.estimatedRunS()));
+                spec.imageGb()
+                        / Math.max(
+                                ScheduleConstants.MIN_IMAGE_FETCH_GB_PER_S,
+                                type.imageFetchGbPerS());
+        return fetchS / (fetchS + Math.max(JobConstants.MIN_RUN_TIME_S, spec.estimatedRunS()));
     }
 
     /**
--- a/src/main/java/org/shoreusher/core/schedule/PlacementPlan.java
+++ b/src/main/java/org/shoreusher/core/schedule/PlacementPlan.java
@@ -6,13 +6,13 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import org.shoreusher.core.cluster.ClusterConstants;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.cluster.Machine;
 import org.shoreusher.core.cluster.ShardContext;
 import org.shoreusher.core.cluster.ShardState;
 import org.shoreusher.core.job.HighWaterMarks;
 import org.shoreusher.core.store.Outbox;
-import org.shoreusher.settings.Tuning;
 
 /**
  * Decides which waiting tasks start on which machine.
@@ -144,8 +144,8 @@
         }
         BinPacker packer = binPackers.create();
         double totalCpus = shard.totalCpus();
-        double reservableCpus = totalCpus * Tuning.MAX_RESERVED_CPU_SHARE;
-        double markAheadCpus = totalCpus * Tuning.HIGH_WATER_MARK_LOOKAHEAD_SHARE;
+        double reservableCpus = totalCpus * ScheduleConstants.MAX_RESERVED_CPU_SHARE;
+        double markAheadCpus = totalCpus * ScheduleConstants.HIGH_WATER_MARK_LOOKAHEAD_SHARE;
         for (Job job : jobs) {
             int allowedTasks = Math.min(job.pendingCount, packer.maxTasksWithinQuota(job.spec));
             int unplaced = packer.place(job, job.pendingCount);
@@ -159,7 +159,8 @@
                                                 unplaced,
                                                 reservableCpus
                                                         / Math.max(
-                                                                Tuning.EPSILON, job.spec.cpus())));
+                                                                ClusterConstants.EPSILON,
+                                                                job.spec.cpus())));
                 reservableCpus -= reserved.size() * job.spec.cpus();
                 reserved.forEach(machine -> reservedFor.put(machine, job));
             }
@@ -171,7 +172,9 @@
                                     unplaced,
                                     Math.ceil(
                                             markAheadCpus
-                                                    / Math.max(Tuning.EPSILON, job.spec.cpus())));
+                                                    / Math.max(
+                                                            ClusterConstants.EPSILON,
+                                                            job.spec.cpus())));
             markAheadCpus -= nextTasks * job.spec.cpus();
             if (allowedTasks - unplaced + nextTasks > 0) {
                 highWaterMarks.request(
@@ -182,6 +185,6 @@
         nextPlanMs =
                 outbox.now.monotonicMs()
                         + (packer.machinesScanned() + shard.machines().size() + jobs.size())
-                                / Tuning.PLACEMENT_STEPS_PER_MS;
+                                / ScheduleConstants.PLACEMENT_STEPS_PER_MS;
     }
 }
--- a/src/main/java/org/shoreusher/core/schedule/Preemption.java
+++ b/src/main/java/org/shoreusher/core/schedule/Preemption.java
@@ -10,7 +10,6 @@
 import org.shoreusher.core.cluster.TaskAttempt;
 import org.shoreusher.core.message.ClockReading;
 import org.shoreusher.core.message.JobSpec;
-import org.shoreusher.settings.Tuning;
 
 /**
  * Selects tasks to preempt so that waiting tasks of higher priority can start, within their team's
@@ -42,7 +41,8 @@
                     reclaimedCpus += attempt.job.spec.cpus();
                 } else if (attempt.job.spec.checkpointIntervalS() > 0
                         && attempt.state == TaskAttempt.State.RUNNING
-                        && now.monotonicMs() - attempt.createdMs > Tuning.MIN_COUNTED_RUN_MS
+                        && now.monotonicMs() - attempt.createdMs
+                                > ScheduleConstants.MIN_COUNTED_RUN_MS
                         && shard.isAvailable(machine)
                         && schedulingOrder.isPreemptible(attempt.job, now.wallMs())) {
                     victims.add(attempt);
--- a/src/main/java/org/shoreusher/core/schedule/PreemptionPass.java
+++ b/src/main/java/org/shoreusher/core/schedule/PreemptionPass.java
@@ -7,7 +7,6 @@
 import org.shoreusher.core.cluster.TaskAttempt;
 import org.shoreusher.core.leadership.ShardAuthority;
 import org.shoreusher.core.store.Outbox;
-import org.shoreusher.settings.Tuning;
 
 /** Preempts running tasks of a shard so that waiting work of higher priority can start. */
 public final class PreemptionPass {
@@ -65,7 +64,7 @@
                 || !authority.canStartTasks()) {
             return;
         }
-        nextPreemptionMs = outbox.now.monotonicMs() + Tuning.PREEMPTION_INTERVAL_MS;
+        nextPreemptionMs = outbox.now.monotonicMs() + ScheduleConstants.PREEMPTION_INTERVAL_MS;
         List<Job> orderedJobs = jobQueue.inSchedulingOrder();
         if (orderedJobs.isEmpty()) {
             return;
--- a/src/main/java/org/shoreusher/core/schedule/QuotaShares.java
+++ b/src/main/java/org/shoreusher/core/schedule/QuotaShares.java
@@ -13,7 +13,6 @@
 import org.shoreusher.core.store.StoreSchema;
 import org.shoreusher.core.store.StoreSchema.QuotaRecord;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
 
 /**
  * A shard's share of each team's quota.
@@ -134,7 +133,7 @@
         if (shardCount == 1 || outbox.now.monotonicMs() < nextStepMs) {
             return;
         }
-        nextStepMs = outbox.now.monotonicMs() + Tuning.QUOTA_SHARES_INTERVAL_MS;
+        nextStepMs = outbox.now.monotonicMs() + ScheduleConstants.QUOTA_SHARES_INTERVAL_MS;
         createMissingRecords();
         for (Settings.Team team : settings.teams().values()) {
             if (!Double.isInfinite(team.maxCpus())
--- a/src/main/java/org/shoreusher/core/schedule/ReplicaPreemption.java
+++ b/src/main/java/org/shoreusher/core/schedule/ReplicaPreemption.java
@@ -3,13 +3,13 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
+import org.shoreusher.core.cluster.ClusterConstants;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.cluster.Machine;
 import org.shoreusher.core.cluster.ShardState;
 import org.shoreusher.core.cluster.TaskAttempt;
 import org.shoreusher.core.message.ClockReading;
 import org.shoreusher.core.message.JobSpec;
-import org.shoreusher.settings.Tuning;
 
 /**
  * Selects batch tasks of lower priority that are preempted at once, without a grace period, on
@@ -45,9 +45,9 @@
         }
 
         boolean fits(JobSpec spec, double extraCpus, double extraGpus, double extraMemGb) {
-            return freeCpus + extraCpus + Tuning.EPSILON >= spec.cpus()
-                    && freeGpus + extraGpus + Tuning.EPSILON >= spec.gpus()
-                    && freeMemGb + extraMemGb + Tuning.EPSILON >= spec.memGb();
+            return freeCpus + extraCpus + ClusterConstants.EPSILON >= spec.cpus()
+                    && freeGpus + extraGpus + ClusterConstants.EPSILON >= spec.gpus()
+                    && freeMemGb + extraMemGb + ClusterConstants.EPSILON >= spec.memGb();
         }
     }
 
@@ -96,8 +96,8 @@
                         ? Math.min(ranS, attempt.job.spec.checkpointIntervalS())
                         : ranS;
         double uncountedStartS =
-                now.monotonicMs() - attempt.createdMs < Tuning.MIN_COUNTED_RUN_MS
-                        ? Tuning.MIN_COUNTED_RUN_MS / 1000.0
+                now.monotonicMs() - attempt.createdMs < ScheduleConstants.MIN_COUNTED_RUN_MS
+                        ? ScheduleConstants.MIN_COUNTED_RUN_MS / 1000.0
                         : 0;
         return attempt.job.spec.cpus() * (lostS + uncountedStartS);
     }
@@ -136,7 +136,7 @@
                                     ? 0
                                     : spec.imageGb()
                                             / Math.max(
-                                                    Tuning.MIN_IMAGE_FETCH_GB_PER_S,
+                                                    ScheduleConstants.MIN_IMAGE_FETCH_GB_PER_S,
                                                     machine.type.imageFetchGbPerS());
                     double lossCpuS =
                             victims == null
--- a/src/main/java/org/shoreusher/core/schedule/SchedulingOrder.java
+++ b/src/main/java/org/shoreusher/core/schedule/SchedulingOrder.java
@@ -6,7 +6,6 @@
 import org.shoreusher.core.job.RunTimeEstimates;
 import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
 
 /**
  * The order in which jobs are considered for scheduling.
@@ -80,13 +79,13 @@
      */
     boolean isPreemptible(Job job, long wallMs) {
         JobRank rank = rank(job, wallMs);
-        return rank.slackS() < 0 || rank.slackS() > Tuning.PREEMPTIBLE_MIN_SLACK_S;
+        return rank.slackS() < 0 || rank.slackS() > ScheduleConstants.PREEMPTIBLE_MIN_SLACK_S;
     }
 
     /** Whether the latest start time that still meets an objective is near but not yet past. */
     boolean isNearLatestStart(Job job, long wallMs) {
         double slackS = rank(job, wallMs).slackS();
-        return slackS >= 0 && slackS < Tuning.URGENT_MAX_SLACK_S;
+        return slackS >= 0 && slackS < ScheduleConstants.URGENT_MAX_SLACK_S;
     }
 
     private JobRank rank(Job job, long wallMs) {
@@ -105,18 +104,18 @@
             }
         }
         if (slackS == Double.MAX_VALUE) {
-            slackS = Tuning.DEFAULT_DEADLINE_S - ageS - remainingS;
+            slackS = ScheduleConstants.DEFAULT_DEADLINE_S - ageS - remainingS;
         }
         // Low and normal priority share a band: low-priority objectives allow more time, so
         // ordering by slack serves both in time. A job that has not started for very long goes
         // first; a steady stream of urgent work would otherwise starve it.
         int priorityBand =
-                job.hasStarted() || ageS < Tuning.STARVATION_AGE_S
+                job.hasStarted() || ageS < ScheduleConstants.STARVATION_AGE_S
                         ? Math.min(job.spec.priority().ordinal(), JobSpec.Priority.NORMAL.ordinal())
                         : -1;
         boolean hasAmpleSlack =
                 priorityBand > JobSpec.Priority.HIGH.ordinal()
-                        && slackS >= Tuning.URGENT_MAX_SLACK_S
+                        && slackS >= ScheduleConstants.URGENT_MAX_SLACK_S
                         && !isGuaranteeUrgent(job, ageS);
         return new JobRank(
                 job,
@@ -143,7 +142,7 @@
                                         objective.kind().equals("guarantee")
                                                 && ageS <= objective.withinS()
                                                 && objective.withinS() - ageS
-                                                        < Tuning.URGENT_MAX_SLACK_S);
+                                                        < ScheduleConstants.URGENT_MAX_SLACK_S);
     }
 
     /**
@@ -186,6 +185,6 @@
      */
     private double estimatedRemainingS(Job job) {
         double rounds = Math.max(1, Math.ceil((double) job.pendingCount / maxConcurrentTasks(job)));
-        return rounds * (estimates.expectedRunS(job) + Tuning.TASK_START_LATENCY_S);
+        return rounds * (estimates.expectedRunS(job) + ScheduleConstants.TASK_START_LATENCY_S);
     }
 }
--- a/src/main/java/org/shoreusher/core/schedule/TaskMigration.java
+++ b/src/main/java/org/shoreusher/core/schedule/TaskMigration.java
@@ -12,6 +12,7 @@
 import org.shoreusher.balance.Migration;
 import org.shoreusher.balance.SchedulerView;
 import org.shoreusher.balance.TaskId;
+import org.shoreusher.core.cluster.ClusterConstants;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.cluster.Machine;
 import org.shoreusher.core.cluster.ResourceLedger;
@@ -23,7 +24,7 @@
 import org.shoreusher.core.leadership.ShardAuthority;
 import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.core.store.Outbox;
-import org.shoreusher.settings.Tuning;
+import org.shoreusher.settings.SharedConstants;
 
 /**
  * Carries out the balancer's decisions for a shard: limits how much of a high-demand team's load is
@@ -95,7 +96,7 @@
         long reportMs = Math.round(context.settings().heartbeatIntervalS() * 1_000);
         return new Balancer.Timeouts(
                 LeaderLease.workerLeaseBoundMs(context.settings()) + 2 * reportMs,
-                Tuning.MIGRATION_START_HEARTBEAT_INTERVALS * reportMs);
+                ScheduleConstants.MIGRATION_START_HEARTBEAT_INTERVALS * reportMs);
     }
 
     private boolean isDisabled() {
@@ -234,7 +235,8 @@
             }
             if (reservation.source.job.closed) {
                 abandon(reservation, Migration.Reason.JOB_CLOSED);
-            } else if (quotaHeadroom.cpuHeadroom(reservation.spec().team()) < -Tuning.EPSILON) {
+            } else if (quotaHeadroom.cpuHeadroom(reservation.spec().team())
+                    < -ClusterConstants.EPSILON) {
                 // The quota share may have been lowered since the task left its source.
                 abandon(reservation, Migration.Reason.TEAM_LIMIT);
             } else {
@@ -262,7 +264,7 @@
         if (isDisabled() || outbox.now.monotonicMs() < nextStepMs) {
             return;
         }
-        nextStepMs = outbox.now.monotonicMs() + Tuning.MIGRATION_PLAN_INTERVAL_MS;
+        nextStepMs = outbox.now.monotonicMs() + ScheduleConstants.MIGRATION_PLAN_INTERVAL_MS;
         for (Reservation reservation : List.copyOf(reservations.values())) {
             checkProgress(reservation);
         }
@@ -273,7 +275,7 @@
             balancer.planMigrations(this, outbox.now.monotonicMs()).forEach(this::begin);
         }
         if (outbox.now.monotonicMs() >= nextLogMs && balancer.statistics().migrationsBegun() > 0) {
-            nextLogMs = outbox.now.monotonicMs() + Tuning.STATUS_LOG_INTERVAL_MS;
+            nextLogMs = outbox.now.monotonicMs() + SharedConstants.STATUS_LOG_INTERVAL_MS;
             outbox.logDebug(
                     "balance: part " + shard.shardNumber() + " " + balancer.statistics().summary());
         }
@@ -387,7 +389,8 @@
                 && !spec.singleZone()
                 && !spec.spreadAcrossZones()
                 && attempt.job.activeAttempts.get(attempt.taskIndex) == attempt
-                && outbox.now.monotonicMs() - attempt.createdMs > Tuning.MIN_COUNTED_RUN_MS
+                && outbox.now.monotonicMs() - attempt.createdMs
+                        > ScheduleConstants.MIN_COUNTED_RUN_MS
                 && schedulingOrder.isPreemptible(attempt.job, outbox.now.wallMs());
     }
 
@@ -417,7 +420,7 @@
         BinPacker.MachineCapacity capacity = new BinPacker.MachineCapacity(m);
         return !capacity.expensive
                 && !job.failedMachineIds.contains(machine)
-                && m.tasks.size() + m.reservedTaskCount < Tuning.MAX_TASKS_PER_MACHINE
+                && m.tasks.size() + m.reservedTaskCount < ClusterConstants.MAX_TASKS_PER_MACHINE
                 && job.spec.allowsMachine(m.type.name(), m.zone, m.spot)
                 && capacity.fittingTaskCount(job.spec) > 0;
     }
--- a/src/main/java/org/shoreusher/core/schedule/TaskStopper.java
+++ b/src/main/java/org/shoreusher/core/schedule/TaskStopper.java
@@ -9,7 +9,6 @@
 import org.shoreusher.core.message.Effect;
 import org.shoreusher.core.message.WorkerOrder;
 import org.shoreusher.core.store.Outbox;
-import org.shoreusher.settings.Tuning;
 
 /** Sends orders to stop tasks directly to their workers. */
 public final class TaskStopper {
@@ -26,7 +25,7 @@
 
     /** Returns the grace period, in seconds, that a stopped task gets to write a checkpoint. */
     public static double gracePeriodS(TaskAttempt attempt) {
-        return attempt.job.spec.checkpointDurationS() * Tuning.CHECKPOINT_GRACE_FACTOR;
+        return attempt.job.spec.checkpointDurationS() * ScheduleConstants.CHECKPOINT_GRACE_FACTOR;
     }
 
     /**
@@ -58,7 +57,7 @@
                 && machine.reconciled
                 && outbox.now.monotonicMs() - machine.lastHeartbeatAtMs < shard.heartbeatTimeoutMs()
                 && outbox.now.monotonicMs() - attempt.lastStopOrderMs
-                        > Tuning.STOP_ORDER_RETRY_MS) {
+                        > ScheduleConstants.STOP_ORDER_RETRY_MS) {
             attempt.lastStopOrderMs = outbox.now.monotonicMs();
             outbox.add(
                     new Effect.SendOrders(
--- a/src/main/java/org/shoreusher/core/store/LinearizableReads.java
+++ b/src/main/java/org/shoreusher/core/store/LinearizableReads.java
@@ -14,7 +14,6 @@
 import org.shoreusher.core.store.StoreSchema.JobRecord;
 import org.shoreusher.core.store.StoreSchema.JobStatus;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
 import org.shoreusher.wire.FieldMap;
 import org.shoreusher.wire.StoreFormat;
 
@@ -111,7 +110,8 @@
      * collected further.
      */
     public void sendBatch() {
-        if (pendingReads.isEmpty() || batchesInFlight >= Tuning.MAX_LINEARIZABLE_READS_IN_FLIGHT) {
+        if (pendingReads.isEmpty()
+                || batchesInFlight >= StoreConstants.MAX_LINEARIZABLE_READS_IN_FLIGHT) {
             return;
         }
         Map<String, Long> preconditions = new LinkedHashMap<>();
@@ -203,7 +203,7 @@
                 awaitingRevision.remove(awaiting);
                 awaiting.read().callback().accept(cachedRecord(awaiting.read().jobId()));
             } else if (outbox.now.monotonicMs() - awaiting.sinceMs()
-                    > Tuning.READ_CATCH_UP_TIMEOUT_MS) {
+                    > StoreConstants.READ_CATCH_UP_TIMEOUT_MS) {
                 awaitingRevision.remove(awaiting);
                 outbox.respondUnavailable(awaiting.read().requestId());
             }
--- a/src/main/java/org/shoreusher/core/store/Outbox.java
+++ b/src/main/java/org/shoreusher/core/store/Outbox.java
@@ -10,9 +10,10 @@
 import org.shoreusher.core.message.Effect;
 import org.shoreusher.core.message.Effect.CloudOperation;
 import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.core.message.MessageConstants;
 import org.shoreusher.core.message.Response;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
+import org.shoreusher.settings.SharedConstants;
 
 /**
  * Collects the effects of a batch, tracks the calls whose answers are pending, and keeps calls
@@ -46,30 +47,35 @@
         // because they rarely coincide. If they do, the store answers 429, and the write is tried
         // again later like after any other failure.
         double callsPerS =
-                settings.storeRequestsPerS() * Tuning.RATE_LIMIT_USE_SHARE / settings.nodeCount();
-        double writes = settings.storeWritesPerS() * Tuning.RATE_LIMIT_USE_SHARE;
+                settings.storeRequestsPerS()
+                        * StoreConstants.RATE_LIMIT_USE_SHARE
+                        / settings.nodeCount();
+        double writes = settings.storeWritesPerS() * StoreConstants.RATE_LIMIT_USE_SHARE;
         double leaderWritesPerS = leaderWritesPerS(settings, shardCount);
         storeCallTokens =
                 new TokenBucket(
-                        callsPerS * (1 - Tuning.LEASE_RENEWAL_REQUEST_SHARE), callsPerS / 2);
+                        callsPerS * (1 - StoreConstants.LEASE_RENEWAL_REQUEST_SHARE),
+                        callsPerS / 2);
         renewalTokens =
                 new TokenBucket(
-                        Math.max(2, callsPerS * Tuning.LEASE_RENEWAL_REQUEST_SHARE),
-                        Math.max(4, callsPerS * Tuning.LEASE_RENEWAL_REQUEST_SHARE));
+                        Math.max(2, callsPerS * StoreConstants.LEASE_RENEWAL_REQUEST_SHARE),
+                        Math.max(4, callsPerS * StoreConstants.LEASE_RENEWAL_REQUEST_SHARE));
         leaderWriteTokens = new TokenBucket(leaderWritesPerS, leaderWritesPerS);
         userWriteTokens =
                 new TokenBucket(writes / settings.nodeCount(), writes / settings.nodeCount());
         cloudCallTokens =
                 new TokenBucket(
-                        settings.cloudRequestsPerS() * Tuning.RATE_LIMIT_USE_SHARE / leaders,
+                        settings.cloudRequestsPerS()
+                                * StoreConstants.RATE_LIMIT_USE_SHARE
+                                / leaders,
                         settings.cloudRequestsPerS() / leaders);
     }
 
     /** Returns the writes per second that a shard's leader plans to make at most. */
     public static double leaderWritesPerS(Settings settings, int shardCount) {
         return settings.storeWritesPerS()
-                * Tuning.RATE_LIMIT_USE_SHARE
-                * Tuning.LEADER_WRITE_SHARE
+                * StoreConstants.RATE_LIMIT_USE_SHARE
+                * StoreConstants.LEADER_WRITE_SHARE
                 / Math.min(settings.nodeCount(), shardCount);
     }
 
@@ -105,7 +111,7 @@
      * request, so that not all senders retry at the same time.
      */
     public void respondUnavailable(long requestId) {
-        respond(requestId, new Response.Unavailable(Tuning.retryAfterS(requestId)));
+        respond(requestId, new Response.Unavailable(MessageConstants.retryAfterS(requestId)));
     }
 
     /**
@@ -219,6 +225,6 @@
      */
     public boolean isStoreUnavailable() {
         return storeFailedAtMs >= storeAnsweredAtMs
-                && sinceStoreReplyMs() > Tuning.STORE_TIMEOUT_MS;
+                && sinceStoreReplyMs() > SharedConstants.STORE_TIMEOUT_MS;
     }
 }
--- a/src/main/java/org/shoreusher/core/store/StoreCache.java
+++ b/src/main/java/org/shoreusher/core/store/StoreCache.java
@@ -7,7 +7,6 @@
 import org.shoreusher.core.message.Command.StoreReply;
 import org.shoreusher.core.message.Effect.StoreOperation;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
 import org.shoreusher.wire.FieldMap;
 import org.shoreusher.wire.StoreFormat;
 
@@ -67,11 +66,13 @@
         // A change wakes the watches of all nodes. Under a low rate limit they would use up all
         // calls.
         double callsPerS =
-                settings.storeRequestsPerS() * Tuning.RATE_LIMIT_USE_SHARE / settings.nodeCount();
+                settings.storeRequestsPerS()
+                        * StoreConstants.RATE_LIMIT_USE_SHARE
+                        / settings.nodeCount();
         watchIntervalMs =
                 Math.max(
-                        Tuning.MIN_WATCH_INTERVAL_MS,
-                        (long) Math.ceil(1000 / (callsPerS * Tuning.WATCH_REQUEST_SHARE)));
+                        StoreConstants.MIN_WATCH_INTERVAL_MS,
+                        (long) Math.ceil(1000 / (callsPerS * StoreConstants.WATCH_REQUEST_SHARE)));
         this.outbox = outbox;
         this.listener = listener;
     }
@@ -194,7 +195,7 @@
                         : new StoreOperation.Watch(
                                 revision,
                                 isLoaded && revision >= requiredRevision
-                                        ? Tuning.WATCH_LONG_POLL_MS
+                                        ? StoreConstants.WATCH_LONG_POLL_MS
                                         : 0);
         requestInFlight =
                 outbox.callStore(
@@ -218,7 +219,7 @@
         if (reply.status() != 200) {
             // An answer that exceeds the size limit fails like a lost one, and would fail each
             // time.
-            if (isLoaded && !loading && ageMs() > Tuning.STORE_CACHE_RELOAD_AGE_MS) {
+            if (isLoaded && !loading && ageMs() > StoreConstants.STORE_CACHE_RELOAD_AGE_MS) {
                 reload();
             }
             scheduleRetry();
@@ -280,6 +281,6 @@
     }
 
     private void scheduleRetry() {
-        nextRequestMs = outbox.now.monotonicMs() + Tuning.STORE_RETRY_MS;
+        nextRequestMs = outbox.now.monotonicMs() + StoreConstants.STORE_RETRY_MS;
     }
 }
--- a/src/main/java/org/shoreusher/core/store/StoreSchema.java
+++ b/src/main/java/org/shoreusher/core/store/StoreSchema.java
@@ -9,7 +9,6 @@
 import org.shoreusher.core.job.HighWaterMarks;
 import org.shoreusher.core.job.SubmissionBatches;
 import org.shoreusher.core.message.JobSpec;
-import org.shoreusher.settings.Tuning;
 import org.shoreusher.wire.FieldMap;
 import org.shoreusher.wire.UserFormat;
 
@@ -99,7 +98,7 @@
      *     narrow groups
      */
     public static String machineGroupKey(String machineId, int valueBytes) {
-        return machineGroupKey(machineId, valueBytes >= Tuning.WIDE_GROUP_MIN_VALUE_BYTES);
+        return machineGroupKey(machineId, valueBytes >= StoreConstants.WIDE_GROUP_MIN_VALUE_BYTES);
     }
 
     /**
--- a/src/main/java/org/shoreusher/core/store/VersionNegotiation.java
+++ b/src/main/java/org/shoreusher/core/store/VersionNegotiation.java
@@ -8,7 +8,6 @@
 import org.shoreusher.core.message.Effect.StoreOperation;
 import org.shoreusher.settings.Features;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
 import org.shoreusher.standby.StandbyChooser;
 
 /**
@@ -110,7 +109,7 @@
     }
 
     private void writeVersionRecord() {
-        nextWriteMs = outbox.now.monotonicMs() + Tuning.STORE_RETRY_MS;
+        nextWriteMs = outbox.now.monotonicMs() + StoreConstants.STORE_RETRY_MS;
         String key = StoreSchema.nodeKey(settings.host());
         Map<String, Object> versionRecord = new LinkedHashMap<>();
         versionRecord.put(FORMAT_FIELD, FORMAT_WITH_SERVICES);
--- a/src/main/java/org/shoreusher/core/user/SubmissionCommit.java
+++ b/src/main/java/org/shoreusher/core/user/SubmissionCommit.java
@@ -15,11 +15,11 @@
 import org.shoreusher.core.message.Response;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreCache;
+import org.shoreusher.core.store.StoreConstants;
 import org.shoreusher.core.store.StoreSchema;
 import org.shoreusher.core.store.StoreSchema.JobRecord;
 import org.shoreusher.core.store.StoreSchema.SubmissionBatchRecord;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
 import org.shoreusher.wire.FieldMap;
 import org.shoreusher.wire.StoreFormat;
 
@@ -89,7 +89,7 @@
             queued.requestIds.add(requestId);
             return;
         }
-        if (pendingSubmissions.size() >= Tuning.MAX_QUEUED_SUBMISSIONS) {
+        if (pendingSubmissions.size() >= AdmissionConstants.MAX_QUEUED_SUBMISSIONS) {
             outbox.respondUnavailable(requestId);
             return;
         }
@@ -107,14 +107,14 @@
                         spec,
                         outbox.now.monotonicMs(),
                         recordValue,
-                        encodedBytes + Tuning.RECORD_ENTRY_OVERHEAD_BYTES,
+                        encodedBytes + StoreConstants.RECORD_ENTRY_OVERHEAD_BYTES,
                         new ArrayList<>(List.of(requestId))));
     }
 
     /** Writes the queued submissions, and refuses those that have waited for too long. */
     void commitPending() {
         while (!pendingSubmissions.isEmpty()
-                && writesInFlight < Tuning.MAX_SUBMISSION_COMMITS_IN_FLIGHT
+                && writesInFlight < AdmissionConstants.MAX_SUBMISSION_COMMITS_IN_FLIGHT
                 && writeBatch()) {
             // until the queue is empty or the rate limit is reached
         }
@@ -125,7 +125,7 @@
                         submission -> {
                             boolean hasExpired =
                                     outbox.now.monotonicMs() - submission.queuedAtMs
-                                            > Tuning.SUBMISSION_QUEUE_TIMEOUT_MS;
+                                            > AdmissionConstants.SUBMISSION_QUEUE_TIMEOUT_MS;
                             if (hasExpired) {
                                 submission.requestIds.forEach(outbox::respondUnavailable);
                             }
@@ -140,7 +140,7 @@
             // One precondition for each job, and one for the record.
             if (!batch.isEmpty()
                     && (batchBytes + submission.encodedBytes
-                                    > settings.maxValueBytes() * Tuning.RECORD_FILL_SHARE
+                                    > settings.maxValueBytes() * StoreConstants.RECORD_FILL_SHARE
                             || batch.size() >= 4 * settings.maxTransactionWrites() - 1)) {
                 break;
             }
--- a/src/main/java/org/shoreusher/core/user/UserRequests.java
+++ b/src/main/java/org/shoreusher/core/user/UserRequests.java
@@ -20,7 +20,6 @@
 import org.shoreusher.core.store.StoreSchema.JobStatus;
 import org.shoreusher.core.store.VersionNegotiation;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
 
 /**
  * Answers the requests of users. A terminal state is answered from memory, since it never changes.
@@ -268,7 +267,7 @@
         linearizableReads.readBatched(
                 requestId,
                 jobId,
-                record -> cancel(requestId, jobId, record, Tuning.MAX_WRITE_ATTEMPTS));
+                record -> cancel(requestId, jobId, record, AdmissionConstants.MAX_WRITE_ATTEMPTS));
     }
 
     private void cancel(long requestId, String jobId, JobRecord record, int triesLeft) {
@@ -290,7 +289,7 @@
                                     StoreSchema.jobKey(jobId),
                                     storeCache.version(StoreSchema.jobKey(jobId))),
                             writes),
-                    Tuning.MAX_WRITE_ATTEMPTS,
+                    AdmissionConstants.MAX_WRITE_ATTEMPTS,
                     reply -> {
                         if (reply.status() == 200) {
                             outbox.respond(
@@ -362,7 +361,7 @@
         if (!storeCache.isLoaded()
                 || outbox.isStoreUnavailable()
                 || writesInFlight + linearizableReads.pendingCount()
-                        >= Tuning.MAX_USER_REQUESTS_IN_FLIGHT) {
+                        >= AdmissionConstants.MAX_USER_REQUESTS_IN_FLIGHT) {
             outbox.respondUnavailable(requestId);
             return true;
         }
--- a/src/main/java/org/shoreusher/net/HttpCaller.java
+++ b/src/main/java/org/shoreusher/net/HttpCaller.java
@@ -27,7 +27,6 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import org.shoreusher.settings.Settings.Address;
-import org.shoreusher.settings.Tuning;
 import org.shoreusher.wire.FieldMap;
 
 /**
@@ -57,7 +56,7 @@
 
     /** A client that keeps the default number of idle connections. */
     public HttpCaller(EventLoop loop, Address target) {
-        this(loop, target, Tuning.MAX_IDLE_CONNECTIONS_PER_TARGET);
+        this(loop, target, NetConstants.MAX_IDLE_CONNECTIONS_PER_TARGET);
     }
 
     /**
@@ -73,7 +72,9 @@
                 new Bootstrap()
                         .group(loop)
                         .channel(NioSocketChannel.class)
-                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, Tuning.CONNECT_TIMEOUT_MS)
+                        .option(
+                                ChannelOption.CONNECT_TIMEOUT_MILLIS,
+                                NetConstants.CONNECT_TIMEOUT_MS)
                         .option(ChannelOption.TCP_NODELAY, true)
                         .handler(
                                 new ChannelInitializer<SocketChannel>() {
@@ -83,7 +84,8 @@
                                                 .addLast(
                                                         new HttpClientCodec(),
                                                         new HttpObjectAggregator(
-                                                                Tuning.MAX_RESPONSE_BODY_BYTES),
+                                                                NetConstants
+                                                                        .MAX_RESPONSE_BODY_BYTES),
                                                         new Connection(channel));
                                     }
                                 });
@@ -108,7 +110,7 @@
             request.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/cbor");
             HttpUtil.setContentLength(request, request.content().readableBytes());
         }
-        if (callsInFlight >= Tuning.MAX_CALLS_PER_TARGET) {
+        if (callsInFlight >= NetConstants.MAX_CALLS_PER_TARGET) {
             request.release();
             loop.execute(() -> handler.onResponse(0, null));
             return;
--- a/src/main/java/org/shoreusher/peer/GossipCodec.java
+++ b/src/main/java/org/shoreusher/peer/GossipCodec.java
@@ -10,7 +10,6 @@
 import org.shoreusher.core.message.GossipMessage;
 import org.shoreusher.core.message.GossipMessage.ShardSummary;
 import org.shoreusher.core.message.GossipMessage.TeamDemand;
-import org.shoreusher.settings.Tuning;
 
 /**
  * Encodes and decodes gossip with Kryo. Only registered classes are decoded, so foreign bytes
@@ -28,7 +27,10 @@
 
     /** Encodes a message. */
     public byte[] encode(GossipMessage message) {
-        Output out = new Output(Tuning.PEER_MESSAGE_BUFFER_BYTES, Tuning.MAX_PEER_MESSAGE_BYTES);
+        Output out =
+                new Output(
+                        PeerConstants.PEER_MESSAGE_BUFFER_BYTES,
+                        PeerConstants.MAX_PEER_MESSAGE_BYTES);
         kryo.writeObject(out, message);
         return out.toBytes();
     }
@@ -140,7 +142,7 @@
 
         private static int readEntryCount(Input input) {
             int count = input.readVarInt(true);
-            if (count < 0 || count > Tuning.MAX_PEER_MESSAGE_ENTRIES) {
+            if (count < 0 || count > PeerConstants.MAX_PEER_MESSAGE_ENTRIES) {
                 throw new KryoException("too many entries");
             }
             return count;
--- a/src/main/java/org/shoreusher/peer/GossipTransport.java
+++ b/src/main/java/org/shoreusher/peer/GossipTransport.java
@@ -22,8 +22,8 @@
 import java.util.function.Consumer;
 import org.shoreusher.core.message.Command;
 import org.shoreusher.core.message.GossipMessage;
+import org.shoreusher.net.NetConstants;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
 import org.shoreusher.standby.StandbyMessage;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -62,9 +62,13 @@
                                 channel.pipeline()
                                         .addLast(
                                                 new ReadTimeoutHandler(
-                                                        Tuning.IDLE_CONNECTION_TIMEOUT_S),
+                                                        NetConstants.IDLE_CONNECTION_TIMEOUT_S),
                                                 new LengthFieldBasedFrameDecoder(
-                                                        Tuning.MAX_PEER_MESSAGE_BYTES, 0, 4, 0, 4),
+                                                        PeerConstants.MAX_PEER_MESSAGE_BYTES,
+                                                        0,
+                                                        4,
+                                                        0,
+                                                        4),
                                                 new FrameHandler());
                             }
                         })
@@ -95,7 +99,7 @@
         new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, Tuning.CONNECT_TIMEOUT_MS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, NetConstants.CONNECT_TIMEOUT_MS)
                 .handler(
                         new ChannelInitializer<SocketChannel>() {
                             @Override
--- /dev/null
+++ b/src/main/java/org/shoreusher/peer/PeerConstants.java
@@ -0,0 +1,18 @@
+package org.shoreusher.peer;
+
+/** Constants of the messages between nodes, each with its unit and the reason for its value. */
+final class PeerConstants {
+    private PeerConstants() {}
+
+    /** Bytes; longer gossip and standby messages of peers are rejected. */
+    public static final int MAX_PEER_MESSAGE_BYTES = 256 * 1024;
+
+    /** Bytes; initial size of the buffer for a message to a peer. */
+    public static final int PEER_MESSAGE_BUFFER_BYTES = 512;
+
+    /**
+     * Entries; a map or list in a peer's message with a higher count is rejected before it is
+     * built.
+     */
+    public static final int MAX_PEER_MESSAGE_ENTRIES = 10_000;
+}
--- a/src/main/java/org/shoreusher/peer/StandbyCodec.java
+++ b/src/main/java/org/shoreusher/peer/StandbyCodec.java
@@ -6,7 +6,6 @@
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 import java.util.ArrayList;
 import java.util.List;
-import org.shoreusher.settings.Tuning;
 import org.shoreusher.standby.Attempt;
 import org.shoreusher.standby.AttemptId;
 import org.shoreusher.standby.AttemptTable.Checksum;
@@ -51,7 +50,10 @@
 
     /** Encodes a message. */
     static byte[] encode(StandbyMessage message) {
-        Output output = new Output(Tuning.PEER_MESSAGE_BUFFER_BYTES, Tuning.MAX_PEER_MESSAGE_BYTES);
+        Output output =
+                new Output(
+                        PeerConstants.PEER_MESSAGE_BUFFER_BYTES,
+                        PeerConstants.MAX_PEER_MESSAGE_BYTES);
         output.writeByte(STANDBY_MARKER);
         output.writeByte(FORMAT_VERSION);
         if (message instanceof LogFrame frame) {
@@ -227,7 +229,7 @@
 
     private static int readEntryCount(Input input) {
         int count = input.readVarInt(true);
-        if (count < 0 || count > Tuning.MAX_PEER_MESSAGE_ENTRIES) {
+        if (count < 0 || count > PeerConstants.MAX_PEER_MESSAGE_ENTRIES) {
             throw new KryoException("too many entries");
         }
         return count;
--- a/src/main/java/org/shoreusher/peer/StandbyTransport.java
+++ b/src/main/java/org/shoreusher/peer/StandbyTransport.java
@@ -14,8 +14,8 @@
 import io.netty.handler.codec.LengthFieldPrepender;
 import java.util.HashMap;
 import java.util.Map;
+import org.shoreusher.net.NetConstants;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
 import org.shoreusher.standby.StandbyMessage;
 
 /**
@@ -38,7 +38,9 @@
                 new Bootstrap()
                         .group(loop)
                         .channel(NioSocketChannel.class)
-                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, Tuning.CONNECT_TIMEOUT_MS)
+                        .option(
+                                ChannelOption.CONNECT_TIMEOUT_MILLIS,
+                                NetConstants.CONNECT_TIMEOUT_MS)
                         .option(ChannelOption.TCP_NODELAY, true)
                         .handler(
                                 new ChannelInitializer<SocketChannel>() {
--- a/src/main/java/org/shoreusher/settings/Settings.java
+++ b/src/main/java/org/shoreusher/settings/Settings.java
@@ -218,7 +218,9 @@
             throws FieldMap.InvalidFieldException, InvalidSettingsException {
         int limit = (int) stricter(state, next, "txn_ops");
         int burst =
-                Math.max(Tuning.MIN_TRANSACTION_WRITES, (int) stricter(state, next, "write_rps"));
+                Math.max(
+                        SharedConstants.MIN_TRANSACTION_WRITES,
+                        (int) stricter(state, next, "write_rps"));
         return Math.min(limit, burst);
     }
 
@@ -266,16 +268,18 @@
         require(cloudRequestsPerS > 0, "cloud.rps must be above 0");
         require(inventoryLagS >= 0, "cloud.list_lag_s must not be negative");
         require(
-                maxTransactionWrites >= Tuning.MIN_TRANSACTION_WRITES,
+                maxTransactionWrites >= SharedConstants.MIN_TRANSACTION_WRITES,
                 "state.txn_ops (also in state.next) must be at least 4: a takeover changes three"
                         + " keys");
         require(maxValueBytes >= 1024, "state.value_kb (also in state.next) must be at least 1");
         require(
-                maxClockOffsetMs >= 0 && maxClockOffsetMs * 4 < Tuning.LEADER_LEASE_MS,
-                "clock_off_ms must be far below the lease of " + Tuning.LEADER_LEASE_MS + " ms");
+                maxClockOffsetMs >= 0 && maxClockOffsetMs * 4 < SharedConstants.LEADER_LEASE_MS,
+                "clock_off_ms must be far below the lease of "
+                        + SharedConstants.LEADER_LEASE_MS
+                        + " ms");
         require(
-                maxSockets > 2 * Tuning.RESERVED_SOCKETS,
-                "limits.sockets must be above " + 2 * Tuning.RESERVED_SOCKETS);
+                maxSockets > 2 * SharedConstants.RESERVED_SOCKETS,
+                "limits.sockets must be above " + 2 * SharedConstants.RESERVED_SOCKETS);
         for (Team team : teams.values()) {
             check(team.name, "cpus", team.guaranteedCpus, team.maxCpus);
             check(team.name, "gpus", team.guaranteedGpus, team.maxGpus);
--- a/src/main/java/org/shoreusher/store/StoreClient.java
+++ b/src/main/java/org/shoreusher/store/StoreClient.java
@@ -6,7 +6,7 @@
 import org.shoreusher.core.message.Effect;
 import org.shoreusher.net.HttpCaller;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
+import org.shoreusher.settings.SharedConstants;
 import org.shoreusher.wire.StoreFormat;
 
 /** Client of the key-value store: carries out the core's store calls. */
@@ -37,7 +37,7 @@
         selectedCaller.call(
                 request.path(),
                 request.body(),
-                Tuning.STORE_TIMEOUT_MS + blockMs,
+                SharedConstants.STORE_TIMEOUT_MS + blockMs,
                 (status, body) -> core.accept(new Command.StoreReply(call.callId(), status, body)));
     }
 }
--- a/src/main/java/org/shoreusher/user/HttpFrontend.java
+++ b/src/main/java/org/shoreusher/user/HttpFrontend.java
@@ -38,10 +38,12 @@
 import org.shoreusher.core.message.Command;
 import org.shoreusher.core.message.Effect;
 import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.core.message.MessageConstants;
 import org.shoreusher.core.message.Response;
 import org.shoreusher.core.message.WorkerHeartbeat;
+import org.shoreusher.net.NetConstants;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
+import org.shoreusher.settings.SharedConstants;
 import org.shoreusher.wire.FieldMap;
 import org.shoreusher.wire.ResponseFormat;
 import org.shoreusher.wire.UserFormat;
@@ -66,7 +68,7 @@
     private final LongSupplier lagMs;
     private final Long2ObjectOpenHashMap<PendingRequest> waiting = new Long2ObjectOpenHashMap<>();
     private final Histogram userLatency =
-            new Histogram(TimeUnit.SECONDS.toMicros(Tuning.LATENCY_LOG_INTERVAL_S), 2);
+            new Histogram(TimeUnit.SECONDS.toMicros(SharedConstants.LATENCY_LOG_INTERVAL_S), 2);
     private long nextRequest = 1;
 
     /** Open connections, ordered by their last request, least recent first. */
@@ -94,8 +96,8 @@
                 (int)
                         Math.ceil(
                                 Math.max(
-                                        Tuning.MIN_IDLE_WORKER_TIMEOUT_S,
-                                        Tuning.IDLE_WORKER_HEARTBEAT_INTERVALS
+                                        FrontendConstants.MIN_IDLE_WORKER_TIMEOUT_S,
+                                        FrontendConstants.IDLE_WORKER_HEARTBEAT_INTERVALS
                                                 * settings.heartbeatIntervalS()));
     }
 
@@ -202,7 +204,7 @@
      */
     private static final class BodyAggregator extends HttpObjectAggregator {
         BodyAggregator() {
-            super(Tuning.MAX_REQUEST_BODY_BYTES);
+            super(FrontendConstants.MAX_REQUEST_BODY_BYTES);
         }
 
         @Override
@@ -212,7 +214,9 @@
                     false,
                     400,
                     ResponseFormat.errorBody(
-                            "the body is longer than " + Tuning.MAX_REQUEST_BODY_BYTES + " bytes"),
+                            "the body is longer than "
+                                    + FrontendConstants.MAX_REQUEST_BODY_BYTES
+                                    + " bytes"),
                     0);
         }
     }
@@ -233,7 +237,7 @@
         void onRequestComplete(ChannelHandlerContext ctx, boolean worker) {
             inRequest = false;
             connections.addAndMoveToLast(ctx.channel());
-            restart(ctx, worker ? workerIdleS : Tuning.IDLE_CONNECTION_TIMEOUT_S);
+            restart(ctx, worker ? workerIdleS : NetConstants.IDLE_CONNECTION_TIMEOUT_S);
         }
 
         @Override
@@ -241,11 +245,11 @@
             // When all sockets are in use, the least recently used connection is closed. After a
             // network partition, up to half of the machines leave connections behind that still
             // look open; rejecting new ones would lock out all reachable clients.
-            if (connections.size() >= settings.maxSockets() - Tuning.RESERVED_SOCKETS) {
+            if (connections.size() >= settings.maxSockets() - SharedConstants.RESERVED_SOCKETS) {
                 connections.removeFirst().close();
             }
             connections.addAndMoveToLast(ctx.channel());
-            restart(ctx, Tuning.IDLE_CONNECTION_TIMEOUT_S);
+            restart(ctx, NetConstants.IDLE_CONNECTION_TIMEOUT_S);
             ctx.fireChannelActive();
         }
 
@@ -253,7 +257,7 @@
         public void channelRead(ChannelHandlerContext ctx, Object bytes) {
             if (!inRequest) {
                 inRequest = true;
-                restart(ctx, Tuning.REQUEST_READ_TIMEOUT_S);
+                restart(ctx, FrontendConstants.REQUEST_READ_TIMEOUT_S);
             }
             ctx.fireChannelRead(bytes);
         }
@@ -294,9 +298,9 @@
             if (user
                     && lagMs.getAsLong()
                             > (http.method().equals(HttpMethod.GET)
-                                    ? Tuning.SHED_POLLS_LAG_MS
-                                    : Tuning.SHED_WRITES_LAG_MS)) {
-                send(ctx, keepAlive, 503, Map.of(), Tuning.retryAfterS(current));
+                                    ? FrontendConstants.SHED_POLLS_LAG_MS
+                                    : FrontendConstants.SHED_WRITES_LAG_MS)) {
+                send(ctx, keepAlive, 503, Map.of(), MessageConstants.retryAfterS(current));
                 return;
             }
             Command command = command(ctx, keepAlive, http, path);
@@ -308,7 +312,7 @@
             ctx.channel().config().setAutoRead(false);
             if (!core.test(command)) {
                 waiting.remove(current);
-                send(ctx, keepAlive, 503, Map.of(), Tuning.retryAfterS(current));
+                send(ctx, keepAlive, 503, Map.of(), MessageConstants.retryAfterS(current));
             }
         }
 
--- a/src/main/java/org/shoreusher/wire/CloudFormat.java
+++ b/src/main/java/org/shoreusher/wire/CloudFormat.java
@@ -8,7 +8,6 @@
 import org.shoreusher.core.message.Command.MachineListPage;
 import org.shoreusher.core.message.Effect.CloudOperation;
 import org.shoreusher.core.message.MachineType;
-import org.shoreusher.settings.Tuning;
 
 /**
  * Encodes requests to the cloud and decodes its responses. The protocol calls machine types
@@ -28,7 +27,7 @@
                             ? ""
                             : "after=" + listing.afterMachineId() + "&";
             return new StoreFormat.Request(
-                    "/rentals?" + after + "most=" + Tuning.PAGE_ENTRIES, null);
+                    "/rentals?" + after + "most=" + WireConstants.PAGE_ENTRIES, null);
         }
         Map<String, Object> body = new LinkedHashMap<>();
         if (operation instanceof CloudOperation.Terminate termination) {
--- a/src/main/java/org/shoreusher/wire/FieldMap.java
+++ b/src/main/java/org/shoreusher/wire/FieldMap.java
@@ -13,7 +13,6 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.shoreusher.settings.Tuning;
 
 /**
  * A map in a message, with typed access to its fields. Messages consist of maps, lists, text,
@@ -25,14 +24,14 @@
             CBORFactory.builder()
                     .streamReadConstraints(
                             StreamReadConstraints.builder()
-                                    .maxNestingDepth(Tuning.MAX_NESTING_DEPTH)
+                                    .maxNestingDepth(WireConstants.MAX_NESTING_DEPTH)
                                     .build())
                     .build();
     private static final JsonFactory JSON =
             JsonFactory.builder()
                     .streamReadConstraints(
                             StreamReadConstraints.builder()
-                                    .maxNestingDepth(Tuning.MAX_NESTING_DEPTH)
+                                    .maxNestingDepth(WireConstants.MAX_NESTING_DEPTH)
                                     .build())
                     .build();
 
--- a/src/main/java/org/shoreusher/wire/StoreFormat.java
+++ b/src/main/java/org/shoreusher/wire/StoreFormat.java
@@ -5,7 +5,6 @@
 import java.util.List;
 import java.util.Map;
 import org.shoreusher.core.message.Effect.StoreOperation;
-import org.shoreusher.settings.Tuning;
 
 /**
  * Encodes requests to the key-value store and decodes its responses. The protocol calls an entry's
@@ -27,7 +26,8 @@
         }
         if (operation instanceof StoreOperation.Page page) {
             String after = page.afterKey() == null ? "" : "&after=" + page.afterKey();
-            return new Request("/store?prefix=" + after + "&most=" + Tuning.PAGE_ENTRIES, null);
+            return new Request(
+                    "/store?prefix=" + after + "&most=" + WireConstants.PAGE_ENTRIES, null);
         }
         if (operation instanceof StoreOperation.Watch watch) {
             return new Request(
--- a/src/main/java/org/shoreusher/wire/UserFormat.java
+++ b/src/main/java/org/shoreusher/wire/UserFormat.java
@@ -7,7 +7,7 @@
 import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.core.message.JobSpec.Priority;
 import org.shoreusher.core.message.JobSpec.WorkloadType;
-import org.shoreusher.settings.Tuning;
+import org.shoreusher.core.message.MessageConstants;
 
 /**
  * Encodes and decodes job specifications, both as users submit them and as the store keeps them,
@@ -74,8 +74,8 @@
         need(JobSpec.isValidId(id), "name_id must look like wk-000412");
         long tasks = fields.integer("sheets");
         need(
-                tasks >= 1 && tasks <= Tuning.MAX_TASKS_PER_JOB,
-                "sheets must be between 1 and " + Tuning.MAX_TASKS_PER_JOB);
+                tasks >= 1 && tasks <= MessageConstants.MAX_TASKS_PER_JOB,
+                "sheets must be between 1 and " + MessageConstants.MAX_TASKS_PER_JOB);
         double cpus = amount(fields, "cpus");
         double gpus = amount(fields, "gpus");
         double memGb = amount(fields, "mem_gb");
--- a/src/main/java/org/shoreusher/worker/WorkerClient.java
+++ b/src/main/java/org/shoreusher/worker/WorkerClient.java
@@ -4,7 +4,6 @@
 import org.shoreusher.core.message.Effect;
 import org.shoreusher.net.HttpCaller;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
 import org.shoreusher.wire.WorkerFormat;
 
 /**
@@ -27,7 +26,7 @@
      */
     public void sendOrders(Effect.SendOrders orders) {
         Settings.Address address = Settings.parseAddressOrNull(orders.workerAddress());
-        if (address == null || inFlight >= Tuning.MAX_DIRECT_ORDERS_IN_FLIGHT) {
+        if (address == null || inFlight >= WorkerConstants.MAX_DIRECT_ORDERS_IN_FLIGHT) {
             return;
         }
         inFlight++;
@@ -36,7 +35,7 @@
                         "/orders",
                         WorkerFormat.directOrders(
                                 orders.fencingToken(), orders.workerIncarnation(), orders.orders()),
-                        Tuning.DIRECT_ORDERS_TIMEOUT_MS,
+                        WorkerConstants.DIRECT_ORDERS_TIMEOUT_MS,
                         (status, body) -> inFlight--);
     }
 }
--- a/src/test/java/org/shoreusher/net/ConnectionsTest.java
+++ b/src/test/java/org/shoreusher/net/ConnectionsTest.java
@@ -16,7 +16,8 @@
 import org.shoreusher.core.message.Effect;
 import org.shoreusher.core.message.WorkerOrder;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
+import org.shoreusher.settings.SharedConstants;
+import org.shoreusher.user.FrontendConstants;
 import org.shoreusher.user.HttpFrontend;
 import org.shoreusher.worker.WorkerClient;
 
@@ -83,7 +84,7 @@
         HttpFrontend front =
                 new HttpFrontend(
                         group,
-                        settings(port, Tuning.RESERVED_SOCKETS + 2),
+                        settings(port, SharedConstants.RESERVED_SOCKETS + 2),
                         command -> true,
                         () -> 0L);
         front.listen();
@@ -110,7 +111,7 @@
         int port = freePort();
         new HttpFrontend(
                         group,
-                        settings(port, Tuning.RESERVED_SOCKETS + 2),
+                        settings(port, SharedConstants.RESERVED_SOCKETS + 2),
                         command -> true,
                         () -> 0L)
                 .listen();
@@ -119,7 +120,7 @@
             socket.getOutputStream()
                     .write(
                             ("POST /v2/runs HTTP/1.1\r\nhost: x\r\ncontent-length: "
-                                            + (Tuning.MAX_REQUEST_BODY_BYTES + 1)
+                                            + (FrontendConstants.MAX_REQUEST_BODY_BYTES + 1)
                                             + "\r\n\r\n")
                                     .getBytes(StandardCharsets.US_ASCII));
             byte[] bytes = new byte[4_096];
--- a/src/test/java/org/shoreusher/peer/StandbyCodecTest.java
+++ b/src/test/java/org/shoreusher/peer/StandbyCodecTest.java
@@ -15,7 +15,6 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 import org.shoreusher.core.message.GossipMessage;
-import org.shoreusher.settings.Tuning;
 import org.shoreusher.standby.Attempt;
 import org.shoreusher.standby.AttemptId;
 import org.shoreusher.standby.AttemptTable.Checksum;
@@ -61,7 +60,8 @@
     @Example
     void longestFrameIsBelowTheMessageLimit() {
         byte[] bytes = StandbyCodec.encode(frame(500, "x".repeat(100)));
-        assertTrue(bytes.length < Tuning.MAX_PEER_MESSAGE_BYTES, () -> "bytes " + bytes.length);
+        assertTrue(
+                bytes.length < PeerConstants.MAX_PEER_MESSAGE_BYTES, () -> "bytes " + bytes.length);
     }
 
     /**
--- a/src/test/java/org/shoreusher/simulation/ClusterSimulation.java
+++ b/src/test/java/org/shoreusher/simulation/ClusterSimulation.java
@@ -12,6 +12,8 @@
 import java.util.function.Consumer;
 import java.util.function.IntPredicate;
 import java.util.function.ObjLongConsumer;
+import org.shoreusher.cli.ServiceConstants;
+import org.shoreusher.cloud.CloudConstants;
 import org.shoreusher.core.Node;
 import org.shoreusher.core.message.ClockReading;
 import org.shoreusher.core.message.Command;
@@ -20,7 +22,7 @@
 import org.shoreusher.settings.Features;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.SettingsBuilder;
-import org.shoreusher.settings.Tuning;
+import org.shoreusher.settings.SharedConstants;
 import org.shoreusher.wire.FieldMap;
 
 /**
@@ -297,7 +299,7 @@
         private void tick(int ofIncarnation) {
             if (incarnation == ofIncarnation) {
                 enqueue(new Command.Tick());
-                scheduleAfter(Tuning.TICK_INTERVAL_MS, () -> tick(ofIncarnation));
+                scheduleAfter(ServiceConstants.TICK_INTERVAL_MS, () -> tick(ofIncarnation));
             }
         }
 
@@ -365,7 +367,7 @@
                 }
             } else if (effect instanceof Effect.StoreCall call) {
                 long timeoutMs =
-                        Tuning.STORE_TIMEOUT_MS
+                        SharedConstants.STORE_TIMEOUT_MS
                                 + (call.operation() instanceof Effect.StoreOperation.Watch w
                                         ? w.blockMs()
                                         : 0);
@@ -380,7 +382,7 @@
                 call(
                         ofIncarnation,
                         "cloud",
-                        Tuning.CLOUD_TIMEOUT_MS,
+                        CloudConstants.CLOUD_TIMEOUT_MS,
                         (status, body) ->
                                 enqueue(new Command.CloudReply(call.callId(), status, body)),
                         reply -> cloud.handle(call.operation(), reply));
--- a/src/test/java/org/shoreusher/simulation/HeartbeatsTest.java
+++ b/src/test/java/org/shoreusher/simulation/HeartbeatsTest.java
@@ -10,12 +10,14 @@
 import java.util.Map;
 import java.util.Set;
 import net.jqwik.api.Example;
+import org.shoreusher.core.cluster.ClusterConstants;
+import org.shoreusher.core.gossip.GossipConstants;
 import org.shoreusher.core.message.Command;
 import org.shoreusher.core.message.Effect.CloudOperation;
+import org.shoreusher.core.message.MessageConstants;
 import org.shoreusher.core.message.WorkerHeartbeat.ExitCause;
 import org.shoreusher.core.message.WorkerHeartbeat.TaskState;
 import org.shoreusher.core.message.WorkerHeartbeat.TaskStatus;
-import org.shoreusher.settings.Tuning;
 
 /**
  * What a leader makes of heartbeats that come late, as duplicates, or from machines that are being
@@ -288,7 +290,7 @@
      */
     @Example
     void limitsOrdersPerHeartbeat() {
-        node.addOpenJob("wk-1", Tuning.MAX_TASKS_PER_JOB, 0.001);
+        node.addOpenJob("wk-1", MessageConstants.MAX_TASKS_PER_JOB, 0.001);
         node.previousLeaderLeft("host-1");
         node.runSteps(20);
         node.heartbeat("host-1", 1, 5);
@@ -297,7 +299,7 @@
             node.runSteps(3);
             started = node.heartbeat("host-1", sequenceNumber, 6).size();
         }
-        assertEquals(Tuning.MAX_TASKS_PER_MACHINE, started);
+        assertEquals(ClusterConstants.MAX_TASKS_PER_MACHINE, started);
     }
 
     /**
@@ -320,7 +322,7 @@
             }
         }
         long agreed =
-                Tuning.MAX_GOSSIP_AGE_MS
+                GossipConstants.MAX_GOSSIP_AGE_MS
                         + (long) (SimulationSettings.standard().workerLeaseS() * 1000);
         assertTrue(ranAtMs > agreed, "too early: " + ranAtMs);
         assertTrue(ranAtMs < agreed + 2_500, "too late: " + ranAtMs);
--- a/src/test/java/org/shoreusher/simulation/SimulatedStore.java
+++ b/src/test/java/org/shoreusher/simulation/SimulatedStore.java
@@ -8,9 +8,9 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.core.store.StoreConstants;
 import org.shoreusher.core.store.TokenBucket;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.Tuning;
 import org.shoreusher.wire.FieldMap;
 
 /**
@@ -356,7 +356,8 @@
         if (pendingWatches.contains(pending)) {
             if (isUnavailable(pending.host) || areCacheUpdatesStalled(pending.host)) {
                 // Open watches stay open during an outage; the caller's timeout comes first.
-                simulation.scheduleAfter(Tuning.WATCH_LONG_POLL_MS, () -> expireWatch(pending));
+                simulation.scheduleAfter(
+                        StoreConstants.WATCH_LONG_POLL_MS, () -> expireWatch(pending));
             } else {
                 pendingWatches.remove(pending);
                 respond(pending);
