--- a/src/main/java/org/shoreusher/cli/Service.java
+++ b/src/main/java/org/shoreusher/cli/Service.java
@@ -11,6 +11,9 @@
 import org.shoreusher.core.message.ClockReading;
 import org.shoreusher.core.message.Command;
 import org.shoreusher.core.message.Effect;
+import org.shoreusher.log.EventLogger;
+import org.shoreusher.log.LogEvent;
+import org.shoreusher.log.LogEventType;
 import org.shoreusher.peer.GossipTransport;
 import org.shoreusher.peer.StandbyTransport;
 import org.shoreusher.settings.Features;
@@ -70,18 +73,19 @@
     public void run() throws InterruptedException {
         frontend.listen();
         gossip.listen();
-        LOG.info(
-                "serving: {} in {}, front {}, back {}",
-                settings.host(),
-                settings.zone(),
-                settings.frontAddress(),
-                settings.peerAddress());
+        EventLogger.log(
+                LOG,
+                LogEvent.of(LogEventType.NODE_LISTENING)
+                        .with("host", settings.host())
+                        .with("zone", settings.zone())
+                        .with("front", settings.frontAddress())
+                        .with("peer", settings.peerAddress()));
         lastTickMs = steadyMs();
         loop.scheduleWithFixedDelay(
                 this::tick, 0, ServiceConstants.TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         if (LOG.isDebugEnabled()) {
             loop.scheduleAtFixedRate(
-                    () -> LOG.debug(frontend.drainLatencySummary()),
+                    () -> EventLogger.log(LOG, frontend.drainLatencySummary()),
                     SharedConstants.LATENCY_LOG_INTERVAL_S,
                     SharedConstants.LATENCY_LOG_INTERVAL_S,
                     TimeUnit.SECONDS);
@@ -100,10 +104,10 @@
     }
 
     private void logStatus() {
-        LOG.debug(ProcessStatus.summary(frontend.connectionCount()));
-        String traffic = standby.drainTrafficSummary();
+        EventLogger.log(LOG, ProcessStatus.statusEvent(frontend.connectionCount()));
+        LogEvent traffic = standby.drainTrafficSummary();
         if (traffic != null) {
-            LOG.debug(traffic);
+            EventLogger.log(LOG, traffic);
         }
     }
 
@@ -179,11 +183,7 @@
         } else if (effect instanceof Effect.SendStandbyMessage e) {
             standby.send(e.host(), e.message());
         } else if (effect instanceof Effect.Log e) {
-            if (e.debugOnly()) {
-                LOG.debug(e.line());
-            } else {
-                LOG.info(e.line());
-            }
+            EventLogger.log(LOG, e.event());
         }
     }
 }
--- a/src/main/java/org/shoreusher/core/Shard.java
+++ b/src/main/java/org/shoreusher/core/Shard.java
@@ -335,7 +335,7 @@
         scheduling.taskMigration().step();
         if (outbox.now.monotonicMs() >= nextStatusLineMs) {
             nextStatusLineMs = outbox.now.monotonicMs() + SharedConstants.STATUS_LOG_INTERVAL_MS;
-            outbox.logDebug(ShardStatus.statusLine(this, storeCache.size()));
+            outbox.log(ShardStatus.statusEvent(this, storeCache.size()));
         }
     }
 }
--- a/src/main/java/org/shoreusher/core/Shards.java
+++ b/src/main/java/org/shoreusher/core/Shards.java
@@ -21,6 +21,8 @@
 import org.shoreusher.core.store.StoreSchema.CompletionRecord;
 import org.shoreusher.core.store.StoreSchema.ShardRecord;
 import org.shoreusher.core.store.TaskRanges;
+import org.shoreusher.log.LogEvent;
+import org.shoreusher.log.LogEventType;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.standby.LogStream;
 import org.shoreusher.standby.StandbySettings;
@@ -121,8 +123,7 @@
             if (ledShards[shardNumber] != null) {
                 ledShards[shardNumber].step();
                 if (ledShards[shardNumber].isUnreachableFromWorkers()) {
-                    ledShards[shardNumber].stepDown(
-                            "most of its workers reach others, not this node");
+                    ledShards[shardNumber].stepDown("most workers reach only other nodes");
                     nextAcquisitionMs =
                             outbox.now.monotonicMs() + CoreConstants.STEP_DOWN_COOLDOWN_MS;
                 }
@@ -198,7 +199,7 @@
         }
         for (Shard shard : ledShards) {
             if (shard != null && shard.isLeader() && shard.authority().isReconciled()) {
-                shard.stepDown("for a node that holds fewer");
+                shard.stepDown("a peer leads fewer shards");
                 return;
             }
         }
@@ -346,12 +347,13 @@
             StandbyReplicas.FencingRecord replaced,
             ShardLeadership leadership) {
         nextAcquisitionMs = outbox.now.monotonicMs();
-        outbox.logInfo(
-                "takeover: part "
-                        + shardNumber
-                        + " term "
-                        + leadership.term()
-                        + (previousRecord == null ? ", new" : " from " + previousRecord.leader()));
+        outbox.log(
+                LogEvent.of(LogEventType.SHARD_ACQUIRED)
+                        .with("shard", shardNumber)
+                        .with("term", leadership.term())
+                        .with(
+                                "previous_leader",
+                                previousRecord == null ? "none" : previousRecord.leader()));
         String namedStandby = previousRecord == null ? null : previousRecord.standby();
         PromotedAttemptLog promotedAttempts =
                 new PromotedAttemptLog(
--- a/src/main/java/org/shoreusher/core/leadership/ShardLeadership.java
+++ b/src/main/java/org/shoreusher/core/leadership/ShardLeadership.java
@@ -11,6 +11,8 @@
 import org.shoreusher.core.store.StoreSchema;
 import org.shoreusher.core.store.StoreSchema.CompletionRecord;
 import org.shoreusher.core.store.StoreSchema.ShardRecord;
+import org.shoreusher.log.LogEvent;
+import org.shoreusher.log.LogEventType;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.wire.FieldMap;
 import org.shoreusher.wire.StoreFormat;
@@ -179,8 +181,10 @@
     public void logLeaseExpiry() {
         if (!isLeader() && !isLost && !expiryLogged) {
             expiryLogged = true;
-            outbox.logInfo(
-                    "lapse: part " + shardNumber + " term " + term + ", lease not renewed in time");
+            outbox.log(
+                    LogEvent.of(LogEventType.LEASE_EXPIRED)
+                            .with("shard", shardNumber)
+                            .with("term", term));
         }
     }
 
@@ -296,12 +300,10 @@
             if (expiryLogged && isLeader()) {
                 expiryLogged = false;
                 leaderSinceMs = outbox.now.monotonicMs();
-                outbox.logInfo(
-                        "renewed: part "
-                                + shardNumber
-                                + " term "
-                                + term
-                                + " after a lapse, nobody had taken it");
+                outbox.log(
+                        LogEvent.of(LogEventType.LEASE_RECOVERED)
+                                .with("shard", shardNumber)
+                                .with("term", term));
             }
             if (completions != null) {
                 completions.markDurable();
@@ -320,7 +322,7 @@
                             fencingReply -> {
                                 renewalInFlight = false;
                                 if (fencingReply.status() == 409) {
-                                    loseLeadership("its fence has changed");
+                                    loseLeadership("fencing key changed");
                                 }
                             });
             outbox.callStore(
@@ -344,7 +346,7 @@
             StoreFormat.Entry entry = StoreFormat.readEntry(new FieldMap(reply.body()));
             ShardRecord record = ShardRecord.fromMap(entry.value());
             if (!record.leader().equals(processName)) {
-                loseLeadership("taken by " + record.leader());
+                loseLeadership("acquired by " + record.leader());
             } else if (entry.version() > recordVersion) {
                 recordVersion = entry.version();
                 standby.onRecordConfirmed(record.standby());
@@ -353,7 +355,10 @@
                 nextRenewalMs = outbox.now.monotonicMs();
             }
         } catch (FieldMap.InvalidFieldException missing) {
-            outbox.logInfo("state: part record not understood: " + missing.getMessage());
+            outbox.log(
+                    LogEvent.of(LogEventType.STORE_REPLY_INVALID)
+                            .with("call", "get_shard_record")
+                            .with("problem", missing.getMessage()));
         }
     }
 
@@ -394,13 +399,11 @@
                                 recordVersion = storeCache.applyOwnWrites(reply, writes);
                                 standby.onRecordConfirmed(record.standby());
                                 term = raisedTerm;
-                                outbox.logInfo(
-                                        "term: part "
-                                                + shardNumber
-                                                + " raised to "
-                                                + raisedTerm
-                                                + " for a worker that has seen "
-                                                + observedToken);
+                                outbox.log(
+                                        LogEvent.of(LogEventType.TERM_RAISED)
+                                                .with("shard", shardNumber)
+                                                .with("term", raisedTerm)
+                                                .with("observed_token", observedToken));
                             } else {
                                 nextRenewalMs = outbox.now.monotonicMs();
                             }
@@ -414,7 +417,7 @@
      */
     public void onShardRecordChange(ShardRecord record) {
         if (!record.leader().equals(processName)) {
-            loseLeadership("taken by " + record.leader());
+            loseLeadership("acquired by " + record.leader());
         }
     }
 
@@ -440,14 +443,18 @@
                         preconditions(StoreSchema.shardKey(shardNumber), recordVersion),
                         Map.of(StoreSchema.shardKey(shardNumber), record.toMap())),
                 reply -> {})) {
-            loseLeadership("released: " + reason);
+            loseLeadership("stepped down: " + reason);
         }
     }
 
     private void loseLeadership(String reason) {
         if (!isLost) {
             isLost = true;
-            outbox.logInfo("lost: part " + shardNumber + " term " + term + ", " + reason);
+            outbox.log(
+                    LogEvent.of(LogEventType.LEADERSHIP_LOST)
+                            .with("shard", shardNumber)
+                            .with("term", term)
+                            .with("reason", reason));
         }
     }
 }
--- a/src/main/java/org/shoreusher/core/machine/CloudInventory.java
+++ b/src/main/java/org/shoreusher/core/machine/CloudInventory.java
@@ -15,6 +15,8 @@
 import org.shoreusher.core.message.Command.MachineListPage;
 import org.shoreusher.core.message.Effect.CloudOperation;
 import org.shoreusher.core.store.Outbox;
+import org.shoreusher.log.LogEvent;
+import org.shoreusher.log.LogEventType;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.wire.CloudFormat;
 import org.shoreusher.wire.FieldMap;
@@ -121,7 +123,10 @@
                 applyList(current.machines(), current.requestedAt());
             }
         } catch (FieldMap.InvalidFieldException e) {
-            outbox.logInfo("cloud: machine list not understood: " + e.getMessage());
+            outbox.log(
+                    LogEvent.of(LogEventType.CLOUD_REPLY_INVALID)
+                            .with("call", "list_machines")
+                            .with("problem", e.getMessage()));
         }
     }
 
@@ -170,8 +175,10 @@
                         : 2 * MachineConstants.INVENTORY_INTERVAL_MS)) {
             unrecordedSinceMs.removeLong(listedMachine.machineId());
             terminatedMachines.remove(listedMachine.machineId());
-            outbox.logInfo(
-                    "adopted: " + listedMachine.machineId() + " in part " + shard.shardNumber());
+            outbox.log(
+                    LogEvent.of(LogEventType.MACHINE_ADOPTED)
+                            .with("machine", listedMachine.machineId())
+                            .with("shard", shard.shardNumber()));
             lifecycle.addNewMachine(
                     listedMachine.machineId(),
                     typeCatalog.get(listedMachine.type()),
--- a/src/main/java/org/shoreusher/core/machine/MachineCordon.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineCordon.java
@@ -7,6 +7,8 @@
 import org.shoreusher.core.leadership.LeaderLease;
 import org.shoreusher.core.schedule.TaskStopper;
 import org.shoreusher.core.store.Outbox;
+import org.shoreusher.log.LogEvent;
+import org.shoreusher.log.LogEventType;
 import org.shoreusher.settings.Settings;
 
 /**
@@ -34,7 +36,10 @@
         for (Machine machine : shard.machines().values()) {
             String fault = findFault(machine, partitionedMachinesAreFaulty);
             if (fault != null) {
-                outbox.logInfo("retired: " + machine.id + fault);
+                outbox.log(
+                        LogEvent.of(LogEventType.MACHINE_CORDONED)
+                                .with("machine", machine.id)
+                                .with("reason", fault));
                 machine.state = Machine.State.DRAINING;
             } else if (machine.state == Machine.State.UP
                     && !Double.isNaN(machine.interruptionNoticeS)
@@ -60,28 +65,28 @@
                         shard.machines().size() * MachineConstants.MAX_ONE_WAY_PARTITIONED_SHARE);
     }
 
-    /** The reason to cordon a machine, as the rest of a log line; null if there is none. */
+    /** The reason to cordon a machine, for the log; null if there is none. */
     private String findFault(Machine machine, boolean partitionedMachinesAreFaulty) {
         if (machine.state == Machine.State.BOOTING && hasFailedToBoot(machine)) {
-            return " did not come up in " + ageMs(machine) / 1000 + " s";
+            return "not booted after " + ageMs(machine) / 1000 + " s";
         }
         if (machine.state == Machine.State.UP
                 && machine.failedJobIds.size() >= MachineConstants.FAULTY_MACHINE_FAILURES) {
-            return ", tasks of " + machine.failedJobIds.size() + " jobs failed on it";
+            return "tasks of " + machine.failedJobIds.size() + " jobs failed on it";
         }
         if (machine.state == Machine.State.UP && machine.isSlow()) {
-            return ", its tasks take far longer than others of their jobs";
+            return "its tasks take far longer than others of their jobs";
         }
         if (machine.state == Machine.State.UP
                 && machine.hasOneWayPartition()
                 && machine.tasks.isEmpty()
                 && partitionedMachinesAreFaulty) {
-            return " reports but hears nothing";
+            return "one-way partition";
         }
         boolean hasInterruptionNotice =
                 machine.state == Machine.State.UP && !Double.isNaN(machine.interruptionNoticeS);
         return !hasInterruptionNotice && isUnresponsive(machine)
-                ? " has been silent for " + sinceLeaseRenewalMs(machine) / 1000 + " s"
+                ? "unresponsive for " + sinceLeaseRenewalMs(machine) / 1000 + " s"
                 : null;
     }
 
--- a/src/main/java/org/shoreusher/core/machine/MachineLifecycle.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineLifecycle.java
@@ -8,6 +8,8 @@
 import org.shoreusher.core.message.MachineType;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreSchema.MachineRecord;
+import org.shoreusher.log.LogEvent;
+import org.shoreusher.log.LogEventType;
 
 /**
  * Adds machines to a shard and removes them, with the tasks that are or may be on them. One for
@@ -83,14 +85,11 @@
     public void expireWorkerLeases() {
         for (Machine machine : shard.machines().values()) {
             if (!machine.tasks.isEmpty() && shard.hasWorkerLeaseExpired(machine)) {
-                outbox.logInfo(
-                        "silent: "
-                                + machine.id
-                                + " of part "
-                                + shard.shardNumber()
-                                + " lost its lease with "
-                                + machine.tasks.size()
-                                + " tasks");
+                outbox.log(
+                        LogEvent.of(LogEventType.WORKER_LEASE_EXPIRED)
+                                .with("machine", machine.id)
+                                .with("shard", shard.shardNumber())
+                                .with("tasks", machine.tasks.size()));
                 machine.snapshotTasks().forEach(ledger::remove);
                 machine.lastExpiredSession = machine.session;
             }
@@ -101,7 +100,11 @@
      * Removes a machine that no longer exists, with its tasks and its record. The reason is logged.
      */
     void removeTerminated(Machine machine, String reason) {
-        outbox.logInfo("gone: " + machine.id + " of part " + shard.shardNumber() + ", " + reason);
+        outbox.log(
+                LogEvent.of(LogEventType.MACHINE_REMOVED)
+                        .with("machine", machine.id)
+                        .with("shard", shard.shardNumber())
+                        .with("reason", reason));
         machine.snapshotTasks().forEach(ledger::remove);
         shard.removeMachine(machine.id);
         machineRecords.markDirty(machine.id);
--- a/src/main/java/org/shoreusher/core/machine/MachineRecords.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineRecords.java
@@ -18,6 +18,8 @@
 import org.shoreusher.core.store.StoreSchema.MachineGroupRecord;
 import org.shoreusher.core.store.StoreSchema.MachineRecord;
 import org.shoreusher.core.store.VersionNegotiation;
+import org.shoreusher.log.LogEvent;
+import org.shoreusher.log.LogEventType;
 import org.shoreusher.settings.Settings;
 
 /**
@@ -246,13 +248,11 @@
             MachineRecord record = machineIndex.get(id);
             if (machine != null && record != null && record.shardNumber() != shard.shardNumber()) {
                 if (machine.state == Machine.State.HANDING_OVER) {
-                    outbox.logInfo(
-                            "handover: "
-                                    + id
-                                    + " from part "
-                                    + shard.shardNumber()
-                                    + " to part "
-                                    + record.shardNumber());
+                    outbox.log(
+                            LogEvent.of(LogEventType.MACHINE_HANDED_OVER)
+                                    .with("machine", id)
+                                    .with("shard", shard.shardNumber())
+                                    .with("target_shard", record.shardNumber()));
                 }
                 shard.removeMachine(id);
             } else if (record != null && record.shardNumber() != shard.shardNumber()) {
--- a/src/main/java/org/shoreusher/core/machine/MachineTypeCatalog.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineTypeCatalog.java
@@ -11,6 +11,8 @@
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.core.store.StoreSchema;
+import org.shoreusher.log.LogEvent;
+import org.shoreusher.log.LogEventType;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.wire.CloudFormat;
 import org.shoreusher.wire.FieldMap;
@@ -102,7 +104,10 @@
             parsedTypes.forEach(type -> typesByName.put(type.name(), type));
             return !parsedTypes.isEmpty();
         } catch (FieldMap.InvalidFieldException e) {
-            outbox.logInfo("cloud: types not understood: " + e.getMessage());
+            outbox.log(
+                    LogEvent.of(LogEventType.CLOUD_REPLY_INVALID)
+                            .with("call", "list_types")
+                            .with("problem", e.getMessage()));
             return false;
         }
     }
--- a/src/main/java/org/shoreusher/core/machine/ScaleIn.java
+++ b/src/main/java/org/shoreusher/core/machine/ScaleIn.java
@@ -59,7 +59,7 @@
                             for (String id : ids) {
                                 Machine machine = shard.machines().get(id);
                                 if (machine != null) {
-                                    lifecycle.removeTerminated(machine, "returned");
+                                    lifecycle.removeTerminated(machine, "terminated by this node");
                                 }
                             }
                         });
--- a/src/main/java/org/shoreusher/core/machine/ScaleOut.java
+++ b/src/main/java/org/shoreusher/core/machine/ScaleOut.java
@@ -13,6 +13,8 @@
 import org.shoreusher.core.schedule.BinPacker;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreConstants;
+import org.shoreusher.log.LogEvent;
+import org.shoreusher.log.LogEventType;
 import org.shoreusher.wire.CloudFormat;
 import org.shoreusher.wire.FieldMap;
 
@@ -191,12 +193,10 @@
             unavailableUntilMs.put(
                     kind, outbox.now.monotonicMs() + MachineConstants.NO_CAPACITY_BACKOFF_MS);
         } else {
-            outbox.logInfo(
-                    "cloud: refused the rental of "
-                            + request.type()
-                            + " in "
-                            + request.zone()
-                            + " as malformed");
+            outbox.log(
+                    LogEvent.of(LogEventType.PROVISION_REJECTED)
+                            .with("type", request.type())
+                            .with("zone", request.zone()));
         }
     }
 
@@ -207,18 +207,14 @@
             long requestedWallMs) {
         try {
             List<String> machineIds = CloudFormat.readMachineNames(new FieldMap(reply.body()));
-            outbox.logInfo(
-                    "rented: "
-                            + machineIds.size()
-                            + " of "
-                            + request.count()
-                            + " "
-                            + request.type()
-                            + " in "
-                            + request.zone()
-                            + (request.spot() ? ", spot" : ", ordinary")
-                            + " for part "
-                            + shard.shardNumber());
+            outbox.log(
+                    LogEvent.of(LogEventType.MACHINES_PROVISIONED)
+                            .with("shard", shard.shardNumber())
+                            .with("count", machineIds.size())
+                            .with("requested", request.count())
+                            .with("type", request.type())
+                            .with("zone", request.zone())
+                            .with("spot", request.spot()));
             if (machineIds.size() < request.count()) {
                 unavailableUntilMs.put(
                         kind, outbox.now.monotonicMs() + MachineConstants.NO_CAPACITY_BACKOFF_MS);
@@ -227,7 +223,10 @@
                 autoscaler.addProvisioned(id, request, requestedWallMs);
             }
         } catch (FieldMap.InvalidFieldException e) {
-            outbox.logInfo("cloud: rental not understood: " + e.getMessage());
+            outbox.log(
+                    LogEvent.of(LogEventType.CLOUD_REPLY_INVALID)
+                            .with("call", "provision")
+                            .with("problem", e.getMessage()));
         }
     }
 }
--- a/src/main/java/org/shoreusher/core/message/Effect.java
+++ b/src/main/java/org/shoreusher/core/message/Effect.java
@@ -3,6 +3,7 @@
 import java.util.List;
 import java.util.Map;
 import org.shoreusher.core.Node;
+import org.shoreusher.log.LogEvent;
 import org.shoreusher.standby.StandbyMessage;
 
 /** An output of {@link Node#step}: an action that the surrounding process carries out. */
@@ -67,13 +68,8 @@
      */
     record SendStandbyMessage(String host, StandbyMessage message) implements Effect {}
 
-    /**
-     * Writes one line to the log for operators.
-     *
-     * @param line the text
-     * @param debugOnly whether the line is logged at debug level only
-     */
-    record Log(String line, boolean debugOnly) implements Effect {}
+    /** Writes an event to the operators' log. */
+    record Log(LogEvent event) implements Effect {}
 
     /** An operation of the key-value store. */
     sealed interface StoreOperation {
--- a/src/main/java/org/shoreusher/core/reconcile/Reconciliation.java
+++ b/src/main/java/org/shoreusher/core/reconcile/Reconciliation.java
@@ -32,6 +32,8 @@
 import org.shoreusher.core.store.StoreSchema.JobStatus;
 import org.shoreusher.core.store.StoreSchema.MachineRecord;
 import org.shoreusher.core.store.TaskRanges;
+import org.shoreusher.log.LogEvent;
+import org.shoreusher.log.LogEventType;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.standby.Attempt;
 import org.shoreusher.standby.AttemptId;
@@ -160,7 +162,7 @@
         }
         usesPromotedLog = true;
         attempts.forEach(this::restoreFromLog);
-        isComplete("from the log");
+        isComplete("attempt_log");
     }
 
     /**
@@ -251,16 +253,12 @@
                 || fencingToken < leadership.acquisitionTerm()) {
             return;
         }
-        outbox.logInfo(
-                "standby: "
-                        + machine.id
-                        + " of part "
-                        + shard.shardNumber()
-                        + " shows "
-                        + Machine.taskKey(task.jobId(), task.taskIndex())
-                        + ", attempt "
-                        + task.attemptNumber()
-                        + ", which the log does not have");
+        outbox.log(
+                LogEvent.of(LogEventType.ATTEMPT_LOG_CONTRADICTED)
+                        .with("shard", shard.shardNumber())
+                        .with("machine", machine.id)
+                        .with("task", Machine.taskKey(task.jobId(), task.taskIndex()))
+                        .with("attempt", task.attemptNumber()));
         promotedLog.onRejected().accept(PromotionOutcome.CONTRADICTED_BY_HEARTBEAT);
         usesPromotedLog = false;
         progress.markIncomplete();
@@ -290,7 +288,7 @@
      */
     public void step() {
         if (!progress.isComplete() && countUnreconciled() == 0) {
-            isComplete("from reports");
+            isComplete("heartbeats");
         }
     }
 
@@ -321,21 +319,14 @@
             job.taskZonesUnknown = false;
             activeTasks += job.activeAttempts.size();
         }
-        outbox.logInfo(
-                "rebuilt: part "
-                        + shard.shardNumber()
-                        + " term "
-                        + authority.term()
-                        + " "
-                        + source
-                        + ", "
-                        + shard.jobs().size()
-                        + " jobs, "
-                        + shard.machines().size()
-                        + " machines, "
-                        + activeTasks
-                        + " tasks on them, after "
-                        + (outbox.now.monotonicMs() - leadership.acquiredAtMs())
-                        + " ms");
+        outbox.log(
+                LogEvent.of(LogEventType.SHARD_RECONCILED)
+                        .with("shard", shard.shardNumber())
+                        .with("term", authority.term())
+                        .with("source", source)
+                        .with("jobs", shard.jobs().size())
+                        .with("machines", shard.machines().size())
+                        .with("tasks", activeTasks)
+                        .with("duration_ms", outbox.now.monotonicMs() - leadership.acquiredAtMs()));
     }
 }
--- a/src/main/java/org/shoreusher/core/replication/StandbyReplicas.java
+++ b/src/main/java/org/shoreusher/core/replication/StandbyReplicas.java
@@ -1,12 +1,15 @@
 package org.shoreusher.core.replication;
 
 import java.util.EnumMap;
+import java.util.Locale;
 import java.util.Map;
 import org.shoreusher.core.message.Effect;
 import org.shoreusher.core.store.NodeContext;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.core.store.StoreSchema;
+import org.shoreusher.log.LogEvent;
+import org.shoreusher.log.LogEventType;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.standby.AttemptLogReceiver;
 import org.shoreusher.standby.AttemptTable;
@@ -135,15 +138,14 @@
     /** Counts and logs the outcome of a promotion. */
     public void recordOutcome(int shardNumber, PromotionOutcome outcome) {
         int occurrences = outcomeCounts.merge(outcome, 1, Integer::sum);
-        outbox.logInfo(
-                "promotion: part "
-                        + shardNumber
-                        + (outcome == PromotionOutcome.IN_SYNC
-                                ? " goes on from its log, "
-                                : " is rebuilt, ")
-                        + outcome.reason()
-                        + ", "
-                        + occurrences
-                        + " of this kind");
+        LogEventType type =
+                outcome == PromotionOutcome.IN_SYNC
+                        ? LogEventType.ATTEMPT_LOG_PROMOTED
+                        : LogEventType.ATTEMPT_LOG_REJECTED;
+        outbox.log(
+                LogEvent.of(type)
+                        .with("shard", shardNumber)
+                        .with("outcome", outcome.name().toLowerCase(Locale.ROOT))
+                        .with("occurrences", occurrences));
     }
 }
--- a/src/main/java/org/shoreusher/core/replication/StandbyReplication.java
+++ b/src/main/java/org/shoreusher/core/replication/StandbyReplication.java
@@ -19,6 +19,8 @@
 import org.shoreusher.core.message.WorkerOrder;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.VersionNegotiation;
+import org.shoreusher.log.LogEvent;
+import org.shoreusher.log.LogEventType;
 import org.shoreusher.settings.SharedConstants;
 import org.shoreusher.standby.Attempt;
 import org.shoreusher.standby.AttemptId;
@@ -308,18 +310,14 @@
     }
 
     private void logStatistics() {
-        outbox.logDebug(
-                "standby: held "
-                        + heldDurationMs.getTotalCount()
-                        + " answers with starts, median "
-                        + heldDurationMs.getValueAtPercentile(50)
-                        + " ms, 99% "
-                        + heldDurationMs.getValueAtPercentile(99)
-                        + " ms, most "
-                        + heldDurationMs.getMaxValue()
-                        + " ms; "
-                        + logSender.attemptCount()
-                        + " attempts in the log");
+        outbox.log(
+                LogEvent.of(LogEventType.STANDBY_STATISTICS)
+                        .with("shard", shardNumber)
+                        .with("held_answers", heldDurationMs.getTotalCount())
+                        .with("median_ms", heldDurationMs.getValueAtPercentile(50))
+                        .with("p99_ms", heldDurationMs.getValueAtPercentile(99))
+                        .with("max_ms", heldDurationMs.getMaxValue())
+                        .with("attempts", logSender.attemptCount()));
         heldDurationMs.reset();
     }
 
@@ -369,28 +367,22 @@
             phase = Phase.NAMED;
             namedAtMs = nowMs();
             leadership.nameStandby(logSender.standby());
-            outbox.logInfo(
-                    "standby: part "
-                            + shardNumber
-                            + " term "
-                            + authority.term()
-                            + ", "
-                            + logSender.standby()
-                            + " is in sync with "
-                            + logSender.attemptCount()
-                            + " attempts");
+            outbox.log(
+                    LogEvent.of(LogEventType.STANDBY_IN_SYNC)
+                            .with("shard", shardNumber)
+                            .with("term", authority.term())
+                            .with("standby", logSender.standby())
+                            .with("attempts", logSender.attemptCount()));
         }
     }
 
     /** Stops replicating to the standby, and removes its name from the record if it was named. */
     private void abandonStandby() {
-        outbox.logInfo(
-                "standby: part "
-                        + shardNumber
-                        + " gives "
-                        + logSender.standby()
-                        + " up, "
-                        + (phase == Phase.NAMED ? "it was in sync" : "it was not yet in sync"));
+        outbox.log(
+                LogEvent.of(LogEventType.STANDBY_ABANDONED)
+                        .with("shard", shardNumber)
+                        .with("standby", logSender.standby())
+                        .with("was_in_sync", phase == Phase.NAMED));
         standbyChooser.recordFailure(logSender.standby(), nowMs());
         logSender.detach();
         if (phase == Phase.NAMED) {
--- a/src/main/java/org/shoreusher/core/schedule/TaskMigration.java
+++ b/src/main/java/org/shoreusher/core/schedule/TaskMigration.java
@@ -24,6 +24,8 @@
 import org.shoreusher.core.leadership.ShardAuthority;
 import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.core.store.Outbox;
+import org.shoreusher.log.LogEvent;
+import org.shoreusher.log.LogEventType;
 import org.shoreusher.settings.SharedConstants;
 
 /**
@@ -162,10 +164,9 @@
         if (attempt.job.completedTasks.get(attempt.taskIndex)) {
             release(reservation);
             balancer.markCompleted(reservation.migration, outbox.now.monotonicMs());
-            outbox.logInfo(
-                    "move: "
-                            + reservation.migration.task().id()
-                            + " had completed before it was stopped");
+            outbox.log(
+                    LogEvent.of(LogEventType.MIGRATION_OBSOLETE)
+                            .with("task", reservation.migration.task().id()));
         } else if (attempt.job.closed) {
             abandon(reservation, Migration.Reason.JOB_CLOSED);
         } else {
@@ -242,15 +243,15 @@
             } else {
                 release(reservation);
                 balancer.markStarted(reservation.migration, outbox.now.monotonicMs());
-                outbox.logInfo(
-                        "moved: %s to %s after %.1f s%s"
-                                .formatted(
-                                        reservation.migration.task().id(),
-                                        machine.id,
-                                        (outbox.now.monotonicMs()
-                                                        - reservation.migration.begunAtMs())
-                                                / 1000.0,
-                                        reservation.source.checkpointed ? ", saved" : ""));
+                outbox.log(
+                        LogEvent.of(LogEventType.MIGRATION_COMPLETED)
+                                .with("task", reservation.migration.task().id())
+                                .with("target", machine.id)
+                                .with(
+                                        "duration_ms",
+                                        outbox.now.monotonicMs()
+                                                - reservation.migration.begunAtMs())
+                                .with("checkpointed", reservation.source.checkpointed));
                 readyTasks.add(reservation.migration.task().id());
             }
         }
@@ -276,8 +277,10 @@
         }
         if (outbox.now.monotonicMs() >= nextLogMs && balancer.statistics().migrationsBegun() > 0) {
             nextLogMs = outbox.now.monotonicMs() + SharedConstants.STATUS_LOG_INTERVAL_MS;
-            outbox.logDebug(
-                    "balance: part " + shard.shardNumber() + " " + balancer.statistics().summary());
+            outbox.log(
+                    LogEvent.of(LogEventType.MIGRATION_STATISTICS)
+                            .with("shard", shard.shardNumber())
+                            .with("summary", balancer.statistics().summary()));
         }
     }
 
@@ -316,15 +319,16 @@
         reservation.target.reserve(reservation.spec(), 1);
         attempt.beingEvicted = true;
         taskStopper.sendStop(attempt, TaskStopper.gracePeriodS(attempt));
-        outbox.logInfo(
-                "move: %s from %s to %s, spread of %s %.2f, gain %.0f s"
-                        .formatted(
-                                migration.task().id(),
-                                attempt.machine.id,
-                                migration.target(),
-                                migration.task().team(),
-                                balancer.load().skew(migration.task().team()),
-                                migration.gainS()));
+        outbox.log(
+                LogEvent.of(LogEventType.MIGRATION_STARTED)
+                        .with("task", migration.task().id())
+                        .with("source", attempt.machine.id)
+                        .with("target", migration.target())
+                        .with("team", migration.task().team())
+                        .with(
+                                "skew",
+                                "%.2f".formatted(balancer.load().skew(migration.task().team())))
+                        .with("gain_s", Math.round(migration.gainS())));
     }
 
     /** Abandons all migrations: the known state of the machines has turned out to be wrong. */
@@ -336,11 +340,10 @@
     private void abandon(Reservation reservation, Migration.Reason reason) {
         release(reservation);
         balancer.abandon(reservation.migration, reason, outbox.now.monotonicMs());
-        outbox.logInfo(
-                "move: "
-                        + reservation.migration.task().id()
-                        + " abandoned, "
-                        + reason.name().toLowerCase(Locale.ROOT).replace('_', ' '));
+        outbox.log(
+                LogEvent.of(LogEventType.MIGRATION_ABANDONED)
+                        .with("task", reservation.migration.task().id())
+                        .with("reason", reason.name().toLowerCase(Locale.ROOT)));
     }
 
     /**
--- a/src/main/java/org/shoreusher/core/store/Outbox.java
+++ b/src/main/java/org/shoreusher/core/store/Outbox.java
@@ -12,6 +12,7 @@
 import org.shoreusher.core.message.Effect.StoreOperation;
 import org.shoreusher.core.message.MessageConstants;
 import org.shoreusher.core.message.Response;
+import org.shoreusher.log.LogEvent;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.SharedConstants;
 
@@ -91,14 +92,9 @@
         effects.add(effect);
     }
 
-    /** Logs a line for operators. */
-    public void logInfo(String line) {
-        effects.add(new Effect.Log(line, false));
-    }
-
-    /** Logs a line at debug level. */
-    public void logDebug(String line) {
-        effects.add(new Effect.Log(line, true));
+    /** Adds an event to the operators' log. */
+    public void log(LogEvent event) {
+        effects.add(new Effect.Log(event));
     }
 
     /** Answers a request. */
--- a/src/main/java/org/shoreusher/core/store/StoreCache.java
+++ b/src/main/java/org/shoreusher/core/store/StoreCache.java
@@ -6,6 +6,8 @@
 import java.util.TreeMap;
 import org.shoreusher.core.message.Command.StoreReply;
 import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.log.LogEvent;
+import org.shoreusher.log.LogEventType;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.wire.FieldMap;
 import org.shoreusher.wire.StoreFormat;
@@ -205,7 +207,10 @@
                             try {
                                 onReply(reply, sentAt);
                             } catch (FieldMap.InvalidFieldException e) {
-                                outbox.logInfo("state: answer not understood: " + e.getMessage());
+                                outbox.log(
+                                        LogEvent.of(LogEventType.STORE_REPLY_INVALID)
+                                                .with("call", "read_changes")
+                                                .with("problem", e.getMessage()));
                                 scheduleRetry();
                             }
                         });
--- a/src/main/java/org/shoreusher/core/store/VersionNegotiation.java
+++ b/src/main/java/org/shoreusher/core/store/VersionNegotiation.java
@@ -6,6 +6,8 @@
 import java.util.Map;
 import java.util.function.Predicate;
 import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.log.LogEvent;
+import org.shoreusher.log.LogEventType;
 import org.shoreusher.settings.Features;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.standby.StandbyChooser;
@@ -215,13 +217,9 @@
         }
         loggedMembersWithoutServices = membersLacking;
         if (membersLacking.isEmpty()) {
-            outbox.logInfo(
-                    "upgrade: all members understand services, which are accepted from now on");
+            outbox.log(LogEvent.of(LogEventType.SERVICES_ENABLED));
         } else {
-            outbox.logInfo(
-                    "upgrade: services are refused until the members "
-                            + membersLacking
-                            + " run this version");
+            outbox.log(LogEvent.of(LogEventType.SERVICES_DISABLED).with("members", membersLacking));
         }
     }
 }
--- /dev/null
+++ b/src/main/java/org/shoreusher/log/LogEventType.java
@@ -0,0 +1,95 @@
+package org.shoreusher.log;
+
+import java.util.Locale;
+
+/** What can be logged. {@code docs/operations.md} explains every event to operators. */
+public enum LogEventType {
+    /** The node accepts connections. */
+    NODE_LISTENING,
+    /** This node has become the leader of a shard. */
+    SHARD_ACQUIRED,
+    /** It is known of every task of a shard whether it runs, and where. */
+    SHARD_RECONCILED,
+    /** A leader's lease has expired because it was not renewed in time. */
+    LEASE_EXPIRED,
+    /** A leader has renewed its lease after the expiry; no other node had acquired the shard. */
+    LEASE_RECOVERED,
+    /** This node is no longer the leader of a shard. */
+    LEADERSHIP_LOST,
+    /** A leader has raised its term because a worker had seen a higher fencing token. */
+    TERM_RAISED,
+    /** The key-value store sent something that is not understood. */
+    STORE_REPLY_INVALID,
+    /** The cloud sent something that is not understood. */
+    CLOUD_REPLY_INVALID,
+    /** An idle machine has been handed over to another shard. */
+    MACHINE_HANDED_OVER,
+    /** A worker's lease has certainly expired; its tasks wait again. */
+    WORKER_LEASE_EXPIRED,
+    /** A machine no longer exists. */
+    MACHINE_REMOVED,
+    /** A machine gets no more tasks and is drained. */
+    MACHINE_CORDONED,
+    /** A machine that the cloud lists and no record names belongs to a shard now. */
+    MACHINE_ADOPTED,
+    /** The cloud has provisioned machines. */
+    MACHINES_PROVISIONED,
+    /** The cloud has rejected a request for machines as malformed. */
+    PROVISION_REJECTED,
+    /** All members understand services, which are accepted from now on. */
+    SERVICES_ENABLED,
+    /** Services are rejected until the named members run this version. */
+    SERVICES_DISABLED,
+    /** A running task is to be migrated, and is being stopped. */
+    MIGRATION_STARTED,
+    /** A migrated task is started on its target. */
+    MIGRATION_COMPLETED,
+    /** A migration has ended without a start on the target. */
+    MIGRATION_ABANDONED,
+    /** A task that was to be migrated completed before it was stopped. */
+    MIGRATION_OBSOLETE,
+    /** A standby has every attempt that may be on a machine. */
+    STANDBY_IN_SYNC,
+    /** A leader no longer replicates to a standby. */
+    STANDBY_ABANDONED,
+    /** A new leader goes on from the attempt log that was replicated to it. */
+    ATTEMPT_LOG_PROMOTED,
+    /** A new leader has no usable attempt log and reconciles from heartbeats. */
+    ATTEMPT_LOG_REJECTED,
+    /** A worker shows an attempt that the promoted attempt log lacks; this must never happen. */
+    ATTEMPT_LOG_CONTRADICTED,
+    /** A connection was closed because another node sent a message that is not understood. */
+    PEER_MESSAGE_INVALID,
+    /** Machines, CPUs and waiting tasks of a shard. */
+    SHARD_STATUS(true),
+    /** Connections and memory of the process. */
+    PROCESS_STATUS(true),
+    /** How long users waited for answers. */
+    REQUEST_LATENCY(true),
+    /** What the balancer has done. */
+    MIGRATION_STATISTICS(true),
+    /** How long starts waited for the standby's acknowledgement. */
+    STANDBY_STATISTICS(true),
+    /** Messages sent to and as standby. */
+    STANDBY_TRAFFIC(true);
+
+    private final boolean debugOnly;
+
+    LogEventType() {
+        this(false);
+    }
+
+    LogEventType(boolean debugOnly) {
+        this.debugOnly = debugOnly;
+    }
+
+    /** Returns whether the event is logged at the debug level only. */
+    public boolean isDebugOnly() {
+        return debugOnly;
+    }
+
+    /** Returns the name in the log, for example {@code shard_acquired}. */
+    public String eventName() {
+        return name().toLowerCase(Locale.ROOT);
+    }
+}
--- a/src/main/java/org/shoreusher/measure/BalanceMeasurement.java
+++ b/src/main/java/org/shoreusher/measure/BalanceMeasurement.java
@@ -156,11 +156,15 @@
         for (ControllerProcess controller : cluster.controllers()) {
             moves +=
                     controller
-                            .linesMatching(Long.MIN_VALUE, text -> text.contains("moved: "))
+                            .linesMatching(
+                                    Long.MIN_VALUE,
+                                    text -> text.contains("event=migration_completed "))
                             .size();
             abandoned +=
                     controller
-                            .linesMatching(Long.MIN_VALUE, text -> text.contains(" abandoned, "))
+                            .linesMatching(
+                                    Long.MIN_VALUE,
+                                    text -> text.contains("event=migration_abandoned "))
                             .size();
             processorS += controller.cpuTimeS();
         }
--- a/src/main/java/org/shoreusher/measure/Cluster.java
+++ b/src/main/java/org/shoreusher/measure/Cluster.java
@@ -188,7 +188,8 @@
         long latestMs = Long.MIN_VALUE;
         for (ControllerProcess controller : controllers) {
             ControllerProcess.Line line =
-                    controller.lastLine(Long.MIN_VALUE, text -> text.contains("takeover: part 0"));
+                    controller.lastLine(
+                            Long.MIN_VALUE, text -> text.contains("event=shard_acquired shard=0 "));
             if (line != null && line.atMs() > latestMs) {
                 latestMs = line.atMs();
                 leader = controller;
--- a/src/main/java/org/shoreusher/measure/FailoverMeasurement.java
+++ b/src/main/java/org/shoreusher/measure/FailoverMeasurement.java
@@ -59,7 +59,7 @@
     private static final long WARM_UP_MS = 15_000;
     private static final long STEADY_MS = 20_000;
     private static final int LONGEST_WAIT_MS = 3_000;
-    private static final String IN_SYNC = "in sync";
+    private static final String IN_SYNC = "in_sync";
     private static final String FEATURE = "[standby]\nenabled = true\n";
 
     private final int machines;
@@ -190,8 +190,13 @@
                 cluster.leader() == null
                         ? null
                         : cluster.leader()
-                                .lastLine(sinceMs, text -> text.contains("standby: part 0"));
-        return last != null && last.text().contains("is in sync");
+                                .lastLine(
+                                        sinceMs,
+                                        text ->
+                                                text.contains("event=standby_")
+                                                        && text.contains(" shard=0 ")
+                                                        && !text.contains("_statistics "));
+        return last != null && last.text().contains("event=standby_in_sync ");
     }
 
     // ---- failovers ---------------------------------------------------------------------------
@@ -206,7 +211,8 @@
         killed.killAndWait();
         awaitBusy(cluster, "another took the part", () -> cluster.leader() != killed);
         ControllerProcess successor = cluster.leader();
-        long failoverMs = successor.lastLine(killedMs, text -> text.contains("takeover:")).atMs();
+        long failoverMs =
+                successor.lastLine(killedMs, text -> text.contains("event=shard_acquired ")).atMs();
         awaitBusy(
                 cluster,
                 "a task started",
@@ -265,10 +271,12 @@
 
     private static String outcome(ControllerProcess successor, long sinceMs) {
         ControllerProcess.Line line =
-                successor.lastLine(sinceMs, text -> text.contains("promotion: "));
-        return line == null
-                ? "off"
-                : line.text().replaceAll(".*promotion: [^,]*, |, \\d+ of.*", "");
+                successor.lastLine(
+                        sinceMs,
+                        text ->
+                                text.contains("event=attempt_log_promoted ")
+                                        || text.contains("event=attempt_log_rejected "));
+        return line == null ? "off" : line.text().replaceAll(".* outcome=| occurrences=.*", "");
     }
 
     // ---- costs and checks --------------------------------------------------------------------
@@ -295,15 +303,15 @@
                     controller == cluster.leader() ? " (owner)" : "",
                     (controller.cpuTimeS() - before.get(i)) / seconds,
                     controller.memoryMb(false),
-                    last(controller, "standby: held"),
-                    last(controller, "standby: sent"));
+                    last(controller, "event=standby_statistics "),
+                    last(controller, "event=standby_traffic "));
         }
     }
 
     private static String last(ControllerProcess controller, String beginning) {
         ControllerProcess.Line line =
                 controller.lastLine(Long.MIN_VALUE, text -> text.contains(beginning));
-        return line == null ? "" : "; " + line.text().replaceAll(".*standby: ", "");
+        return line == null ? "" : "; " + line.text().replaceAll(".*event=standby_", "");
     }
 
     /** Waits until every job is done. */
--- a/src/main/java/org/shoreusher/measure/FleetMeasurement.java
+++ b/src/main/java/org/shoreusher/measure/FleetMeasurement.java
@@ -91,14 +91,15 @@
         double share = (leader.cpuTimeS() - before) * 1_000 / STEADY_MS;
         for (ControllerProcess controller : cluster.controllers()) {
             ControllerProcess.Line line =
-                    controller.lastLine(Long.MIN_VALUE, text -> text.contains("process: "));
+                    controller.lastLine(
+                            Long.MIN_VALUE, text -> text.contains("event=process_status "));
             print(
                     "%s%s: %.0f MB held, %.0f MB at most; %s",
                     controller.host(),
                     controller == leader ? " (owner)" : "",
                     controller.memoryMb(false),
                     controller.memoryMb(true),
-                    line == null ? "" : line.text().replaceAll(".*process: ", ""));
+                    line == null ? "" : line.text().replaceAll(".*event=process_status ", ""));
         }
         print("owner's processor: %.2f of a core", share);
     }
@@ -115,18 +116,21 @@
                 "the part is rebuilt",
                 REBUILD_S,
                 () ->
-                        successor.lastLine(killedMs, text -> text.contains("rebuilt: part 0"))
+                        successor.lastLine(
+                                        killedMs,
+                                        text -> text.contains("event=shard_reconciled shard=0 "))
                                 != null);
-        long failoverMs = successor.lastLine(killedMs, text -> text.contains("takeover:")).atMs();
+        long failoverMs =
+                successor.lastLine(killedMs, text -> text.contains("event=shard_acquired ")).atMs();
         ControllerProcess.Line reconciledLine =
-                successor.lastLine(killedMs, text -> text.contains("rebuilt:"));
+                successor.lastLine(killedMs, text -> text.contains("event=shard_reconciled "));
         print(
                 "owner killed: taken after %.1f s, rebuilt after %.1f s more; tasks %d -> %d; %s",
                 (failoverMs - killedMs) / 1000.0,
                 (reconciledLine.atMs() - failoverMs) / 1000.0,
                 running,
                 cluster.history().runningCount(),
-                reconciledLine.text().replaceAll(".*rebuilt", "rebuilt"));
+                reconciledLine.text().replaceAll(".*event=shard_reconciled ", ""));
         killed.start();
         awaitAll(cluster, tasks);
     }
--- a/src/main/java/org/shoreusher/peer/GossipTransport.java
+++ b/src/main/java/org/shoreusher/peer/GossipTransport.java
@@ -22,6 +22,9 @@
 import java.util.function.Consumer;
 import org.shoreusher.core.message.Command;
 import org.shoreusher.core.message.GossipMessage;
+import org.shoreusher.log.EventLogger;
+import org.shoreusher.log.LogEvent;
+import org.shoreusher.log.LogEventType;
 import org.shoreusher.net.NetConstants;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.standby.StandbyMessage;
@@ -124,7 +127,7 @@
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
             Command command = command(ByteBufUtil.getBytes(frame));
             if (command == null) {
-                LOG.info("peer: closed a connection with a message that is not understood");
+                EventLogger.log(LOG, LogEvent.of(LogEventType.PEER_MESSAGE_INVALID));
                 ctx.close();
             } else {
                 core.accept(command);
--- a/src/main/java/org/shoreusher/peer/StandbyTransport.java
+++ b/src/main/java/org/shoreusher/peer/StandbyTransport.java
@@ -14,6 +14,8 @@
 import io.netty.handler.codec.LengthFieldPrepender;
 import java.util.HashMap;
 import java.util.Map;
+import org.shoreusher.log.LogEvent;
+import org.shoreusher.log.LogEventType;
 import org.shoreusher.net.NetConstants;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.standby.StandbyMessage;
@@ -74,11 +76,14 @@
     }
 
     /** A line on the traffic since the last call, which resets it; null if nothing was sent. */
-    public String drainTrafficSummary() {
+    public LogEvent drainTrafficSummary() {
         if (messagesSent == 0) {
             return null;
         }
-        String summary = "standby: sent " + messagesSent + " messages of " + bytesSent + " bytes";
+        LogEvent summary =
+                LogEvent.of(LogEventType.STANDBY_TRAFFIC)
+                        .with("messages", messagesSent)
+                        .with("bytes", bytesSent);
         messagesSent = 0;
         bytesSent = 0;
         return summary;
--- a/src/main/java/org/shoreusher/user/HttpFrontend.java
+++ b/src/main/java/org/shoreusher/user/HttpFrontend.java
@@ -41,6 +41,8 @@
 import org.shoreusher.core.message.MessageConstants;
 import org.shoreusher.core.message.Response;
 import org.shoreusher.core.message.WorkerHeartbeat;
+import org.shoreusher.log.LogEvent;
+import org.shoreusher.log.LogEventType;
 import org.shoreusher.net.NetConstants;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.SharedConstants;
@@ -149,21 +151,16 @@
     }
 
     /** A line on the latencies of user requests since the last call, which are then reset. */
-    public String drainLatencySummary() {
-        String line =
-                "users: "
-                        + userLatency.getTotalCount()
-                        + " answers, median "
-                        + userLatency.getValueAtPercentile(50) / 1000.0
-                        + " ms, 99% "
-                        + userLatency.getValueAtPercentile(99) / 1000.0
-                        + " ms, most "
-                        + userLatency.getMaxValue() / 1000.0
-                        + " ms; "
-                        + connections.size()
-                        + " connections";
+    public LogEvent drainLatencySummary() {
+        LogEvent event =
+                LogEvent.of(LogEventType.REQUEST_LATENCY)
+                        .with("answers", userLatency.getTotalCount())
+                        .with("median_ms", userLatency.getValueAtPercentile(50) / 1000.0)
+                        .with("p99_ms", userLatency.getValueAtPercentile(99) / 1000.0)
+                        .with("max_ms", userLatency.getMaxValue() / 1000.0)
+                        .with("connections", connections.size());
         userLatency.reset();
-        return line;
+        return event;
     }
 
     /** Number of open connections. */
--- a/src/test/java/org/shoreusher/simulation/AutoscalerTest.java
+++ b/src/test/java/org/shoreusher/simulation/AutoscalerTest.java
@@ -189,7 +189,8 @@
     }
 
     private static boolean isGone(SingleNodeSimulation node, String machine) {
-        return node.log.stream().anyMatch(line -> line.startsWith("gone: " + machine));
+        return node.log.stream()
+                .anyMatch(line -> line.startsWith("event=machine_removed machine=" + machine));
     }
 
     /** A page of 500 machines of an inventory of this size. */
--- a/src/test/java/org/shoreusher/simulation/CancellationTest.java
+++ b/src/test/java/org/shoreusher/simulation/CancellationTest.java
@@ -50,7 +50,7 @@
         node.store().outage(60_000);
         node.runSteps(110);
         assertTrue(
-                node.log.stream().anyMatch(line -> line.startsWith("lapse")),
+                node.log.stream().anyMatch(line -> line.startsWith("event=lease_expired ")),
                 () -> String.join("\n", node.log));
         assertEquals(List.of("halt"), node.heartbeat("host-1", 3, 6, RUNNING));
     }
@@ -72,10 +72,10 @@
         node.cancelAtOtherNode("wk-1", 1);
         node.runSteps(52);
         assertTrue(
-                node.log.stream().anyMatch(line -> line.startsWith("lapse")),
+                node.log.stream().anyMatch(line -> line.startsWith("event=lease_expired ")),
                 () -> String.join("\n", node.log));
         node.store().stallCacheUpdates("node-0", 2_000);
-        while (node.log.stream().noneMatch(line -> line.startsWith("renewed"))) {
+        while (node.log.stream().noneMatch(line -> line.startsWith("event=lease_recovered "))) {
             node.runSteps(1);
         }
         List<String> orders = node.heartbeat("host-1", 2, 6);
@@ -113,9 +113,9 @@
     private int cachedKeys() {
         String last =
                 node.log.stream()
-                        .filter(line -> line.startsWith("status"))
+                        .filter(line -> line.startsWith("event=shard_status "))
                         .reduce((a, b) -> b)
                         .orElseThrow();
-        return Integer.parseInt(last.replaceAll(".* (\\d+) keys in memory.*", "$1"));
+        return Integer.parseInt(last.replaceAll(".* keys_in_memory=(\\d+)$", "$1"));
     }
 }
--- a/src/test/java/org/shoreusher/simulation/ClusterSimulation.java
+++ b/src/test/java/org/shoreusher/simulation/ClusterSimulation.java
@@ -19,6 +19,7 @@
 import org.shoreusher.core.message.Command;
 import org.shoreusher.core.message.Effect;
 import org.shoreusher.core.message.WorkerHeartbeat;
+import org.shoreusher.log.LogEventType;
 import org.shoreusher.settings.Features;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.SettingsBuilder;
@@ -403,9 +404,9 @@
             } else if (effect instanceof Effect.SendStandbyMessage send) {
                 sendStandbyMessage(send);
             } else if (effect instanceof Effect.Log logLine) {
-                log.add(nowMs + " " + host + " " + logLine.line());
-                onLog.accept(logLine.line());
-                if (logLine.line().startsWith("takeover")) {
+                log.add(nowMs + " " + host + " " + logLine.event().toString());
+                onLog.accept(logLine.event().toString());
+                if (logLine.event().type() == LogEventType.SHARD_ACQUIRED) {
                     deliverRetainedHeartbeats();
                     onFailover.accept(this);
                 }
--- a/src/test/java/org/shoreusher/simulation/FaultInjection.java
+++ b/src/test/java/org/shoreusher/simulation/FaultInjection.java
@@ -168,8 +168,8 @@
         Map<String, String> last = new HashMap<>();
         simulation.log.stream()
                 .map(l -> l.split(" "))
-                .filter(l -> l[2].equals("takeover:"))
-                .forEach(l -> last.put(l[4], l[1]));
+                .filter(l -> l[2].equals("event=shard_acquired"))
+                .forEach(l -> last.put(l[3], l[1]));
         return simulation.controllers.stream()
                 .filter(controller -> last.containsValue(controller.host))
                 .toList();
--- a/src/test/java/org/shoreusher/simulation/LargestClusterTest.java
+++ b/src/test/java/org/shoreusher/simulation/LargestClusterTest.java
@@ -49,7 +49,10 @@
                 simulation.cloud.peakMachines() >= MACHINES,
                 () -> "had " + simulation.cloud.peakMachines());
         assertTrue(
-                simulation.log.stream().filter(line -> line.contains("takeover")).count() > 1,
+                simulation.log.stream()
+                                .filter(line -> line.contains("event=shard_acquired "))
+                                .count()
+                        > 1,
                 "nobody took the part");
         assertEquals(
                 0,
--- a/src/test/java/org/shoreusher/simulation/LeaderFailureTest.java
+++ b/src/test/java/org/shoreusher/simulation/LeaderFailureTest.java
@@ -43,7 +43,8 @@
                         List.of(new Fault(60_000, cluster -> cluster.store.outage(11_000))));
         assertEquals(List.of(), simulation.invariants.violations);
         assertFalse(
-                simulation.log.stream().anyMatch(line -> line.contains("lost its lease")),
+                simulation.log.stream()
+                        .anyMatch(line -> line.contains("event=worker_lease_expired ")),
                 () -> String.join("\n", simulation.log));
     }
 
@@ -142,7 +143,11 @@
                                                     cluster, controller, 40_000)));
             assertEquals(List.of(), simulation.invariants.violations);
             reconciledAtMs.add(
-                    simulation.log.stream().anyMatch(line -> line.contains("released: most"))
+                    simulation.log.stream()
+                                    .anyMatch(
+                                            line ->
+                                                    line.contains("event=leadership_lost ")
+                                                            && line.contains("stepped down: most"))
                             ? firstReconciledAfterMs(simulation, 60_000)
                             : Long.MAX_VALUE);
         }
@@ -208,11 +213,11 @@
                     () -> String.join("\n", simulation.log));
             long machines =
                     simulation.log.stream()
-                            .filter(line -> line.contains("rented: "))
+                            .filter(line -> line.contains("event=machines_provisioned "))
                             .mapToLong(
                                     line ->
                                             Long.parseLong(
-                                                    line.replaceAll(".*rented: (\\d+) of.*", "$1")))
+                                                    line.replaceAll(".* count=(\\d+) .*", "$1")))
                             .sum();
             assertTrue(machines > 1_000, () -> "rented " + machines);
             assertEquals(
@@ -251,7 +256,10 @@
                             .filter(x -> !x.doneConfirmed && !x.cancelConfirmed)
                             .count());
             assertTrue(
-                    simulation.log.stream().filter(line -> line.contains("takeover")).count() > 3);
+                    simulation.log.stream()
+                                    .filter(line -> line.contains("event=shard_acquired "))
+                                    .count()
+                            > 3);
         }
     }
 
@@ -288,8 +296,11 @@
                     simulation.log.stream()
                             .anyMatch(
                                     line ->
-                                            line.contains("gone: " + id)
-                                                    && line.contains("returned")
+                                            line.contains(
+                                                            "event=machine_removed machine="
+                                                                    + id
+                                                                    + " ")
+                                                    && line.contains("terminated by this node")
                                                     && timeMsOf(line) < 100_000),
                     () -> String.join("\n", simulation.log));
             assertEquals(
@@ -308,7 +319,7 @@
     /** When a shard was first reconciled after a time, in ms. */
     private static long firstReconciledAfterMs(ClusterSimulation simulation, long afterMs) {
         return simulation.log.stream()
-                .filter(line -> line.contains("rebuilt"))
+                .filter(line -> line.contains("event=shard_reconciled "))
                 .mapToLong(LeaderFailureTest::timeMsOf)
                 .filter(t -> t > afterMs)
                 .findFirst()
--- a/src/test/java/org/shoreusher/simulation/MigrationStepsTest.java
+++ b/src/test/java/org/shoreusher/simulation/MigrationStepsTest.java
@@ -123,7 +123,13 @@
                 List.of(taskName),
                 started.stream().map(ScriptedWorker.StartedTask::taskName).toList());
         assertTrue(
-                node.log.stream().anyMatch(line -> line.startsWith("moved: " + taskName)),
+                node.log.stream()
+                        .anyMatch(
+                                line ->
+                                        line.startsWith(
+                                                "event=migration_completed task="
+                                                        + taskName
+                                                        + " ")),
                 "no log line");
         heartbeatAll();
         assertEquals(List.of(), startedElsewhere(), "once only");
@@ -153,7 +159,7 @@
             heartbeatAll();
             startedElsewhere().forEach(started -> assertNotEquals(taskName, started.taskName()));
         }
-        assertTrue(node.log.contains("move: " + taskName + " had completed before it was stopped"));
+        assertTrue(node.log.contains("event=migration_obsolete task=" + taskName));
     }
 
     /** Capacity on the target stays reserved: jobs that are submitted meanwhile do not use it. */
@@ -188,7 +194,10 @@
         placeAllTasksOnFirstMachine();
         String taskName = awaitStopOrder(20);
         String target =
-                node.log.stream().filter(line -> line.startsWith("move: ")).findFirst().get();
+                node.log.stream()
+                        .filter(line -> line.startsWith("event=migration_started "))
+                        .findFirst()
+                        .get();
         ScriptedWorker other =
                 workers.stream()
                         .skip(1)
@@ -249,7 +258,10 @@
             heartbeatAll();
         }
         assertEquals(List.of("wk-999999/0"), workers.get(1).tasksToldToStop);
-        assertTrue(node.log.stream().noneMatch(line -> line.contains("move: wk-999999")));
+        assertTrue(
+                node.log.stream()
+                        .noneMatch(
+                                line -> line.contains("event=migration_started task=wk-999999")));
     }
 
     /**
@@ -287,7 +299,7 @@
         placeAllTasksOnFirstMachine("host-9");
         assertNull(awaitStopOrder(20));
         assertTrue(
-                node.log.stream().noneMatch(line -> line.startsWith("rebuilt")),
+                node.log.stream().noneMatch(line -> line.startsWith("event=shard_reconciled ")),
                 "rebuilt too soon");
     }
 }
--- a/src/test/java/org/shoreusher/simulation/MigrationsTest.java
+++ b/src/test/java/org/shoreusher/simulation/MigrationsTest.java
@@ -38,8 +38,12 @@
     /** The task, source and target of a migration, read from the log line of its beginning. */
     private record StartedMigration(String taskName, String source, String target) {
         static StartedMigration of(String line) {
-            String[] words = line.substring(line.indexOf("move: ")).split("[ ,]+");
-            return new StartedMigration(words[1], words[3], words[5]);
+            return new StartedMigration(
+                    field(line, "task"), field(line, "source"), field(line, "target"));
+        }
+
+        private static String field(String line, String name) {
+            return line.replaceAll(".* " + name + "=(\\S+).*", "$1");
         }
 
         SimulatedWorker source(ClusterSimulation simulation) {
@@ -76,8 +80,7 @@
         }
         simulation.onLog =
                 line -> {
-                    if (line.contains("move: ")
-                            && line.contains(" from ")
+                    if (line.contains("event=migration_started ")
                             && simulation.nowMs < FAULT_FREE_FROM_MS) {
                         onMigration.accept(simulation, StartedMigration.of(line));
                     }
@@ -155,14 +158,14 @@
 
     @Example
     void migratedTasksCompleteOnce() {
-        simulateWithFault((cluster, migration) -> {}, "moved: ");
+        simulateWithFault((cluster, migration) -> {}, "event=migration_completed ");
     }
 
     @Example
     void targetIsTerminated() {
         simulateWithFault(
                 (cluster, migration) -> cluster.cloud.terminate(migration.target(cluster)),
-                "abandoned, target lost");
+                " reason=target_lost");
     }
 
     @Example
@@ -180,7 +183,7 @@
                                                         controller.host, target.id, 15_000));
                     }
                 },
-                "abandoned, target");
+                " reason=target");
     }
 
     @Example
@@ -204,7 +207,7 @@
     void sourceIsTerminated() {
         simulateWithFault(
                 (cluster, migration) -> cluster.cloud.terminate(migration.source(cluster)),
-                "gone: ");
+                "event=machine_removed ");
     }
 
     @Example
@@ -217,7 +220,7 @@
                                     : migration.target(cluster);
                     machine.announceInterruption(2_000 + cluster.random.nextInt(4_000));
                 },
-                "move: ");
+                "event=migration_started ");
     }
 
     @Example
@@ -231,7 +234,7 @@
                     cluster.scheduleAfter(
                             cluster.random.nextInt(6_000), () -> cluster.users.cancel(job));
                 },
-                "abandoned, job closed");
+                " reason=job_closed");
     }
 
     @Example
@@ -249,7 +252,7 @@
                                         }
                                     }
                                 }),
-                "takeover: ");
+                "event=shard_acquired ");
     }
 
     /** The leader loses its workers and steps down while migrations are in progress. */
@@ -265,14 +268,14 @@
                                                         cluster, controller, 25_000));
                     }
                 },
-                "released: most");
+                "reason=\"stepped down: most");
     }
 
     @Example
     void storeOutageDuringMigrations() {
         simulateWithFault(
                 (cluster, migration) -> cluster.store.outage(3_000 + cluster.random.nextInt(9_000)),
-                "lapse: ");
+                "event=lease_expired ");
     }
 
     /**
@@ -290,7 +293,7 @@
                                     FaultInjection.currentLeaders(cluster)
                                             .forEach(controller -> controller.crash(300)));
                 },
-                "takeover: ");
+                "event=shard_acquired ");
     }
 
     /** Only some nodes have the feature: the leadership moves between both kinds. */
--- a/src/test/java/org/shoreusher/simulation/PreviousVersionFormatsTest.java
+++ b/src/test/java/org/shoreusher/simulation/PreviousVersionFormatsTest.java
@@ -83,7 +83,10 @@
                                 + txnOps
                                 + " operations\n"
                                 + String.join("\n", node.log);
-                assertTrue(node.log.stream().anyMatch(line -> line.startsWith("takeover")), limits);
+                assertTrue(
+                        node.log.stream()
+                                .anyMatch(line -> line.startsWith("event=shard_acquired ")),
+                        limits);
                 before.forEach(
                         (id, set) -> {
                             BitSet missing = (BitSet) set.clone();
@@ -268,9 +271,7 @@
     }
 
     private static long countUpgradeLines(SingleNodeSimulation node, String with) {
-        return node.log.stream()
-                .filter(line -> line.startsWith("upgrade: ") && line.contains(with))
-                .count();
+        return node.log.stream().filter(line -> line.startsWith(with)).count();
     }
 
     /**
@@ -281,8 +282,8 @@
     void refusesServicesUntilEveryNodeSupportsThem() {
         SingleNodeSimulation node = nodeInClusterOfTwo();
         assertEquals(503, node.submit(service("wk-000020", 3)));
-        assertEquals(1, countUpgradeLines(node, "refused until the members [node-1]"));
-        assertEquals(0, countUpgradeLines(node, "all members"));
+        assertEquals(1, countUpgradeLines(node, "event=services_disabled members=[node-1]"));
+        assertEquals(0, countUpgradeLines(node, "event=services_enabled"));
         node.writeToStore("node/node-1", Map.of("formats", 2L));
         node.runSteps(5);
         assertEquals(201, node.submit(service("wk-000020", 3)));
@@ -292,7 +293,7 @@
                 "all replicas together are above the team's limit");
         assertEquals("pending", node.pollStatus("wk-000020"));
         node.runSteps(100);
-        assertEquals(1, countUpgradeLines(node, "all members"), "once");
+        assertEquals(1, countUpgradeLines(node, "event=services_enabled"), "once");
     }
 
     /**
@@ -313,12 +314,12 @@
                 Map.of("owner", "node-1/old", "expiry", expiry, "term", 9L, "done", Map.of()));
         node.runSteps(5);
         assertEquals(503, node.submit(service("wk-000022", 3)));
-        assertEquals(2, countUpgradeLines(node, "refused until the members [node-1]"));
+        assertEquals(2, countUpgradeLines(node, "event=services_disabled members=[node-1]"));
         assertEquals(200, node.submit(service("wk-000020", 3)));
         node.writeToStore("node/node-1", Map.of("formats", 2L, "process", "node-1/newer"));
         node.runSteps(5);
         assertEquals(201, node.submit(service("wk-000022", 3)));
-        assertEquals(2, countUpgradeLines(node, "all members"));
+        assertEquals(2, countUpgradeLines(node, "event=services_enabled"));
     }
 
     /**
--- a/src/test/java/org/shoreusher/simulation/SaturatedCluster.java
+++ b/src/test/java/org/shoreusher/simulation/SaturatedCluster.java
@@ -79,13 +79,13 @@
         assertEquals(
                 0,
                 StandbySimulations.promotionOutcomes(simulation)
-                        .getOrDefault("a report contradicts the log", 0),
+                        .getOrDefault("contradicted_by_heartbeat", 0),
                 () -> String.join("\n", simulation.log));
     }
 
     /** How many failovers continued from the replicated log. */
     static int promotionsInSync(ClusterSimulation simulation) {
-        return StandbySimulations.promotionOutcomes(simulation).getOrDefault("in sync", 0);
+        return StandbySimulations.promotionOutcomes(simulation).getOrDefault("in_sync", 0);
     }
 
     /** The controller that the shard's record names as the standby; null if it names none. */
@@ -103,7 +103,6 @@
 
     /** How many failovers found that the record names another incarnation, or none. */
     static int promotionsWithoutName(ClusterSimulation simulation) {
-        return StandbySimulations.promotionOutcomes(simulation)
-                .getOrDefault("the record does not name this process", 0);
+        return StandbySimulations.promotionOutcomes(simulation).getOrDefault("not_named", 0);
     }
 }
--- a/src/test/java/org/shoreusher/simulation/ServiceReplicaTest.java
+++ b/src/test/java/org/shoreusher/simulation/ServiceReplicaTest.java
@@ -146,7 +146,10 @@
                 startedOn.subList(0, 3).stream().distinct().count(),
                 () -> "starts " + startedOn);
         assertEquals(
-                List.of(), node.log.stream().filter(line -> line.startsWith("retired")).toList());
+                List.of(),
+                node.log.stream()
+                        .filter(line -> line.startsWith("event=machine_cordoned "))
+                        .toList());
     }
 
     /**
--- a/src/test/java/org/shoreusher/simulation/SingleNodeSimulation.java
+++ b/src/test/java/org/shoreusher/simulation/SingleNodeSimulation.java
@@ -71,7 +71,7 @@
                     commands.add(
                             new Command.CloudReply(call.callId(), reply.status(), reply.body()));
                 } else if (effect instanceof Effect.Log logLine) {
-                    log.add(logLine.line());
+                    log.add(logLine.event().toString());
                 } else if (effect instanceof Effect.Respond response) {
                     responses.put(response.requestId(), WireResponse.of(response));
                 }
--- a/src/test/java/org/shoreusher/simulation/StandbyCrashPointsTest.java
+++ b/src/test/java/org/shoreusher/simulation/StandbyCrashPointsTest.java
@@ -72,7 +72,8 @@
                                                 1,
                                                 cluster -> crashFirstLeader(cluster, crashPoint))));
                 assertInvariants(simulation);
-                boolean fromLog = StandbySimulations.firstPromotion(simulation).contains("in sync");
+                boolean fromLog =
+                        StandbySimulations.firstPromotion(simulation).contains("outcome=in_sync ");
                 promoted[crashPoint == CrashPoint.BEFORE_NAMING ? 0 : 1] += fromLog ? 1 : 0;
             }
         }
--- a/src/test/java/org/shoreusher/simulation/StandbyFaultsTest.java
+++ b/src/test/java/org/shoreusher/simulation/StandbyFaultsTest.java
@@ -33,9 +33,9 @@
     }
 
     private void assertPromotions(int leastInSync) {
-        assertEquals(0, promotionOutcomes.getOrDefault("a report contradicts the log", 0));
+        assertEquals(0, promotionOutcomes.getOrDefault("contradicted_by_heartbeat", 0));
         assertTrue(
-                promotionOutcomes.getOrDefault("in sync", 0) >= leastInSync,
+                promotionOutcomes.getOrDefault("in_sync", 0) >= leastInSync,
                 () -> "promotions: " + promotionOutcomes);
     }
 
--- a/src/test/java/org/shoreusher/simulation/StandbyRandomCrashesTest.java
+++ b/src/test/java/org/shoreusher/simulation/StandbyRandomCrashesTest.java
@@ -37,16 +37,16 @@
             assertEquals(
                     List.of(),
                     simulation.log.stream()
-                            .filter(line -> line.contains("the log does not have"))
+                            .filter(line -> line.contains("event=attempt_log_contradicted "))
                             .toList(),
                     () -> "seed " + number + "\n" + String.join("\n", simulation.log));
             StandbySimulations.promotionOutcomes(simulation)
                     .forEach((how, n) -> promotions.merge(how, n, Integer::sum));
         }
         System.out.println("promotions in " + SIMULATIONS + " worlds: " + promotions);
-        assertEquals(0, promotions.getOrDefault("a report contradicts the log", 0));
+        assertEquals(0, promotions.getOrDefault("contradicted_by_heartbeat", 0));
         assertTrue(
-                promotions.getOrDefault("in sync", 0) > 2 * SIMULATIONS,
+                promotions.getOrDefault("in_sync", 0) > 2 * SIMULATIONS,
                 () -> "too few promotions from the log: " + promotions);
     }
 }
--- a/src/test/java/org/shoreusher/simulation/StandbySimulations.java
+++ b/src/test/java/org/shoreusher/simulation/StandbySimulations.java
@@ -95,19 +95,22 @@
     static Map<String, Integer> promotionOutcomes(ClusterSimulation simulation) {
         Map<String, Integer> counts = new HashMap<>();
         for (String line : simulation.log) {
-            int at = line.indexOf("promotion: ");
-            if (at >= 0) {
-                String[] words = line.substring(at).split(", ");
-                counts.merge(words[1], 1, Integer::sum);
+            if (isPromotionOutcome(line)) {
+                counts.merge(line.replaceAll(".* outcome=(\\w+) .*", "$1"), 1, Integer::sum);
             }
         }
         return counts;
     }
 
+    private static boolean isPromotionOutcome(String line) {
+        return line.contains("event=attempt_log_promoted ")
+                || line.contains("event=attempt_log_rejected ");
+    }
+
     /** The log line of the first failover from another leader. */
     static String firstPromotion(ClusterSimulation simulation) {
         return simulation.log.stream()
-                .filter(line -> line.contains("promotion: "))
+                .filter(StandbySimulations::isPromotionOutcome)
                 .findFirst()
                 .orElseThrow();
     }
