--- a/src/main/java/org/shoreusher/core/Node.java
+++ b/src/main/java/org/shoreusher/core/Node.java
@@ -282,7 +282,7 @@
             Job job = shard == null ? null : shard.jobs().get(jobId);
             if (job != null) {
                 return new Response.TaskCounts(
-                        job.completedTasks.cardinality(), job.activeAttempts.size());
+                        job.completedTasks().cardinality(), job.activeAttempts().size());
             }
         }
         return peerGossip.taskCounts(jobId);
--- a/src/main/java/org/shoreusher/core/Shard.java
+++ b/src/main/java/org/shoreusher/core/Shard.java
@@ -284,7 +284,7 @@
         }
         int runningMachines = 0;
         for (Machine machine : state.machines().values()) {
-            runningMachines += machine.state == Machine.State.UP ? 1 : 0;
+            runningMachines += machine.state() == Machine.State.UP ? 1 : 0;
         }
         return unreachableWorkers
                 > Math.max(1, runningMachines * CoreConstants.STEP_DOWN_UNREACHABLE_SHARE);
--- a/src/main/java/org/shoreusher/core/ShardStatus.java
+++ b/src/main/java/org/shoreusher/core/ShardStatus.java
@@ -20,14 +20,14 @@
         int[] machinesByState = new int[Machine.State.values().length];
         double usedCpus = 0;
         for (Machine machine : shard.state().machines().values()) {
-            machinesByState[machine.state.ordinal()]++;
-            usedCpus += machine.cpusUsed;
+            machinesByState[machine.state().ordinal()]++;
+            usedCpus += machine.cpusUsed();
         }
         Object2IntOpenHashMap<String> waitingByClass = new Object2IntOpenHashMap<>();
         shard.state()
                 .jobs()
                 .values()
-                .forEach(job -> waitingByClass.addTo(job.spec.jobClass(), job.pendingCount));
+                .forEach(job -> waitingByClass.addTo(job.spec().jobClass(), job.pendingCount()));
         int booting = machinesByState[Machine.State.BOOTING.ordinal()];
         int up = machinesByState[Machine.State.UP.ordinal()];
         return LogEvent.of(LogEventType.SHARD_STATUS)
--- a/src/main/java/org/shoreusher/core/cluster/Job.java
+++ b/src/main/java/org/shoreusher/core/cluster/Job.java
@@ -2,8 +2,9 @@
 
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap;
 import it.unimi.dsi.fastutil.objects.ObjectOpenHashSet;
+import java.util.Arrays;
 import java.util.BitSet;
-import org.shoreusher.core.job.CompletionRecords;
+import java.util.Set;
 import org.shoreusher.core.message.JobSpec;
 
 /**
@@ -12,70 +13,69 @@
  */
 public final class Job {
     /** The user's id of the job. */
-    public final String id;
+    private final String id;
 
     /** What the user asked for. */
-    public final JobSpec spec;
+    private final JobSpec spec;
 
     /** When the job was accepted: ms since the epoch, by the clock of the accepting node. */
-    public final long acceptedAtMs;
+    private final long acceptedAtMs;
 
     /** Tasks that the leader knows to be completed. */
-    public final BitSet completedTasks = new BitSet();
+    private final BitSet completedTasks = new BitSet();
 
     /** Completed tasks whose completion the store has recorded. */
-    public BitSet durablyCompletedTasks = new BitSet();
+    private final BitSet durablyCompletedTasks = new BitSet();
 
     /** Tasks that are to be started. Change it through {@link #setPending} only. */
-    public final BitSet pendingTasks = new BitSet();
+    private final BitSet pendingTasks = new BitSet();
 
     /**
      * The current attempt of each active task, by task index. Surplus attempts that are only being
      * stopped are not in it.
      */
-    public final Int2ObjectOpenHashMap<TaskAttempt> activeAttempts = new Int2ObjectOpenHashMap<>();
+    private final Int2ObjectOpenHashMap<TaskAttempt> activeAttempts = new Int2ObjectOpenHashMap<>();
 
     /** Machines on which a task of the job has failed. */
-    public final ObjectOpenHashSet<String> failedMachineIds = new ObjectOpenHashSet<>();
+    private final ObjectOpenHashSet<String> failedMachineIds = new ObjectOpenHashSet<>();
 
     /**
      * The index of the completion record that holds each slice of the job's tasks; -1: none yet.
-     * See {@link CompletionRecords}.
      */
-    public int[] completionRecordBySlice = {};
+    private int[] completionRecordBySlice = {};
 
     /** The index of the record that holds the job's high-water mark; -1: none yet. */
-    public int highWaterMarkRecordIndex = -1;
+    private int highWaterMarkRecordIndex = -1;
 
     /** The number of tasks in {@link #pendingTasks}. */
-    public int pendingCount;
+    private int pendingCount;
 
     /**
      * The durable high-water mark: only tasks with a lower index may be started. A successor reads
      * it from the store and so knows that no other task has ever been started.
      */
-    public int highWaterMark;
+    private int highWaterMark;
 
     /** The job is in a terminal state or belongs to another shard: none of its tasks may start. */
-    public boolean closed;
+    private boolean closed;
 
     /** A write of the terminal state awaits its reply. */
-    public boolean terminalWriteInFlight;
+    private boolean terminalWriteInFlight;
 
     /**
      * The zones of the job's active tasks are not yet known. That is so for a job with a zone rule
      * that was started under a previous leader, until all machines have sent a heartbeat.
      */
-    public boolean taskZonesUnknown;
+    private boolean taskZonesUnknown;
 
     /**
      * The zone that should get the larger half of the replicas, for a service that is spread across
      * zones and has an odd number of them; null: any zone.
      */
-    public String largerHalfZone;
+    private String largerHalfZone;
 
     /** The number of starts that this leader has ordered or inherited. */
-    public int startedCount;
+    private int startedCount;
 
     private int observedRunCount;
     private double observedRunSumS;
@@ -83,7 +83,7 @@
     /** Failed attempts; a replica that has run for long resets it. */
     private int failureCount;
 
-    /** Until when no task is started after failures; steady ms. */
+    /** Until when no task is started after failures; monotonic ms. */
     private long backoffUntilMs = Long.MIN_VALUE;
 
     /** A job without any pending task. */
@@ -93,6 +93,138 @@
         this.acceptedAtMs = acceptedAtMs;
     }
 
+    /** The user's id of the job. */
+    public String id() {
+        return id;
+    }
+
+    /** What the user asked for. */
+    public JobSpec spec() {
+        return spec;
+    }
+
+    /** When the job was accepted: ms since the epoch, by the clock of the accepting node. */
+    public long acceptedAtMs() {
+        return acceptedAtMs;
+    }
+
+    /** Tasks that the leader knows to be completed; a live view. */
+    public BitSet completedTasks() {
+        return completedTasks;
+    }
+
+    /** Completed tasks whose completion the store has recorded; a live view. */
+    public BitSet durablyCompletedTasks() {
+        return durablyCompletedTasks;
+    }
+
+    /** Tasks that are to be started; a live view, not to be changed. */
+    public BitSet pendingTasks() {
+        return pendingTasks;
+    }
+
+    /** The current attempt of each active task, by task index; a live view. */
+    public Int2ObjectOpenHashMap<TaskAttempt> activeAttempts() {
+        return activeAttempts;
+    }
+
+    /** Machines on which a task of the job has failed; a live view. */
+    public Set<String> failedMachineIds() {
+        return failedMachineIds;
+    }
+
+    /** The number of tasks that are to be started. */
+    public int pendingCount() {
+        return pendingCount;
+    }
+
+    /** The durable high-water mark: only tasks with a lower index may be started. */
+    public int highWaterMark() {
+        return highWaterMark;
+    }
+
+    /** Raises the durable high-water mark, never lowers it. */
+    public void raiseHighWaterMark(int mark) {
+        highWaterMark = Math.max(highWaterMark, mark);
+    }
+
+    /** The index of the record that holds the job's high-water mark; -1: none yet. */
+    public int highWaterMarkRecordIndex() {
+        return highWaterMarkRecordIndex;
+    }
+
+    /** Sets the record that holds the job's high-water mark. */
+    public void setHighWaterMarkRecordIndex(int recordIndex) {
+        highWaterMarkRecordIndex = recordIndex;
+    }
+
+    /** The index of the completion record of each slice of the job's tasks; -1: none yet. */
+    public int[] completionRecordBySlice() {
+        return completionRecordBySlice;
+    }
+
+    /** Forgets the completion records of all slices, and sets the number of slices. */
+    public void resetCompletionRecords(int sliceCount) {
+        completionRecordBySlice = new int[sliceCount];
+        Arrays.fill(completionRecordBySlice, -1);
+    }
+
+    /** Whether the job is terminal or belongs to another shard: none of its tasks may start. */
+    public boolean isClosed() {
+        return closed;
+    }
+
+    /** Closes the job for good. */
+    public void close() {
+        closed = true;
+    }
+
+    /** Whether a write of the terminal state awaits its reply. */
+    public boolean isTerminalWriteInFlight() {
+        return terminalWriteInFlight;
+    }
+
+    /** Notes whether a write of the terminal state awaits its reply. */
+    public void setTerminalWriteInFlight(boolean inFlight) {
+        terminalWriteInFlight = inFlight;
+    }
+
+    /** Whether the zones of the job's active tasks are not known yet, which its zone rule needs. */
+    public boolean hasUnknownTaskZones() {
+        return taskZonesUnknown;
+    }
+
+    /** Sets whether the zones of the job's active tasks are not known yet. */
+    public void setTaskZonesUnknown(boolean unknown) {
+        taskZonesUnknown = unknown;
+    }
+
+    /** The zone that should get the larger half of the replicas; null: any zone. */
+    public String largerHalfZone() {
+        return largerHalfZone;
+    }
+
+    /** Sets the zone that should get the larger half of the replicas; null: any zone. */
+    public void setLargerHalfZone(String zone) {
+        largerHalfZone = zone;
+    }
+
+    /** The number of starts that this leader has ordered or inherited. */
+    public int startedCount() {
+        return startedCount;
+    }
+
+    /** Counts a start. */
+    public void recordStart() {
+        startedCount++;
+    }
+
+    /** Makes no task pending. */
+    public void clearPending() {
+        pendingTasks.clear();
+        pendingCount = 0;
+    }
+
     /** Marks a task as pending, or as not pending. */
     public void setPending(int taskIndex, boolean pending) {
         if (pendingTasks.get(taskIndex) != pending) {
--- a/src/main/java/org/shoreusher/core/cluster/ResourceLedger.java
+++ b/src/main/java/org/shoreusher/core/cluster/ResourceLedger.java
@@ -56,8 +56,8 @@
      * to this leader shows.
      */
     public void recordInherited(TaskAttempt attempt) {
-        inheritedCpus.addTo(attempt.job.spec.team(), attempt.job.spec.cpus());
-        inheritedGpus.addTo(attempt.job.spec.team(), attempt.job.spec.gpus());
+        inheritedCpus.addTo(attempt.job().spec().team(), attempt.job().spec().cpus());
+        inheritedGpus.addTo(attempt.job().spec().team(), attempt.job().spec().gpus());
     }
 
     /** CPUs of the team's tasks that were found on machines after the failover. */
@@ -87,17 +87,12 @@
      *     stopped
      */
     public void add(TaskAttempt attempt, boolean assignedToJob) {
-        JobSpec spec = attempt.job.spec;
-        attempt.machine.tasks.put(Machine.taskKey(attempt.job.id, attempt.taskIndex), attempt);
-        attempt.machine.cpusUsed += spec.cpus();
-        attempt.machine.gpusUsed += spec.gpus();
-        attempt.machine.memGbUsed += spec.memGb();
-        attempt.machine.cachedImages.add(spec.image());
-        attempt.machine.idleSinceMs = -1;
+        JobSpec spec = attempt.job().spec();
+        attempt.machine().addTask(attempt);
         reserve(spec);
         if (assignedToJob) {
-            attempt.job.activeAttempts.put(attempt.taskIndex, attempt);
-            attempt.job.setPending(attempt.taskIndex, false);
+            attempt.job().activeAttempts().put(attempt.taskIndex(), attempt);
+            attempt.job().setPending(attempt.taskIndex(), false);
         }
         listeners.forEach(listener -> listener.attemptAdded(attempt));
     }
@@ -109,20 +104,16 @@
      * heartbeat.
      */
     public void remove(TaskAttempt attempt) {
-        Machine machine = attempt.machine;
-        JobSpec spec = attempt.job.spec;
-        if (!machine.tasks.remove(Machine.taskKey(attempt.job.id, attempt.taskIndex), attempt)) {
+        JobSpec spec = attempt.job().spec();
+        if (!attempt.machine().removeTask(attempt)) {
             return;
         }
-        machine.cpusUsed = machine.tasks.isEmpty() ? 0 : machine.cpusUsed - spec.cpus();
-        machine.gpusUsed = machine.tasks.isEmpty() ? 0 : machine.gpusUsed - spec.gpus();
-        machine.memGbUsed = machine.tasks.isEmpty() ? 0 : machine.memGbUsed - spec.memGb();
         release(spec);
-        Job job = attempt.job;
-        if (job.activeAttempts.get(attempt.taskIndex) == attempt) {
-            job.activeAttempts.remove(attempt.taskIndex);
-            if (!job.closed && !job.completedTasks.get(attempt.taskIndex)) {
-                job.setPending(attempt.taskIndex, true);
+        Job job = attempt.job();
+        if (job.activeAttempts().get(attempt.taskIndex()) == attempt) {
+            job.activeAttempts().remove(attempt.taskIndex());
+            if (!job.isClosed() && !job.completedTasks().get(attempt.taskIndex())) {
+                job.setPending(attempt.taskIndex(), true);
             }
         }
         listeners.forEach(listener -> listener.attemptRemoved(attempt));
--- a/src/main/java/org/shoreusher/core/cluster/ShardState.java
+++ b/src/main/java/org/shoreusher/core/cluster/ShardState.java
@@ -75,12 +75,12 @@
      * and is neither reserved for another shard nor under an interruption notice.
      */
     public boolean isAvailable(Machine machine) {
-        return machine.state == Machine.State.UP
-                && machine.reconciled
-                && !machine.evacuating
+        return machine.state() == Machine.State.UP
+                && machine.isReconciled()
+                && !machine.isEvacuating()
                 && !machine.hasOneWayPartition()
-                && Double.isNaN(machine.interruptionNoticeS)
-                && outbox.now.monotonicMs() - machine.lastHeartbeatAtMs < heartbeatTimeoutMs();
+                && !machine.hasInterruptionNotice()
+                && outbox.now.monotonicMs() - machine.lastHeartbeatAtMs() < heartbeatTimeoutMs();
     }
 
     /** The time in ms after its last heartbeat from which a machine counts as unresponsive. */
@@ -94,7 +94,7 @@
     public double totalCpus() {
         double totalCpus = 0;
         for (Machine machine : machines.values()) {
-            totalCpus += machine.state == Machine.State.UP ? machine.type.cpus() : 0;
+            totalCpus += machine.state() == Machine.State.UP ? machine.type().cpus() : 0;
         }
         return totalCpus;
     }
@@ -105,6 +105,6 @@
      */
     public boolean hasWorkerLeaseExpired(Machine machine) {
         return outbox.now.monotonicMs()
-                > machine.leaseRenewedAtMs + LeaderLease.workerLeaseBoundMs(settings);
+                > machine.leaseRenewedAtMs() + LeaderLease.workerLeaseBoundMs(settings);
     }
 }
--- a/src/main/java/org/shoreusher/core/cluster/TaskAttempt.java
+++ b/src/main/java/org/shoreusher/core/cluster/TaskAttempt.java
@@ -15,43 +15,43 @@
     }
 
     /** The task's job. */
-    public final Job job;
+    private final Job job;
 
     /** The task's index in its job. */
-    public final int taskIndex;
+    private final int taskIndex;
 
     /**
      * A number that no other attempt of the shard has: the leader's fencing token in the high bits,
      * a counter in the low ones.
      */
-    public final long attemptNumber;
+    private final long attemptNumber;
 
     /** The machine that the attempt is on. */
-    public final Machine machine;
+    private final Machine machine;
 
-    /** When this leader ordered the start, or first learned of the attempt; steady ms. */
-    public final long createdMs;
+    /** When this leader ordered the start, or first learned of the attempt; monotonic ms. */
+    private final long createdMs;
 
     /** How far the attempt has come. */
-    public State state;
+    private State state;
 
     /**
      * The attempt is to be stopped without a checkpoint: its job was cancelled or is not known, or
      * the task has completed on another machine.
      */
-    public boolean mustStop;
+    private boolean mustStop;
 
     /** The attempt is being evicted gracefully; the task is pending again once it has exited. */
-    public boolean beingEvicted;
+    private boolean beingEvicted;
 
     /** The machine has reported that a checkpoint was written when the task was stopped. */
-    public boolean checkpointed;
+    private boolean checkpointed;
 
-    /** When a heartbeat first showed the task running, steady ms; -1: none has. */
-    public long runningSinceMs = -1;
+    /** When a heartbeat first showed the task running, monotonic ms; -1: none has. */
+    private long runningSinceMs = -1;
 
-    /** When the last direct stop order was sent; steady ms. */
-    public long lastStopOrderMs = Long.MIN_VALUE / 2;
+    /** When the last direct stop order was sent; monotonic ms. */
+    private long lastStopOrderMs = Long.MIN_VALUE / 2;
 
     /** An attempt that is neither stopped nor evicted. */
     public TaskAttempt(
@@ -68,4 +68,87 @@
         this.state = state;
         this.createdMs = createdMs;
     }
+
+    /** The task's job. */
+    public Job job() {
+        return job;
+    }
+
+    /** The task's index in its job. */
+    public int taskIndex() {
+        return taskIndex;
+    }
+
+    /** A number that no other attempt of the shard has. */
+    public long attemptNumber() {
+        return attemptNumber;
+    }
+
+    /** The machine that the attempt is on. */
+    public Machine machine() {
+        return machine;
+    }
+
+    /** When this leader ordered the start, or first learned of the attempt; monotonic ms. */
+    public long createdMs() {
+        return createdMs;
+    }
+
+    /** How far the attempt has come. */
+    public State state() {
+        return state;
+    }
+
+    /** Notes how far the attempt has come by the newest heartbeat. */
+    public void observe(State observedState, long nowMs) {
+        state = observedState;
+        if (state == State.RUNNING && runningSinceMs < 0) {
+            runningSinceMs = nowMs;
+        }
+    }
+
+    /** Whether the attempt is to be stopped without a checkpoint. */
+    public boolean mustStop() {
+        return mustStop;
+    }
+
+    /** Has the attempt stopped without a checkpoint, from now on with every answer. */
+    public void requireStop() {
+        mustStop = true;
+    }
+
+    /** Whether the attempt is being evicted gracefully. */
+    public boolean isBeingEvicted() {
+        return beingEvicted;
+    }
+
+    /** Has the attempt evicted gracefully; the task is pending again once it has exited. */
+    public void evict() {
+        beingEvicted = true;
+    }
+
+    /** Whether the machine has reported a checkpoint when the task was stopped. */
+    public boolean isCheckpointed() {
+        return checkpointed;
+    }
+
+    /** Notes whether a checkpoint was written when the task was stopped. */
+    public void setCheckpointed(boolean written) {
+        checkpointed = written;
+    }
+
+    /** When a heartbeat first showed the task running, monotonic ms; -1: none has. */
+    public long runningSinceMs() {
+        return runningSinceMs;
+    }
+
+    /** When the last direct stop order was sent; monotonic ms. */
+    public long lastStopOrderMs() {
+        return lastStopOrderMs;
+    }
+
+    /** Notes that a direct stop order is sent. */
+    public void recordStopOrder(long nowMs) {
+        lastStopOrderMs = nowMs;
+    }
 }
--- a/src/main/java/org/shoreusher/core/gossip/PeerGossip.java
+++ b/src/main/java/org/shoreusher/core/gossip/PeerGossip.java
@@ -282,8 +282,8 @@
             if (shard != null && shard.isLeader()) {
                 summaries.put(shardNumber, shard.summary());
                 for (Job job : shard.jobs().values()) {
-                    runningTasks.put(job.id, job.activeAttempts.size());
-                    completedTasks.put(job.id, job.completedTasks.cardinality());
+                    runningTasks.put(job.id(), job.activeAttempts().size());
+                    completedTasks.put(job.id(), job.completedTasks().cardinality());
                 }
             }
         }
--- a/src/main/java/org/shoreusher/core/gossip/ShardDemand.java
+++ b/src/main/java/org/shoreusher/core/gossip/ShardDemand.java
@@ -69,9 +69,10 @@
         double highPriorityCpus = 0;
         double otherCpus = 0;
         for (Job job : jobs.values()) {
-            if (job.spec.team().equals(team)) {
-                double cpus = (job.pendingCount + job.activeAttempts.size()) * job.spec.cpus();
-                if (job.spec.priority().compareTo(JobSpec.Priority.HIGH) <= 0) {
+            if (job.spec().team().equals(team)) {
+                double cpus =
+                        (job.pendingCount() + job.activeAttempts().size()) * job.spec().cpus();
+                if (job.spec().priority().compareTo(JobSpec.Priority.HIGH) <= 0) {
                     highPriorityCpus += cpus;
                 } else {
                     otherCpus += cpus;
@@ -88,7 +89,7 @@
     public double largestTaskCpus(String team) {
         double most = 0;
         for (Job job : jobs.values()) {
-            most = job.spec.team().equals(team) ? Math.max(most, job.spec.cpus()) : most;
+            most = job.spec().team().equals(team) ? Math.max(most, job.spec().cpus()) : most;
         }
         return most;
     }
@@ -104,15 +105,15 @@
         int idleMachines = 0;
         for (Machine machine : machines.values()) {
             cpuHeadroom +=
-                    machine.state == Machine.State.UP || machine.state == Machine.State.BOOTING
+                    machine.state() == Machine.State.UP || machine.state() == Machine.State.BOOTING
                             ? machine.cpusFree()
                             : 0;
             idleMachines += isSurplus.test(machine) ? 1 : 0;
         }
         Map<String, TeamDemand> demands = new HashMap<>();
         for (Job job : jobs.values()) {
-            cpuHeadroom -= job.pendingCount * job.spec.cpus();
-            demands.computeIfAbsent(job.spec.team(), this::ownDemand);
+            cpuHeadroom -= job.pendingCount() * job.spec().cpus();
+            demands.computeIfAbsent(job.spec().team(), this::ownDemand);
         }
         return new ShardSummary(cpuHeadroom, idleMachines, machineShortfall, demands);
     }
--- a/src/main/java/org/shoreusher/core/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/HeartbeatHandler.java
@@ -96,11 +96,11 @@
         // previous leader started after it. Only a heartbeat with a fencing token of this leader is
         // certain to be newer than those starts.
         if (machine != null
-                && machine.usedByPreviousLeader
-                && !machine.reconciled
+                && machine.wasUsedByPreviousLeader()
+                && !machine.isReconciled()
                 && heartbeat.fencingToken() < authority.acquisitionTerm()
                 && !hasPreviousLeaseExpired(machine, heartbeat)) {
-            machine.leaseRenewedAtMs = Math.max(machine.leaseRenewedAtMs, outbox.now.monotonicMs());
+            machine.extendLeaseTo(outbox.now.monotonicMs());
             outbox.respond(
                     requestId,
                     new Response.HeartbeatAccepted(
@@ -111,10 +111,11 @@
         // task list in it is stale. A machine that is being transferred to another shard may
         // already run tasks of that shard's leader, which must not be stopped here.
         if (machine == null
-                || machine.state == Machine.State.HANDING_OVER
-                || heartbeat.incarnation() <= machine.lastExpiredSession
-                || (machine.reconciled
-                        && !heartbeat.isNewerThan(machine.session, machine.sequenceNumber))) {
+                || machine.state() == Machine.State.HANDING_OVER
+                || heartbeat.incarnation() <= machine.lastExpiredIncarnation()
+                || (machine.isReconciled()
+                        && !heartbeat.isNewerThan(
+                                machine.incarnation(), machine.sequenceNumber()))) {
             outbox.respondUnavailable(requestId);
             return;
         }
@@ -124,7 +125,7 @@
         List<WorkerOrder> orders = new ArrayList<>();
         if (authority.isLeader()) {
             addForgetAndStopOrders(machine, heartbeat, orders);
-            if (machine.hasDurableUseRecord
+            if (machine.hasDurableUseRecord()
                     && (machine.cpusFree() > ClusterConstants.EPSILON
                             || machine.gpusFree() > ClusterConstants.EPSILON
                             || taskMigration.hasReadyTasks(machine))
@@ -147,14 +148,13 @@
      * delayed the reconciliation of the whole shard for as long as the partition lasted.
      */
     private boolean hasPreviousLeaseExpired(Machine machine, WorkerHeartbeat heartbeat) {
-        boolean isNewer = heartbeat.isNewerThan(machine.session, machine.sequenceNumber);
+        boolean isNewer = heartbeat.isNewerThan(machine.incarnation(), machine.sequenceNumber());
         if (isNewer) {
-            machine.session = heartbeat.incarnation();
-            machine.sequenceNumber = heartbeat.sequenceNumber();
+            machine.recordHeartbeatOrder(heartbeat.incarnation(), heartbeat.sequenceNumber());
         }
         return isNewer
                 && outbox.now.monotonicMs()
-                        > machine.previousLeaderRenewalAtMs
+                        > machine.previousLeaderRenewalAtMs()
                                 + LeaderLease.workerLeaseBoundMs(settings);
     }
 
@@ -201,10 +201,11 @@
                                 0));
             }
         }
-        for (TaskAttempt attempt : machine.tasks.values()) {
-            if (attempt.mustStop) {
+        for (TaskAttempt attempt : machine.tasks().values()) {
+            if (attempt.mustStop()) {
                 orders.add(TaskStopper.stopOrder(attempt, 0));
-            } else if (attempt.beingEvicted && attempt.state != TaskAttempt.State.CHECKPOINTING) {
+            } else if (attempt.isBeingEvicted()
+                    && attempt.state() != TaskAttempt.State.CHECKPOINTING) {
                 orders.add(TaskStopper.stopOrder(attempt, TaskStopper.gracePeriodS(attempt)));
             }
         }
@@ -245,8 +246,8 @@
         }
         Job job = shard.jobs().get(task.jobId());
         if (job != null) {
-            return !job.spec.workloadType().runsToCompletion()
-                    || job.durablyCompletedTasks.get(task.taskIndex());
+            return !job.spec().workloadType().runsToCompletion()
+                    || job.durablyCompletedTasks().get(task.taskIndex());
         }
         // Completed jobs are no longer open.
         JobRecord record = submissionBatches.jobRecord(task.jobId());
@@ -262,12 +263,12 @@
         // Answer and heartbeat are limited in size, however many small tasks would fit.
         int remainingTasks =
                 ClusterConstants.MAX_TASKS_PER_MACHINE
-                        - Math.max(machine.tasks.size(), machine.reportedTaskCount);
+                        - Math.max(machine.tasks().size(), machine.reportedTaskCount());
         for (BinPacker.PlacedTasks placed : placementPlan.takeTasksToStart(machine)) {
             int taskIndex = -1;
             for (int i = 0; i < placed.taskCount() && remainingTasks > 0; i++, remainingTasks--) {
-                taskIndex = placed.job().pendingTasks.nextSetBit(taskIndex + 1);
-                if (taskIndex < 0 || taskIndex >= placed.job().highWaterMark) {
+                taskIndex = placed.job().pendingTasks().nextSetBit(taskIndex + 1);
+                if (taskIndex < 0 || taskIndex >= placed.job().highWaterMark()) {
                     // The raised high-water mark is not durable yet. The next plan has the task
                     // again.
                     break;
@@ -289,9 +290,9 @@
                         TaskAttempt.State.START_ORDERED,
                         outbox.now.monotonicMs());
         ledger.add(attempt, true);
-        job.startedCount++;
+        job.recordStart();
         orders.add(
                 new WorkerOrder(
-                        WorkerOrder.Kind.START, job.id, taskIndex, attempt.attemptNumber, 0));
+                        WorkerOrder.Kind.START, job.id(), taskIndex, attempt.attemptNumber(), 0));
     }
 }
--- a/src/main/java/org/shoreusher/core/heartbeat/HeartbeatReader.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/HeartbeatReader.java
@@ -66,22 +66,13 @@
      * before. Attempts that it does not show are removed, since they never started or have ended.
      */
     void apply(Machine machine, WorkerHeartbeat heartbeat) {
-        machine.session = heartbeat.incarnation();
-        machine.sequenceNumber = heartbeat.sequenceNumber();
-        machine.address = heartbeat.address();
-        machine.interruptionNoticeS = heartbeat.interruptionNoticeS();
-        machine.lastHeartbeatAtMs = outbox.now.monotonicMs();
-        boolean isFirstSinceFailover = machine.usedByPreviousLeader && !machine.reconciled;
-        machine.reconciled = true;
-        if (machine.state == Machine.State.BOOTING) {
-            machine.state = Machine.State.UP;
-        }
-        if (!machine.mayHaveRunTasks) {
-            machine.mayHaveRunTasks = true;
-            machineRecords.markDirty(machine.id);
+        boolean isFirstSinceFailover = machine.wasUsedByPreviousLeader() && !machine.isReconciled();
+        machine.applyHeartbeat(heartbeat, outbox.now.monotonicMs());
+        if (!machine.mayHaveRunTasks()) {
+            machine.markUsed();
+            machineRecords.markDirty(machine.id());
         }
         taskMigration.onMachineReported(machine);
-        machine.reportedTaskCount = heartbeat.tasks().size();
         ObjectOpenHashSet<String> presentTaskKeys = new ObjectOpenHashSet<>();
         for (TaskStatus task : heartbeat.tasks()) {
             String taskKey = Machine.taskKey(task.jobId(), task.taskIndex());
@@ -93,34 +84,32 @@
             }
         }
         if (isFirstSinceFailover) {
-            machine.tasks.values().forEach(ledger::recordInherited);
+            machine.tasks().values().forEach(ledger::recordInherited);
         }
-        if (machine.tasks.size() > presentTaskKeys.size()) {
+        if (machine.tasks().size() > presentTaskKeys.size()) {
             for (TaskAttempt attempt : machine.snapshotTasks()) {
                 // The start order went out in the answer to an older heartbeat. The worker has
                 // either started the task, which this heartbeat would show, or never will.
-                if (!presentTaskKeys.contains(Machine.taskKey(attempt.job.id, attempt.taskIndex))) {
+                if (!presentTaskKeys.contains(
+                        Machine.taskKey(attempt.job().id(), attempt.taskIndex()))) {
                     ledger.remove(attempt);
                 }
             }
         }
-        if (!Double.isNaN(machine.interruptionNoticeS)) {
+        if (machine.hasInterruptionNotice()) {
             // Interruption notice: the cloud reclaims the machine soon. Service replicas, and tasks
             // with enough time to save a checkpoint, are evicted gracefully and run elsewhere.
-            for (TaskAttempt attempt : machine.tasks.values()) {
-                JobSpec spec = attempt.job.spec;
+            for (TaskAttempt attempt : machine.tasks().values()) {
+                JobSpec spec = attempt.job().spec();
                 if (!spec.workloadType().runsToCompletion()
                         || (spec.checkpointIntervalS() > 0
-                                && attempt.state == TaskAttempt.State.RUNNING
-                                && spec.checkpointDurationS() < machine.interruptionNoticeS)) {
-                    attempt.beingEvicted = true;
+                                && attempt.state() == TaskAttempt.State.RUNNING
+                                && spec.checkpointDurationS() < machine.interruptionNoticeS())) {
+                    attempt.evict();
                 }
             }
         }
-        machine.idleSinceMs =
-                !machine.tasks.isEmpty()
-                        ? -1
-                        : machine.idleSinceMs < 0 ? outbox.now.monotonicMs() : machine.idleSinceMs;
+        machine.updateIdleSince(outbox.now.monotonicMs());
     }
 
     /**
@@ -128,8 +117,8 @@
      */
     private void recordPresentTask(
             Machine machine, String taskKey, TaskStatus task, long fencingToken) {
-        TaskAttempt attempt = machine.tasks.get(taskKey);
-        if (attempt != null && attempt.attemptNumber != task.attemptNumber()) {
+        TaskAttempt attempt = machine.tasks().get(taskKey);
+        if (attempt != null && attempt.attemptNumber() != task.attemptNumber()) {
             ledger.remove(attempt);
             attempt = null;
         }
@@ -139,9 +128,9 @@
             boolean shouldRun =
                     job != null
                             && task.taskIndex() >= 0
-                            && task.taskIndex() < job.spec.taskCount()
-                            && !job.completedTasks.get(task.taskIndex())
-                            && job.activeAttempts.get(task.taskIndex()) == null;
+                            && task.taskIndex() < job.spec().taskCount()
+                            && !job.completedTasks().get(task.taskIndex())
+                            && job.activeAttempts().get(task.taskIndex()) == null;
             attempt =
                     new TaskAttempt(
                             job != null ? job : placeholderJob(machine, task.jobId()),
@@ -150,23 +139,23 @@
                             machine,
                             TaskAttempt.State.RUNNING,
                             outbox.now.monotonicMs());
-            attempt.mustStop = !shouldRun;
+            if (!shouldRun) {
+                attempt.requireStop();
+            }
             ledger.add(attempt, shouldRun);
         }
-        attempt.state =
+        attempt.observe(
                 switch (task.state()) {
                     case FETCHING -> TaskAttempt.State.FETCHING;
                     case CHECKPOINTING -> TaskAttempt.State.CHECKPOINTING;
                     default -> TaskAttempt.State.RUNNING;
-                };
-        if (attempt.state == TaskAttempt.State.RUNNING && attempt.runningSinceMs < 0) {
-            attempt.runningSinceMs = outbox.now.monotonicMs();
-        }
-        if (!attempt.job.spec.workloadType().runsToCompletion()
-                && attempt.runningSinceMs >= 0
-                && outbox.now.monotonicMs() - attempt.runningSinceMs
+                },
+                outbox.now.monotonicMs());
+        if (!attempt.job().spec().workloadType().runsToCompletion()
+                && attempt.runningSinceMs() >= 0
+                && outbox.now.monotonicMs() - attempt.runningSinceMs()
                         >= HeartbeatConstants.FAILURE_BACKOFF_RESET_MS) {
-            attempt.job.resetFailures();
+            attempt.job().resetFailures();
         }
     }
 
@@ -182,32 +171,33 @@
                         : JobSpec.withResourcesOnly(
                                 jobId,
                                 "",
-                                machine.type.cpus(),
-                                machine.type.gpus(),
-                                machine.type.memGb());
+                                machine.type().cpus(),
+                                machine.type().gpus(),
+                                machine.type().memGb());
         Job job = new Job(jobId, spec, outbox.now.wallMs());
-        job.closed = true;
+        job.close();
         return job;
     }
 
     /** Records a task that has exited, with its completion or its failure. */
     private void recordExitedTask(Machine machine, String taskKey, TaskStatus task) {
-        TaskAttempt attempt = machine.tasks.get(taskKey);
-        boolean isCurrentAttempt = attempt != null && attempt.attemptNumber == task.attemptNumber();
+        TaskAttempt attempt = machine.tasks().get(taskKey);
+        boolean isCurrentAttempt =
+                attempt != null && attempt.attemptNumber() == task.attemptNumber();
         if (isCurrentAttempt) {
-            attempt.checkpointed = task.checkpointed();
+            attempt.setCheckpointed(task.checkpointed());
         }
         Job job = shard.jobs().get(task.jobId());
-        if (job != null && !job.spec.workloadType().runsToCompletion()) {
+        if (job != null && !job.spec().workloadType().runsToCompletion()) {
             if (isCurrentAttempt) {
                 recordExitedReplica(machine, job, attempt, task.exitCause());
             }
             return;
         }
         if (task.exitCause() == ExitCause.COMPLETED) {
-            machine.failedJobIds.clear();
-            if (isCurrentAttempt && job != null && attempt.runningSinceMs >= 0) {
-                double runTimeS = (outbox.now.monotonicMs() - attempt.runningSinceMs) / 1000.0;
+            machine.failedJobIds().clear();
+            if (isCurrentAttempt && job != null && attempt.runningSinceMs() >= 0) {
+                double runTimeS = (outbox.now.monotonicMs() - attempt.runningSinceMs()) / 1000.0;
                 if (job.observedRunCount() >= ClusterConstants.MIN_SLOWDOWN_SAMPLES
                         && job.meanRunTimeS() >= HeartbeatConstants.MIN_SLOWDOWN_SAMPLE_S) {
                     machine.recordRunTime(runTimeS / job.meanRunTimeS());
@@ -216,14 +206,14 @@
             }
             if (job != null
                     && task.taskIndex() >= 0
-                    && task.taskIndex() < job.spec.taskCount()
-                    && !job.completedTasks.get(task.taskIndex())) {
-                job.completedTasks.set(task.taskIndex());
+                    && task.taskIndex() < job.spec().taskCount()
+                    && !job.completedTasks().get(task.taskIndex())) {
+                job.completedTasks().set(task.taskIndex());
                 job.setPending(task.taskIndex(), false);
                 terminalStateWriter.taskCompleted(job);
-                TaskAttempt attemptElsewhere = job.activeAttempts.get(task.taskIndex());
+                TaskAttempt attemptElsewhere = job.activeAttempts().get(task.taskIndex());
                 if (attemptElsewhere != null && attemptElsewhere != attempt) {
-                    attemptElsewhere.mustStop = true;
+                    attemptElsewhere.requireStop();
                     taskStopper.sendStop(attemptElsewhere, 0);
                 }
             }
@@ -232,16 +222,16 @@
             return;
         }
         if (task.exitCause() == ExitCause.ERROR && job != null) {
-            job.recordFailure(machine.id, outbox.now.monotonicMs());
+            job.recordFailure(machine.id(), outbox.now.monotonicMs());
             if (job.isSuspectedFaulty()) {
                 shard.machines()
                         .values()
-                        .forEach(otherMachine -> otherMachine.failedJobIds.remove(job.id));
+                        .forEach(otherMachine -> otherMachine.failedJobIds().remove(job.id()));
             } else {
-                machine.failedJobIds.add(job.id);
+                machine.failedJobIds().add(job.id());
             }
         } else if (task.exitCause() == ExitCause.UNKNOWN_TASK && job != null) {
-            job.recordFailure(machine.id, outbox.now.monotonicMs());
+            job.recordFailure(machine.id(), outbox.now.monotonicMs());
         }
         ledger.remove(attempt);
     }
@@ -255,18 +245,18 @@
         if (exitCause == ExitCause.ERROR
                 || exitCause == ExitCause.COMPLETED
                 || exitCause == ExitCause.UNKNOWN_TASK) {
-            if (attempt.runningSinceMs >= 0
-                    && outbox.now.monotonicMs() - attempt.runningSinceMs
+            if (attempt.runningSinceMs() >= 0
+                    && outbox.now.monotonicMs() - attempt.runningSinceMs()
                             >= HeartbeatConstants.FAILURE_BACKOFF_RESET_MS) {
                 job.resetFailures();
             }
-            job.recordFailure(machine.id, outbox.now.monotonicMs());
+            job.recordFailure(machine.id(), outbox.now.monotonicMs());
             if (exitCause == ExitCause.ERROR && !job.isSuspectedFaulty()) {
-                machine.failedJobIds.add(job.id);
+                machine.failedJobIds().add(job.id());
             } else if (job.isSuspectedFaulty()) {
                 shard.machines()
                         .values()
-                        .forEach(otherMachine -> otherMachine.failedJobIds.remove(job.id));
+                        .forEach(otherMachine -> otherMachine.failedJobIds().remove(job.id()));
             }
         }
         ledger.remove(attempt);
--- a/src/main/java/org/shoreusher/core/job/CompletionRecords.java
+++ b/src/main/java/org/shoreusher/core/job/CompletionRecords.java
@@ -1,7 +1,6 @@
 package org.shoreusher.core.job;
 
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.BitSet;
 import java.util.Collection;
 import java.util.LinkedHashMap;
@@ -83,15 +82,14 @@
 
     /** Bytes that a job takes in a record besides its ranges. */
     private static int frameBytes(Job job) {
-        return StoreConstants.RECORD_ENTRY_OVERHEAD_BYTES + job.id.length();
+        return StoreConstants.RECORD_ENTRY_OVERHEAD_BYTES + job.id().length();
     }
 
     /** Sizes the job's table of slices; all slices are unassigned if their number has changed. */
     private static void cutIntoSlices(Job job, int maxRecordBytes) {
-        int slices = (job.spec.taskCount() - 1) / slice(job, maxRecordBytes) + 1;
-        if (job.completionRecordBySlice.length != slices) {
-            job.completionRecordBySlice = new int[slices];
-            Arrays.fill(job.completionRecordBySlice, -1);
+        int slices = (job.spec().taskCount() - 1) / slice(job, maxRecordBytes) + 1;
+        if (job.completionRecordBySlice().length != slices) {
+            job.resetCompletionRecords(slices);
         }
     }
 
@@ -101,12 +99,12 @@
         int maxRecordBytes = maxRecordBytes(settings);
         cutIntoSlices(job, maxRecordBytes);
         for (int i = completedTasks.nextSetBit(0);
-                i >= 0 && i < job.spec.taskCount();
+                i >= 0 && i < job.spec().taskCount();
                 i =
                         completedTasks.nextSetBit(
                                 (i / slice(job, maxRecordBytes) + 1)
                                         * slice(job, maxRecordBytes))) {
-            job.completionRecordBySlice[i / slice(job, maxRecordBytes)] = recordIndex;
+            job.completionRecordBySlice()[i / slice(job, maxRecordBytes)] = recordIndex;
         }
     }
 
@@ -114,7 +112,7 @@
     private int worstCaseBytes(Job job, int slice) {
         int size = slice(job, maxRecordBytes);
         return frameBytes(job)
-                + Math.min(size, job.spec.taskCount() - slice * size)
+                + Math.min(size, job.spec().taskCount() - slice * size)
                         * JobConstants.RECORD_BYTES_PER_TASK;
     }
 
@@ -122,16 +120,16 @@
     private void assignRecords() {
         List<Integer> bytesByRecord = new ArrayList<>();
         for (Job job : jobs) {
-            if (!job.spec.workloadType().runsToCompletion()) {
+            if (!job.spec().workloadType().runsToCompletion()) {
                 continue;
             }
             cutIntoSlices(job, maxRecordBytes);
-            for (int i = 0; i < job.completionRecordBySlice.length; i++) {
-                int recordIndex = job.completionRecordBySlice[i];
+            for (int i = 0; i < job.completionRecordBySlice().length; i++) {
+                int recordIndex = job.completionRecordBySlice()[i];
                 if (recordIndex >= 0
                         && assignedBytes(bytesByRecord, recordIndex) + worstCaseBytes(job, i)
                                 > maxRecordBytes) {
-                    job.completionRecordBySlice[i] = -1;
+                    job.completionRecordBySlice()[i] = -1;
                 } else if (recordIndex >= 0) {
                     bytesByRecord.set(
                             recordIndex, bytesByRecord.get(recordIndex) + worstCaseBytes(job, i));
@@ -143,19 +141,19 @@
             firstUnusedRecord++;
         }
         for (Job job : jobs) {
-            for (int i = 0; i < job.completionRecordBySlice.length; i++) {
-                if (job.completionRecordBySlice[i] < 0) {
+            for (int i = 0; i < job.completionRecordBySlice().length; i++) {
+                if (job.completionRecordBySlice()[i] < 0) {
                     // A slice that moves goes to a new record: two full records whose slices change
                     // places would each wait until the other one is written.
                     int recordIndex =
-                            slice(job, i, job.durablyCompletedTasks).isEmpty()
+                            slice(job, i, job.durablyCompletedTasks()).isEmpty()
                                     ? 0
                                     : firstUnusedRecord;
                     while (assignedBytes(bytesByRecord, recordIndex) + worstCaseBytes(job, i)
                             > maxRecordBytes) {
                         recordIndex++;
                     }
-                    job.completionRecordBySlice[i] = recordIndex;
+                    job.completionRecordBySlice()[i] = recordIndex;
                     bytesByRecord.set(
                             recordIndex, bytesByRecord.get(recordIndex) + worstCaseBytes(job, i));
                 }
@@ -183,19 +181,19 @@
     private BitSet slice(Job job, int i, BitSet tasks) {
         int size = slice(job, maxRecordBytes);
         BitSet set = new BitSet();
-        set.set(i * size, Math.min(job.spec.taskCount(), (i + 1) * size));
+        set.set(i * size, Math.min(job.spec().taskCount(), (i + 1) * size));
         set.and(tasks);
         return set;
     }
 
     private void addSlices(Job job) {
-        for (int i = 0; i < job.completionRecordBySlice.length; i++) {
-            BitSet set = slice(job, i, job.completedTasks);
+        for (int i = 0; i < job.completionRecordBySlice().length; i++) {
+            BitSet set = slice(job, i, job.completedTasks());
             if (!set.isEmpty()) {
-                recordCount(job.completionRecordBySlice[i])
-                        .computeIfAbsent(job.id, id -> new BitSet())
+                recordCount(job.completionRecordBySlice()[i])
+                        .computeIfAbsent(job.id(), id -> new BitSet())
                         .or(set);
-                storedSlices.add(new StoredSlice(job, job.completionRecordBySlice[i], set));
+                storedSlices.add(new StoredSlice(job, job.completionRecordBySlice()[i], set));
             }
         }
     }
@@ -222,25 +220,25 @@
         Map<String, BitSet> wanted = new LinkedHashMap<>(chunks.get(recordIndex));
         Map<String, Object> storedValue = storedRecord.apply(recordIndex);
         for (Job job : jobs) {
-            if (storedValue.get(job.id) instanceof String ranges) {
+            if (storedValue.get(job.id()) instanceof String ranges) {
                 BitSet notElsewhere = TaskRanges.parse(ranges);
-                if (wanted.containsKey(job.id)) {
-                    notElsewhere.andNot(wanted.get(job.id));
+                if (wanted.containsKey(job.id())) {
+                    notElsewhere.andNot(wanted.get(job.id()));
                 }
                 // Only the record assigned to a slice counts as a second copy: two other records
                 // could each rely on the other one and both drop the tasks.
                 for (int i = 0;
-                        i < job.completionRecordBySlice.length && !notElsewhere.isEmpty();
+                        i < job.completionRecordBySlice().length && !notElsewhere.isEmpty();
                         i++) {
-                    if (job.completionRecordBySlice[i] != recordIndex
-                            && storedRecord.apply(job.completionRecordBySlice[i]).get(job.id)
+                    if (job.completionRecordBySlice()[i] != recordIndex
+                            && storedRecord.apply(job.completionRecordBySlice()[i]).get(job.id())
                                     instanceof String otherRanges) {
                         notElsewhere.andNot(slice(job, i, TaskRanges.parse(otherRanges)));
                     }
                 }
                 if (!notElsewhere.isEmpty()) {
-                    notElsewhere.or(wanted.getOrDefault(job.id, new BitSet()));
-                    wanted.put(job.id, notElsewhere);
+                    notElsewhere.or(wanted.getOrDefault(job.id(), new BitSet()));
+                    wanted.put(job.id(), notElsewhere);
                 }
             }
         }
@@ -253,11 +251,11 @@
     @Override
     public void markDurable() {
         for (StoredSlice storedSlice : storedSlices) {
-            if (storedRecord.apply(storedSlice.recordIndex).get(storedSlice.job.id)
+            if (storedRecord.apply(storedSlice.recordIndex).get(storedSlice.job.id())
                     instanceof String ranges) {
                 BitSet set = TaskRanges.parse(ranges);
                 set.and(storedSlice.completedTasks);
-                storedSlice.job.durablyCompletedTasks.or(set);
+                storedSlice.job.durablyCompletedTasks().or(set);
             }
         }
     }
--- a/src/main/java/org/shoreusher/core/job/HighWaterMarks.java
+++ b/src/main/java/org/shoreusher/core/job/HighWaterMarks.java
@@ -91,8 +91,8 @@
                             (jobId, below) -> {
                                 Job job = jobs.get(jobId);
                                 if (job != null) {
-                                    job.highWaterMarkRecordIndex = chunk;
-                                    job.highWaterMark = Math.max(job.highWaterMark, below);
+                                    job.setHighWaterMarkRecordIndex(chunk);
+                                    job.raiseHighWaterMark(below);
                                 }
                             });
         }
@@ -100,7 +100,7 @@
 
     /** Requests a mark for tasks that are to be started soon; one that is too low is ignored. */
     public void request(Job job, int highWaterMark) {
-        if (highWaterMark > job.highWaterMark) {
+        if (highWaterMark > job.highWaterMark()) {
             requestedMarks.put(job, Math.max(highWaterMark, requestedMarks.getInt(job)));
         }
     }
@@ -129,8 +129,8 @@
             Job job = entry.getKey();
             int requestedMark = entry.getIntValue();
             iterator.remove();
-            JobRecord record = submissionBatches.jobRecord(job.id);
-            if (job.closed || record == null || requestedMark <= job.highWaterMark) {
+            JobRecord record = submissionBatches.jobRecord(job.id());
+            if (job.isClosed() || record == null || requestedMark <= job.highWaterMark()) {
                 continue;
             }
             if (shardCount > 1 && !fitsValueLimit(record)) {
@@ -138,9 +138,9 @@
                 // record of its own. In this transaction it would block all other marks for good.
                 continue;
             }
-            if (shardCount > 1 && storeCache.get(StoreSchema.jobKey(job.id)) == null) {
-                preconditions.put(StoreSchema.jobKey(job.id), 0L);
-                writes.put(StoreSchema.jobKey(job.id), record.toMap());
+            if (shardCount > 1 && storeCache.get(StoreSchema.jobKey(job.id())) == null) {
+                preconditions.put(StoreSchema.jobKey(job.id()), 0L);
+                writes.put(StoreSchema.jobKey(job.id()), record.toMap());
             }
             pendingMarks.add(raiseMark(job, requestedMark, marksByRecord));
         }
@@ -175,24 +175,28 @@
             Job job, int requestedMark, Map<Integer, Map<String, Integer>> marksByRecord) {
         int raisedMark =
                 Math.min(
-                        job.spec.taskCount(),
+                        job.spec().taskCount(),
                         Math.max(
                                 requestedMark,
-                                job.highWaterMark * JobConstants.HIGH_WATER_MARK_GROWTH_FACTOR));
+                                job.highWaterMark() * JobConstants.HIGH_WATER_MARK_GROWTH_FACTOR));
         // A record of a previous leader may exceed today's limit. It is left as it is, the mark
         // goes
         // to another record, and readers take the larger one.
         boolean keepsRecord =
-                job.highWaterMarkRecordIndex >= 0
-                        && encodedBytes(marksInRecord(marksByRecord, job.highWaterMarkRecordIndex))
+                job.highWaterMarkRecordIndex() >= 0
+                        && encodedBytes(
+                                        marksInRecord(
+                                                marksByRecord, job.highWaterMarkRecordIndex()))
                                 <= maxRecordBytes();
         int recordIndex =
-                keepsRecord ? job.highWaterMarkRecordIndex : recordWithSpace(marksByRecord, job.id);
+                keepsRecord
+                        ? job.highWaterMarkRecordIndex()
+                        : recordWithSpace(marksByRecord, job.id());
         // The stored mark is the larger one if a write took effect and only its reply was lost.
         int largestMark =
                 marksByRecord
                         .computeIfAbsent(recordIndex, this::openJobMarks)
-                        .merge(job.id, raisedMark, Math::max);
+                        .merge(job.id(), raisedMark, Math::max);
         return new PendingMark(job, recordIndex, largestMark);
     }
 
@@ -202,9 +206,8 @@
      * could later exceed the limit, and every write of it would be refused for good.
      */
     private static void applyDurableMark(PendingMark durableMark) {
-        durableMark.job.highWaterMarkRecordIndex = durableMark.recordIndex;
-        durableMark.job.highWaterMark =
-                Math.max(durableMark.job.highWaterMark, durableMark.highWaterMark);
+        durableMark.job.setHighWaterMarkRecordIndex(durableMark.recordIndex);
+        durableMark.job.raiseHighWaterMark(durableMark.highWaterMark);
     }
 
     private boolean fitsValueLimit(JobRecord record) {
--- a/src/main/java/org/shoreusher/core/job/OpenJobs.java
+++ b/src/main/java/org/shoreusher/core/job/OpenJobs.java
@@ -45,18 +45,18 @@
             // The job was accepted while this node was the leader: no task has been started.
             add(jobId, record).markPendingFrom(0);
         } else {
-            jobs.get(jobId).highWaterMark =
-                    Math.max(jobs.get(jobId).highWaterMark, record.highWaterMark());
+            jobs.get(jobId).raiseHighWaterMark(record.highWaterMark());
         }
     }
 
     /** Adds a job of this shard. One in a terminal state is returned but not kept. */
     public Job add(String jobId, JobRecord record) {
         Job job = new Job(jobId, record.parseSpec(), record.acceptedWallMs());
-        job.closed = record.status() != JobStatus.OPEN;
-        job.highWaterMark = record.highWaterMark();
-        if (!job.closed) {
+        job.raiseHighWaterMark(record.highWaterMark());
+        if (record.status() == JobStatus.OPEN) {
             jobs.put(jobId, job);
+        } else {
+            job.close();
         }
         return job;
     }
@@ -70,12 +70,11 @@
         if (job == null) {
             return;
         }
-        job.closed = true;
+        job.close();
         onJobClosed.accept(job);
-        job.pendingTasks.clear();
-        job.pendingCount = 0;
-        for (TaskAttempt attempt : new ArrayList<>(job.activeAttempts.values())) {
-            attempt.mustStop = true;
+        job.clearPending();
+        for (TaskAttempt attempt : new ArrayList<>(job.activeAttempts().values())) {
+            attempt.requireStop();
             stopTask.accept(attempt);
         }
     }
--- a/src/main/java/org/shoreusher/core/job/RunTimeEstimates.java
+++ b/src/main/java/org/shoreusher/core/job/RunTimeEstimates.java
@@ -18,10 +18,10 @@
     /** Records how long a completed task of the job ran. */
     public void recordRunTime(Job job, double runTimeS) {
         job.recordRunTime(runTimeS);
-        if (job.spec.estimatedRunS() > 0) {
-            double ratio = runTimeS / job.spec.estimatedRunS();
+        if (job.spec().estimatedRunS() > 0) {
+            double ratio = runTimeS / job.spec().estimatedRunS();
             double[] meanRatio =
-                    meanRatioByClass.computeIfAbsent(job.spec.jobClass(), c -> new double[] {1});
+                    meanRatioByClass.computeIfAbsent(job.spec().jobClass(), c -> new double[] {1});
             meanRatio[0] += (ratio - meanRatio[0]) * JobConstants.RUN_TIME_SAMPLE_WEIGHT;
         }
     }
@@ -31,9 +31,9 @@
         if (job.observedRunCount() > 0) {
             return Math.max(JobConstants.MIN_RUN_TIME_S, job.meanRunTimeS());
         }
-        double[] meanRatio = meanRatioByClass.get(job.spec.jobClass());
+        double[] meanRatio = meanRatioByClass.get(job.spec().jobClass());
         return Math.max(
                 JobConstants.MIN_RUN_TIME_S,
-                job.spec.estimatedRunS() * (meanRatio == null ? 1 : meanRatio[0]));
+                job.spec().estimatedRunS() * (meanRatio == null ? 1 : meanRatio[0]));
     }
 }
--- a/src/main/java/org/shoreusher/core/job/TerminalStateWriter.java
+++ b/src/main/java/org/shoreusher/core/job/TerminalStateWriter.java
@@ -54,29 +54,30 @@
         if (completedJobs.isEmpty() || !leadership.isLeader()) {
             return;
         }
-        completedJobs.removeIf(job -> job.closed);
+        completedJobs.removeIf(job -> job.isClosed());
         for (Job job : completedJobs) {
-            JobRecord record = submissionBatches.jobRecord(job.id);
-            if (job.terminalWriteInFlight || record == null) {
+            JobRecord record = submissionBatches.jobRecord(job.id());
+            if (job.isTerminalWriteInFlight() || record == null) {
                 continue;
             }
             Map<String, Map<String, Object>> writes =
-                    Map.of(StoreSchema.jobKey(job.id), record.asDone().toMap());
+                    Map.of(StoreSchema.jobKey(job.id()), record.asDone().toMap());
             // A failed precondition means that a cancellation came first; the watch will show it.
-            job.terminalWriteInFlight =
+            boolean sent =
                     outbox.callStore(
                             new StoreOperation.CompareAndSwap(
                                     leadership.preconditions(
-                                            StoreSchema.jobKey(job.id),
-                                            storeCache.version(StoreSchema.jobKey(job.id))),
+                                            StoreSchema.jobKey(job.id()),
+                                            storeCache.version(StoreSchema.jobKey(job.id()))),
                                     writes),
                             reply -> {
-                                job.terminalWriteInFlight = false;
+                                job.setTerminalWriteInFlight(false);
                                 if (reply.status() == 200) {
                                     storeCache.applyOwnWrites(reply, writes);
                                 }
                             });
-            if (!job.terminalWriteInFlight) {
+            job.setTerminalWriteInFlight(sent);
+            if (!sent) {
                 return;
             }
         }
--- a/src/main/java/org/shoreusher/core/machine/Autoscaler.java
+++ b/src/main/java/org/shoreusher/core/machine/Autoscaler.java
@@ -148,7 +148,7 @@
         List<BinPacker.MachineCapacity> toProvision = new ArrayList<>();
         Object2IntOpenHashMap<String> machinesPerZone = countPerZone();
         for (Job job : jobs) {
-            MachineType cheapestType = cheapestType(job.spec);
+            MachineType cheapestType = cheapestType(job.spec());
             if (job.isSuspectedFaulty() || cheapestType == null) {
                 continue;
             }
@@ -157,7 +157,7 @@
         }
         reservedReplicaCapacity.step(toProvision, maxNewMachines);
         for (Job job : jobs) {
-            job.largerHalfZone = reservedReplicaCapacity.zoneForLargerHalf(job.spec);
+            job.setLargerHalfZone(reservedReplicaCapacity.zoneForLargerHalf(job.spec()));
         }
         Set<Machine> neededMachines = new HashSet<>();
         binPacker.placedTasks().forEach(placed -> neededMachines.add(placed.capacity().machine));
@@ -193,14 +193,14 @@
             Object2IntOpenHashMap<String> machinesPerZone) {
         int unplaced = taskCount;
         while (unplaced > 0 && toProvision.size() < maxNewMachines) {
-            ScaleOut.MachineKind kind = chooseKind(job.spec, machinesPerZone);
+            ScaleOut.MachineKind kind = chooseKind(job.spec(), machinesPerZone);
             if (kind == null) {
                 return;
             }
             MachineType type = typeCatalog.get(kind.type());
             // In rounds over the zones, so that no zone gets all of them.
             int machinesPerRound =
-                    unplaced / Math.max(1, tasksPerMachine(type, job.spec)) / type.zones().size();
+                    unplaced / Math.max(1, tasksPerMachine(type, job.spec())) / type.zones().size();
             int count =
                     Math.max(1, Math.min(machinesPerRound, maxNewMachines - toProvision.size()));
             for (int i = 0; i < count; i++) {
@@ -221,7 +221,7 @@
             // A machine that a previous leader used has no capacity until it is reconciled: it may
             // hold tasks, or be unreachable.
             if (shard.isAvailable(machine)
-                    || (machine.state == Machine.State.BOOTING && !machine.mayHaveRunTasks)) {
+                    || (machine.state() == Machine.State.BOOTING && !machine.mayHaveRunTasks())) {
                 capacities.add(new BinPacker.MachineCapacity(machine));
             }
         }
@@ -241,11 +241,12 @@
         double missingMachines = 0;
         cpuShortfall = 0;
         for (Job job : jobs) {
-            int unplaced = binPacker.place(job, job.pendingCount);
-            MachineType type = cheapestType(job.spec);
+            int unplaced = binPacker.place(job, job.pendingCount());
+            MachineType type = cheapestType(job.spec());
             if (unplaced > 0 && type != null) {
-                missingMachines += unplaced / (double) Math.max(1, tasksPerMachine(type, job.spec));
-                cpuShortfall += unplaced * job.spec.cpus();
+                missingMachines +=
+                        unplaced / (double) Math.max(1, tasksPerMachine(type, job.spec()));
+                cpuShortfall += unplaced * job.spec().cpus();
             }
         }
         machineShortfall = (int) Math.ceil(missingMachines);
@@ -259,7 +260,7 @@
     /** The shard's machines in each zone, requested ones included. */
     private Object2IntOpenHashMap<String> countPerZone() {
         Object2IntOpenHashMap<String> counts = new Object2IntOpenHashMap<>();
-        shard.machines().values().forEach(machine -> counts.addTo(machine.zone, 1));
+        shard.machines().values().forEach(machine -> counts.addTo(machine.zone(), 1));
         scaleOut.pendingCapacity().forEach(capacity -> counts.addTo(capacity.zone, 1));
         return counts;
     }
@@ -281,11 +282,11 @@
         updateEvacuation(remaining);
         for (Machine machine : new ArrayList<>(shard.machines().values())) {
             if (remaining > 0
-                    && (surplusMachines.contains(machine) || machine.evacuating)
+                    && (surplusMachines.contains(machine) || machine.isEvacuating())
                     && machine.isIdle()
-                    && machine.state == Machine.State.UP
-                    && machine.hasDurableUseRecord
-                    && outbox.now.monotonicMs() - machine.idleSinceMs
+                    && machine.state() == Machine.State.UP
+                    && machine.hasDurableUseRecord()
+                    && outbox.now.monotonicMs() - machine.idleSinceMs()
                             > MachineConstants.HANDOVER_MIN_IDLE_MS) {
                 machineRecords.handOver(machine, targetShard);
                 remaining--;
@@ -305,17 +306,17 @@
         Machine leastUsed = null;
         int evacuatingCount = 0;
         for (Machine machine : shard.machines().values()) {
-            if (machine.evacuating) {
+            if (machine.isEvacuating()) {
                 evacuatingCount++;
-                machine.evacuating = shortfallElsewhere > 0;
+                machine.setEvacuating(shortfallElsewhere > 0);
             } else if (shard.isAvailable(machine)) {
                 freeCpus += machine.cpusFree();
-                largestMachineCpus = Math.max(largestMachineCpus, machine.type.cpus());
+                largestMachineCpus = Math.max(largestMachineCpus, machine.type().cpus());
                 leastUsed =
                         leastUsed == null
-                                        || machine.cpusUsed < leastUsed.cpusUsed
-                                        || (machine.cpusUsed == leastUsed.cpusUsed
-                                                && machine.id.compareTo(leastUsed.id) < 0)
+                                        || machine.cpusUsed() < leastUsed.cpusUsed()
+                                        || (machine.cpusUsed() == leastUsed.cpusUsed()
+                                                && machine.id().compareTo(leastUsed.id()) < 0)
                                 ? machine
                                 : leastUsed;
             }
@@ -325,7 +326,7 @@
                 && leastUsed != null
                 && freeCpus - leastUsed.cpusFree()
                         > largestMachineCpus * MachineConstants.HANDOVER_MIN_FREE_MACHINES) {
-            leastUsed.evacuating = true;
+            leastUsed.setEvacuating(true);
         }
     }
 
@@ -334,8 +335,8 @@
      * of its slack.
      */
     private int targetParallelism(Job job, MachineType type) {
-        if (!job.spec.workloadType().runsToCompletion()) {
-            return job.pendingCount;
+        if (!job.spec().workloadType().runsToCompletion()) {
+            return job.pendingCount();
         }
         double runTimeS = runTimeEstimates.expectedRunS(job);
         double slackS = schedulingOrder.timeToNearestObjectiveS(job, outbox.now.wallMs());
@@ -348,7 +349,7 @@
                         slackS == Double.MAX_VALUE || isTooLate
                                 ? MachineConstants.SCALE_OUT_HORIZON_S
                                 : slackS * MachineConstants.SCALE_OUT_DEADLINE_SHARE);
-        return (int) Math.ceil(job.pendingCount * Math.min(1, runTimeS / horizonS));
+        return (int) Math.ceil(job.pendingCount() * Math.min(1, runTimeS / horizonS));
     }
 
     /** The type with the lowest spot price per task of a job; null if none can run it. */
@@ -423,17 +424,16 @@
     /** Drains machines that have been idle for too long, except those reserved for replicas. */
     private void drainIdle(Set<Machine> neededMachines) {
         for (Machine machine : shard.machines().values()) {
-            if (machine.state == Machine.State.UP
+            if (machine.state() == Machine.State.UP
                     && machine.isIdle()
                     && !neededMachines.contains(machine)
-                    && machine.idleSinceMs >= 0
+                    && machine.idleSinceMs() >= 0
                     && !reservedReplicaCapacity.mustKeep(machine)
-                    && outbox.now.monotonicMs() - machine.idleSinceMs
-                            > (machine.spot
+                    && outbox.now.monotonicMs() - machine.idleSinceMs()
+                            > (machine.isSpot()
                                     ? MachineConstants.SPOT_IDLE_TIMEOUT_MS
                                     : MachineConstants.ON_DEMAND_IDLE_TIMEOUT_MS)) {
-                machine.state = Machine.State.DRAINING;
-                machine.drainedAsIdle = true;
+                machine.drainAsIdle();
             }
         }
     }
--- a/src/main/java/org/shoreusher/core/machine/CloudInventory.java
+++ b/src/main/java/org/shoreusher/core/machine/CloudInventory.java
@@ -155,8 +155,8 @@
                 (long) (2 * settings.inventoryLagS() * 1000)
                         + MachineConstants.INVENTORY_LAG_MARGIN_MS;
         for (Machine machine : new ArrayList<>(shard.machines().values())) {
-            if (!ids.contains(machine.id)
-                    && requestedAt.wallMs() - machine.provisionedWallMs > maxListDelayMs) {
+            if (!ids.contains(machine.id())
+                    && requestedAt.wallMs() - machine.provisionedWallMs() > maxListDelayMs) {
                 lifecycle.removeTerminated(machine, "no longer in the cloud's list");
             }
         }
--- a/src/main/java/org/shoreusher/core/machine/MachineCordon.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineCordon.java
@@ -38,15 +38,15 @@
             if (fault != null) {
                 outbox.log(
                         LogEvent.of(LogEventType.MACHINE_CORDONED)
-                                .with("machine", machine.id)
+                                .with("machine", machine.id())
                                 .with("reason", fault));
-                machine.state = Machine.State.DRAINING;
-            } else if (machine.state == Machine.State.UP
-                    && !Double.isNaN(machine.interruptionNoticeS)
-                    && machine.tasks.isEmpty()) {
-                machine.state = Machine.State.DRAINING;
+                machine.drain();
+            } else if (machine.state() == Machine.State.UP
+                    && machine.hasInterruptionNotice()
+                    && machine.tasks().isEmpty()) {
+                machine.drain();
             }
-            if (machine.state == Machine.State.DRAINING) {
+            if (machine.state() == Machine.State.DRAINING) {
                 evictReplicas(machine);
             }
         }
@@ -67,31 +67,31 @@
 
     /** The reason to cordon a machine, for the log; null if there is none. */
     private String findFault(Machine machine, boolean partitionedMachinesAreFaulty) {
-        if (machine.state == Machine.State.BOOTING && hasFailedToBoot(machine)) {
+        if (machine.state() == Machine.State.BOOTING && hasFailedToBoot(machine)) {
             return "not booted after " + ageMs(machine) / 1000 + " s";
         }
-        if (machine.state == Machine.State.UP
-                && machine.failedJobIds.size() >= MachineConstants.FAULTY_MACHINE_FAILURES) {
-            return "tasks of " + machine.failedJobIds.size() + " jobs failed on it";
+        if (machine.state() == Machine.State.UP
+                && machine.failedJobIds().size() >= MachineConstants.FAULTY_MACHINE_FAILURES) {
+            return "tasks of " + machine.failedJobIds().size() + " jobs failed on it";
         }
-        if (machine.state == Machine.State.UP && machine.isSlow()) {
+        if (machine.state() == Machine.State.UP && machine.isSlow()) {
             return "its tasks take far longer than others of their jobs";
         }
-        if (machine.state == Machine.State.UP
+        if (machine.state() == Machine.State.UP
                 && machine.hasOneWayPartition()
-                && machine.tasks.isEmpty()
+                && machine.tasks().isEmpty()
                 && partitionedMachinesAreFaulty) {
             return "one-way partition";
         }
         boolean hasInterruptionNotice =
-                machine.state == Machine.State.UP && !Double.isNaN(machine.interruptionNoticeS);
+                machine.state() == Machine.State.UP && machine.hasInterruptionNotice();
         return !hasInterruptionNotice && isUnresponsive(machine)
                 ? "unresponsive for " + sinceLeaseRenewalMs(machine) / 1000 + " s"
                 : null;
     }
 
     private long ageMs(Machine machine) {
-        return outbox.now.wallMs() - machine.provisionedWallMs;
+        return outbox.now.wallMs() - machine.provisionedWallMs();
     }
 
     /**
@@ -100,22 +100,22 @@
      * replacements had empty image caches.
      */
     private boolean hasFailedToBoot(Machine machine) {
-        return !machine.mayHaveRunTasks
+        return !machine.mayHaveRunTasks()
                 && ageMs(machine)
-                        > MachineConstants.BOOT_TIMEOUT_FACTOR * machine.type.bootS() * 1000;
+                        > MachineConstants.BOOT_TIMEOUT_FACTOR * machine.type().bootS() * 1000;
     }
 
     private long sinceLeaseRenewalMs(Machine machine) {
-        return outbox.now.monotonicMs() - machine.leaseRenewedAtMs;
+        return outbox.now.monotonicMs() - machine.leaseRenewedAtMs();
     }
 
     /**
      * Whether an empty machine's lease expired long enough ago that it has cost its minimum charge.
      */
     private boolean isUnresponsive(Machine machine) {
-        return machine.mayHaveRunTasks
-                && (machine.state == Machine.State.UP || machine.state == Machine.State.BOOTING)
-                && machine.tasks.isEmpty()
+        return machine.mayHaveRunTasks()
+                && (machine.state() == Machine.State.UP || machine.state() == Machine.State.BOOTING)
+                && machine.tasks().isEmpty()
                 && sinceLeaseRenewalMs(machine)
                         > LeaderLease.workerLeaseBoundMs(settings) + MachineConstants.MIN_BILLED_MS;
     }
@@ -125,9 +125,9 @@
      * started again elsewhere.
      */
     private void evictReplicas(Machine machine) {
-        for (TaskAttempt attempt : machine.tasks.values()) {
-            if (!attempt.job.spec.workloadType().runsToCompletion() && !attempt.mustStop) {
-                attempt.mustStop = true;
+        for (TaskAttempt attempt : machine.tasks().values()) {
+            if (!attempt.job().spec().workloadType().runsToCompletion() && !attempt.mustStop()) {
+                attempt.requireStop();
                 taskStopper.sendStop(attempt, 0);
             }
         }
--- a/src/main/java/org/shoreusher/core/machine/MachineLifecycle.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineLifecycle.java
@@ -51,10 +51,8 @@
         }
         Machine machine =
                 new Machine(id, type, record.zone(), record.spot(), record.provisionedWallMs());
-        machine.mayHaveRunTasks = record.mayHaveRunTasks();
-        machine.hasDurableUseRecord = record.mayHaveRunTasks();
-        machine.leaseRenewedAtMs = authority.previousLeaderRenewalBoundMs();
-        machine.previousLeaderRenewalAtMs = machine.leaseRenewedAtMs;
+        machine.loadUse(record.mayHaveRunTasks());
+        machine.inheritLease(authority.previousLeaderRenewalBoundMs());
         shard.machines().put(id, machine);
         return machine;
     }
@@ -72,7 +70,7 @@
             return null;
         }
         Machine machine = new Machine(id, type, zone, spot, provisionedWallMs);
-        machine.leaseRenewedAtMs = outbox.now.monotonicMs();
+        machine.startLease(outbox.now.monotonicMs());
         shard.machines().put(id, machine);
         machineRecords.markDirty(id);
         return machine;
@@ -84,14 +82,14 @@
      */
     public void expireWorkerLeases() {
         for (Machine machine : shard.machines().values()) {
-            if (!machine.tasks.isEmpty() && shard.hasWorkerLeaseExpired(machine)) {
+            if (!machine.tasks().isEmpty() && shard.hasWorkerLeaseExpired(machine)) {
                 outbox.log(
                         LogEvent.of(LogEventType.WORKER_LEASE_EXPIRED)
-                                .with("machine", machine.id)
+                                .with("machine", machine.id())
                                 .with("shard", shard.shardNumber())
-                                .with("tasks", machine.tasks.size()));
+                                .with("tasks", machine.tasks().size()));
                 machine.snapshotTasks().forEach(ledger::remove);
-                machine.lastExpiredSession = machine.session;
+                machine.expireIncarnation();
             }
         }
     }
@@ -102,13 +100,13 @@
     void removeTerminated(Machine machine, String reason) {
         outbox.log(
                 LogEvent.of(LogEventType.MACHINE_REMOVED)
-                        .with("machine", machine.id)
+                        .with("machine", machine.id())
                         .with("shard", shard.shardNumber())
                         .with("reason", reason));
         machine.snapshotTasks().forEach(ledger::remove);
-        shard.removeMachine(machine.id);
-        machineRecords.markDirty(machine.id);
-        terminatedMachines.add(machine.id);
+        shard.removeMachine(machine.id());
+        machineRecords.markDirty(machine.id());
+        terminatedMachines.add(machine.id());
     }
 
     /**
@@ -116,8 +114,8 @@
      */
     void handleMachineFailure(Machine machine) {
         machine.snapshotTasks().forEach(ledger::remove);
-        if (machine.state == Machine.State.BOOTING || machine.state == Machine.State.UP) {
-            machine.state = Machine.State.DRAINING;
+        if (machine.state() == Machine.State.BOOTING || machine.state() == Machine.State.UP) {
+            machine.drain();
         }
     }
 
@@ -142,7 +140,7 @@
                 && !terminatedMachines.contains(id)) {
             addRecordedMachine(id, record);
         } else if (machine != null
-                && machine.tasks.isEmpty()
+                && machine.tasks().isEmpty()
                 && record.shardNumber() != shard.shardNumber()) {
             shard.removeMachine(id);
         }
--- a/src/main/java/org/shoreusher/core/machine/MachineRecords.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineRecords.java
@@ -82,9 +82,8 @@
      * @param targetShard number of the other shard
      */
     void handOver(Machine machine, int targetShard) {
-        machine.state = Machine.State.HANDING_OVER;
-        machine.handoverTargetShard = targetShard;
-        dirtyIds.add(machine.id);
+        machine.beginHandover(targetShard);
+        dirtyIds.add(machine.id());
     }
 
     /** The record that a machine should have; null if none. */
@@ -93,17 +92,17 @@
         if (machine == null) {
             return null;
         }
-        boolean handingOver = machine.state == Machine.State.HANDING_OVER;
+        boolean handingOver = machine.state() == Machine.State.HANDING_OVER;
         // A node of the previous version would write a wide group beside the narrow one, and later
         // read "not used" in the narrow one.
         boolean mixedVersions = usesNarrowGroups() && !versionNegotiation.areServicesSupported();
         return new MachineRecord(
-                handingOver ? machine.handoverTargetShard : shard.shardNumber(),
-                machine.type.name(),
-                machine.zone,
-                machine.spot,
-                machine.provisionedWallMs,
-                handingOver || mixedVersions || machine.mayHaveRunTasks);
+                handingOver ? machine.handoverTargetShard() : shard.shardNumber(),
+                machine.type().name(),
+                machine.zone(),
+                machine.isSpot(),
+                machine.provisionedWallMs(),
+                handingOver || mixedVersions || machine.mayHaveRunTasks());
     }
 
     private boolean usesNarrowGroups() {
@@ -247,7 +246,7 @@
             Machine machine = shard.machines().get(id);
             MachineRecord record = machineIndex.get(id);
             if (machine != null && record != null && record.shardNumber() != shard.shardNumber()) {
-                if (machine.state == Machine.State.HANDING_OVER) {
+                if (machine.state() == Machine.State.HANDING_OVER) {
                     outbox.log(
                             LogEvent.of(LogEventType.MACHINE_HANDED_OVER)
                                     .with("machine", id)
@@ -267,7 +266,7 @@
             } else if (record == null ? machine != null : !record.equals(desiredRecord(id))) {
                 dirtyIds.add(id);
             } else if (machine != null) {
-                machine.hasDurableUseRecord = record.mayHaveRunTasks();
+                machine.setDurableUseRecord(record.mayHaveRunTasks());
             }
         }
     }
--- a/src/main/java/org/shoreusher/core/machine/ReservedReplicaCapacity.java
+++ b/src/main/java/org/shoreusher/core/machine/ReservedReplicaCapacity.java
@@ -71,18 +71,18 @@
             return;
         }
         for (Machine machine : shard.machines().values()) {
-            if (!machine.spot
+            if (!machine.isSpot()
                     && (shard.isAvailable(machine)
-                            || (machine.state == Machine.State.BOOTING
-                                    && !machine.mayHaveRunTasks))) {
+                            || (machine.state() == Machine.State.BOOTING
+                                    && !machine.mayHaveRunTasks()))) {
                 double replicaCpus = 0;
-                for (TaskAttempt attempt : machine.tasks.values()) {
+                for (TaskAttempt attempt : machine.tasks().values()) {
                     replicaCpus +=
-                            attempt.job.spec.workloadType().runsToCompletion()
+                            attempt.job().spec().workloadType().runsToCompletion()
                                     ? 0
-                                    : attempt.job.spec.cpus();
+                                    : attempt.job().spec().cpus();
                 }
-                freeCpusByZone.addTo(machine.zone, machine.type.cpus() - replicaCpus);
+                freeCpusByZone.addTo(machine.zone(), machine.type().cpus() - replicaCpus);
             }
         }
         scaleOut.pendingCapacity().forEach(this::addCapacity);
@@ -129,12 +129,12 @@
      * reserved.
      */
     boolean mustKeep(Machine machine) {
-        if (machine.spot
-                || freeCpusByZone.getDouble(machine.zone) - machine.type.cpus()
+        if (machine.isSpot()
+                || freeCpusByZone.getDouble(machine.zone()) - machine.type().cpus()
                         < targetCpusPerZone) {
-            return !machine.spot && targetCpusPerZone > 0;
+            return !machine.isSpot() && targetCpusPerZone > 0;
         }
-        freeCpusByZone.addTo(machine.zone, -machine.type.cpus());
+        freeCpusByZone.addTo(machine.zone(), -machine.type().cpus());
         return false;
     }
 
@@ -145,9 +145,11 @@
     private double targetCpusPerZone(MachineType type) {
         double largestHalfCpus = 0;
         for (Job job : shard.jobs().values()) {
-            if (!job.spec.workloadType().runsToCompletion()) {
+            if (!job.spec().workloadType().runsToCompletion()) {
                 largestHalfCpus =
-                        Math.max(largestHalfCpus, (job.spec.taskCount() + 1) / 2 * job.spec.cpus());
+                        Math.max(
+                                largestHalfCpus,
+                                (job.spec().taskCount() + 1) / 2 * job.spec().cpus());
             }
         }
         // Before the first service arrives, an objective tells whether work is expected that must
--- a/src/main/java/org/shoreusher/core/machine/ScaleIn.java
+++ b/src/main/java/org/shoreusher/core/machine/ScaleIn.java
@@ -30,13 +30,13 @@
         }
         List<String> ids = new ArrayList<>();
         for (Machine machine : shard.machines().values()) {
-            if ((machine.state == Machine.State.DRAINING
-                            || machine.state == Machine.State.TERMINATING)
-                    && machine.tasks.isEmpty()
+            if ((machine.state() == Machine.State.DRAINING
+                            || machine.state() == Machine.State.TERMINATING)
+                    && machine.tasks().isEmpty()
                     && ids.size() < MachineConstants.MAX_MACHINES_PER_TERMINATE) {
                 // From now on no task may start on it, whatever the outcome of the call.
-                machine.state = Machine.State.TERMINATING;
-                ids.add(machine.id);
+                machine.beginTermination();
+                ids.add(machine.id());
             }
         }
         if (ids.isEmpty()) {
@@ -78,10 +78,6 @@
         if (machine == null) {
             return;
         }
-        machine.terminationOutcomeUnknown |= status != 503 && status != 429;
-        if (machine.drainedAsIdle && !machine.terminationOutcomeUnknown) {
-            machine.state = Machine.State.UP;
-            machine.drainedAsIdle = false;
-        }
+        machine.terminationUnconfirmed(status == 503 || status == 429);
     }
 }
--- a/src/main/java/org/shoreusher/core/reconcile/Reconciliation.java
+++ b/src/main/java/org/shoreusher/core/reconcile/Reconciliation.java
@@ -135,13 +135,13 @@
                             if (record.shardNumber() == shard.shardNumber()) {
                                 Machine machine = lifecycle.addRecordedMachine(id, record);
                                 if (machine != null) {
-                                    machine.usedByPreviousLeader = record.mayHaveRunTasks();
+                                    machine.setUsedByPreviousLeader(record.mayHaveRunTasks());
                                 }
                             }
                         });
         highWaterMarks.load();
         for (Job job : shard.jobs().values()) {
-            if (job.highWaterMark > 0) {
+            if (job.highWaterMark() > 0) {
                 taskMigration.onJobBegunByPreviousLeader(job);
             }
             terminalStateWriter.taskCompleted(job);
@@ -170,11 +170,11 @@
      * from the high-water mark on.
      */
     private void withholdPossiblyRunningTasks(Job job) {
-        job.pendingTasks.clear();
-        job.pendingCount = 0;
-        job.markPendingFrom(job.highWaterMark);
-        job.taskZonesUnknown =
-                job.highWaterMark > 0 && (job.spec.singleZone() || job.spec.spreadAcrossZones());
+        job.clearPending();
+        job.markPendingFrom(job.highWaterMark());
+        job.setTaskZonesUnknown(
+                job.highWaterMark() > 0
+                        && (job.spec().singleZone() || job.spec().spreadAcrossZones()));
     }
 
     /** Whether each machine of the log that still has a record in this shard could be loaded. */
@@ -206,8 +206,8 @@
         Job knownJob = shard.jobs().get(id.jobId());
         boolean shouldRun =
                 knownJob != null
-                        && !knownJob.completedTasks.get(id.taskIndex())
-                        && knownJob.activeAttempts.get(id.taskIndex()) == null;
+                        && !knownJob.completedTasks().get(id.taskIndex())
+                        && knownJob.activeAttempts().get(id.taskIndex()) == null;
         Job job = knownJob != null ? knownJob : placeholderJob(attempt);
         TaskAttempt restoredAttempt =
                 new TaskAttempt(
@@ -217,7 +217,9 @@
                         machine,
                         TaskAttempt.State.START_ORDERED,
                         outbox.now.monotonicMs());
-        restoredAttempt.mustStop = !shouldRun;
+        if (!shouldRun) {
+            restoredAttempt.requireStop();
+        }
         ledger.add(restoredAttempt, shouldRun);
     }
 
@@ -231,7 +233,7 @@
                         attempt.gpus(),
                         attempt.memGb());
         Job job = new Job(attempt.id().jobId(), spec, outbox.now.wallMs());
-        job.closed = true;
+        job.close();
         return job;
     }
 
@@ -256,7 +258,7 @@
         outbox.log(
                 LogEvent.of(LogEventType.ATTEMPT_LOG_CONTRADICTED)
                         .with("shard", shard.shardNumber())
-                        .with("machine", machine.id)
+                        .with("machine", machine.id())
                         .with("task", Machine.taskKey(task.jobId(), task.taskIndex()))
                         .with("attempt", task.attemptNumber()));
         promotedLog.onRejected().accept(PromotionOutcome.CONTRADICTED_BY_HEARTBEAT);
@@ -273,10 +275,10 @@
                 (jobId, ranges) -> {
                     Job job = shard.jobs().get(jobId);
                     // A version that did not know services may have stored a replica as completed.
-                    if (job != null && job.spec.workloadType().runsToCompletion()) {
+                    if (job != null && job.spec().workloadType().runsToCompletion()) {
                         BitSet completedTasks = TaskRanges.parse((String) ranges);
-                        job.completedTasks.or(completedTasks);
-                        job.durablyCompletedTasks.or(completedTasks);
+                        job.completedTasks().or(completedTasks);
+                        job.durablyCompletedTasks().or(completedTasks);
                         CompletionRecords.adoptStoredRecord(job, completedTasks, chunk, settings);
                     }
                 });
@@ -298,12 +300,12 @@
         double unreconciledCpus = 0;
         double unreconciledGpus = 0;
         for (Machine machine : shard.machines().values()) {
-            if (machine.mayHaveRunTasks
-                    && !machine.reconciled
+            if (machine.mayHaveRunTasks()
+                    && !machine.isReconciled()
                     && !shard.hasWorkerLeaseExpired(machine)) {
                 unreconciled++;
-                unreconciledCpus += machine.type.cpus();
-                unreconciledGpus += machine.type.gpus();
+                unreconciledCpus += machine.type().cpus();
+                unreconciledGpus += machine.type().gpus();
             }
         }
         progress.setUnreconciled(unreconciledCpus, unreconciledGpus);
@@ -316,8 +318,8 @@
         int activeTasks = 0;
         for (Job job : shard.jobs().values()) {
             job.markPendingFrom(0);
-            job.taskZonesUnknown = false;
-            activeTasks += job.activeAttempts.size();
+            job.setTaskZonesUnknown(false);
+            activeTasks += job.activeAttempts().size();
         }
         outbox.log(
                 LogEvent.of(LogEventType.SHARD_RECONCILED)
--- a/src/main/java/org/shoreusher/core/replication/StandbyReplication.java
+++ b/src/main/java/org/shoreusher/core/replication/StandbyReplication.java
@@ -121,11 +121,11 @@
     @Override
     public void attemptAdded(TaskAttempt attempt) {
         if (!isDisabled()) {
-            JobSpec spec = attempt.job.spec;
+            JobSpec spec = attempt.job().spec();
             logSender.recordStart(
                     new Attempt(
                             attemptIdOf(attempt),
-                            attempt.machine.id,
+                            attempt.machine().id(),
                             spec.team(),
                             spec.cpus(),
                             spec.gpus(),
@@ -156,14 +156,14 @@
      * Whether the end can be replicated: the task did not complete, or its completion is durable.
      */
     private static boolean isEndDurable(TaskAttempt attempt) {
-        Job job = attempt.job;
-        return !job.completedTasks.get(attempt.taskIndex)
-                || job.durablyCompletedTasks.get(attempt.taskIndex)
-                || job.closed;
+        Job job = attempt.job();
+        return !job.completedTasks().get(attempt.taskIndex())
+                || job.durablyCompletedTasks().get(attempt.taskIndex())
+                || job.isClosed();
     }
 
     private static AttemptId attemptIdOf(TaskAttempt attempt) {
-        return new AttemptId(attempt.job.id, attempt.taskIndex, attempt.attemptNumber);
+        return new AttemptId(attempt.job().id(), attempt.taskIndex(), attempt.attemptNumber());
     }
 
     // ---- answers to heartbeats ---------------------------------------------------------------
@@ -206,8 +206,7 @@
     }
 
     private void sendAnswer(long requestId, Machine machine, List<WorkerOrder> orders) {
-        machine.lastReplyAtMs = outbox.now.monotonicMs();
-        machine.leaseRenewedAtMs = outbox.now.monotonicMs();
+        machine.recordReply(outbox.now.monotonicMs());
         outbox.respond(requestId, new Response.HeartbeatAccepted(authority.term(), orders));
     }
 
@@ -259,12 +258,13 @@
     }
 
     private static boolean isStillWanted(Machine machine, WorkerOrder start) {
-        TaskAttempt attempt = machine.tasks.get(Machine.taskKey(start.jobId(), start.taskIndex()));
+        TaskAttempt attempt =
+                machine.tasks().get(Machine.taskKey(start.jobId(), start.taskIndex()));
         return attempt != null
-                && attempt.attemptNumber == start.attemptNumber()
-                && !attempt.mustStop
-                && !attempt.beingEvicted
-                && !attempt.job.closed;
+                && attempt.attemptNumber() == start.attemptNumber()
+                && !attempt.mustStop()
+                && !attempt.isBeingEvicted()
+                && !attempt.job().isClosed();
     }
 
     // ---- the standby -------------------------------------------------------------------------
--- a/src/main/java/org/shoreusher/core/schedule/BinPacker.java
+++ b/src/main/java/org/shoreusher/core/schedule/BinPacker.java
@@ -49,9 +49,9 @@
         public MachineCapacity(Machine machine) {
             this(
                     machine,
-                    machine.type,
-                    machine.zone,
-                    machine.spot,
+                    machine.type(),
+                    machine.zone(),
+                    machine.isSpot(),
                     machine.cpusFree(),
                     machine.gpusFree(),
                     machine.memGbFree());
@@ -187,7 +187,7 @@
     private static final Comparator<MachineCapacity> BY_SORT_KEY =
             Comparator.comparingDouble((MachineCapacity capacity) -> capacity.sortKey)
                     .thenComparing(
-                            capacity -> capacity.machine == null ? "~" : capacity.machine.id);
+                            capacity -> capacity.machine == null ? "~" : capacity.machine.id());
 
     private final ToDoubleFunction<String> cpuHeadroom;
     private final ToDoubleFunction<String> gpuHeadroom;
@@ -286,7 +286,7 @@
      * @return how many tasks found no machine although the quota allows them
      */
     public int place(Job job, int requested) {
-        JobSpec spec = job.spec;
+        JobSpec spec = job.spec();
         int unplaced = Math.min(requested, maxTasksWithinQuota(spec));
         if (unplaced <= 0) {
             return 0;
@@ -307,8 +307,8 @@
                                                 ? ScheduleConstants.ON_DEMAND_RANK_PENALTY
                                                 : 0)
                                         + (capacity.machine != null
-                                                        && job.failedMachineIds.contains(
-                                                                capacity.machine.id)
+                                                        && job.failedMachineIds()
+                                                                .contains(capacity.machine.id())
                                                 ? ScheduleConstants.FAILED_MACHINE_RANK_PENALTY
                                                 : 0));
         capacities.sort(BY_SORT_KEY);
@@ -327,7 +327,7 @@
      * this pass.
      */
     private int fill(Job job, int requested, ZoneConstraints zoneConstraints, SpreadPass pass) {
-        JobSpec spec = job.spec;
+        JobSpec spec = job.spec();
         int unplaced = requested;
         boolean anyFull = false;
         for (int i = 0; i < capacities.size() && unplaced > 0; i++) {
@@ -407,7 +407,7 @@
      * the image is preferred.
      */
     private static double imageFetchCost(MachineCapacity capacity, JobSpec spec) {
-        if (capacity.machine != null && capacity.machine.cachedImages.contains(spec.image())) {
+        if (capacity.machine != null && capacity.machine.cachedImages().contains(spec.image())) {
             return 0;
         }
         return spec.cpus() * imageFetchShare(capacity.type, spec);
@@ -439,18 +439,18 @@
 
         /** Counts the tasks of the job that are or may be on machines, by zone. */
         ZoneConstraints(Job job) {
-            singleZone = job.spec.singleZone();
+            singleZone = job.spec().singleZone();
             maxPerZone =
-                    job.spec.spreadAcrossZones()
-                            ? (job.spec.taskCount() + 1) / 2
+                    job.spec().spreadAcrossZones()
+                            ? (job.spec().taskCount() + 1) / 2
                             : Integer.MAX_VALUE;
             maxInOtherZones =
-                    job.spec.spreadAcrossZones() ? job.spec.taskCount() / 2 : Integer.MAX_VALUE;
-            largerHalfZone = job.largerHalfZone;
-            if (singleZone || job.spec.spreadAcrossZones()) {
-                job.activeAttempts
+                    job.spec().spreadAcrossZones() ? job.spec().taskCount() / 2 : Integer.MAX_VALUE;
+            largerHalfZone = job.largerHalfZone();
+            if (singleZone || job.spec().spreadAcrossZones()) {
+                job.activeAttempts()
                         .values()
-                        .forEach(attempt -> tasksPerZone.addTo(attempt.machine.zone, 1));
+                        .forEach(attempt -> tasksPerZone.addTo(attempt.machine().zone(), 1));
             }
         }
 
--- a/src/main/java/org/shoreusher/core/schedule/JobQueue.java
+++ b/src/main/java/org/shoreusher/core/schedule/JobQueue.java
@@ -27,9 +27,9 @@
     public List<Job> inSchedulingOrder() {
         List<Job> schedulable = new ArrayList<>();
         for (Job job : shard.jobs().values()) {
-            if (job.pendingCount > 0
-                    && !job.closed
-                    && !job.taskZonesUnknown
+            if (job.pendingCount() > 0
+                    && !job.isClosed()
+                    && !job.hasUnknownTaskZones()
                     && !job.isBackingOff(outbox.now.monotonicMs())) {
                 schedulable.add(job);
             }
--- a/src/main/java/org/shoreusher/core/schedule/PlacementPlan.java
+++ b/src/main/java/org/shoreusher/core/schedule/PlacementPlan.java
@@ -87,7 +87,7 @@
             if (triedJobs.add(job)) {
                 place(packer, job, 0);
             }
-            if (reservedFor.get(machine) == job && job.pendingCount > 0) {
+            if (reservedFor.get(machine) == job && job.pendingCount() > 0) {
                 break;
             }
         }
@@ -101,14 +101,14 @@
     private void place(BinPacker packer, Job job, int plannedCount) {
         int placedBefore = packer.placedTasks().size();
         int unplaced = unplacedTasks.getInt(job);
-        packer.place(job, Math.min(plannedCount + unplaced, job.pendingCount));
+        packer.place(job, Math.min(plannedCount + unplaced, job.pendingCount()));
         unplaced -=
                 packer.placedTasks().size() > placedBefore
                         ? Math.max(
                                 0,
                                 packer.placedTasks().get(placedBefore).taskCount() - plannedCount)
                         : 0;
-        if (unplaced <= 0 || job.pendingCount == 0) {
+        if (unplaced <= 0 || job.pendingCount() == 0) {
             unplacedTasks.removeInt(job);
         } else {
             unplacedTasks.put(job, unplaced);
@@ -147,21 +147,21 @@
         double reservableCpus = totalCpus * ScheduleConstants.MAX_RESERVED_CPU_SHARE;
         double markAheadCpus = totalCpus * ScheduleConstants.HIGH_WATER_MARK_LOOKAHEAD_SHARE;
         for (Job job : jobs) {
-            int allowedTasks = Math.min(job.pendingCount, packer.maxTasksWithinQuota(job.spec));
-            int unplaced = packer.place(job, job.pendingCount);
+            int allowedTasks = Math.min(job.pendingCount(), packer.maxTasksWithinQuota(job.spec()));
+            int unplaced = packer.place(job, job.pendingCount());
             if (unplaced > 0) {
                 unplacedTasks.put(job, unplaced);
                 List<Machine> reserved =
                         packer.reserveMachines(
-                                job.spec,
+                                job.spec(),
                                 (int)
                                         Math.min(
                                                 unplaced,
                                                 reservableCpus
                                                         / Math.max(
                                                                 ClusterConstants.EPSILON,
-                                                                job.spec.cpus())));
-                reservableCpus -= reserved.size() * job.spec.cpus();
+                                                                job.spec().cpus())));
+                reservableCpus -= reserved.size() * job.spec().cpus();
                 reserved.forEach(machine -> reservedFor.put(machine, job));
             }
             // High-water mark: what is about to start, and what comes next when a machine has
@@ -174,8 +174,8 @@
                                             markAheadCpus
                                                     / Math.max(
                                                             ClusterConstants.EPSILON,
-                                                            job.spec.cpus())));
-            markAheadCpus -= nextTasks * job.spec.cpus();
+                                                            job.spec().cpus())));
+            markAheadCpus -= nextTasks * job.spec().cpus();
             if (allowedTasks - unplaced + nextTasks > 0) {
                 highWaterMarks.request(
                         job, job.highWaterMarkForNext(allowedTasks - unplaced + nextTasks));
--- a/src/main/java/org/shoreusher/core/schedule/Preemption.java
+++ b/src/main/java/org/shoreusher/core/schedule/Preemption.java
@@ -35,16 +35,17 @@
         this.schedulingOrder = schedulingOrder;
         this.now = now;
         for (Machine machine : shard.machines().values()) {
-            for (TaskAttempt attempt : machine.tasks.values()) {
-                if (attempt.beingEvicted || attempt.mustStop) {
-                    reclaimedTeamCpus.addTo(attempt.job.spec.team(), attempt.job.spec.cpus());
-                    reclaimedCpus += attempt.job.spec.cpus();
-                } else if (attempt.job.spec.checkpointIntervalS() > 0
-                        && attempt.state == TaskAttempt.State.RUNNING
-                        && now.monotonicMs() - attempt.createdMs
+            for (TaskAttempt attempt : machine.tasks().values()) {
+                if (attempt.isBeingEvicted() || attempt.mustStop()) {
+                    reclaimedTeamCpus.addTo(
+                            attempt.job().spec().team(), attempt.job().spec().cpus());
+                    reclaimedCpus += attempt.job().spec().cpus();
+                } else if (attempt.job().spec().checkpointIntervalS() > 0
+                        && attempt.state() == TaskAttempt.State.RUNNING
+                        && now.monotonicMs() - attempt.createdMs()
                                 > ScheduleConstants.MIN_COUNTED_RUN_MS
                         && shard.isAvailable(machine)
-                        && schedulingOrder.isPreemptible(attempt.job, now.wallMs())) {
+                        && schedulingOrder.isPreemptible(attempt.job(), now.wallMs())) {
                     victims.add(attempt);
                 }
             }
@@ -52,11 +53,11 @@
         // Lowest priority first, then the task that has run for the shortest time: it has the most
         // work left, so stopping it frees capacity for longest.
         victims.sort(
-                Comparator.comparing((TaskAttempt attempt) -> attempt.job.spec.priority())
+                Comparator.comparing((TaskAttempt attempt) -> attempt.job().spec().priority())
                         .reversed()
-                        .thenComparing(attempt -> -attempt.runningSinceMs)
-                        .thenComparing(attempt -> attempt.job.id)
-                        .thenComparingInt(attempt -> attempt.taskIndex));
+                        .thenComparing(attempt -> -attempt.runningSinceMs())
+                        .thenComparing(attempt -> attempt.job().id())
+                        .thenComparingInt(attempt -> attempt.taskIndex()));
     }
 
     /**
@@ -67,16 +68,16 @@
      */
     List<TaskAttempt> choose(List<Job> orderedJobs, BinPacker packer) {
         for (Job job : orderedJobs) {
-            boolean isHighPriority = job.spec.priority().compareTo(JobSpec.Priority.HIGH) <= 0;
+            boolean isHighPriority = job.spec().priority().compareTo(JobSpec.Priority.HIGH) <= 0;
             if (job.isSuspectedFaulty()
                     || !(isHighPriority
-                            || (job.spec.priority() == JobSpec.Priority.NORMAL
+                            || (job.spec().priority() == JobSpec.Priority.NORMAL
                                     && schedulingOrder.isNearLatestStart(job, now.wallMs())))) {
                 continue;
             }
-            JobSpec spec = job.spec;
-            int tasksOverQuota = job.pendingCount - packer.maxTasksWithinQuota(spec);
-            int unplacedTasks = packer.place(job, job.pendingCount);
+            JobSpec spec = job.spec();
+            int tasksOverQuota = job.pendingCount() - packer.maxTasksWithinQuota(spec);
+            int unplacedTasks = packer.place(job, job.pendingCount());
             if (tasksOverQuota > 0) {
                 double alreadyReclaimedCpus = reclaimedTeamCpus.getDouble(spec.team());
                 double missingCpus = tasksOverQuota * spec.cpus() - alreadyReclaimedCpus;
@@ -97,11 +98,13 @@
         double missingCpus = requiredCpus;
         for (int i = 0; i < victims.size() && missingCpus > 0; i++) {
             TaskAttempt victim = victims.get(i);
-            JobSpec spec = victim.job.spec;
+            JobSpec spec = victim.job().spec();
             if (spec.priority().compareTo(waitingSpec.priority()) > 0
                     && (team == null || spec.team().equals(team))
                     && waitingSpec.allowsMachine(
-                            victim.machine.type.name(), victim.machine.zone, victim.machine.spot)) {
+                            victim.machine().type().name(),
+                            victim.machine().zone(),
+                            victim.machine().isSpot())) {
                 victims.remove(i--);
                 chosen.add(victim);
                 missingCpus -= spec.cpus();
--- a/src/main/java/org/shoreusher/core/schedule/PreemptionPass.java
+++ b/src/main/java/org/shoreusher/core/schedule/PreemptionPass.java
@@ -42,15 +42,15 @@
                 || shard.jobs().values().stream()
                         .allMatch(
                                 job ->
-                                        job.spec.workloadType().runsToCompletion()
-                                                || job.pendingCount == 0)) {
+                                        job.spec().workloadType().runsToCompletion()
+                                                || job.pendingCount() == 0)) {
             return;
         }
         List<Job> services = jobQueue.inSchedulingOrder();
-        services.removeIf(job -> job.spec.workloadType().runsToCompletion());
+        services.removeIf(job -> job.spec().workloadType().runsToCompletion());
         for (TaskAttempt attempt :
                 new ReplicaPreemption(shard, quotaHeadroom, outbox.now).choose(services)) {
-            attempt.mustStop = true;
+            attempt.requireStop();
             taskStopper.sendStop(attempt, 0);
         }
     }
@@ -72,7 +72,7 @@
         for (TaskAttempt attempt :
                 new Preemption(shard, schedulingOrder, outbox.now)
                         .choose(orderedJobs, binPackers.create())) {
-            attempt.beingEvicted = true;
+            attempt.evict();
             taskStopper.sendStop(attempt, TaskStopper.gracePeriodS(attempt));
         }
     }
--- a/src/main/java/org/shoreusher/core/schedule/ReplicaPreemption.java
+++ b/src/main/java/org/shoreusher/core/schedule/ReplicaPreemption.java
@@ -65,21 +65,21 @@
         for (Machine machine : shard.machines().values()) {
             if (shard.isAvailable(machine)) {
                 ProspectiveCapacity capacity = new ProspectiveCapacity(machine);
-                for (TaskAttempt attempt : machine.tasks.values()) {
-                    if (attempt.mustStop || attempt.beingEvicted) {
-                        capacity.release(attempt.job.spec);
-                    } else if (attempt.job.spec.workloadType().runsToCompletion()) {
+                for (TaskAttempt attempt : machine.tasks().values()) {
+                    if (attempt.mustStop() || attempt.isBeingEvicted()) {
+                        capacity.release(attempt.job().spec());
+                    } else if (attempt.job().spec().workloadType().runsToCompletion()) {
                         capacity.victims.add(attempt);
                     }
                 }
                 capacity.victims.sort(
                         Comparator.comparingDouble(this::lostCpuS)
-                                .thenComparing(attempt -> attempt.job.id)
-                                .thenComparingInt(attempt -> attempt.taskIndex));
+                                .thenComparing(attempt -> attempt.job().id())
+                                .thenComparingInt(attempt -> attempt.taskIndex()));
                 capacities.add(capacity);
             }
         }
-        capacities.sort(Comparator.comparing(capacity -> capacity.machine.id));
+        capacities.sort(Comparator.comparing(capacity -> capacity.machine.id()));
     }
 
     /**
@@ -88,18 +88,18 @@
      */
     private double lostCpuS(TaskAttempt attempt) {
         double ranS =
-                attempt.runningSinceMs < 0
+                attempt.runningSinceMs() < 0
                         ? 0
-                        : (now.monotonicMs() - attempt.runningSinceMs) / 1000.0;
+                        : (now.monotonicMs() - attempt.runningSinceMs()) / 1000.0;
         double lostS =
-                attempt.job.spec.checkpointIntervalS() > 0
-                        ? Math.min(ranS, attempt.job.spec.checkpointIntervalS())
+                attempt.job().spec().checkpointIntervalS() > 0
+                        ? Math.min(ranS, attempt.job().spec().checkpointIntervalS())
                         : ranS;
         double uncountedStartS =
-                now.monotonicMs() - attempt.createdMs < ScheduleConstants.MIN_COUNTED_RUN_MS
+                now.monotonicMs() - attempt.createdMs() < ScheduleConstants.MIN_COUNTED_RUN_MS
                         ? ScheduleConstants.MIN_COUNTED_RUN_MS / 1000.0
                         : 0;
-        return attempt.job.spec.cpus() * (lostS + uncountedStartS);
+        return attempt.job().spec().cpus() * (lostS + uncountedStartS);
     }
 
     /**
@@ -109,11 +109,11 @@
     List<TaskAttempt> choose(List<Job> services) {
         List<TaskAttempt> chosen = new ArrayList<>();
         for (Job job : services) {
-            JobSpec spec = job.spec;
+            JobSpec spec = job.spec();
             BinPacker.ZoneConstraints zoneConstraints = new BinPacker.ZoneConstraints(job);
             int unplaced =
                     Math.min(
-                            job.pendingCount,
+                            job.pendingCount(),
                             new BinPacker(
                                             new ArrayList<>(),
                                             quotaHeadroom::cpuHeadroom,
@@ -125,19 +125,19 @@
                 double leastLossCpuS = Double.MAX_VALUE;
                 for (ProspectiveCapacity capacity : capacities) {
                     Machine machine = capacity.machine;
-                    if (!spec.allowsMachine(machine.type.name(), machine.zone, machine.spot)
-                            || zoneConstraints.remainingTasks(machine.zone) <= 0
-                            || job.failedMachineIds.contains(machine.id)) {
+                    if (!spec.allowsMachine(machine.type().name(), machine.zone(), machine.isSpot())
+                            || zoneConstraints.remainingTasks(machine.zone()) <= 0
+                            || job.failedMachineIds().contains(machine.id())) {
                         continue;
                     }
                     List<TaskAttempt> victims = selectVictims(capacity, spec);
                     double fetchS =
-                            machine.cachedImages.contains(spec.image())
+                            machine.cachedImages().contains(spec.image())
                                     ? 0
                                     : spec.imageGb()
                                             / Math.max(
                                                     ScheduleConstants.MIN_IMAGE_FETCH_GB_PER_S,
-                                                    machine.type.imageFetchGbPerS());
+                                                    machine.type().imageFetchGbPerS());
                     double lossCpuS =
                             victims == null
                                     ? Double.MAX_VALUE
@@ -154,10 +154,10 @@
                 }
                 for (TaskAttempt attempt : leastVictims) {
                     bestCapacity.victims.remove(attempt);
-                    bestCapacity.release(attempt.job.spec);
+                    bestCapacity.release(attempt.job().spec());
                 }
                 bestCapacity.allocate(spec);
-                zoneConstraints.add(bestCapacity.machine.zone, 1);
+                zoneConstraints.add(bestCapacity.machine.zone(), 1);
                 chosen.addAll(leastVictims);
             }
         }
@@ -177,11 +177,11 @@
             if (capacity.fits(spec, cpus, gpus, memGb)) {
                 break;
             }
-            if (attempt.job.spec.priority().compareTo(spec.priority()) > 0) {
+            if (attempt.job().spec().priority().compareTo(spec.priority()) > 0) {
                 victims.add(attempt);
-                cpus += attempt.job.spec.cpus();
-                gpus += attempt.job.spec.gpus();
-                memGb += attempt.job.spec.memGb();
+                cpus += attempt.job().spec().cpus();
+                gpus += attempt.job().spec().gpus();
+                memGb += attempt.job().spec().memGb();
             }
         }
         return capacity.fits(spec, cpus, gpus, memGb) ? victims : null;
--- a/src/main/java/org/shoreusher/core/schedule/SchedulingOrder.java
+++ b/src/main/java/org/shoreusher/core/schedule/SchedulingOrder.java
@@ -50,7 +50,7 @@
                         .thenComparingInt(JobRank::missedObjectives)
                         .thenComparingDouble(JobRank::remainingCpuS)
                         .thenComparingDouble(JobRank::slackS)
-                        .thenComparing(rank -> rank.job().id));
+                        .thenComparing(rank -> rank.job().id()));
         for (int i = 0; i < ranks.size(); i++) {
             jobs.set(i, ranks.get(i).job());
         }
@@ -61,7 +61,7 @@
      * objective that is still attainable; {@link Double#MAX_VALUE} if there is none.
      */
     public double timeToNearestObjectiveS(Job job, long wallMs) {
-        double ageS = (wallMs - job.acceptedAtMs) / 1000.0;
+        double ageS = (wallMs - job.acceptedAtMs()) / 1000.0;
         double runS = estimates.expectedRunS(job);
         double timeLeftS = Double.MAX_VALUE;
         for (Settings.Objective objective : settings.objectives()) {
@@ -89,7 +89,7 @@
     }
 
     private JobRank rank(Job job, long wallMs) {
-        double ageS = (wallMs - job.acceptedAtMs) / 1000.0;
+        double ageS = (wallMs - job.acceptedAtMs()) / 1000.0;
         double remainingS = estimatedRemainingS(job);
         // Objectives that are already out of reach are counted; the slack is that of the next
         // attainable one.
@@ -111,7 +111,8 @@
         // first; a steady stream of urgent work would otherwise starve it.
         int priorityBand =
                 job.hasStarted() || ageS < ScheduleConstants.STARVATION_AGE_S
-                        ? Math.min(job.spec.priority().ordinal(), JobSpec.Priority.NORMAL.ordinal())
+                        ? Math.min(
+                                job.spec().priority().ordinal(), JobSpec.Priority.NORMAL.ordinal())
                         : -1;
         boolean hasAmpleSlack =
                 priorityBand > JobSpec.Priority.HIGH.ordinal()
@@ -122,7 +123,7 @@
                 priorityBand,
                 missedObjectives,
                 hasAmpleSlack
-                        ? job.pendingCount * job.spec.cpus() * estimates.expectedRunS(job)
+                        ? job.pendingCount() * job.spec().cpus() * estimates.expectedRunS(job)
                         : 0,
                 slackS);
     }
@@ -132,10 +133,10 @@
      * fully started. Whether the job fits into the guarantee is not known here.
      */
     private boolean isGuaranteeUrgent(Job job, double ageS) {
-        Settings.Team team = settings.teams().get(job.spec.team());
+        Settings.Team team = settings.teams().get(job.spec().team());
         return team != null
                 && team.guaranteedCpus() > 0
-                && job.startedCount < job.spec.taskCount()
+                && job.startedCount() < job.spec().taskCount()
                 && settings.objectives().stream()
                         .anyMatch(
                                 objective ->
@@ -153,17 +154,20 @@
      * @param remainingS estimated seconds that the remaining tasks take
      */
     private double slackS(Settings.Objective objective, Job job, double ageS, double remainingS) {
-        if (!objective.jobClass().isEmpty() && !objective.jobClass().equals(job.spec.jobClass())) {
+        if (!objective.jobClass().isEmpty()
+                && !objective.jobClass().equals(job.spec().jobClass())) {
             return Double.MAX_VALUE;
         }
         return switch (objective.kind()) {
             case "deadline" ->
-                    Double.isNaN(job.spec.deadlineS())
+                    Double.isNaN(job.spec().deadlineS())
                             ? Double.MAX_VALUE
-                            : job.spec.deadlineS() * objective.deadlineFactor() - ageS - remainingS;
+                            : job.spec().deadlineS() * objective.deadlineFactor()
+                                    - ageS
+                                    - remainingS;
             case "finished" -> objective.withinS() - ageS - remainingS;
             case "wait" ->
-                    job.startedCount > 0 && job.startedCount >= maxConcurrentTasks(job)
+                    job.startedCount() > 0 && job.startedCount() >= maxConcurrentTasks(job)
                             ? Double.MAX_VALUE
                             : objective.withinS() - ageS;
             default -> Double.MAX_VALUE;
@@ -172,11 +176,12 @@
 
     /** Returns how many tasks of the job can run concurrently within its team's quota. */
     private int maxConcurrentTasks(Job job) {
-        Settings.Team team = settings.teams().get(job.spec.team());
-        if (team == null || job.spec.cpus() <= 0) {
-            return job.spec.taskCount();
+        Settings.Team team = settings.teams().get(job.spec().team());
+        if (team == null || job.spec().cpus() <= 0) {
+            return job.spec().taskCount();
         }
-        return (int) Math.max(1, Math.min(job.spec.taskCount(), team.maxCpus() / job.spec.cpus()));
+        return (int)
+                Math.max(1, Math.min(job.spec().taskCount(), team.maxCpus() / job.spec().cpus()));
     }
 
     /**
@@ -184,7 +189,8 @@
      * available.
      */
     private double estimatedRemainingS(Job job) {
-        double rounds = Math.max(1, Math.ceil((double) job.pendingCount / maxConcurrentTasks(job)));
+        double rounds =
+                Math.max(1, Math.ceil((double) job.pendingCount() / maxConcurrentTasks(job)));
         return rounds * (estimates.expectedRunS(job) + ScheduleConstants.TASK_START_LATENCY_S);
     }
 }
--- a/src/main/java/org/shoreusher/core/schedule/TaskMigration.java
+++ b/src/main/java/org/shoreusher/core/schedule/TaskMigration.java
@@ -56,7 +56,7 @@
         }
 
         JobSpec spec() {
-            return source.job.spec;
+            return source.job().spec();
         }
     }
 
@@ -112,10 +112,10 @@
         if (!isDisabled()) {
             balancer.load()
                     .addMachine(
-                            machine.id,
-                            machine.zone,
-                            machine.type.cpus(),
-                            machine.type.imageFetchGbPerS());
+                            machine.id(),
+                            machine.zone(),
+                            machine.type().cpus(),
+                            machine.type().imageFetchGbPerS());
         }
     }
 
@@ -129,22 +129,22 @@
     /** A job was started under a previous leader. */
     public void onJobBegunByPreviousLeader(Job job) {
         if (!isDisabled()) {
-            balancer.budget().markBegunByPreviousLeader(job.id);
+            balancer.budget().markBegunByPreviousLeader(job.id());
         }
     }
 
     /** A job has reached a terminal state. */
     public void onJobEnded(Job job) {
         if (!isDisabled()) {
-            balancer.budget().removeJob(job.id);
+            balancer.budget().removeJob(job.id());
         }
     }
 
     @Override
     public void attemptAdded(TaskAttempt attempt) {
         if (!isDisabled()) {
-            JobSpec spec = attempt.job.spec;
-            balancer.load().addTask(attempt.machine.id, spec.team(), spec.cpus(), spec.image());
+            JobSpec spec = attempt.job().spec();
+            balancer.load().addTask(attempt.machine().id(), spec.team(), spec.cpus(), spec.image());
             balancer.budget().addTask(spec.jobClass(), outbox.now.monotonicMs());
         }
     }
@@ -154,26 +154,27 @@
         if (isDisabled()) {
             return;
         }
-        JobSpec spec = attempt.job.spec;
-        balancer.load().removeTask(attempt.machine.id, spec.team(), spec.cpus());
+        JobSpec spec = attempt.job().spec();
+        balancer.load().removeTask(attempt.machine().id(), spec.team(), spec.cpus());
         balancer.budget().removeTask(spec.jobClass(), outbox.now.monotonicMs());
-        Reservation reservation = reservations.get(new TaskId(attempt.job.id, attempt.taskIndex));
+        Reservation reservation =
+                reservations.get(new TaskId(attempt.job().id(), attempt.taskIndex()));
         if (reservation == null || reservation.source != attempt) {
             return;
         }
-        if (attempt.job.completedTasks.get(attempt.taskIndex)) {
+        if (attempt.job().completedTasks().get(attempt.taskIndex())) {
             release(reservation);
             balancer.markCompleted(reservation.migration, outbox.now.monotonicMs());
             outbox.log(
                     LogEvent.of(LogEventType.MIGRATION_OBSOLETE)
                             .with("task", reservation.migration.task().id()));
-        } else if (attempt.job.closed) {
+        } else if (attempt.job().isClosed()) {
             abandon(reservation, Migration.Reason.JOB_CLOSED);
         } else {
             balancer.markLeftSource(
-                    reservation.migration, attempt.checkpointed, outbox.now.monotonicMs());
+                    reservation.migration, attempt.isCheckpointed(), outbox.now.monotonicMs());
             reservation.hasLeftSource = true;
-            attempt.job.setPending(attempt.taskIndex, false);
+            attempt.job().setPending(attempt.taskIndex(), false);
             ledger.reserve(spec);
         }
     }
@@ -199,22 +200,22 @@
             return Double.POSITIVE_INFINITY;
         }
         boolean withinLimit = pass == BinPacker.SpreadPass.WITHIN_LIMIT;
-        if (!withinLimit && !machine.cachedImages.contains(spec.image())) {
+        if (!withinLimit && !machine.cachedImages().contains(spec.image())) {
             return 0;
         }
         boolean beyondLimit = pass == BinPacker.SpreadPass.IMAGE_BEYOND_LIMIT;
-        double fetchShare = beyondLimit ? BinPacker.imageFetchShare(machine.type, spec) : 0;
-        return balancer.maxTeamCpus(machine.id, spec.team(), spec.cpus(), fetchShare);
+        double fetchShare = beyondLimit ? BinPacker.imageFetchShare(machine.type(), spec) : 0;
+        return balancer.maxTeamCpus(machine.id(), spec.team(), spec.cpus(), fetchShare);
     }
 
     @Override
     public double teamCpusUsed(Machine machine, String team) {
-        return balancer.load().teamCpusOn(machine.id, team);
+        return balancer.load().teamCpusOn(machine.id(), team);
     }
 
     /** Whether a migrated task waits for this machine's heartbeat. */
     public boolean hasReadyTasks(Machine machine) {
-        return machine.reservedTaskCount > 0
+        return machine.reservedTaskCount() > 0
                 && reservations.values().stream()
                         .anyMatch(
                                 reservation ->
@@ -234,7 +235,7 @@
             if (reservation.target != machine || !reservation.hasLeftSource) {
                 continue;
             }
-            if (reservation.source.job.closed) {
+            if (reservation.source.job().isClosed()) {
                 abandon(reservation, Migration.Reason.JOB_CLOSED);
             } else if (quotaHeadroom.cpuHeadroom(reservation.spec().team())
                     < -ClusterConstants.EPSILON) {
@@ -246,12 +247,12 @@
                 outbox.log(
                         LogEvent.of(LogEventType.MIGRATION_COMPLETED)
                                 .with("task", reservation.migration.task().id())
-                                .with("target", machine.id)
+                                .with("target", machine.id())
                                 .with(
                                         "duration_ms",
                                         outbox.now.monotonicMs()
                                                 - reservation.migration.begunAtMs())
-                                .with("checkpointed", reservation.source.checkpointed));
+                                .with("checkpointed", reservation.source.isCheckpointed()));
                 readyTasks.add(reservation.migration.task().id());
             }
         }
@@ -288,8 +289,9 @@
     private Map<String, Double> unmetDemand() {
         Map<String, Double> wantedCpus = new HashMap<>();
         for (Job job : shard.jobs().values()) {
-            if (job.pendingCount > 0) {
-                wantedCpus.merge(job.spec.team(), job.pendingCount * job.spec.cpus(), Double::sum);
+            if (job.pendingCount() > 0) {
+                wantedCpus.merge(
+                        job.spec().team(), job.pendingCount() * job.spec().cpus(), Double::sum);
             }
         }
         wantedCpus.replaceAll(
@@ -300,9 +302,9 @@
     private void checkProgress(Reservation reservation) {
         Migration.Reason timeoutReason =
                 balancer.timeoutReason(reservation.migration, outbox.now.monotonicMs());
-        if (reservation.source.job.closed) {
+        if (reservation.source.job().isClosed()) {
             abandon(reservation, Migration.Reason.JOB_CLOSED);
-        } else if (shard.machines().get(reservation.target.id) != reservation.target
+        } else if (shard.machines().get(reservation.target.id()) != reservation.target
                 || !shard.isAvailable(reservation.target)) {
             abandon(reservation, Migration.Reason.TARGET_LOST);
         } else if (timeoutReason != null) {
@@ -312,17 +314,17 @@
 
     private void begin(Migration migration) {
         Job job = shard.jobs().get(migration.task().id().job());
-        TaskAttempt attempt = job.activeAttempts.get(migration.task().id().index());
+        TaskAttempt attempt = job.activeAttempts().get(migration.task().id().index());
         Reservation reservation =
                 new Reservation(migration, attempt, shard.machines().get(migration.target()));
         reservations.put(migration.task().id(), reservation);
         reservation.target.reserve(reservation.spec(), 1);
-        attempt.beingEvicted = true;
+        attempt.evict();
         taskStopper.sendStop(attempt, TaskStopper.gracePeriodS(attempt));
         outbox.log(
                 LogEvent.of(LogEventType.MIGRATION_STARTED)
                         .with("task", migration.task().id())
-                        .with("source", attempt.machine.id)
+                        .with("source", attempt.machine().id())
                         .with("target", migration.target())
                         .with("team", migration.task().team())
                         .with(
@@ -356,11 +358,11 @@
             return;
         }
         ledger.release(reservation.spec());
-        Job job = reservation.source.job;
-        int index = reservation.source.taskIndex;
-        if (!job.closed
-                && !job.completedTasks.get(index)
-                && job.activeAttempts.get(index) == null) {
+        Job job = reservation.source.job();
+        int index = reservation.source.taskIndex();
+        if (!job.isClosed()
+                && !job.completedTasks().get(index)
+                && job.activeAttempts().get(index) == null) {
             job.setPending(index, true);
         }
     }
@@ -372,8 +374,8 @@
         if (m == null || !shard.isAvailable(m)) {
             return migratable;
         }
-        for (TaskAttempt attempt : m.tasks.values()) {
-            if (attempt.job.spec.team().equals(team) && isMigratable(attempt)) {
+        for (TaskAttempt attempt : m.tasks().values()) {
+            if (attempt.job().spec().team().equals(team) && isMigratable(attempt)) {
                 migratable.add(toMigratableTask(attempt));
             }
         }
@@ -382,33 +384,33 @@
 
     /** Whether a task can be stopped and restarted without harm to its job. */
     private boolean isMigratable(TaskAttempt attempt) {
-        JobSpec spec = attempt.job.spec;
-        return attempt.state == TaskAttempt.State.RUNNING
-                && !attempt.beingEvicted
-                && !attempt.mustStop
-                && !attempt.job.closed
+        JobSpec spec = attempt.job().spec();
+        return attempt.state() == TaskAttempt.State.RUNNING
+                && !attempt.isBeingEvicted()
+                && !attempt.mustStop()
+                && !attempt.job().isClosed()
                 && spec.workloadType().runsToCompletion()
                 && spec.checkpointIntervalS() > 0
                 && !spec.singleZone()
                 && !spec.spreadAcrossZones()
-                && attempt.job.activeAttempts.get(attempt.taskIndex) == attempt
-                && outbox.now.monotonicMs() - attempt.createdMs
+                && attempt.job().activeAttempts().get(attempt.taskIndex()) == attempt
+                && outbox.now.monotonicMs() - attempt.createdMs()
                         > ScheduleConstants.MIN_COUNTED_RUN_MS
-                && schedulingOrder.isPreemptible(attempt.job, outbox.now.wallMs());
+                && schedulingOrder.isPreemptible(attempt.job(), outbox.now.wallMs());
     }
 
     private MigratableTask toMigratableTask(TaskAttempt attempt) {
-        JobSpec spec = attempt.job.spec;
-        double ranS = (outbox.now.monotonicMs() - attempt.runningSinceMs) / 1000.0;
+        JobSpec spec = attempt.job().spec();
+        double ranS = (outbox.now.monotonicMs() - attempt.runningSinceMs()) / 1000.0;
         return new MigratableTask(
-                new TaskId(attempt.job.id, attempt.taskIndex),
+                new TaskId(attempt.job().id(), attempt.taskIndex()),
                 spec.jobClass(),
                 spec.team(),
                 spec.cpus(),
                 spec.image(),
                 spec.imageGb(),
-                attempt.machine.id,
-                runTimeEstimates.expectedRunS(attempt.job) - ranS,
+                attempt.machine().id(),
+                runTimeEstimates.expectedRunS(attempt.job()) - ranS,
                 Math.min(spec.checkpointIntervalS(), ranS),
                 spec.checkpointDurationS());
     }
@@ -417,14 +419,14 @@
     public boolean canAccept(String machine, MigratableTask task) {
         Machine m = shard.machines().get(machine);
         Job job = shard.jobs().get(task.id().job());
-        if (m == null || job == null || !shard.isAvailable(m) || !m.hasDurableUseRecord) {
+        if (m == null || job == null || !shard.isAvailable(m) || !m.hasDurableUseRecord()) {
             return false;
         }
         BinPacker.MachineCapacity capacity = new BinPacker.MachineCapacity(m);
         return !capacity.expensive
-                && !job.failedMachineIds.contains(machine)
-                && m.tasks.size() + m.reservedTaskCount < ClusterConstants.MAX_TASKS_PER_MACHINE
-                && job.spec.allowsMachine(m.type.name(), m.zone, m.spot)
-                && capacity.fittingTaskCount(job.spec) > 0;
+                && !job.failedMachineIds().contains(machine)
+                && m.tasks().size() + m.reservedTaskCount() < ClusterConstants.MAX_TASKS_PER_MACHINE
+                && job.spec().allowsMachine(m.type().name(), m.zone(), m.isSpot())
+                && capacity.fittingTaskCount(job.spec()) > 0;
     }
 }
--- a/src/main/java/org/shoreusher/core/schedule/TaskStopper.java
+++ b/src/main/java/org/shoreusher/core/schedule/TaskStopper.java
@@ -25,7 +25,8 @@
 
     /** Returns the grace period, in seconds, that a stopped task gets to write a checkpoint. */
     public static double gracePeriodS(TaskAttempt attempt) {
-        return attempt.job.spec.checkpointDurationS() * ScheduleConstants.CHECKPOINT_GRACE_FACTOR;
+        return attempt.job().spec().checkpointDurationS()
+                * ScheduleConstants.CHECKPOINT_GRACE_FACTOR;
     }
 
     /**
@@ -36,9 +37,9 @@
     public static WorkerOrder stopOrder(TaskAttempt attempt, double gracePeriodS) {
         return new WorkerOrder(
                 WorkerOrder.Kind.STOP,
-                attempt.job.id,
-                attempt.taskIndex,
-                attempt.attemptNumber,
+                attempt.job().id(),
+                attempt.taskIndex(),
+                attempt.attemptNumber(),
                 gracePeriodS);
     }
 
@@ -49,21 +50,22 @@
      * @param gracePeriodS seconds until the task is killed
      */
     public void sendStop(TaskAttempt attempt, double gracePeriodS) {
-        Machine machine = attempt.machine;
+        Machine machine = attempt.machine();
         // An unresponsive machine most likely cannot be reached: its lease expires, or its next
         // heartbeat is answered with the order.
         if (authority.isLeader()
-                && machine.address != null
-                && machine.reconciled
-                && outbox.now.monotonicMs() - machine.lastHeartbeatAtMs < shard.heartbeatTimeoutMs()
-                && outbox.now.monotonicMs() - attempt.lastStopOrderMs
+                && machine.address() != null
+                && machine.isReconciled()
+                && outbox.now.monotonicMs() - machine.lastHeartbeatAtMs()
+                        < shard.heartbeatTimeoutMs()
+                && outbox.now.monotonicMs() - attempt.lastStopOrderMs()
                         > ScheduleConstants.STOP_ORDER_RETRY_MS) {
-            attempt.lastStopOrderMs = outbox.now.monotonicMs();
+            attempt.recordStopOrder(outbox.now.monotonicMs());
             outbox.add(
                     new Effect.SendOrders(
-                            machine.address,
+                            machine.address(),
                             authority.term(),
-                            machine.session,
+                            machine.incarnation(),
                             List.of(stopOrder(attempt, gracePeriodS))));
         }
     }
--- a/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
+++ b/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
@@ -190,7 +190,7 @@
     void olderOfTwoSubmissionRecordsCounts() {
         Settings settings = CoreTestData.settings(List.of());
         JobSpec spec =
-                CoreTestData.job("wk-1", "c", JobSpec.Priority.HIGH, 3, 1, Double.NaN, 0).spec;
+                CoreTestData.job("wk-1", "c", JobSpec.Priority.HIGH, 3, 1, Double.NaN, 0).spec();
         for (boolean olderFirst : new boolean[] {true, false}) {
             Outbox outbox = new Outbox(settings, 2);
             SubmissionBatches[] submissionBatches = new SubmissionBatches[1];
@@ -259,10 +259,10 @@
                             1,
                             Double.NaN,
                             0);
-            jobs.put(job.id, job);
+            jobs.put(job.id(), job);
             storeCache.apply(
-                    StoreSchema.jobKey(job.id),
-                    StoreSchema.JobRecord.open(0, job.spec, 0).toMap(),
+                    StoreSchema.jobKey(job.id()),
+                    StoreSchema.JobRecord.open(0, job.spec(), 0).toMap(),
                     1);
         }
         HighWaterMarks highWaterMarks =
@@ -275,9 +275,9 @@
                         jobs);
         long revision = 1;
         for (int round = 0;
-                round < 200 && jobs.values().stream().anyMatch(j -> j.highWaterMark == 0);
+                round < 200 && jobs.values().stream().anyMatch(j -> j.highWaterMark() == 0);
                 round++) {
-            jobs.values().forEach(j -> highWaterMarks.request(j, j.highWaterMark == 0 ? 1 : 0));
+            jobs.values().forEach(j -> highWaterMarks.request(j, j.highWaterMark() == 0 ? 1 : 0));
             outbox.now = new ClockReading(outbox.now.monotonicMs() + 300, outbox.now.wallMs() + 10);
             highWaterMarks.writeRequestedMarks();
             for (Effect effect : outbox.drainEffects()) {
@@ -294,7 +294,7 @@
             }
         }
         Map<String, Job> taken = new java.util.LinkedHashMap<>();
-        jobs.values().forEach(j -> taken.put(j.id, new Job(j.id, j.spec, 0)));
+        jobs.values().forEach(j -> taken.put(j.id(), new Job(j.id(), j.spec(), 0)));
         new HighWaterMarks(
                         0,
                         1,
@@ -307,9 +307,9 @@
                 .forEach(
                         j ->
                                 assertEquals(
-                                        Math.max(1, j.highWaterMark),
-                                        taken.get(j.id).highWaterMark,
-                                        j.id));
+                                        Math.max(1, j.highWaterMark()),
+                                        taken.get(j.id()).highWaterMark(),
+                                        j.id()));
     }
 
     /** A job whose tasks fail on every machine is distinguished from a faulty machine. */
@@ -320,7 +320,7 @@
         assertTrue(!job.isSuspectedFaulty() && !job.isBackingOff(1_000));
         job.recordFailure("m-2", 2_000);
         assertTrue(job.isSuspectedFaulty() && job.isBackingOff(2_500));
-        job.completedTasks.set(0);
+        job.completedTasks().set(0);
         assertTrue(!job.isSuspectedFaulty());
     }
 
--- a/src/test/java/org/shoreusher/core/PiecesTest.java
+++ b/src/test/java/org/shoreusher/core/PiecesTest.java
@@ -18,6 +18,8 @@
 import net.jqwik.api.constraints.LongRange;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.cluster.ResourceLedger;
+import org.shoreusher.core.cluster.TaskAttempt;
 import org.shoreusher.core.leadership.LeaderLease;
 import org.shoreusher.core.message.ClockReading;
 import org.shoreusher.core.message.JobSpec;
@@ -154,7 +156,7 @@
                             random.nextBoolean() ? "a" : "b",
                             random.nextBoolean(),
                             0);
-            machine.cpusUsed = random.nextInt(9);
+            occupy(machine, random.nextInt(9));
             slots.add(new BinPacker.MachineCapacity(machine));
         }
         double limit = random.nextInt(40);
@@ -175,7 +177,7 @@
                                     random.nextBoolean()),
                             0);
             jobs.add(job);
-            planner.place(job, job.spec.taskCount());
+            planner.place(job, job.spec().taskCount());
         }
         double used = 0;
         Map<Machine, Double> on = new HashMap<>();
@@ -185,22 +187,25 @@
             for (BinPacker.PlacedTasks placement : planner.placedTasks()) {
                 if (placement.job() == job) {
                     assertTrue(
-                            job.spec.allowsMachine(
-                                    "t", placement.capacity().zone, placement.capacity().spot));
+                            job.spec()
+                                    .allowsMachine(
+                                            "t",
+                                            placement.capacity().zone,
+                                            placement.capacity().spot));
                     zones.merge(placement.capacity().zone, placement.taskCount(), Integer::sum);
                     on.merge(
                             placement.capacity().machine,
-                            placement.taskCount() * job.spec.cpus(),
+                            placement.taskCount() * job.spec().cpus(),
                             Double::sum);
-                    used += placement.taskCount() * job.spec.cpus();
+                    used += placement.taskCount() * job.spec().cpus();
                     count += placement.taskCount();
                 }
             }
-            assertTrue(count <= job.spec.taskCount());
-            assertTrue(!job.spec.singleZone() || zones.size() <= 1);
-            int half = (job.spec.taskCount() + 1) / 2;
+            assertTrue(count <= job.spec().taskCount());
+            assertTrue(!job.spec().singleZone() || zones.size() <= 1);
+            int half = (job.spec().taskCount() + 1) / 2;
             assertTrue(
-                    !job.spec.spreadAcrossZones()
+                    !job.spec().spreadAcrossZones()
                             || zones.values().stream().allMatch(n -> n <= half));
         }
         assertTrue(used <= limit);
@@ -212,8 +217,8 @@
         Machine empty = new Machine("m-empty", TYPE, "a", true, 0);
         Machine half = new Machine("m-half", TYPE, "a", true, 0);
         Machine full = new Machine("m-full", TYPE, "a", true, 0);
-        half.cpusUsed = 4;
-        full.cpusUsed = 7;
+        occupy(half, 4);
+        occupy(full, 7);
         BinPacker planner =
                 new BinPacker(
                         new ArrayList<>(
@@ -227,7 +232,7 @@
         assertEquals(
                 List.of("m-half", "m-empty"),
                 planner.placedTasks().stream()
-                        .map(placement -> placement.capacity().machine.id)
+                        .map(placement -> placement.capacity().machine.id())
                         .toList());
         assertEquals(2, planner.placedTasks().get(0).taskCount());
     }
@@ -241,8 +246,8 @@
     void reservesAMachineForALargerTask() {
         Machine half = new Machine("m-half", TYPE, "a", true, 0);
         Machine full = new Machine("m-full", TYPE, "a", true, 0);
-        half.cpusUsed = 4;
-        full.cpusUsed = 7;
+        occupy(half, 4);
+        occupy(full, 7);
         BinPacker planner =
                 new BinPacker(
                         new ArrayList<>(
@@ -263,11 +268,24 @@
         assertEquals(
                 List.of("m-full"),
                 planner.placedTasks().stream()
-                        .map(placement -> placement.capacity().machine.id)
+                        .map(placement -> placement.capacity().machine.id())
                         .toList());
         assertEquals(
                 List.of(),
                 planner.reserveMachines(spec("wk-3", 1, 9, null, false, false, true), 1),
                 "no machine of this type ever has 9 CPUs");
     }
+
+    /** Puts a task on a machine that takes so many CPUs and nothing else. */
+    private static void occupy(Machine machine, int cpus) {
+        JobSpec spec =
+                new JobSpecBuilder("wk-occupying")
+                        .cpus(cpus)
+                        .memGb(0)
+                        .image("img-of-another-job")
+                        .build();
+        Job job = new Job(spec.id(), spec, 0);
+        new ResourceLedger()
+                .add(new TaskAttempt(job, 0, 1, machine, TaskAttempt.State.RUNNING, 0), true);
+    }
 }
--- a/src/test/java/org/shoreusher/core/cluster/MachineTest.java
+++ b/src/test/java/org/shoreusher/core/cluster/MachineTest.java
@@ -46,9 +46,8 @@
                         List.of()),
                 atMs,
                 SETTINGS);
-        machine.session = incarnation;
-        machine.sequenceNumber = sequenceNumber;
-        machine.lastReplyAtMs = atMs;
+        machine.recordHeartbeatOrder(incarnation, sequenceNumber);
+        machine.recordReply(atMs);
     }
 
     /**
--- a/src/test/java/org/shoreusher/core/job/CompletionRecordsTest.java
+++ b/src/test/java/org/shoreusher/core/job/CompletionRecordsTest.java
@@ -86,30 +86,30 @@
             jobs.add(job);
             for (int copies = random.nextInt(3); copies > 0; copies--) {
                 BitSet set = new BitSet();
-                int upTo = random.nextInt(job.spec.taskCount() + 1);
+                int upTo = random.nextInt(job.spec().taskCount() + 1);
                 for (int taskIndex = 0; taskIndex < upTo; taskIndex++) {
                     set.set(taskIndex, random.nextInt(3) > 0);
                 }
                 int recordNumber = random.nextInt(records);
                 Map<String, Object> record = store.get(recordNumber);
-                record.put(job.id, TaskRanges.format(set));
+                record.put(job.id(), TaskRanges.format(set));
                 // A successor splits a shard's own record that is too long to be written again.
                 if (FieldMap.jsonLength(record)
                         > (recordNumber == 0
                                         ? Math.min(previousValueBytes, settings.maxValueBytes())
                                         : previousValueBytes)
                                 * 0.75) {
-                    record.remove(job.id);
+                    record.remove(job.id());
                 }
             }
         }
         for (Job job : jobs) {
             store.forEach(
                     (recordNumber, record) -> {
-                        if (record.get(job.id) instanceof String ranges) {
+                        if (record.get(job.id()) instanceof String ranges) {
                             BitSet set = TaskRanges.parse(ranges);
-                            job.completedTasks.or(set);
-                            job.durablyCompletedTasks.or(set);
+                            job.completedTasks().or(set);
+                            job.durablyCompletedTasks().or(set);
                             CompletionRecords.adoptStoredRecord(job, set, recordNumber, settings);
                         }
                     });
@@ -118,7 +118,7 @@
             for (Job job : jobs) {
                 if (beat < 30) {
                     for (int n = random.nextInt(40); n > 0; n--) {
-                        job.completedTasks.set(random.nextInt(job.spec.taskCount()));
+                        job.completedTasks().set(random.nextInt(job.spec().taskCount()));
                     }
                 }
             }
@@ -151,15 +151,16 @@
                 completionRecords.markDurable();
             }
             for (Job job : jobs) {
-                BitSet missing = (BitSet) job.durablyCompletedTasks.clone();
-                missing.andNot(storedCompletions(store, job.id));
-                assertTrue(missing.isEmpty(), () -> "lost of " + job.id + ": " + missing);
-                BitSet notCompleted = storedCompletions(store, job.id);
-                notCompleted.andNot(job.completedTasks);
+                BitSet missing = (BitSet) job.durablyCompletedTasks().clone();
+                missing.andNot(storedCompletions(store, job.id()));
+                assertTrue(missing.isEmpty(), () -> "lost of " + job.id() + ": " + missing);
+                BitSet notCompleted = storedCompletions(store, job.id());
+                notCompleted.andNot(job.completedTasks());
                 assertTrue(notCompleted.isEmpty(), "not finished: " + notCompleted);
             }
         }
-        jobs.forEach(job -> assertEquals(job.completedTasks, job.durablyCompletedTasks, job.id));
+        jobs.forEach(
+                job -> assertEquals(job.completedTasks(), job.durablyCompletedTasks(), job.id()));
     }
 
     /**
@@ -175,16 +176,16 @@
         Map<String, BitSet> covered = new LinkedHashMap<>();
         for (int i = 0; i < 1 + random.nextInt(20); i++) {
             Job job = job(i, 1 + random.nextInt(1500));
-            for (int taskIndex = 0; taskIndex < job.spec.taskCount(); taskIndex++) {
-                job.completedTasks.set(taskIndex, random.nextBoolean());
+            for (int taskIndex = 0; taskIndex < job.spec().taskCount(); taskIndex++) {
+                job.completedTasks().set(taskIndex, random.nextBoolean());
             }
             BitSet alreadyStored = new BitSet();
             if (random.nextBoolean()) {
                 alreadyStored.set(0, random.nextInt(800));
             }
-            all.put(job.id, job.completedTasks);
-            covered.put(job.id, alreadyStored);
-            done.put(job.id, TaskRanges.format(job.completedTasks));
+            all.put(job.id(), job.completedTasks());
+            covered.put(job.id(), alreadyStored);
+            done.put(job.id(), TaskRanges.format(job.completedTasks()));
         }
         Map<String, BitSet> found = new LinkedHashMap<>(covered);
         for (Map<String, Object> piece :
--- a/src/test/java/org/shoreusher/core/job/HighWaterMarksTest.java
+++ b/src/test/java/org/shoreusher/core/job/HighWaterMarksTest.java
@@ -83,10 +83,10 @@
                         jobs);
         long revision = 1;
         for (int round = 0;
-                round < 300 && jobs.values().stream().anyMatch(job -> job.highWaterMark == 0);
+                round < 300 && jobs.values().stream().anyMatch(job -> job.highWaterMark() == 0);
                 round++) {
             jobs.values().stream()
-                    .filter(job -> job.highWaterMark == 0 && random.nextInt(3) == 0)
+                    .filter(job -> job.highWaterMark() == 0 && random.nextInt(3) == 0)
                     .forEach(job -> highWaterMarks.request(job, 1));
             outbox.now = new ClockReading(outbox.now.monotonicMs() + 300, outbox.now.wallMs() + 10);
             highWaterMarks.writeRequestedMarks();
@@ -113,7 +113,7 @@
                         job ->
                                 assertEquals(
                                         1,
-                                        Math.min(1, job.highWaterMark),
-                                        job.id + " may never begin"));
+                                        Math.min(1, job.highWaterMark()),
+                                        job.id() + " may never begin"));
     }
 }
--- a/src/test/java/org/shoreusher/core/schedule/SchedulingOrderTest.java
+++ b/src/test/java/org/shoreusher/core/schedule/SchedulingOrderTest.java
@@ -30,7 +30,8 @@
         List<Job> jobs = new ArrayList<>(List.of(late, relaxed, soon, high));
         schedulingOrder.sort(jobs, 30_000);
         assertEquals(
-                List.of("wk-4", "wk-2", "wk-3", "wk-1"), jobs.stream().map(job -> job.id).toList());
+                List.of("wk-4", "wk-2", "wk-3", "wk-1"),
+                jobs.stream().map(job -> job.id()).toList());
     }
 
     /**
@@ -52,14 +53,14 @@
                         "wk-2", "rolls", JobSpec.Priority.NORMAL, 20, 40, Double.NaN, 30_000);
         List<Job> jobs = new ArrayList<>(List.of(large, small));
         schedulingOrder.sort(jobs, 40_000);
-        assertEquals("wk-2", jobs.get(0).id);
+        assertEquals("wk-2", jobs.get(0).id());
         // Without a quota all its tasks may run at once: 40 s, so the latest start time is at 158
         // s.
         Job unlimited =
                 CoreTestData.job("wk-3", "rolls", JobSpec.Priority.NORMAL, 8, 40, Double.NaN, 0);
         jobs = new ArrayList<>(List.of(small, unlimited));
         schedulingOrder.sort(jobs, 145_000);
-        assertEquals("wk-3", jobs.get(0).id);
+        assertEquals("wk-3", jobs.get(0).id());
     }
 
     /**
@@ -83,7 +84,7 @@
         for (long now : new long[] {65_000, 80_000, 100_000}) {
             List<Job> jobs = new ArrayList<>(List.of(small, large));
             schedulingOrder.sort(jobs, now);
-            assertEquals(now == 80_000 ? "wk-1" : "wk-2", jobs.get(0).id);
+            assertEquals(now == 80_000 ? "wk-1" : "wk-2", jobs.get(0).id());
         }
     }
 
@@ -116,7 +117,7 @@
         Job large = CoreTestData.job("wk-1", "large", JobSpec.Priority.LOW, 500, 30, Double.NaN, 0);
         Job startedJob =
                 CoreTestData.job("wk-2", "large", JobSpec.Priority.LOW, 500, 30, Double.NaN, 0);
-        startedJob.startedCount = 1;
+        startedJob.recordStart();
         for (long now : new long[] {100_000, 200_000}) {
             Job urgent =
                     CoreTestData.job(
@@ -129,7 +130,7 @@
                             now - 1_000);
             List<Job> jobs = new ArrayList<>(List.of(startedJob, large, urgent));
             schedulingOrder.sort(jobs, now);
-            assertEquals(now < 150_000 ? "wk-3" : "wk-1", jobs.get(0).id);
+            assertEquals(now < 150_000 ? "wk-3" : "wk-1", jobs.get(0).id());
         }
     }
 
--- a/src/test/java/org/shoreusher/core/schedule/ZoneConstraintsTest.java
+++ b/src/test/java/org/shoreusher/core/schedule/ZoneConstraintsTest.java
@@ -28,7 +28,7 @@
 
     private static int remainingTasks(int replicas, String largerHalfZone, String zone) {
         Job job = spreadService(replicas);
-        job.largerHalfZone = largerHalfZone;
+        job.setLargerHalfZone(largerHalfZone);
         return new BinPacker.ZoneConstraints(job).remainingTasks(zone);
     }
 
