--- a/src/main/java/org/shoreusher/core/Node.java
+++ b/src/main/java/org/shoreusher/core/Node.java
@@ -102,7 +102,7 @@
      * @return the effects, to be carried out at once and in order
      */
     public List<Effect> step(ClockReading now, List<Command> batch) {
-        outbox.now = now;
+        outbox.setNow(now);
         peerGossip.noteStart();
         for (Command command : batch) {
             handle(command);
--- a/src/main/java/org/shoreusher/core/Shard.java
+++ b/src/main/java/org/shoreusher/core/Shard.java
@@ -272,7 +272,7 @@
     boolean isUnreachableFromWorkers() {
         if (!authority.isLoaded()
                 || !authority.isLeader()
-                || outbox.now.monotonicMs() - leadership.leaderSinceMs()
+                || outbox.now().monotonicMs() - leadership.leaderSinceMs()
                         < GossipConstants.REDIRECTED_WORKER_RETRY_MS) {
             return false;
         }
@@ -321,10 +321,10 @@
         if (authority.isLeader()) {
             jobs.submissionBatches().removeEmptyBatches(leadership);
         }
-        if (outbox.now.monotonicMs() < nextSchedulingPassMs) {
+        if (outbox.now().monotonicMs() < nextSchedulingPassMs) {
             return;
         }
-        nextSchedulingPassMs = outbox.now.monotonicMs() + CoreConstants.FULL_SCAN_INTERVAL_MS;
+        nextSchedulingPassMs = outbox.now().monotonicMs() + CoreConstants.FULL_SCAN_INTERVAL_MS;
         machines.lifecycle().expireWorkerLeases();
         reconciliation.step();
         quotaShares.step(
@@ -333,8 +333,8 @@
         preemption.preemptForReplicas();
         preemption.preemptForPriority();
         scheduling.taskMigration().step();
-        if (outbox.now.monotonicMs() >= nextStatusLineMs) {
-            nextStatusLineMs = outbox.now.monotonicMs() + SharedConstants.STATUS_LOG_INTERVAL_MS;
+        if (outbox.now().monotonicMs() >= nextStatusLineMs) {
+            nextStatusLineMs = outbox.now().monotonicMs() + SharedConstants.STATUS_LOG_INTERVAL_MS;
             outbox.log(ShardStatus.statusEvent(this, storeCache.size()));
         }
     }
--- a/src/main/java/org/shoreusher/core/Shards.java
+++ b/src/main/java/org/shoreusher/core/Shards.java
@@ -125,7 +125,7 @@
                 if (ledShards[shardNumber].isUnreachableFromWorkers()) {
                     ledShards[shardNumber].stepDown("most workers reach only other nodes");
                     nextAcquisitionMs =
-                            outbox.now.monotonicMs() + CoreConstants.STEP_DOWN_COOLDOWN_MS;
+                            outbox.now().monotonicMs() + CoreConstants.STEP_DOWN_COOLDOWN_MS;
                 }
                 if (ledShards[shardNumber].authority().isLeadershipLost()) {
                     ledShards[shardNumber].standbyReplication().close();
@@ -137,7 +137,7 @@
         if (!storeCache.isLoaded()
                 || acquisitionInFlight
                 || storeCache.ageMs() > LeadershipConstants.MAX_STORE_CACHE_AGE_MS
-                || outbox.now.monotonicMs() < nextAcquisitionMs) {
+                || outbox.now().monotonicMs() < nextAcquisitionMs) {
             return;
         }
         for (int offset = 0; offset < ledShards.length && !acquisitionInFlight; offset++) {
@@ -153,16 +153,16 @@
                     || (record != null
                             && !isOwnUnconfirmedAcquisition
                             && !LeaderLease.isAcquirable(
-                                    settings, record.leaseExpiryWallMs(), outbox.now))) {
+                                    settings, record.leaseExpiryWallMs(), outbox.now()))) {
                 vacantSinceMs[shardNumber] = 0;
             } else if (vacantSinceMs[shardNumber] == 0) {
-                vacantSinceMs[shardNumber] = outbox.now.monotonicMs();
+                vacantSinceMs[shardNumber] = outbox.now().monotonicMs();
             }
             // Nodes that lead fewer shards come first, which spreads the shards evenly. Among
             // equals the node that started last comes first: a rolling restart will return to it
             // last.
             if (vacantSinceMs[shardNumber] > 0
-                    && outbox.now.monotonicMs() - vacantSinceMs[shardNumber]
+                    && outbox.now().monotonicMs() - vacantSinceMs[shardNumber]
                             >= acquisitionDelayMs(record)) {
                 acquireLeadership(shardNumber, record);
             }
@@ -190,10 +190,10 @@
 
     /** Steps down from one shard if a peer leads at least two shards fewer. */
     private void rebalanceLeadership() {
-        if (outbox.now.monotonicMs() < nextRebalanceMs) {
+        if (outbox.now().monotonicMs() < nextRebalanceMs) {
             return;
         }
-        nextRebalanceMs = outbox.now.monotonicMs() + CoreConstants.SHARD_REBALANCE_INTERVAL_MS;
+        nextRebalanceMs = outbox.now().monotonicMs() + CoreConstants.SHARD_REBALANCE_INTERVAL_MS;
         if (!peerView.isAnyPeerLeadingTwoFewer(ledShardCount())) {
             return;
         }
@@ -266,13 +266,13 @@
                             acquisitionInFlight = false;
                             if (reply.status() == 200) {
                                 storeCache.applyOwnWrites(reply, writes);
-                                nextAcquisitionMs = outbox.now.monotonicMs();
+                                nextAcquisitionMs = outbox.now().monotonicMs();
                             }
                         });
     }
 
     private void acquireLeadership(int shardNumber, ShardRecord previousRecord) {
-        nextAcquisitionMs = outbox.now.monotonicMs() + CoreConstants.ACQUISITION_INTERVAL_MS;
+        nextAcquisitionMs = outbox.now().monotonicMs() + CoreConstants.ACQUISITION_INTERVAL_MS;
         boolean exceedsSizeLimit =
                 previousRecord != null
                         && FieldMap.jsonLength(previousRecord.toMap())
@@ -288,7 +288,7 @@
         StoreCache.Entry termEntry = storeCache.get(StoreSchema.TERM_KEY);
         long term =
                 1 + (termEntry == null ? 0 : ((Number) termEntry.value().get("term")).longValue());
-        ClockReading sentAt = outbox.now;
+        ClockReading sentAt = outbox.now();
         StandbyReplicas.FencingRecord replaced = standbyReplicas.fencingRecord(shardNumber);
         ShardRecord record =
                 new ShardRecord(
@@ -330,7 +330,7 @@
                                 // Another node acquired this shard, or incremented the term counter
                                 // for a different one.
                                 nextAcquisitionMs =
-                                        outbox.now.monotonicMs()
+                                        outbox.now().monotonicMs()
                                                 + CoreConstants.ACQUISITION_CONFLICT_RETRY_MS;
                             } else if (previousRecord != null && previousRecord.standby() != null) {
                                 // During an outage of the store the standby had no chance either,
@@ -346,7 +346,7 @@
             ShardRecord previousRecord,
             StandbyReplicas.FencingRecord replaced,
             ShardLeadership leadership) {
-        nextAcquisitionMs = outbox.now.monotonicMs();
+        nextAcquisitionMs = outbox.now().monotonicMs();
         outbox.log(
                 LogEvent.of(LogEventType.SHARD_ACQUIRED)
                         .with("shard", shardNumber)
--- a/src/main/java/org/shoreusher/core/cluster/ShardState.java
+++ b/src/main/java/org/shoreusher/core/cluster/ShardState.java
@@ -80,7 +80,7 @@
                 && !machine.isEvacuating()
                 && !machine.hasOneWayPartition()
                 && !machine.hasInterruptionNotice()
-                && outbox.now.monotonicMs() - machine.lastHeartbeatAtMs() < heartbeatTimeoutMs();
+                && outbox.now().monotonicMs() - machine.lastHeartbeatAtMs() < heartbeatTimeoutMs();
     }
 
     /** The time in ms after its last heartbeat from which a machine counts as unresponsive. */
@@ -104,7 +104,7 @@
      * stopped all tasks.
      */
     public boolean hasWorkerLeaseExpired(Machine machine) {
-        return outbox.now.monotonicMs()
+        return outbox.now().monotonicMs()
                 > machine.leaseRenewedAtMs() + LeaderLease.workerLeaseBoundMs(settings);
     }
 }
--- a/src/main/java/org/shoreusher/core/gossip/PeerGossip.java
+++ b/src/main/java/org/shoreusher/core/gossip/PeerGossip.java
@@ -63,7 +63,7 @@
     /** Notes when the first batch of commands is handled; later calls do nothing. */
     public void noteStart() {
         if (startedMs < 0) {
-            startedMs = outbox.now.monotonicMs();
+            startedMs = outbox.now().monotonicMs();
             // An earlier process on this host may have said so until it ended.
             lastSaidUnreachableMs = startedMs;
         }
@@ -72,7 +72,7 @@
     /** A message from a peer has arrived. */
     public void receive(GossipMessage message) {
         lastMessages.put(message.senderHost(), message);
-        receivedAtMs.put(message.senderHost(), outbox.now.monotonicMs());
+        receivedAtMs.put(message.senderHost(), outbox.now().monotonicMs());
     }
 
     /** Whether any peer has lately said that it reaches the store. */
@@ -90,7 +90,7 @@
     public boolean recordRedirectedWorker(
             int shardNumber, WorkerHeartbeat heartbeat, int machineCount) {
         return redirected[shardNumber].recordRedirect(
-                heartbeat, machineCount, outbox.now.monotonicMs());
+                heartbeat, machineCount, outbox.now().monotonicMs());
     }
 
     /** The shard has another leader than before. */
@@ -129,7 +129,7 @@
                                 message != null
                                         && isFresh(message)
                                         && !message.storeReachable()
-                                        && outbox.now.wallMs() - message.sentWallMs()
+                                        && outbox.now().wallMs() - message.sentWallMs()
                                                 < GossipConstants.MAX_GOSSIP_AGE_MS);
     }
 
@@ -165,7 +165,7 @@
 
     /** Whether the message is recent enough to be used. */
     private boolean isFresh(GossipMessage message) {
-        return outbox.now.monotonicMs() - receivedAtMs.get(message.senderHost())
+        return outbox.now().monotonicMs() - receivedAtMs.get(message.senderHost())
                 < GossipConstants.MAX_GOSSIP_AGE_MS;
     }
 
@@ -174,11 +174,11 @@
      * renewal and its gossip has stopped.
      */
     public boolean isSuspectedDown(ShardRecord record) {
-        long remainingLeaseMs = record.leaseExpiryWallMs() - outbox.now.wallMs();
+        long remainingLeaseMs = record.leaseExpiryWallMs() - outbox.now().wallMs();
         GossipMessage message = lastMessages.get(record.leaderHost());
         boolean isQuiet =
                 message == null
-                        || outbox.now.monotonicMs() - receivedAtMs.get(record.leaderHost())
+                        || outbox.now().monotonicMs() - receivedAtMs.get(record.leaderHost())
                                 > GossipConstants.PEER_UNRESPONSIVE_MS;
         return remainingLeaseMs < 0
                 || (isQuiet
@@ -200,7 +200,7 @@
                         message ->
                                 message.storeReachable()
                                         && !message.senderHost().equals(leaderHost)
-                                        && outbox.now.monotonicMs()
+                                        && outbox.now().monotonicMs()
                                                         - receivedAtMs.get(message.senderHost())
                                                 < GossipConstants.PEER_UNRESPONSIVE_MS)
                 .map(GossipMessage::senderHost)
@@ -238,7 +238,7 @@
                                                                         lastMessages.get(
                                                                                 member.host())))
                                         .count();
-        double up = (outbox.now.monotonicMs() - startedMs) / 1000.0;
+        double up = (outbox.now().monotonicMs() - startedMs) / 1000.0;
         for (GossipMessage message : lastMessages.values()) {
             if (isFresh(message)
                     && message.storeReachable()
@@ -264,10 +264,10 @@
 
     /** Sends a message to the peers if one is due; returns whether it did. */
     public boolean sendIfDue() {
-        if (outbox.now.monotonicMs() < nextSendMs) {
+        if (outbox.now().monotonicMs() < nextSendMs) {
             return false;
         }
-        nextSendMs = outbox.now.monotonicMs() + GossipConstants.GOSSIP_INTERVAL_MS;
+        nextSendMs = outbox.now().monotonicMs() + GossipConstants.GOSSIP_INTERVAL_MS;
         HashMap<Integer, ShardSummary> summaries = new HashMap<>();
         HashMap<Integer, Integer> redirectedWorkers = new HashMap<>();
         HashMap<String, Integer> runningTasks = new HashMap<>();
@@ -275,7 +275,7 @@
         for (int shardNumber = 0; shardNumber < redirected.length; shardNumber++) {
             LedShardView shard = ownShards.apply(shardNumber);
             int workers =
-                    redirected[shardNumber].countRepeatedlyRedirected(outbox.now.monotonicMs());
+                    redirected[shardNumber].countRepeatedlyRedirected(outbox.now().monotonicMs());
             if (workers > 0) {
                 redirectedWorkers.put(shardNumber, workers);
             }
@@ -289,14 +289,14 @@
         }
         boolean storeReachable =
                 outbox.sinceStoreReplyMs() < GossipConstants.READINESS_STORE_TIMEOUT_MS;
-        lastSaidUnreachableMs = storeReachable ? lastSaidUnreachableMs : outbox.now.monotonicMs();
+        lastSaidUnreachableMs = storeReachable ? lastSaidUnreachableMs : outbox.now().monotonicMs();
         outbox.add(
                 new Effect.SendGossip(
                         new GossipMessage(
                                 settings.host(),
-                                outbox.now.wallMs(),
+                                outbox.now().wallMs(),
                                 storeReachable,
-                                (outbox.now.monotonicMs() - startedMs) / 1000.0,
+                                (outbox.now().monotonicMs() - startedMs) / 1000.0,
                                 summaries,
                                 redirectedWorkers,
                                 runningTasks,
--- a/src/main/java/org/shoreusher/core/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/HeartbeatHandler.java
@@ -100,7 +100,7 @@
                 && !machine.isReconciled()
                 && heartbeat.fencingToken() < authority.acquisitionTerm()
                 && !hasPreviousLeaseExpired(machine, heartbeat)) {
-            machine.extendLeaseTo(outbox.now.monotonicMs());
+            machine.extendLeaseTo(outbox.now().monotonicMs());
             outbox.respond(
                     requestId,
                     new Response.HeartbeatAccepted(
@@ -120,7 +120,7 @@
             return;
         }
         standbyReplication.discardHeldAnswer(machine);
-        machine.inferReplyDelivery(heartbeat, outbox.now.monotonicMs(), settings);
+        machine.inferReplyDelivery(heartbeat, outbox.now().monotonicMs(), settings);
         heartbeatReader.apply(machine, heartbeat);
         List<WorkerOrder> orders = new ArrayList<>();
         if (authority.isLeader()) {
@@ -153,7 +153,7 @@
             machine.recordHeartbeatOrder(heartbeat.incarnation(), heartbeat.sequenceNumber());
         }
         return isNewer
-                && outbox.now.monotonicMs()
+                && outbox.now().monotonicMs()
                         > machine.previousLeaderRenewalAtMs()
                                 + LeaderLease.workerLeaseBoundMs(settings);
     }
@@ -181,7 +181,7 @@
                         machines.typeCatalog().get(heartbeat.machineType()),
                         heartbeat.zone(),
                         heartbeat.spot(),
-                        outbox.now.wallMs());
+                        outbox.now().wallMs());
     }
 
     /**
@@ -288,7 +288,7 @@
                                 | nextAttemptNumber++,
                         machine,
                         TaskAttempt.State.START_ORDERED,
-                        outbox.now.monotonicMs());
+                        outbox.now().monotonicMs());
         ledger.add(attempt, true);
         job.recordStart();
         orders.add(
--- a/src/main/java/org/shoreusher/core/heartbeat/HeartbeatReader.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/HeartbeatReader.java
@@ -67,7 +67,7 @@
      */
     void apply(Machine machine, WorkerHeartbeat heartbeat) {
         boolean isFirstSinceFailover = machine.wasUsedByPreviousLeader() && !machine.isReconciled();
-        machine.applyHeartbeat(heartbeat, outbox.now.monotonicMs());
+        machine.applyHeartbeat(heartbeat, outbox.now().monotonicMs());
         if (!machine.mayHaveRunTasks()) {
             machine.markUsed();
             machineRecords.markDirty(machine.id());
@@ -109,7 +109,7 @@
                 }
             }
         }
-        machine.updateIdleSince(outbox.now.monotonicMs());
+        machine.updateIdleSince(outbox.now().monotonicMs());
     }
 
     /**
@@ -138,7 +138,7 @@
                             task.attemptNumber(),
                             machine,
                             TaskAttempt.State.RUNNING,
-                            outbox.now.monotonicMs());
+                            outbox.now().monotonicMs());
             if (!shouldRun) {
                 attempt.requireStop();
             }
@@ -150,10 +150,10 @@
                     case CHECKPOINTING -> TaskAttempt.State.CHECKPOINTING;
                     default -> TaskAttempt.State.RUNNING;
                 },
-                outbox.now.monotonicMs());
+                outbox.now().monotonicMs());
         if (!attempt.job().spec().workloadType().runsToCompletion()
                 && attempt.runningSinceMs() >= 0
-                && outbox.now.monotonicMs() - attempt.runningSinceMs()
+                && outbox.now().monotonicMs() - attempt.runningSinceMs()
                         >= HeartbeatConstants.FAILURE_BACKOFF_RESET_MS) {
             attempt.job().resetFailures();
         }
@@ -174,7 +174,7 @@
                                 machine.type().cpus(),
                                 machine.type().gpus(),
                                 machine.type().memGb());
-        Job job = new Job(jobId, spec, outbox.now.wallMs());
+        Job job = new Job(jobId, spec, outbox.now().wallMs());
         job.close();
         return job;
     }
@@ -197,7 +197,7 @@
         if (task.exitCause() == ExitCause.COMPLETED) {
             machine.failedJobIds().clear();
             if (isCurrentAttempt && job != null && attempt.runningSinceMs() >= 0) {
-                double runTimeS = (outbox.now.monotonicMs() - attempt.runningSinceMs()) / 1000.0;
+                double runTimeS = (outbox.now().monotonicMs() - attempt.runningSinceMs()) / 1000.0;
                 if (job.observedRunCount() >= ClusterConstants.MIN_SLOWDOWN_SAMPLES
                         && job.meanRunTimeS() >= HeartbeatConstants.MIN_SLOWDOWN_SAMPLE_S) {
                     machine.recordRunTime(runTimeS / job.meanRunTimeS());
@@ -222,7 +222,7 @@
             return;
         }
         if (task.exitCause() == ExitCause.ERROR && job != null) {
-            job.recordFailure(machine.id(), outbox.now.monotonicMs());
+            job.recordFailure(machine.id(), outbox.now().monotonicMs());
             if (job.isSuspectedFaulty()) {
                 shard.machines()
                         .values()
@@ -231,7 +231,7 @@
                 machine.failedJobIds().add(job.id());
             }
         } else if (task.exitCause() == ExitCause.UNKNOWN_TASK && job != null) {
-            job.recordFailure(machine.id(), outbox.now.monotonicMs());
+            job.recordFailure(machine.id(), outbox.now().monotonicMs());
         }
         ledger.remove(attempt);
     }
@@ -246,11 +246,11 @@
                 || exitCause == ExitCause.COMPLETED
                 || exitCause == ExitCause.UNKNOWN_TASK) {
             if (attempt.runningSinceMs() >= 0
-                    && outbox.now.monotonicMs() - attempt.runningSinceMs()
+                    && outbox.now().monotonicMs() - attempt.runningSinceMs()
                             >= HeartbeatConstants.FAILURE_BACKOFF_RESET_MS) {
                 job.resetFailures();
             }
-            job.recordFailure(machine.id(), outbox.now.monotonicMs());
+            job.recordFailure(machine.id(), outbox.now().monotonicMs());
             if (exitCause == ExitCause.ERROR && !job.isSuspectedFaulty()) {
                 machine.failedJobIds().add(job.id());
             } else if (job.isSuspectedFaulty()) {
--- a/src/main/java/org/shoreusher/core/job/HighWaterMarks.java
+++ b/src/main/java/org/shoreusher/core/job/HighWaterMarks.java
@@ -114,7 +114,7 @@
         if (writeInFlight
                 || requestedMarks.isEmpty()
                 || !leadership.isLeader()
-                || outbox.now.monotonicMs() < nextWriteMs) {
+                || outbox.now().monotonicMs() < nextWriteMs) {
             return;
         }
         Map<String, Long> preconditions = new LinkedHashMap<>(leadership.fencingPrecondition());
@@ -167,7 +167,7 @@
                                 pendingMarks.forEach(HighWaterMarks::applyDurableMark);
                             }
                         });
-        nextWriteMs = writeInFlight ? outbox.now.monotonicMs() + writeIntervalMs : nextWriteMs;
+        nextWriteMs = writeInFlight ? outbox.now().monotonicMs() + writeIntervalMs : nextWriteMs;
     }
 
     /** Adds a job's next mark to a record that is about to be written. */
--- a/src/main/java/org/shoreusher/core/job/SubmissionBatches.java
+++ b/src/main/java/org/shoreusher/core/job/SubmissionBatches.java
@@ -119,11 +119,11 @@
 
     /** Removes batches all of whose jobs have records of their own, from time to time. */
     public void removeEmptyBatches(ShardLeadership leadership) {
-        if (removalInFlight || outbox.now.monotonicMs() < nextRemovalMs) {
+        if (removalInFlight || outbox.now().monotonicMs() < nextRemovalMs) {
             return;
         }
         nextRemovalMs =
-                outbox.now.monotonicMs() + JobConstants.SUBMISSION_BATCH_CLEANUP_INTERVAL_MS;
+                outbox.now().monotonicMs() + JobConstants.SUBMISSION_BATCH_CLEANUP_INTERVAL_MS;
         Map<String, Long> preconditions = new LinkedHashMap<>(leadership.fencingPrecondition());
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
         batches.forEach(
--- a/src/main/java/org/shoreusher/core/job/TerminalJobCache.java
+++ b/src/main/java/org/shoreusher/core/job/TerminalJobCache.java
@@ -57,7 +57,7 @@
         pendingEvictions.add(
                 new PendingEviction(
                         jobId,
-                        outbox.now.monotonicMs()
+                        outbox.now().monotonicMs()
                                 + (long)
                                         (settings.cancellationLimitS()
                                                 * 1000
@@ -69,7 +69,7 @@
      */
     public void evictCancelledJobs() {
         while (!pendingEvictions.isEmpty()
-                && pendingEvictions.peek().evictAtMs() <= outbox.now.monotonicMs()) {
+                && pendingEvictions.peek().evictAtMs() <= outbox.now().monotonicMs()) {
             String jobId = pendingEvictions.poll().jobId();
             StoreCache.Entry entry = storeCache.get(StoreSchema.jobKey(jobId));
             if (entry != null) {
--- a/src/main/java/org/shoreusher/core/leadership/ShardLeadership.java
+++ b/src/main/java/org/shoreusher/core/leadership/ShardLeadership.java
@@ -79,7 +79,7 @@
         acquisitionTerm = term;
         fencingVersion = version;
         recordVersion = version;
-        acquiredAtMs = outbox.now.monotonicMs();
+        acquiredAtMs = outbox.now().monotonicMs();
         leaderSinceMs = acquiredAtMs;
         lease = new LeaderLease(settings);
         lease.onConfirmed(record.leaseExpiryWallMs(), sentAt);
@@ -103,7 +103,7 @@
      */
     public void nameStandby(String standbyProcess) {
         standby.setDesired(standbyProcess);
-        nextRenewalMs = Math.min(nextRenewalMs, outbox.now.monotonicMs());
+        nextRenewalMs = Math.min(nextRenewalMs, outbox.now().monotonicMs());
     }
 
     /** Returns whether the record names no standby and no write in flight can still name one. */
@@ -116,7 +116,7 @@
      * and change the stored state.
      */
     public boolean isLeader() {
-        return !isLost && lease.isValid(outbox.now);
+        return !isLost && lease.isValid(outbox.now());
     }
 
     /**
@@ -124,7 +124,7 @@
      * workers: while the lease is valid and for a grace period after its expiry.
      */
     public boolean mayExtendWorkerLeases() {
-        return !isLost && lease.isWithinGracePeriod(outbox.now);
+        return !isLost && lease.isWithinGracePeriod(outbox.now());
     }
 
     /**
@@ -196,10 +196,10 @@
      *     they are not loaded
      */
     public void renewLease(Supplier<CompletionSnapshot> completionSupplier) {
-        if (renewalInFlight || outbox.now.monotonicMs() < nextRenewalMs) {
+        if (renewalInFlight || outbox.now().monotonicMs() < nextRenewalMs) {
             return;
         }
-        ClockReading sentAt = outbox.now;
+        ClockReading sentAt = outbox.now();
         long expiryWallMs =
                 Math.max(lease.expiryWallMs(), sentAt.wallMs() + LeaderLease.durationMs(settings));
         CompletionSnapshot completions = completionSupplier.get();
@@ -296,10 +296,10 @@
             nextRenewalMs =
                     standby.isDesiredStored()
                             ? sentAt.monotonicMs() + LeaderLease.renewalIntervalMs(settings)
-                            : outbox.now.monotonicMs();
+                            : outbox.now().monotonicMs();
             if (expiryLogged && isLeader()) {
                 expiryLogged = false;
-                leaderSinceMs = outbox.now.monotonicMs();
+                leaderSinceMs = outbox.now().monotonicMs();
                 outbox.log(
                         LogEvent.of(LogEventType.LEASE_RECOVERED)
                                 .with("shard", shardNumber)
@@ -310,7 +310,7 @@
             }
             return;
         }
-        nextRenewalMs = outbox.now.monotonicMs() + LeadershipConstants.LEASE_RENEWAL_RETRY_MS;
+        nextRenewalMs = outbox.now().monotonicMs() + LeadershipConstants.LEASE_RENEWAL_RETRY_MS;
         if (reply.status() == 409) {
             // Either another node has become the leader, or an earlier renewal that got no answer
             // was applied.
@@ -351,8 +351,8 @@
                 recordVersion = entry.version();
                 standby.onRecordConfirmed(record.standby());
                 term = Math.max(term, record.term());
-                onLeaseConfirmed(record.leaseExpiryWallMs(), outbox.now);
-                nextRenewalMs = outbox.now.monotonicMs();
+                onLeaseConfirmed(record.leaseExpiryWallMs(), outbox.now());
+                nextRenewalMs = outbox.now().monotonicMs();
             }
         } catch (FieldMap.InvalidFieldException missing) {
             outbox.log(
@@ -405,7 +405,7 @@
                                                 .with("term", raisedTerm)
                                                 .with("observed_token", observedToken));
                             } else {
-                                nextRenewalMs = outbox.now.monotonicMs();
+                                nextRenewalMs = outbox.now().monotonicMs();
                             }
                         });
     }
--- a/src/main/java/org/shoreusher/core/machine/Autoscaler.java
+++ b/src/main/java/org/shoreusher/core/machine/Autoscaler.java
@@ -93,8 +93,8 @@
             return;
         }
         scaleOut.step();
-        if (outbox.now.monotonicMs() >= nextPlanMs) {
-            nextPlanMs = outbox.now.monotonicMs() + MachineConstants.AUTOSCALER_INTERVAL_MS;
+        if (outbox.now().monotonicMs() >= nextPlanMs) {
+            nextPlanMs = outbox.now().monotonicMs() + MachineConstants.AUTOSCALER_INTERVAL_MS;
             if (authority.isReconciled()) {
                 machineCordon.step();
             }
@@ -130,7 +130,7 @@
      * answered, because the next one may want more machines.
      */
     void replanNow() {
-        nextPlanMs = outbox.now.monotonicMs();
+        nextPlanMs = outbox.now().monotonicMs();
     }
 
     // ---- scale out ---------------------------------------------------------------------------
@@ -286,7 +286,7 @@
                     && machine.isIdle()
                     && machine.state() == Machine.State.UP
                     && machine.hasDurableUseRecord()
-                    && outbox.now.monotonicMs() - machine.idleSinceMs()
+                    && outbox.now().monotonicMs() - machine.idleSinceMs()
                             > MachineConstants.HANDOVER_MIN_IDLE_MS) {
                 machineRecords.handOver(machine, targetShard);
                 remaining--;
@@ -339,7 +339,7 @@
             return job.pendingCount();
         }
         double runTimeS = runTimeEstimates.expectedRunS(job);
-        double slackS = schedulingOrder.timeToNearestObjectiveS(job, outbox.now.wallMs());
+        double slackS = schedulingOrder.timeToNearestObjectiveS(job, outbox.now().wallMs());
         // A job that can't meet its deadline on a machine that has yet to boot gains nothing from
         // more parallelism.
         boolean isTooLate = slackS < type.bootS() + runTimeS;
@@ -429,7 +429,7 @@
                     && !neededMachines.contains(machine)
                     && machine.idleSinceMs() >= 0
                     && !reservedReplicaCapacity.mustKeep(machine)
-                    && outbox.now.monotonicMs() - machine.idleSinceMs()
+                    && outbox.now().monotonicMs() - machine.idleSinceMs()
                             > (machine.isSpot()
                                     ? MachineConstants.SPOT_IDLE_TIMEOUT_MS
                                     : MachineConstants.ON_DEMAND_IDLE_TIMEOUT_MS)) {
--- a/src/main/java/org/shoreusher/core/machine/CloudInventory.java
+++ b/src/main/java/org/shoreusher/core/machine/CloudInventory.java
@@ -89,10 +89,10 @@
             return;
         }
         if (partialList == null) {
-            if (outbox.now.monotonicMs() < nextListMs) {
+            if (outbox.now().monotonicMs() < nextListMs) {
                 return;
             }
-            partialList = new PartialList(outbox.now, new ArrayList<>());
+            partialList = new PartialList(outbox.now(), new ArrayList<>());
         }
         awaitingReply =
                 outbox.callCloud(
@@ -105,7 +105,7 @@
         PartialList current = partialList;
         // Reconciliation waits for machines until a list shows that they are terminated.
         nextListMs =
-                outbox.now.monotonicMs()
+                outbox.now().monotonicMs()
                         + (authority.isReconciled()
                                 ? MachineConstants.INVENTORY_INTERVAL_MS
                                 : MachineConstants.RECONCILIATION_INVENTORY_INTERVAL_MS);
@@ -168,8 +168,8 @@
      */
     private void adoptIfStillListed(ListedMachine listedMachine) {
         if (!unrecordedSinceMs.containsKey(listedMachine.machineId())) {
-            unrecordedSinceMs.put(listedMachine.machineId(), outbox.now.monotonicMs());
-        } else if (outbox.now.monotonicMs() - unrecordedSinceMs.getLong(listedMachine.machineId())
+            unrecordedSinceMs.put(listedMachine.machineId(), outbox.now().monotonicMs());
+        } else if (outbox.now().monotonicMs() - unrecordedSinceMs.getLong(listedMachine.machineId())
                 > (terminatedMachines.contains(listedMachine.machineId())
                         ? MachineConstants.TERMINATED_STILL_LISTED_MS
                         : 2 * MachineConstants.INVENTORY_INTERVAL_MS)) {
@@ -184,7 +184,7 @@
                     typeCatalog.get(listedMachine.type()),
                     listedMachine.zone(),
                     listedMachine.spot(),
-                    outbox.now.wallMs() - (long) (listedMachine.ageS() * 1000));
+                    outbox.now().wallMs() - (long) (listedMachine.ageS() * 1000));
         }
     }
 }
--- a/src/main/java/org/shoreusher/core/machine/MachineCordon.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineCordon.java
@@ -91,7 +91,7 @@
     }
 
     private long ageMs(Machine machine) {
-        return outbox.now.wallMs() - machine.provisionedWallMs();
+        return outbox.now().wallMs() - machine.provisionedWallMs();
     }
 
     /**
@@ -106,7 +106,7 @@
     }
 
     private long sinceLeaseRenewalMs(Machine machine) {
-        return outbox.now.monotonicMs() - machine.leaseRenewedAtMs();
+        return outbox.now().monotonicMs() - machine.leaseRenewedAtMs();
     }
 
     /**
--- a/src/main/java/org/shoreusher/core/machine/MachineLifecycle.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineLifecycle.java
@@ -70,7 +70,7 @@
             return null;
         }
         Machine machine = new Machine(id, type, zone, spot, provisionedWallMs);
-        machine.startLease(outbox.now.monotonicMs());
+        machine.startLease(outbox.now().monotonicMs());
         shard.machines().put(id, machine);
         machineRecords.markDirty(id);
         return machine;
--- a/src/main/java/org/shoreusher/core/machine/MachineRecords.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineRecords.java
@@ -118,7 +118,7 @@
         if (writeInFlight
                 || (dirtyIds.isEmpty() && wideGroupsToSplit.isEmpty())
                 || !leadership.isLeader()
-                || outbox.now.monotonicMs() < nextWriteMs) {
+                || outbox.now().monotonicMs() < nextWriteMs) {
             return;
         }
         splitWideGroups();
@@ -161,7 +161,7 @@
                         });
         if (writeInFlight) {
             nextWriteMs =
-                    outbox.now.monotonicMs() + MachineConstants.MACHINE_RECORD_WRITE_INTERVAL_MS;
+                    outbox.now().monotonicMs() + MachineConstants.MACHINE_RECORD_WRITE_INTERVAL_MS;
         } else {
             dirtyIds.addAll(batch);
         }
--- a/src/main/java/org/shoreusher/core/machine/MachineTypeCatalog.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineTypeCatalog.java
@@ -65,7 +65,7 @@
     public void step(boolean provisioning) {
         if (!storeCache.isLoaded()
                 || requestInFlight
-                || outbox.now.monotonicMs() < nextRequestMs
+                || outbox.now().monotonicMs() < nextRequestMs
                 || (isLoaded() && !provisioning)) {
             return;
         }
@@ -74,11 +74,11 @@
 
     private void handleReply(CloudReply reply) {
         requestInFlight = false;
-        nextRequestMs = outbox.now.monotonicMs() + MachineConstants.CLOUD_RETRY_MS;
+        nextRequestMs = outbox.now().monotonicMs() + MachineConstants.CLOUD_RETRY_MS;
         if (reply.status() != 200) {
             return;
         }
-        nextRequestMs = outbox.now.monotonicMs() + MachineConstants.MACHINE_TYPES_INTERVAL_MS;
+        nextRequestMs = outbox.now().monotonicMs() + MachineConstants.MACHINE_TYPES_INTERVAL_MS;
         boolean shouldStore =
                 storeCache.get(StoreSchema.MACHINE_TYPES_KEY) == null
                         && FieldMap.jsonLength(reply.body()) <= settings.maxValueBytes();
--- a/src/main/java/org/shoreusher/core/machine/ScaleIn.java
+++ b/src/main/java/org/shoreusher/core/machine/ScaleIn.java
@@ -25,7 +25,7 @@
 
     /** Requests the next termination when it is due. */
     void step() {
-        if (terminationInFlight || outbox.now.monotonicMs() < nextTerminationMs) {
+        if (terminationInFlight || outbox.now().monotonicMs() < nextTerminationMs) {
             return;
         }
         List<String> ids = new ArrayList<>();
@@ -49,7 +49,8 @@
                             terminationInFlight = false;
                             if (reply.status() != 200) {
                                 nextTerminationMs =
-                                        outbox.now.monotonicMs() + MachineConstants.CLOUD_RETRY_MS;
+                                        outbox.now().monotonicMs()
+                                                + MachineConstants.CLOUD_RETRY_MS;
                                 ids.forEach(
                                         id ->
                                                 handleUnconfirmedTermination(
--- a/src/main/java/org/shoreusher/core/machine/ScaleOut.java
+++ b/src/main/java/org/shoreusher/core/machine/ScaleOut.java
@@ -85,7 +85,7 @@
 
     /** Whether the cloud has recently had no capacity for this kind of machine. */
     boolean isUnavailable(MachineKind kind) {
-        return unavailableUntilMs.getLong(kind) > outbox.now.monotonicMs();
+        return unavailableUntilMs.getLong(kind) > outbox.now().monotonicMs();
     }
 
     /** How many more machines can be requested now. */
@@ -147,7 +147,7 @@
 
     /** Sends the pending requests that are due, new ones and those to be repeated. */
     void step() {
-        if (outbox.now.monotonicMs() < nextAttemptMs
+        if (outbox.now().monotonicMs() < nextAttemptMs
                 || (cloudFailing
                         && pendingRequests.stream()
                                 .anyMatch(pendingRequest -> pendingRequest.inFlight))) {
@@ -155,7 +155,7 @@
         }
         for (PendingRequest pendingRequest : pendingRequests) {
             if (!pendingRequest.inFlight) {
-                pendingRequest.requestedWallMs = outbox.now.wallMs();
+                pendingRequest.requestedWallMs = outbox.now().wallMs();
                 pendingRequest.inFlight =
                         outbox.callCloud(
                                 pendingRequest.request,
@@ -180,7 +180,7 @@
         cloudFailing = reply.status() != 200 && reply.status() != 400 && !isOutOfCapacity;
         if (cloudFailing) {
             // A request without an answer may have taken effect: it is repeated under its name.
-            nextAttemptMs = outbox.now.monotonicMs() + MachineConstants.CLOUD_RETRY_MS;
+            nextAttemptMs = outbox.now().monotonicMs() + MachineConstants.CLOUD_RETRY_MS;
             return;
         }
         pendingRequests.remove(pendingRequest);
@@ -191,7 +191,7 @@
             handleProvisioned(request, kind, reply, pendingRequest.requestedWallMs);
         } else if (isOutOfCapacity) {
             unavailableUntilMs.put(
-                    kind, outbox.now.monotonicMs() + MachineConstants.NO_CAPACITY_BACKOFF_MS);
+                    kind, outbox.now().monotonicMs() + MachineConstants.NO_CAPACITY_BACKOFF_MS);
         } else {
             outbox.log(
                     LogEvent.of(LogEventType.PROVISION_REJECTED)
@@ -217,7 +217,7 @@
                             .with("spot", request.spot()));
             if (machineIds.size() < request.count()) {
                 unavailableUntilMs.put(
-                        kind, outbox.now.monotonicMs() + MachineConstants.NO_CAPACITY_BACKOFF_MS);
+                        kind, outbox.now().monotonicMs() + MachineConstants.NO_CAPACITY_BACKOFF_MS);
             }
             for (String id : machineIds) {
                 autoscaler.addProvisioned(id, request, requestedWallMs);
--- a/src/main/java/org/shoreusher/core/reconcile/Reconciliation.java
+++ b/src/main/java/org/shoreusher/core/reconcile/Reconciliation.java
@@ -216,7 +216,7 @@
                         id.attemptNumber(),
                         machine,
                         TaskAttempt.State.START_ORDERED,
-                        outbox.now.monotonicMs());
+                        outbox.now().monotonicMs());
         if (!shouldRun) {
             restoredAttempt.requireStop();
         }
@@ -232,7 +232,7 @@
                         attempt.cpus(),
                         attempt.gpus(),
                         attempt.memGb());
-        Job job = new Job(attempt.id().jobId(), spec, outbox.now.wallMs());
+        Job job = new Job(attempt.id().jobId(), spec, outbox.now().wallMs());
         job.close();
         return job;
     }
@@ -329,6 +329,8 @@
                         .with("jobs", shard.jobs().size())
                         .with("machines", shard.machines().size())
                         .with("tasks", activeTasks)
-                        .with("duration_ms", outbox.now.monotonicMs() - leadership.acquiredAtMs()));
+                        .with(
+                                "duration_ms",
+                                outbox.now().monotonicMs() - leadership.acquiredAtMs()));
     }
 }
--- a/src/main/java/org/shoreusher/core/replication/StandbyReplication.java
+++ b/src/main/java/org/shoreusher/core/replication/StandbyReplication.java
@@ -206,7 +206,7 @@
     }
 
     private void sendAnswer(long requestId, Machine machine, List<WorkerOrder> orders) {
-        machine.recordReply(outbox.now.monotonicMs());
+        machine.recordReply(outbox.now().monotonicMs());
         outbox.respond(requestId, new Response.HeartbeatAccepted(authority.term(), orders));
     }
 
@@ -322,7 +322,7 @@
     }
 
     private long nowMs() {
-        return outbox.now.monotonicMs();
+        return outbox.now().monotonicMs();
     }
 
     /** Replicates the ends of completed attempts whose completion has become durable. */
--- a/src/main/java/org/shoreusher/core/schedule/JobQueue.java
+++ b/src/main/java/org/shoreusher/core/schedule/JobQueue.java
@@ -30,11 +30,11 @@
             if (job.pendingCount() > 0
                     && !job.isClosed()
                     && !job.hasUnknownTaskZones()
-                    && !job.isBackingOff(outbox.now.monotonicMs())) {
+                    && !job.isBackingOff(outbox.now().monotonicMs())) {
                 schedulable.add(job);
             }
         }
-        schedulingOrder.sort(schedulable, outbox.now.wallMs());
+        schedulingOrder.sort(schedulable, outbox.now().wallMs());
         return schedulable;
     }
 }
--- a/src/main/java/org/shoreusher/core/schedule/PlacementPlan.java
+++ b/src/main/java/org/shoreusher/core/schedule/PlacementPlan.java
@@ -58,7 +58,7 @@
      * them from the plan.
      */
     public List<BinPacker.PlacedTasks> takeTasksToStart(Machine machine) {
-        if (outbox.now.monotonicMs() >= nextPlanMs) {
+        if (outbox.now().monotonicMs() >= nextPlanMs) {
             plan();
         }
         List<BinPacker.PlacedTasks> plannedHere = plannedTasks.remove(machine);
@@ -183,7 +183,7 @@
         }
         packer.placedTasks().forEach(this::addPlanned);
         nextPlanMs =
-                outbox.now.monotonicMs()
+                outbox.now().monotonicMs()
                         + (packer.machinesScanned() + shard.machines().size() + jobs.size())
                                 / ScheduleConstants.PLACEMENT_STEPS_PER_MS;
     }
--- a/src/main/java/org/shoreusher/core/schedule/PreemptionPass.java
+++ b/src/main/java/org/shoreusher/core/schedule/PreemptionPass.java
@@ -49,7 +49,7 @@
         List<Job> services = jobQueue.inSchedulingOrder();
         services.removeIf(job -> job.spec().workloadType().runsToCompletion());
         for (TaskAttempt attempt :
-                new ReplicaPreemption(shard, quotaHeadroom, outbox.now).choose(services)) {
+                new ReplicaPreemption(shard, quotaHeadroom, outbox.now()).choose(services)) {
             attempt.requireStop();
             taskStopper.sendStop(attempt, 0);
         }
@@ -59,18 +59,18 @@
     public void preemptForPriority() {
         // Until all machines have reported, the tasks that they may still be running limit the
         // headroom, and stopping known tasks would not change that.
-        if (outbox.now.monotonicMs() < nextPreemptionMs
+        if (outbox.now().monotonicMs() < nextPreemptionMs
                 || !authority.isReconciled()
                 || !authority.canStartTasks()) {
             return;
         }
-        nextPreemptionMs = outbox.now.monotonicMs() + ScheduleConstants.PREEMPTION_INTERVAL_MS;
+        nextPreemptionMs = outbox.now().monotonicMs() + ScheduleConstants.PREEMPTION_INTERVAL_MS;
         List<Job> orderedJobs = jobQueue.inSchedulingOrder();
         if (orderedJobs.isEmpty()) {
             return;
         }
         for (TaskAttempt attempt :
-                new Preemption(shard, schedulingOrder, outbox.now)
+                new Preemption(shard, schedulingOrder, outbox.now())
                         .choose(orderedJobs, binPackers.create())) {
             attempt.evict();
             taskStopper.sendStop(attempt, TaskStopper.gracePeriodS(attempt));
--- a/src/main/java/org/shoreusher/core/schedule/QuotaShares.java
+++ b/src/main/java/org/shoreusher/core/schedule/QuotaShares.java
@@ -130,10 +130,10 @@
             Function<String, Double> cpusUsed,
             Function<String, TeamDemand[]> demands,
             Function<String, Double> quantum) {
-        if (shardCount == 1 || outbox.now.monotonicMs() < nextStepMs) {
+        if (shardCount == 1 || outbox.now().monotonicMs() < nextStepMs) {
             return;
         }
-        nextStepMs = outbox.now.monotonicMs() + ScheduleConstants.QUOTA_SHARES_INTERVAL_MS;
+        nextStepMs = outbox.now().monotonicMs() + ScheduleConstants.QUOTA_SHARES_INTERVAL_MS;
         createMissingRecords();
         for (Settings.Team team : settings.teams().values()) {
             if (!Double.isInfinite(team.maxCpus())
--- a/src/main/java/org/shoreusher/core/schedule/TaskMigration.java
+++ b/src/main/java/org/shoreusher/core/schedule/TaskMigration.java
@@ -145,7 +145,7 @@
         if (!isDisabled()) {
             JobSpec spec = attempt.job().spec();
             balancer.load().addTask(attempt.machine().id(), spec.team(), spec.cpus(), spec.image());
-            balancer.budget().addTask(spec.jobClass(), outbox.now.monotonicMs());
+            balancer.budget().addTask(spec.jobClass(), outbox.now().monotonicMs());
         }
     }
 
@@ -156,7 +156,7 @@
         }
         JobSpec spec = attempt.job().spec();
         balancer.load().removeTask(attempt.machine().id(), spec.team(), spec.cpus());
-        balancer.budget().removeTask(spec.jobClass(), outbox.now.monotonicMs());
+        balancer.budget().removeTask(spec.jobClass(), outbox.now().monotonicMs());
         Reservation reservation =
                 reservations.get(new TaskId(attempt.job().id(), attempt.taskIndex()));
         if (reservation == null || reservation.source != attempt) {
@@ -164,7 +164,7 @@
         }
         if (attempt.job().completedTasks().get(attempt.taskIndex())) {
             release(reservation);
-            balancer.markCompleted(reservation.migration, outbox.now.monotonicMs());
+            balancer.markCompleted(reservation.migration, outbox.now().monotonicMs());
             outbox.log(
                     LogEvent.of(LogEventType.MIGRATION_OBSOLETE)
                             .with("task", reservation.migration.task().id()));
@@ -172,7 +172,7 @@
             abandon(reservation, Migration.Reason.JOB_CLOSED);
         } else {
             balancer.markLeftSource(
-                    reservation.migration, attempt.isCheckpointed(), outbox.now.monotonicMs());
+                    reservation.migration, attempt.isCheckpointed(), outbox.now().monotonicMs());
             reservation.hasLeftSource = true;
             attempt.job().setPending(attempt.taskIndex(), false);
             ledger.reserve(spec);
@@ -243,14 +243,14 @@
                 abandon(reservation, Migration.Reason.TEAM_LIMIT);
             } else {
                 release(reservation);
-                balancer.markStarted(reservation.migration, outbox.now.monotonicMs());
+                balancer.markStarted(reservation.migration, outbox.now().monotonicMs());
                 outbox.log(
                         LogEvent.of(LogEventType.MIGRATION_COMPLETED)
                                 .with("task", reservation.migration.task().id())
                                 .with("target", machine.id())
                                 .with(
                                         "duration_ms",
-                                        outbox.now.monotonicMs()
+                                        outbox.now().monotonicMs()
                                                 - reservation.migration.begunAtMs())
                                 .with("checkpointed", reservation.source.isCheckpointed()));
                 readyTasks.add(reservation.migration.task().id());
@@ -263,10 +263,10 @@
 
     /** Checks the migrations in progress and begins new ones. */
     public void step() {
-        if (isDisabled() || outbox.now.monotonicMs() < nextStepMs) {
+        if (isDisabled() || outbox.now().monotonicMs() < nextStepMs) {
             return;
         }
-        nextStepMs = outbox.now.monotonicMs() + ScheduleConstants.MIGRATION_PLAN_INTERVAL_MS;
+        nextStepMs = outbox.now().monotonicMs() + ScheduleConstants.MIGRATION_PLAN_INTERVAL_MS;
         for (Reservation reservation : List.copyOf(reservations.values())) {
             checkProgress(reservation);
         }
@@ -274,10 +274,11 @@
         // stale store cache: the known state of the machines may then be wrong.
         if (authority.isReconciled() && authority.canStartTasks()) {
             balancer.updateDemand(unmetDemand());
-            balancer.planMigrations(this, outbox.now.monotonicMs()).forEach(this::begin);
+            balancer.planMigrations(this, outbox.now().monotonicMs()).forEach(this::begin);
         }
-        if (outbox.now.monotonicMs() >= nextLogMs && balancer.statistics().migrationsBegun() > 0) {
-            nextLogMs = outbox.now.monotonicMs() + SharedConstants.STATUS_LOG_INTERVAL_MS;
+        if (outbox.now().monotonicMs() >= nextLogMs
+                && balancer.statistics().migrationsBegun() > 0) {
+            nextLogMs = outbox.now().monotonicMs() + SharedConstants.STATUS_LOG_INTERVAL_MS;
             outbox.log(
                     LogEvent.of(LogEventType.MIGRATION_STATISTICS)
                             .with("shard", shard.shardNumber())
@@ -301,7 +302,7 @@
 
     private void checkProgress(Reservation reservation) {
         Migration.Reason timeoutReason =
-                balancer.timeoutReason(reservation.migration, outbox.now.monotonicMs());
+                balancer.timeoutReason(reservation.migration, outbox.now().monotonicMs());
         if (reservation.source.job().isClosed()) {
             abandon(reservation, Migration.Reason.JOB_CLOSED);
         } else if (shard.machines().get(reservation.target.id()) != reservation.target
@@ -341,7 +342,7 @@
 
     private void abandon(Reservation reservation, Migration.Reason reason) {
         release(reservation);
-        balancer.abandon(reservation.migration, reason, outbox.now.monotonicMs());
+        balancer.abandon(reservation.migration, reason, outbox.now().monotonicMs());
         outbox.log(
                 LogEvent.of(LogEventType.MIGRATION_ABANDONED)
                         .with("task", reservation.migration.task().id())
@@ -394,14 +395,14 @@
                 && !spec.singleZone()
                 && !spec.spreadAcrossZones()
                 && attempt.job().activeAttempts().get(attempt.taskIndex()) == attempt
-                && outbox.now.monotonicMs() - attempt.createdMs()
+                && outbox.now().monotonicMs() - attempt.createdMs()
                         > ScheduleConstants.MIN_COUNTED_RUN_MS
-                && schedulingOrder.isPreemptible(attempt.job(), outbox.now.wallMs());
+                && schedulingOrder.isPreemptible(attempt.job(), outbox.now().wallMs());
     }
 
     private MigratableTask toMigratableTask(TaskAttempt attempt) {
         JobSpec spec = attempt.job().spec();
-        double ranS = (outbox.now.monotonicMs() - attempt.runningSinceMs()) / 1000.0;
+        double ranS = (outbox.now().monotonicMs() - attempt.runningSinceMs()) / 1000.0;
         return new MigratableTask(
                 new TaskId(attempt.job().id(), attempt.taskIndex()),
                 spec.jobClass(),
--- a/src/main/java/org/shoreusher/core/schedule/TaskStopper.java
+++ b/src/main/java/org/shoreusher/core/schedule/TaskStopper.java
@@ -56,11 +56,11 @@
         if (authority.isLeader()
                 && machine.address() != null
                 && machine.isReconciled()
-                && outbox.now.monotonicMs() - machine.lastHeartbeatAtMs()
+                && outbox.now().monotonicMs() - machine.lastHeartbeatAtMs()
                         < shard.heartbeatTimeoutMs()
-                && outbox.now.monotonicMs() - attempt.lastStopOrderMs()
+                && outbox.now().monotonicMs() - attempt.lastStopOrderMs()
                         > ScheduleConstants.STOP_ORDER_RETRY_MS) {
-            attempt.recordStopOrder(outbox.now.monotonicMs());
+            attempt.recordStopOrder(outbox.now().monotonicMs());
             outbox.add(
                     new Effect.SendOrders(
                             machine.address(),
--- a/src/main/java/org/shoreusher/core/store/LinearizableReads.java
+++ b/src/main/java/org/shoreusher/core/store/LinearizableReads.java
@@ -187,7 +187,7 @@
                     new ReadAwaitingRevision(
                             read,
                             StoreFormat.readRevision(new FieldMap(reply.body())),
-                            outbox.now.monotonicMs()));
+                            outbox.now().monotonicMs()));
         } catch (FieldMap.InvalidFieldException e) {
             outbox.respondUnavailable(read.requestId());
         }
@@ -202,7 +202,7 @@
             if (storeCache.revision() >= awaiting.revision()) {
                 awaitingRevision.remove(awaiting);
                 awaiting.read().callback().accept(cachedRecord(awaiting.read().jobId()));
-            } else if (outbox.now.monotonicMs() - awaiting.sinceMs()
+            } else if (outbox.now().monotonicMs() - awaiting.sinceMs()
                     > StoreConstants.READ_CATCH_UP_TIMEOUT_MS) {
                 awaitingRevision.remove(awaiting);
                 outbox.respondUnavailable(awaiting.read().requestId());
--- a/src/main/java/org/shoreusher/core/store/Outbox.java
+++ b/src/main/java/org/shoreusher/core/store/Outbox.java
@@ -34,7 +34,7 @@
     private long nextCallId = 1;
     private long storeAnsweredAtMs = Long.MIN_VALUE / 2;
     private long storeFailedAtMs = Long.MIN_VALUE / 2;
-    public ClockReading now = new ClockReading(0, 0);
+    private ClockReading now = new ClockReading(0, 0);
 
     /**
      * Creates an empty outbox with full token buckets.
@@ -80,6 +80,16 @@
                 / Math.min(settings.nodeCount(), shardCount);
     }
 
+    /** The clocks at the start of the present batch. */
+    public ClockReading now() {
+        return now;
+    }
+
+    /** Sets the clocks at the start of a batch. */
+    public void setNow(ClockReading reading) {
+        now = reading;
+    }
+
     /** Returns the effects collected since the last call, in order, and starts an empty list. */
     public List<Effect> drainEffects() {
         List<Effect> drained = effects;
--- a/src/main/java/org/shoreusher/core/store/StoreCache.java
+++ b/src/main/java/org/shoreusher/core/store/StoreCache.java
@@ -94,7 +94,7 @@
 
     /** Returns the ms since the last moment at which the cache was known to be complete. */
     public long ageMs() {
-        return outbox.now.monotonicMs() - completeAtMs;
+        return outbox.now().monotonicMs() - completeAtMs;
     }
 
     /** Returns the entry of a key, or null. */
@@ -187,10 +187,10 @@
 
     /** Requests the next page or the next watch when it is due. */
     public void step() {
-        if (requestInFlight || outbox.now.monotonicMs() < nextRequestMs) {
+        if (requestInFlight || outbox.now().monotonicMs() < nextRequestMs) {
             return;
         }
-        long sentAt = outbox.now.monotonicMs();
+        long sentAt = outbox.now().monotonicMs();
         StoreOperation operation =
                 loading
                         ? new StoreOperation.Page(lastPageKey)
@@ -248,7 +248,7 @@
             completeAtMs = sentAt;
             isLoaded = true;
         }
-        nextRequestMs = outbox.now.monotonicMs() + watchIntervalMs;
+        nextRequestMs = outbox.now().monotonicMs() + watchIntervalMs;
     }
 
     private void onPage(FieldMap body) throws FieldMap.InvalidFieldException {
@@ -286,6 +286,6 @@
     }
 
     private void scheduleRetry() {
-        nextRequestMs = outbox.now.monotonicMs() + StoreConstants.STORE_RETRY_MS;
+        nextRequestMs = outbox.now().monotonicMs() + StoreConstants.STORE_RETRY_MS;
     }
 }
--- a/src/main/java/org/shoreusher/core/store/VersionNegotiation.java
+++ b/src/main/java/org/shoreusher/core/store/VersionNegotiation.java
@@ -98,7 +98,7 @@
         }
         logServicesSupport();
         if (!writeInFlight
-                && outbox.now.monotonicMs() >= nextWriteMs
+                && outbox.now().monotonicMs() >= nextWriteMs
                 && !hasCurrentVersionRecord()) {
             writeVersionRecord();
         }
@@ -111,7 +111,7 @@
     }
 
     private void writeVersionRecord() {
-        nextWriteMs = outbox.now.monotonicMs() + StoreConstants.STORE_RETRY_MS;
+        nextWriteMs = outbox.now().monotonicMs() + StoreConstants.STORE_RETRY_MS;
         String key = StoreSchema.nodeKey(settings.host());
         Map<String, Object> versionRecord = new LinkedHashMap<>();
         versionRecord.put(FORMAT_FIELD, FORMAT_WITH_SERVICES);
--- a/src/main/java/org/shoreusher/core/user/SubmissionCommit.java
+++ b/src/main/java/org/shoreusher/core/user/SubmissionCommit.java
@@ -94,7 +94,7 @@
             return;
         }
         Map<String, Object> recordValue =
-                JobRecord.open(shardWithMostHeadroom.applyAsInt(spec), spec, outbox.now.wallMs())
+                JobRecord.open(shardWithMostHeadroom.applyAsInt(spec), spec, outbox.now().wallMs())
                         .toMap();
         int encodedBytes = FieldMap.jsonLength(recordValue);
         if (encodedBytes > settings.maxValueBytes()) {
@@ -105,7 +105,7 @@
                 spec.id(),
                 new PendingSubmission(
                         spec,
-                        outbox.now.monotonicMs(),
+                        outbox.now().monotonicMs(),
                         recordValue,
                         encodedBytes + StoreConstants.RECORD_ENTRY_OVERHEAD_BYTES,
                         new ArrayList<>(List.of(requestId))));
@@ -124,7 +124,7 @@
                 .removeIf(
                         submission -> {
                             boolean hasExpired =
-                                    outbox.now.monotonicMs() - submission.queuedAtMs
+                                    outbox.now().monotonicMs() - submission.queuedAtMs
                                             > AdmissionConstants.SUBMISSION_QUEUE_TIMEOUT_MS;
                             if (hasExpired) {
                                 submission.requestIds.forEach(outbox::respondUnavailable);
--- a/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
+++ b/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
@@ -63,7 +63,7 @@
                         outbox,
                         CoreTestData.settings(List.of()),
                         (key, before, after) -> seen.add(key));
-        outbox.now = new ClockReading(1_000, 1_000);
+        outbox.setNow(new ClockReading(1_000, 1_000));
         storeCache.step();
         assertTrue(nextStoreOperation(outbox) instanceof StoreOperation.Page);
         outbox.onReply(
@@ -103,7 +103,7 @@
         StoreCache storeCache =
                 new StoreCache(
                         outbox, CoreTestData.settings(List.of()), (key, before, after) -> {});
-        outbox.now = new ClockReading(1_000, 1_000);
+        outbox.setNow(new ClockReading(1_000, 1_000));
         storeCache.step();
         nextStoreOperation(outbox);
         outbox.onReply(
@@ -113,13 +113,15 @@
         outbox.onReply(new StoreReply(2, 200, Map.of("ledger", 5L, "log", List.of())));
         StoreOperation last = null;
         for (int call = 3; call < 100 && !(last instanceof StoreOperation.Page); call++) {
-            outbox.now =
-                    new ClockReading(outbox.now.monotonicMs() + 500, outbox.now.wallMs() + 500);
+            outbox.setNow(
+                    new ClockReading(
+                            outbox.now().monotonicMs() + 500, outbox.now().wallMs() + 500));
             storeCache.step();
             last = nextStoreOperation(outbox);
             assertTrue(
-                    last instanceof StoreOperation.Page == outbox.now.monotonicMs() > 21_000 + 500,
-                    "at " + outbox.now.monotonicMs() + " asked for " + last);
+                    last instanceof StoreOperation.Page
+                            == outbox.now().monotonicMs() > 21_000 + 500,
+                    "at " + outbox.now().monotonicMs() + " asked for " + last);
             outbox.onReply(new StoreReply(call, 0, null));
         }
         assertTrue(last instanceof StoreOperation.Page);
@@ -236,7 +238,7 @@
         Random random = new Random(seed);
         Settings settings = CoreTestData.settings(List.of());
         Outbox outbox = new Outbox(settings, 1);
-        outbox.now = new ClockReading(1_000, 1_000);
+        outbox.setNow(new ClockReading(1_000, 1_000));
         StoreCache storeCache = new StoreCache(outbox, settings, (key, before, after) -> {});
         SubmissionBatches submissionBatches = new SubmissionBatches(settings, outbox, storeCache);
         ShardLeadership leadership =
@@ -246,7 +248,7 @@
                         outbox,
                         storeCache,
                         new StoreSchema.ShardRecord("n/1", 60_000, 1, Map.of(), null),
-                        outbox.now,
+                        outbox.now(),
                         1);
         Map<String, Job> jobs = new java.util.LinkedHashMap<>();
         for (int i = 0; i < count; i++) {
@@ -278,7 +280,8 @@
                 round < 200 && jobs.values().stream().anyMatch(j -> j.highWaterMark() == 0);
                 round++) {
             jobs.values().forEach(j -> highWaterMarks.request(j, j.highWaterMark() == 0 ? 1 : 0));
-            outbox.now = new ClockReading(outbox.now.monotonicMs() + 300, outbox.now.wallMs() + 10);
+            outbox.setNow(
+                    new ClockReading(outbox.now().monotonicMs() + 300, outbox.now().wallMs() + 10));
             highWaterMarks.writeRequestedMarks();
             for (Effect effect : outbox.drainEffects()) {
                 Effect.StoreCall call = (Effect.StoreCall) effect;
--- a/src/test/java/org/shoreusher/core/job/HighWaterMarksTest.java
+++ b/src/test/java/org/shoreusher/core/job/HighWaterMarksTest.java
@@ -45,7 +45,7 @@
             @ForAll @LongRange(min = 0) long seed) {
         Random random = new Random(seed);
         Outbox outbox = new Outbox(SETTINGS, 1);
-        outbox.now = new ClockReading(1_000, 1_000);
+        outbox.setNow(new ClockReading(1_000, 1_000));
         StoreCache storeCache = new StoreCache(outbox, SETTINGS, (key, before, after) -> {});
         ShardLeadership leadership =
                 new ShardLeadership(
@@ -54,7 +54,7 @@
                         outbox,
                         storeCache,
                         new StoreSchema.ShardRecord("n/1", 60_000, 1, Map.of(), null),
-                        outbox.now,
+                        outbox.now(),
                         1);
         Map<String, Job> jobs = new LinkedHashMap<>();
         for (int i = 0; i < count; i++) {
@@ -88,7 +88,8 @@
             jobs.values().stream()
                     .filter(job -> job.highWaterMark() == 0 && random.nextInt(3) == 0)
                     .forEach(job -> highWaterMarks.request(job, 1));
-            outbox.now = new ClockReading(outbox.now.monotonicMs() + 300, outbox.now.wallMs() + 10);
+            outbox.setNow(
+                    new ClockReading(outbox.now().monotonicMs() + 300, outbox.now().wallMs() + 10));
             highWaterMarks.writeRequestedMarks();
             for (Effect effect : outbox.drainEffects()) {
                 Effect.StoreCall call = (Effect.StoreCall) effect;
