--- a/src/main/java/org/shoreusher/core/Shards.java
+++ b/src/main/java/org/shoreusher/core/Shards.java
@@ -1,5 +1,6 @@
 package org.shoreusher.core;
 
+import org.shoreusher.core.message.ReplyStatus;
 import java.util.BitSet;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -264,7 +265,7 @@
                         new StoreOperation.CompareAndSwap(preconditions, writes),
                         reply -> {
                             acquisitionInFlight = false;
-                            if (reply.status() == 200) {
+                            if (reply.status() == ReplyStatus.OK) {
                                 storeCache.applyOwnWrites(reply, writes);
                                 nextAcquisitionMs = outbox.now().monotonicMs();
                             }
@@ -313,7 +314,7 @@
                         new StoreOperation.CompareAndSwap(preconditions, writes),
                         reply -> {
                             acquisitionInFlight = false;
-                            if (reply.status() == 200) {
+                            if (reply.status() == ReplyStatus.OK) {
                                 long revision = storeCache.applyOwnWrites(reply, writes);
                                 ShardLeadership leadership =
                                         new ShardLeadership(
@@ -326,7 +327,7 @@
                                                 revision);
                                 onLeadershipAcquired(
                                         shardNumber, previousRecord, replaced, leadership);
-                            } else if (reply.status() == 409) {
+                            } else if (reply.status() == ReplyStatus.CONFLICT) {
                                 // Another node acquired this shard, or incremented the term counter
                                 // for a different one.
                                 nextAcquisitionMs =
--- a/src/main/java/org/shoreusher/core/leadership/ShardLeadership.java
+++ b/src/main/java/org/shoreusher/core/leadership/ShardLeadership.java
@@ -1,5 +1,6 @@
 package org.shoreusher.core.leadership;
 
+import org.shoreusher.core.message.ReplyStatus;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.function.Supplier;
@@ -289,7 +290,7 @@
         if (isLost) {
             return;
         }
-        if (reply.status() == 200) {
+        if (reply.status() == ReplyStatus.OK) {
             recordVersion = storeCache.applyOwnWrites(reply, writes);
             onLeaseConfirmed(record.leaseExpiryWallMs(), sentAt);
             standby.onRecordConfirmed(record.standby());
@@ -311,7 +312,7 @@
             return;
         }
         nextRenewalMs = outbox.now().monotonicMs() + LeadershipConstants.LEASE_RENEWAL_RETRY_MS;
-        if (reply.status() == 409) {
+        if (reply.status() == ReplyStatus.CONFLICT) {
             // Either another node has become the leader, or an earlier renewal that got no answer
             // was applied.
             renewalInFlight =
@@ -321,7 +322,7 @@
                                     Map.of()),
                             fencingReply -> {
                                 renewalInFlight = false;
-                                if (fencingReply.status() == 409) {
+                                if (fencingReply.status() == ReplyStatus.CONFLICT) {
                                     loseLeadership("fencing key changed");
                                 }
                             });
@@ -339,7 +340,7 @@
     }
 
     private void onShardRecordRead(StoreReply reply) {
-        if (isLost || reply.status() != 200) {
+        if (isLost || reply.status() != ReplyStatus.OK) {
             return;
         }
         try {
@@ -395,7 +396,7 @@
                         new StoreOperation.CompareAndSwap(preconditions, writes),
                         reply -> {
                             renewalInFlight = false;
-                            if (reply.status() == 200 && !isLost) {
+                            if (reply.status() == ReplyStatus.OK && !isLost) {
                                 recordVersion = storeCache.applyOwnWrites(reply, writes);
                                 standby.onRecordConfirmed(record.standby());
                                 term = raisedTerm;
--- a/src/main/java/org/shoreusher/core/message/Command.java
+++ b/src/main/java/org/shoreusher/core/message/Command.java
@@ -2,11 +2,10 @@
 
 import java.util.List;
 import java.util.Map;
-import org.shoreusher.core.Node;
 import org.shoreusher.standby.StandbyMessage;
 
 /**
- * An input of {@link Node#step}. Request ids and call ids link an answer to what it answers: a
+ * An input of {@code Node.step}. Request ids and call ids link an answer to what it answers: a
  * request id is answered by {@link Effect.Respond}, a call id was issued by {@link
  * Effect.StoreCall} or {@link Effect.CloudCall}.
  */
--- a/src/main/java/org/shoreusher/core/message/Effect.java
+++ b/src/main/java/org/shoreusher/core/message/Effect.java
@@ -2,11 +2,10 @@
 
 import java.util.List;
 import java.util.Map;
-import org.shoreusher.core.Node;
 import org.shoreusher.log.LogEvent;
 import org.shoreusher.standby.StandbyMessage;
 
-/** An output of {@link Node#step}: an action that the surrounding process carries out. */
+/** An output of {@code Node.step}: an action that the surrounding process carries out. */
 public sealed interface Effect {
 
     /**
--- /dev/null
+++ b/src/main/java/org/shoreusher/core/message/package-info.java
@@ -0,0 +1,7 @@
+/**
+ * The inputs and outputs of a node: commands, effects, and the values that they carry. Everything
+ * here is immutable and free of I/O; the adapters translate it to and from the wire.
+ *
+ * <p>Uses {@code log} and {@code standby} for the payload of effects, and nothing else of the core.
+ */
+package org.shoreusher.core.message;
--- a/src/main/java/org/shoreusher/core/store/LinearizableReads.java
+++ b/src/main/java/org/shoreusher/core/store/LinearizableReads.java
@@ -1,5 +1,6 @@
 package org.shoreusher.core.store;
 
+import org.shoreusher.core.message.ReplyStatus;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -143,13 +144,13 @@
     private void onBatchReply(
             StoreReply reply, List<PendingRead> batch, Map<String, Long> preconditions) {
         Set<String> changedKeys = new HashSet<>();
-        if (reply.status() == 409) {
+        if (reply.status() == ReplyStatus.CONFLICT) {
             try {
                 changedKeys.addAll(StoreFormat.readFailedKeys(new FieldMap(reply.body())));
             } catch (FieldMap.InvalidFieldException e) {
                 batch.forEach(read -> changedKeys.add(StoreSchema.jobKey(read.jobId())));
             }
-        } else if (reply.status() != 200) {
+        } else if (reply.status() != ReplyStatus.OK) {
             batch.forEach(read -> outbox.respondUnavailable(read.requestId()));
             return;
         }
@@ -232,11 +233,11 @@
                         new StoreOperation.Get(StoreSchema.jobKey(read.jobId())),
                         reply -> {
                             singleReadsInFlight--;
-                            if (reply.status() == 404) {
+                            if (reply.status() == ReplyStatus.NOT_FOUND) {
                                 answerOrAwaitRevision(read, reply);
                                 return;
                             }
-                            if (reply.status() != 200) {
+                            if (reply.status() != ReplyStatus.OK) {
                                 outbox.respondUnavailable(read.requestId());
                                 return;
                             }
--- a/src/main/java/org/shoreusher/core/store/Outbox.java
+++ b/src/main/java/org/shoreusher/core/store/Outbox.java
@@ -1,5 +1,6 @@
 package org.shoreusher.core.store;
 
+import org.shoreusher.core.message.ReplyStatus;
 import it.unimi.dsi.fastutil.longs.Long2ObjectOpenHashMap;
 import java.util.ArrayList;
 import java.util.List;
@@ -201,7 +202,7 @@
     /** Passes an answer of the key-value store to the callback of its call. */
     public void onReply(StoreReply reply) {
         // A 429 shows that the store is available; only a missing answer and 503 count as failures.
-        if (reply.status() == 0 || reply.status() == 503) {
+        if (reply.status() == ReplyStatus.NO_REPLY || reply.status() == ReplyStatus.SERVICE_UNAVAILABLE) {
             storeFailedAtMs = now.monotonicMs();
         } else {
             storeAnsweredAtMs = now.monotonicMs();
--- a/src/main/java/org/shoreusher/core/store/StoreCache.java
+++ b/src/main/java/org/shoreusher/core/store/StoreCache.java
@@ -1,5 +1,6 @@
 package org.shoreusher.core.store;
 
+import org.shoreusher.core.message.ReplyStatus;
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
 import java.util.Map;
 import java.util.SortedMap;
@@ -217,11 +218,11 @@
     }
 
     private void onReply(StoreReply reply, long sentAt) throws FieldMap.InvalidFieldException {
-        if (reply.status() == 410) {
+        if (reply.status() == ReplyStatus.GONE) {
             reload();
             return;
         }
-        if (reply.status() != 200) {
+        if (reply.status() != ReplyStatus.OK) {
             // An answer that exceeds the size limit fails like a lost one, and would fail each
             // time.
             if (isLoaded && !loading && ageMs() > StoreConstants.STORE_CACHE_RELOAD_AGE_MS) {
--- a/src/main/java/org/shoreusher/core/store/VersionNegotiation.java
+++ b/src/main/java/org/shoreusher/core/store/VersionNegotiation.java
@@ -1,5 +1,6 @@
 package org.shoreusher.core.store;
 
+import org.shoreusher.core.message.ReplyStatus;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -126,7 +127,7 @@
                                 Map.of(key, storeCache.version(key)), writes),
                         reply -> {
                             writeInFlight = false;
-                            if (reply.status() == 200) {
+                            if (reply.status() == ReplyStatus.OK) {
                                 storeCache.applyOwnWrites(reply, writes);
                             }
                         });
