--- a/src/main/java/org/shoreusher/core/Shards.java
+++ b/src/main/java/org/shoreusher/core/Shards.java
@@ -1,6 +1,5 @@
 package org.shoreusher.core;
 
-import org.shoreusher.core.message.ReplyStatus;
 import java.util.BitSet;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -12,15 +11,16 @@
 import org.shoreusher.core.leadership.ShardLeadership;
 import org.shoreusher.core.message.ClockReading;
 import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.core.message.ReplyStatus;
 import org.shoreusher.core.reconcile.PromotedAttemptLog;
 import org.shoreusher.core.replication.StandbyReplicas;
+import org.shoreusher.core.store.CompletionRecord;
 import org.shoreusher.core.store.NodeContext;
 import org.shoreusher.core.store.Outbox;
+import org.shoreusher.core.store.ShardRecord;
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.core.store.StoreConstants;
 import org.shoreusher.core.store.StoreSchema;
-import org.shoreusher.core.store.StoreSchema.CompletionRecord;
-import org.shoreusher.core.store.StoreSchema.ShardRecord;
 import org.shoreusher.core.store.TaskRanges;
 import org.shoreusher.log.LogEvent;
 import org.shoreusher.log.LogEventType;
--- a/src/main/java/org/shoreusher/core/gossip/PeerGossip.java
+++ b/src/main/java/org/shoreusher/core/gossip/PeerGossip.java
@@ -14,7 +14,7 @@
 import org.shoreusher.core.message.Response;
 import org.shoreusher.core.message.WorkerHeartbeat;
 import org.shoreusher.core.store.Outbox;
-import org.shoreusher.core.store.StoreSchema.ShardRecord;
+import org.shoreusher.core.store.ShardRecord;
 import org.shoreusher.settings.Settings;
 
 /**
--- a/src/main/java/org/shoreusher/core/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/HeartbeatHandler.java
@@ -27,10 +27,10 @@
 import org.shoreusher.core.schedule.ShardScheduling;
 import org.shoreusher.core.schedule.TaskMigration;
 import org.shoreusher.core.schedule.TaskStopper;
+import org.shoreusher.core.store.JobRecord;
+import org.shoreusher.core.store.JobStatus;
+import org.shoreusher.core.store.MachineRecord;
 import org.shoreusher.core.store.Outbox;
-import org.shoreusher.core.store.StoreSchema.JobRecord;
-import org.shoreusher.core.store.StoreSchema.JobStatus;
-import org.shoreusher.core.store.StoreSchema.MachineRecord;
 import org.shoreusher.settings.Settings;
 
 /**
--- a/src/main/java/org/shoreusher/core/heartbeat/HeartbeatReader.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/HeartbeatReader.java
@@ -23,8 +23,8 @@
 import org.shoreusher.core.schedule.ShardScheduling;
 import org.shoreusher.core.schedule.TaskMigration;
 import org.shoreusher.core.schedule.TaskStopper;
+import org.shoreusher.core.store.JobRecord;
 import org.shoreusher.core.store.Outbox;
-import org.shoreusher.core.store.StoreSchema.JobRecord;
 
 /**
  * Applies a worker's newest heartbeat to the leader's state of the machine, of its tasks and of
--- a/src/main/java/org/shoreusher/core/job/HighWaterMarks.java
+++ b/src/main/java/org/shoreusher/core/job/HighWaterMarks.java
@@ -10,13 +10,13 @@
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.leadership.ShardLeadership;
 import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.core.store.HighWaterMarkRecord;
+import org.shoreusher.core.store.JobRecord;
 import org.shoreusher.core.store.NodeContext;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.core.store.StoreConstants;
 import org.shoreusher.core.store.StoreSchema;
-import org.shoreusher.core.store.StoreSchema.HighWaterMarkRecord;
-import org.shoreusher.core.store.StoreSchema.JobRecord;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.wire.FieldMap;
 
--- a/src/main/java/org/shoreusher/core/job/OpenJobs.java
+++ b/src/main/java/org/shoreusher/core/job/OpenJobs.java
@@ -7,8 +7,8 @@
 import org.shoreusher.core.cluster.ShardContext;
 import org.shoreusher.core.cluster.TaskAttempt;
 import org.shoreusher.core.leadership.ShardAuthority;
-import org.shoreusher.core.store.StoreSchema.JobRecord;
-import org.shoreusher.core.store.StoreSchema.JobStatus;
+import org.shoreusher.core.store.JobRecord;
+import org.shoreusher.core.store.JobStatus;
 
 /** The open jobs of a shard, as the cache of the store shows them. */
 public final class OpenJobs {
--- a/src/main/java/org/shoreusher/core/job/SubmissionBatches.java
+++ b/src/main/java/org/shoreusher/core/job/SubmissionBatches.java
@@ -9,11 +9,11 @@
 import java.util.function.BiConsumer;
 import org.shoreusher.core.leadership.ShardLeadership;
 import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.core.store.JobRecord;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.core.store.StoreSchema;
-import org.shoreusher.core.store.StoreSchema.JobRecord;
-import org.shoreusher.core.store.StoreSchema.SubmissionBatchRecord;
+import org.shoreusher.core.store.SubmissionBatchRecord;
 import org.shoreusher.settings.Settings;
 
 /**
--- a/src/main/java/org/shoreusher/core/job/TerminalJobCache.java
+++ b/src/main/java/org/shoreusher/core/job/TerminalJobCache.java
@@ -3,10 +3,10 @@
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
 import java.util.ArrayDeque;
+import org.shoreusher.core.store.JobRecord;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.core.store.StoreSchema;
-import org.shoreusher.core.store.StoreSchema.JobRecord;
 import org.shoreusher.settings.Settings;
 
 /**
--- a/src/main/java/org/shoreusher/core/job/TerminalStateWriter.java
+++ b/src/main/java/org/shoreusher/core/job/TerminalStateWriter.java
@@ -6,10 +6,10 @@
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.leadership.ShardLeadership;
 import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.core.store.JobRecord;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.core.store.StoreSchema;
-import org.shoreusher.core.store.StoreSchema.JobRecord;
 
 /**
  * Writes the terminal state of jobs whose last task has completed. Users are told of the state only
--- a/src/main/java/org/shoreusher/core/leadership/ShardLeadership.java
+++ b/src/main/java/org/shoreusher/core/leadership/ShardLeadership.java
@@ -1,17 +1,17 @@
 package org.shoreusher.core.leadership;
 
-import org.shoreusher.core.message.ReplyStatus;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.function.Supplier;
 import org.shoreusher.core.message.ClockReading;
 import org.shoreusher.core.message.Command.StoreReply;
 import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.core.message.ReplyStatus;
+import org.shoreusher.core.store.CompletionRecord;
 import org.shoreusher.core.store.Outbox;
+import org.shoreusher.core.store.ShardRecord;
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.core.store.StoreSchema;
-import org.shoreusher.core.store.StoreSchema.CompletionRecord;
-import org.shoreusher.core.store.StoreSchema.ShardRecord;
 import org.shoreusher.log.LogEvent;
 import org.shoreusher.log.LogEventType;
 import org.shoreusher.settings.Settings;
--- a/src/main/java/org/shoreusher/core/machine/MachineIndex.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineIndex.java
@@ -5,10 +5,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.BiConsumer;
+import org.shoreusher.core.store.MachineGroupRecord;
+import org.shoreusher.core.store.MachineRecord;
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.core.store.StoreSchema;
-import org.shoreusher.core.store.StoreSchema.MachineGroupRecord;
-import org.shoreusher.core.store.StoreSchema.MachineRecord;
 
 /**
  * The records of all machines by machine name, from this node's cache of the store. The store keeps
--- a/src/main/java/org/shoreusher/core/machine/MachineLifecycle.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineLifecycle.java
@@ -6,8 +6,8 @@
 import org.shoreusher.core.cluster.ShardState;
 import org.shoreusher.core.leadership.ShardAuthority;
 import org.shoreusher.core.message.MachineType;
+import org.shoreusher.core.store.MachineRecord;
 import org.shoreusher.core.store.Outbox;
-import org.shoreusher.core.store.StoreSchema.MachineRecord;
 import org.shoreusher.log.LogEvent;
 import org.shoreusher.log.LogEventType;
 
--- a/src/main/java/org/shoreusher/core/schedule/QuotaShares.java
+++ b/src/main/java/org/shoreusher/core/schedule/QuotaShares.java
@@ -9,9 +9,9 @@
 import org.shoreusher.core.message.Effect.StoreOperation;
 import org.shoreusher.core.message.GossipMessage.TeamDemand;
 import org.shoreusher.core.store.Outbox;
+import org.shoreusher.core.store.QuotaRecord;
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.core.store.StoreSchema;
-import org.shoreusher.core.store.StoreSchema.QuotaRecord;
 import org.shoreusher.settings.Settings;
 
 /**
--- /dev/null
+++ b/src/main/java/org/shoreusher/core/store/CompletionRecord.java
@@ -0,0 +1,27 @@
+package org.shoreusher.core.store;
+
+import java.util.Map;
+import org.shoreusher.wire.FieldMap;
+
+/**
+ * A completion record: completed tasks that would make the shard's own record exceed the size limit
+ * of values.
+ *
+ * @param completedRanges completed tasks as ranges by job
+ */
+public record CompletionRecord(Map<String, Object> completedRanges) {
+    /** Reads the record from its stored fields. */
+    public static CompletionRecord fromMap(Map<String, Object> value) {
+        try {
+            return new CompletionRecord(new FieldMap(value).map("done").asMap());
+        } catch (FieldMap.InvalidFieldException e) {
+            throw new IllegalStateException(
+                    "a record of finished tasks of this service can't be read: " + e.getMessage());
+        }
+    }
+
+    /** Returns the stored fields of the record. */
+    public Map<String, Object> toMap() {
+        return Map.of("done", completedRanges);
+    }
+}
--- /dev/null
+++ b/src/main/java/org/shoreusher/core/store/HighWaterMarkRecord.java
@@ -0,0 +1,34 @@
+package org.shoreusher.core.store;
+
+import java.util.LinkedHashMap;
+import java.util.Map;
+import org.shoreusher.wire.FieldMap;
+
+/**
+ * High-water marks of a shard's jobs.
+ *
+ * @param highWaterMarks by job, the task number from which on no task has ever been started
+ */
+public record HighWaterMarkRecord(Map<String, Integer> highWaterMarks) {
+    /** Reads the record from its stored fields. */
+    public static HighWaterMarkRecord fromMap(Map<String, Object> value) {
+        Map<String, Integer> highWaterMarks = new LinkedHashMap<>();
+        try {
+            FieldMap fields = new FieldMap(value).map("begun");
+            for (String jobId : fields.asMap().keySet()) {
+                highWaterMarks.put(jobId, (int) fields.integer(jobId));
+            }
+        } catch (FieldMap.InvalidFieldException e) {
+            throw new IllegalStateException(
+                    "a record of marks of this service can't be read: " + e.getMessage());
+        }
+        return new HighWaterMarkRecord(highWaterMarks);
+    }
+
+    /** Returns the stored fields of a record of these marks. */
+    public static Map<String, Object> toMap(Map<String, Integer> highWaterMarks) {
+        Map<String, Object> fields = new LinkedHashMap<>();
+        highWaterMarks.forEach((jobId, highWaterMark) -> fields.put(jobId, (long) highWaterMark));
+        return Map.of("begun", fields);
+    }
+}
--- /dev/null
+++ b/src/main/java/org/shoreusher/core/store/JobRecord.java
@@ -0,0 +1,121 @@
+package org.shoreusher.core.store;
+
+import java.util.LinkedHashMap;
+import java.util.Map;
+import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.wire.FieldMap;
+import org.shoreusher.wire.UserFormat;
+
+/**
+ * A job's record. The description of a completed job is dropped. That of a cancelled job is kept,
+ * because its tasks count against their team's quota until they have stopped, also under the next
+ * leader.
+ *
+ * @param shardNumber the shard of the job
+ * @param status the durable status
+ * @param taskCount the number of tasks
+ * @param acceptedWallMs when the job was accepted, in wall-clock ms
+ * @param highWaterMark 0 for a job whose high-water mark is in the shard's records of marks, see
+ *     {@code HighWaterMarks}. In records from before there were such, no task from this number on
+ *     had ever been started
+ * @param specFields the fields of the job's description; null for a completed job
+ */
+public record JobRecord(
+        int shardNumber,
+        JobStatus status,
+        int taskCount,
+        long acceptedWallMs,
+        int highWaterMark,
+        Map<String, Object> specFields) {
+    /** Reads the record from its stored fields. */
+    public static JobRecord fromMap(Map<String, Object> value) {
+        try {
+            FieldMap fields = new FieldMap(value);
+            int taskCount = (int) fields.integer("tasks");
+            // A record from before there were high-water marks: any of its tasks may have been
+            // started.
+            int highWaterMark = fields.has("begun") ? (int) fields.integer("begun") : taskCount;
+            return new JobRecord(
+                    (int) fields.integer("part"),
+                    JobStatus.valueOf(fields.text("status")),
+                    taskCount,
+                    fields.integer("accepted"),
+                    highWaterMark,
+                    fields.has("spec") ? fields.map("spec").asMap() : null);
+        } catch (FieldMap.InvalidFieldException e) {
+            throw new IllegalStateException(
+                    "a job record of this service can't be read: " + e.getMessage());
+        }
+    }
+
+    /** Returns the record of a newly accepted job; the time is in wall-clock ms. */
+    public static JobRecord open(int shardNumber, JobSpec spec, long acceptedWallMs) {
+        return new JobRecord(
+                shardNumber,
+                JobStatus.OPEN,
+                spec.taskCount(),
+                acceptedWallMs,
+                0,
+                UserFormat.writeDescription(spec));
+    }
+
+    /** Returns the record of the job once it is completed. */
+    public JobRecord asDone() {
+        return new JobRecord(
+                shardNumber, JobStatus.DONE, taskCount, acceptedWallMs, highWaterMark, null);
+    }
+
+    /**
+     * Returns the record of the job once it is cancelled, within the size limit of values. A job
+     * that was accepted under a larger limit loses the fields of its description that are needed to
+     * start tasks: otherwise the store would refuse the write each time, and the job could never be
+     * cancelled.
+     *
+     * @param maxValueBytes the size limit of a value in bytes
+     */
+    public JobRecord asCancelled(int maxValueBytes) {
+        JobRecord full =
+                new JobRecord(
+                        shardNumber,
+                        JobStatus.CANCELLED,
+                        taskCount,
+                        acceptedWallMs,
+                        highWaterMark,
+                        specFields);
+        if (specFields == null || FieldMap.jsonLength(full.toMap()) <= maxValueBytes) {
+            return full;
+        }
+        Map<String, Object> resources = UserFormat.resourcesOnly(specFields);
+        return new JobRecord(
+                shardNumber,
+                JobStatus.CANCELLED,
+                taskCount,
+                acceptedWallMs,
+                highWaterMark,
+                resources);
+    }
+
+    /** Parses the job's description; the record must have one. */
+    public JobSpec parseSpec() {
+        try {
+            return UserFormat.readDescription(new FieldMap(specFields));
+        } catch (FieldMap.InvalidFieldException e) {
+            throw new IllegalStateException(
+                    "a job description of this service can't be read: " + e.getMessage());
+        }
+    }
+
+    /** Returns the stored fields of the record. */
+    public Map<String, Object> toMap() {
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put("part", (long) shardNumber);
+        fields.put("status", status.name());
+        fields.put("tasks", (long) taskCount);
+        fields.put("accepted", acceptedWallMs);
+        fields.put("begun", (long) highWaterMark);
+        if (specFields != null) {
+            fields.put("spec", specFields);
+        }
+        return fields;
+    }
+}
--- a/src/main/java/org/shoreusher/core/store/LinearizableReads.java
+++ b/src/main/java/org/shoreusher/core/store/LinearizableReads.java
@@ -1,6 +1,5 @@
 package org.shoreusher.core.store;
 
-import org.shoreusher.core.message.ReplyStatus;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -12,8 +11,7 @@
 import java.util.function.LongPredicate;
 import org.shoreusher.core.message.Command.StoreReply;
 import org.shoreusher.core.message.Effect.StoreOperation;
-import org.shoreusher.core.store.StoreSchema.JobRecord;
-import org.shoreusher.core.store.StoreSchema.JobStatus;
+import org.shoreusher.core.message.ReplyStatus;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.wire.FieldMap;
 import org.shoreusher.wire.StoreFormat;
--- a/src/main/java/org/shoreusher/core/store/Outbox.java
+++ b/src/main/java/org/shoreusher/core/store/Outbox.java
@@ -1,6 +1,5 @@
 package org.shoreusher.core.store;
 
-import org.shoreusher.core.message.ReplyStatus;
 import it.unimi.dsi.fastutil.longs.Long2ObjectOpenHashMap;
 import java.util.ArrayList;
 import java.util.List;
@@ -12,6 +11,7 @@
 import org.shoreusher.core.message.Effect.CloudOperation;
 import org.shoreusher.core.message.Effect.StoreOperation;
 import org.shoreusher.core.message.MessageConstants;
+import org.shoreusher.core.message.ReplyStatus;
 import org.shoreusher.core.message.Response;
 import org.shoreusher.log.LogEvent;
 import org.shoreusher.settings.Settings;
@@ -202,7 +202,8 @@
     /** Passes an answer of the key-value store to the callback of its call. */
     public void onReply(StoreReply reply) {
         // A 429 shows that the store is available; only a missing answer and 503 count as failures.
-        if (reply.status() == ReplyStatus.NO_REPLY || reply.status() == ReplyStatus.SERVICE_UNAVAILABLE) {
+        if (reply.status() == ReplyStatus.NO_REPLY
+                || reply.status() == ReplyStatus.SERVICE_UNAVAILABLE) {
             storeFailedAtMs = now.monotonicMs();
         } else {
             storeAnsweredAtMs = now.monotonicMs();
--- /dev/null
+++ b/src/main/java/org/shoreusher/core/store/ShardRecord.java
@@ -0,0 +1,58 @@
+package org.shoreusher.core.store;
+
+import java.util.LinkedHashMap;
+import java.util.Map;
+import org.shoreusher.wire.FieldMap;
+
+/**
+ * A shard's own record.
+ *
+ * @param leader the name of the leading process, HOST/SUFFIX
+ * @param leaseExpiryWallMs when the leader's lease expires, in wall-clock ms
+ * @param term the leader's term
+ * @param completedRanges completed tasks of the first chunk of jobs, as ranges by job
+ * @param standby the name of the process that knows every attempt that may be on a machine; null:
+ *     none. Versions from before the standby replication drop this field when they acquire the
+ *     shard
+ */
+public record ShardRecord(
+        String leader,
+        long leaseExpiryWallMs,
+        long term,
+        Map<String, Object> completedRanges,
+        String standby) {
+    /** Reads the record from its stored fields. */
+    public static ShardRecord fromMap(Map<String, Object> value) {
+        try {
+            FieldMap fields = new FieldMap(value);
+            return new ShardRecord(
+                    fields.text("owner"),
+                    fields.integer("expiry"),
+                    fields.integer("term"),
+                    fields.map("done").asMap(),
+                    fields.textOr("standby", null));
+        } catch (FieldMap.InvalidFieldException e) {
+            throw new IllegalStateException(
+                    "a part record of this service can't be read: " + e.getMessage());
+        }
+    }
+
+    /** Returns the stored fields of the record. */
+    public Map<String, Object> toMap() {
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put("owner", leader);
+        fields.put("expiry", leaseExpiryWallMs);
+        fields.put("term", term);
+        fields.put("done", completedRanges);
+        if (standby != null) {
+            fields.put("standby", standby);
+        }
+        return fields;
+    }
+
+    /** Returns the leader's host. */
+    public String leaderHost() {
+        int slash = leader.lastIndexOf('/');
+        return slash < 0 ? leader : leader.substring(0, slash);
+    }
+}
--- a/src/main/java/org/shoreusher/core/store/StoreCache.java
+++ b/src/main/java/org/shoreusher/core/store/StoreCache.java
@@ -1,12 +1,12 @@
 package org.shoreusher.core.store;
 
-import org.shoreusher.core.message.ReplyStatus;
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
 import java.util.Map;
 import java.util.SortedMap;
 import java.util.TreeMap;
 import org.shoreusher.core.message.Command.StoreReply;
 import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.core.message.ReplyStatus;
 import org.shoreusher.log.LogEvent;
 import org.shoreusher.log.LogEventType;
 import org.shoreusher.settings.Settings;
--- /dev/null
+++ b/src/main/java/org/shoreusher/core/store/SubmissionBatchRecord.java
@@ -0,0 +1,33 @@
+package org.shoreusher.core.store;
+
+import java.util.LinkedHashMap;
+import java.util.Map;
+import org.shoreusher.wire.FieldMap;
+
+/**
+ * Jobs that were accepted together; see {@code SubmissionBatches}.
+ *
+ * @param jobs the records of the jobs, by id
+ */
+public record SubmissionBatchRecord(Map<String, JobRecord> jobs) {
+    /** Reads the record from its stored fields. */
+    public static SubmissionBatchRecord fromMap(Map<String, Object> value) {
+        Map<String, JobRecord> jobs = new LinkedHashMap<>();
+        try {
+            for (String jobId : new FieldMap(value).map("jobs").asMap().keySet()) {
+                jobs.put(
+                        jobId,
+                        JobRecord.fromMap(new FieldMap(value).map("jobs").map(jobId).asMap()));
+            }
+        } catch (FieldMap.InvalidFieldException e) {
+            throw new IllegalStateException(
+                    "a record of arrivals of this service can't be read: " + e.getMessage());
+        }
+        return new SubmissionBatchRecord(jobs);
+    }
+
+    /** Returns the stored fields of a record of these jobs, which are already in stored form. */
+    public static Map<String, Object> toMap(Map<String, Map<String, Object>> jobs) {
+        return Map.of("jobs", jobs);
+    }
+}
--- a/src/main/java/org/shoreusher/core/store/VersionNegotiation.java
+++ b/src/main/java/org/shoreusher/core/store/VersionNegotiation.java
@@ -1,12 +1,12 @@
 package org.shoreusher.core.store;
 
-import org.shoreusher.core.message.ReplyStatus;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Predicate;
 import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.core.message.ReplyStatus;
 import org.shoreusher.log.LogEvent;
 import org.shoreusher.log.LogEventType;
 import org.shoreusher.settings.Features;
--- a/src/main/java/org/shoreusher/core/user/UserRequests.java
+++ b/src/main/java/org/shoreusher/core/user/UserRequests.java
@@ -11,13 +11,13 @@
 import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.core.message.Response;
 import org.shoreusher.core.message.Response.DisplayState;
+import org.shoreusher.core.store.JobRecord;
+import org.shoreusher.core.store.JobStatus;
 import org.shoreusher.core.store.LinearizableReads;
 import org.shoreusher.core.store.NodeContext;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.core.store.StoreSchema;
-import org.shoreusher.core.store.StoreSchema.JobRecord;
-import org.shoreusher.core.store.StoreSchema.JobStatus;
 import org.shoreusher.core.store.VersionNegotiation;
 import org.shoreusher.settings.Settings;
 
--- a/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
+++ b/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
@@ -27,11 +27,14 @@
 import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.core.message.MachineType;
 import org.shoreusher.core.schedule.QuotaShares;
+import org.shoreusher.core.store.JobRecord;
 import org.shoreusher.core.store.NodeContext;
 import org.shoreusher.core.store.Outbox;
+import org.shoreusher.core.store.QuotaRecord;
+import org.shoreusher.core.store.ShardRecord;
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.core.store.StoreSchema;
-import org.shoreusher.core.store.StoreSchema.QuotaRecord;
+import org.shoreusher.core.store.SubmissionBatchRecord;
 import org.shoreusher.settings.Features;
 import org.shoreusher.settings.Settings;
 
@@ -213,16 +216,13 @@
             for (int shardNumber : olderFirst ? new int[] {1, 0} : new int[] {0, 1}) {
                 storeCache.apply(
                         StoreSchema.submissionBatchKey("n/" + shardNumber, 1),
-                        StoreSchema.SubmissionBatchRecord.toMap(
-                                Map.of(
-                                        "wk-1",
-                                        StoreSchema.JobRecord.open(shardNumber, spec, 0).toMap())),
+                        SubmissionBatchRecord.toMap(
+                                Map.of("wk-1", JobRecord.open(shardNumber, spec, 0).toMap())),
                         shardNumber == 1 ? 5 : 6);
             }
             assertEquals(1, submissionBatches[0].jobRecord("wk-1").shardNumber());
             assertEquals(1, notified.get(notified.size() - 1));
-            storeCache.apply(
-                    StoreSchema.jobKey("wk-1"), StoreSchema.JobRecord.open(0, spec, 0).toMap(), 7);
+            storeCache.apply(StoreSchema.jobKey("wk-1"), JobRecord.open(0, spec, 0).toMap(), 7);
             assertEquals(0, submissionBatches[0].jobRecord("wk-1").shardNumber());
         }
     }
@@ -247,7 +247,7 @@
                         settings,
                         outbox,
                         storeCache,
-                        new StoreSchema.ShardRecord("n/1", 60_000, 1, Map.of(), null),
+                        new ShardRecord("n/1", 60_000, 1, Map.of(), null),
                         outbox.now(),
                         1);
         Map<String, Job> jobs = new java.util.LinkedHashMap<>();
@@ -263,9 +263,7 @@
                             0);
             jobs.put(job.id(), job);
             storeCache.apply(
-                    StoreSchema.jobKey(job.id()),
-                    StoreSchema.JobRecord.open(0, job.spec(), 0).toMap(),
-                    1);
+                    StoreSchema.jobKey(job.id()), JobRecord.open(0, job.spec(), 0).toMap(), 1);
         }
         HighWaterMarks highWaterMarks =
                 new HighWaterMarks(
--- a/src/test/java/org/shoreusher/core/StoredRecords.java
+++ b/src/test/java/org/shoreusher/core/StoredRecords.java
@@ -5,16 +5,16 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.core.store.CompletionRecord;
+import org.shoreusher.core.store.HighWaterMarkRecord;
+import org.shoreusher.core.store.JobRecord;
+import org.shoreusher.core.store.JobStatus;
+import org.shoreusher.core.store.MachineGroupRecord;
+import org.shoreusher.core.store.MachineRecord;
+import org.shoreusher.core.store.QuotaRecord;
+import org.shoreusher.core.store.ShardRecord;
 import org.shoreusher.core.store.StoreSchema;
-import org.shoreusher.core.store.StoreSchema.CompletionRecord;
-import org.shoreusher.core.store.StoreSchema.HighWaterMarkRecord;
-import org.shoreusher.core.store.StoreSchema.JobRecord;
-import org.shoreusher.core.store.StoreSchema.JobStatus;
-import org.shoreusher.core.store.StoreSchema.MachineGroupRecord;
-import org.shoreusher.core.store.StoreSchema.MachineRecord;
-import org.shoreusher.core.store.StoreSchema.QuotaRecord;
-import org.shoreusher.core.store.StoreSchema.ShardRecord;
-import org.shoreusher.core.store.StoreSchema.SubmissionBatchRecord;
+import org.shoreusher.core.store.SubmissionBatchRecord;
 
 /** A stored record of every kind, by its key, and records read and written again. */
 public final class StoredRecords {
--- a/src/test/java/org/shoreusher/core/job/HighWaterMarksTest.java
+++ b/src/test/java/org/shoreusher/core/job/HighWaterMarksTest.java
@@ -20,8 +20,10 @@
 import org.shoreusher.core.message.Effect;
 import org.shoreusher.core.message.Effect.StoreOperation;
 import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.core.store.JobRecord;
 import org.shoreusher.core.store.NodeContext;
 import org.shoreusher.core.store.Outbox;
+import org.shoreusher.core.store.ShardRecord;
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.core.store.StoreSchema;
 import org.shoreusher.settings.Features;
@@ -53,7 +55,7 @@
                         SETTINGS,
                         outbox,
                         storeCache,
-                        new StoreSchema.ShardRecord("n/1", 60_000, 1, Map.of(), null),
+                        new ShardRecord("n/1", 60_000, 1, Map.of(), null),
                         outbox.now(),
                         1);
         Map<String, Job> jobs = new LinkedHashMap<>();
@@ -68,10 +70,7 @@
                             .estimatedRunS(1)
                             .build();
             jobs.put(spec.id(), new Job(spec.id(), spec, 0));
-            storeCache.apply(
-                    StoreSchema.jobKey(spec.id()),
-                    StoreSchema.JobRecord.open(0, spec, 0).toMap(),
-                    1);
+            storeCache.apply(StoreSchema.jobKey(spec.id()), JobRecord.open(0, spec, 0).toMap(), 1);
         }
         HighWaterMarks highWaterMarks =
                 new HighWaterMarks(
--- a/src/test/java/org/shoreusher/core/job/SubmissionBatchesTest.java
+++ b/src/test/java/org/shoreusher/core/job/SubmissionBatchesTest.java
@@ -10,9 +10,11 @@
 import org.shoreusher.core.CoreTestData;
 import org.shoreusher.core.JobSpecBuilder;
 import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.core.store.JobRecord;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.core.store.StoreSchema;
+import org.shoreusher.core.store.SubmissionBatchRecord;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.SettingsBuilder;
 
@@ -55,15 +57,12 @@
             submissionBatches[0] = new SubmissionBatches(SETTINGS, outbox, storeCache);
             if (ended) {
                 storeCache.apply(
-                        StoreSchema.jobKey("wk-1"),
-                        StoreSchema.JobRecord.open(0, spec, 0).asDone().toMap(),
-                        9);
+                        StoreSchema.jobKey("wk-1"), JobRecord.open(0, spec, 0).asDone().toMap(), 9);
                 storeCache.evict(StoreSchema.jobKey("wk-1"));
             }
             storeCache.apply(
                     StoreSchema.submissionBatchKey("n/1", 1),
-                    StoreSchema.SubmissionBatchRecord.toMap(
-                            Map.of("wk-1", StoreSchema.JobRecord.open(0, spec, 0).toMap())),
+                    SubmissionBatchRecord.toMap(Map.of("wk-1", JobRecord.open(0, spec, 0).toMap())),
                     6);
             assertEquals(ended ? List.of() : List.of("wk-1"), notified);
             if (ended) {
