--- a/src/main/java/org/shoreusher/core/CoreConstants.java
+++ b/src/main/java/org/shoreusher/core/CoreConstants.java
@@ -4,18 +4,6 @@
 final class CoreConstants {
     private CoreConstants() {}
 
-    /**
-     * ms; wait between two attempts to acquire a shard, and for each shard that the node already
-     * leads.
-     */
-    public static final long ACQUISITION_INTERVAL_MS = 700;
-
-    /**
-     * ms; wait after an acquisition that lost to a concurrent one. The store cache needs about this
-     * long to show it.
-     */
-    public static final long ACQUISITION_CONFLICT_RETRY_MS = 100;
-
     /** ms; how often a node checks whether it leads two shards more than another node. */
     public static final long SHARD_REBALANCE_INTERVAL_MS = 5_000;
 
--- a/src/main/java/org/shoreusher/core/job/CompletionRecords.java
+++ b/src/main/java/org/shoreusher/core/job/CompletionRecords.java
@@ -6,10 +6,10 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.function.Function;
 import java.util.function.IntFunction;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.leadership.CompletionSnapshot;
+import org.shoreusher.core.store.CompletionRecord;
 import org.shoreusher.core.store.StoreConstants;
 import org.shoreusher.core.store.TaskRanges;
 import org.shoreusher.settings.Settings;
@@ -62,22 +62,19 @@
             Settings settings,
             IntFunction<Map<String, Object>> storedRecord) {
         CompletionRecords layout =
-                new CompletionRecords(jobs, maxRecordBytes(settings), storedRecord);
+                new CompletionRecords(jobs, CompletionRecord.maxBytes(settings), storedRecord);
         layout.recordCount(0);
         layout.assignRecords();
         jobs.forEach(layout::addSlices);
         return layout;
     }
 
-    private static int maxRecordBytes(Settings settings) {
-        return (int) (settings.maxValueBytes() * StoreConstants.RECORD_FILL_SHARE);
-    }
-
     /**
      * The number of tasks in a slice: as many as fit into a record if every other one completes.
      */
     private static int slice(Job job, int maxRecordBytes) {
-        return Math.max(1, (maxRecordBytes - frameBytes(job)) / JobConstants.RECORD_BYTES_PER_TASK);
+        return Math.max(
+                1, (maxRecordBytes - frameBytes(job)) / StoreConstants.RECORD_BYTES_PER_TASK);
     }
 
     /** Bytes that a job takes in a record besides its ranges. */
@@ -96,7 +93,7 @@
     /** Notes that a record of a previous leader holds these completed tasks of the job. */
     public static void adoptStoredRecord(
             Job job, BitSet completedTasks, int recordIndex, Settings settings) {
-        int maxRecordBytes = maxRecordBytes(settings);
+        int maxRecordBytes = CompletionRecord.maxBytes(settings);
         cutIntoSlices(job, maxRecordBytes);
         for (int i = completedTasks.nextSetBit(0);
                 i >= 0 && i < job.spec().taskCount();
@@ -113,7 +110,7 @@
         int size = slice(job, maxRecordBytes);
         return frameBytes(job)
                 + Math.min(size, job.spec().taskCount() - slice * size)
-                        * JobConstants.RECORD_BYTES_PER_TASK;
+                        * StoreConstants.RECORD_BYTES_PER_TASK;
     }
 
     /** Assigns a record to each slice that has none or no longer fits into its own. */
@@ -259,48 +256,4 @@
             }
         }
     }
-
-    /**
-     * Splits a record of a previous leader that exceeds the limit into records that do not.
-     *
-     * @param rangesByJob the record's ranges, by job id
-     * @param storedElsewhere the completed tasks of a job that other records hold already; they are
-     *     left out
-     */
-    public static List<Map<String, Object>> splitIntoRecords(
-            Map<String, Object> rangesByJob,
-            Settings settings,
-            Function<String, BitSet> storedElsewhere) {
-        int maxRecordBytes = maxRecordBytes(settings);
-        List<Map<String, Object>> records = new ArrayList<>();
-        Map<String, Object> current = new LinkedHashMap<>();
-        int currentBytes = 0;
-        for (Map.Entry<String, Object> entry : rangesByJob.entrySet()) {
-            BitSet remaining = TaskRanges.parse((String) entry.getValue());
-            remaining.andNot(storedElsewhere.apply(entry.getKey()));
-            int frameBytes = StoreConstants.RECORD_ENTRY_OVERHEAD_BYTES + entry.getKey().length();
-            int tasksPerPiece =
-                    Math.max(1, (maxRecordBytes - frameBytes) / JobConstants.RECORD_BYTES_PER_TASK);
-            for (int from = remaining.nextSetBit(0);
-                    from >= 0;
-                    from = remaining.nextSetBit(from + tasksPerPiece)) {
-                BitSet piece = new BitSet();
-                piece.set(from, from + tasksPerPiece);
-                piece.and(remaining);
-                String text = TaskRanges.format(piece);
-                if (currentBytes + frameBytes + text.length() > maxRecordBytes
-                        || current.containsKey(entry.getKey())) {
-                    records.add(current);
-                    current = new LinkedHashMap<>();
-                    currentBytes = 0;
-                }
-                current.put(entry.getKey(), text);
-                currentBytes += frameBytes + text.length();
-            }
-        }
-        if (!current.isEmpty()) {
-            records.add(current);
-        }
-        return records;
-    }
 }
--- a/src/main/java/org/shoreusher/core/job/JobConstants.java
+++ b/src/main/java/org/shoreusher/core/job/JobConstants.java
@@ -4,12 +4,6 @@
 public final class JobConstants {
     private JobConstants() {}
 
-    /**
-     * Bytes that each task of a job takes in a record in the worst case, when every other task is
-     * completed.
-     */
-    public static final int RECORD_BYTES_PER_TASK = 3;
-
     /** Terminal job states cached by each node; older ones are read from the store. */
     public static final int MAX_CACHED_TERMINAL_JOBS = 20_000;
 
--- /dev/null
+++ b/src/main/java/org/shoreusher/core/leadership/LeadershipAcquisition.java
@@ -0,0 +1,222 @@
+package org.shoreusher.core.leadership;
+
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+import org.shoreusher.core.message.ClockReading;
+import org.shoreusher.core.message.Command.StoreReply;
+import org.shoreusher.core.message.Effect.StoreOperation.CompareAndSwap;
+import org.shoreusher.core.message.ReplyStatus;
+import org.shoreusher.core.store.FencingRecord;
+import org.shoreusher.core.store.NodeContext;
+import org.shoreusher.core.store.Outbox;
+import org.shoreusher.core.store.ShardRecord;
+import org.shoreusher.core.store.StoreCache;
+import org.shoreusher.core.store.StoreSchema;
+import org.shoreusher.core.store.TermRecord;
+import org.shoreusher.log.LogEvent;
+import org.shoreusher.log.LogEventType;
+import org.shoreusher.settings.Settings;
+
+/**
+ * Acquires the leadership of shards that have no leader, one at a time. An acquisition is a
+ * compare-and-swap on the shard's record and the term counter, so of several nodes that try at once
+ * one succeeds. It also writes the fencing key, which invalidates all later writes of the previous
+ * leader.
+ */
+public final class LeadershipAcquisition {
+    /** The shards that this node leads already. */
+    public interface LedShards {
+        /** Returns whether this node leads a shard. */
+        boolean isLed(int shardNumber);
+
+        /** Returns how many shards this node leads. */
+        int ledShardCount();
+    }
+
+    private final Settings settings;
+    private final Outbox outbox;
+    private final StoreCache storeCache;
+    private final String processName;
+    private final int shardCount;
+    private final ShardVacancies vacancies;
+    private final CompletionOverflow completionOverflow;
+    private final LedShards ledShards;
+    private final Consumer<AcquiredLeadership> onAcquired;
+    private final int firstCandidate;
+    private boolean requestInFlight;
+    private long nextAttemptMs;
+
+    /**
+     * Creates the acquisition; {@link #step} tries for leaderships.
+     *
+     * @param context the node's shared collaborators
+     * @param processName the name of this process, HOST/SUFFIX
+     * @param shardCount the number of shards
+     * @param peerView what gossip tells about other nodes
+     * @param ledShards the shards that this node leads already
+     * @param onAcquired receives each leadership that this node has acquired
+     */
+    public LeadershipAcquisition(
+            NodeContext context,
+            String processName,
+            int shardCount,
+            LeadershipPeerView peerView,
+            LedShards ledShards,
+            Consumer<AcquiredLeadership> onAcquired) {
+        settings = context.settings();
+        outbox = context.outbox();
+        storeCache = context.storeCache();
+        this.processName = processName;
+        this.shardCount = shardCount;
+        this.ledShards = ledShards;
+        this.onAcquired = onAcquired;
+        vacancies = new ShardVacancies(context, peerView, processName, shardCount);
+        completionOverflow = new CompletionOverflow(settings, storeCache);
+        firstCandidate = firstCandidate(settings, shardCount);
+    }
+
+    /**
+     * Returns the shard with which this node begins. Each node begins with a different one, so that
+     * nodes that start together do not compete for the same shard.
+     */
+    private static int firstCandidate(Settings settings, int shardCount) {
+        long membersBefore =
+                settings.members().stream()
+                        .filter(member -> member.host().compareTo(settings.host()) < 0)
+                        .count();
+        return (int) membersBefore % shardCount;
+    }
+
+    /** Leaves shards without a leader to other nodes for some ms. */
+    public void pause(long durationMs) {
+        nextAttemptMs = outbox.now().monotonicMs() + durationMs;
+    }
+
+    /** Tries for the leadership of at most one shard that has no leader. */
+    public void step() {
+        if (!storeCache.isLoaded()
+                || requestInFlight
+                || storeCache.ageMs() > LeadershipConstants.MAX_STORE_CACHE_AGE_MS
+                || outbox.now().monotonicMs() < nextAttemptMs) {
+            return;
+        }
+        for (int offset = 0; offset < shardCount && !requestInFlight; offset++) {
+            int shardNumber = (firstCandidate + offset) % shardCount;
+            ShardRecord record = ShardRecord.in(storeCache, shardNumber);
+            vacancies.update(shardNumber, record, ledShards.isLed(shardNumber));
+            if (vacancies.isAcquisitionDue(shardNumber, record, ledShards.ledShardCount())) {
+                tryToAcquire(shardNumber, record);
+            }
+        }
+    }
+
+    private void tryToAcquire(int shardNumber, ShardRecord previousRecord) {
+        pause(LeadershipConstants.ACQUISITION_INTERVAL_MS);
+        boolean exceedsSizeLimit = completionOverflow.exceedsSizeLimit(previousRecord);
+        if (exceedsSizeLimit) {
+            List<Map<String, Object>> completionsToCopy =
+                    completionOverflow.completionsToCopy(shardNumber, previousRecord);
+            if (!completionsToCopy.isEmpty()) {
+                copyCompletions(completionOverflow.copy(shardNumber, completionsToCopy));
+                return;
+            }
+        }
+        // From here on, whatever a record above the limit contains is in overflow records as well.
+        acquire(
+                shardNumber,
+                previousRecord,
+                previousRecord == null || exceedsSizeLimit
+                        ? Map.of()
+                        : previousRecord.completedRanges());
+    }
+
+    private void copyCompletions(CompareAndSwap copy) {
+        requestInFlight =
+                outbox.callStoreForLease(
+                        copy,
+                        reply -> {
+                            requestInFlight = false;
+                            if (reply.status() == ReplyStatus.OK) {
+                                storeCache.applyOwnWrites(reply, copy.writes());
+                                pause(0);
+                            }
+                        });
+    }
+
+    private void acquire(
+            int shardNumber, ShardRecord previousRecord, Map<String, Object> completedRanges) {
+        ClockReading sentAt = outbox.now();
+        FencingRecord previousFencing = FencingRecord.in(storeCache, shardNumber);
+        ShardRecord record =
+                new ShardRecord(
+                        processName,
+                        sentAt.wallMs() + LeaderLease.durationMs(settings),
+                        TermRecord.in(storeCache).term() + 1,
+                        completedRanges,
+                        null);
+        CompareAndSwap write = acquisitionWrite(shardNumber, record);
+        requestInFlight =
+                outbox.callStoreForLease(
+                        write,
+                        reply -> {
+                            requestInFlight = false;
+                            if (reply.status() == ReplyStatus.OK) {
+                                ShardLeadership leadership =
+                                        new ShardLeadership(
+                                                shardNumber,
+                                                settings,
+                                                outbox,
+                                                storeCache,
+                                                record,
+                                                sentAt,
+                                                storeCache.applyOwnWrites(reply, write.writes()));
+                                onAcquired(
+                                        new AcquiredLeadership(
+                                                leadership, previousRecord, previousFencing));
+                            } else {
+                                onFailure(reply, shardNumber, previousRecord);
+                            }
+                        });
+    }
+
+    private CompareAndSwap acquisitionWrite(int shardNumber, ShardRecord record) {
+        String shardKey = StoreSchema.shardKey(shardNumber);
+        Map<String, Long> preconditions = new LinkedHashMap<>();
+        preconditions.put(shardKey, storeCache.version(shardKey));
+        preconditions.put(StoreSchema.TERM_KEY, storeCache.version(StoreSchema.TERM_KEY));
+        Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
+        writes.put(shardKey, record.toMap());
+        writes.put(
+                StoreSchema.fencingKey(shardNumber),
+                new FencingRecord(processName, record.term()).toMap());
+        writes.put(StoreSchema.TERM_KEY, new TermRecord(record.term()).toMap());
+        return new CompareAndSwap(preconditions, writes);
+    }
+
+    private void onAcquired(AcquiredLeadership acquired) {
+        pause(0);
+        ShardRecord previousRecord = acquired.previousRecord();
+        outbox.log(
+                LogEvent.of(LogEventType.SHARD_ACQUIRED)
+                        .with("shard", acquired.leadership().shardNumber())
+                        .with("term", acquired.leadership().term())
+                        .with(
+                                "previous_leader",
+                                previousRecord == null ? "none" : previousRecord.leader()));
+        onAcquired.accept(acquired);
+    }
+
+    private void onFailure(StoreReply reply, int shardNumber, ShardRecord previousRecord) {
+        if (reply.status() == ReplyStatus.CONFLICT) {
+            // Another node acquired this shard, or incremented the term counter for a different
+            // one.
+            pause(LeadershipConstants.ACQUISITION_CONFLICT_RETRY_MS);
+        } else if (previousRecord != null && previousRecord.standby() != null) {
+            // During an outage of the store the standby had no chance either, so its head start
+            // begins again.
+            vacancies.restartDelay(shardNumber);
+        }
+    }
+}
--- a/src/main/java/org/shoreusher/core/leadership/LeadershipConstants.java
+++ b/src/main/java/org/shoreusher/core/leadership/LeadershipConstants.java
@@ -57,4 +57,16 @@
      * Completion records in one write, which keeps it below the limit of 64 KiB for a transaction.
      */
     public static final int MAX_COMPLETION_RECORDS_PER_WRITE = 8;
+
+    /**
+     * ms; wait between two attempts to acquire a shard, and for each shard that the node already
+     * leads.
+     */
+    public static final long ACQUISITION_INTERVAL_MS = 700;
+
+    /**
+     * ms; wait after an acquisition that lost to a concurrent one. The store cache needs about this
+     * long to show it.
+     */
+    public static final long ACQUISITION_CONFLICT_RETRY_MS = 100;
 }
--- a/src/main/java/org/shoreusher/core/leadership/ShardLeadership.java
+++ b/src/main/java/org/shoreusher/core/leadership/ShardLeadership.java
@@ -87,6 +87,11 @@
         nextRenewalMs = sentAt.monotonicMs() + LeaderLease.renewalIntervalMs(settings);
     }
 
+    /** The number of the shard. */
+    public int shardNumber() {
+        return shardNumber;
+    }
+
     /** The name of the leading process, HOST/SUFFIX. */
     public String processName() {
         return processName;
--- a/src/main/java/org/shoreusher/core/replication/StandbyReplicas.java
+++ b/src/main/java/org/shoreusher/core/replication/StandbyReplicas.java
@@ -4,10 +4,10 @@
 import java.util.Locale;
 import java.util.Map;
 import org.shoreusher.core.message.Effect;
+import org.shoreusher.core.store.FencingRecord;
 import org.shoreusher.core.store.NodeContext;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreCache;
-import org.shoreusher.core.store.StoreSchema;
 import org.shoreusher.log.LogEvent;
 import org.shoreusher.log.LogEventType;
 import org.shoreusher.settings.Settings;
@@ -82,8 +82,8 @@
 
     /** Whether the store cache shows a newer leadership term of the shard. */
     private boolean isFromFormerTerm(LogStream stream) {
-        FencingRecord fencingRecord = fencingRecord(stream.shardNumber());
-        return fencingRecord != null && fencingRecord.term > stream.term();
+        FencingRecord fencingRecord = FencingRecord.in(storeCache, stream.shardNumber());
+        return fencingRecord != null && fencingRecord.term() > stream.term();
     }
 
     private AttemptLogReceiver receiverFor(int shardNumber) {
@@ -93,25 +93,6 @@
         return receivers[shardNumber];
     }
 
-    /**
-     * The fencing record of a shard: who acquired its leadership last.
-     *
-     * @param leader the leader process, HOST/SUFFIX
-     * @param term the leadership term as acquired
-     */
-    public record FencingRecord(String leader, long term) {}
-
-    /** The shard's fencing record in the store cache; null if there is none. */
-    public FencingRecord fencingRecord(int shardNumber) {
-        StoreCache.Entry entry = storeCache.get(StoreSchema.fencingKey(shardNumber));
-        if (entry == null
-                || !(entry.value().get("owner") instanceof String leader)
-                || !(entry.value().get("term") instanceof Number term)) {
-            return null;
-        }
-        return new FencingRecord(leader, term.longValue());
-    }
-
     /**
      * Promotes the log of a shard whose leadership this process has just acquired.
      *
@@ -130,7 +111,7 @@
         PromotionOutcome outcome =
                 (receiver == null ? receiverFor(shardNumber) : receiver)
                         .promotionOutcome(
-                                processName, namedStandby, previous.leader, previous.term);
+                                processName, namedStandby, previous.leader(), previous.term());
         recordOutcome(shardNumber, outcome);
         return outcome == PromotionOutcome.IN_SYNC ? receiver.takeTable() : null;
     }
--- a/src/main/java/org/shoreusher/core/store/CompletionRecord.java
+++ b/src/main/java/org/shoreusher/core/store/CompletionRecord.java
@@ -1,6 +1,7 @@
 package org.shoreusher.core.store;
 
 import java.util.Map;
+import org.shoreusher.settings.Settings;
 import org.shoreusher.wire.FieldMap;
 
 /**
@@ -10,6 +11,17 @@
  * @param completedRanges completed tasks as ranges by job
  */
 public record CompletionRecord(Map<String, Object> completedRanges) {
+    /** Returns the largest size of a record of completed tasks, as JSON in bytes. */
+    public static int maxBytes(Settings settings) {
+        return (int) (settings.maxValueBytes() * StoreConstants.RECORD_FILL_SHARE);
+    }
+
+    /** Returns an overflow record as the store cache shows it, or null if there is none. */
+    public static CompletionRecord in(StoreCache storeCache, int shardNumber, int chunk) {
+        StoreCache.Entry entry = storeCache.get(StoreSchema.completionKey(shardNumber, chunk));
+        return entry == null ? null : fromMap(entry.value());
+    }
+
     /** Reads the record from its stored fields. */
     public static CompletionRecord fromMap(Map<String, Object> value) {
         try {
--- /dev/null
+++ b/src/main/java/org/shoreusher/core/store/CompletionRecordSplitter.java
@@ -0,0 +1,79 @@
+package org.shoreusher.core.store;
+
+import java.util.ArrayList;
+import java.util.BitSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Function;
+import org.shoreusher.settings.Settings;
+
+/**
+ * Splits completed tasks into records below the size limit. A record of a previous version, or of
+ * one with a higher limit, may be larger than this version may write.
+ */
+public final class CompletionRecordSplitter {
+    private final int maxRecordBytes;
+    private final List<Map<String, Object>> records = new ArrayList<>();
+    private Map<String, Object> current = new LinkedHashMap<>();
+    private int currentBytes;
+
+    private CompletionRecordSplitter(int maxRecordBytes) {
+        this.maxRecordBytes = maxRecordBytes;
+    }
+
+    /**
+     * Splits a record.
+     *
+     * @param rangesByJob the record's ranges, by job id
+     * @param storedElsewhere the completed tasks of a job that other records hold already; they are
+     *     left out
+     * @return the ranges of each new record, by job id
+     */
+    public static List<Map<String, Object>> split(
+            Map<String, Object> rangesByJob,
+            Settings settings,
+            Function<String, BitSet> storedElsewhere) {
+        CompletionRecordSplitter splitter =
+                new CompletionRecordSplitter(CompletionRecord.maxBytes(settings));
+        rangesByJob.forEach(
+                (jobId, ranges) -> {
+                    BitSet remaining = TaskRanges.parse((String) ranges);
+                    remaining.andNot(storedElsewhere.apply(jobId));
+                    splitter.addJob(jobId, remaining);
+                });
+        return splitter.finish();
+    }
+
+    private void addJob(String jobId, BitSet completedTasks) {
+        int frameBytes = StoreConstants.RECORD_ENTRY_OVERHEAD_BYTES + jobId.length();
+        int tasksPerPiece =
+                Math.max(1, (maxRecordBytes - frameBytes) / StoreConstants.RECORD_BYTES_PER_TASK);
+        for (int from = completedTasks.nextSetBit(0);
+                from >= 0;
+                from = completedTasks.nextSetBit(from + tasksPerPiece)) {
+            BitSet piece = new BitSet();
+            piece.set(from, from + tasksPerPiece);
+            piece.and(completedTasks);
+            addPiece(jobId, TaskRanges.format(piece), frameBytes);
+        }
+    }
+
+    private void addPiece(String jobId, String ranges, int frameBytes) {
+        int pieceBytes = frameBytes + ranges.length();
+        if (currentBytes + pieceBytes > maxRecordBytes || current.containsKey(jobId)) {
+            records.add(current);
+            current = new LinkedHashMap<>();
+            currentBytes = 0;
+        }
+        current.put(jobId, ranges);
+        currentBytes += pieceBytes;
+    }
+
+    private List<Map<String, Object>> finish() {
+        if (!current.isEmpty()) {
+            records.add(current);
+        }
+        return records;
+    }
+}
--- a/src/main/java/org/shoreusher/core/store/ShardRecord.java
+++ b/src/main/java/org/shoreusher/core/store/ShardRecord.java
@@ -21,6 +21,12 @@
         long term,
         Map<String, Object> completedRanges,
         String standby) {
+    /** Returns a shard's record as the store cache shows it, or null if there is none. */
+    public static ShardRecord in(StoreCache storeCache, int shardNumber) {
+        StoreCache.Entry entry = storeCache.get(StoreSchema.shardKey(shardNumber));
+        return entry == null ? null : fromMap(entry.value());
+    }
+
     /** Reads the record from its stored fields. */
     public static ShardRecord fromMap(Map<String, Object> value) {
         try {
--- a/src/main/java/org/shoreusher/core/store/StoreConstants.java
+++ b/src/main/java/org/shoreusher/core/store/StoreConstants.java
@@ -65,4 +65,10 @@
      * all submissions. Users wait 2 s.
      */
     public static final long READ_CATCH_UP_TIMEOUT_MS = 1_000;
+
+    /**
+     * Bytes that each task of a job takes in a record in the worst case, when every other task is
+     * completed.
+     */
+    public static final int RECORD_BYTES_PER_TASK = 3;
 }
--- a/src/main/java/org/shoreusher/core/store/VersionNegotiation.java
+++ b/src/main/java/org/shoreusher/core/store/VersionNegotiation.java
@@ -192,12 +192,12 @@
         for (int shardNumber = 0;
                 shardNumber < shardCount && recordedProcess != null;
                 shardNumber++) {
-            StoreCache.Entry fencingEntry = storeCache.get(StoreSchema.fencingKey(shardNumber));
-            if (fencingEntry != null
-                    && fencingEntry.version() > versionRecord.version()
-                    && fencingEntry.value().get("owner") instanceof String leader
-                    && leader.startsWith(host + "/")
-                    && !leader.equals(recordedProcess)) {
+            FencingRecord fencingRecord = FencingRecord.in(storeCache, shardNumber);
+            if (fencingRecord != null
+                    && storeCache.version(StoreSchema.fencingKey(shardNumber))
+                            > versionRecord.version()
+                    && fencingRecord.leader().startsWith(host + "/")
+                    && !fencingRecord.leader().equals(recordedProcess)) {
                 return true;
             }
         }
--- a/src/test/java/org/shoreusher/core/job/CompletionRecordsTest.java
+++ b/src/test/java/org/shoreusher/core/job/CompletionRecordsTest.java
@@ -17,6 +17,7 @@
 import org.shoreusher.core.JobSpecBuilder;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.core.store.CompletionRecordSplitter;
 import org.shoreusher.core.store.TaskRanges;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.SettingsBuilder;
@@ -189,7 +190,7 @@
         }
         Map<String, BitSet> found = new LinkedHashMap<>(covered);
         for (Map<String, Object> piece :
-                CompletionRecords.splitIntoRecords(done, settings, covered::get)) {
+                CompletionRecordSplitter.split(done, settings, covered::get)) {
             assertTrue(FieldMap.jsonLength(piece) <= settings.maxValueBytes());
             piece.forEach(
                     (id, ranges) -> {
