--- a/src/main/java/org/shoreusher/core/store/VersionNegotiation.java
+++ b/src/main/java/org/shoreusher/core/store/VersionNegotiation.java
@@ -6,6 +6,7 @@
 import java.util.Map;
 import java.util.function.Predicate;
 import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.core.message.ReplyStatus;
 import org.shoreusher.log.LogEvent;
 import org.shoreusher.log.LogEventType;
 import org.shoreusher.settings.Features;
@@ -126,7 +127,7 @@
                                 Map.of(key, storeCache.version(key)), writes),
                         reply -> {
                             writeInFlight = false;
-                            if (reply.status() == 200) {
+                            if (reply.status() == ReplyStatus.OK) {
                                 storeCache.applyOwnWrites(reply, writes);
                             }
                         });
@@ -191,12 +192,12 @@
         for (int shardNumber = 0;
                 shardNumber < shardCount && recordedProcess != null;
                 shardNumber++) {
-            StoreCache.Entry fencingEntry = storeCache.get(StoreSchema.fencingKey(shardNumber));
-            if (fencingEntry != null
-                    && fencingEntry.version() > versionRecord.version()
-                    && fencingEntry.value().get("owner") instanceof String leader
-                    && leader.startsWith(host + "/")
-                    && !leader.equals(recordedProcess)) {
+            FencingRecord fencingRecord = FencingRecord.in(storeCache, shardNumber);
+            if (fencingRecord != null
+                    && storeCache.version(StoreSchema.fencingKey(shardNumber))
+                            > versionRecord.version()
+                    && fencingRecord.leader().startsWith(host + "/")
+                    && !fencingRecord.leader().equals(recordedProcess)) {
                 return true;
             }
         }
