--- a/src/main/java/org/shoreusher/core/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/HeartbeatHandler.java
@@ -22,7 +22,7 @@
 import org.shoreusher.core.message.WorkerHeartbeat.TaskStatus;
 import org.shoreusher.core.message.WorkerOrder;
 import org.shoreusher.core.replication.StandbyReplication;
-import org.shoreusher.core.schedule.BinPacker;
+import org.shoreusher.core.schedule.PlacedTasks;
 import org.shoreusher.core.schedule.PlacementPlan;
 import org.shoreusher.core.schedule.ShardScheduling;
 import org.shoreusher.core.schedule.TaskMigration;
@@ -264,7 +264,7 @@
         int remainingTasks =
                 ClusterConstants.MAX_TASKS_PER_MACHINE
                         - Math.max(machine.tasks().size(), machine.reportedTaskCount());
-        for (BinPacker.PlacedTasks placed : placementPlan.takeTasksToStart(machine)) {
+        for (PlacedTasks placed : placementPlan.takeTasksToStart(machine)) {
             int taskIndex = -1;
             for (int i = 0; i < placed.taskCount() && remainingTasks > 0; i++, remainingTasks--) {
                 taskIndex = placed.job().pendingTasks().nextSetBit(taskIndex + 1);
--- a/src/main/java/org/shoreusher/core/machine/Autoscaler.java
+++ b/src/main/java/org/shoreusher/core/machine/Autoscaler.java
@@ -18,6 +18,7 @@
 import org.shoreusher.core.message.MachineType;
 import org.shoreusher.core.schedule.BinPacker;
 import org.shoreusher.core.schedule.JobQueue;
+import org.shoreusher.core.schedule.MachineCapacity;
 import org.shoreusher.core.schedule.QuotaHeadroom;
 import org.shoreusher.core.schedule.SchedulingOrder;
 import org.shoreusher.core.schedule.ShardScheduling;
@@ -136,7 +137,7 @@
     // ---- scale out ---------------------------------------------------------------------------
 
     private void plan() {
-        List<BinPacker.MachineCapacity> capacities = machineCapacities();
+        List<MachineCapacity> capacities = machineCapacities();
         capacities.addAll(scaleOut.pendingCapacity());
         BinPacker binPacker =
                 new BinPacker(
@@ -145,7 +146,7 @@
                         quotaHeadroom::gpuHeadroom);
         List<Job> jobs = jobQueue.inSchedulingOrder();
         int maxNewMachines = scaleOut.maxNewMachines();
-        List<BinPacker.MachineCapacity> toProvision = new ArrayList<>();
+        List<MachineCapacity> toProvision = new ArrayList<>();
         Object2IntOpenHashMap<String> machinesPerZone = countPerZone();
         for (Job job : jobs) {
             MachineType cheapestType = cheapestType(job.spec());
@@ -160,7 +161,7 @@
             job.setLargerHalfZone(reservedReplicaCapacity.zoneForLargerHalf(job.spec()));
         }
         Set<Machine> neededMachines = new HashSet<>();
-        binPacker.placedTasks().forEach(placed -> neededMachines.add(placed.capacity().machine));
+        binPacker.placedTasks().forEach(placed -> neededMachines.add(placed.capacity().machine()));
         if (authority.isReconciled()) {
             drainIdle(neededMachines);
         }
@@ -188,7 +189,7 @@
             Job job,
             int taskCount,
             BinPacker binPacker,
-            List<BinPacker.MachineCapacity> toProvision,
+            List<MachineCapacity> toProvision,
             int maxNewMachines,
             Object2IntOpenHashMap<String> machinesPerZone) {
         int unplaced = taskCount;
@@ -204,8 +205,7 @@
             int count =
                     Math.max(1, Math.min(machinesPerRound, maxNewMachines - toProvision.size()));
             for (int i = 0; i < count; i++) {
-                BinPacker.MachineCapacity capacity =
-                        new BinPacker.MachineCapacity(type, kind.zone(), kind.spot());
+                MachineCapacity capacity = new MachineCapacity(type, kind.zone(), kind.spot());
                 toProvision.add(capacity);
                 binPacker.addCapacity(capacity);
             }
@@ -215,14 +215,14 @@
     }
 
     /** The free capacity of machines that can start tasks or are booting. */
-    private List<BinPacker.MachineCapacity> machineCapacities() {
-        List<BinPacker.MachineCapacity> capacities = new ArrayList<>();
+    private List<MachineCapacity> machineCapacities() {
+        List<MachineCapacity> capacities = new ArrayList<>();
         for (Machine machine : shard.machines().values()) {
             // A machine that a previous leader used has no capacity until it is reconciled: it may
             // hold tasks, or be unreachable.
             if (shard.isAvailable(machine)
                     || (machine.state() == Machine.State.BOOTING && !machine.mayHaveRunTasks())) {
-                capacities.add(new BinPacker.MachineCapacity(machine));
+                capacities.add(new MachineCapacity(machine));
             }
         }
         return capacities;
@@ -254,14 +254,14 @@
 
     /** Tasks of a job that fit on an empty machine. */
     private static int tasksPerMachine(MachineType type, JobSpec spec) {
-        return new BinPacker.MachineCapacity(type, "", true).fittingTaskCount(spec);
+        return new MachineCapacity(type, "", true).fittingTaskCount(spec);
     }
 
     /** The shard's machines in each zone, requested ones included. */
     private Object2IntOpenHashMap<String> countPerZone() {
         Object2IntOpenHashMap<String> counts = new Object2IntOpenHashMap<>();
         shard.machines().values().forEach(machine -> counts.addTo(machine.zone(), 1));
-        scaleOut.pendingCapacity().forEach(capacity -> counts.addTo(capacity.zone, 1));
+        scaleOut.pendingCapacity().forEach(capacity -> counts.addTo(capacity.zone(), 1));
         return counts;
     }
 
--- a/src/main/java/org/shoreusher/core/machine/ReservedReplicaCapacity.java
+++ b/src/main/java/org/shoreusher/core/machine/ReservedReplicaCapacity.java
@@ -11,7 +11,7 @@
 import org.shoreusher.core.cluster.TaskAttempt;
 import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.core.message.MachineType;
-import org.shoreusher.core.schedule.BinPacker;
+import org.shoreusher.core.schedule.MachineCapacity;
 import org.shoreusher.settings.Settings;
 
 /**
@@ -53,7 +53,7 @@
      * @param requested machines to request so far
      * @param maxMachines upper bound on the number of machines in the request
      */
-    void step(List<BinPacker.MachineCapacity> requested, int maxMachines) {
+    void step(List<MachineCapacity> requested, int maxMachines) {
         MachineType type =
                 machineTypes.all().stream()
                         .min(
@@ -92,8 +92,7 @@
                     && requested.size() < maxMachines
                     && !scaleOut.isUnavailable(
                             new ScaleOut.MachineKind(type.name(), zone, false))) {
-                BinPacker.MachineCapacity capacity =
-                        new BinPacker.MachineCapacity(type, zone, false);
+                MachineCapacity capacity = new MachineCapacity(type, zone, false);
                 requested.add(capacity);
                 addCapacity(capacity);
             }
@@ -118,9 +117,9 @@
                 : zoneWithMostCapacity;
     }
 
-    private void addCapacity(BinPacker.MachineCapacity capacity) {
-        if (!capacity.spot) {
-            freeCpusByZone.addTo(capacity.zone, capacity.type.cpus());
+    private void addCapacity(MachineCapacity capacity) {
+        if (!capacity.isSpot()) {
+            freeCpusByZone.addTo(capacity.zone(), capacity.type().cpus());
         }
     }
 
--- a/src/main/java/org/shoreusher/core/machine/ScaleOut.java
+++ b/src/main/java/org/shoreusher/core/machine/ScaleOut.java
@@ -10,7 +10,7 @@
 import org.shoreusher.core.leadership.ShardAuthority;
 import org.shoreusher.core.message.Command.CloudReply;
 import org.shoreusher.core.message.Effect.CloudOperation;
-import org.shoreusher.core.schedule.BinPacker;
+import org.shoreusher.core.schedule.MachineCapacity;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreConstants;
 import org.shoreusher.log.LogEvent;
@@ -38,11 +38,11 @@
     /** A request that has no final answer yet. */
     private static final class PendingRequest {
         final CloudOperation.Provision request;
-        final BinPacker.MachineCapacity emptyCapacity;
+        final MachineCapacity emptyCapacity;
         boolean inFlight;
         long requestedWallMs;
 
-        PendingRequest(CloudOperation.Provision request, BinPacker.MachineCapacity emptyCapacity) {
+        PendingRequest(CloudOperation.Provision request, MachineCapacity emptyCapacity) {
             this.request = request;
             this.emptyCapacity = emptyCapacity;
         }
@@ -95,26 +95,27 @@
     }
 
     /** The capacity of the machines that have been requested and not been provisioned yet. */
-    List<BinPacker.MachineCapacity> pendingCapacity() {
-        List<BinPacker.MachineCapacity> capacities = new ArrayList<>();
+    List<MachineCapacity> pendingCapacity() {
+        List<MachineCapacity> capacities = new ArrayList<>();
         for (PendingRequest pendingRequest : pendingRequests) {
             for (int i = 0; i < pendingRequest.request.count(); i++) {
                 capacities.add(
-                        new BinPacker.MachineCapacity(
-                                pendingRequest.emptyCapacity.type,
-                                pendingRequest.emptyCapacity.zone,
-                                pendingRequest.emptyCapacity.spot));
+                        new MachineCapacity(
+                                pendingRequest.emptyCapacity.type(),
+                                pendingRequest.emptyCapacity.zone(),
+                                pendingRequest.emptyCapacity.isSpot()));
             }
         }
         return capacities;
     }
 
     /** Requests machines like these, at most {@link #maxNewMachines} of them. */
-    void requestMachines(List<BinPacker.MachineCapacity> toProvision) {
+    void requestMachines(List<MachineCapacity> toProvision) {
         Map<MachineKind, Integer> countByKind = new LinkedHashMap<>();
-        Map<MachineKind, BinPacker.MachineCapacity> capacityByKind = new LinkedHashMap<>();
-        for (BinPacker.MachineCapacity capacity : toProvision) {
-            MachineKind kind = new MachineKind(capacity.type.name(), capacity.zone, capacity.spot);
+        Map<MachineKind, MachineCapacity> capacityByKind = new LinkedHashMap<>();
+        for (MachineCapacity capacity : toProvision) {
+            MachineKind kind =
+                    new MachineKind(capacity.type().name(), capacity.zone(), capacity.isSpot());
             countByKind.merge(kind, 1, Integer::sum);
             capacityByKind.putIfAbsent(kind, capacity);
         }
--- a/src/main/java/org/shoreusher/core/schedule/BinPackerFactory.java
+++ b/src/main/java/org/shoreusher/core/schedule/BinPackerFactory.java
@@ -10,7 +10,7 @@
 public final class BinPackerFactory {
     private final ShardState shard;
     private final QuotaHeadroom quotaHeadroom;
-    private final Supplier<BinPacker.SpreadLimit> spreadLimit;
+    private final Supplier<SpreadLimit> spreadLimit;
 
     /**
      * Creates the factory of one shard.
@@ -18,9 +18,7 @@
      * @param spreadLimit returns the limit on one team's share of a machine that holds now
      */
     public BinPackerFactory(
-            ShardState shard,
-            QuotaHeadroom quotaHeadroom,
-            Supplier<BinPacker.SpreadLimit> spreadLimit) {
+            ShardState shard, QuotaHeadroom quotaHeadroom, Supplier<SpreadLimit> spreadLimit) {
         this.shard = shard;
         this.quotaHeadroom = quotaHeadroom;
         this.spreadLimit = spreadLimit;
@@ -28,10 +26,10 @@
 
     /** Returns a bin packer over all available machines that have free capacity now. */
     public BinPacker create() {
-        List<BinPacker.MachineCapacity> capacities = new ArrayList<>();
+        List<MachineCapacity> capacities = new ArrayList<>();
         for (Machine machine : shard.machines().values()) {
             if (shard.isAvailable(machine)) {
-                BinPacker.MachineCapacity capacity = new BinPacker.MachineCapacity(machine);
+                MachineCapacity capacity = new MachineCapacity(machine);
                 if (!capacity.isFull()) {
                     capacities.add(capacity);
                 }
--- a/src/main/java/org/shoreusher/core/schedule/PlacementPlan.java
+++ b/src/main/java/org/shoreusher/core/schedule/PlacementPlan.java
@@ -29,7 +29,7 @@
     private final QuotaHeadroom quotaHeadroom;
     private final BinPackerFactory binPackers;
     private final HighWaterMarks highWaterMarks;
-    private final Object2ObjectOpenHashMap<Machine, List<BinPacker.PlacedTasks>> plannedTasks =
+    private final Object2ObjectOpenHashMap<Machine, List<PlacedTasks>> plannedTasks =
             new Object2ObjectOpenHashMap<>();
 
     /** Tasks that no machine had capacity for, by job, in scheduling order. */
@@ -57,11 +57,11 @@
      * Returns the tasks that are to start now on a machine that has sent a heartbeat, and removes
      * them from the plan.
      */
-    public List<BinPacker.PlacedTasks> takeTasksToStart(Machine machine) {
+    public List<PlacedTasks> takeTasksToStart(Machine machine) {
         if (outbox.now().monotonicMs() >= nextPlanMs) {
             plan();
         }
-        List<BinPacker.PlacedTasks> plannedHere = plannedTasks.remove(machine);
+        List<PlacedTasks> plannedHere = plannedTasks.remove(machine);
         if (plannedHere == null && unplacedTasks.isEmpty()) {
             return List.of();
         }
@@ -70,12 +70,12 @@
         // tasks together, because the packer does not count its own placements as tasks of the job.
         BinPacker packer =
                 new BinPacker(
-                        new ArrayList<>(List.of(new BinPacker.MachineCapacity(machine))),
+                        new ArrayList<>(List.of(new MachineCapacity(machine))),
                         quotaHeadroom::cpuHeadroom,
                         quotaHeadroom::gpuHeadroom);
         Set<Job> triedJobs = new HashSet<>();
         if (plannedHere != null) {
-            for (BinPacker.PlacedTasks placed : plannedHere) {
+            for (PlacedTasks placed : plannedHere) {
                 triedJobs.add(placed.job());
                 place(packer, placed.job(), placed.taskCount());
             }
@@ -120,15 +120,14 @@
      * job on one machine; they are merged, because each part placed on its own later would ignore
      * the others in the job's zone constraints.
      */
-    private void addPlanned(BinPacker.PlacedTasks placed) {
-        List<BinPacker.PlacedTasks> plannedHere =
+    private void addPlanned(PlacedTasks placed) {
+        List<PlacedTasks> plannedHere =
                 plannedTasks.computeIfAbsent(
-                        placed.capacity().machine, machine -> new ArrayList<>());
+                        placed.capacity().machine(), machine -> new ArrayList<>());
         int lastIndex = plannedHere.size() - 1;
         if (lastIndex >= 0 && plannedHere.get(lastIndex).job() == placed.job()) {
             int count = plannedHere.get(lastIndex).taskCount() + placed.taskCount();
-            plannedHere.set(
-                    lastIndex, new BinPacker.PlacedTasks(placed.job(), placed.capacity(), count));
+            plannedHere.set(lastIndex, new PlacedTasks(placed.job(), placed.capacity(), count));
         } else {
             plannedHere.add(placed);
         }
--- /dev/null
+++ b/src/main/java/org/shoreusher/core/schedule/ProspectiveCapacity.java
@@ -0,0 +1,92 @@
+package org.shoreusher.core.schedule;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Optional;
+import org.shoreusher.core.cluster.ClusterConstants;
+import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.cluster.TaskAttempt;
+import org.shoreusher.core.message.JobSpec;
+
+/** The capacity that a machine has free, or will have when its stopping tasks have exited. */
+final class ProspectiveCapacity {
+    private final Machine machine;
+    private double freeCpus;
+    private double freeGpus;
+    private double freeMemGb;
+
+    /** Batch tasks on the machine that are not stopping yet. */
+    private final List<TaskAttempt> preemptible = new ArrayList<>();
+
+    /**
+     * Collects the batch tasks of a machine.
+     *
+     * @param preemptionOrder the order in which tasks are preempted
+     */
+    ProspectiveCapacity(Machine machine, Comparator<TaskAttempt> preemptionOrder) {
+        this.machine = machine;
+        freeCpus = machine.cpusFree();
+        freeGpus = machine.gpusFree();
+        freeMemGb = machine.memGbFree();
+        for (TaskAttempt attempt : machine.tasks().values()) {
+            if (attempt.mustStop() || attempt.isBeingEvicted()) {
+                release(attempt.job().spec());
+            } else if (attempt.job().spec().workloadType().runsToCompletion()) {
+                preemptible.add(attempt);
+            }
+        }
+        preemptible.sort(preemptionOrder);
+    }
+
+    Machine machine() {
+        return machine;
+    }
+
+    /**
+     * Returns the tasks to preempt so that one task of the job fits, in preemption order; empty if
+     * it would still not fit.
+     */
+    Optional<List<TaskAttempt>> selectVictims(JobSpec spec) {
+        List<TaskAttempt> victims = new ArrayList<>();
+        double cpus = 0;
+        double gpus = 0;
+        double memGb = 0;
+        for (TaskAttempt attempt : preemptible) {
+            if (fits(spec, cpus, gpus, memGb)) {
+                break;
+            }
+            JobSpec victimSpec = attempt.job().spec();
+            if (victimSpec.priority().compareTo(spec.priority()) > 0) {
+                victims.add(attempt);
+                cpus += victimSpec.cpus();
+                gpus += victimSpec.gpus();
+                memGb += victimSpec.memGb();
+            }
+        }
+        return fits(spec, cpus, gpus, memGb) ? Optional.of(victims) : Optional.empty();
+    }
+
+    /** Replaces the victims by one task of the job. */
+    void replace(List<TaskAttempt> victims, JobSpec spec) {
+        for (TaskAttempt victim : victims) {
+            preemptible.remove(victim);
+            release(victim.job().spec());
+        }
+        freeCpus -= spec.cpus();
+        freeGpus -= spec.gpus();
+        freeMemGb -= spec.memGb();
+    }
+
+    private void release(JobSpec spec) {
+        freeCpus += spec.cpus();
+        freeGpus += spec.gpus();
+        freeMemGb += spec.memGb();
+    }
+
+    private boolean fits(JobSpec spec, double extraCpus, double extraGpus, double extraMemGb) {
+        return freeCpus + extraCpus + ClusterConstants.EPSILON >= spec.cpus()
+                && freeGpus + extraGpus + ClusterConstants.EPSILON >= spec.gpus()
+                && freeMemGb + extraMemGb + ClusterConstants.EPSILON >= spec.memGb();
+    }
+}
--- a/src/main/java/org/shoreusher/core/schedule/ReplicaPreemption.java
+++ b/src/main/java/org/shoreusher/core/schedule/ReplicaPreemption.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
-import org.shoreusher.core.cluster.ClusterConstants;
+import java.util.Optional;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.cluster.Machine;
 import org.shoreusher.core.cluster.ShardState;
@@ -17,39 +17,15 @@
  * until a task has written a checkpoint or finished, nor until a machine has booted.
  */
 final class ReplicaPreemption {
-    /** The capacity that a machine has free, or will have when its stopping tasks have exited. */
-    private static final class ProspectiveCapacity {
-        final Machine machine;
-        double freeCpus;
-        double freeGpus;
-        double freeMemGb;
-        final List<TaskAttempt> victims = new ArrayList<>();
-
-        ProspectiveCapacity(Machine machine) {
-            this.machine = machine;
-            freeCpus = machine.cpusFree();
-            freeGpus = machine.gpusFree();
-            freeMemGb = machine.memGbFree();
-        }
-
-        void release(JobSpec spec) {
-            freeCpus += spec.cpus();
-            freeGpus += spec.gpus();
-            freeMemGb += spec.memGb();
-        }
-
-        void allocate(JobSpec spec) {
-            freeCpus -= spec.cpus();
-            freeGpus -= spec.gpus();
-            freeMemGb -= spec.memGb();
-        }
-
-        boolean fits(JobSpec spec, double extraCpus, double extraGpus, double extraMemGb) {
-            return freeCpus + extraCpus + ClusterConstants.EPSILON >= spec.cpus()
-                    && freeGpus + extraGpus + ClusterConstants.EPSILON >= spec.gpus()
-                    && freeMemGb + extraMemGb + ClusterConstants.EPSILON >= spec.memGb();
-        }
-    }
+    /**
+     * A way to make one replica fit.
+     *
+     * @param capacity the machine
+     * @param victims the tasks to preempt there
+     * @param lostCpuS CPU-seconds that this costs
+     */
+    private record Candidate(
+            ProspectiveCapacity capacity, List<TaskAttempt> victims, double lostCpuS) {}
 
     private final QuotaHeadroom quotaHeadroom;
     private final ClockReading now;
@@ -62,44 +38,16 @@
     ReplicaPreemption(ShardState shard, QuotaHeadroom quotaHeadroom, ClockReading now) {
         this.quotaHeadroom = quotaHeadroom;
         this.now = now;
+        Comparator<TaskAttempt> leastLostWorkFirst =
+                Comparator.comparingDouble(this::lostCpuS)
+                        .thenComparing(attempt -> attempt.job().id())
+                        .thenComparingInt(TaskAttempt::taskIndex);
         for (Machine machine : shard.machines().values()) {
             if (shard.isAvailable(machine)) {
-                ProspectiveCapacity capacity = new ProspectiveCapacity(machine);
-                for (TaskAttempt attempt : machine.tasks().values()) {
-                    if (attempt.mustStop() || attempt.isBeingEvicted()) {
-                        capacity.release(attempt.job().spec());
-                    } else if (attempt.job().spec().workloadType().runsToCompletion()) {
-                        capacity.victims.add(attempt);
-                    }
-                }
-                capacity.victims.sort(
-                        Comparator.comparingDouble(this::lostCpuS)
-                                .thenComparing(attempt -> attempt.job().id())
-                                .thenComparingInt(attempt -> attempt.taskIndex()));
-                capacities.add(capacity);
+                capacities.add(new ProspectiveCapacity(machine, leastLostWorkFirst));
             }
         }
-        capacities.sort(Comparator.comparing(capacity -> capacity.machine.id()));
-    }
-
-    /**
-     * Returns the CPU-seconds lost if the task is stopped: the work since its last checkpoint, plus
-     * a penalty if its start would not yet count for the objectives.
-     */
-    private double lostCpuS(TaskAttempt attempt) {
-        double ranS =
-                attempt.runningSinceMs() < 0
-                        ? 0
-                        : (now.monotonicMs() - attempt.runningSinceMs()) / 1000.0;
-        double lostS =
-                attempt.job().spec().checkpointIntervalS() > 0
-                        ? Math.min(ranS, attempt.job().spec().checkpointIntervalS())
-                        : ranS;
-        double uncountedStartS =
-                now.monotonicMs() - attempt.createdMs() < ScheduleConstants.MIN_COUNTED_RUN_MS
-                        ? ScheduleConstants.MIN_COUNTED_RUN_MS / 1000.0
-                        : 0;
-        return attempt.job().spec().cpus() * (lostS + uncountedStartS);
+        capacities.sort(Comparator.comparing(capacity -> capacity.machine().id()));
     }
 
     /**
@@ -109,81 +57,82 @@
     List<TaskAttempt> choose(List<Job> services) {
         List<TaskAttempt> chosen = new ArrayList<>();
         for (Job job : services) {
-            JobSpec spec = job.spec();
-            BinPacker.ZoneConstraints zoneConstraints = new BinPacker.ZoneConstraints(job);
-            int unplaced =
-                    Math.min(
-                            job.pendingCount(),
-                            new BinPacker(
-                                            new ArrayList<>(),
-                                            quotaHeadroom::cpuHeadroom,
-                                            quotaHeadroom::gpuHeadroom)
-                                    .maxTasksWithinQuota(spec));
+            ZoneConstraints zoneConstraints = new ZoneConstraints(job);
+            int unplaced = Math.min(job.pendingCount(), maxTasksWithinQuota(job.spec()));
             while (unplaced-- > 0) {
-                ProspectiveCapacity bestCapacity = null;
-                List<TaskAttempt> leastVictims = null;
-                double leastLossCpuS = Double.MAX_VALUE;
-                for (ProspectiveCapacity capacity : capacities) {
-                    Machine machine = capacity.machine;
-                    if (!spec.allowsMachine(machine.type().name(), machine.zone(), machine.isSpot())
-                            || zoneConstraints.remainingTasks(machine.zone()) <= 0
-                            || job.failedMachineIds().contains(machine.id())) {
-                        continue;
-                    }
-                    List<TaskAttempt> victims = selectVictims(capacity, spec);
-                    double fetchS =
-                            machine.cachedImages().contains(spec.image())
-                                    ? 0
-                                    : spec.imageGb()
-                                            / Math.max(
-                                                    ScheduleConstants.MIN_IMAGE_FETCH_GB_PER_S,
-                                                    machine.type().imageFetchGbPerS());
-                    double lossCpuS =
-                            victims == null
-                                    ? Double.MAX_VALUE
-                                    : victims.stream().mapToDouble(this::lostCpuS).sum()
-                                            + spec.cpus() * fetchS;
-                    if (lossCpuS < leastLossCpuS) {
-                        bestCapacity = capacity;
-                        leastVictims = victims;
-                        leastLossCpuS = lossCpuS;
-                    }
-                }
-                if (bestCapacity == null) {
+                Optional<Candidate> cheapest = cheapestCandidate(job, zoneConstraints);
+                if (cheapest.isEmpty()) {
                     break;
                 }
-                for (TaskAttempt attempt : leastVictims) {
-                    bestCapacity.victims.remove(attempt);
-                    bestCapacity.release(attempt.job().spec());
-                }
-                bestCapacity.allocate(spec);
-                zoneConstraints.add(bestCapacity.machine.zone(), 1);
-                chosen.addAll(leastVictims);
+                ProspectiveCapacity capacity = cheapest.get().capacity();
+                capacity.replace(cheapest.get().victims(), job.spec());
+                zoneConstraints.add(capacity.machine().zone(), 1);
+                chosen.addAll(cheapest.get().victims());
             }
         }
         return chosen;
     }
 
+    private int maxTasksWithinQuota(JobSpec spec) {
+        return new PlannedQuota(quotaHeadroom::cpuHeadroom, quotaHeadroom::gpuHeadroom)
+                .maxTasks(spec);
+    }
+
     /**
-     * Returns the tasks to stop on a machine so that one replica fits, least lost work first; null
-     * if it would still not fit.
+     * Returns the way to make one replica fit that loses the least work; empty if there is none.
      */
-    private static List<TaskAttempt> selectVictims(ProspectiveCapacity capacity, JobSpec spec) {
-        List<TaskAttempt> victims = new ArrayList<>();
-        double cpus = 0;
-        double gpus = 0;
-        double memGb = 0;
-        for (TaskAttempt attempt : capacity.victims) {
-            if (capacity.fits(spec, cpus, gpus, memGb)) {
-                break;
+    private Optional<Candidate> cheapestCandidate(Job job, ZoneConstraints zoneConstraints) {
+        Candidate cheapest = null;
+        for (ProspectiveCapacity capacity : capacities) {
+            Machine machine = capacity.machine();
+            if (!canRunOn(machine, job, zoneConstraints)) {
+                continue;
+            }
+            Optional<List<TaskAttempt>> victims = capacity.selectVictims(job.spec());
+            if (victims.isEmpty()) {
+                continue;
             }
-            if (attempt.job().spec().priority().compareTo(spec.priority()) > 0) {
-                victims.add(attempt);
-                cpus += attempt.job().spec().cpus();
-                gpus += attempt.job().spec().gpus();
-                memGb += attempt.job().spec().memGb();
+            double lostCpuS =
+                    victims.get().stream().mapToDouble(this::lostCpuS).sum()
+                            + fetchCpuS(machine, job.spec());
+            if (cheapest == null || lostCpuS < cheapest.lostCpuS()) {
+                cheapest = new Candidate(capacity, victims.get(), lostCpuS);
             }
         }
-        return capacity.fits(spec, cpus, gpus, memGb) ? victims : null;
+        return Optional.ofNullable(cheapest);
+    }
+
+    private static boolean canRunOn(Machine machine, Job job, ZoneConstraints zoneConstraints) {
+        return job.spec().allowsMachine(machine.type().name(), machine.zone(), machine.isSpot())
+                && zoneConstraints.remainingTasks(machine.zone()) > 0
+                && !job.failedMachineIds().contains(machine.id());
+    }
+
+    /** Returns the CPU-seconds that a replica would spend on fetching its image. */
+    private static double fetchCpuS(Machine machine, JobSpec spec) {
+        double fetchS =
+                machine.cachedImages().contains(spec.image())
+                        ? 0
+                        : ImageFetch.fetchS(machine.type(), spec);
+        return spec.cpus() * fetchS;
+    }
+
+    /**
+     * Returns the CPU-seconds lost if the task is stopped: the work since its last checkpoint, plus
+     * a penalty if its start would not yet count for the objectives.
+     */
+    private double lostCpuS(TaskAttempt attempt) {
+        JobSpec spec = attempt.job().spec();
+        double ranS =
+                attempt.runningSinceMs() < 0
+                        ? 0
+                        : (now.monotonicMs() - attempt.runningSinceMs()) / 1000.0;
+        double lostS =
+                spec.checkpointIntervalS() > 0 ? Math.min(ranS, spec.checkpointIntervalS()) : ranS;
+        double uncountedStartS =
+                now.monotonicMs() - attempt.createdMs() < ScheduleConstants.MIN_COUNTED_RUN_MS
+                        ? ScheduleConstants.MIN_COUNTED_RUN_MS / 1000.0
+                        : 0;
+        return spec.cpus() * (lostS + uncountedStartS);
     }
 }
--- a/src/main/java/org/shoreusher/core/schedule/TaskMigration.java
+++ b/src/main/java/org/shoreusher/core/schedule/TaskMigration.java
@@ -38,8 +38,7 @@
  * Afterwards, until its start, its resources at the target and its team's quota are reserved, so it
  * is never counted twice.
  */
-public final class TaskMigration
-        implements ResourceLedger.Listener, BinPacker.SpreadLimit, SchedulerView {
+public final class TaskMigration implements ResourceLedger.Listener, SpreadLimit, SchedulerView {
     /** A migration in progress, with the capacity reserved at its target. */
     private static final class Reservation {
         private final Migration migration;
@@ -186,25 +185,25 @@
      * first: work that has just been submitted would otherwise be placed before its team counts as
      * a high-demand one.
      */
-    public BinPacker.SpreadLimit spreadLimit() {
+    public SpreadLimit spreadLimit() {
         if (isDisabled()) {
-            return BinPacker.SpreadLimit.NONE;
+            return SpreadLimit.NONE;
         }
         balancer.updateDemand(unmetDemand());
         return this;
     }
 
     @Override
-    public double maxTeamCpus(Machine machine, JobSpec spec, BinPacker.SpreadPass pass) {
+    public double maxTeamCpus(Machine machine, JobSpec spec, SpreadPass pass) {
         if (!balancer.isHighDemand(spec.team())) {
             return Double.POSITIVE_INFINITY;
         }
-        boolean withinLimit = pass == BinPacker.SpreadPass.WITHIN_LIMIT;
+        boolean withinLimit = pass == SpreadPass.WITHIN_LIMIT;
         if (!withinLimit && !machine.cachedImages().contains(spec.image())) {
             return 0;
         }
-        boolean beyondLimit = pass == BinPacker.SpreadPass.IMAGE_BEYOND_LIMIT;
-        double fetchShare = beyondLimit ? BinPacker.imageFetchShare(machine.type(), spec) : 0;
+        boolean beyondLimit = pass == SpreadPass.IMAGE_BEYOND_LIMIT;
+        double fetchShare = beyondLimit ? ImageFetch.shareOfRunTime(machine.type(), spec) : 0;
         return balancer.maxTeamCpus(machine.id(), spec.team(), spec.cpus(), fetchShare);
     }
 
@@ -423,8 +422,8 @@
         if (m == null || job == null || !shard.isAvailable(m) || !m.hasDurableUseRecord()) {
             return false;
         }
-        BinPacker.MachineCapacity capacity = new BinPacker.MachineCapacity(m);
-        return !capacity.expensive
+        MachineCapacity capacity = new MachineCapacity(m);
+        return !capacity.isExpensive()
                 && !job.failedMachineIds().contains(machine)
                 && m.tasks().size() + m.reservedTaskCount() < ClusterConstants.MAX_TASKS_PER_MACHINE
                 && job.spec().allowsMachine(m.type().name(), m.zone(), m.isSpot())
--- a/src/test/java/org/shoreusher/core/PiecesTest.java
+++ b/src/test/java/org/shoreusher/core/PiecesTest.java
@@ -25,6 +25,8 @@
 import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.core.message.MachineType;
 import org.shoreusher.core.schedule.BinPacker;
+import org.shoreusher.core.schedule.MachineCapacity;
+import org.shoreusher.core.schedule.PlacedTasks;
 import org.shoreusher.core.store.TaskRanges;
 import org.shoreusher.core.store.TokenBucket;
 import org.shoreusher.settings.Settings;
@@ -147,7 +149,7 @@
     @Property(tries = 400, seed = "11")
     void plansRespectMachineQuotaAndZoneLimits(@ForAll @LongRange(min = 0) long seed) {
         Random random = new Random(seed);
-        List<BinPacker.MachineCapacity> slots = new ArrayList<>();
+        List<MachineCapacity> slots = new ArrayList<>();
         for (int i = 0; i < 1 + random.nextInt(6); i++) {
             Machine machine =
                     new Machine(
@@ -157,7 +159,7 @@
                             random.nextBoolean(),
                             0);
             occupy(machine, random.nextInt(9));
-            slots.add(new BinPacker.MachineCapacity(machine));
+            slots.add(new MachineCapacity(machine));
         }
         double limit = random.nextInt(40);
         BinPacker planner = new BinPacker(slots, team -> limit, team -> 0);
@@ -184,17 +186,17 @@
         for (Job job : jobs) {
             Map<String, Integer> zones = new HashMap<>();
             int count = 0;
-            for (BinPacker.PlacedTasks placement : planner.placedTasks()) {
+            for (PlacedTasks placement : planner.placedTasks()) {
                 if (placement.job() == job) {
                     assertTrue(
                             job.spec()
                                     .allowsMachine(
                                             "t",
-                                            placement.capacity().zone,
-                                            placement.capacity().spot));
-                    zones.merge(placement.capacity().zone, placement.taskCount(), Integer::sum);
+                                            placement.capacity().zone(),
+                                            placement.capacity().isSpot()));
+                    zones.merge(placement.capacity().zone(), placement.taskCount(), Integer::sum);
                     on.merge(
-                            placement.capacity().machine,
+                            placement.capacity().machine(),
                             placement.taskCount() * job.spec().cpus(),
                             Double::sum);
                     used += placement.taskCount() * job.spec().cpus();
@@ -223,16 +225,16 @@
                 new BinPacker(
                         new ArrayList<>(
                                 List.of(
-                                        new BinPacker.MachineCapacity(empty),
-                                        new BinPacker.MachineCapacity(half),
-                                        new BinPacker.MachineCapacity(full))),
+                                        new MachineCapacity(empty),
+                                        new MachineCapacity(half),
+                                        new MachineCapacity(full))),
                         t -> 100,
                         t -> 0);
         planner.place(new Job("wk-1", spec("wk-1", 3, 2, null, false, false, true), 0), 3);
         assertEquals(
                 List.of("m-half", "m-empty"),
                 planner.placedTasks().stream()
-                        .map(placement -> placement.capacity().machine.id())
+                        .map(placement -> placement.capacity().machine().id())
                         .toList());
         assertEquals(2, planner.placedTasks().get(0).taskCount());
     }
@@ -251,9 +253,7 @@
         BinPacker planner =
                 new BinPacker(
                         new ArrayList<>(
-                                List.of(
-                                        new BinPacker.MachineCapacity(half),
-                                        new BinPacker.MachineCapacity(full))),
+                                List.of(new MachineCapacity(half), new MachineCapacity(full))),
                         t -> 100,
                         t -> 0);
         assertEquals(
@@ -268,7 +268,7 @@
         assertEquals(
                 List.of("m-full"),
                 planner.placedTasks().stream()
-                        .map(placement -> placement.capacity().machine.id())
+                        .map(placement -> placement.capacity().machine().id())
                         .toList());
         assertEquals(
                 List.of(),
--- a/src/test/java/org/shoreusher/core/schedule/ZoneConstraintsTest.java
+++ b/src/test/java/org/shoreusher/core/schedule/ZoneConstraintsTest.java
@@ -29,7 +29,7 @@
     private static int remainingTasks(int replicas, String largerHalfZone, String zone) {
         Job job = spreadService(replicas);
         job.setLargerHalfZone(largerHalfZone);
-        return new BinPacker.ZoneConstraints(job).remainingTasks(zone);
+        return new ZoneConstraints(job).remainingTasks(zone);
     }
 
     /** A zone with little capacity keeps it for replicas that cannot run anywhere else. */
