--- a/src/main/java/org/shoreusher/balance/Balancer.java
+++ b/src/main/java/org/shoreusher/balance/Balancer.java
@@ -5,6 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeSet;
 import java.util.function.Predicate;
 
@@ -249,14 +250,15 @@
         finish(migration, nowMs);
     }
 
-    /** Returns why a migration has timed out; null if it has not. */
-    public Migration.Reason timeoutReason(Migration migration, long nowMs) {
+    /** Returns why a migration has timed out; empty if it has not. */
+    public Optional<Migration.Reason> timeoutReason(Migration migration, long nowMs) {
         if (!migration.isOverdue(nowMs)) {
-            return null;
+            return Optional.empty();
         }
-        return migration.state() == Migration.State.STOPPING
-                ? Migration.Reason.SOURCE_SILENT
-                : Migration.Reason.TARGET_SILENT;
+        return Optional.of(
+                migration.state() == Migration.State.STOPPING
+                        ? Migration.Reason.SOURCE_SILENT
+                        : Migration.Reason.TARGET_SILENT);
     }
 
     private void settleCost(Migration migration, double repeatedS) {
--- /dev/null
+++ b/src/main/java/org/shoreusher/core/schedule/BalancerInput.java
@@ -0,0 +1,128 @@
+package org.shoreusher.core.schedule;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import org.shoreusher.balance.MigratableTask;
+import org.shoreusher.balance.SchedulerView;
+import org.shoreusher.balance.TaskId;
+import org.shoreusher.core.cluster.ClusterConstants;
+import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.cluster.ShardContext;
+import org.shoreusher.core.cluster.ShardState;
+import org.shoreusher.core.cluster.TaskAttempt;
+import org.shoreusher.core.job.RunTimeEstimates;
+import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.core.store.Outbox;
+
+/**
+ * The state of a shard as the balancer needs it: unmet demand, tasks that can be migrated, and
+ * machines that accept them.
+ */
+final class BalancerInput implements SchedulerView {
+    private final ShardState shard;
+    private final Outbox outbox;
+    private final SchedulingOrder schedulingOrder;
+    private final RunTimeEstimates runTimeEstimates;
+    private final QuotaHeadroom quotaHeadroom;
+
+    BalancerInput(
+            ShardContext context,
+            SchedulingOrder schedulingOrder,
+            RunTimeEstimates runTimeEstimates,
+            QuotaHeadroom quotaHeadroom) {
+        shard = context.state();
+        outbox = context.outbox();
+        this.schedulingOrder = schedulingOrder;
+        this.runTimeEstimates = runTimeEstimates;
+        this.quotaHeadroom = quotaHeadroom;
+    }
+
+    /** Returns the CPUs that each team wants beyond what it uses, within its quota headroom. */
+    Map<String, Double> unmetDemandCpus() {
+        Map<String, Double> wantedCpus = new HashMap<>();
+        for (Job job : shard.jobs().values()) {
+            if (job.pendingCount() > 0) {
+                wantedCpus.merge(
+                        job.spec().team(), job.pendingCount() * job.spec().cpus(), Double::sum);
+            }
+        }
+        wantedCpus.replaceAll(
+                (team, cpus) -> Math.max(0, Math.min(cpus, quotaHeadroom.cpuHeadroom(team))));
+        return wantedCpus;
+    }
+
+    @Override
+    public List<MigratableTask> migratableTasks(String machineId, String team) {
+        List<MigratableTask> migratable = new ArrayList<>();
+        Machine machine = shard.machines().get(machineId);
+        if (machine == null || !shard.isAvailable(machine)) {
+            return migratable;
+        }
+        for (TaskAttempt attempt : machine.tasks().values()) {
+            if (attempt.job().spec().team().equals(team) && isMigratable(attempt)) {
+                migratable.add(toMigratableTask(attempt));
+            }
+        }
+        return migratable;
+    }
+
+    /** Whether a task can be stopped and restarted without harm to its job. */
+    private boolean isMigratable(TaskAttempt attempt) {
+        Job job = attempt.job();
+        return attempt.state() == TaskAttempt.State.RUNNING
+                && !attempt.isBeingEvicted()
+                && !attempt.mustStop()
+                && !job.isClosed()
+                && canRestartElsewhere(job.spec())
+                && job.activeAttempts().get(attempt.taskIndex()) == attempt
+                && outbox.now().monotonicMs() - attempt.createdMs()
+                        > ScheduleConstants.MIN_COUNTED_RUN_MS
+                && schedulingOrder.isPreemptible(job, outbox.now().wallMs());
+    }
+
+    /** Whether tasks of the job save their progress and may run in any zone. */
+    private static boolean canRestartElsewhere(JobSpec spec) {
+        return spec.workloadType().runsToCompletion()
+                && spec.checkpointIntervalS() > 0
+                && !spec.singleZone()
+                && !spec.spreadAcrossZones();
+    }
+
+    private MigratableTask toMigratableTask(TaskAttempt attempt) {
+        JobSpec spec = attempt.job().spec();
+        double ranS = (outbox.now().monotonicMs() - attempt.runningSinceMs()) / 1000.0;
+        return new MigratableTask(
+                new TaskId(attempt.job().id(), attempt.taskIndex()),
+                spec.jobClass(),
+                spec.team(),
+                spec.cpus(),
+                spec.image(),
+                spec.imageGb(),
+                attempt.machine().id(),
+                runTimeEstimates.expectedRunS(attempt.job()) - ranS,
+                Math.min(spec.checkpointIntervalS(), ranS),
+                spec.checkpointDurationS());
+    }
+
+    @Override
+    public boolean canAccept(String machineId, MigratableTask task) {
+        Machine machine = shard.machines().get(machineId);
+        Job job = shard.jobs().get(task.id().job());
+        if (machine == null
+                || job == null
+                || !shard.isAvailable(machine)
+                || !machine.hasDurableUseRecord()) {
+            return false;
+        }
+        MachineCapacity capacity = new MachineCapacity(machine);
+        return !capacity.isExpensive()
+                && !job.failedMachineIds().contains(machineId)
+                && machine.tasks().size() + machine.reservedTaskCount()
+                        < ClusterConstants.MAX_TASKS_PER_MACHINE
+                && capacity.isAllowedFor(job.spec())
+                && capacity.fittingTaskCount(job.spec()) > 0;
+    }
+}
--- a/src/main/java/org/shoreusher/core/schedule/TaskMigration.java
+++ b/src/main/java/org/shoreusher/core/schedule/TaskMigration.java
@@ -1,16 +1,12 @@
 package org.shoreusher.core.schedule;
 
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import org.shoreusher.balance.BalanceSettings;
 import org.shoreusher.balance.Balancer;
-import org.shoreusher.balance.MigratableTask;
 import org.shoreusher.balance.Migration;
-import org.shoreusher.balance.SchedulerView;
 import org.shoreusher.balance.TaskId;
 import org.shoreusher.core.cluster.ClusterConstants;
 import org.shoreusher.core.cluster.Job;
@@ -24,8 +20,6 @@
 import org.shoreusher.core.leadership.ShardAuthority;
 import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.core.store.Outbox;
-import org.shoreusher.log.LogEvent;
-import org.shoreusher.log.LogEventType;
 import org.shoreusher.settings.SharedConstants;
 
 /**
@@ -38,37 +32,20 @@
  * Afterwards, until its start, its resources at the target and its team's quota are reserved, so it
  * is never counted twice.
  */
-public final class TaskMigration implements ResourceLedger.Listener, SpreadLimit, SchedulerView {
-    /** A migration in progress, with the capacity reserved at its target. */
-    private static final class Reservation {
-        private final Migration migration;
-        private final TaskAttempt source;
-        private final Machine target;
-
-        /** Whether the task has left the source; its team's quota is then reserved. */
-        private boolean hasLeftSource;
-
-        Reservation(Migration migration, TaskAttempt source, Machine target) {
-            this.migration = migration;
-            this.source = source;
-            this.target = target;
-        }
-
-        JobSpec spec() {
-            return source.job().spec();
-        }
-    }
-
+public final class TaskMigration implements ResourceLedger.Listener {
     private final ShardState shard;
     private final ShardAuthority authority;
-    private final SchedulingOrder schedulingOrder;
-    private final RunTimeEstimates runTimeEstimates;
     private final QuotaHeadroom quotaHeadroom;
     private final TaskStopper taskStopper;
     private final Outbox outbox;
     private final ResourceLedger ledger;
+    private final BalancerInput balancerInput;
+
+    /** Null if the feature is disabled. */
     private final Balancer balancer;
-    private final Map<TaskId, Reservation> reservations = new LinkedHashMap<>();
+
+    private final SpreadLimit spreadLimit;
+    private final Map<TaskId, MigrationReservation> reservations = new LinkedHashMap<>();
     private long nextStepMs;
     private long nextLogMs;
 
@@ -83,21 +60,22 @@
         authority = context.authority();
         ledger = shard.resourceLedger();
         outbox = context.outbox();
-        this.schedulingOrder = schedulingOrder;
-        this.runTimeEstimates = runTimeEstimates;
         this.quotaHeadroom = quotaHeadroom;
         this.taskStopper = taskStopper;
+        balancerInput =
+                new BalancerInput(context, schedulingOrder, runTimeEstimates, quotaHeadroom);
         BalanceSettings settings = context.node().features().balance();
         balancer = settings == null ? null : new Balancer(settings, timeouts(context));
+        spreadLimit = settings == null ? SpreadLimit.NONE : new MigrationSpreadLimit(balancer);
     }
 
-    private Balancer.Timeouts timeouts(ShardContext context) {
+    private static Balancer.Timeouts timeouts(ShardContext context) {
         // The source reports the exit before its lease expires, or the lease expires; the target
         // reports soon after.
-        long reportMs = Math.round(context.settings().heartbeatIntervalS() * 1_000);
+        long heartbeatMs = Math.round(context.settings().heartbeatIntervalS() * 1_000);
         return new Balancer.Timeouts(
-                LeaderLease.workerLeaseBoundMs(context.settings()) + 2 * reportMs,
-                ScheduleConstants.MIGRATION_START_HEARTBEAT_INTERVALS * reportMs);
+                LeaderLease.workerLeaseBoundMs(context.settings()) + 2 * heartbeatMs,
+                ScheduleConstants.MIGRATION_START_HEARTBEAT_INTERVALS * heartbeatMs);
     }
 
     private boolean isDisabled() {
@@ -156,25 +134,29 @@
         JobSpec spec = attempt.job().spec();
         balancer.load().removeTask(attempt.machine().id(), spec.team(), spec.cpus());
         balancer.budget().removeTask(spec.jobClass(), outbox.now().monotonicMs());
-        Reservation reservation =
+        MigrationReservation reservation =
                 reservations.get(new TaskId(attempt.job().id(), attempt.taskIndex()));
-        if (reservation == null || reservation.source != attempt) {
-            return;
+        if (reservation != null && reservation.source() == attempt) {
+            onLeftSource(reservation);
         }
-        if (attempt.job().completedTasks().get(attempt.taskIndex())) {
+    }
+
+    /** The task of a migration is certainly no longer on its source. */
+    private void onLeftSource(MigrationReservation reservation) {
+        TaskAttempt attempt = reservation.source();
+        Job job = attempt.job();
+        if (job.completedTasks().get(attempt.taskIndex())) {
             release(reservation);
-            balancer.markCompleted(reservation.migration, outbox.now().monotonicMs());
-            outbox.log(
-                    LogEvent.of(LogEventType.MIGRATION_OBSOLETE)
-                            .with("task", reservation.migration.task().id()));
-        } else if (attempt.job().isClosed()) {
+            balancer.markCompleted(reservation.migration(), outbox.now().monotonicMs());
+            outbox.log(MigrationEvents.obsolete(reservation));
+        } else if (job.isClosed()) {
             abandon(reservation, Migration.Reason.JOB_CLOSED);
         } else {
             balancer.markLeftSource(
-                    reservation.migration, attempt.isCheckpointed(), outbox.now().monotonicMs());
-            reservation.hasLeftSource = true;
-            attempt.job().setPending(attempt.taskIndex(), false);
-            ledger.reserve(spec);
+                    reservation.migration(), attempt.isCheckpointed(), outbox.now().monotonicMs());
+            reservation.markLeftSource();
+            job.setPending(attempt.taskIndex(), false);
+            ledger.reserve(job.spec());
         }
     }
 
@@ -186,39 +168,17 @@
      * a high-demand one.
      */
     public SpreadLimit spreadLimit() {
-        if (isDisabled()) {
-            return SpreadLimit.NONE;
-        }
-        balancer.updateDemand(unmetDemand());
-        return this;
-    }
-
-    @Override
-    public double maxTeamCpus(Machine machine, JobSpec spec, SpreadPass pass) {
-        if (!balancer.isHighDemand(spec.team())) {
-            return Double.POSITIVE_INFINITY;
-        }
-        boolean withinLimit = pass == SpreadPass.WITHIN_LIMIT;
-        if (!withinLimit && !machine.cachedImages().contains(spec.image())) {
-            return 0;
+        if (!isDisabled()) {
+            balancer.updateDemand(balancerInput.unmetDemandCpus());
         }
-        boolean beyondLimit = pass == SpreadPass.IMAGE_BEYOND_LIMIT;
-        double fetchShare = beyondLimit ? ImageFetch.shareOfRunTime(machine.type(), spec) : 0;
-        return balancer.maxTeamCpus(machine.id(), spec.team(), spec.cpus(), fetchShare);
-    }
-
-    @Override
-    public double teamCpusUsed(Machine machine, String team) {
-        return balancer.load().teamCpusOn(machine.id(), team);
+        return spreadLimit;
     }
 
     /** Whether a migrated task waits for this machine's heartbeat. */
     public boolean hasReadyTasks(Machine machine) {
         return machine.reservedTaskCount() > 0
                 && reservations.values().stream()
-                        .anyMatch(
-                                reservation ->
-                                        reservation.target == machine && reservation.hasLeftSource);
+                        .anyMatch(reservation -> reservation.isReadyOn(machine));
     }
 
     /**
@@ -230,11 +190,11 @@
         if (!hasReadyTasks(machine)) {
             return readyTasks;
         }
-        for (Reservation reservation : List.copyOf(reservations.values())) {
-            if (reservation.target != machine || !reservation.hasLeftSource) {
+        for (MigrationReservation reservation : List.copyOf(reservations.values())) {
+            if (!reservation.isReadyOn(machine)) {
                 continue;
             }
-            if (reservation.source.job().isClosed()) {
+            if (reservation.job().isClosed()) {
                 abandon(reservation, Migration.Reason.JOB_CLOSED);
             } else if (quotaHeadroom.cpuHeadroom(reservation.spec().team())
                     < -ClusterConstants.EPSILON) {
@@ -242,17 +202,9 @@
                 abandon(reservation, Migration.Reason.TEAM_LIMIT);
             } else {
                 release(reservation);
-                balancer.markStarted(reservation.migration, outbox.now().monotonicMs());
-                outbox.log(
-                        LogEvent.of(LogEventType.MIGRATION_COMPLETED)
-                                .with("task", reservation.migration.task().id())
-                                .with("target", machine.id())
-                                .with(
-                                        "duration_ms",
-                                        outbox.now().monotonicMs()
-                                                - reservation.migration.begunAtMs())
-                                .with("checkpointed", reservation.source.isCheckpointed()));
-                readyTasks.add(reservation.migration.task().id());
+                balancer.markStarted(reservation.migration(), outbox.now().monotonicMs());
+                outbox.log(MigrationEvents.completed(reservation, outbox.now().monotonicMs()));
+                readyTasks.add(reservation.taskId());
             }
         }
         return readyTasks;
@@ -262,75 +214,49 @@
 
     /** Checks the migrations in progress and begins new ones. */
     public void step() {
-        if (isDisabled() || outbox.now().monotonicMs() < nextStepMs) {
+        long nowMs = outbox.now().monotonicMs();
+        if (isDisabled() || nowMs < nextStepMs) {
             return;
         }
-        nextStepMs = outbox.now().monotonicMs() + ScheduleConstants.MIGRATION_PLAN_INTERVAL_MS;
-        for (Reservation reservation : List.copyOf(reservations.values())) {
-            checkProgress(reservation);
-        }
+        nextStepMs = nowMs + ScheduleConstants.MIGRATION_PLAN_INTERVAL_MS;
+        List.copyOf(reservations.values()).forEach(this::checkProgress);
         // No migration begins before all machines have reported, after a lease expiry, or with a
         // stale store cache: the known state of the machines may then be wrong.
         if (authority.isReconciled() && authority.canStartTasks()) {
-            balancer.updateDemand(unmetDemand());
-            balancer.planMigrations(this, outbox.now().monotonicMs()).forEach(this::begin);
+            balancer.updateDemand(balancerInput.unmetDemandCpus());
+            balancer.planMigrations(balancerInput, nowMs).forEach(this::begin);
         }
-        if (outbox.now().monotonicMs() >= nextLogMs
-                && balancer.statistics().migrationsBegun() > 0) {
-            nextLogMs = outbox.now().monotonicMs() + SharedConstants.STATUS_LOG_INTERVAL_MS;
-            outbox.log(
-                    LogEvent.of(LogEventType.MIGRATION_STATISTICS)
-                            .with("shard", shard.shardNumber())
-                            .with("summary", balancer.statistics().summary()));
+        if (nowMs >= nextLogMs && balancer.statistics().migrationsBegun() > 0) {
+            nextLogMs = nowMs + SharedConstants.STATUS_LOG_INTERVAL_MS;
+            outbox.log(MigrationEvents.statistics(shard.shardNumber(), balancer.statistics()));
         }
     }
 
-    /** Returns the CPUs that each team wants beyond what it uses, within its quota headroom. */
-    private Map<String, Double> unmetDemand() {
-        Map<String, Double> wantedCpus = new HashMap<>();
-        for (Job job : shard.jobs().values()) {
-            if (job.pendingCount() > 0) {
-                wantedCpus.merge(
-                        job.spec().team(), job.pendingCount() * job.spec().cpus(), Double::sum);
-            }
-        }
-        wantedCpus.replaceAll(
-                (team, cpus) -> Math.max(0, Math.min(cpus, quotaHeadroom.cpuHeadroom(team))));
-        return wantedCpus;
-    }
-
-    private void checkProgress(Reservation reservation) {
-        Migration.Reason timeoutReason =
-                balancer.timeoutReason(reservation.migration, outbox.now().monotonicMs());
-        if (reservation.source.job().isClosed()) {
+    private void checkProgress(MigrationReservation reservation) {
+        Machine target = reservation.target();
+        if (reservation.job().isClosed()) {
             abandon(reservation, Migration.Reason.JOB_CLOSED);
-        } else if (shard.machines().get(reservation.target.id()) != reservation.target
-                || !shard.isAvailable(reservation.target)) {
+        } else if (shard.machines().get(target.id()) != target || !shard.isAvailable(target)) {
             abandon(reservation, Migration.Reason.TARGET_LOST);
-        } else if (timeoutReason != null) {
-            abandon(reservation, timeoutReason);
+        } else {
+            balancer.timeoutReason(reservation.migration(), outbox.now().monotonicMs())
+                    .ifPresent(reason -> abandon(reservation, reason));
         }
     }
 
     private void begin(Migration migration) {
         Job job = shard.jobs().get(migration.task().id().job());
         TaskAttempt attempt = job.activeAttempts().get(migration.task().id().index());
-        Reservation reservation =
-                new Reservation(migration, attempt, shard.machines().get(migration.target()));
-        reservations.put(migration.task().id(), reservation);
-        reservation.target.reserve(reservation.spec(), 1);
+        MigrationReservation reservation =
+                new MigrationReservation(
+                        migration, attempt, shard.machines().get(migration.target()));
+        reservations.put(reservation.taskId(), reservation);
+        reservation.target().reserve(reservation.spec(), 1);
         attempt.evict();
         taskStopper.sendStop(attempt, TaskStopper.gracePeriodS(attempt));
         outbox.log(
-                LogEvent.of(LogEventType.MIGRATION_STARTED)
-                        .with("task", migration.task().id())
-                        .with("source", attempt.machine().id())
-                        .with("target", migration.target())
-                        .with("team", migration.task().team())
-                        .with(
-                                "skew",
-                                "%.2f".formatted(balancer.load().skew(migration.task().team())))
-                        .with("gain_s", Math.round(migration.gainS())));
+                MigrationEvents.started(
+                        reservation, balancer.load().skew(migration.task().team())));
     }
 
     /** Abandons all migrations: the known state of the machines has turned out to be wrong. */
@@ -339,94 +265,28 @@
                 .forEach(reservation -> abandon(reservation, Migration.Reason.REBUILD));
     }
 
-    private void abandon(Reservation reservation, Migration.Reason reason) {
+    private void abandon(MigrationReservation reservation, Migration.Reason reason) {
         release(reservation);
-        balancer.abandon(reservation.migration, reason, outbox.now().monotonicMs());
-        outbox.log(
-                LogEvent.of(LogEventType.MIGRATION_ABANDONED)
-                        .with("task", reservation.migration.task().id())
-                        .with("reason", reason.name().toLowerCase(Locale.ROOT)));
+        balancer.abandon(reservation.migration(), reason, outbox.now().monotonicMs());
+        outbox.log(MigrationEvents.abandoned(reservation, reason));
     }
 
     /**
      * Releases what is reserved for a migration. The task waits again if it has left its source.
      */
-    private void release(Reservation reservation) {
-        reservations.remove(reservation.migration.task().id());
-        reservation.target.reserve(reservation.spec(), -1);
-        if (!reservation.hasLeftSource) {
+    private void release(MigrationReservation reservation) {
+        reservations.remove(reservation.taskId());
+        reservation.target().reserve(reservation.spec(), -1);
+        if (!reservation.hasLeftSource()) {
             return;
         }
         ledger.release(reservation.spec());
-        Job job = reservation.source.job();
-        int index = reservation.source.taskIndex();
+        Job job = reservation.job();
+        int taskIndex = reservation.source().taskIndex();
         if (!job.isClosed()
-                && !job.completedTasks().get(index)
-                && job.activeAttempts().get(index) == null) {
-            job.setPending(index, true);
-        }
-    }
-
-    @Override
-    public List<MigratableTask> migratableTasks(String machine, String team) {
-        List<MigratableTask> migratable = new ArrayList<>();
-        Machine m = shard.machines().get(machine);
-        if (m == null || !shard.isAvailable(m)) {
-            return migratable;
-        }
-        for (TaskAttempt attempt : m.tasks().values()) {
-            if (attempt.job().spec().team().equals(team) && isMigratable(attempt)) {
-                migratable.add(toMigratableTask(attempt));
-            }
-        }
-        return migratable;
-    }
-
-    /** Whether a task can be stopped and restarted without harm to its job. */
-    private boolean isMigratable(TaskAttempt attempt) {
-        JobSpec spec = attempt.job().spec();
-        return attempt.state() == TaskAttempt.State.RUNNING
-                && !attempt.isBeingEvicted()
-                && !attempt.mustStop()
-                && !attempt.job().isClosed()
-                && spec.workloadType().runsToCompletion()
-                && spec.checkpointIntervalS() > 0
-                && !spec.singleZone()
-                && !spec.spreadAcrossZones()
-                && attempt.job().activeAttempts().get(attempt.taskIndex()) == attempt
-                && outbox.now().monotonicMs() - attempt.createdMs()
-                        > ScheduleConstants.MIN_COUNTED_RUN_MS
-                && schedulingOrder.isPreemptible(attempt.job(), outbox.now().wallMs());
-    }
-
-    private MigratableTask toMigratableTask(TaskAttempt attempt) {
-        JobSpec spec = attempt.job().spec();
-        double ranS = (outbox.now().monotonicMs() - attempt.runningSinceMs()) / 1000.0;
-        return new MigratableTask(
-                new TaskId(attempt.job().id(), attempt.taskIndex()),
-                spec.jobClass(),
-                spec.team(),
-                spec.cpus(),
-                spec.image(),
-                spec.imageGb(),
-                attempt.machine().id(),
-                runTimeEstimates.expectedRunS(attempt.job()) - ranS,
-                Math.min(spec.checkpointIntervalS(), ranS),
-                spec.checkpointDurationS());
-    }
-
-    @Override
-    public boolean canAccept(String machine, MigratableTask task) {
-        Machine m = shard.machines().get(machine);
-        Job job = shard.jobs().get(task.id().job());
-        if (m == null || job == null || !shard.isAvailable(m) || !m.hasDurableUseRecord()) {
-            return false;
+                && !job.completedTasks().get(taskIndex)
+                && job.activeAttempts().get(taskIndex) == null) {
+            job.setPending(taskIndex, true);
         }
-        MachineCapacity capacity = new MachineCapacity(m);
-        return !capacity.isExpensive()
-                && !job.failedMachineIds().contains(machine)
-                && m.tasks().size() + m.reservedTaskCount() < ClusterConstants.MAX_TASKS_PER_MACHINE
-                && job.spec().allowsMachine(m.type().name(), m.zone(), m.isSpot())
-                && capacity.fittingTaskCount(job.spec()) > 0;
     }
 }
--- a/src/test/java/org/shoreusher/balance/BalancerTest.java
+++ b/src/test/java/org/shoreusher/balance/BalancerTest.java
@@ -8,6 +8,7 @@
 
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import net.jqwik.api.Example;
 import org.shoreusher.balance.BalanceSettings.ClassBudget;
 
@@ -203,17 +204,17 @@
     void reportsWhichSideOfAnOverdueMigrationIsUnresponsive() {
         FakeScheduler scheduler = schedulerWithOneFullMachine(settings(1, 0, AMPLE_BUDGET));
         Migration migration = scheduler.planMigrations().get(0);
-        assertNull(scheduler.balancer.timeoutReason(migration, 19_999));
+        assertEquals(Optional.empty(), scheduler.balancer.timeoutReason(migration, 19_999));
         assertEquals(
-                Migration.Reason.SOURCE_SILENT,
+                Optional.of(Migration.Reason.SOURCE_SILENT),
                 scheduler.balancer.timeoutReason(migration, 20_000));
         scheduler.balancer.markLeftSource(migration, true, 20_000);
-        assertNull(scheduler.balancer.timeoutReason(migration, 29_999));
+        assertEquals(Optional.empty(), scheduler.balancer.timeoutReason(migration, 29_999));
         assertEquals(
-                Migration.Reason.TARGET_SILENT,
+                Optional.of(Migration.Reason.TARGET_SILENT),
                 scheduler.balancer.timeoutReason(migration, 30_000));
         scheduler.balancer.abandon(migration, Migration.Reason.TARGET_SILENT, 30_000);
-        assertNull(scheduler.balancer.timeoutReason(migration, 90_000));
+        assertEquals(Optional.empty(), scheduler.balancer.timeoutReason(migration, 90_000));
         assertNull(scheduler.balancer.migration(migration.task().id()));
     }
 }
