--- a/src/main/java/org/shoreusher/core/heartbeat/HeartbeatReader.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/HeartbeatReader.java
@@ -1,28 +1,23 @@
 package org.shoreusher.core.heartbeat;
 
 import it.unimi.dsi.fastutil.objects.ObjectOpenHashSet;
-import org.shoreusher.core.cluster.ClusterConstants;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.cluster.Machine;
 import org.shoreusher.core.cluster.ResourceLedger;
 import org.shoreusher.core.cluster.ShardContext;
 import org.shoreusher.core.cluster.ShardState;
 import org.shoreusher.core.cluster.TaskAttempt;
-import org.shoreusher.core.job.RunTimeEstimates;
 import org.shoreusher.core.job.ShardJobs;
 import org.shoreusher.core.job.SubmissionBatches;
-import org.shoreusher.core.job.TerminalStateWriter;
 import org.shoreusher.core.machine.MachineRecords;
 import org.shoreusher.core.machine.ShardMachines;
 import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.core.message.WorkerHeartbeat;
-import org.shoreusher.core.message.WorkerHeartbeat.ExitCause;
 import org.shoreusher.core.message.WorkerHeartbeat.TaskState;
 import org.shoreusher.core.message.WorkerHeartbeat.TaskStatus;
 import org.shoreusher.core.reconcile.Reconciliation;
 import org.shoreusher.core.schedule.ShardScheduling;
 import org.shoreusher.core.schedule.TaskMigration;
-import org.shoreusher.core.schedule.TaskStopper;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreSchema.JobRecord;
 
@@ -36,11 +31,9 @@
     private final SubmissionBatches submissionBatches;
     private final ResourceLedger ledger;
     private final MachineRecords machineRecords;
-    private final RunTimeEstimates runTimeEstimates;
-    private final TerminalStateWriter terminalStateWriter;
-    private final TaskStopper taskStopper;
     private final TaskMigration taskMigration;
     private final Reconciliation reconciliation;
+    private final TaskExitRecorder taskExitRecorder;
 
     /** Creates the reader of one shard that this process leads. */
     public HeartbeatReader(
@@ -53,12 +46,10 @@
         outbox = context.outbox();
         ledger = shard.resourceLedger();
         submissionBatches = jobs.submissionBatches();
-        runTimeEstimates = jobs.runTimeEstimates();
-        terminalStateWriter = jobs.terminalStateWriter();
         machineRecords = machines.machineRecords();
-        taskStopper = scheduling.taskStopper();
         taskMigration = scheduling.taskMigration();
         this.reconciliation = reconciliation;
+        taskExitRecorder = new TaskExitRecorder(context, jobs, scheduling.taskStopper());
     }
 
     /**
@@ -73,48 +64,66 @@
             machineRecords.markDirty(machine.id());
         }
         taskMigration.onMachineReported(machine);
+        ObjectOpenHashSet<String> presentTaskKeys = recordTasks(machine, heartbeat);
+        if (isFirstSinceFailover) {
+            machine.tasks().values().forEach(ledger::recordInherited);
+        }
+        removeAbsentAttempts(machine, presentTaskKeys);
+        if (machine.hasInterruptionNotice()) {
+            evictBeforeInterruption(machine);
+        }
+        machine.updateIdleSince(outbox.now().monotonicMs());
+    }
+
+    /** Records all tasks of the heartbeat; returns the keys of those that have not exited. */
+    private ObjectOpenHashSet<String> recordTasks(Machine machine, WorkerHeartbeat heartbeat) {
         ObjectOpenHashSet<String> presentTaskKeys = new ObjectOpenHashSet<>();
         for (TaskStatus task : heartbeat.tasks()) {
             String taskKey = Machine.taskKey(task.jobId(), task.taskIndex());
             if (task.state() == TaskState.EXITED) {
-                recordExitedTask(machine, taskKey, task);
+                taskExitRecorder.recordExit(machine, taskKey, task);
             } else {
                 presentTaskKeys.add(taskKey);
                 recordPresentTask(machine, taskKey, task, heartbeat.fencingToken());
             }
         }
-        if (isFirstSinceFailover) {
-            machine.tasks().values().forEach(ledger::recordInherited);
-        }
-        if (machine.tasks().size() > presentTaskKeys.size()) {
-            for (TaskAttempt attempt : machine.snapshotTasks()) {
-                // The start order went out in the answer to an older heartbeat. The worker has
-                // either started the task, which this heartbeat would show, or never will.
-                if (!presentTaskKeys.contains(
-                        Machine.taskKey(attempt.job().id(), attempt.taskIndex()))) {
-                    ledger.remove(attempt);
-                }
-            }
+        return presentTaskKeys;
+    }
+
+    /**
+     * Removes the attempts that the heartbeat does not show. Their start order went out in the
+     * answer to an older heartbeat. The worker has either started the task, which this heartbeat
+     * would show, or never will.
+     */
+    private void removeAbsentAttempts(Machine machine, ObjectOpenHashSet<String> presentTaskKeys) {
+        if (machine.tasks().size() <= presentTaskKeys.size()) {
+            return;
         }
-        if (machine.hasInterruptionNotice()) {
-            // Interruption notice: the cloud reclaims the machine soon. Service replicas, and tasks
-            // with enough time to save a checkpoint, are evicted gracefully and run elsewhere.
-            for (TaskAttempt attempt : machine.tasks().values()) {
-                JobSpec spec = attempt.job().spec();
-                if (!spec.workloadType().runsToCompletion()
-                        || (spec.checkpointIntervalS() > 0
-                                && attempt.state() == TaskAttempt.State.RUNNING
-                                && spec.checkpointDurationS() < machine.interruptionNoticeS())) {
-                    attempt.evict();
-                }
+        for (TaskAttempt attempt : machine.snapshotTasks()) {
+            if (!presentTaskKeys.contains(
+                    Machine.taskKey(attempt.job().id(), attempt.taskIndex()))) {
+                ledger.remove(attempt);
             }
         }
-        machine.updateIdleSince(outbox.now().monotonicMs());
     }
 
     /**
-     * Records a task that is on the machine, and marks it to be stopped if it must not run there.
+     * Evicts tasks gracefully because the cloud reclaims the machine soon: service replicas, and
+     * tasks with enough time left to write a checkpoint.
      */
+    private static void evictBeforeInterruption(Machine machine) {
+        for (TaskAttempt attempt : machine.tasks().values()) {
+            JobSpec spec = attempt.job().spec();
+            if (!spec.workloadType().runsToCompletion()
+                    || (spec.checkpointIntervalS() > 0
+                            && attempt.state() == TaskAttempt.State.RUNNING
+                            && spec.checkpointDurationS() < machine.interruptionNoticeS())) {
+                attempt.evict();
+            }
+        }
+    }
+
+    /** Records a task that is on the machine, whether it is wanted there or not. */
     private void recordPresentTask(
             Machine machine, String taskKey, TaskStatus task, long fencingToken) {
         TaskAttempt attempt = machine.tasks().get(taskKey);
@@ -124,25 +133,7 @@
         }
         if (attempt == null) {
             reconciliation.handleUnknownAttempt(machine, task, fencingToken);
-            Job job = shard.jobs().get(task.jobId());
-            boolean shouldRun =
-                    job != null
-                            && task.taskIndex() >= 0
-                            && task.taskIndex() < job.spec().taskCount()
-                            && !job.completedTasks().get(task.taskIndex())
-                            && job.activeAttempts().get(task.taskIndex()) == null;
-            attempt =
-                    new TaskAttempt(
-                            job != null ? job : placeholderJob(machine, task.jobId()),
-                            task.taskIndex(),
-                            task.attemptNumber(),
-                            machine,
-                            TaskAttempt.State.RUNNING,
-                            outbox.now().monotonicMs());
-            if (!shouldRun) {
-                attempt.requireStop();
-            }
-            ledger.add(attempt, shouldRun);
+            attempt = addAttempt(machine, task);
         }
         attempt.observe(
                 switch (task.state()) {
@@ -152,13 +143,35 @@
                 },
                 outbox.now().monotonicMs());
         if (!attempt.job().spec().workloadType().runsToCompletion()
-                && attempt.runningSinceMs() >= 0
-                && outbox.now().monotonicMs() - attempt.runningSinceMs()
-                        >= HeartbeatConstants.FAILURE_BACKOFF_RESET_MS) {
+                && taskExitRecorder.hasPassedStartup(attempt)) {
             attempt.job().resetFailures();
         }
     }
 
+    /** Adds an attempt that the leader did not know; it is to be stopped if it is not wanted. */
+    private TaskAttempt addAttempt(Machine machine, TaskStatus task) {
+        Job job = shard.jobs().get(task.jobId());
+        boolean shouldRun =
+                job != null
+                        && task.taskIndex() >= 0
+                        && task.taskIndex() < job.spec().taskCount()
+                        && !job.completedTasks().get(task.taskIndex())
+                        && job.activeAttempts().get(task.taskIndex()) == null;
+        TaskAttempt attempt =
+                new TaskAttempt(
+                        job != null ? job : placeholderJob(machine, task.jobId()),
+                        task.taskIndex(),
+                        task.attemptNumber(),
+                        machine,
+                        TaskAttempt.State.RUNNING,
+                        outbox.now().monotonicMs());
+        if (!shouldRun) {
+            attempt.requireStop();
+        }
+        ledger.add(attempt, shouldRun);
+        return attempt;
+    }
+
     /**
      * A closed job that stands in for one that is terminal or unknown. Tasks of an unknown job are
      * assumed to use the whole machine, so that nothing else is started beside them.
@@ -178,87 +191,4 @@
         job.close();
         return job;
     }
-
-    /** Records a task that has exited, with its completion or its failure. */
-    private void recordExitedTask(Machine machine, String taskKey, TaskStatus task) {
-        TaskAttempt attempt = machine.tasks().get(taskKey);
-        boolean isCurrentAttempt =
-                attempt != null && attempt.attemptNumber() == task.attemptNumber();
-        if (isCurrentAttempt) {
-            attempt.setCheckpointed(task.checkpointed());
-        }
-        Job job = shard.jobs().get(task.jobId());
-        if (job != null && !job.spec().workloadType().runsToCompletion()) {
-            if (isCurrentAttempt) {
-                recordExitedReplica(machine, job, attempt, task.exitCause());
-            }
-            return;
-        }
-        if (task.exitCause() == ExitCause.COMPLETED) {
-            machine.failedJobIds().clear();
-            if (isCurrentAttempt && job != null && attempt.runningSinceMs() >= 0) {
-                double runTimeS = (outbox.now().monotonicMs() - attempt.runningSinceMs()) / 1000.0;
-                if (job.observedRunCount() >= ClusterConstants.MIN_SLOWDOWN_SAMPLES
-                        && job.meanRunTimeS() >= HeartbeatConstants.MIN_SLOWDOWN_SAMPLE_S) {
-                    machine.recordRunTime(runTimeS / job.meanRunTimeS());
-                }
-                runTimeEstimates.recordRunTime(job, runTimeS);
-            }
-            if (job != null
-                    && task.taskIndex() >= 0
-                    && task.taskIndex() < job.spec().taskCount()
-                    && !job.completedTasks().get(task.taskIndex())) {
-                job.completedTasks().set(task.taskIndex());
-                job.setPending(task.taskIndex(), false);
-                terminalStateWriter.taskCompleted(job);
-                TaskAttempt attemptElsewhere = job.activeAttempts().get(task.taskIndex());
-                if (attemptElsewhere != null && attemptElsewhere != attempt) {
-                    attemptElsewhere.requireStop();
-                    taskStopper.sendStop(attemptElsewhere, 0);
-                }
-            }
-        }
-        if (!isCurrentAttempt) {
-            return;
-        }
-        if (task.exitCause() == ExitCause.ERROR && job != null) {
-            job.recordFailure(machine.id(), outbox.now().monotonicMs());
-            if (job.isSuspectedFaulty()) {
-                shard.machines()
-                        .values()
-                        .forEach(otherMachine -> otherMachine.failedJobIds().remove(job.id()));
-            } else {
-                machine.failedJobIds().add(job.id());
-            }
-        } else if (task.exitCause() == ExitCause.UNKNOWN_TASK && job != null) {
-            job.recordFailure(machine.id(), outbox.now().monotonicMs());
-        }
-        ledger.remove(attempt);
-    }
-
-    /**
-     * Records that a service replica has exited. It is always restarted: promptly if it had run for
-     * long, and with increasing backoff if it keeps exiting early.
-     */
-    private void recordExitedReplica(
-            Machine machine, Job job, TaskAttempt attempt, ExitCause exitCause) {
-        if (exitCause == ExitCause.ERROR
-                || exitCause == ExitCause.COMPLETED
-                || exitCause == ExitCause.UNKNOWN_TASK) {
-            if (attempt.runningSinceMs() >= 0
-                    && outbox.now().monotonicMs() - attempt.runningSinceMs()
-                            >= HeartbeatConstants.FAILURE_BACKOFF_RESET_MS) {
-                job.resetFailures();
-            }
-            job.recordFailure(machine.id(), outbox.now().monotonicMs());
-            if (exitCause == ExitCause.ERROR && !job.isSuspectedFaulty()) {
-                machine.failedJobIds().add(job.id());
-            } else if (job.isSuspectedFaulty()) {
-                shard.machines()
-                        .values()
-                        .forEach(otherMachine -> otherMachine.failedJobIds().remove(job.id()));
-            }
-        }
-        ledger.remove(attempt);
-    }
 }
--- /dev/null
+++ b/src/main/java/org/shoreusher/core/heartbeat/ReportedTaskOrders.java
@@ -0,0 +1,95 @@
+package org.shoreusher.core.heartbeat;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.cluster.ShardState;
+import org.shoreusher.core.cluster.TaskAttempt;
+import org.shoreusher.core.job.SubmissionBatches;
+import org.shoreusher.core.message.WorkerHeartbeat;
+import org.shoreusher.core.message.WorkerHeartbeat.ExitCause;
+import org.shoreusher.core.message.WorkerHeartbeat.TaskState;
+import org.shoreusher.core.message.WorkerHeartbeat.TaskStatus;
+import org.shoreusher.core.message.WorkerOrder;
+import org.shoreusher.core.schedule.TaskStopper;
+import org.shoreusher.core.store.StoreSchema.JobRecord;
+import org.shoreusher.core.store.StoreSchema.JobStatus;
+
+/** Decides which tasks of a heartbeat the worker is to stop, and which to forget. */
+final class ReportedTaskOrders {
+    private final ShardState shard;
+    private final SubmissionBatches submissionBatches;
+
+    ReportedTaskOrders(ShardState shard, SubmissionBatches submissionBatches) {
+        this.shard = shard;
+        this.submissionBatches = submissionBatches;
+    }
+
+    /** Adds orders to forget the exited tasks whose result is durable. */
+    void addForgetOrders(WorkerHeartbeat heartbeat, List<WorkerOrder> orders) {
+        for (TaskStatus task : heartbeat.tasks()) {
+            if (task.state() == TaskState.EXITED && canForget(task)) {
+                orders.add(order(WorkerOrder.Kind.FORGET, task));
+            }
+        }
+    }
+
+    /** Adds orders to stop the tasks that must not run on the machine or are being evicted. */
+    void addStopOrders(Machine machine, List<WorkerOrder> orders) {
+        for (TaskAttempt attempt : machine.tasks().values()) {
+            if (attempt.mustStop()) {
+                orders.add(TaskStopper.stopOrder(attempt, 0));
+            } else if (attempt.isBeingEvicted()
+                    && attempt.state() != TaskAttempt.State.CHECKPOINTING) {
+                orders.add(TaskStopper.stopOrder(attempt, TaskStopper.gracePeriodS(attempt)));
+            }
+        }
+    }
+
+    /**
+     * Stop orders for tasks whose job is cancelled. Cancelled is a terminal state in the store, so
+     * these orders are correct whoever leads the shard and however old the heartbeat is. They are
+     * given as early as possible because leadership may change so often that a leader answers a
+     * worker only once (seen with ten leaders in two minutes).
+     */
+    List<WorkerOrder> stopOrdersForCancelledJobs(WorkerHeartbeat heartbeat) {
+        List<WorkerOrder> orders = new ArrayList<>();
+        for (TaskStatus task : heartbeat.tasks()) {
+            if (task.state() != TaskState.EXITED && isOfCancelledJob(task)) {
+                orders.add(order(WorkerOrder.Kind.STOP, task));
+            }
+        }
+        return orders;
+    }
+
+    private boolean isOfCancelledJob(TaskStatus task) {
+        if (shard.jobs().get(task.jobId()) != null) {
+            return false;
+        }
+        JobRecord record = submissionBatches.jobRecord(task.jobId());
+        return record != null && record.status() == JobStatus.CANCELLED;
+    }
+
+    /**
+     * Whether the worker may forget an exited task: always after a failure or a stop, and after a
+     * completion once the completion record or the job's terminal state is in the store.
+     */
+    private boolean canForget(TaskStatus task) {
+        if (task.exitCause() != ExitCause.COMPLETED) {
+            return true;
+        }
+        Job job = shard.jobs().get(task.jobId());
+        if (job != null) {
+            return !job.spec().workloadType().runsToCompletion()
+                    || job.durablyCompletedTasks().get(task.taskIndex());
+        }
+        // Completed jobs are no longer open.
+        JobRecord record = submissionBatches.jobRecord(task.jobId());
+        return record == null || record.status() != JobStatus.OPEN;
+    }
+
+    private static WorkerOrder order(WorkerOrder.Kind kind, TaskStatus task) {
+        return new WorkerOrder(kind, task.jobId(), task.taskIndex(), task.attemptNumber(), 0);
+    }
+}
--- /dev/null
+++ b/src/main/java/org/shoreusher/core/heartbeat/TaskExitRecorder.java
@@ -0,0 +1,154 @@
+package org.shoreusher.core.heartbeat;
+
+import org.shoreusher.core.cluster.ClusterConstants;
+import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.cluster.ResourceLedger;
+import org.shoreusher.core.cluster.ShardContext;
+import org.shoreusher.core.cluster.ShardState;
+import org.shoreusher.core.cluster.TaskAttempt;
+import org.shoreusher.core.job.RunTimeEstimates;
+import org.shoreusher.core.job.ShardJobs;
+import org.shoreusher.core.job.TerminalStateWriter;
+import org.shoreusher.core.message.WorkerHeartbeat.ExitCause;
+import org.shoreusher.core.message.WorkerHeartbeat.TaskStatus;
+import org.shoreusher.core.schedule.TaskStopper;
+import org.shoreusher.core.store.Outbox;
+
+/** Records the tasks that have exited, with their completion or their failure. */
+final class TaskExitRecorder {
+    private final ShardState shard;
+    private final Outbox outbox;
+    private final ResourceLedger ledger;
+    private final RunTimeEstimates runTimeEstimates;
+    private final TerminalStateWriter terminalStateWriter;
+    private final TaskStopper taskStopper;
+
+    TaskExitRecorder(ShardContext context, ShardJobs jobs, TaskStopper taskStopper) {
+        shard = context.state();
+        outbox = context.outbox();
+        ledger = shard.resourceLedger();
+        runTimeEstimates = jobs.runTimeEstimates();
+        terminalStateWriter = jobs.terminalStateWriter();
+        this.taskStopper = taskStopper;
+    }
+
+    /**
+     * Records a task that a heartbeat shows as exited. Idempotent: a worker shows the task until it
+     * is told to forget it.
+     */
+    void recordExit(Machine machine, String taskKey, TaskStatus task) {
+        TaskAttempt knownAttempt = machine.tasks().get(taskKey);
+        boolean isCurrent =
+                knownAttempt != null && knownAttempt.attemptNumber() == task.attemptNumber();
+        if (isCurrent) {
+            knownAttempt.setCheckpointed(task.checkpointed());
+        }
+        Job job = shard.jobs().get(task.jobId());
+        if (job != null && !job.spec().workloadType().runsToCompletion()) {
+            if (isCurrent) {
+                recordReplicaExit(machine, job, knownAttempt, task.exitCause());
+            }
+            return;
+        }
+        if (task.exitCause() == ExitCause.COMPLETED) {
+            machine.failedJobIds().clear();
+            if (job != null) {
+                if (isCurrent) {
+                    recordRunTime(machine, job, knownAttempt);
+                }
+                recordCompletion(job, task.taskIndex(), knownAttempt);
+            }
+        }
+        if (isCurrent) {
+            if (job != null) {
+                recordFailure(machine, job, task.exitCause());
+            }
+            ledger.remove(knownAttempt);
+        }
+    }
+
+    /** Records how long a completed attempt ran, for the estimates and the machine's slowdown. */
+    private void recordRunTime(Machine machine, Job job, TaskAttempt attempt) {
+        if (attempt.runningSinceMs() < 0) {
+            return;
+        }
+        double runTimeS = runningMs(attempt) / 1000.0;
+        if (job.observedRunCount() >= ClusterConstants.MIN_SLOWDOWN_SAMPLES
+                && job.meanRunTimeS() >= HeartbeatConstants.MIN_SLOWDOWN_SAMPLE_S) {
+            machine.recordRunTime(runTimeS / job.meanRunTimeS());
+        }
+        runTimeEstimates.recordRunTime(job, runTimeS);
+    }
+
+    /**
+     * Records the first completion of a task, and stops the attempt that runs it elsewhere, if any.
+     */
+    private void recordCompletion(Job job, int taskIndex, TaskAttempt completedAttempt) {
+        if (taskIndex < 0
+                || taskIndex >= job.spec().taskCount()
+                || job.completedTasks().get(taskIndex)) {
+            return;
+        }
+        job.completedTasks().set(taskIndex);
+        job.setPending(taskIndex, false);
+        terminalStateWriter.taskCompleted(job);
+        TaskAttempt activeAttempt = job.activeAttempts().get(taskIndex);
+        if (activeAttempt != null && activeAttempt != completedAttempt) {
+            activeAttempt.requireStop();
+            taskStopper.sendStop(activeAttempt, 0);
+        }
+    }
+
+    /** Records a failed task; other causes of exit leave no trace. */
+    private void recordFailure(Machine machine, Job job, ExitCause exitCause) {
+        if (exitCause == ExitCause.ERROR) {
+            job.recordFailure(machine.id(), outbox.now().monotonicMs());
+            attributeFailure(machine, job, exitCause);
+        } else if (exitCause == ExitCause.UNKNOWN_TASK) {
+            job.recordFailure(machine.id(), outbox.now().monotonicMs());
+        }
+    }
+
+    /**
+     * Records that a service replica has exited. It is always restarted: promptly if it had run for
+     * long, and with increasing backoff if it keeps exiting early.
+     */
+    private void recordReplicaExit(
+            Machine machine, Job job, TaskAttempt attempt, ExitCause exitCause) {
+        if (exitCause == ExitCause.ERROR
+                || exitCause == ExitCause.COMPLETED
+                || exitCause == ExitCause.UNKNOWN_TASK) {
+            if (hasPassedStartup(attempt)) {
+                job.resetFailures();
+            }
+            job.recordFailure(machine.id(), outbox.now().monotonicMs());
+            attributeFailure(machine, job, exitCause);
+        }
+        ledger.remove(attempt);
+    }
+
+    /**
+     * Attributes a failure to the job, if it fails everywhere, or else an error to the machine. The
+     * failures of a job that is itself at fault no longer count against any machine.
+     */
+    private void attributeFailure(Machine machine, Job job, ExitCause exitCause) {
+        if (job.isSuspectedFaulty()) {
+            for (Machine anyMachine : shard.machines().values()) {
+                anyMachine.failedJobIds().remove(job.id());
+            }
+        } else if (exitCause == ExitCause.ERROR) {
+            machine.failedJobIds().add(job.id());
+        }
+    }
+
+    /** Whether an attempt has run for so long that a failure now is no failure to start. */
+    boolean hasPassedStartup(TaskAttempt attempt) {
+        return attempt.runningSinceMs() >= 0
+                && runningMs(attempt) >= HeartbeatConstants.FAILURE_BACKOFF_RESET_MS;
+    }
+
+    private long runningMs(TaskAttempt attempt) {
+        return outbox.now().monotonicMs() - attempt.runningSinceMs();
+    }
+}
--- /dev/null
+++ b/src/main/java/org/shoreusher/core/heartbeat/TaskStarter.java
@@ -0,0 +1,93 @@
+package org.shoreusher.core.heartbeat;
+
+import java.util.List;
+import org.shoreusher.balance.TaskId;
+import org.shoreusher.core.cluster.ClusterConstants;
+import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.cluster.ResourceLedger;
+import org.shoreusher.core.cluster.ShardContext;
+import org.shoreusher.core.cluster.ShardState;
+import org.shoreusher.core.cluster.TaskAttempt;
+import org.shoreusher.core.job.ShardJobs;
+import org.shoreusher.core.leadership.ShardAuthority;
+import org.shoreusher.core.message.WorkerOrder;
+import org.shoreusher.core.schedule.BinPacker;
+import org.shoreusher.core.schedule.PlacementPlan;
+import org.shoreusher.core.schedule.ShardScheduling;
+import org.shoreusher.core.schedule.TaskMigration;
+import org.shoreusher.core.store.Outbox;
+
+/** Starts tasks on a machine in the answer to its heartbeat. */
+final class TaskStarter {
+    private final ShardState shard;
+    private final ShardAuthority authority;
+    private final Outbox outbox;
+    private final ResourceLedger ledger;
+    private final TaskMigration taskMigration;
+    private final PlacementPlan placementPlan;
+
+    /** Counts the starts of this leadership; the low bits of attempt numbers. */
+    private long nextAttemptSequence = 1;
+
+    TaskStarter(ShardContext context, ShardJobs jobs, ShardScheduling scheduling) {
+        shard = context.state();
+        authority = context.authority();
+        outbox = context.outbox();
+        ledger = shard.resourceLedger();
+        taskMigration = scheduling.taskMigration();
+        placementPlan = new PlacementPlan(context, scheduling, jobs.highWaterMarks());
+    }
+
+    /** Whether the machine has free capacity, or capacity reserved for tasks that migrate to it. */
+    boolean hasCapacityOrMigratedTasks(Machine machine) {
+        return machine.cpusFree() > ClusterConstants.EPSILON
+                || machine.gpusFree() > ClusterConstants.EPSILON
+                || taskMigration.hasReadyTasks(machine);
+    }
+
+    /**
+     * Starts the migrated tasks that wait for this machine, then as many planned tasks as fit. Adds
+     * an order for each start.
+     */
+    void startTasks(Machine machine, List<WorkerOrder> orders) {
+        // Migrated tasks go first: the machine's resources are already reserved for them.
+        for (TaskId migrated : taskMigration.takeReadyTasks(machine)) {
+            startTask(shard.jobs().get(migrated.job()), migrated.index(), machine, orders);
+        }
+        // Answer and heartbeat are limited in size, however many small tasks would fit.
+        int remainingTasks =
+                ClusterConstants.MAX_TASKS_PER_MACHINE
+                        - Math.max(machine.tasks().size(), machine.reportedTaskCount());
+        for (BinPacker.PlacedTasks placed : placementPlan.takeTasksToStart(machine)) {
+            int taskIndex = -1;
+            for (int i = 0; i < placed.taskCount() && remainingTasks > 0; i++, remainingTasks--) {
+                taskIndex = placed.job().pendingTasks().nextSetBit(taskIndex + 1);
+                if (taskIndex < 0 || taskIndex >= placed.job().highWaterMark()) {
+                    // The raised high-water mark is not durable yet. The next plan has the task
+                    // again.
+                    break;
+                }
+                startTask(placed.job(), taskIndex, machine, orders);
+            }
+        }
+    }
+
+    /** Starts a pending task with an attempt number that was never used before. */
+    private void startTask(Job job, int taskIndex, Machine machine, List<WorkerOrder> orders) {
+        TaskAttempt attempt =
+                new TaskAttempt(
+                        job,
+                        taskIndex,
+                        authority.term() << ClusterConstants.ATTEMPT_SEQUENCE_BITS
+                                | nextAttemptSequence++,
+                        machine,
+                        TaskAttempt.State.START_ORDERED,
+                        outbox.now().monotonicMs());
+        ledger.add(attempt, true);
+        job.recordStart();
+        orders.add(
+                new WorkerOrder(
+                        WorkerOrder.Kind.START, job.id(), taskIndex, attempt.attemptNumber(), 0));
+    }
+}
