--- a/src/main/java/org/shoreusher/cli/Main.java
+++ b/src/main/java/org/shoreusher/cli/Main.java
@@ -16,6 +16,7 @@
 import org.shoreusher.measure.Measurements;
 import org.shoreusher.settings.Features;
 import org.shoreusher.settings.FeaturesFile;
+import org.shoreusher.settings.InvalidSettingsException;
 import org.shoreusher.settings.Settings;
 
 /**
@@ -100,7 +101,7 @@
             if (line.hasOption("features")) {
                 features = FeaturesFile.load(Path.of(line.getOptionValue("features")), settings);
             }
-        } catch (Settings.InvalidSettingsException e) {
+        } catch (InvalidSettingsException e) {
             return complain(e.getMessage(), UNUSABLE);
         }
         if (line.hasOption("check")) {
--- a/src/main/java/org/shoreusher/net/HttpCaller.java
+++ b/src/main/java/org/shoreusher/net/HttpCaller.java
@@ -6,12 +6,8 @@
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInitializer;
-import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
 import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.channel.socket.SocketChannel;
-import io.netty.channel.socket.nio.NioSocketChannel;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.FullHttpResponse;
@@ -19,9 +15,11 @@
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpObjectAggregator;
+import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.util.concurrent.ScheduledFuture;
+import java.io.IOException;
 import java.util.ArrayDeque;
 import java.util.List;
 import java.util.Map;
@@ -47,6 +45,11 @@
         void onResponse(int status, Map<String, Object> body);
     }
 
+    /** Status of a call without a response. */
+    private static final int NO_RESPONSE = 0;
+
+    private static final int OK = HttpResponseStatus.OK.code();
+
     private final Address target;
     private final Bootstrap bootstrap;
     private final EventLoop loop;
@@ -69,26 +72,15 @@
         this.target = target;
         this.loop = loop;
         bootstrap =
-                new Bootstrap()
-                        .group(loop)
-                        .channel(NioSocketChannel.class)
-                        .option(
-                                ChannelOption.CONNECT_TIMEOUT_MILLIS,
-                                NetConstants.CONNECT_TIMEOUT_MS)
-                        .option(ChannelOption.TCP_NODELAY, true)
-                        .handler(
-                                new ChannelInitializer<SocketChannel>() {
-                                    @Override
-                                    protected void initChannel(SocketChannel channel) {
-                                        channel.pipeline()
-                                                .addLast(
-                                                        new HttpClientCodec(),
-                                                        new HttpObjectAggregator(
-                                                                NetConstants
-                                                                        .MAX_RESPONSE_BODY_BYTES),
-                                                        new Connection(channel));
-                                    }
-                                });
+                ClientBootstrap.create(
+                        loop,
+                        channel ->
+                                channel.pipeline()
+                                        .addLast(
+                                                new HttpClientCodec(),
+                                                new HttpObjectAggregator(
+                                                        NetConstants.MAX_RESPONSE_BODY_BYTES),
+                                                new Connection(channel)));
     }
 
     /**
@@ -97,6 +89,22 @@
      */
     public void call(
             String path, Map<String, Object> body, long timeoutMs, ResponseHandler handler) {
+        if (callsInFlight >= NetConstants.MAX_CALLS_PER_TARGET) {
+            loop.execute(() -> handler.onResponse(NO_RESPONSE, null));
+            return;
+        }
+        callsInFlight++;
+        PendingCall call = new PendingCall(handler);
+        FullHttpRequest request = newRequest(path, body);
+        Connection connection = takeIdleConnection();
+        if (connection != null) {
+            connection.send(call, request, timeoutMs);
+        } else {
+            connectAndSend(call, request, timeoutMs);
+        }
+    }
+
+    private FullHttpRequest newRequest(String path, Map<String, Object> body) {
         FullHttpRequest request =
                 body == null
                         ? new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path)
@@ -110,21 +118,19 @@
             request.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/cbor");
             HttpUtil.setContentLength(request, request.content().readableBytes());
         }
-        if (callsInFlight >= NetConstants.MAX_CALLS_PER_TARGET) {
-            request.release();
-            loop.execute(() -> handler.onResponse(0, null));
-            return;
-        }
-        callsInFlight++;
-        PendingCall call = new PendingCall(handler);
-        for (Connection connection = idleConnections.pollLast();
-                connection != null;
-                connection = idleConnections.pollLast()) {
-            if (connection.channel.isActive()) {
-                connection.send(call, request, timeoutMs);
-                return;
-            }
+        return request;
+    }
+
+    /** The most recently used idle connection that is still open; null if there is none. */
+    private Connection takeIdleConnection() {
+        Connection connection = idleConnections.pollLast();
+        while (connection != null && !connection.channel.isActive()) {
+            connection = idleConnections.pollLast();
         }
+        return connection;
+    }
+
+    private void connectAndSend(PendingCall call, FullHttpRequest request, long timeoutMs) {
         ChannelFuture connect = bootstrap.connect(target.ip(), target.port());
         connect.addListener(
                 future -> {
@@ -135,7 +141,7 @@
                                 .send(call, request, timeoutMs);
                     } else {
                         request.release();
-                        call.complete(0, null);
+                        call.complete(NO_RESPONSE, null);
                     }
                 });
     }
@@ -180,7 +186,7 @@
                     loop.schedule(
                             () -> {
                                 channel.close();
-                                finish(0, null);
+                                finish(NO_RESPONSE, null);
                             },
                             timeoutMs,
                             TimeUnit.MILLISECONDS);
@@ -197,20 +203,23 @@
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
+        protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
+            int status =
+                    response.decoderResult().isSuccess() ? response.status().code() : NO_RESPONSE;
             Map<String, Object> body = null;
-            int status = response.decoderResult().isSuccess() ? response.status().code() : 0;
             if (response.content().isReadable()) {
                 try {
                     body = FieldMap.parseCbor(ByteBufUtil.getBytes(response.content())).asMap();
-                } catch (java.io.IOException e) {
-                    status = status == 200 ? 0 : status;
+                } catch (IOException e) {
+                    status = status == OK ? NO_RESPONSE : status;
                 }
             }
-            if (status == 200 && body == null) {
+            if (status == OK && body == null) {
                 body = Map.of();
             }
-            if (status != 0 && HttpUtil.isKeepAlive(response) && idleConnections.size() < maxIdle) {
+            if (status != NO_RESPONSE
+                    && HttpUtil.isKeepAlive(response)
+                    && idleConnections.size() < maxIdle) {
                 idleConnections.addLast(this);
             } else {
                 channel.close();
@@ -219,14 +228,14 @@
         }
 
         @Override
-        public void channelInactive(ChannelHandlerContext ctx) {
+        public void channelInactive(ChannelHandlerContext context) {
             idleConnections.remove(this);
-            finish(0, null);
+            finish(NO_RESPONSE, null);
         }
 
         @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            ctx.close();
+        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+            context.close();
         }
     }
 }
--- a/src/main/java/org/shoreusher/peer/GossipTransport.java
+++ b/src/main/java/org/shoreusher/peer/GossipTransport.java
@@ -1,11 +1,8 @@
 package org.shoreusher.peer;
 
-import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
-import io.netty.buffer.Unpooled;
-import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
@@ -13,12 +10,8 @@
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.SocketChannel;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
-import io.netty.channel.socket.nio.NioSocketChannel;
 import io.netty.handler.codec.LengthFieldBasedFrameDecoder;
-import io.netty.handler.codec.LengthFieldPrepender;
 import io.netty.handler.timeout.ReadTimeoutHandler;
-import java.util.HashMap;
-import java.util.Map;
 import java.util.function.Consumer;
 import org.shoreusher.core.message.Command;
 import org.shoreusher.core.message.GossipMessage;
@@ -42,14 +35,14 @@
     private final Settings settings;
     private final Consumer<Command> core;
     private final GossipCodec codec = new GossipCodec();
-    private final Map<String, Channel> connections = new HashMap<>();
-    private final Map<String, Boolean> connecting = new HashMap<>();
+    private final PeerConnections connections;
 
     /** A transport that passes received messages to the core as commands. */
     public GossipTransport(EventLoopGroup loop, Settings settings, Consumer<Command> core) {
         this.loop = loop;
         this.settings = settings;
         this.core = core;
+        connections = new PeerConnections(loop, false);
     }
 
     /** Binds to the peer address and accepts connections. */
@@ -69,9 +62,9 @@
                                                 new LengthFieldBasedFrameDecoder(
                                                         PeerConstants.MAX_PEER_MESSAGE_BYTES,
                                                         0,
-                                                        4,
+                                                        PeerConstants.LENGTH_PREFIX_BYTES,
                                                         0,
-                                                        4),
+                                                        PeerConstants.LENGTH_PREFIX_BYTES),
                                                 new FrameHandler());
                             }
                         })
@@ -81,54 +74,20 @@
 
     /** Sends a message to each connected peer, and starts connecting to the others. */
     public void broadcast(GossipMessage message) {
-        byte[] bytes = codec.encode(message);
+        byte[] encoded = codec.encode(message);
         for (Settings.Member member : settings.members()) {
-            Channel connection = connections.get(member.host());
-            if (connection == null || !connection.isActive()) {
-                connect(member);
-            } else if (connection.isWritable()) {
-                connection.writeAndFlush(Unpooled.wrappedBuffer(bytes));
-            } else {
-                // The peer is unreachable: queued gossip would arrive minutes late and be useless.
-                connection.close();
-            }
-        }
-    }
-
-    private void connect(Settings.Member member) {
-        if (connecting.putIfAbsent(member.host(), true) != null) {
-            return;
+            connections.send(member.host(), member.address(), encoded);
         }
-        new Bootstrap()
-                .group(loop)
-                .channel(NioSocketChannel.class)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, NetConstants.CONNECT_TIMEOUT_MS)
-                .handler(
-                        new ChannelInitializer<SocketChannel>() {
-                            @Override
-                            protected void initChannel(SocketChannel channel) {
-                                channel.pipeline()
-                                        .addLast(new LengthFieldPrepender(4), new ClosingHandler());
-                            }
-                        })
-                .connect(member.address().ip(), member.address().port())
-                .addListener(
-                        (io.netty.channel.ChannelFuture done) -> {
-                            connecting.remove(member.host());
-                            if (done.isSuccess()) {
-                                connections.put(member.host(), done.channel());
-                            }
-                        });
     }
 
     /** Decodes the frames of a connection, and closes it on an invalid one. */
     private final class FrameHandler extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
+        protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) {
             Command command = command(ByteBufUtil.getBytes(frame));
             if (command == null) {
                 EventLogger.log(LOG, LogEvent.of(LogEventType.PEER_MESSAGE_INVALID));
-                ctx.close();
+                context.close();
             } else {
                 core.accept(command);
             }
@@ -144,21 +103,8 @@
         }
 
         @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            ctx.close();
-        }
-    }
-
-    /** Peers send nothing on connections that this node opened, so any input closes them. */
-    private static final class ClosingHandler extends SimpleChannelInboundHandler<ByteBuf> {
-        @Override
-        protected void channelRead0(ChannelHandlerContext ctx, ByteBuf unexpected) {
-            ctx.close();
-        }
-
-        @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            ctx.close();
+        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+            context.close();
         }
     }
 }
--- a/src/main/java/org/shoreusher/peer/PeerConstants.java
+++ b/src/main/java/org/shoreusher/peer/PeerConstants.java
@@ -15,4 +15,7 @@
      * built.
      */
     public static final int MAX_PEER_MESSAGE_ENTRIES = 10_000;
+
+    /** Bytes of the length prefix of each frame. */
+    public static final int LENGTH_PREFIX_BYTES = 4;
 }
--- a/src/main/java/org/shoreusher/settings/FeatureSection.java
+++ b/src/main/java/org/shoreusher/settings/FeatureSection.java
@@ -20,7 +20,7 @@
     }
 
     /** An optional boolean with a default value. */
-    boolean flagOr(String key, boolean defaultValue) throws Settings.InvalidSettingsException {
+    boolean flagOr(String key, boolean defaultValue) throws InvalidSettingsException {
         Object value = value(key);
         if (value == null) {
             return defaultValue;
@@ -28,12 +28,12 @@
         if (value instanceof Boolean flag) {
             return flag;
         }
-        throw wrong(key, "true or false");
+        throw invalid(key, "true or false");
     }
 
     /** An optional number with inclusive bounds and a default value. */
     double numberOr(String key, double minimum, double maximum, double defaultValue)
-            throws Settings.InvalidSettingsException {
+            throws InvalidSettingsException {
         Object value = value(key);
         if (value == null) {
             return defaultValue;
@@ -43,12 +43,12 @@
                 && number.doubleValue() <= maximum) {
             return number.doubleValue();
         }
-        throw wrong(key, "a number from " + text(minimum) + " to " + text(maximum));
+        throw invalid(key, "a number from " + text(minimum) + " to " + text(maximum));
     }
 
     /** An optional integer with inclusive bounds and a default value. */
     int integerOr(String key, int minimum, int maximum, int defaultValue)
-            throws Settings.InvalidSettingsException {
+            throws InvalidSettingsException {
         Object value = value(key);
         if (value == null) {
             return defaultValue;
@@ -56,18 +56,18 @@
         if (value instanceof Long number && number >= minimum && number <= maximum) {
             return number.intValue();
         }
-        throw wrong(key, "a whole number from " + minimum + " to " + maximum);
+        throw invalid(key, "a whole number from " + minimum + " to " + maximum);
     }
 
     /** A nested section; null if it is absent. */
-    FeatureSection sectionOrNull(String key) throws Settings.InvalidSettingsException {
+    FeatureSection sectionOrNull(String key) throws InvalidSettingsException {
         if (value(key) == null) {
             return null;
         }
         try {
             return new FeatureSection(path(key), new FieldMap(values).map(key).asMap());
         } catch (FieldMap.InvalidFieldException e) {
-            throw wrong(key, "a section");
+            throw invalid(key, "a section");
         }
     }
 
@@ -77,11 +77,13 @@
     }
 
     /** Rejects keys that have not been read. */
-    void rejectUnknownKeys() throws Settings.InvalidSettingsException {
+    void rejectUnknownKeys() throws InvalidSettingsException {
         for (String key : values.keySet()) {
             if (!known.contains(key)) {
-                throw new Settings.InvalidSettingsException(
-                        "features: " + path(key) + " is unknown; allowed are " + known);
+                throw InvalidSettingsException.ofField(
+                        InvalidSettingsException.Source.FEATURES,
+                        path(key),
+                        "is unknown; allowed are " + known);
             }
         }
     }
@@ -91,9 +93,9 @@
         return values.get(key);
     }
 
-    private Settings.InvalidSettingsException wrong(String key, String allowed) {
-        return new Settings.InvalidSettingsException(
-                "features: " + path(key) + " must be " + allowed);
+    private InvalidSettingsException invalid(String key, String allowed) {
+        return InvalidSettingsException.ofField(
+                InvalidSettingsException.Source.FEATURES, path(key), "must be " + allowed);
     }
 
     private String path(String key) {
--- a/src/main/java/org/shoreusher/settings/FeaturesFile.java
+++ b/src/main/java/org/shoreusher/settings/FeaturesFile.java
@@ -1,7 +1,6 @@
 package org.shoreusher.settings;
 
 import java.io.IOException;
-import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -9,6 +8,7 @@
 import java.util.stream.Collectors;
 import org.shoreusher.balance.BalanceSettings;
 import org.shoreusher.balance.BalanceSettings.ClassBudget;
+import org.shoreusher.settings.InvalidSettingsException.Source;
 import org.shoreusher.standby.StandbySettings;
 import org.shoreusher.wire.FieldMap;
 
@@ -18,75 +18,64 @@
  * of range are rejected.
  */
 public final class FeaturesFile {
-    private static final int MOST_MOVES = 1_000;
-    private static final int MOST_MOVES_OF_TASK = 10;
-    private static final double LONGEST_COOLDOWN_S = 3_600;
-    private static final double HIGHEST_GAIN = 100;
+    private static final int MAX_MIGRATIONS = 1_000;
+    private static final int MAX_MIGRATIONS_PER_TASK = 10;
+    private static final double MAX_COOLDOWN_S = 3_600;
+    private static final double MAX_GAIN_FACTOR = 100;
 
     /**
      * ms; with less than a few round trips and a retry, every standby would be given up at once.
      */
-    private static final int SHORTEST_ACK_TIMEOUT_MS = 500;
+    private static final int MIN_ACK_TIMEOUT_MS = 500;
 
     /** ms; workers time out after 4 s, and the response still has to reach them. */
-    private static final int LONGEST_ACK_TIMEOUT_MS = 3_000;
+    private static final int MAX_ACK_TIMEOUT_MS = 3_000;
 
-    private static final int LONGEST_HEAD_START_MS = 5_000;
-    private static final int FEWEST_FRAME_RECORDS = 2;
+    private static final int MAX_HEAD_START_MS = 5_000;
+    private static final int MIN_FRAME_RECORDS = 2;
 
     /** Records; with names of 100 bytes such a frame stays below the limit of a message. */
-    private static final int MOST_FRAME_RECORDS = 500;
+    private static final int MAX_FRAME_RECORDS = 500;
 
-    private static final int MOST_ATTEMPTS = 1_000_000;
+    private static final int MAX_ATTEMPTS = 1_000_000;
 
     private FeaturesFile() {}
 
     /**
      * Reads and validates a file.
      *
-     * @throws Settings.Invalid with a sentence for the operator
+     * @throws InvalidSettingsException with a sentence for the operator
      */
-    public static Features load(Path file, Settings settings)
-            throws Settings.InvalidSettingsException {
-        byte[] bytes;
-        try {
-            bytes = Files.readAllBytes(file);
-        } catch (IOException e) {
-            throw new Settings.InvalidSettingsException(
-                    "cannot read features file " + file + ": " + e.getMessage());
-        }
-        return parse(bytes, settings);
+    public static Features load(Path file, Settings settings) throws InvalidSettingsException {
+        return parse(OperatorFile.read(Source.FEATURES, file), settings);
     }
 
     /**
      * Parses and validates the bytes of a file.
      *
      * @param settings names the classes of jobs of the deployment
-     * @throws Settings.Invalid with a sentence for the operator
+     * @throws InvalidSettingsException with a sentence for the operator
      */
-    public static Features parse(byte[] toml, Settings settings)
-            throws Settings.InvalidSettingsException {
+    public static Features parse(byte[] toml, Settings settings) throws InvalidSettingsException {
         FieldMap fields;
         try {
             fields = FieldMap.parseToml(toml);
         } catch (IOException e) {
-            throw new Settings.InvalidSettingsException(
-                    "features are not valid TOML: "
-                            + e.getMessage().lines().findFirst().orElse(""));
+            throw OperatorFile.malformed(Source.FEATURES, "TOML", e);
         }
-        FeatureSection all = new FeatureSection("", fields.asMap());
-        FeatureSection balance = all.sectionOrNull("balance");
-        FeatureSection standby = all.sectionOrNull("standby");
+        FeatureSection root = new FeatureSection("", fields.asMap());
+        FeatureSection balance = root.sectionOrNull("balance");
+        FeatureSection standby = root.sectionOrNull("standby");
         Features features =
                 new Features(
                         balance == null ? null : balance(balance, settings),
                         standby == null ? null : standby(standby));
-        all.rejectUnknownKeys();
+        root.rejectUnknownKeys();
         return features;
     }
 
     private static BalanceSettings balance(FeatureSection section, Settings settings)
-            throws Settings.InvalidSettingsException {
+            throws InvalidSettingsException {
         BalanceSettings defaults = BalanceSettings.DEFAULTS;
         boolean enabled = section.flagOr("enabled", true);
         BalanceSettings balance =
@@ -95,13 +84,23 @@
                         section.numberOr("hysteresis", 0, 0.5, defaults.hysteresis()),
                         section.numberOr("hot_share", 0.01, 1, defaults.highDemandShare()),
                         section.integerOr(
-                                "moves_at_once", 0, MOST_MOVES, defaults.maxConcurrentMigrations()),
+                                "moves_at_once",
+                                0,
+                                MAX_MIGRATIONS,
+                                defaults.maxConcurrentMigrations()),
                         section.integerOr(
-                                "moves_per_team", 0, MOST_MOVES, defaults.maxMigrationsPerTeam()),
+                                "moves_per_team",
+                                0,
+                                MAX_MIGRATIONS,
+                                defaults.maxMigrationsPerTeam()),
                         section.integerOr(
-                                "moves_per_zone", 0, MOST_MOVES, defaults.maxMigrationsPerZone()),
-                        section.numberOr("cooldown_s", 0, LONGEST_COOLDOWN_S, defaults.cooldownS()),
-                        section.numberOr("least_gain", 1, HIGHEST_GAIN, defaults.minGainFactor()),
+                                "moves_per_zone",
+                                0,
+                                MAX_MIGRATIONS,
+                                defaults.maxMigrationsPerZone()),
+                        section.numberOr("cooldown_s", 0, MAX_COOLDOWN_S, defaults.cooldownS()),
+                        section.numberOr(
+                                "least_gain", 1, MAX_GAIN_FACTOR, defaults.minGainFactor()),
                         budget(section, defaults.defaultBudget()),
                         budgets(
                                 section.sectionOrNull("classes"),
@@ -111,41 +110,43 @@
         return enabled ? balance : null;
     }
 
-    private static StandbySettings standby(FeatureSection section)
-            throws Settings.InvalidSettingsException {
+    private static StandbySettings standby(FeatureSection section) throws InvalidSettingsException {
         StandbySettings defaults = StandbySettings.DEFAULTS;
         boolean enabled = section.flagOr("enabled", true);
         StandbySettings standby =
                 new StandbySettings(
                         section.integerOr(
                                 "ack_timeout_ms",
-                                SHORTEST_ACK_TIMEOUT_MS,
-                                LONGEST_ACK_TIMEOUT_MS,
+                                MIN_ACK_TIMEOUT_MS,
+                                MAX_ACK_TIMEOUT_MS,
                                 defaults.ackTimeoutMs()),
                         section.integerOr(
-                                "head_start_ms", 0, LONGEST_HEAD_START_MS, defaults.headStartMs()),
+                                "head_start_ms", 0, MAX_HEAD_START_MS, defaults.headStartMs()),
                         section.integerOr(
                                 "frame_records",
-                                FEWEST_FRAME_RECORDS,
-                                MOST_FRAME_RECORDS,
+                                MIN_FRAME_RECORDS,
+                                MAX_FRAME_RECORDS,
                                 defaults.frameRecords()),
                         section.integerOr(
-                                "most_attempts", 0, MOST_ATTEMPTS, defaults.mostAttempts()));
+                                "most_attempts", 0, MAX_ATTEMPTS, defaults.mostAttempts()));
         section.rejectUnknownKeys();
         return enabled ? standby : null;
     }
 
     private static ClassBudget budget(FeatureSection section, ClassBudget defaults)
-            throws Settings.InvalidSettingsException {
+            throws InvalidSettingsException {
         return new ClassBudget(
                 section.integerOr(
-                        "moves_per_task", 0, MOST_MOVES_OF_TASK, defaults.maxMigrationsPerTask()),
+                        "moves_per_task",
+                        0,
+                        MAX_MIGRATIONS_PER_TASK,
+                        defaults.maxMigrationsPerTask()),
                 section.numberOr("repeated_share", 0, 1, defaults.maxRepeatedWorkShare()));
     }
 
     private static Map<String, ClassBudget> budgets(
             FeatureSection classes, Settings settings, ClassBudget defaults)
-            throws Settings.InvalidSettingsException {
+            throws InvalidSettingsException {
         Map<String, ClassBudget> budgets = new LinkedHashMap<>();
         if (classes == null) {
             return budgets;
@@ -158,11 +159,10 @@
         for (String name : classes.keys()) {
             FeatureSection section = classes.sectionOrNull(name);
             if (!known.contains(name)) {
-                throw new Settings.InvalidSettingsException(
-                        "features: balance.classes."
-                                + name
-                                + " is no class of this deployment; allowed are "
-                                + known);
+                throw InvalidSettingsException.ofField(
+                        Source.FEATURES,
+                        "balance.classes." + name,
+                        "is no class of this deployment; allowed are " + known);
             }
             budgets.put(name, budget(section, defaults));
             section.rejectUnknownKeys();
--- /dev/null
+++ b/src/main/java/org/shoreusher/settings/OperatorFile.java
@@ -0,0 +1,54 @@
+package org.shoreusher.settings;
+
+import com.fasterxml.jackson.core.JsonLocation;
+import com.fasterxml.jackson.core.JsonProcessingException;
+import java.io.IOException;
+import java.nio.file.AccessDeniedException;
+import java.nio.file.Files;
+import java.nio.file.NoSuchFileException;
+import java.nio.file.Path;
+import org.shoreusher.settings.InvalidSettingsException.Source;
+
+/** Reads the files that operators provide, and words the errors of whole files. */
+final class OperatorFile {
+    private OperatorFile() {}
+
+    /** The bytes of a file. */
+    static byte[] read(Source source, Path file) throws InvalidSettingsException {
+        try {
+            return Files.readAllBytes(file);
+        } catch (NoSuchFileException e) {
+            throw InvalidSettingsException.ofFile(source, "file " + file + " does not exist");
+        } catch (AccessDeniedException e) {
+            throw InvalidSettingsException.ofFile(
+                    source, "file " + file + " cannot be read: permission denied");
+        } catch (IOException e) {
+            throw InvalidSettingsException.ofFile(
+                    source, "file " + file + " cannot be read: " + e.getMessage());
+        }
+    }
+
+    /** The error for a file that does not follow its format, with the position if it is known. */
+    static InvalidSettingsException malformed(Source source, String format, IOException cause) {
+        String position = "";
+        String problem = cause.getMessage();
+        if (cause instanceof JsonProcessingException parseError) {
+            JsonLocation location = parseError.getLocation();
+            problem = parseError.getOriginalMessage();
+            position =
+                    location == null
+                            ? ""
+                            : " at line "
+                                    + location.getLineNr()
+                                    + ", column "
+                                    + location.getColumnNr();
+        }
+        return InvalidSettingsException.ofFile(
+                source,
+                "are not valid "
+                        + format
+                        + position
+                        + ": "
+                        + String.valueOf(problem).lines().findFirst().orElse(""));
+    }
+}
--- /dev/null
+++ b/src/main/java/org/shoreusher/user/BodyAggregator.java
@@ -0,0 +1,25 @@
+package org.shoreusher.user;
+
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.handler.codec.http.HttpMessage;
+import io.netty.handler.codec.http.HttpObjectAggregator;
+import io.netty.handler.codec.http.HttpResponseStatus;
+
+/**
+ * Aggregates a request and its body. A body above the limit is answered with 400 before it has
+ * arrived completely.
+ */
+final class BodyAggregator extends HttpObjectAggregator {
+    BodyAggregator() {
+        super(FrontendConstants.MAX_REQUEST_BODY_BYTES);
+    }
+
+    @Override
+    protected void handleOversizedMessage(ChannelHandlerContext context, HttpMessage oversized) {
+        ResponseWriter.writeError(
+                context,
+                false,
+                HttpResponseStatus.BAD_REQUEST,
+                "the body is longer than " + FrontendConstants.MAX_REQUEST_BODY_BYTES + " bytes");
+    }
+}
--- /dev/null
+++ b/src/main/java/org/shoreusher/user/PendingRequest.java
@@ -0,0 +1,14 @@
+package org.shoreusher.user;
+
+import io.netty.channel.ChannelHandlerContext;
+
+/**
+ * A request to which the core has not responded yet.
+ *
+ * @param context where the response is written
+ * @param keepAlive whether the connection stays open after the response
+ * @param receivedAtNs when it arrived, as {@link System#nanoTime}
+ * @param fromUser whether a user has sent it, and not a worker or the load balancer
+ */
+record PendingRequest(
+        ChannelHandlerContext context, boolean keepAlive, long receivedAtNs, boolean fromUser) {}
--- /dev/null
+++ b/src/main/java/org/shoreusher/user/RequestHandler.java
@@ -0,0 +1,72 @@
+package org.shoreusher.user;
+
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.SimpleChannelInboundHandler;
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.HttpUtil;
+import org.shoreusher.core.message.MessageConstants;
+
+/**
+ * Handles the requests of one connection, one at a time: decodes each into a command for the core,
+ * or rejects it at once.
+ */
+final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final HttpFrontend frontend;
+    private final ConnectionTimeouts timeouts;
+    private long currentRequestId;
+
+    RequestHandler(HttpFrontend frontend, ConnectionTimeouts timeouts) {
+        this.frontend = frontend;
+        this.timeouts = timeouts;
+    }
+
+    @Override
+    protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
+        if (!request.decoderResult().isSuccess()) {
+            timeouts.onRequestComplete(context, false);
+            ResponseWriter.writeError(
+                    context, false, HttpResponseStatus.BAD_REQUEST, "malformed HTTP");
+            return;
+        }
+        boolean keepAlive = HttpUtil.isKeepAlive(request);
+        boolean fromUser = RequestDecoder.isForUsers(request.uri());
+        currentRequestId = frontend.nextRequestId();
+        timeouts.onRequestComplete(context, RequestDecoder.isHeartbeat(request.uri()));
+        if (fromUser && mustShed(request.method())) {
+            ResponseWriter.writeUnavailable(
+                    context, keepAlive, MessageConstants.retryAfterS(currentRequestId));
+            return;
+        }
+        try {
+            frontend.submit(
+                    currentRequestId,
+                    RequestDecoder.decode(currentRequestId, request),
+                    new PendingRequest(context, keepAlive, System.nanoTime(), fromUser));
+        } catch (RejectedRequestException e) {
+            ResponseWriter.writeError(context, keepAlive, e.status(), e.getMessage());
+        }
+    }
+
+    /**
+     * Load shedding when the node lags: workers are always served, since their leases would expire,
+     * then submissions and cancellations, then polls.
+     */
+    private boolean mustShed(HttpMethod method) {
+        return frontend.lagMs()
+                > (method.equals(HttpMethod.GET)
+                        ? FrontendConstants.SHED_POLLS_LAG_MS
+                        : FrontendConstants.SHED_WRITES_LAG_MS);
+    }
+
+    @Override
+    public void channelInactive(ChannelHandlerContext context) {
+        frontend.forget(currentRequestId);
+    }
+
+    @Override
+    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+        context.close();
+    }
+}
--- a/src/main/java/org/shoreusher/wire/FieldMap.java
+++ b/src/main/java/org/shoreusher/wire/FieldMap.java
@@ -1,16 +1,12 @@
 package org.shoreusher.wire;
 
 import com.fasterxml.jackson.core.JsonFactory;
-import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
-import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.core.StreamReadConstraints;
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
 import com.fasterxml.jackson.dataformat.toml.TomlFactory;
-import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 
@@ -39,6 +35,8 @@
     public static final class InvalidFieldException extends Exception {
         private static final long serialVersionUID = 1L;
 
+        private final String problem;
+
         /**
          * An exception without a stack trace, since invalid input may be frequent.
          *
@@ -46,6 +44,18 @@
          */
         public InvalidFieldException(String message) {
             super(message, null, false, false);
+            problem = message;
+        }
+
+        /** An exception whose message is the field and the problem with it. */
+        InvalidFieldException(String field, String problem) {
+            super(field + " " + problem, null, false, false);
+            this.problem = problem;
+        }
+
+        /** What is wrong; without the field's name where {@link FieldMap} has thrown this. */
+        public String problem() {
+            return problem;
         }
     }
 
@@ -63,7 +73,7 @@
      */
     public static FieldMap parseCbor(byte[] body) throws IOException {
         try (JsonParser parser = CBOR.createParser(body)) {
-            return integer(parser);
+            return MapDecoder.decode(parser);
         }
     }
 
@@ -74,7 +84,7 @@
      */
     public static FieldMap parseJson(byte[] body) throws IOException {
         try (JsonParser parser = JSON.createParser(body)) {
-            return integer(parser);
+            return MapDecoder.decode(parser);
         }
     }
 
@@ -86,67 +96,7 @@
     public static FieldMap parseToml(byte[] text) throws IOException {
         // Not a constant: a controller reads TOML once, at its start.
         try (JsonParser parser = new TomlFactory().createParser(text)) {
-            return integer(parser);
-        }
-    }
-
-    private static FieldMap integer(JsonParser parser) throws IOException {
-        if (parser.nextToken() != JsonToken.START_OBJECT) {
-            throw new IOException("not a map");
-        }
-        @SuppressWarnings("unchecked")
-        Map<String, Object> map = (Map<String, Object>) value(parser);
-        if (parser.nextToken() != null) {
-            throw new IOException("more than one value");
-        }
-        return new FieldMap(map);
-    }
-
-    private static Object value(JsonParser parser) throws IOException {
-        switch (parser.currentToken()) {
-            case START_OBJECT -> {
-                Map<String, Object> map = new LinkedHashMap<>();
-                while (parser.nextToken() == JsonToken.FIELD_NAME) {
-                    String name = parser.currentName();
-                    parser.nextToken();
-                    map.put(name, value(parser));
-                }
-                if (parser.currentToken() != JsonToken.END_OBJECT) {
-                    throw new IOException("unfinished map");
-                }
-                return map;
-            }
-            case START_ARRAY -> {
-                List<Object> list = new ArrayList<>();
-                while (parser.nextToken() != JsonToken.END_ARRAY) {
-                    if (parser.currentToken() == null) {
-                        throw new IOException("unfinished list");
-                    }
-                    list.add(value(parser));
-                }
-                return list;
-            }
-            case VALUE_STRING -> {
-                return parser.getText();
-            }
-            case VALUE_NUMBER_INT -> {
-                return parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
-                        ? parser.getBigIntegerValue()
-                        : (Object) parser.getLongValue();
-            }
-            case VALUE_NUMBER_FLOAT -> {
-                return parser.getDoubleValue();
-            }
-            case VALUE_TRUE -> {
-                return Boolean.TRUE;
-            }
-            case VALUE_FALSE -> {
-                return Boolean.FALSE;
-            }
-            case VALUE_NULL -> {
-                return null;
-            }
-            default -> throw new IOException("binary or unknown value");
+            return MapDecoder.decode(parser);
         }
     }
 
@@ -156,53 +106,12 @@
      * @throws IllegalStateException if a value has a type that messages do not have
      */
     public static byte[] toCbor(Map<String, ?> map) {
-        return encode(CBOR, map);
+        return MapEncoder.encode(CBOR, map);
     }
 
     /** Length of a map as JSON in bytes, which is how the protocol measures stored values. */
     public static int jsonLength(Map<String, ?> map) {
-        return encode(JSON, map).length;
-    }
-
-    private static byte[] encode(JsonFactory format, Map<String, ?> map) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream(256);
-        try (JsonGenerator generator = format.createGenerator(out)) {
-            write(generator, map);
-        } catch (IOException e) {
-            throw new IllegalStateException("a message of this program can't be encoded", e);
-        }
-        return out.toByteArray();
-    }
-
-    private static void write(JsonGenerator generator, Object value) throws IOException {
-        if (value instanceof Map<?, ?> nested) {
-            generator.writeStartObject(value, nested.size());
-            for (Map.Entry<?, ?> entry : nested.entrySet()) {
-                generator.writeFieldName((String) entry.getKey());
-                write(generator, entry.getValue());
-            }
-            generator.writeEndObject();
-        } else if (value instanceof Iterable<?> list) {
-            generator.writeStartArray();
-            for (Object element : list) {
-                write(generator, element);
-            }
-            generator.writeEndArray();
-        } else if (value instanceof String s) {
-            generator.writeString(s);
-        } else if (value instanceof Long || value instanceof Integer) {
-            generator.writeNumber(((Number) value).longValue());
-        } else if (value instanceof java.math.BigInteger b) {
-            generator.writeNumber(b);
-        } else if (value instanceof Number n) {
-            generator.writeNumber(n.doubleValue());
-        } else if (value instanceof Boolean b) {
-            generator.writeBoolean(b);
-        } else if (value == null) {
-            generator.writeNull();
-        } else {
-            throw new IOException("no wire form for " + value.getClass());
-        }
+        return MapEncoder.encode(JSON, map).length;
     }
 
     /** The underlying map, not a copy. */
@@ -221,7 +130,7 @@
         Map<String, Object> nested =
                 map.get(field) instanceof Map<?, ?> value ? (Map<String, Object>) value : null;
         if (nested == null) {
-            throw new InvalidFieldException(field + " must be a map");
+            throw new InvalidFieldException(field, "must be a map");
         }
         return new FieldMap(nested);
     }
@@ -231,7 +140,7 @@
         List<FieldMap> maps = new ArrayList<>();
         for (Object item : rawList(field)) {
             if (!(item instanceof Map<?, ?>)) {
-                throw new InvalidFieldException(field + " must hold maps");
+                throw new InvalidFieldException(field, "must hold maps");
             }
             @SuppressWarnings("unchecked")
             Map<String, Object> element = (Map<String, Object>) item;
@@ -245,7 +154,7 @@
         List<String> texts = new ArrayList<>();
         for (Object item : rawList(field)) {
             if (!(item instanceof String s)) {
-                throw new InvalidFieldException(field + " must hold text");
+                throw new InvalidFieldException(field, "must hold text");
             }
             texts.add(s);
         }
@@ -260,7 +169,7 @@
         if (value instanceof List<?> list) {
             return list;
         }
-        throw new InvalidFieldException(field + " must be a list");
+        throw new InvalidFieldException(field, "must be a list");
     }
 
     /** A required text. */
@@ -268,7 +177,7 @@
         if (map.get(field) instanceof String s) {
             return s;
         }
-        throw new InvalidFieldException(field + " must be text");
+        throw new InvalidFieldException(field, "must be text");
     }
 
     /** An optional text with a default value. */
@@ -281,7 +190,7 @@
         if (map.get(field) instanceof Number n && Double.isFinite(n.doubleValue())) {
             return n.doubleValue();
         }
-        throw new InvalidFieldException(field + " must be a number");
+        throw new InvalidFieldException(field, "must be a number");
     }
 
     /** An optional finite number with a default value. */
@@ -295,7 +204,7 @@
         if (value instanceof Long || value instanceof Integer) {
             return ((Number) value).longValue();
         }
-        throw new InvalidFieldException(field + " must be a whole number");
+        throw new InvalidFieldException(field, "must be a whole number");
     }
 
     /** An optional integer with a default value. */
@@ -308,7 +217,7 @@
         if (map.get(field) instanceof Boolean b) {
             return b;
         }
-        throw new InvalidFieldException(field + " must be true or false");
+        throw new InvalidFieldException(field, "must be true or false");
     }
 
     /** An optional boolean with a default value. */
--- a/src/main/java/org/shoreusher/wire/UserFormat.java
+++ b/src/main/java/org/shoreusher/wire/UserFormat.java
@@ -51,7 +51,7 @@
     /**
      * Decodes the job of a submission.
      *
-     * @throws FieldMap.Missing with the first error in the job
+     * @throws FieldMap.InvalidFieldException with the first error in the job
      */
     public static JobSpec readSubmission(FieldMap fields) throws FieldMap.InvalidFieldException {
         String shape = fields.text("shape");
--- a/src/main/java/org/shoreusher/wire/WorkerFormat.java
+++ b/src/main/java/org/shoreusher/wire/WorkerFormat.java
@@ -20,7 +20,7 @@
     /**
      * Decodes a heartbeat.
      *
-     * @throws FieldMap.Missing with the first error in it
+     * @throws FieldMap.InvalidFieldException with the first error in it
      */
     public static WorkerHeartbeat readHeartbeat(FieldMap heartbeat)
             throws FieldMap.InvalidFieldException {
--- a/src/test/java/org/shoreusher/settings/FeaturesFileTest.java
+++ b/src/test/java/org/shoreusher/settings/FeaturesFileTest.java
@@ -13,7 +13,7 @@
 
 /** The features file. */
 class FeaturesFileTest {
-    private static Features parse(String text) throws Settings.InvalidSettingsException {
+    private static Features parse(String text) throws InvalidSettingsException {
         Settings settings =
                 SettingsTest.parse(SettingsTest.VALID.replace("guarantee\"", OBJECTIVE_WITH_CLASS));
         return FeaturesFile.parse(text.getBytes(StandardCharsets.UTF_8), settings);
@@ -22,14 +22,14 @@
     private static final String OBJECTIVE_WITH_CLASS = "finished\",\"class\":\"rush\"";
 
     @Example
-    void featureIsOffWithoutItsSection() throws Settings.InvalidSettingsException {
+    void featureIsOffWithoutItsSection() throws InvalidSettingsException {
         assertEquals(Features.NONE, parse(""));
         assertNull(parse("[balance]\nenabled = false\nspread_margin = 0.5").balance());
         assertEquals(BalanceSettings.DEFAULTS, parse("[balance]").balance());
     }
 
     @Example
-    void readsEverySetting() throws Settings.InvalidSettingsException {
+    void readsEverySetting() throws InvalidSettingsException {
         BalanceSettings balance =
                 parse(
                                 """
@@ -65,7 +65,7 @@
     }
 
     @Example
-    void readsTheStandbySettings() throws Settings.InvalidSettingsException {
+    void readsTheStandbySettings() throws InvalidSettingsException {
         assertNull(parse("[standby]\nenabled = false").standby());
         assertEquals(StandbySettings.DEFAULTS, parse("[standby]").standby());
         assertEquals(
@@ -146,15 +146,13 @@
             }
         };
         for (String[] testCase : cases) {
-            Settings.InvalidSettingsException exception =
+            InvalidSettingsException exception =
                     assertThrows(
-                            Settings.InvalidSettingsException.class,
-                            () -> parse(testCase[0]),
-                            testCase[0]);
+                            InvalidSettingsException.class, () -> parse(testCase[0]), testCase[0]);
             assertEquals(testCase[1], exception.getMessage());
         }
-        Settings.InvalidSettingsException exception =
-                assertThrows(Settings.InvalidSettingsException.class, () -> parse("[balance"));
+        InvalidSettingsException exception =
+                assertThrows(InvalidSettingsException.class, () -> parse("[balance"));
         assertEquals(1, exception.getMessage().lines().count());
     }
 }
--- a/src/test/java/org/shoreusher/settings/SettingsTest.java
+++ b/src/test/java/org/shoreusher/settings/SettingsTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.charset.StandardCharsets;
+import java.nio.file.Path;
 import java.util.List;
 import net.jqwik.api.Example;
 
@@ -26,12 +27,12 @@
               "clock_off_ms":25.0}}\
             """;
 
-    static Settings parse(String text) throws Settings.InvalidSettingsException {
+    static Settings parse(String text) throws InvalidSettingsException {
         return Settings.parse(text.getBytes(StandardCharsets.UTF_8));
     }
 
     @Example
-    void readsThePlatformSettings() throws Settings.InvalidSettingsException {
+    void readsThePlatformSettings() throws InvalidSettingsException {
         Settings settings = parse(VALID);
         assertEquals(new Settings.Address("127.0.0.2", 8081), settings.members().get(0).address());
         assertEquals(8192, settings.maxValueBytes());
@@ -43,7 +44,7 @@
      * every job was rejected permanently.
      */
     @Example
-    void zeroOrMissingQuotaMeansNoLimit() throws Settings.InvalidSettingsException {
+    void zeroOrMissingQuotaMeansNoLimit() throws InvalidSettingsException {
         String given = "\"cpus\":1.0,\"cpus_max\":2,\"gpus\":0.0,\"gpus_max\":0.0";
         for (String none :
                 new String[] {
@@ -77,9 +78,9 @@
             {"\"count\":2", "\"count\":0", "count"}
         };
         for (String[] testCase : cases) {
-            Settings.InvalidSettingsException exception =
+            InvalidSettingsException exception =
                     assertThrows(
-                            Settings.InvalidSettingsException.class,
+                            InvalidSettingsException.class,
                             () -> parse(VALID.replace(testCase[0], testCase[1])));
             assertTrue(exception.getMessage().contains(testCase[2]), exception.getMessage());
         }
@@ -87,7 +88,7 @@
 
     /** The store's burst is a second's worth: a larger transaction would never succeed. */
     @Example
-    void limitsTransactionsToTheStoresBurst() throws Settings.InvalidSettingsException {
+    void limitsTransactionsToTheStoresBurst() throws InvalidSettingsException {
         assertEquals(20, parse(VALID).maxTransactionWrites());
         String rate = "\"write_rps\":25.0";
         assertEquals(6, parse(VALID.replace(rate, "\"write_rps\":6.5")).maxTransactionWrites());
@@ -99,7 +100,7 @@
      * they change nothing.
      */
     @Example
-    void appliesStricterFutureLimitsFromTheStart() throws Settings.InvalidSettingsException {
+    void appliesStricterFutureLimitsFromTheStart() throws InvalidSettingsException {
         String ops = "\"txn_ops\":20";
         Settings settings =
                 parse(
@@ -132,11 +133,39 @@
             {"7", "next"}
         };
         for (String[] testCase : wrong) {
-            Settings.InvalidSettingsException exception =
+            InvalidSettingsException exception =
                     assertThrows(
-                            Settings.InvalidSettingsException.class,
+                            InvalidSettingsException.class,
                             () -> parse(VALID.replace(ops, ops + ",\"next\":" + testCase[0])));
             assertTrue(exception.getMessage().contains(testCase[1]), exception.getMessage());
         }
     }
+
+    @Example
+    void namesTheSourceThePathAndTheProblem() {
+        InvalidSettingsException invalidField =
+                assertThrows(
+                        InvalidSettingsException.class,
+                        () -> parse(VALID.replace("\"rps\":5.0", "\"rps\":\"many\"")));
+        assertEquals(InvalidSettingsException.Source.SETTINGS, invalidField.source());
+        assertEquals("deployment.cloud.rps", invalidField.field());
+        assertEquals("settings: deployment.cloud.rps must be a number", invalidField.getMessage());
+        InvalidSettingsException invalidElement =
+                assertThrows(
+                        InvalidSettingsException.class,
+                        () -> parse(VALID.replace("127.0.0.2:8081", "here")));
+        assertEquals(
+                "settings: members[0].peer_addr is not an address like 10.0.0.1:8080: 'here'",
+                invalidElement.getMessage());
+        InvalidSettingsException missingFile =
+                assertThrows(
+                        InvalidSettingsException.class,
+                        () -> Settings.load(Path.of("no-such-file.json")));
+        assertEquals("settings file no-such-file.json does not exist", missingFile.getMessage());
+        InvalidSettingsException malformed =
+                assertThrows(InvalidSettingsException.class, () -> parse("{\n\"zone\" 1}"));
+        assertTrue(
+                malformed.getMessage().startsWith("settings are not valid JSON at line 2, column "),
+                malformed.getMessage());
+    }
 }
