--- /dev/null
+++ b/src/test/java/org/shoreusher/core/cluster/JobTest.java
@@ -0,0 +1,22 @@
+package org.shoreusher.core.cluster;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import net.jqwik.api.Example;
+import org.shoreusher.core.CoreTestData;
+import org.shoreusher.core.message.JobSpec;
+
+/** What a leader concludes from the failures of a job. */
+class JobTest {
+    /** A job whose tasks fail on every machine is distinguished from a faulty machine. */
+    @Example
+    void jobFailingOnEveryMachineIsSuspectAndBacksOff() {
+        Job job = CoreTestData.job("wk-1", "c", JobSpec.Priority.LOW, 5, 10, Double.NaN, 0);
+        job.recordFailure("m-1", 1_000);
+        assertTrue(!job.isSuspectedFaulty() && !job.isBackingOff(1_000));
+        job.recordFailure("m-2", 2_000);
+        assertTrue(job.isSuspectedFaulty() && job.isBackingOff(2_500));
+        job.completedTasks().set(0);
+        assertTrue(!job.isSuspectedFaulty());
+    }
+}
--- a/src/test/java/org/shoreusher/core/cluster/MachineTest.java
+++ b/src/test/java/org/shoreusher/core/cluster/MachineTest.java
@@ -81,4 +81,21 @@
         heartbeat(2, 17, 135_000);
         assertFalse(machine.hasOneWayPartition(), "a report in time shows that it hears");
     }
+
+    /**
+     * One slow task is chance. Several slow tasks in a row, far beyond the differences between
+     * machines of a type, show a slow machine.
+     */
+    @Example
+    void distinguishesASlowMachineFromASlowTask() {
+        MachineType type = new MachineType("t", 8, 0, 16, 10, 1, 1, 0.4, 10, List.of("a"));
+        Machine slow = new Machine("m-1", type, "a", true, 0);
+        Machine good = new Machine("m-2", type, "a", true, 0);
+        for (int i = 0; i < 6; i++) {
+            slow.recordRunTime(4);
+            good.recordRunTime(i == 2 ? 4 : 1.1);
+        }
+        assertTrue(slow.isSlow());
+        assertTrue(!good.isSlow());
+    }
 }
--- a/src/test/java/org/shoreusher/core/job/HighWaterMarksTest.java
+++ b/src/test/java/org/shoreusher/core/job/HighWaterMarksTest.java
@@ -7,12 +7,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
+import java.util.function.IntSupplier;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.LongRange;
 import org.shoreusher.core.CoreTestData;
-import org.shoreusher.core.JobSpecBuilder;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.leadership.ShardLeadership;
 import org.shoreusher.core.message.ClockReading;
@@ -29,65 +29,69 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * High-water marks of started tasks when their writes fail, get no response, or are executed late.
+ * High-water marks of started tasks, also when their writes fail, get no response, or are executed
+ * late.
  */
 class HighWaterMarksTest {
     private static final Settings SETTINGS = CoreTestData.settings(List.of());
 
-    /**
-     * A record was once assigned to a job when the write was made. After failed writes other jobs
-     * were assigned the same space. A record above the value limit is rejected for good, so that
-     * none of its jobs would ever start.
-     */
-    @Property(tries = 100, seed = "431")
-    void recordsStayBelowTheValueLimitWhenWritesFail(
-            @ForAll @IntRange(min = 1, max = 300) int count,
-            @ForAll @LongRange(min = 0) long seed) {
-        Random random = new Random(seed);
-        Outbox outbox = new Outbox(SETTINGS, 1);
-        outbox.setNow(new ClockReading(1_000, 1_000));
-        StoreCache storeCache = new StoreCache(outbox, SETTINGS, (key, before, after) -> {});
-        ShardLeadership leadership =
-                new ShardLeadership(
-                        0,
-                        SETTINGS,
-                        outbox,
-                        storeCache,
-                        new StoreSchema.ShardRecord("n/1", 60_000, 1, Map.of(), null),
-                        outbox.now(),
+    /** A shard with open jobs whose marks are written by its leader. */
+    private static final class LedShard {
+        private final Outbox outbox = new Outbox(SETTINGS, 1);
+        private final StoreCache storeCache =
+                new StoreCache(outbox, SETTINGS, (key, before, after) -> {});
+        final Map<String, Job> jobs = new LinkedHashMap<>();
+        private final ShardLeadership leadership;
+        private long revision = 1;
+
+        /** Starts the leadership of a shard with jobs of up to this number of tasks. */
+        LedShard(int jobCount, int maxTasks, Random random) {
+            outbox.setNow(new ClockReading(1_000, 1_000));
+            leadership =
+                    new ShardLeadership(
+                            0,
+                            SETTINGS,
+                            outbox,
+                            storeCache,
+                            new StoreSchema.ShardRecord("n/1", 60_000, 1, Map.of(), null),
+                            outbox.now(),
+                            1);
+            for (int i = 0; i < jobCount; i++) {
+                Job job =
+                        CoreTestData.job(
+                                "wk-" + (1_000_000 + i),
+                                "c",
+                                JobSpec.Priority.HIGH,
+                                1 + random.nextInt(maxTasks),
+                                1,
+                                Double.NaN,
+                                0);
+                jobs.put(job.id(), job);
+                storeCache.apply(
+                        StoreSchema.jobKey(job.id()),
+                        StoreSchema.JobRecord.open(0, job.spec(), 0).toMap(),
                         1);
-        Map<String, Job> jobs = new LinkedHashMap<>();
-        for (int i = 0; i < count; i++) {
-            JobSpec spec =
-                    new JobSpecBuilder("wk-" + (1_000_000 + i))
-                            .jobClass("c")
-                            .team("team")
-                            .taskCount(1 + random.nextInt(1_000))
-                            .cpus(2)
-                            .image("i")
-                            .estimatedRunS(1)
-                            .build();
-            jobs.put(spec.id(), new Job(spec.id(), spec, 0));
-            storeCache.apply(
-                    StoreSchema.jobKey(spec.id()),
-                    StoreSchema.JobRecord.open(0, spec, 0).toMap(),
-                    1);
+            }
         }
-        HighWaterMarks highWaterMarks =
-                new HighWaterMarks(
-                        0,
-                        1,
-                        new NodeContext(SETTINGS, Features.NONE, outbox, storeCache, null),
-                        new SubmissionBatches(SETTINGS, outbox, storeCache),
-                        leadership,
-                        jobs);
-        long revision = 1;
-        for (int round = 0;
-                round < 300 && jobs.values().stream().anyMatch(job -> job.highWaterMark() == 0);
-                round++) {
-            jobs.values().stream()
-                    .filter(job -> job.highWaterMark() == 0 && random.nextInt(3) == 0)
-                    .forEach(job -> highWaterMarks.request(job, 1));
+
+        HighWaterMarks highWaterMarks(Map<String, Job> ofJobs) {
+            return new HighWaterMarks(
+                    0,
+                    1,
+                    new NodeContext(SETTINGS, Features.NONE, outbox, storeCache, null),
+                    new SubmissionBatches(SETTINGS, outbox, storeCache),
+                    leadership,
+                    ofJobs);
+        }
+
+        boolean isAnyMarkMissing() {
+            return jobs.values().stream().anyMatch(job -> job.highWaterMark() == 0);
+        }
+
+        /**
+         * Writes the requested marks in records below the value limit; the store replies as given.
+         */
+        void writeRequestedMarks(HighWaterMarks highWaterMarks, IntSupplier status) {
             outbox.setNow(
                     new ClockReading(outbox.now().monotonicMs() + 300, outbox.now().wallMs() + 10));
             highWaterMarks.writeRequestedMarks();
@@ -101,15 +105,43 @@
                                                 FieldMap.jsonLength(value)
                                                         <= SETTINGS.maxValueBytes(),
                                                 key));
-                boolean fails = round < 20 || (round < 100 && random.nextInt(3) > 0);
+                int replied = status.getAsInt();
                 outbox.onReply(
                         new StoreReply(
                                 call.callId(),
-                                fails ? new int[] {0, 503, 429}[random.nextInt(3)] : 200,
-                                fails ? null : Map.of("ledger", ++revision)));
+                                replied,
+                                replied == 200 ? Map.of("ledger", ++revision) : null));
             }
         }
-        jobs.values()
+    }
+
+    /**
+     * A record was once assigned to a job when the write was made. After failed writes other jobs
+     * were assigned the same space. A record above the value limit is rejected for good, so that
+     * none of its jobs would ever start.
+     */
+    @Property(tries = 100, seed = "431")
+    void recordsStayBelowTheValueLimitWhenWritesFail(
+            @ForAll @IntRange(min = 1, max = 300) int count,
+            @ForAll @LongRange(min = 0) long seed) {
+        Random random = new Random(seed);
+        LedShard shard = new LedShard(count, 1_000, random);
+        HighWaterMarks highWaterMarks = shard.highWaterMarks(shard.jobs);
+        for (int round = 0; round < 300 && shard.isAnyMarkMissing(); round++) {
+            int currentRound = round;
+            shard.jobs.values().stream()
+                    .filter(job -> job.highWaterMark() == 0 && random.nextInt(3) == 0)
+                    .forEach(job -> highWaterMarks.request(job, 1));
+            shard.writeRequestedMarks(
+                    highWaterMarks,
+                    () -> {
+                        boolean fails =
+                                currentRound < 20 || (currentRound < 100 && random.nextInt(3) > 0);
+                        return fails ? new int[] {0, 503, 429}[random.nextInt(3)] : 200;
+                    });
+        }
+        shard.jobs
+                .values()
                 .forEach(
                         job ->
                                 assertEquals(
@@ -117,4 +149,35 @@
                                         Math.min(1, job.highWaterMark()),
                                         job.id() + " may never begin"));
     }
+
+    /**
+     * High-water marks of any number of jobs are stored in records below the value limit, and a
+     * successor finds each mark.
+     */
+    @Property(tries = 30, seed = "11")
+    void highWaterMarkRecordsStayBelowTheValueLimit(
+            @ForAll @IntRange(min = 1, max = 400) int count,
+            @ForAll @LongRange(min = 0) long seed) {
+        LedShard shard = new LedShard(count, 100_000, new Random(seed));
+        HighWaterMarks highWaterMarks = shard.highWaterMarks(shard.jobs);
+        for (int round = 0; round < 200 && shard.isAnyMarkMissing(); round++) {
+            shard.jobs
+                    .values()
+                    .forEach(job -> highWaterMarks.request(job, job.highWaterMark() == 0 ? 1 : 0));
+            shard.writeRequestedMarks(highWaterMarks, () -> 200);
+        }
+        Map<String, Job> ofSuccessor = new LinkedHashMap<>();
+        shard.jobs
+                .values()
+                .forEach(job -> ofSuccessor.put(job.id(), new Job(job.id(), job.spec(), 0)));
+        shard.highWaterMarks(ofSuccessor).load();
+        shard.jobs
+                .values()
+                .forEach(
+                        job ->
+                                assertEquals(
+                                        Math.max(1, job.highWaterMark()),
+                                        ofSuccessor.get(job.id()).highWaterMark(),
+                                        job.id()));
+    }
 }
--- a/src/test/java/org/shoreusher/core/job/SubmissionBatchesTest.java
+++ b/src/test/java/org/shoreusher/core/job/SubmissionBatchesTest.java
@@ -71,4 +71,48 @@
             }
         }
     }
+
+    /**
+     * Two nodes have accepted the same job for different shards. Whichever record a node sees
+     * first, the older one counts. Otherwise each leader might leave the job to the other, and
+     * nobody would start it. The job's own record takes precedence over both.
+     */
+    @Example
+    void olderOfTwoSubmissionRecordsCounts() {
+        Settings settings = CoreTestData.settings(List.of());
+        JobSpec spec =
+                CoreTestData.job("wk-1", "c", JobSpec.Priority.HIGH, 3, 1, Double.NaN, 0).spec();
+        for (boolean olderFirst : new boolean[] {true, false}) {
+            Outbox outbox = new Outbox(settings, 2);
+            SubmissionBatches[] submissionBatches = new SubmissionBatches[1];
+            List<Integer> notified = new ArrayList<>();
+            StoreCache storeCache =
+                    new StoreCache(
+                            outbox,
+                            settings,
+                            (key, before, after) -> {
+                                if (key.startsWith(StoreSchema.SUBMISSION_BATCH_PREFIX)) {
+                                    submissionBatches[0].batchChanged(
+                                            key,
+                                            after,
+                                            (id, record) -> notified.add(record.shardNumber()));
+                                }
+                            });
+            submissionBatches[0] = new SubmissionBatches(settings, outbox, storeCache);
+            for (int shardNumber : olderFirst ? new int[] {1, 0} : new int[] {0, 1}) {
+                storeCache.apply(
+                        StoreSchema.submissionBatchKey("n/" + shardNumber, 1),
+                        StoreSchema.SubmissionBatchRecord.toMap(
+                                Map.of(
+                                        "wk-1",
+                                        StoreSchema.JobRecord.open(shardNumber, spec, 0).toMap())),
+                        shardNumber == 1 ? 5 : 6);
+            }
+            assertEquals(1, submissionBatches[0].jobRecord("wk-1").shardNumber());
+            assertEquals(1, notified.get(notified.size() - 1));
+            storeCache.apply(
+                    StoreSchema.jobKey("wk-1"), StoreSchema.JobRecord.open(0, spec, 0).toMap(), 7);
+            assertEquals(0, submissionBatches[0].jobRecord("wk-1").shardNumber());
+        }
+    }
 }
--- a/src/test/java/org/shoreusher/core/PiecesTest.java
+++ b/src/test/java/org/shoreusher/core/schedule/BinPackerTest.java
@@ -1,50 +1,30 @@
-package org.shoreusher.core;
+package org.shoreusher.core.schedule;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
-import java.util.BitSet;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import java.util.Set;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.LongRange;
+import org.shoreusher.core.JobSpecBuilder;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.cluster.Machine;
 import org.shoreusher.core.cluster.ResourceLedger;
 import org.shoreusher.core.cluster.TaskAttempt;
-import org.shoreusher.core.leadership.LeaderLease;
-import org.shoreusher.core.message.ClockReading;
 import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.core.message.MachineType;
-import org.shoreusher.core.schedule.BinPacker;
-import org.shoreusher.core.store.TaskRanges;
-import org.shoreusher.core.store.TokenBucket;
-import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.SettingsBuilder;
 
-/** Unit tests of small classes of the core. */
-class PiecesTest {
+/** Where tasks are placed, and what placements respect. */
+class BinPackerTest {
     private static final MachineType TYPE =
             new MachineType("t", 8, 2, 16, 10, 1, 1, 0.4, 10, List.of("a", "b"));
 
-    private static Settings settings(double clockOffsetMs, double workerLease, double cancel) {
-        return new SettingsBuilder(CoreTestData.settings(List.of()))
-                .teams()
-                .workers(1, workerLease, cancel)
-                .storeRequestsPerS(100)
-                .storeLimits(100, 1024, 12)
-                .maxClockOffsetMs((long) clockOffsetMs)
-                .build();
-    }
-
     private static JobSpec spec(
             String id,
             int tasks,
@@ -68,81 +48,6 @@
                 .build();
     }
 
-    @Property(tries = 300, seed = "7")
-    void taskRangesSurviveARoundTrip(@ForAll Set<@IntRange(max = 700) Integer> numbers) {
-        BitSet set = new BitSet();
-        numbers.forEach(set::set);
-        assertEquals(set, TaskRanges.parse(TaskRanges.format(set)));
-    }
-
-    /** Whatever the pattern of requests, no second sees more than the burst and the rate. */
-    @Property(tries = 200, seed = "8")
-    void neverExceedsTheRate(
-            @ForAll @IntRange(min = 1, max = 50) int rate,
-            @ForAll List<@IntRange(max = 400) Integer> pauses) {
-        TokenBucket bucket = new TokenBucket(rate, rate);
-        long now = 5;
-        List<Long> taken = new ArrayList<>();
-        for (int pause : pauses) {
-            now += pause;
-            for (int i = 0; i < 20; i++) {
-                if (bucket.tryAcquire(1, now)) {
-                    taken.add(now);
-                }
-            }
-        }
-        for (long from : taken) {
-            long count = taken.stream().filter(t -> t >= from && t <= from + 1000).count();
-            assertTrue(count <= 2 * rate + 1, count + " at a rate of " + rate);
-        }
-    }
-
-    /** At no real time may a leader act for a shard that a successor may already acquire. */
-    @Property(tries = 500, seed = "9")
-    void leaderStopsBeforeSuccessorsMayStart(
-            @ForAll @IntRange(max = 500) int clockOffsetMs, @ForAll long seed) {
-        Random random = new Random(seed);
-        Settings settings = settings(clockOffsetMs, 10, 40);
-        LeaderLease lease = new LeaderLease(settings);
-        long written = 1_000_000;
-        long leaderOffsetMs = random.nextInt(2 * clockOffsetMs + 1) - clockOffsetMs;
-        lease.onConfirmed(
-                written + leaderOffsetMs + LeaderLease.durationMs(settings),
-                new ClockReading(0, written + leaderOffsetMs));
-        for (long t = 0; t < LeaderLease.durationMs(settings) + 4_000; t += 13) {
-            // The wall clock deviates within its bound; the monotonic clock may run up to 0.05%
-            // fast.
-            long leaderWallMs = written + t + random.nextInt(2 * clockOffsetMs + 1) - clockOffsetMs;
-            long successorWallMs =
-                    written + t + random.nextInt(2 * clockOffsetMs + 1) - clockOffsetMs;
-            boolean acts = lease.isValid(new ClockReading((long) (t * 1.0005), leaderWallMs));
-            boolean taken =
-                    LeaderLease.isAcquirable(
-                            settings,
-                            written + leaderOffsetMs + LeaderLease.durationMs(settings),
-                            new ClockReading(0, successorWallMs));
-            assertFalse(acts && taken, "both at " + t);
-        }
-    }
-
-    /** A cancellation that the leader cannot see takes effect within its limit all the same. */
-    @Property(tries = 200, seed = "10")
-    void gracePeriodLeavesTimeForCancellations(
-            @ForAll @IntRange(min = 2, max = 60) int workerLease,
-            @ForAll @IntRange(min = 1, max = 120) int cancel,
-            @ForAll @IntRange(max = 500) int clockOffsetMs) {
-        Settings settings = settings(clockOffsetMs, workerLease, cancel);
-        long grace = LeaderLease.gracePeriodMs(settings);
-        assertTrue(grace >= 0);
-        assertTrue(
-                grace == 0
-                        || LeaderLease.durationMs(settings)
-                                        + grace
-                                        + LeaderLease.workerLeaseBoundMs(settings)
-                                        + 2 * clockOffsetMs
-                                <= cancel * 1000L);
-    }
-
     /** Plans respect the capacity of machines, the quota of teams, zones and machine types. */
     @Property(tries = 400, seed = "11")
     void plansRespectMachineQuotaAndZoneLimits(@ForAll @LongRange(min = 0) long seed) {
--- /dev/null
+++ b/src/test/java/org/shoreusher/core/store/QuotaRecordTest.java
@@ -0,0 +1,27 @@
+package org.shoreusher.core.store;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.Arrays;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import net.jqwik.api.constraints.IntRange;
+import org.shoreusher.core.store.StoreSchema.QuotaRecord;
+
+/** The record of the shards' shares of a quota. */
+class QuotaRecordTest {
+    @Property(tries = 300, seed = "21")
+    void quotaSharesSumToTheLimit(
+            @ForAll @IntRange(max = 500) int limit,
+            @ForAll @IntRange(min = 1, max = 5) int shardCount) {
+        QuotaRecord record = QuotaRecord.splitEvenly(limit, 0, shardCount);
+        assertEquals(limit, Arrays.stream(record.cpus()).sum(), 1e-9);
+        assertTrue(Arrays.stream(record.cpus()).allMatch(c -> c >= 0));
+        QuotaRecord read = QuotaRecord.fromMap(record.toMap(), shardCount);
+        assertTrue(Arrays.equals(record.cpus(), read.cpus()));
+        // Shares for another number of shards are ignored.
+        assertEquals(
+                0, Arrays.stream(QuotaRecord.fromMap(record.toMap(), shardCount + 1).cpus()).sum());
+    }
+}
