--- a/src/test/java/org/shoreusher/simulation/AutoscalerTest.java
+++ b/src/test/java/org/shoreusher/simulation/AutoscalerTest.java
@@ -10,6 +10,7 @@
 import net.jqwik.api.Example;
 import org.shoreusher.core.message.Command;
 import org.shoreusher.core.message.Effect.CloudOperation;
+import org.shoreusher.log.LogEventType;
 import org.shoreusher.settings.SettingsBuilder;
 
 /** Which machines a leader provisions, keeps and terminates. */
@@ -189,8 +190,9 @@
     }
 
     private static boolean isGone(SingleNodeSimulation node, String machine) {
-        return node.log.stream()
-                .anyMatch(line -> line.startsWith("event=machine_removed machine=" + machine));
+        return node.log
+                .entries(LogEventType.MACHINE_REMOVED)
+                .anyMatch(entry -> entry.text("machine").equals(machine));
     }
 
     /** A page of 500 machines of an inventory of this size. */
--- a/src/test/java/org/shoreusher/simulation/CancellationTest.java
+++ b/src/test/java/org/shoreusher/simulation/CancellationTest.java
@@ -11,6 +11,7 @@
 import org.shoreusher.core.message.WorkerHeartbeat.ExitCause;
 import org.shoreusher.core.message.WorkerHeartbeat.TaskState;
 import org.shoreusher.core.message.WorkerHeartbeat.TaskStatus;
+import org.shoreusher.log.LogEventType;
 
 /** What a leader does about cancellations that other nodes have confirmed. */
 class CancellationTest {
@@ -49,9 +50,7 @@
         node.runSteps(3);
         node.store().outage(60_000);
         node.runSteps(110);
-        assertTrue(
-                node.log.stream().anyMatch(line -> line.startsWith("event=lease_expired ")),
-                () -> String.join("\n", node.log));
+        assertTrue(node.log.contains(LogEventType.LEASE_EXPIRED), node.log::toString);
         assertEquals(List.of("halt"), node.heartbeat("host-1", 3, 6, RUNNING));
     }
 
@@ -71,11 +70,9 @@
         node.runSteps(40);
         node.cancelAtOtherNode("wk-1", 1);
         node.runSteps(52);
-        assertTrue(
-                node.log.stream().anyMatch(line -> line.startsWith("event=lease_expired ")),
-                () -> String.join("\n", node.log));
+        assertTrue(node.log.contains(LogEventType.LEASE_EXPIRED), node.log::toString);
         node.store().stallCacheUpdates("node-0", 2_000);
-        while (node.log.stream().noneMatch(line -> line.startsWith("event=lease_recovered "))) {
+        while (!node.log.contains(LogEventType.LEASE_RECOVERED)) {
             node.runSteps(1);
         }
         List<String> orders = node.heartbeat("host-1", 2, 6);
@@ -87,7 +84,7 @@
             node.runSteps(3);
             started.addAll(node.heartbeatAndGetStarts("host-1", sequenceNumber, 6));
         }
-        assertTrue(started.contains("wk-2/0"), () -> started + String.join("\n", node.log));
+        assertTrue(started.contains("wk-2/0"), () -> started + "\n" + node.log);
         assertFalse(started.contains("wk-1/0"), () -> "cancelled: " + started);
     }
 
@@ -111,11 +108,11 @@
     }
 
     private int cachedKeys() {
-        String last =
-                node.log.stream()
-                        .filter(line -> line.startsWith("event=shard_status "))
-                        .reduce((a, b) -> b)
+        EventLog.Entry last =
+                node.log
+                        .entries(LogEventType.SHARD_STATUS)
+                        .reduce((earlier, later) -> later)
                         .orElseThrow();
-        return Integer.parseInt(last.replaceAll(".* keys_in_memory=(\\d+)$", "$1"));
+        return Integer.parseInt(last.text("keys_in_memory"));
     }
 }
--- a/src/test/java/org/shoreusher/simulation/ClusterSimulation.java
+++ b/src/test/java/org/shoreusher/simulation/ClusterSimulation.java
@@ -65,7 +65,7 @@
     final SimulatedUsers users;
     final Invariants invariants;
     final List<Controller> controllers = new ArrayList<>();
-    final List<String> log = new ArrayList<>();
+    final EventLog log = new EventLog();
 
     final SimulatedNetwork network = new SimulatedNetwork(this);
     private long nextSequence;
@@ -82,8 +82,8 @@
     /** From this time on there are no faults, and every request must get its response; in ms. */
     long faultFreeFromMs = Long.MAX_VALUE;
 
-    /** Called for every line that a process logs. */
-    Consumer<String> onLog = line -> {};
+    /** Called for every event that a process logs. */
+    Consumer<EventLog.Entry> onLog = entry -> {};
 
     /** Told of every effect that is carried out, with the host whose core wanted it. */
     BiConsumer<String, Effect> onEffect = (host, effect) -> {};
@@ -404,9 +404,9 @@
             } else if (effect instanceof Effect.SendStandbyMessage send) {
                 sendStandbyMessage(send);
             } else if (effect instanceof Effect.Log logLine) {
-                log.add(nowMs + " " + host + " " + logLine.event().toString());
-                onLog.accept(logLine.event().toString());
-                if (logLine.event().type() == LogEventType.SHARD_ACQUIRED) {
+                EventLog.Entry entry = log.add(nowMs, host, logLine.event());
+                onLog.accept(entry);
+                if (entry.is(LogEventType.SHARD_ACQUIRED)) {
                     deliverRetainedHeartbeats();
                     onFailover.accept(this);
                 }
--- a/src/test/java/org/shoreusher/simulation/ClusterSimulationTest.java
+++ b/src/test/java/org/shoreusher/simulation/ClusterSimulationTest.java
@@ -60,14 +60,13 @@
         assertEquals(
                 List.of(),
                 simulation.invariants.violations,
-                () -> "seed " + seed + "\n" + String.join("\n", simulation.log));
+                () -> "seed " + seed + "\n" + simulation.log);
         List<String> open =
                 simulation.users.jobs.values().stream()
                         .filter(job -> !job.doneConfirmed && !job.cancelConfirmed)
                         .map(job -> job.spec.id())
                         .toList();
-        assertEquals(
-                List.of(), open, () -> "seed " + seed + "\n" + String.join("\n", simulation.log));
+        assertEquals(List.of(), open, () -> "seed " + seed + "\n" + simulation.log);
         assertTrue(
                 simulation.invariants.taskStarts > 200,
                 "hardly anything ran: " + simulation.invariants.taskStarts);
@@ -122,7 +121,7 @@
         assertEquals(
                 List.of(),
                 simulation.invariants.violations,
-                () -> "seed " + seed + "\n" + String.join("\n", simulation.log));
+                () -> "seed " + seed + "\n" + simulation.log);
         assertTrue(
                 simulation.invariants.taskStarts > 100,
                 "hardly anything ran: " + simulation.invariants.taskStarts);
@@ -142,15 +141,14 @@
                         .filter(job -> !job.doneConfirmed && !job.cancelConfirmed)
                         .map(job -> job.spec.id())
                         .toList();
-        assertEquals(
-                List.of(), open, () -> "seed " + seed + "\n" + String.join("\n", simulation.log));
+        assertEquals(List.of(), open, () -> "seed " + seed + "\n" + simulation.log);
     }
 
     @Example
     void sameSeedReproducesTheSameRun() {
         ClusterSimulation firstRun = simulate(5, InjectedDefect.NONE, faults(5));
         ClusterSimulation secondRun = simulate(5, InjectedDefect.NONE, faults(5));
-        assertEquals(firstRun.log, secondRun.log);
+        assertEquals(firstRun.log.toString(), secondRun.log.toString());
         assertEquals(firstRun.invariants.taskStarts, secondRun.invariants.taskStarts);
     }
 
--- a/src/test/java/org/shoreusher/simulation/CompoundFailuresTest.java
+++ b/src/test/java/org/shoreusher/simulation/CompoundFailuresTest.java
@@ -175,7 +175,7 @@
         assertEquals(
                 List.of(),
                 simulation.invariants.violations,
-                () -> "seed " + seed + "\n" + String.join("\n", simulation.log));
+                () -> "seed " + seed + "\n" + simulation.log);
         assertTrue(
                 simulation.invariants.taskStarts > 100,
                 "hardly anything ran: " + simulation.invariants.taskStarts);
@@ -185,8 +185,7 @@
                         .filter(job -> !job.doneConfirmed && !job.cancelConfirmed)
                         .map(job -> job.spec.id())
                         .toList();
-        assertEquals(
-                List.of(), open, () -> "seed " + seed + "\n" + String.join("\n", simulation.log));
+        assertEquals(List.of(), open, () -> "seed " + seed + "\n" + simulation.log);
     }
 
     /**
@@ -240,10 +239,7 @@
                                                 .forEach(controller -> controller.crash(500)))));
         simulation.invariants.checkAtEnd();
         simulation.invariants.checkHalfOfJobsServed();
-        assertEquals(
-                List.of(),
-                simulation.invariants.violations,
-                () -> String.join("\n", simulation.log));
+        assertEquals(List.of(), simulation.invariants.violations, simulation.log::toString);
         assertEquals(
                 0,
                 simulation.users.jobs.values().stream()
--- a/src/test/java/org/shoreusher/simulation/FaultInjection.java
+++ b/src/test/java/org/shoreusher/simulation/FaultInjection.java
@@ -6,6 +6,7 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.function.Consumer;
+import org.shoreusher.log.LogEventType;
 import org.shoreusher.simulation.ClusterSimulation.Fault;
 
 /** Random faults of simulations, one at a time, and the processes and machines that they hit. */
@@ -166,10 +167,10 @@
     /** For each shard, the process that acquired it last. */
     static List<ClusterSimulation.Controller> currentLeaders(ClusterSimulation simulation) {
         Map<String, String> last = new HashMap<>();
-        simulation.log.stream()
-                .map(l -> l.split(" "))
-                .filter(l -> l[2].equals("event=shard_acquired"))
-                .forEach(l -> last.put(l[3], l[1]));
+        simulation
+                .log
+                .entries(LogEventType.SHARD_ACQUIRED)
+                .forEach(entry -> last.put(entry.text("shard"), entry.host()));
         return simulation.controllers.stream()
                 .filter(controller -> last.containsValue(controller.host))
                 .toList();
--- a/src/test/java/org/shoreusher/simulation/LargestClusterTest.java
+++ b/src/test/java/org/shoreusher/simulation/LargestClusterTest.java
@@ -7,6 +7,7 @@
 import net.jqwik.api.Example;
 import org.shoreusher.core.JobSpecBuilder;
 import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.log.LogEventType;
 import org.shoreusher.simulation.ClusterSimulation.Fault;
 import org.shoreusher.simulation.ClusterSimulation.InjectedDefect;
 
@@ -41,19 +42,11 @@
                                         FaultInjection.currentLeaders(x)
                                                 .forEach(controller -> controller.crash(4_000)))));
         simulation.invariants.checkAtEnd();
-        assertEquals(
-                List.of(),
-                simulation.invariants.violations,
-                () -> String.join("\n", simulation.log));
+        assertEquals(List.of(), simulation.invariants.violations, simulation.log::toString);
         assertTrue(
                 simulation.cloud.peakMachines() >= MACHINES,
                 () -> "had " + simulation.cloud.peakMachines());
-        assertTrue(
-                simulation.log.stream()
-                                .filter(line -> line.contains("event=shard_acquired "))
-                                .count()
-                        > 1,
-                "nobody took the part");
+        assertTrue(simulation.log.count(LogEventType.SHARD_ACQUIRED) > 1, "no failover");
         assertEquals(
                 0,
                 simulation.users.jobs.values().stream()
--- a/src/test/java/org/shoreusher/simulation/LeaderFailureTest.java
+++ b/src/test/java/org/shoreusher/simulation/LeaderFailureTest.java
@@ -11,6 +11,7 @@
 import net.jqwik.api.Example;
 import org.shoreusher.core.JobSpecBuilder;
 import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.log.LogEventType;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.simulation.ClusterSimulation.Fault;
 import org.shoreusher.simulation.ClusterSimulation.InjectedDefect;
@@ -43,9 +44,8 @@
                         List.of(new Fault(60_000, cluster -> cluster.store.outage(11_000))));
         assertEquals(List.of(), simulation.invariants.violations);
         assertFalse(
-                simulation.log.stream()
-                        .anyMatch(line -> line.contains("event=worker_lease_expired ")),
-                () -> String.join("\n", simulation.log));
+                simulation.log.contains(LogEventType.WORKER_LEASE_EXPIRED),
+                simulation.log::toString);
     }
 
     /**
@@ -66,7 +66,7 @@
         // heartbeats from redirected workers.
         assertTrue(
                 firstReconciledAfterMs(simulation, 60_000) < 60_000 + 16_000,
-                () -> String.join("\n", simulation.log));
+                simulation.log::toString);
     }
 
     /**
@@ -143,11 +143,13 @@
                                                     cluster, controller, 40_000)));
             assertEquals(List.of(), simulation.invariants.violations);
             reconciledAtMs.add(
-                    simulation.log.stream()
+                    simulation
+                                    .log
+                                    .entries(LogEventType.LEADERSHIP_LOST)
                                     .anyMatch(
-                                            line ->
-                                                    line.contains("event=leadership_lost ")
-                                                            && line.contains("stepped down: most"))
+                                            entry ->
+                                                    entry.text("reason")
+                                                            .startsWith("stepped down: most"))
                             ? firstReconciledAfterMs(simulation, 60_000)
                             : Long.MAX_VALUE);
         }
@@ -207,17 +209,12 @@
                                         }
                                     })));
             simulation.invariants.checkAtEnd();
-            assertEquals(
-                    List.of(),
-                    simulation.invariants.violations,
-                    () -> String.join("\n", simulation.log));
+            assertEquals(List.of(), simulation.invariants.violations, simulation.log::toString);
             long machines =
-                    simulation.log.stream()
-                            .filter(line -> line.contains("event=machines_provisioned "))
-                            .mapToLong(
-                                    line ->
-                                            Long.parseLong(
-                                                    line.replaceAll(".* count=(\\d+) .*", "$1")))
+                    simulation
+                            .log
+                            .entries(LogEventType.MACHINES_PROVISIONED)
+                            .mapToLong(entry -> Long.parseLong(entry.text("count")))
                             .sum();
             assertTrue(machines > 1_000, () -> "rented " + machines);
             assertEquals(
@@ -255,11 +252,7 @@
                     simulation.users.jobs.values().stream()
                             .filter(x -> !x.doneConfirmed && !x.cancelConfirmed)
                             .count());
-            assertTrue(
-                    simulation.log.stream()
-                                    .filter(line -> line.contains("event=shard_acquired "))
-                                    .count()
-                            > 3);
+            assertTrue(simulation.log.count(LogEventType.SHARD_ACQUIRED) > 3);
         }
     }
 
@@ -293,16 +286,16 @@
             // Otherwise tasks are started on it again and again, since it seems idle, and it is
             // never terminated while there is work.
             assertTrue(
-                    simulation.log.stream()
+                    simulation
+                            .log
+                            .entries(LogEventType.MACHINE_REMOVED)
                             .anyMatch(
-                                    line ->
-                                            line.contains(
-                                                            "event=machine_removed machine="
-                                                                    + id
-                                                                    + " ")
-                                                    && line.contains("terminated by this node")
-                                                    && timeMsOf(line) < 100_000),
-                    () -> String.join("\n", simulation.log));
+                                    entry ->
+                                            entry.text("machine").equals(id)
+                                                    && entry.text("reason")
+                                                            .contains("terminated by this node")
+                                                    && entry.atMs() < 100_000),
+                    simulation.log::toString);
             assertEquals(
                     0,
                     simulation.users.jobs.values().stream()
@@ -311,17 +304,13 @@
         }
     }
 
-    /** The time at the start of a line of the simulation's log, in ms. */
-    private static long timeMsOf(String line) {
-        return Long.parseLong(line.substring(0, line.indexOf(' ')));
-    }
-
     /** When a shard was first reconciled after a time, in ms. */
     private static long firstReconciledAfterMs(ClusterSimulation simulation, long afterMs) {
-        return simulation.log.stream()
-                .filter(line -> line.contains("event=shard_reconciled "))
-                .mapToLong(LeaderFailureTest::timeMsOf)
-                .filter(t -> t > afterMs)
+        return simulation
+                .log
+                .entries(LogEventType.SHARD_RECONCILED)
+                .mapToLong(EventLog.Entry::atMs)
+                .filter(atMs -> atMs > afterMs)
                 .findFirst()
                 .orElseThrow();
     }
--- a/src/test/java/org/shoreusher/simulation/MigrationStepsTest.java
+++ b/src/test/java/org/shoreusher/simulation/MigrationStepsTest.java
@@ -14,6 +14,7 @@
 import org.shoreusher.core.JobSpecBuilder;
 import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.core.message.WorkerHeartbeat.ExitCause;
+import org.shoreusher.log.LogEventType;
 import org.shoreusher.settings.Features;
 import org.shoreusher.settings.SettingsBuilder;
 
@@ -123,13 +124,9 @@
                 List.of(taskName),
                 started.stream().map(ScriptedWorker.StartedTask::taskName).toList());
         assertTrue(
-                node.log.stream()
-                        .anyMatch(
-                                line ->
-                                        line.startsWith(
-                                                "event=migration_completed task="
-                                                        + taskName
-                                                        + " ")),
+                node.log
+                        .entries(LogEventType.MIGRATION_COMPLETED)
+                        .anyMatch(entry -> entry.text("task").equals(taskName)),
                 "no log line");
         heartbeatAll();
         assertEquals(List.of(), startedElsewhere(), "once only");
@@ -159,7 +156,12 @@
             heartbeatAll();
             startedElsewhere().forEach(started -> assertNotEquals(taskName, started.taskName()));
         }
-        assertTrue(node.log.contains("event=migration_obsolete task=" + taskName));
+        assertEquals(
+                List.of(taskName),
+                node.log
+                        .entries(LogEventType.MIGRATION_OBSOLETE)
+                        .map(entry -> entry.text("task"))
+                        .toList());
     }
 
     /** Capacity on the target stays reserved: jobs that are submitted meanwhile do not use it. */
@@ -167,7 +169,7 @@
     void reservesCapacityOnTheTarget() {
         placeAllTasksOnFirstMachine();
         String taskName = awaitStopOrder(50);
-        String line = node.log.get(node.log.size() - 1);
+        EventLog.Entry last = node.log.last();
         node.addOpenJob(
                 new JobSpecBuilder("wk-000002")
                         .team("team-1")
@@ -179,7 +181,7 @@
             heartbeatAll();
         }
         long filled = workers.stream().skip(1).filter(worker -> worker.taskCount() == 1).count();
-        assertEquals(2, filled, () -> "the third machine waits for " + taskName + ": " + line);
+        assertEquals(2, filled, () -> "the third machine waits for " + taskName + ": " + last);
         firstWorker().exitTask(taskName, ExitCause.STOPPED, true);
         heartbeatAll();
         assertEquals(3, workers.stream().skip(1).filter(worker -> worker.taskCount() == 1).count());
@@ -194,14 +196,15 @@
         placeAllTasksOnFirstMachine();
         String taskName = awaitStopOrder(20);
         String target =
-                node.log.stream()
-                        .filter(line -> line.startsWith("event=migration_started "))
+                node.log
+                        .entries(LogEventType.MIGRATION_STARTED)
                         .findFirst()
-                        .get();
+                        .orElseThrow()
+                        .text("target");
         ScriptedWorker other =
                 workers.stream()
                         .skip(1)
-                        .filter(worker -> !target.contains(worker.id()))
+                        .filter(worker -> !target.equals(worker.id()))
                         .findFirst()
                         .orElseThrow();
         other.addRunningTask(taskName, 3);
@@ -259,9 +262,9 @@
         }
         assertEquals(List.of("wk-999999/0"), workers.get(1).tasksToldToStop);
         assertTrue(
-                node.log.stream()
-                        .noneMatch(
-                                line -> line.contains("event=migration_started task=wk-999999")));
+                node.log
+                        .entries(LogEventType.MIGRATION_STARTED)
+                        .noneMatch(entry -> entry.text("task").startsWith("wk-999999")));
     }
 
     /**
@@ -298,8 +301,6 @@
                         FEATURES);
         placeAllTasksOnFirstMachine("host-9");
         assertNull(awaitStopOrder(20));
-        assertTrue(
-                node.log.stream().noneMatch(line -> line.startsWith("event=shard_reconciled ")),
-                "rebuilt too soon");
+        assertTrue(!node.log.contains(LogEventType.SHARD_RECONCILED), "rebuilt too soon");
     }
 }
--- a/src/test/java/org/shoreusher/simulation/MigrationsTest.java
+++ b/src/test/java/org/shoreusher/simulation/MigrationsTest.java
@@ -16,6 +16,7 @@
 import org.shoreusher.balance.BalanceSettings.ClassBudget;
 import org.shoreusher.core.JobSpecBuilder;
 import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.log.LogEventType;
 import org.shoreusher.settings.Features;
 import org.shoreusher.simulation.ClusterSimulation.Fault;
 import org.shoreusher.simulation.ClusterSimulation.InjectedDefect;
@@ -35,15 +36,11 @@
                             0.1, 0.02, 0.05, 20, 20, 20, 2, 1, new ClassBudget(2, 1), Map.of()),
                     null);
 
-    /** The task, source and target of a migration, read from the log line of its beginning. */
+    /** The task, source and target of a migration, as the event of its beginning names them. */
     private record StartedMigration(String taskName, String source, String target) {
-        static StartedMigration of(String line) {
+        static StartedMigration of(EventLog.Entry entry) {
             return new StartedMigration(
-                    field(line, "task"), field(line, "source"), field(line, "target"));
-        }
-
-        private static String field(String line, String name) {
-            return line.replaceAll(".* " + name + "=(\\S+).*", "$1");
+                    entry.text("task"), entry.text("source"), entry.text("target"));
         }
 
         SimulatedWorker source(ClusterSimulation simulation) {
@@ -79,10 +76,10 @@
             simulation.users.submit(job(i, "team-0", 8, 60_000), 40_000);
         }
         simulation.onLog =
-                line -> {
-                    if (line.contains("event=migration_started ")
+                entry -> {
+                    if (entry.is(LogEventType.MIGRATION_STARTED)
                             && simulation.nowMs < FAULT_FREE_FROM_MS) {
-                        onMigration.accept(simulation, StartedMigration.of(line));
+                        onMigration.accept(simulation, StartedMigration.of(entry));
                     }
                 };
         simulation.faultFreeFromMs = FAULT_FREE_FROM_MS;
@@ -109,21 +106,14 @@
         return new SimulatedUsers.SimulatedJob(spec, false, runMs);
     }
 
-    private static long countLines(ClusterSimulation simulation, String text) {
-        return simulation.log.stream().filter(line -> line.contains(text)).count();
-    }
-
     private static void assertInvariantsAndCompletion(ClusterSimulation simulation) {
-        assertEquals(
-                List.of(),
-                simulation.invariants.violations,
-                () -> String.join("\n", simulation.log));
+        assertEquals(List.of(), simulation.invariants.violations, simulation.log::toString);
         List<String> open =
                 simulation.users.jobs.values().stream()
                         .filter(job -> !job.doneConfirmed && !job.cancelConfirmed)
                         .map(job -> job.spec.id())
                         .toList();
-        assertEquals(List.of(), open, () -> String.join("\n", simulation.log));
+        assertEquals(List.of(), open, simulation.log::toString);
     }
 
     /**
@@ -131,7 +121,15 @@
      * were really hit.
      */
     private static void simulateWithFault(
-            BiConsumer<ClusterSimulation, StartedMigration> onMigration, String expected) {
+            BiConsumer<ClusterSimulation, StartedMigration> onMigration, LogEventType expected) {
+        simulateWithFault(onMigration, expected, "");
+    }
+
+    /** The same; the reason of the expected event starts with this text. */
+    private static void simulateWithFault(
+            BiConsumer<ClusterSimulation, StartedMigration> onMigration,
+            LogEventType expected,
+            String reason) {
         long seen = 0;
         for (long seed = 0; seed < 6; seed++) {
             int[] hit = {0};
@@ -150,22 +148,28 @@
                                 }
                             });
             assertInvariantsAndCompletion(simulation);
-            assertTrue(hit[0] > 0, "no move began with seed " + seed);
-            seen += countLines(simulation, expected);
+            assertTrue(hit[0] > 0, "no migration began with seed " + seed);
+            seen +=
+                    simulation
+                            .log
+                            .entries(expected)
+                            .filter(entry -> entry.text("reason").startsWith(reason))
+                            .count();
         }
-        assertTrue(seen > 0, "never seen: " + expected);
+        assertTrue(seen > 0, "never seen: " + expected + " " + reason);
     }
 
     @Example
     void migratedTasksCompleteOnce() {
-        simulateWithFault((cluster, migration) -> {}, "event=migration_completed ");
+        simulateWithFault((cluster, migration) -> {}, LogEventType.MIGRATION_COMPLETED);
     }
 
     @Example
     void targetIsTerminated() {
         simulateWithFault(
                 (cluster, migration) -> cluster.cloud.terminate(migration.target(cluster)),
-                " reason=target_lost");
+                LogEventType.MIGRATION_ABANDONED,
+                "target_lost");
     }
 
     @Example
@@ -183,7 +187,8 @@
                                                         controller.host, target.id, 15_000));
                     }
                 },
-                " reason=target");
+                LogEventType.MIGRATION_ABANDONED,
+                "target");
     }
 
     @Example
@@ -200,14 +205,14 @@
                         source.hang(7_000 + cluster.random.nextInt(20_000));
                     }
                 },
-                "lost its lease");
+                LogEventType.WORKER_LEASE_EXPIRED);
     }
 
     @Example
     void sourceIsTerminated() {
         simulateWithFault(
                 (cluster, migration) -> cluster.cloud.terminate(migration.source(cluster)),
-                "event=machine_removed ");
+                LogEventType.MACHINE_REMOVED);
     }
 
     @Example
@@ -220,7 +225,7 @@
                                     : migration.target(cluster);
                     machine.announceInterruption(2_000 + cluster.random.nextInt(4_000));
                 },
-                "event=migration_started ");
+                LogEventType.MIGRATION_STARTED);
     }
 
     @Example
@@ -234,7 +239,8 @@
                     cluster.scheduleAfter(
                             cluster.random.nextInt(6_000), () -> cluster.users.cancel(job));
                 },
-                " reason=job_closed");
+                LogEventType.MIGRATION_ABANDONED,
+                "job_closed");
     }
 
     @Example
@@ -252,7 +258,7 @@
                                         }
                                     }
                                 }),
-                "event=shard_acquired ");
+                LogEventType.SHARD_ACQUIRED);
     }
 
     /** The leader loses its workers and steps down while migrations are in progress. */
@@ -268,14 +274,15 @@
                                                         cluster, controller, 25_000));
                     }
                 },
-                "reason=\"stepped down: most");
+                LogEventType.LEADERSHIP_LOST,
+                "stepped down: most");
     }
 
     @Example
     void storeOutageDuringMigrations() {
         simulateWithFault(
                 (cluster, migration) -> cluster.store.outage(3_000 + cluster.random.nextInt(9_000)),
-                "event=lease_expired ");
+                LogEventType.LEASE_EXPIRED);
     }
 
     /**
@@ -293,7 +300,7 @@
                                     FaultInjection.currentLeaders(cluster)
                                             .forEach(controller -> controller.crash(300)));
                 },
-                "event=shard_acquired ");
+                LogEventType.SHARD_ACQUIRED);
     }
 
     /** Only some nodes have the feature: the leadership moves between both kinds. */
--- a/src/test/java/org/shoreusher/simulation/PreviousVersionFormatsTest.java
+++ b/src/test/java/org/shoreusher/simulation/PreviousVersionFormatsTest.java
@@ -15,6 +15,7 @@
 import org.shoreusher.core.JobSpecBuilder;
 import org.shoreusher.core.message.GossipMessage;
 import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.log.LogEventType;
 import org.shoreusher.peer.GossipCodec;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.SettingsBuilder;
@@ -77,16 +78,8 @@
         for (int valueBytes : new int[] {1_024, 2_048, 8_192}) {
             for (int txnOps : new int[] {4, 6, 12}) {
                 SingleNodeSimulation node = nodeOnPreviousVersionStore(valueBytes, txnOps, 300);
-                String limits =
-                        valueBytes
-                                + " bytes, "
-                                + txnOps
-                                + " operations\n"
-                                + String.join("\n", node.log);
-                assertTrue(
-                        node.log.stream()
-                                .anyMatch(line -> line.startsWith("event=shard_acquired ")),
-                        limits);
+                String limits = valueBytes + " bytes, " + txnOps + " operations\n" + node.log;
+                assertTrue(node.log.contains(LogEventType.SHARD_ACQUIRED), limits);
                 before.forEach(
                         (id, set) -> {
                             BitSet missing = (BitSet) set.clone();
@@ -270,8 +263,11 @@
                 .build();
     }
 
-    private static long countUpgradeLines(SingleNodeSimulation node, String with) {
-        return node.log.stream().filter(line -> line.startsWith(with)).count();
+    private static long countServicesDisabled(SingleNodeSimulation node, String members) {
+        return node.log
+                .entries(LogEventType.SERVICES_DISABLED)
+                .filter(entry -> entry.text("members").equals(members))
+                .count();
     }
 
     /**
@@ -282,8 +278,8 @@
     void refusesServicesUntilEveryNodeSupportsThem() {
         SingleNodeSimulation node = nodeInClusterOfTwo();
         assertEquals(503, node.submit(service("wk-000020", 3)));
-        assertEquals(1, countUpgradeLines(node, "event=services_disabled members=[node-1]"));
-        assertEquals(0, countUpgradeLines(node, "event=services_enabled"));
+        assertEquals(1, countServicesDisabled(node, "[node-1]"));
+        assertEquals(0, node.log.count(LogEventType.SERVICES_ENABLED));
         node.writeToStore("node/node-1", Map.of("formats", 2L));
         node.runSteps(5);
         assertEquals(201, node.submit(service("wk-000020", 3)));
@@ -293,7 +289,7 @@
                 "all replicas together are above the team's limit");
         assertEquals("pending", node.pollStatus("wk-000020"));
         node.runSteps(100);
-        assertEquals(1, countUpgradeLines(node, "event=services_enabled"), "once");
+        assertEquals(1, node.log.count(LogEventType.SERVICES_ENABLED), "once");
     }
 
     /**
@@ -314,12 +310,12 @@
                 Map.of("owner", "node-1/old", "expiry", expiry, "term", 9L, "done", Map.of()));
         node.runSteps(5);
         assertEquals(503, node.submit(service("wk-000022", 3)));
-        assertEquals(2, countUpgradeLines(node, "event=services_disabled members=[node-1]"));
+        assertEquals(2, countServicesDisabled(node, "[node-1]"));
         assertEquals(200, node.submit(service("wk-000020", 3)));
         node.writeToStore("node/node-1", Map.of("formats", 2L, "process", "node-1/newer"));
         node.runSteps(5);
         assertEquals(201, node.submit(service("wk-000022", 3)));
-        assertEquals(2, countUpgradeLines(node, "event=services_enabled"));
+        assertEquals(2, node.log.count(LogEventType.SERVICES_ENABLED));
     }
 
     /**
@@ -377,7 +373,7 @@
                 return;
             }
         }
-        throw new AssertionError("it never ran again\n" + String.join("\n", node.log));
+        throw new AssertionError("it never ran again\n" + node.log);
     }
 
     /** A service without placement constraints. */
--- a/src/test/java/org/shoreusher/simulation/PreviousVersionInteropTest.java
+++ b/src/test/java/org/shoreusher/simulation/PreviousVersionInteropTest.java
@@ -191,7 +191,7 @@
         simulation.scheduleAt(FAULT_FREE_FROM_MS, simulation.invariants::checkWaitingJobs);
         simulation.run(END_MS, List.of());
         simulation.invariants.checkAtEnd();
-        String log = "seed " + seed + "\n" + String.join("\n", simulation.log);
+        String log = "seed " + seed + "\n" + simulation.log;
         assertEquals(List.of(), simulation.invariants.violations, log);
         assertTrue(
                 previousVersionLeader.failovers > 0,
--- a/src/test/java/org/shoreusher/simulation/SaturatedCluster.java
+++ b/src/test/java/org/shoreusher/simulation/SaturatedCluster.java
@@ -68,19 +68,14 @@
 
     /** No invariant was violated, every job has ended, and no heartbeat contradicted a log. */
     static void assertInvariants(ClusterSimulation simulation) {
+        assertEquals(List.of(), simulation.invariants.violations, simulation.log::toString);
         assertEquals(
-                List.of(),
-                simulation.invariants.violations,
-                () -> String.join("\n", simulation.log));
-        assertEquals(
-                List.of(),
-                StandbySimulations.unfinishedJobs(simulation),
-                () -> String.join("\n", simulation.log));
+                List.of(), StandbySimulations.unfinishedJobs(simulation), simulation.log::toString);
         assertEquals(
                 0,
                 StandbySimulations.promotionOutcomes(simulation)
                         .getOrDefault("contradicted_by_heartbeat", 0),
-                () -> String.join("\n", simulation.log));
+                simulation.log::toString);
     }
 
     /** How many failovers continued from the replicated log. */
--- a/src/test/java/org/shoreusher/simulation/ServiceFaultsTest.java
+++ b/src/test/java/org/shoreusher/simulation/ServiceFaultsTest.java
@@ -65,7 +65,7 @@
     }
 
     private static String log(ClusterSimulation simulation) {
-        return String.join("\n", simulation.log);
+        return simulation.log.toString();
     }
 
     private static List<SimulatedWorker> machinesWithTasks(ClusterSimulation simulation) {
--- a/src/test/java/org/shoreusher/simulation/ServiceReplicaTest.java
+++ b/src/test/java/org/shoreusher/simulation/ServiceReplicaTest.java
@@ -12,6 +12,7 @@
 import org.shoreusher.core.message.WorkerHeartbeat.ExitCause;
 import org.shoreusher.core.message.WorkerHeartbeat.TaskState;
 import org.shoreusher.core.message.WorkerHeartbeat.TaskStatus;
+import org.shoreusher.log.LogEventType;
 
 /** What a leader does with the replicas of services. */
 class ServiceReplicaTest {
@@ -145,11 +146,7 @@
                 3,
                 startedOn.subList(0, 3).stream().distinct().count(),
                 () -> "starts " + startedOn);
-        assertEquals(
-                List.of(),
-                node.log.stream()
-                        .filter(line -> line.startsWith("event=machine_cordoned "))
-                        .toList());
+        assertEquals(List.of(), node.log.entries(LogEventType.MACHINE_CORDONED).toList());
     }
 
     /**
--- a/src/test/java/org/shoreusher/simulation/ServicesTest.java
+++ b/src/test/java/org/shoreusher/simulation/ServicesTest.java
@@ -46,7 +46,7 @@
         assertEquals(
                 List.of(),
                 simulation.invariants.violations,
-                () -> "seed " + seed + "\n" + String.join("\n", simulation.log));
+                () -> "seed " + seed + "\n" + simulation.log);
         assertTrue(
                 simulation.invariants.taskStarts > 80,
                 "hardly anything ran: " + simulation.invariants.taskStarts);
@@ -60,7 +60,7 @@
                                                 && !job.cancelConfirmed)
                         .map(job -> job.spec.id())
                         .toList(),
-                () -> "seed " + seed + "\n" + String.join("\n", simulation.log));
+                () -> "seed " + seed + "\n" + simulation.log);
     }
 
     @Property(tries = 40, seed = "99", shrinking = ShrinkingMode.OFF)
@@ -91,11 +91,7 @@
         assertInvariantsAndCompletion(simulation, seed);
         assertTrue(
                 down[0] < 3,
-                () ->
-                        "down: "
-                                + simulation.users.missingReplicas()
-                                + "\n"
-                                + String.join("\n", simulation.log));
+                () -> "down: " + simulation.users.missingReplicas() + "\n" + simulation.log);
     }
 
     /**
@@ -181,10 +177,7 @@
         simulation.scheduleAt(FAULT_FREE_FROM_MS, simulation.invariants::checkWaitingJobs);
         simulation.run(END_MS, List.of());
         assertInvariantsAndCompletion(simulation, seed);
-        assertEquals(
-                List.of(),
-                simulation.users.missingReplicas(),
-                () -> String.join("\n", simulation.log));
+        assertEquals(List.of(), simulation.users.missingReplicas(), simulation.log::toString);
     }
 
     /**
@@ -230,17 +223,14 @@
                                         FaultInjection.currentLeaders(x)
                                                 .forEach(controller -> controller.crash(500)))));
         simulation.invariants.checkAtEnd();
-        assertEquals(
-                List.of(),
-                simulation.invariants.violations,
-                () -> String.join("\n", simulation.log));
+        assertEquals(List.of(), simulation.invariants.violations, simulation.log::toString);
         assertTrue(
                 longest[0] > strict.maxValueBytes(),
                 () -> "the former version wrote nothing long: " + longest[0]);
         assertEquals(
                 0,
                 simulation.users.jobs.values().stream().filter(x -> !x.doneConfirmed).count(),
-                () -> String.join("\n", simulation.log));
+                simulation.log::toString);
         // At most a tenth runs again, for completions between two lease renewals.
         assertTrue(
                 simulation.invariants.taskStarts < 8_000 * 1.15,
--- a/src/test/java/org/shoreusher/simulation/SingleNodeSimulation.java
+++ b/src/test/java/org/shoreusher/simulation/SingleNodeSimulation.java
@@ -71,7 +71,7 @@
                     commands.add(
                             new Command.CloudReply(call.callId(), reply.status(), reply.body()));
                 } else if (effect instanceof Effect.Log logLine) {
-                    log.add(logLine.event().toString());
+                    log.add(nowMs, "node-0", logLine.event());
                 } else if (effect instanceof Effect.Respond response) {
                     responses.put(response.requestId(), WireResponse.of(response));
                 }
@@ -184,8 +184,8 @@
         return simulation.store;
     }
 
-    /** Lines of the node's log. */
-    final List<String> log = new ArrayList<>();
+    /** What the node has logged. */
+    final EventLog log = new EventLog();
 
     /** A user cancels a job through another node. */
     void cancelAtOtherNode(String id, int tasks) {
--- a/src/test/java/org/shoreusher/simulation/StandbyCrashPointsTest.java
+++ b/src/test/java/org/shoreusher/simulation/StandbyCrashPointsTest.java
@@ -73,7 +73,7 @@
                                                 cluster -> crashFirstLeader(cluster, crashPoint))));
                 assertInvariants(simulation);
                 boolean fromLog =
-                        StandbySimulations.firstPromotion(simulation).contains("outcome=in_sync ");
+                        StandbySimulations.firstPromotionOutcome(simulation).equals("in_sync");
                 promoted[crashPoint == CrashPoint.BEFORE_NAMING ? 0 : 1] += fromLog ? 1 : 0;
             }
         }
@@ -152,7 +152,7 @@
                                         });
                             });
             assertInvariants(simulation);
-            assertEquals(1, promotionsInSync(simulation), () -> String.join("\n", simulation.log));
+            assertEquals(1, promotionsInSync(simulation), simulation.log::toString);
         }
     }
 
@@ -242,10 +242,7 @@
                 });
         simulation.scheduleAt(FAULT_MS + 8_000, () -> starts[1] = simulation.invariants.taskStarts);
         simulation.run(FAULT_MS + 20_000, List.of());
-        assertEquals(
-                List.of(),
-                simulation.invariants.violations,
-                () -> String.join("\n", simulation.log));
+        assertEquals(List.of(), simulation.invariants.violations, simulation.log::toString);
         return starts[1] - starts[0];
     }
 }
--- a/src/test/java/org/shoreusher/simulation/StandbyFaultsTest.java
+++ b/src/test/java/org/shoreusher/simulation/StandbyFaultsTest.java
@@ -23,11 +23,11 @@
         assertEquals(
                 List.of(),
                 simulation.invariants.violations,
-                () -> "seed " + seed + "\n" + String.join("\n", simulation.log));
+                () -> "seed " + seed + "\n" + simulation.log);
         assertEquals(
                 List.of(),
                 StandbySimulations.unfinishedJobs(simulation),
-                () -> "seed " + seed + "\n" + String.join("\n", simulation.log));
+                () -> "seed " + seed + "\n" + simulation.log);
         StandbySimulations.promotionOutcomes(simulation)
                 .forEach((how, n) -> promotionOutcomes.merge(how, n, Integer::sum));
     }
--- a/src/test/java/org/shoreusher/simulation/StandbyPartitionsTest.java
+++ b/src/test/java/org/shoreusher/simulation/StandbyPartitionsTest.java
@@ -84,10 +84,7 @@
                             leader.crash(DOWNTIME_MS);
                         });
         simulations.forEach(
-                cluster ->
-                        assertTrue(
-                                promotionsInSync(cluster) == 0,
-                                () -> String.join("\n", cluster.log)));
+                cluster -> assertTrue(promotionsInSync(cluster) == 0, cluster.log::toString));
         assertAtLeast(6, totalPromotionsWithoutName(simulations));
     }
 
--- a/src/test/java/org/shoreusher/simulation/StandbyRandomCrashesTest.java
+++ b/src/test/java/org/shoreusher/simulation/StandbyRandomCrashesTest.java
@@ -7,6 +7,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import net.jqwik.api.Example;
+import org.shoreusher.log.LogEventType;
 
 /**
  * Leaders crash at random points: in the middle of a batch, between any two effects. No job is
@@ -29,17 +30,15 @@
             assertEquals(
                     List.of(),
                     simulation.invariants.violations,
-                    () -> "seed " + number + "\n" + String.join("\n", simulation.log));
+                    () -> "seed " + number + "\n" + simulation.log);
             assertEquals(
                     List.of(),
                     StandbySimulations.unfinishedJobs(simulation),
-                    () -> "seed " + number + "\n" + String.join("\n", simulation.log));
+                    () -> "seed " + number + "\n" + simulation.log);
             assertEquals(
                     List.of(),
-                    simulation.log.stream()
-                            .filter(line -> line.contains("event=attempt_log_contradicted "))
-                            .toList(),
-                    () -> "seed " + number + "\n" + String.join("\n", simulation.log));
+                    simulation.log.entries(LogEventType.ATTEMPT_LOG_CONTRADICTED).toList(),
+                    () -> "seed " + number + "\n" + simulation.log);
             StandbySimulations.promotionOutcomes(simulation)
                     .forEach((how, n) -> promotions.merge(how, n, Integer::sum));
         }
--- a/src/test/java/org/shoreusher/simulation/StandbySimulations.java
+++ b/src/test/java/org/shoreusher/simulation/StandbySimulations.java
@@ -5,6 +5,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
+import java.util.stream.Stream;
+import org.shoreusher.log.LogEventType;
 import org.shoreusher.settings.Features;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.simulation.ClusterSimulation.Fault;
@@ -94,25 +96,24 @@
     /** The number of failovers by outcome, as their log lines name it. */
     static Map<String, Integer> promotionOutcomes(ClusterSimulation simulation) {
         Map<String, Integer> counts = new HashMap<>();
-        for (String line : simulation.log) {
-            if (isPromotionOutcome(line)) {
-                counts.merge(line.replaceAll(".* outcome=(\\w+) .*", "$1"), 1, Integer::sum);
-            }
-        }
+        promotions(simulation)
+                .forEach(entry -> counts.merge(entry.text("outcome"), 1, Integer::sum));
         return counts;
     }
 
-    private static boolean isPromotionOutcome(String line) {
-        return line.contains("event=attempt_log_promoted ")
-                || line.contains("event=attempt_log_rejected ");
+    private static Stream<EventLog.Entry> promotions(ClusterSimulation simulation) {
+        return simulation
+                .log
+                .entries()
+                .filter(
+                        entry ->
+                                entry.is(LogEventType.ATTEMPT_LOG_PROMOTED)
+                                        || entry.is(LogEventType.ATTEMPT_LOG_REJECTED));
     }
 
-    /** The log line of the first failover from another leader. */
-    static String firstPromotion(ClusterSimulation simulation) {
-        return simulation.log.stream()
-                .filter(StandbySimulations::isPromotionOutcome)
-                .findFirst()
-                .orElseThrow();
+    /** The outcome of the first failover from another leader. */
+    static String firstPromotionOutcome(ClusterSimulation simulation) {
+        return promotions(simulation).findFirst().orElseThrow().text("outcome");
     }
 
     static List<String> unfinishedJobs(ClusterSimulation simulation) {
--- a/src/test/java/org/shoreusher/simulation/UnseenCancellationsTest.java
+++ b/src/test/java/org/shoreusher/simulation/UnseenCancellationsTest.java
@@ -111,7 +111,7 @@
         assertEquals(
                 List.of(),
                 simulation.invariants.violations,
-                () -> "seed " + seed + "\n" + String.join("\n", simulation.log));
+                () -> "seed " + seed + "\n" + simulation.log);
         assertTrue(countConfirmedCancellations(simulation) > 3, "hardly any cancellation");
     }
 
@@ -138,10 +138,7 @@
                                                                                                     .host,
                                                                                             100_000))),
                                     cancelMostJobs(FAULT_MS + 2_500)));
-            assertEquals(
-                    List.of(),
-                    simulation.invariants.violations,
-                    () -> String.join("\n", simulation.log));
+            assertEquals(List.of(), simulation.invariants.violations, simulation.log::toString);
             assertTrue(countConfirmedCancellations(simulation) > 3, "hardly any cancellation");
         }
     }
