--- a/src/main/java/org/shoreusher/core/job/CompletionRecords.java
+++ b/src/main/java/org/shoreusher/core/job/CompletionRecords.java
@@ -10,7 +10,6 @@
 import java.util.function.IntFunction;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.leadership.CompletionSnapshot;
-import org.shoreusher.core.store.StoreConstants;
 import org.shoreusher.core.store.TaskRanges;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.wire.FieldMap;
@@ -28,27 +27,25 @@
  */
 public final class CompletionRecords implements CompletionSnapshot {
     /** The completed tasks of one slice, and the index of its record. */
-    private record StoredSlice(Job job, int recordIndex, BitSet completedTasks) {}
-
-    /** The limit on the JSON length of a record, in bytes. */
-    private final int maxRecordBytes;
+    private record PlacedSlice(Job job, int recordIndex, BitSet completedTasks) {}
 
     private final Collection<Job> jobs;
+    private final CompletionSlices slices;
 
     /** Reads the stored value of a record by its index; empty if there is none. */
     private final IntFunction<Map<String, Object>> storedRecord;
 
     /** The completed tasks of each record, by job id. */
-    private final List<Map<String, BitSet>> chunks = new ArrayList<>();
+    private final List<Map<String, BitSet>> records = new ArrayList<>();
 
-    private final List<StoredSlice> storedSlices = new ArrayList<>();
+    private final List<PlacedSlice> placedSlices = new ArrayList<>();
 
     private CompletionRecords(
             Collection<Job> jobs,
-            int maxRecordBytes,
+            CompletionSlices slices,
             IntFunction<Map<String, Object>> storedRecord) {
         this.jobs = jobs;
-        this.maxRecordBytes = maxRecordBytes;
+        this.slices = slices;
         this.storedRecord = storedRecord;
     }
 
@@ -62,153 +59,50 @@
             Settings settings,
             IntFunction<Map<String, Object>> storedRecord) {
         CompletionRecords layout =
-                new CompletionRecords(jobs, maxRecordBytes(settings), storedRecord);
-        layout.recordCount(0);
-        layout.assignRecords();
-        jobs.forEach(layout::addSlices);
-        return layout;
-    }
-
-    private static int maxRecordBytes(Settings settings) {
-        return (int) (settings.maxValueBytes() * StoreConstants.RECORD_FILL_SHARE);
-    }
-
-    /**
-     * The number of tasks in a slice: as many as fit into a record if every other one completes.
-     */
-    private static int slice(Job job, int maxRecordBytes) {
-        return Math.max(1, (maxRecordBytes - frameBytes(job)) / JobConstants.RECORD_BYTES_PER_TASK);
-    }
-
-    /** Bytes that a job takes in a record besides its ranges. */
-    private static int frameBytes(Job job) {
-        return StoreConstants.RECORD_ENTRY_OVERHEAD_BYTES + job.id().length();
-    }
-
-    /** Sizes the job's table of slices; all slices are unassigned if their number has changed. */
-    private static void cutIntoSlices(Job job, int maxRecordBytes) {
-        int slices = (job.spec().taskCount() - 1) / slice(job, maxRecordBytes) + 1;
-        if (job.completionRecordBySlice().length != slices) {
-            job.resetCompletionRecords(slices);
+                new CompletionRecords(jobs, new CompletionSlices(settings), storedRecord);
+        int recordCount =
+                CompletionRecordAssignment.assign(
+                        jobs,
+                        layout.slices,
+                        recordIndex -> !storedRecord.apply(recordIndex).isEmpty());
+        for (int i = 0; i < recordCount; i++) {
+            layout.records.add(new LinkedHashMap<>());
         }
+        jobs.forEach(layout::placeSlices);
+        return layout;
     }
 
     /** Notes that a record of a previous leader holds these completed tasks of the job. */
     public static void adoptStoredRecord(
             Job job, BitSet completedTasks, int recordIndex, Settings settings) {
-        int maxRecordBytes = maxRecordBytes(settings);
-        cutIntoSlices(job, maxRecordBytes);
-        for (int i = completedTasks.nextSetBit(0);
-                i >= 0 && i < job.spec().taskCount();
-                i =
-                        completedTasks.nextSetBit(
-                                (i / slice(job, maxRecordBytes) + 1)
-                                        * slice(job, maxRecordBytes))) {
-            job.completionRecordBySlice()[i / slice(job, maxRecordBytes)] = recordIndex;
-        }
-    }
-
-    /** The most bytes that a slice can take in its record. */
-    private int worstCaseBytes(Job job, int slice) {
-        int size = slice(job, maxRecordBytes);
-        return frameBytes(job)
-                + Math.min(size, job.spec().taskCount() - slice * size)
-                        * JobConstants.RECORD_BYTES_PER_TASK;
-    }
-
-    /** Assigns a record to each slice that has none or no longer fits into its own. */
-    private void assignRecords() {
-        List<Integer> bytesByRecord = new ArrayList<>();
-        for (Job job : jobs) {
-            if (!job.spec().workloadType().runsToCompletion()) {
-                continue;
-            }
-            cutIntoSlices(job, maxRecordBytes);
-            for (int i = 0; i < job.completionRecordBySlice().length; i++) {
-                int recordIndex = job.completionRecordBySlice()[i];
-                if (recordIndex >= 0
-                        && assignedBytes(bytesByRecord, recordIndex) + worstCaseBytes(job, i)
-                                > maxRecordBytes) {
-                    job.completionRecordBySlice()[i] = -1;
-                } else if (recordIndex >= 0) {
-                    bytesByRecord.set(
-                            recordIndex, bytesByRecord.get(recordIndex) + worstCaseBytes(job, i));
-                }
-            }
+        CompletionSlices slices = new CompletionSlices(settings);
+        slices.resizeTable(job);
+        int tasksPerSlice = slices.tasksPerSlice(job.id());
+        int taskIndex = completedTasks.nextSetBit(0);
+        while (taskIndex >= 0 && taskIndex < job.spec().taskCount()) {
+            int slice = taskIndex / tasksPerSlice;
+            job.completionRecordBySlice()[slice] = recordIndex;
+            taskIndex = completedTasks.nextSetBit((slice + 1) * tasksPerSlice);
         }
-        int firstUnusedRecord = 1;
-        while (!storedRecord.apply(firstUnusedRecord).isEmpty()) {
-            firstUnusedRecord++;
-        }
-        for (Job job : jobs) {
-            for (int i = 0; i < job.completionRecordBySlice().length; i++) {
-                if (job.completionRecordBySlice()[i] < 0) {
-                    // A slice that moves goes to a new record: two full records whose slices change
-                    // places would each wait until the other one is written.
-                    int recordIndex =
-                            slice(job, i, job.durablyCompletedTasks()).isEmpty()
-                                    ? 0
-                                    : firstUnusedRecord;
-                    while (assignedBytes(bytesByRecord, recordIndex) + worstCaseBytes(job, i)
-                            > maxRecordBytes) {
-                        recordIndex++;
-                    }
-                    job.completionRecordBySlice()[i] = recordIndex;
-                    bytesByRecord.set(
-                            recordIndex, bytesByRecord.get(recordIndex) + worstCaseBytes(job, i));
-                }
-            }
-        }
-        recordCount(Math.max(0, bytesByRecord.size() - 1));
-        // Records of a previous leader to which no slice is assigned any more are listed too, so
-        // that they are emptied.
-        for (int recordIndex = bytesByRecord.size();
-                !storedRecord.apply(recordIndex).isEmpty();
-                recordIndex++) {
-            recordCount(recordIndex);
-        }
-    }
-
-    /** The worst-case bytes assigned to a record so far. */
-    private static int assignedBytes(List<Integer> bytesByRecord, int recordIndex) {
-        while (bytesByRecord.size() <= recordIndex) {
-            bytesByRecord.add(0);
-        }
-        return bytesByRecord.get(recordIndex);
-    }
-
-    /** The given tasks that belong to one slice. */
-    private BitSet slice(Job job, int i, BitSet tasks) {
-        int size = slice(job, maxRecordBytes);
-        BitSet set = new BitSet();
-        set.set(i * size, Math.min(job.spec().taskCount(), (i + 1) * size));
-        set.and(tasks);
-        return set;
     }
 
-    private void addSlices(Job job) {
-        for (int i = 0; i < job.completionRecordBySlice().length; i++) {
-            BitSet set = slice(job, i, job.completedTasks());
-            if (!set.isEmpty()) {
-                recordCount(job.completionRecordBySlice()[i])
-                        .computeIfAbsent(job.id(), id -> new BitSet())
-                        .or(set);
-                storedSlices.add(new StoredSlice(job, job.completionRecordBySlice()[i], set));
+    private void placeSlices(Job job) {
+        int[] recordBySlice = job.completionRecordBySlice();
+        for (int slice = 0; slice < recordBySlice.length; slice++) {
+            BitSet completed = slices.tasksIn(job, slice, job.completedTasks());
+            if (!completed.isEmpty()) {
+                records.get(recordBySlice[slice])
+                        .computeIfAbsent(job.id(), jobId -> new BitSet())
+                        .or(completed);
+                placedSlices.add(new PlacedSlice(job, recordBySlice[slice], completed));
             }
         }
     }
 
-    private Map<String, BitSet> recordCount(int recordIndex) {
-        while (chunks.size() <= recordIndex) {
-            chunks.add(new LinkedHashMap<>());
-        }
-        return chunks.get(recordIndex);
-    }
-
     /** The number of records. */
     @Override
     public int recordCount() {
-        return chunks.size();
+        return records.size();
     }
 
     /**
@@ -217,45 +111,54 @@
      */
     @Override
     public Map<String, Object> recordValue(int recordIndex) {
-        Map<String, BitSet> wanted = new LinkedHashMap<>(chunks.get(recordIndex));
+        Map<String, BitSet> tasksByJob = new LinkedHashMap<>(records.get(recordIndex));
         Map<String, Object> storedValue = storedRecord.apply(recordIndex);
         for (Job job : jobs) {
             if (storedValue.get(job.id()) instanceof String ranges) {
-                BitSet notElsewhere = TaskRanges.parse(ranges);
-                if (wanted.containsKey(job.id())) {
-                    notElsewhere.andNot(wanted.get(job.id()));
+                BitSet own = tasksByJob.get(job.id());
+                BitSet onlyHere = TaskRanges.parse(ranges);
+                if (own != null) {
+                    onlyHere.andNot(own);
                 }
-                // Only the record assigned to a slice counts as a second copy: two other records
-                // could each rely on the other one and both drop the tasks.
-                for (int i = 0;
-                        i < job.completionRecordBySlice().length && !notElsewhere.isEmpty();
-                        i++) {
-                    if (job.completionRecordBySlice()[i] != recordIndex
-                            && storedRecord.apply(job.completionRecordBySlice()[i]).get(job.id())
-                                    instanceof String otherRanges) {
-                        notElsewhere.andNot(slice(job, i, TaskRanges.parse(otherRanges)));
+                removeStoredElsewhere(job, recordIndex, onlyHere);
+                if (!onlyHere.isEmpty()) {
+                    if (own != null) {
+                        onlyHere.or(own);
                     }
-                }
-                if (!notElsewhere.isEmpty()) {
-                    notElsewhere.or(wanted.getOrDefault(job.id(), new BitSet()));
-                    wanted.put(job.id(), notElsewhere);
+                    tasksByJob.put(job.id(), onlyHere);
                 }
             }
         }
         Map<String, Object> value = new LinkedHashMap<>();
-        wanted.forEach((id, set) -> value.put(id, TaskRanges.format(set)));
-        return FieldMap.jsonLength(value) > maxRecordBytes ? storedValue : value;
+        tasksByJob.forEach((jobId, tasks) -> value.put(jobId, TaskRanges.format(tasks)));
+        return FieldMap.jsonLength(value) > slices.maxRecordBytes() ? storedValue : value;
+    }
+
+    /**
+     * Removes the tasks that are stored in the record of their slice, unless it is the given one.
+     * Only the record assigned to a slice counts as a second copy: two other records could each
+     * rely on the other one and both drop the tasks.
+     */
+    private void removeStoredElsewhere(Job job, int recordIndex, BitSet tasks) {
+        int[] recordBySlice = job.completionRecordBySlice();
+        for (int slice = 0; slice < recordBySlice.length && !tasks.isEmpty(); slice++) {
+            if (recordBySlice[slice] != recordIndex
+                    && storedRecord.apply(recordBySlice[slice]).get(job.id())
+                            instanceof String ranges) {
+                tasks.andNot(slices.tasksIn(job, slice, TaskRanges.parse(ranges)));
+            }
+        }
     }
 
     /** Updates each job's durably completed tasks from the stored records. */
     @Override
     public void markDurable() {
-        for (StoredSlice storedSlice : storedSlices) {
-            if (storedRecord.apply(storedSlice.recordIndex).get(storedSlice.job.id())
+        for (PlacedSlice placed : placedSlices) {
+            if (storedRecord.apply(placed.recordIndex).get(placed.job.id())
                     instanceof String ranges) {
-                BitSet set = TaskRanges.parse(ranges);
-                set.and(storedSlice.completedTasks);
-                storedSlice.job.durablyCompletedTasks().or(set);
+                BitSet durable = TaskRanges.parse(ranges);
+                durable.and(placed.completedTasks);
+                placed.job.durablyCompletedTasks().or(durable);
             }
         }
     }
@@ -271,16 +174,15 @@
             Map<String, Object> rangesByJob,
             Settings settings,
             Function<String, BitSet> storedElsewhere) {
-        int maxRecordBytes = maxRecordBytes(settings);
+        CompletionSlices slices = new CompletionSlices(settings);
         List<Map<String, Object>> records = new ArrayList<>();
         Map<String, Object> current = new LinkedHashMap<>();
         int currentBytes = 0;
         for (Map.Entry<String, Object> entry : rangesByJob.entrySet()) {
             BitSet remaining = TaskRanges.parse((String) entry.getValue());
             remaining.andNot(storedElsewhere.apply(entry.getKey()));
-            int frameBytes = StoreConstants.RECORD_ENTRY_OVERHEAD_BYTES + entry.getKey().length();
-            int tasksPerPiece =
-                    Math.max(1, (maxRecordBytes - frameBytes) / JobConstants.RECORD_BYTES_PER_TASK);
+            int overheadBytes = CompletionSlices.overheadBytes(entry.getKey());
+            int tasksPerPiece = slices.tasksPerSlice(entry.getKey());
             for (int from = remaining.nextSetBit(0);
                     from >= 0;
                     from = remaining.nextSetBit(from + tasksPerPiece)) {
@@ -288,14 +190,14 @@
                 piece.set(from, from + tasksPerPiece);
                 piece.and(remaining);
                 String text = TaskRanges.format(piece);
-                if (currentBytes + frameBytes + text.length() > maxRecordBytes
+                if (currentBytes + overheadBytes + text.length() > slices.maxRecordBytes()
                         || current.containsKey(entry.getKey())) {
                     records.add(current);
                     current = new LinkedHashMap<>();
                     currentBytes = 0;
                 }
                 current.put(entry.getKey(), text);
-                currentBytes += frameBytes + text.length();
+                currentBytes += overheadBytes + text.length();
             }
         }
         if (!current.isEmpty()) {
--- /dev/null
+++ b/src/main/java/org/shoreusher/core/job/CompletionSlices.java
@@ -0,0 +1,67 @@
+package org.shoreusher.core.job;
+
+import java.util.BitSet;
+import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.store.StoreConstants;
+import org.shoreusher.settings.Settings;
+
+/**
+ * The slices into which the tasks of a job are divided for its completion records. A slice has
+ * consecutive task indexes and fits into one record in whatever order its tasks complete.
+ */
+final class CompletionSlices {
+    /** The record of a slice that is in no record yet. */
+    static final int UNASSIGNED = -1;
+
+    /** The limit on the JSON length of a record, in bytes. */
+    private final int maxRecordBytes;
+
+    /** The slices under the settings' limit on a value. */
+    CompletionSlices(Settings settings) {
+        maxRecordBytes = (int) (settings.maxValueBytes() * StoreConstants.RECORD_FILL_SHARE);
+    }
+
+    /** The limit on the JSON length of a record, in bytes. */
+    int maxRecordBytes() {
+        return maxRecordBytes;
+    }
+
+    /** Bytes that a job takes in a record besides its ranges. */
+    static int overheadBytes(String jobId) {
+        return StoreConstants.RECORD_ENTRY_OVERHEAD_BYTES + jobId.length();
+    }
+
+    /**
+     * The number of tasks in a slice: as many as fit into a record if every other one is completed.
+     */
+    int tasksPerSlice(String jobId) {
+        return Math.max(
+                1, (maxRecordBytes - overheadBytes(jobId)) / JobConstants.RECORD_BYTES_PER_TASK);
+    }
+
+    /** Sizes the job's table of slices; all slices are unassigned if their number has changed. */
+    void resizeTable(Job job) {
+        int sliceCount = (job.spec().taskCount() - 1) / tasksPerSlice(job.id()) + 1;
+        if (job.completionRecordBySlice().length != sliceCount) {
+            job.resetCompletionRecords(sliceCount);
+        }
+    }
+
+    /** The most bytes that a slice can take in its record. */
+    int maxBytes(Job job, int slice) {
+        int tasksPerSlice = tasksPerSlice(job.id());
+        int taskCount = Math.min(tasksPerSlice, job.spec().taskCount() - slice * tasksPerSlice);
+        return overheadBytes(job.id()) + taskCount * JobConstants.RECORD_BYTES_PER_TASK;
+    }
+
+    /** The given tasks that belong to a slice. */
+    BitSet tasksIn(Job job, int slice, BitSet tasks) {
+        int tasksPerSlice = tasksPerSlice(job.id());
+        BitSet inSlice = new BitSet();
+        inSlice.set(
+                slice * tasksPerSlice,
+                Math.min(job.spec().taskCount(), (slice + 1) * tasksPerSlice));
+        inSlice.and(tasks);
+        return inSlice;
+    }
+}
