--- a/src/main/java/org/shoreusher/core/job/HighWaterMarkRecords.java
+++ b/src/main/java/org/shoreusher/core/job/HighWaterMarkRecords.java
@@ -2,10 +2,10 @@
 
 import java.util.LinkedHashMap;
 import java.util.Map;
+import org.shoreusher.core.store.HighWaterMarkRecord;
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.core.store.StoreConstants;
 import org.shoreusher.core.store.StoreSchema;
-import org.shoreusher.core.store.StoreSchema.HighWaterMarkRecord;
 import org.shoreusher.settings.Settings;
 
 /** The stored high-water marks of a shard's jobs, some hundred to a record. */
--- a/src/main/java/org/shoreusher/core/job/HighWaterMarkWrite.java
+++ b/src/main/java/org/shoreusher/core/job/HighWaterMarkWrite.java
@@ -6,10 +6,10 @@
 import java.util.Map;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.core.store.HighWaterMarkRecord;
+import org.shoreusher.core.store.JobRecord;
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.core.store.StoreSchema;
-import org.shoreusher.core.store.StoreSchema.HighWaterMarkRecord;
-import org.shoreusher.core.store.StoreSchema.JobRecord;
 
 /** One write of high-water marks: first it is put together, then its marks become durable. */
 final class HighWaterMarkWrite {
--- a/src/main/java/org/shoreusher/core/job/SubmissionBatches.java
+++ b/src/main/java/org/shoreusher/core/job/SubmissionBatches.java
@@ -9,6 +9,7 @@
 import java.util.function.BiConsumer;
 import org.shoreusher.core.leadership.ShardLeadership;
 import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.core.message.ReplyStatus;
 import org.shoreusher.core.store.JobRecord;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreCache;
@@ -43,7 +44,7 @@
 
     private boolean removalInFlight;
 
-    /** When empty batches are next removed; steady ms. */
+    /** When empty batches are next removed; monotonic ms. */
     private long nextRemovalMs;
 
     /** No batches yet. */
@@ -139,7 +140,7 @@
                             new StoreOperation.CompareAndSwap(preconditions, writes),
                             reply -> {
                                 removalInFlight = false;
-                                if (reply.status() == 200) {
+                                if (reply.status() == ReplyStatus.OK) {
                                     storeCache.applyOwnWrites(reply, writes);
                                 }
                             });
--- a/src/main/java/org/shoreusher/core/job/TerminalJobCache.java
+++ b/src/main/java/org/shoreusher/core/job/TerminalJobCache.java
@@ -14,13 +14,15 @@
  * store; a bounded number is kept here, and the store keeps all of them.
  */
 public final class TerminalJobCache {
-    /** A cancelled job, and when its record is evicted; steady ms. */
+    /** A cancelled job, and when its record is evicted; monotonic ms. */
     private record PendingEviction(String jobId, long evictAtMs) {}
 
-    private final Settings settings;
     private final Outbox outbox;
     private final StoreCache storeCache;
 
+    /** ms after a cancellation until the job's tasks have surely been stopped. */
+    private final long cancelledRetentionMs;
+
     /** Jobs evicted from the cache of the store; those dropped here can be read from the store. */
     private final Cache<String, JobRecord> terminalJobs =
             Caffeine.newBuilder()
@@ -33,9 +35,13 @@
 
     /** An empty cache. */
     public TerminalJobCache(Settings settings, Outbox outbox, StoreCache storeCache) {
-        this.settings = settings;
         this.outbox = outbox;
         this.storeCache = storeCache;
+        cancelledRetentionMs =
+                (long)
+                        (settings.cancellationLimitS()
+                                * 1000
+                                * JobConstants.CANCELLED_JOB_RETENTION_FACTOR);
     }
 
     /** The record of a job in a terminal state; null if it is not in memory. */
@@ -55,13 +61,7 @@
      */
     public void jobCancelled(String jobId) {
         pendingEvictions.add(
-                new PendingEviction(
-                        jobId,
-                        outbox.now().monotonicMs()
-                                + (long)
-                                        (settings.cancellationLimitS()
-                                                * 1000
-                                                * JobConstants.CANCELLED_JOB_RETENTION_FACTOR)));
+                new PendingEviction(jobId, outbox.now().monotonicMs() + cancelledRetentionMs));
     }
 
     /**
@@ -74,17 +74,19 @@
             StoreCache.Entry entry = storeCache.get(StoreSchema.jobKey(jobId));
             if (entry != null) {
                 JobRecord record = JobRecord.fromMap(entry.value());
-                terminalJobs.put(
-                        jobId,
-                        new JobRecord(
-                                record.shardNumber(),
-                                record.status(),
-                                record.taskCount(),
-                                record.acceptedWallMs(),
-                                record.highWaterMark(),
-                                null));
+                terminalJobs.put(jobId, withoutSpec(record));
                 storeCache.evict(StoreSchema.jobKey(jobId));
             }
         }
     }
+
+    private static JobRecord withoutSpec(JobRecord record) {
+        return new JobRecord(
+                record.shardNumber(),
+                record.status(),
+                record.taskCount(),
+                record.acceptedWallMs(),
+                record.highWaterMark(),
+                null);
+    }
 }
--- a/src/main/java/org/shoreusher/core/job/TerminalStateWriter.java
+++ b/src/main/java/org/shoreusher/core/job/TerminalStateWriter.java
@@ -6,6 +6,7 @@
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.leadership.ShardLeadership;
 import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.core.message.ReplyStatus;
 import org.shoreusher.core.store.JobRecord;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreCache;
@@ -54,32 +55,33 @@
         if (completedJobs.isEmpty() || !leadership.isLeader()) {
             return;
         }
-        completedJobs.removeIf(job -> job.isClosed());
+        completedJobs.removeIf(Job::isClosed);
         for (Job job : completedJobs) {
             JobRecord record = submissionBatches.jobRecord(job.id());
             if (job.isTerminalWriteInFlight() || record == null) {
                 continue;
             }
-            Map<String, Map<String, Object>> writes =
-                    Map.of(StoreSchema.jobKey(job.id()), record.asDone().toMap());
-            // A failed precondition means that a cancellation came first; the watch will show it.
-            boolean sent =
-                    outbox.callStore(
-                            new StoreOperation.CompareAndSwap(
-                                    leadership.preconditions(
-                                            StoreSchema.jobKey(job.id()),
-                                            storeCache.version(StoreSchema.jobKey(job.id()))),
-                                    writes),
-                            reply -> {
-                                job.setTerminalWriteInFlight(false);
-                                if (reply.status() == 200) {
-                                    storeCache.applyOwnWrites(reply, writes);
-                                }
-                            });
+            boolean sent = write(job, record);
             job.setTerminalWriteInFlight(sent);
             if (!sent) {
                 return;
             }
         }
     }
+
+    /** Writes the job's terminal state; returns false if the rate limit does not allow it now. */
+    private boolean write(Job job, JobRecord record) {
+        String key = StoreSchema.jobKey(job.id());
+        Map<String, Map<String, Object>> writes = Map.of(key, record.asDone().toMap());
+        // A failed precondition means that a cancellation came first; the watch will show it.
+        return outbox.callStore(
+                new StoreOperation.CompareAndSwap(
+                        leadership.preconditions(key, storeCache.version(key)), writes),
+                reply -> {
+                    job.setTerminalWriteInFlight(false);
+                    if (reply.status() == ReplyStatus.OK) {
+                        storeCache.applyOwnWrites(reply, writes);
+                    }
+                });
+    }
 }
--- a/src/main/java/org/shoreusher/core/store/StoreCache.java
+++ b/src/main/java/org/shoreusher/core/store/StoreCache.java
@@ -19,6 +19,9 @@
  * applied by version, so pages, watch results and this node's own writes may arrive in any order.
  */
 public final class StoreCache {
+    /** The version of a key that has no value. */
+    public static final long ABSENT = 0;
+
     /**
      * The value of one key.
      *
@@ -108,7 +111,7 @@
      */
     public long version(String key) {
         Entry entry = entries.get(key);
-        return entry == null ? 0 : entry.version();
+        return entry == null ? ABSENT : entry.version();
     }
 
     /**
