--- a/src/main/java/org/shoreusher/core/reconcile/PromotedAttemptLog.java
+++ b/src/main/java/org/shoreusher/core/reconcile/PromotedAttemptLog.java
@@ -1,5 +1,6 @@
 package org.shoreusher.core.reconcile;
 
+import java.util.Optional;
 import java.util.function.Consumer;
 import org.shoreusher.standby.AttemptTable;
 import org.shoreusher.standby.PromotionOutcome;
@@ -7,9 +8,9 @@
 /**
  * What a new leader has from the attempt log that the previous leader replicated to it.
  *
- * @param attemptTable the attempts that may be on machines; null if there is no usable log and the
+ * @param attemptTable the attempts that may be on machines; empty if there is no usable log and the
  *     attempts have to be learnt from heartbeats
  * @param onRejected called with the reason when the log turns out to be wrong after all
  */
 public record PromotedAttemptLog(
-        AttemptTable attemptTable, Consumer<PromotionOutcome> onRejected) {}
+        Optional<AttemptTable> attemptTable, Consumer<PromotionOutcome> onRejected) {}
--- a/src/main/java/org/shoreusher/core/reconcile/Reconciliation.java
+++ b/src/main/java/org/shoreusher/core/reconcile/Reconciliation.java
@@ -146,9 +146,7 @@
             }
             terminalStateWriter.taskCompleted(job);
         }
-        if (promotedLog.attemptTable() != null) {
-            restoreFromLog(promotedLog.attemptTable().copyAttempts());
-        }
+        promotedLog.attemptTable().ifPresent(table -> restoreFromLog(table.copyAttempts()));
         if (!usesPromotedLog) {
             shard.jobs().values().forEach(this::withholdPossiblyRunningTasks);
         }
--- a/src/main/java/org/shoreusher/core/replication/StandbyReplicas.java
+++ b/src/main/java/org/shoreusher/core/replication/StandbyReplicas.java
@@ -3,6 +3,7 @@
 import java.util.EnumMap;
 import java.util.Locale;
 import java.util.Map;
+import java.util.Optional;
 import org.shoreusher.core.message.Effect;
 import org.shoreusher.core.store.NodeContext;
 import org.shoreusher.core.store.Outbox;
@@ -62,24 +63,21 @@
         if (isDisabled() || stream.shardNumber() < 0 || stream.shardNumber() >= receivers.length) {
             return;
         }
-        LogAcknowledgement acknowledgement;
         if (stream.standby().equals(processName)) {
-            acknowledgement =
-                    isFromFormerTerm(stream)
-                            ? null
-                            : receiverFor(stream.shardNumber()).receive(frame);
+            if (!isFromFormerTerm(stream)) {
+                receiverFor(stream.shardNumber()).receive(frame).ifPresent(this::send);
+            }
         } else if (LogStream.hostOf(stream.standby()).equals(settings.host())) {
-            acknowledgement = new LogAcknowledgement(stream, 0, false);
-        } else {
-            return;
-        }
-        if (acknowledgement != null) {
-            outbox.add(
-                    new Effect.SendStandbyMessage(
-                            LogStream.hostOf(stream.leader()), acknowledgement));
+            send(new LogAcknowledgement(stream, 0, false));
         }
     }
 
+    private void send(LogAcknowledgement acknowledgement) {
+        outbox.add(
+                new Effect.SendStandbyMessage(
+                        LogStream.hostOf(acknowledgement.stream().leader()), acknowledgement));
+    }
+
     /** Whether the store cache shows a newer leadership term of the shard. */
     private boolean isFromFormerTerm(LogStream stream) {
         FencingRecord fencingRecord = fencingRecord(stream.shardNumber());
@@ -118,21 +116,26 @@
      * @param namedStandby the standby named in the shard record that the failover replaced; null if
      *     none
      * @param previous the fencing record that the failover replaced; null if the shard is new
-     * @return the attempts that may be on the shard's machines; null if the log can't be used and
+     * @return the attempts that may be on the shard's machines; empty if the log can't be used and
      *     they have to be learnt from heartbeats
      */
-    public AttemptTable promote(int shardNumber, String namedStandby, FencingRecord previous) {
-        AttemptLogReceiver receiver = receivers[shardNumber];
+    public Optional<AttemptTable> promote(
+            int shardNumber, String namedStandby, FencingRecord previous) {
+        if (isDisabled()) {
+            return Optional.empty();
+        }
+        AttemptLogReceiver receiver = receiverFor(shardNumber);
         receivers[shardNumber] = null;
-        if (isDisabled() || previous == null) {
-            return null;
+        if (previous == null) {
+            return Optional.empty();
         }
         PromotionOutcome outcome =
-                (receiver == null ? receiverFor(shardNumber) : receiver)
-                        .promotionOutcome(
-                                processName, namedStandby, previous.leader, previous.term);
+                receiver.promotionOutcome(
+                        processName, namedStandby, previous.leader, previous.term);
         recordOutcome(shardNumber, outcome);
-        return outcome == PromotionOutcome.IN_SYNC ? receiver.takeTable() : null;
+        return outcome == PromotionOutcome.IN_SYNC
+                ? Optional.of(receiver.takeTable())
+                : Optional.empty();
     }
 
     /** Counts and logs the outcome of a promotion. */
--- a/src/main/java/org/shoreusher/core/replication/StandbyReplication.java
+++ b/src/main/java/org/shoreusher/core/replication/StandbyReplication.java
@@ -1,11 +1,6 @@
 package org.shoreusher.core.replication;
 
-import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
-import org.HdrHistogram.Histogram;
-import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.cluster.Machine;
 import org.shoreusher.core.cluster.ResourceLedger;
 import org.shoreusher.core.cluster.ShardContext;
@@ -14,16 +9,12 @@
 import org.shoreusher.core.leadership.ShardAuthority;
 import org.shoreusher.core.leadership.ShardLeadership;
 import org.shoreusher.core.message.Effect;
-import org.shoreusher.core.message.JobSpec;
-import org.shoreusher.core.message.Response;
 import org.shoreusher.core.message.WorkerOrder;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.VersionNegotiation;
 import org.shoreusher.log.LogEvent;
 import org.shoreusher.log.LogEventType;
 import org.shoreusher.settings.SharedConstants;
-import org.shoreusher.standby.Attempt;
-import org.shoreusher.standby.AttemptId;
 import org.shoreusher.standby.AttemptLogSender;
 import org.shoreusher.standby.LogAcknowledgement;
 import org.shoreusher.standby.LogFrame;
@@ -43,9 +34,6 @@
  * the store has confirmed the removal, nothing is started.
  */
 public final class StandbyReplication implements ResourceLedger.Listener {
-    /** ms; longer durations are recorded as this one. */
-    private static final long MAX_HELD_MS = 10_000;
-
     /** The phases of replication to a standby. */
     private enum Phase {
         /** There is no standby; starts are sent at once. */
@@ -60,37 +48,23 @@
         REMOVING_NAME
     }
 
-    /**
-     * An answer with starts that waits for the standby's acknowledgement.
-     *
-     * @param lastChange the number of the change up to which all changes must be acknowledged
-     * @param heldSinceMs steady ms at which it was held
-     */
-    private record HeldAnswer(
-            long requestId, List<WorkerOrder> orders, long lastChange, long heldSinceMs) {}
-
     private final ShardAuthority authority;
     private final int shardNumber;
     private final Outbox outbox;
     private final ShardLeadership leadership;
     private final VersionNegotiation versionNegotiation;
     private final PeerView peerView;
+    private final boolean enabled;
     private final StandbySettings settings;
     private final AttemptLogSender logSender;
+    private final AttemptLogWriter logWriter;
+    private final HeartbeatAnswers answers;
     private final StandbyChooser standbyChooser;
-    private final Map<Machine, HeldAnswer> heldAnswers = new LinkedHashMap<>();
-
-    /** Completed attempts whose completion record is not durable yet. */
-    private final List<TaskAttempt> completedNotDurable = new ArrayList<>();
-
     private Phase phase = Phase.NO_STANDBY;
     private long changeToConfirm;
     private long namedAtMs;
     private long nextStatisticsMs;
 
-    /** ms for which answers with starts were held, since the last statistics in the log. */
-    private final Histogram heldDurationMs = new Histogram(MAX_HELD_MS, 2);
-
     /** Creates the replication of a shard that this process leads, without a standby at first. */
     public StandbyReplication(ShardContext context, PeerView peerView, ShardLeadership leadership) {
         authority = context.authority();
@@ -99,73 +73,35 @@
         this.leadership = leadership;
         outbox = context.outbox();
         versionNegotiation = context.node().versionNegotiation();
-        settings = context.node().features().standby();
+        enabled = context.node().features().standby() != null;
+        settings = enabled ? context.node().features().standby() : StandbySettings.DEFAULTS;
         standbyChooser = new StandbyChooser(context.settings().zone());
         logSender =
-                settings == null
-                        ? null
-                        : new AttemptLogSender(
-                                shardNumber,
-                                leadership.acquisitionTerm(),
-                                leadership.processName(),
-                                settings.frameRecords());
-    }
-
-    private boolean isDisabled() {
-        return logSender == null;
+                new AttemptLogSender(
+                        shardNumber,
+                        leadership.acquisitionTerm(),
+                        leadership.processName(),
+                        settings.frameRecords());
+        logWriter = new AttemptLogWriter(logSender);
+        answers = new HeartbeatAnswers(authority, outbox, settings.ackTimeoutMs());
     }
 
     // ---- changes of the shard's attempts -----------------------------------------------------
 
-    /** Replicates the start of an attempt. */
     @Override
     public void attemptAdded(TaskAttempt attempt) {
-        if (!isDisabled()) {
-            JobSpec spec = attempt.job().spec();
-            logSender.recordStart(
-                    new Attempt(
-                            attemptIdOf(attempt),
-                            attempt.machine().id(),
-                            spec.team(),
-                            spec.cpus(),
-                            spec.gpus(),
-                            spec.memGb()));
+        if (enabled) {
+            logWriter.writeStart(attempt);
         }
     }
 
-    /**
-     * Replicates the end of an attempt. The completion record of a task becomes durable only with
-     * the leader's next lease renewal. A new leader that found the end in the log, but no
-     * completion in the store, would start the task again although a worker that has not sent it a
-     * heartbeat has the result. The end of a completed attempt is therefore replicated once its
-     * completion is durable.
-     */
     @Override
     public void attemptRemoved(TaskAttempt attempt) {
-        if (isDisabled()) {
-            return;
-        }
-        if (isEndDurable(attempt)) {
-            logSender.recordEnd(attemptIdOf(attempt));
-        } else {
-            completedNotDurable.add(attempt);
+        if (enabled) {
+            logWriter.writeEnd(attempt);
         }
     }
 
-    /**
-     * Whether the end can be replicated: the task did not complete, or its completion is durable.
-     */
-    private static boolean isEndDurable(TaskAttempt attempt) {
-        Job job = attempt.job();
-        return !job.completedTasks().get(attempt.taskIndex())
-                || job.durablyCompletedTasks().get(attempt.taskIndex())
-                || job.isClosed();
-    }
-
-    private static AttemptId attemptIdOf(TaskAttempt attempt) {
-        return new AttemptId(attempt.job().id(), attempt.taskIndex(), attempt.attemptNumber());
-    }
-
     // ---- answers to heartbeats ---------------------------------------------------------------
 
     /** Whether the state of replication permits starts, held or not. */
@@ -182,112 +118,34 @@
      * the worker does not wait for that answer any more.
      */
     public void discardHeldAnswer(Machine machine) {
-        HeldAnswer superseded = heldAnswers.remove(machine);
-        if (superseded != null) {
-            outbox.respondUnavailable(superseded.requestId);
-        }
+        answers.discard(machine);
     }
 
     /**
      * Answers a heartbeat: at once, or as soon as the standby has acknowledged the starts in it.
      */
     public void answerOrHold(long requestId, Machine machine, List<WorkerOrder> orders) {
-        boolean containsStarts = orders.stream().anyMatch(StandbyReplication::isStart);
-        if (containsStarts && requiresAcknowledgement()) {
-            heldAnswers.put(
-                    machine, new HeldAnswer(requestId, orders, logSender.changeCount(), nowMs()));
+        if (requiresAcknowledgement() && HeartbeatAnswers.containStarts(orders)) {
+            answers.hold(requestId, machine, orders, logSender.changeCount());
         } else {
-            sendAnswer(requestId, machine, orders);
+            answers.send(requestId, machine, orders);
         }
     }
 
-    private static boolean isStart(WorkerOrder order) {
-        return order.kind() == WorkerOrder.Kind.START;
-    }
-
-    private void sendAnswer(long requestId, Machine machine, List<WorkerOrder> orders) {
-        machine.recordReply(outbox.now().monotonicMs());
-        outbox.respond(requestId, new Response.HeartbeatAccepted(authority.term(), orders));
-    }
-
-    /**
-     * Sends held answers.
-     *
-     * @param includeStarts true: those whose starts are acknowledged or need no acknowledgement;
-     *     false: all of them, without their starts
-     */
-    private void releaseHeldAnswers(boolean includeStarts) {
-        for (Map.Entry<Machine, HeldAnswer> entry : List.copyOf(heldAnswers.entrySet())) {
-            HeldAnswer heldAnswer = entry.getValue();
-            boolean isReplicated =
-                    !requiresAcknowledgement()
-                            || heldAnswer.lastChange <= logSender.acknowledgedChangeCount();
-            if (includeStarts && !isReplicated) {
-                continue;
-            }
-            heldAnswers.remove(entry.getKey());
-            heldDurationMs.recordValue(Math.min(MAX_HELD_MS, nowMs() - heldAnswer.heldSinceMs));
-            // Time has passed since the starts were decided, so the lease, the store cache and the
-            // jobs are checked again.
-            if (authority.canAnswerHeartbeats()) {
-                sendAnswer(
-                        heldAnswer.requestId,
-                        entry.getKey(),
-                        ordersStillValid(entry.getKey(), heldAnswer, includeStarts));
-            } else {
-                outbox.respondUnavailable(heldAnswer.requestId);
-            }
-        }
-    }
-
-    /**
-     * The orders of a held answer that are still valid. After a long pause of this process the
-     * answer may be older than the acknowledgement timeout; then its starts are dropped.
-     */
-    private List<WorkerOrder> ordersStillValid(
-            Machine machine, HeldAnswer heldAnswer, boolean includeStarts) {
-        boolean canStartTasks =
-                includeStarts
-                        && authority.canStartTasks()
-                        && nowMs() - heldAnswer.heldSinceMs <= settings.ackTimeoutMs();
-        return heldAnswer.orders.stream()
-                .filter(
-                        order ->
-                                !isStart(order) || (canStartTasks && isStillWanted(machine, order)))
-                .toList();
-    }
-
-    private static boolean isStillWanted(Machine machine, WorkerOrder start) {
-        TaskAttempt attempt =
-                machine.tasks().get(Machine.taskKey(start.jobId(), start.taskIndex()));
-        return attempt != null
-                && attempt.attemptNumber() == start.attemptNumber()
-                && !attempt.mustStop()
-                && !attempt.isBeingEvicted()
-                && !attempt.job().isClosed();
-    }
-
     // ---- the standby -------------------------------------------------------------------------
 
     /** Handles an acknowledgement of the standby. */
     public void handleAcknowledgement(LogAcknowledgement acknowledgement) {
-        if (!isDisabled()) {
-            logSender.handleAcknowledgement(acknowledgement);
-        }
+        logSender.handleAcknowledgement(acknowledgement);
     }
 
     /** Advances the phase, sends the next frame, and sends held answers that are acknowledged. */
     public void step() {
-        if (isDisabled()) {
+        if (!enabled) {
             return;
         }
-        replicateDurableEnds();
-        // A heartbeat that contradicted the previous leader's log restarts reconciliation. Until it
-        // is complete this leader's own attempt table is not complete either.
-        boolean hasStandby = phase != Phase.NO_STANDBY && phase != Phase.REMOVING_NAME;
-        if (hasStandby
-                && (!authority.isReconciled()
-                        || logSender.hasFailed(nowMs(), settings.ackTimeoutMs()))) {
+        logWriter.writeDurableEnds();
+        if (hasStandby() && canNotContinue()) {
             abandonStandby();
         }
         switch (phase) {
@@ -297,46 +155,42 @@
             case NAMED -> standbyChooser.recordNamedFor(nowMs() - namedAtMs);
             case REMOVING_NAME -> awaitRemoval();
         }
-        releaseHeldAnswers(true);
-        LogFrame frame = logSender.nextFrame(nowMs());
-        if (frame != null) {
-            String host = LogStream.hostOf(frame.stream().standby());
-            outbox.add(new Effect.SendStandbyMessage(host, frame));
-        }
+        answers.sendAcknowledged(
+                requiresAcknowledgement() ? logSender.acknowledgedChangeCount() : Long.MAX_VALUE);
+        logSender.nextFrame(nowMs()).ifPresent(this::sendFrame);
         if (nowMs() >= nextStatisticsMs) {
             nextStatisticsMs = nowMs() + SharedConstants.STATUS_LOG_INTERVAL_MS;
             logStatistics();
         }
     }
 
+    private boolean hasStandby() {
+        return phase != Phase.NO_STANDBY && phase != Phase.REMOVING_NAME;
+    }
+
+    /**
+     * Whether the standby has failed, or this leader does not know all attempts any more. A
+     * heartbeat that contradicted the previous leader's log restarts reconciliation. Until it is
+     * complete this leader's own attempt table is not complete either.
+     */
+    private boolean canNotContinue() {
+        return !authority.isReconciled() || logSender.hasFailed(nowMs(), settings.ackTimeoutMs());
+    }
+
+    private void sendFrame(LogFrame frame) {
+        String host = LogStream.hostOf(frame.stream().standby());
+        outbox.add(new Effect.SendStandbyMessage(host, frame));
+    }
+
     private void logStatistics() {
-        outbox.log(
-                LogEvent.of(LogEventType.STANDBY_STATISTICS)
-                        .with("shard", shardNumber)
-                        .with("held_answers", heldDurationMs.getTotalCount())
-                        .with("median_ms", heldDurationMs.getValueAtPercentile(50))
-                        .with("p99_ms", heldDurationMs.getValueAtPercentile(99))
-                        .with("max_ms", heldDurationMs.getMaxValue())
-                        .with("attempts", logSender.attemptCount()));
-        heldDurationMs.reset();
+        LogEvent event = LogEvent.of(LogEventType.STANDBY_STATISTICS).with("shard", shardNumber);
+        outbox.log(answers.addStatistics(event).with("attempts", logSender.attemptCount()));
     }
 
     private long nowMs() {
         return outbox.now().monotonicMs();
     }
 
-    /** Replicates the ends of completed attempts whose completion has become durable. */
-    private void replicateDurableEnds() {
-        completedNotDurable.removeIf(
-                attempt -> {
-                    boolean isDurable = isEndDurable(attempt);
-                    if (isDurable) {
-                        logSender.recordEnd(attemptIdOf(attempt));
-                    }
-                    return isDurable;
-                });
-    }
-
     /** Begins to replicate to the best candidate, once all attempts on machines are known. */
     private void tryAttach() {
         if (!authority.isReconciled()
@@ -344,13 +198,13 @@
                 || logSender.attemptCount() > settings.mostAttempts()) {
             return;
         }
-        StandbyChooser.Candidate candidate =
-                standbyChooser.choose(
-                        versionNegotiation.standbyCandidates(peerView::isResponsive), nowMs());
-        if (candidate != null) {
-            logSender.attach(candidate.processName(), nowMs());
-            phase = Phase.SENDING_SNAPSHOT;
-        }
+        standbyChooser
+                .choose(versionNegotiation.standbyCandidates(peerView::isResponsive), nowMs())
+                .ifPresent(
+                        candidate -> {
+                            logSender.attach(candidate.processName(), nowMs());
+                            phase = Phase.SENDING_SNAPSHOT;
+                        });
     }
 
     /** Holds starts once the snapshot is acknowledged. */
@@ -388,7 +242,7 @@
         if (phase == Phase.NAMED) {
             phase = Phase.REMOVING_NAME;
             leadership.nameStandby(null);
-            releaseHeldAnswers(false);
+            answers.sendWithoutStarts();
         } else {
             phase = Phase.NO_STANDBY;
         }
@@ -405,7 +259,6 @@
 
     /** Drops all held answers, because leadership of the shard is lost. */
     public void close() {
-        heldAnswers.values().forEach(heldAnswer -> outbox.respondUnavailable(heldAnswer.requestId));
-        heldAnswers.clear();
+        answers.dropAll();
     }
 }
--- /dev/null
+++ b/src/main/java/org/shoreusher/core/replication/package-info.java
@@ -0,0 +1,13 @@
+/**
+ * The warm standby of a shard: the leader replicates its attempts to another controller, which can
+ * then lead the shard without waiting for the heartbeats of all machines. {@link
+ * org.shoreusher.core.replication.StandbyReplication} is the leader's side, {@link
+ * org.shoreusher.core.replication.StandbyReplicas} the standby's.
+ *
+ * <p>Promises: while the shard record may name a standby, no start order is sent before that
+ * standby has acknowledged it. Without the feature nothing is replicated and no answer is held.
+ *
+ * <p>May use the packages {@code message}, {@code store}, {@code leadership} and {@code cluster} of
+ * {@code core}, and {@code standby} for the log itself.
+ */
+package org.shoreusher.core.replication;
--- a/src/main/java/org/shoreusher/standby/AttemptLogReceiver.java
+++ b/src/main/java/org/shoreusher/standby/AttemptLogReceiver.java
@@ -1,5 +1,6 @@
 package org.shoreusher.standby;
 
+import java.util.Optional;
 import org.shoreusher.standby.AttemptTable.Checksum;
 import org.shoreusher.standby.LogRecord.AttemptEnded;
 import org.shoreusher.standby.LogRecord.AttemptStarted;
@@ -13,9 +14,15 @@
  */
 public final class AttemptLogReceiver {
     private final int maxAttempts;
+
+    /** The newest stream that a frame came from; null before the first. */
     private LogStream stream;
+
     private AttemptTable table = new AttemptTable();
+
+    /** Sequence number of the last record applied; 0 before the first. */
     private long lastApplied;
+
     private boolean snapshotComplete;
     private boolean inconsistent;
 
@@ -32,13 +39,13 @@
      * Applies a frame that is addressed to this process. Idempotent: records that were applied
      * before are skipped.
      *
-     * @return the acknowledgement; null for a frame of a stream that a newer one has replaced
+     * @return the acknowledgement; empty for a frame of a stream that a newer one has replaced
      */
-    public LogAcknowledgement receive(LogFrame frame) {
+    public Optional<LogAcknowledgement> receive(LogFrame frame) {
         if (stream == null || frame.stream().isNewerThan(stream)) {
             startStream(frame.stream());
         } else if (!frame.stream().equals(stream)) {
-            return null;
+            return Optional.empty();
         }
         if (!inconsistent && frame.firstSequenceNumber() > lastApplied + 1) {
             inconsistent = true;
@@ -50,7 +57,7 @@
             apply(frame.records().get((int) (sequenceNumber - frame.firstSequenceNumber())));
             lastApplied = sequenceNumber;
         }
-        return new LogAcknowledgement(stream, lastApplied, !inconsistent);
+        return Optional.of(new LogAcknowledgement(stream, lastApplied, !inconsistent));
     }
 
     private void startStream(LogStream newStream) {
--- /dev/null
+++ b/src/main/java/org/shoreusher/standby/OutgoingStream.java
@@ -0,0 +1,162 @@
+package org.shoreusher.standby;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import org.shoreusher.standby.LogRecord.AttemptStarted;
+import org.shoreusher.standby.LogRecord.SnapshotBegin;
+import org.shoreusher.standby.LogRecord.SnapshotEnd;
+import org.shoreusher.standby.LogRecord.VerifyChecksum;
+
+/**
+ * The state of one stream at the leader: first a snapshot of the table with changes interleaved,
+ * then changes and checksums. Times are monotonic ms.
+ */
+final class OutgoingStream {
+    /**
+     * ms until a frame is resent: several round trips, and well below the acknowledgement timeout.
+     */
+    private static final long RESEND_INTERVAL_MS = 200;
+
+    /** ms between checksums, which also serve to detect a standby that has failed. */
+    private static final long CHECKSUM_INTERVAL_MS = 1_000;
+
+    /** frames; a standby with more unsent changes than fit in so many frames has failed. */
+    private static final int MAX_FRAMES_BEHIND = 40;
+
+    private final LogStream stream;
+    private final AttemptTable table;
+    private final int frameRecords;
+    private final ArrayDeque<LogRecord> pendingRecords = new ArrayDeque<>();
+    private List<Attempt> snapshotAttempts;
+    private int snapshotSentCount;
+    private boolean snapshotEnded;
+    private boolean snapshotAcknowledged;
+    private boolean rejected;
+
+    /** The frame that is not acknowledged yet; null if there is none. */
+    private LogFrame frameInFlight;
+
+    private long firstSentMs;
+    private long lastSentMs;
+    private long nextSequenceNumber = 1;
+    private long nextChecksumMs;
+    private long changeCountInFlight;
+    private long acknowledgedChangeCount;
+
+    /**
+     * Begins a stream.
+     *
+     * @param table the leader's table, which later changes are made in
+     * @param frameRecords the maximum number of records in a frame
+     */
+    OutgoingStream(LogStream stream, AttemptTable table, int frameRecords, long nowMs) {
+        this.stream = stream;
+        this.table = table;
+        this.frameRecords = frameRecords;
+        snapshotAttempts = table.copyAttempts();
+        pendingRecords.add(new SnapshotBegin());
+        nextChecksumMs = nowMs + CHECKSUM_INTERVAL_MS;
+    }
+
+    /** The standby process that the stream goes to. */
+    String standby() {
+        return stream.standby();
+    }
+
+    /** Appends a change that was made in the table. */
+    void append(LogRecord change) {
+        pendingRecords.add(change);
+    }
+
+    /**
+     * The frame to send now, new or to be resent.
+     *
+     * @param changeCount the number of all changes of the table so far
+     */
+    Optional<LogFrame> nextFrame(long nowMs, long changeCount) {
+        if (frameInFlight != null) {
+            if (nowMs - lastSentMs < RESEND_INTERVAL_MS) {
+                return Optional.empty();
+            }
+            lastSentMs = nowMs;
+            return Optional.of(frameInFlight);
+        }
+        List<LogRecord> records = collectRecords(nowMs);
+        if (records.isEmpty()) {
+            return Optional.empty();
+        }
+        frameInFlight = new LogFrame(stream, nextSequenceNumber, records);
+        nextSequenceNumber += records.size();
+        changeCountInFlight = changeCount - pendingRecords.size();
+        firstSentMs = nowMs;
+        lastSentMs = nowMs;
+        return Optional.of(frameInFlight);
+    }
+
+    private List<LogRecord> collectRecords(long nowMs) {
+        List<LogRecord> records = new ArrayList<>();
+        // At least half of each frame is left to the snapshot, so that it completes under any load.
+        int maxChanges = snapshotEnded ? frameRecords : Math.max(1, frameRecords / 2);
+        while (!pendingRecords.isEmpty() && records.size() < maxChanges) {
+            records.add(pendingRecords.poll());
+        }
+        while (snapshotSentCount < snapshotAttempts.size() && records.size() < frameRecords) {
+            Attempt attempt = snapshotAttempts.get(snapshotSentCount++);
+            if (table.contains(attempt.id())) {
+                records.add(new AttemptStarted(attempt));
+            }
+        }
+        // The tables can be compared only when no change is pending.
+        if (pendingRecords.isEmpty() && snapshotSentCount == snapshotAttempts.size()) {
+            addChecksum(records, nowMs);
+        }
+        return records;
+    }
+
+    private void addChecksum(List<LogRecord> records, long nowMs) {
+        if (!snapshotEnded) {
+            snapshotEnded = true;
+            snapshotAttempts = List.of();
+            snapshotSentCount = 0;
+            records.add(new SnapshotEnd(table.checksum()));
+        } else if (nowMs >= nextChecksumMs) {
+            nextChecksumMs = nowMs + CHECKSUM_INTERVAL_MS;
+            records.add(new VerifyChecksum(table.checksum()));
+        }
+    }
+
+    /** Handles an acknowledgement. Those of other streams and earlier frames have no effect. */
+    void handleAcknowledgement(LogAcknowledgement acknowledgement) {
+        if (!acknowledgement.stream().equals(stream)) {
+            return;
+        }
+        if (!acknowledgement.accepted()) {
+            rejected = true;
+        } else if (frameInFlight != null
+                && acknowledgement.lastAppliedSequenceNumber()
+                        == frameInFlight.lastSequenceNumber()) {
+            frameInFlight = null;
+            acknowledgedChangeCount = changeCountInFlight;
+            snapshotAcknowledged = snapshotEnded;
+        }
+    }
+
+    /** Whether the standby has applied the whole snapshot. */
+    boolean isSnapshotAcknowledged() {
+        return snapshotAcknowledged;
+    }
+
+    /** The number of the change up to which the standby has applied all; 0 before that. */
+    long acknowledgedChangeCount() {
+        return snapshotAcknowledged ? acknowledgedChangeCount : 0;
+    }
+
+    /** Whether the standby has failed: it rejected a frame, timed out, or is too far behind. */
+    boolean hasFailed(long nowMs, long ackTimeoutMs) {
+        return rejected
+                || (frameInFlight != null && nowMs - firstSentMs > ackTimeoutMs)
+                || pendingRecords.size() > MAX_FRAMES_BEHIND * frameRecords;
+    }
+}
--- a/src/main/java/org/shoreusher/standby/StandbyChooser.java
+++ b/src/main/java/org/shoreusher/standby/StandbyChooser.java
@@ -3,6 +3,7 @@
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 import java.util.Comparator;
 import java.util.List;
+import java.util.Optional;
 
 /**
  * Chooses the process that becomes the standby, with exponential backoff between tries. A host that
@@ -40,10 +41,10 @@
         this.ownZone = ownZone;
     }
 
-    /** The best candidate; null if there is none or the backoff has not ended. Steady clock, ms. */
-    public Candidate choose(List<Candidate> candidates, long nowMs) {
+    /** The best candidate; empty if there is none or the backoff has not ended. Monotonic ms. */
+    public Optional<Candidate> choose(List<Candidate> candidates, long nowMs) {
         if (nowMs < nextTryMs) {
-            return null;
+            return Optional.empty();
         }
         return candidates.stream()
                 .min(
@@ -52,8 +53,7 @@
                                                 failuresByHost.getInt(
                                                         hostOf(candidate.processName())))
                                 .thenComparing(candidate -> ownZone.equals(candidate.zone()))
-                                .thenComparing(Candidate::processName))
-                .orElse(null);
+                                .thenComparing(Candidate::processName));
     }
 
     private static String hostOf(String processName) {
--- a/src/test/java/org/shoreusher/standby/AttemptLogTest.java
+++ b/src/test/java/org/shoreusher/standby/AttemptLogTest.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.Random;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
@@ -41,10 +41,10 @@
 
     /** Delivers frames and acknowledgements until nothing more is due. */
     private void deliverAll() {
-        for (LogFrame frame = sender.nextFrame(nowMs);
-                frame != null;
+        for (Optional<LogFrame> frame = sender.nextFrame(nowMs);
+                frame.isPresent();
                 frame = sender.nextFrame(nowMs)) {
-            sender.handleAcknowledgement(receiver.receive(frame));
+            sender.handleAcknowledgement(receiver.receive(frame.get()).orElseThrow());
         }
     }
 
@@ -62,7 +62,8 @@
             sender.recordStart(attempt(i));
         }
         sender.attach(STANDBY, nowMs);
-        sender.handleAcknowledgement(receiver.receive(sender.nextFrame(nowMs)));
+        sender.handleAcknowledgement(
+                receiver.receive(sender.nextFrame(nowMs).orElseThrow()).orElseThrow());
         assertEquals(PromotionOutcome.SNAPSHOT_INCOMPLETE, outcome());
         assertEquals(0, sender.acknowledgedChangeCount());
         sender.recordStart(attempt(100));
@@ -89,13 +90,10 @@
             } else {
                 sender.recordEnd(attempt(random.nextInt(60)).id());
             }
-            LogFrame frame = sender.nextFrame(nowMs);
-            if (frame != null) {
-                frames.add(frame);
-            }
+            sender.nextFrame(nowMs).ifPresent(frames::add);
             if (!frames.isEmpty() && random.nextBoolean()) {
                 LogFrame arrived = frames.get(random.nextInt(frames.size()));
-                answers.add(receiver.receive(arrived));
+                answers.add(receiver.receive(arrived).orElseThrow());
             }
             if (!answers.isEmpty() && random.nextBoolean()) {
                 sender.handleAcknowledgement(answers.get(random.nextInt(answers.size())));
@@ -111,9 +109,9 @@
     @Example
     void resendsFramesAndFailsAnUnresponsiveStandby() {
         sender.attach(STANDBY, nowMs);
-        LogFrame first = sender.nextFrame(nowMs);
-        assertNull(sender.nextFrame(nowMs + 100));
-        assertEquals(first, sender.nextFrame(nowMs + 300));
+        LogFrame first = sender.nextFrame(nowMs).orElseThrow();
+        assertEquals(Optional.empty(), sender.nextFrame(nowMs + 100));
+        assertEquals(first, sender.nextFrame(nowMs + 300).orElseThrow());
         assertFalse(sender.hasFailed(nowMs + TIMEOUT_MS, TIMEOUT_MS));
         assertTrue(sender.hasFailed(nowMs + TIMEOUT_MS + 1, TIMEOUT_MS));
     }
@@ -134,27 +132,27 @@
     void sendsAChecksumEverySecond() {
         sender.attach(STANDBY, nowMs);
         deliverAll();
-        assertNull(sender.nextFrame(nowMs + 999));
-        LogFrame checked = sender.nextFrame(nowMs + 1_000);
+        assertEquals(Optional.empty(), sender.nextFrame(nowMs + 999));
+        LogFrame checked = sender.nextFrame(nowMs + 1_000).orElseThrow();
         assertTrue(checked.records().get(0) instanceof VerifyChecksum);
-        assertTrue(receiver.receive(checked).accepted());
+        assertTrue(receiver.receive(checked).orElseThrow().accepted());
     }
 
     @Example
     void sequenceGapPutsTheStandbyOutOfSync() {
         receiver.receive(new LogFrame(stream(TERM, 1), 1, List.of(new SnapshotBegin())));
         LogFrame third = new LogFrame(stream(TERM, 1), 3, List.of(new AttemptStarted(attempt(1))));
-        assertFalse(receiver.receive(third).accepted());
+        assertFalse(receiver.receive(third).orElseThrow().accepted());
         assertEquals(PromotionOutcome.LOG_INCONSISTENT, outcome());
         LogFrame second = new LogFrame(stream(TERM, 1), 2, List.of(new AttemptStarted(attempt(1))));
-        assertFalse(receiver.receive(second).accepted());
+        assertFalse(receiver.receive(second).orElseThrow().accepted());
     }
 
     @Example
     void rejectsAStreamWithoutALeadingSnapshot() {
         LogFrame started =
                 new LogFrame(stream(TERM, 1), 1, List.of(new AttemptStarted(attempt(1))));
-        assertFalse(receiver.receive(started).accepted());
+        assertFalse(receiver.receive(started).orElseThrow().accepted());
     }
 
     @Example
@@ -163,7 +161,10 @@
         deliverAll();
         assertEquals(PromotionOutcome.IN_SYNC, outcome());
         LogRecord wrong = new VerifyChecksum(new Checksum(1, 0));
-        assertFalse(receiver.receive(new LogFrame(stream(TERM, 1), 3, List.of(wrong))).accepted());
+        assertFalse(
+                receiver.receive(new LogFrame(stream(TERM, 1), 3, List.of(wrong)))
+                        .orElseThrow()
+                        .accepted());
         assertEquals(PromotionOutcome.LOG_INCONSISTENT, outcome());
     }
 
@@ -174,7 +175,8 @@
         for (int i = 0; i < 3; i++) {
             records.add(new AttemptStarted(attempt(i)));
         }
-        assertFalse(small.receive(new LogFrame(stream(TERM, 1), 1, records)).accepted());
+        assertFalse(
+                small.receive(new LogFrame(stream(TERM, 1), 1, records)).orElseThrow().accepted());
     }
 
     /** Frames of an outdated term or stream change nothing, and get no response. */
@@ -183,11 +185,11 @@
         LogFrame earlier = new LogFrame(stream(TERM, 1), 1, List.of(new SnapshotBegin()));
         LogFrame next = new LogFrame(stream(TERM, 2), 1, List.of(new SnapshotBegin()));
         LogFrame later = new LogFrame(stream(TERM + 1, 1), 1, List.of(new SnapshotBegin()));
-        assertTrue(receiver.receive(earlier).accepted());
-        assertTrue(receiver.receive(next).accepted());
-        assertNull(receiver.receive(earlier));
-        assertTrue(receiver.receive(later).accepted());
-        assertNull(receiver.receive(next));
+        assertTrue(receiver.receive(earlier).orElseThrow().accepted());
+        assertTrue(receiver.receive(next).orElseThrow().accepted());
+        assertEquals(Optional.empty(), receiver.receive(earlier));
+        assertTrue(receiver.receive(later).orElseThrow().accepted());
+        assertEquals(Optional.empty(), receiver.receive(next));
         assertEquals(PromotionOutcome.TERM_MISMATCH, outcome());
     }
 
@@ -196,7 +198,8 @@
     void ignoresAcknowledgementsOfEarlierStreams() {
         sender.recordStart(attempt(1));
         sender.attach(STANDBY, nowMs);
-        LogAcknowledgement earlier = receiver.receive(sender.nextFrame(nowMs));
+        LogAcknowledgement earlier =
+                receiver.receive(sender.nextFrame(nowMs).orElseThrow()).orElseThrow();
         sender.attach(STANDBY, nowMs);
         sender.nextFrame(nowMs);
         sender.handleAcknowledgement(earlier);
@@ -251,21 +254,21 @@
         StandbyChooser.Candidate near = new StandbyChooser.Candidate("node-1/x", "a");
         StandbyChooser.Candidate far = new StandbyChooser.Candidate("node-2/y", "b");
         List<StandbyChooser.Candidate> both = List.of(near, far);
-        assertEquals(far, chooser.choose(both, 0));
+        assertEquals(far, chooser.choose(both, 0).orElseThrow());
         chooser.recordFailure(far.processName(), 0);
-        assertNull(chooser.choose(both, 999));
-        assertEquals(near, chooser.choose(both, 1_000));
+        assertEquals(Optional.empty(), chooser.choose(both, 999));
+        assertEquals(near, chooser.choose(both, 1_000).orElseThrow());
         chooser.recordFailure(near.processName(), 1_000);
-        assertNull(chooser.choose(both, 2_999));
-        assertEquals(far, chooser.choose(both, 3_000));
+        assertEquals(Optional.empty(), chooser.choose(both, 2_999));
+        assertEquals(far, chooser.choose(both, 3_000).orElseThrow());
         for (int i = 0; i < 20; i++) {
             chooser.recordFailure(near.processName(), 0);
         }
-        assertNull(chooser.choose(both, 59_999));
-        assertEquals(far, chooser.choose(both, 60_000));
+        assertEquals(Optional.empty(), chooser.choose(both, 59_999));
+        assertEquals(far, chooser.choose(both, 60_000).orElseThrow());
         chooser.recordNamedFor(60_000);
         chooser.recordFailure(far.processName(), 0);
-        assertEquals(near, chooser.choose(both, 1_000));
-        assertNull(chooser.choose(List.of(), 1_000));
+        assertEquals(near, chooser.choose(both, 1_000).orElseThrow());
+        assertEquals(Optional.empty(), chooser.choose(List.of(), 1_000));
     }
 }
