--- a/src/main/java/org/shoreusher/core/heartbeat/MachineRegistration.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/MachineRegistration.java
@@ -5,8 +5,8 @@
 import org.shoreusher.core.cluster.ShardState;
 import org.shoreusher.core.machine.ShardMachines;
 import org.shoreusher.core.message.WorkerHeartbeat;
+import org.shoreusher.core.store.MachineRecord;
 import org.shoreusher.core.store.Outbox;
-import org.shoreusher.core.store.StoreSchema.MachineRecord;
 
 /** Registers machines whose worker sends the first heartbeat that this leader receives from it. */
 final class MachineRegistration {
--- a/src/main/java/org/shoreusher/core/heartbeat/ReportedTaskOrders.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/ReportedTaskOrders.java
@@ -13,8 +13,8 @@
 import org.shoreusher.core.message.WorkerHeartbeat.TaskStatus;
 import org.shoreusher.core.message.WorkerOrder;
 import org.shoreusher.core.schedule.TaskStopper;
-import org.shoreusher.core.store.StoreSchema.JobRecord;
-import org.shoreusher.core.store.StoreSchema.JobStatus;
+import org.shoreusher.core.store.JobRecord;
+import org.shoreusher.core.store.JobStatus;
 
 /** Decides which tasks of a heartbeat the worker is to stop, and which to forget. */
 final class ReportedTaskOrders {
