--- /dev/null
+++ b/src/main/java/org/shoreusher/core/reconcile/StoredStateLoader.java
@@ -0,0 +1,142 @@
+package org.shoreusher.core.reconcile;
+
+import java.util.BitSet;
+import java.util.Map;
+import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.cluster.ShardContext;
+import org.shoreusher.core.cluster.ShardState;
+import org.shoreusher.core.job.CompletionRecords;
+import org.shoreusher.core.job.HighWaterMarks;
+import org.shoreusher.core.job.OpenJobs;
+import org.shoreusher.core.job.ShardJobs;
+import org.shoreusher.core.job.SubmissionBatches;
+import org.shoreusher.core.job.TerminalStateWriter;
+import org.shoreusher.core.leadership.ShardLeadership;
+import org.shoreusher.core.machine.MachineIndex;
+import org.shoreusher.core.machine.MachineLifecycle;
+import org.shoreusher.core.machine.ShardMachines;
+import org.shoreusher.core.schedule.TaskMigration;
+import org.shoreusher.core.store.JobRecord;
+import org.shoreusher.core.store.JobStatus;
+import org.shoreusher.core.store.MachineRecord;
+import org.shoreusher.core.store.StoreCache;
+import org.shoreusher.core.store.StoreSchema;
+import org.shoreusher.core.store.TaskRanges;
+import org.shoreusher.settings.Settings;
+
+/**
+ * Loads what previous leaders of a shard have stored: open jobs, completed tasks, machines and
+ * high-water marks.
+ */
+final class StoredStateLoader {
+    private final ShardState shard;
+    private final Settings settings;
+    private final StoreCache storeCache;
+    private final ShardLeadership leadership;
+    private final OpenJobs openJobs;
+    private final SubmissionBatches submissionBatches;
+    private final HighWaterMarks highWaterMarks;
+    private final TerminalStateWriter terminalStateWriter;
+    private final MachineIndex machineIndex;
+    private final MachineLifecycle lifecycle;
+    private final TaskMigration taskMigration;
+
+    StoredStateLoader(
+            ShardContext context,
+            ShardLeadership leadership,
+            ShardJobs jobs,
+            ShardMachines machines,
+            TaskMigration taskMigration) {
+        shard = context.state();
+        settings = context.settings();
+        storeCache = context.node().storeCache();
+        this.leadership = leadership;
+        openJobs = jobs.openJobs();
+        submissionBatches = jobs.submissionBatches();
+        highWaterMarks = jobs.highWaterMarks();
+        terminalStateWriter = jobs.terminalStateWriter();
+        machineIndex = machines.machineIndex();
+        lifecycle = machines.lifecycle();
+        this.taskMigration = taskMigration;
+    }
+
+    /**
+     * Loads everything. The store cache must have reached the revision at which leadership was
+     * acquired. The order matters: completed tasks and marks need their jobs, and a job can be
+     * found complete only after both.
+     */
+    void load() {
+        loadJobs();
+        loadAllCompletedTasks();
+        loadMachines();
+        highWaterMarks.load();
+        for (Job job : shard.jobs().values()) {
+            if (job.highWaterMark() > 0) {
+                taskMigration.onJobBegunByPreviousLeader(job);
+            }
+            terminalStateWriter.taskCompleted(job);
+        }
+    }
+
+    private void loadJobs() {
+        storeCache
+                .entriesWithPrefix(StoreSchema.JOB_PREFIX)
+                .forEach(
+                        (key, entry) -> {
+                            JobRecord record = JobRecord.fromMap(entry.value());
+                            if (record.status() == JobStatus.OPEN) {
+                                loadJob(key.substring(StoreSchema.JOB_PREFIX.length()), record);
+                            }
+                        });
+        submissionBatches.forEachJob(this::loadJob);
+    }
+
+    private void loadJob(String jobId, JobRecord record) {
+        if (record.shardNumber() == shard.shardNumber()) {
+            openJobs.add(jobId, record);
+        }
+    }
+
+    private void loadAllCompletedTasks() {
+        loadCompletedTasks(leadership.storedCompletions(0), 0);
+        for (int chunk = 1;
+                storeCache.get(StoreSchema.completionKey(shard.shardNumber(), chunk)) != null;
+                chunk++) {
+            loadCompletedTasks(leadership.storedCompletions(chunk), chunk);
+        }
+    }
+
+    /** Loads one chunk of completed tasks, as index ranges by job id. */
+    private void loadCompletedTasks(Map<String, Object> completedByJob, int chunk) {
+        completedByJob.forEach(
+                (jobId, ranges) -> {
+                    Job job = shard.jobs().get(jobId);
+                    // A version that did not know services may have stored a replica as completed.
+                    if (job != null && job.spec().workloadType().runsToCompletion()) {
+                        BitSet completedTasks = TaskRanges.parse((String) ranges);
+                        job.completedTasks().or(completedTasks);
+                        job.durablyCompletedTasks().or(completedTasks);
+                        CompletionRecords.adoptStoredRecord(job, completedTasks, chunk, settings);
+                    }
+                });
+    }
+
+    private void loadMachines() {
+        machineIndex
+                .recordsById()
+                .forEach(
+                        (machineId, record) -> {
+                            if (record.shardNumber() == shard.shardNumber()) {
+                                loadMachine(machineId, record);
+                            }
+                        });
+    }
+
+    private void loadMachine(String machineId, MachineRecord record) {
+        Machine machine = lifecycle.addRecordedMachine(machineId, record);
+        if (machine != null) {
+            machine.setUsedByPreviousLeader(record.mayHaveRunTasks());
+        }
+    }
+}
