--- a/src/main/java/org/shoreusher/core/cluster/Job.java
+++ b/src/main/java/org/shoreusher/core/cluster/Job.java
@@ -1,7 +1,6 @@
 package org.shoreusher.core.cluster;
 
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap;
-import it.unimi.dsi.fastutil.objects.ObjectOpenHashSet;
 import java.util.Arrays;
 import java.util.BitSet;
 import java.util.Set;
@@ -12,79 +11,33 @@
  * is named by its index, from 0 on.
  */
 public final class Job {
-    /** The user's id of the job. */
-    private final String id;
+    /** A record index that stands for no record. */
+    public static final int NO_RECORD = -1;
 
-    /** What the user asked for. */
+    private final String id;
     private final JobSpec spec;
-
-    /** When the job was accepted: ms since the epoch, by the clock of the accepting node. */
     private final long acceptedAtMs;
-
-    /** Tasks that the leader knows to be completed. */
     private final BitSet completedTasks = new BitSet();
-
-    /** Completed tasks whose completion the store has recorded. */
     private final BitSet durablyCompletedTasks = new BitSet();
 
-    /** Tasks that are to be started. Change it through {@link #setPending} only. */
+    /** Change it through {@link #setPending} only. */
     private final BitSet pendingTasks = new BitSet();
 
-    /**
-     * The current attempt of each active task, by task index. Surplus attempts that are only being
-     * stopped are not in it.
-     */
-    private final Int2ObjectOpenHashMap<TaskAttempt> activeAttempts = new Int2ObjectOpenHashMap<>();
-
-    /** Machines on which a task of the job has failed. */
-    private final ObjectOpenHashSet<String> failedMachineIds = new ObjectOpenHashSet<>();
-
-    /**
-     * The index of the completion record that holds each slice of the job's tasks; -1: none yet.
-     */
-    private int[] completionRecordBySlice = {};
-
-    /** The index of the record that holds the job's high-water mark; -1: none yet. */
-    private int highWaterMarkRecordIndex = -1;
-
     /** The number of tasks in {@link #pendingTasks}. */
     private int pendingCount;
 
-    /**
-     * The durable high-water mark: only tasks with a lower index may be started. A successor reads
-     * it from the store and so knows that no other task has ever been started.
-     */
+    private final Int2ObjectOpenHashMap<TaskAttempt> activeAttempts = new Int2ObjectOpenHashMap<>();
+    private int startedCount;
     private int highWaterMark;
-
-    /** The job is in a terminal state or belongs to another shard: none of its tasks may start. */
+    private int highWaterMarkRecordIndex = NO_RECORD;
+    private int[] completionRecordBySlice = {};
     private boolean closed;
-
-    /** A write of the terminal state awaits its reply. */
     private boolean terminalWriteInFlight;
-
-    /**
-     * The zones of the job's active tasks are not yet known. That is so for a job with a zone rule
-     * that was started under a previous leader, until all machines have sent a heartbeat.
-     */
     private boolean taskZonesUnknown;
-
-    /**
-     * The zone that should get the larger half of the replicas, for a service that is spread across
-     * zones and has an odd number of them; null: any zone.
-     */
     private String largerHalfZone;
-
-    /** The number of starts that this leader has ordered or inherited. */
-    private int startedCount;
-
     private int observedRunCount;
     private double observedRunSumS;
-
-    /** Failed attempts; a replica that has run for long resets it. */
-    private int failureCount;
-
-    /** Until when no task is started after failures; monotonic ms. */
-    private long backoffUntilMs = Long.MIN_VALUE;
+    private final FailureBackoff failures = new FailureBackoff();
 
     /** A job without any pending task. */
     public Job(String id, JobSpec spec, long acceptedAtMs) {
@@ -123,14 +76,17 @@
         return pendingTasks;
     }
 
-    /** The current attempt of each active task, by task index; a live view. */
+    /**
+     * The current attempt of each active task, by task index; a live view. Surplus attempts that
+     * are only being stopped are not in it.
+     */
     public Int2ObjectOpenHashMap<TaskAttempt> activeAttempts() {
         return activeAttempts;
     }
 
     /** Machines on which a task of the job has failed; a live view. */
     public Set<String> failedMachineIds() {
-        return failedMachineIds;
+        return failures.machineIds();
     }
 
     /** The number of tasks that are to be started. */
@@ -138,7 +94,10 @@
         return pendingCount;
     }
 
-    /** The durable high-water mark: only tasks with a lower index may be started. */
+    /**
+     * The durable high-water mark: only tasks with a lower index may be started. A successor reads
+     * it from the store and so knows that no other task has ever been started.
+     */
     public int highWaterMark() {
         return highWaterMark;
     }
@@ -148,7 +107,7 @@
         highWaterMark = Math.max(highWaterMark, mark);
     }
 
-    /** The index of the record that holds the job's high-water mark; -1: none yet. */
+    /** The index of the record with the job's high-water mark, or {@link #NO_RECORD}. */
     public int highWaterMarkRecordIndex() {
         return highWaterMarkRecordIndex;
     }
@@ -158,7 +117,7 @@
         highWaterMarkRecordIndex = recordIndex;
     }
 
-    /** The index of the completion record of each slice of the job's tasks; -1: none yet. */
+    /** The index of the completion record of each slice of tasks, or {@link #NO_RECORD}. */
     public int[] completionRecordBySlice() {
         return completionRecordBySlice;
     }
@@ -166,7 +125,7 @@
     /** Forgets the completion records of all slices, and sets the number of slices. */
     public void resetCompletionRecords(int sliceCount) {
         completionRecordBySlice = new int[sliceCount];
-        Arrays.fill(completionRecordBySlice, -1);
+        Arrays.fill(completionRecordBySlice, NO_RECORD);
     }
 
     /** Whether the job is terminal or belongs to another shard: none of its tasks may start. */
@@ -189,7 +148,10 @@
         terminalWriteInFlight = inFlight;
     }
 
-    /** Whether the zones of the job's active tasks are not known yet, which its zone rule needs. */
+    /**
+     * Whether the zones of the job's active tasks are not known yet. That is so for a job with a
+     * zone rule that was started under a previous leader, until all machines have sent a heartbeat.
+     */
     public boolean hasUnknownTaskZones() {
         return taskZonesUnknown;
     }
@@ -199,7 +161,10 @@
         taskZonesUnknown = unknown;
     }
 
-    /** The zone that should get the larger half of the replicas; null: any zone. */
+    /**
+     * The zone that should get the larger half of the replicas, for a service that is spread across
+     * zones and has an odd number of them; null: any zone.
+     */
     public String largerHalfZone() {
         return largerHalfZone;
     }
@@ -289,7 +254,7 @@
 
     /** Whether starts are delayed because attempts have failed. */
     public boolean isBackingOff(long nowMs) {
-        return nowMs < backoffUntilMs;
+        return failures.isBackingOff(nowMs);
     }
 
     /**
@@ -297,21 +262,14 @@
      * before the next start, up to {@link ClusterConstants#MAX_FAILURE_BACKOFF_MS}.
      */
     public void recordFailure(String machineId, long nowMs) {
-        failedMachineIds.add(machineId);
-        failureCount++;
-        if (completedTasks.isEmpty() && failureCount > 1) {
-            long backoffMs =
-                    ClusterConstants.MIN_FAILURE_BACKOFF_MS << Math.min(failureCount - 2, 10);
-            backoffUntilMs = nowMs + Math.min(backoffMs, ClusterConstants.MAX_FAILURE_BACKOFF_MS);
-        }
+        failures.record(machineId, nowMs, completedTasks.isEmpty());
     }
 
     /**
      * Forgets all failures: a replica has run for long, so the cause was a machine or has passed.
      */
     public void resetFailures() {
-        failureCount = 0;
-        failedMachineIds.clear();
+        failures.reset();
     }
 
     /**
@@ -319,6 +277,6 @@
      * has completed.
      */
     public boolean isSuspectedFaulty() {
-        return completedTasks.isEmpty() && failedMachineIds.size() > 1;
+        return completedTasks.isEmpty() && failures.machineIds().size() > 1;
     }
 }
--- /dev/null
+++ b/src/main/java/org/shoreusher/core/cluster/MachineResources.java
@@ -0,0 +1,70 @@
+package org.shoreusher.core.cluster;
+
+import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.core.message.MachineType;
+
+/** The CPUs, GPUs and GB of memory of one machine: which are used, reserved and free. */
+final class MachineResources {
+    private final MachineType type;
+    private double cpusUsed;
+    private double gpusUsed;
+    private double memGbUsed;
+
+    /** Tasks on their way here by task migration, for which the capacity below is reserved. */
+    private int reservedTaskCount;
+
+    private double cpusReserved;
+    private double gpusReserved;
+    private double memGbReserved;
+
+    /** Creates the resources of an empty machine. */
+    MachineResources(MachineType type) {
+        this.type = type;
+    }
+
+    /** Uses the resources of one task. */
+    void use(JobSpec spec) {
+        cpusUsed += spec.cpus();
+        gpusUsed += spec.gpus();
+        memGbUsed += spec.memGb();
+    }
+
+    /**
+     * Releases the resources of one task.
+     *
+     * @param isLast whether no task is left; the sums are then exactly 0 again
+     */
+    void release(JobSpec spec, boolean isLast) {
+        cpusUsed = isLast ? 0 : cpusUsed - spec.cpus();
+        gpusUsed = isLast ? 0 : gpusUsed - spec.gpus();
+        memGbUsed = isLast ? 0 : memGbUsed - spec.memGb();
+    }
+
+    /** Reserves capacity for so many tasks; a negative number releases it. */
+    void reserve(JobSpec spec, int taskCount) {
+        reservedTaskCount += taskCount;
+        cpusReserved = reservedTaskCount == 0 ? 0 : cpusReserved + taskCount * spec.cpus();
+        gpusReserved = reservedTaskCount == 0 ? 0 : gpusReserved + taskCount * spec.gpus();
+        memGbReserved = reservedTaskCount == 0 ? 0 : memGbReserved + taskCount * spec.memGb();
+    }
+
+    int reservedTaskCount() {
+        return reservedTaskCount;
+    }
+
+    double cpusUsed() {
+        return cpusUsed;
+    }
+
+    double cpusFree() {
+        return type.cpus() - cpusUsed - cpusReserved;
+    }
+
+    double gpusFree() {
+        return type.gpus() - gpusUsed - gpusReserved;
+    }
+
+    double memGbFree() {
+        return type.memGb() - memGbUsed - memGbReserved;
+    }
+}
--- a/src/main/java/org/shoreusher/core/cluster/ShardState.java
+++ b/src/main/java/org/shoreusher/core/cluster/ShardState.java
@@ -76,11 +76,22 @@
      */
     public boolean isAvailable(Machine machine) {
         return machine.state() == Machine.State.UP
-                && machine.isReconciled()
+                && machine.worker().isReconciled()
                 && !machine.isEvacuating()
-                && !machine.hasOneWayPartition()
-                && !machine.hasInterruptionNotice()
-                && outbox.now().monotonicMs() - machine.lastHeartbeatAtMs() < heartbeatTimeoutMs();
+                && !machine.worker().hasOneWayPartition()
+                && !machine.worker().hasInterruptionNotice()
+                && outbox.now().monotonicMs() - machine.worker().lastHeartbeatAtMs()
+                        < heartbeatTimeoutMs();
+    }
+
+    /**
+     * Returns whether a machine is available, or will be as soon as it has booted. A booting
+     * machine that a previous leader used may hold tasks or be unreachable; it does not count until
+     * it is reconciled.
+     */
+    public boolean isAvailableOrBooting(Machine machine) {
+        return isAvailable(machine)
+                || (machine.state() == Machine.State.BOOTING && !machine.mayHaveRunTasks());
     }
 
     /** The time in ms after its last heartbeat from which a machine counts as unresponsive. */
@@ -105,6 +116,6 @@
      */
     public boolean hasWorkerLeaseExpired(Machine machine) {
         return outbox.now().monotonicMs()
-                > machine.leaseRenewedAtMs() + LeaderLease.workerLeaseBoundMs(settings);
+                > machine.worker().leaseRenewedAtMs() + LeaderLease.workerLeaseBoundMs(settings);
     }
 }
--- a/src/main/java/org/shoreusher/core/cluster/TaskAttempt.java
+++ b/src/main/java/org/shoreusher/core/cluster/TaskAttempt.java
@@ -14,44 +14,20 @@
         CHECKPOINTING
     }
 
-    /** The task's job. */
-    private final Job job;
+    private static final long NEVER_MS = Long.MIN_VALUE / 2;
+    private static final long NOT_RUNNING_MS = -1;
 
-    /** The task's index in its job. */
+    private final Job job;
     private final int taskIndex;
-
-    /**
-     * A number that no other attempt of the shard has: the leader's fencing token in the high bits,
-     * a counter in the low ones.
-     */
     private final long attemptNumber;
-
-    /** The machine that the attempt is on. */
     private final Machine machine;
-
-    /** When this leader ordered the start, or first learned of the attempt; monotonic ms. */
     private final long createdMs;
-
-    /** How far the attempt has come. */
     private State state;
-
-    /**
-     * The attempt is to be stopped without a checkpoint: its job was cancelled or is not known, or
-     * the task has completed on another machine.
-     */
     private boolean mustStop;
-
-    /** The attempt is being evicted gracefully; the task is pending again once it has exited. */
     private boolean beingEvicted;
-
-    /** The machine has reported that a checkpoint was written when the task was stopped. */
     private boolean checkpointed;
-
-    /** When a heartbeat first showed the task running, monotonic ms; -1: none has. */
-    private long runningSinceMs = -1;
-
-    /** When the last direct stop order was sent; monotonic ms. */
-    private long lastStopOrderMs = Long.MIN_VALUE / 2;
+    private long runningSinceMs = NOT_RUNNING_MS;
+    private long lastStopOrderMs = NEVER_MS;
 
     /** An attempt that is neither stopped nor evicted. */
     public TaskAttempt(
@@ -79,7 +55,10 @@
         return taskIndex;
     }
 
-    /** A number that no other attempt of the shard has. */
+    /**
+     * A number that no other attempt of the shard has: the leader's fencing token in the high bits,
+     * a counter in the low ones.
+     */
     public long attemptNumber() {
         return attemptNumber;
     }
@@ -102,17 +81,20 @@
     /** Notes how far the attempt has come by the newest heartbeat. */
     public void observe(State observedState, long nowMs) {
         state = observedState;
-        if (state == State.RUNNING && runningSinceMs < 0) {
+        if (state == State.RUNNING && runningSinceMs == NOT_RUNNING_MS) {
             runningSinceMs = nowMs;
         }
     }
 
-    /** Whether the attempt is to be stopped without a checkpoint. */
+    /**
+     * Whether the attempt is to be stopped without a checkpoint: its job was cancelled or is not
+     * known, or the task has completed on another machine.
+     */
     public boolean mustStop() {
         return mustStop;
     }
 
-    /** Has the attempt stopped without a checkpoint, from now on with every answer. */
+    /** Has the attempt stopped without a checkpoint, from now on with every reply. */
     public void requireStop() {
         mustStop = true;
     }
@@ -142,7 +124,7 @@
         return runningSinceMs;
     }
 
-    /** When the last direct stop order was sent; monotonic ms. */
+    /** When the last direct stop order was sent, monotonic ms; long ago if none was. */
     public long lastStopOrderMs() {
         return lastStopOrderMs;
     }
--- a/src/main/java/org/shoreusher/core/machine/CloudInventory.java
+++ b/src/main/java/org/shoreusher/core/machine/CloudInventory.java
@@ -9,6 +9,7 @@
 import org.shoreusher.core.cluster.ShardContext;
 import org.shoreusher.core.cluster.ShardState;
 import org.shoreusher.core.leadership.ShardAuthority;
+import org.shoreusher.core.machine.MachineLifecycle.RemovalReason;
 import org.shoreusher.core.message.ClockReading;
 import org.shoreusher.core.message.Command.CloudReply;
 import org.shoreusher.core.message.Command.ListedMachine;
@@ -34,7 +35,7 @@
     private final MachineLifecycle lifecycle;
     private final TerminatedMachines terminatedMachines;
 
-    /** Listed machines without a record, with the steady ms at which they were first seen. */
+    /** Listed machines without a record, with the monotonic ms at which they were first seen. */
     private final Object2LongOpenHashMap<String> unrecordedSinceMs = new Object2LongOpenHashMap<>();
 
     /** Names of the machines in the newest complete list. */
@@ -134,30 +135,37 @@
         Set<String> ids = new HashSet<>();
         for (ListedMachine listedMachine : listedMachines) {
             ids.add(listedMachine.machineId());
-            Machine machine = shard.machines().get(listedMachine.machineId());
-            if (machine != null && listedMachine.state().equals("failed")) {
-                lifecycle.handleMachineFailure(machine);
-            }
-            if (machine == null && lifecycle.shouldAdopt(listedMachine.machineId())) {
-                adoptIfStillListed(listedMachine);
-            } else {
-                // Otherwise a machine that is terminated later, and that a lagging list still has,
-                // would count as seen before.
-                unrecordedSinceMs.removeLong(listedMachine.machineId());
-            }
+            applyListedMachine(listedMachine);
         }
         unrecordedSinceMs.keySet().retainAll(ids);
         listedIds = ids;
+        removeUnlistedMachines(requestedAt);
+    }
+
+    private void applyListedMachine(ListedMachine listedMachine) {
+        Machine machine = shard.machines().get(listedMachine.machineId());
+        if (machine != null && listedMachine.state().equals("failed")) {
+            lifecycle.handleMachineFailure(machine);
+        }
+        if (machine == null && lifecycle.shouldAdopt(listedMachine.machineId())) {
+            adoptIfStillListed(listedMachine);
+        } else {
+            // Otherwise a machine that is terminated later, and that a lagging list still has,
+            // would count as seen before.
+            unrecordedSinceMs.removeLong(listedMachine.machineId());
+        }
+    }
+
+    private void removeUnlistedMachines(ClockReading requestedAt) {
         // Lists are at most twice their lag old, and a machine once listed stays in them until it
-        // is
-        // terminated.
+        // is terminated.
         long maxListDelayMs =
                 (long) (2 * settings.inventoryLagS() * 1000)
                         + MachineConstants.INVENTORY_LAG_MARGIN_MS;
         for (Machine machine : new ArrayList<>(shard.machines().values())) {
-            if (!ids.contains(machine.id())
+            if (!isListed(machine.id())
                     && requestedAt.wallMs() - machine.provisionedWallMs() > maxListDelayMs) {
-                lifecycle.removeTerminated(machine, "no longer in the cloud's list");
+                lifecycle.removeTerminated(machine, RemovalReason.NOT_LISTED);
             }
         }
     }
@@ -167,20 +175,25 @@
      * reply to a provisioning request can still be on its way.
      */
     private void adoptIfStillListed(ListedMachine listedMachine) {
-        if (!unrecordedSinceMs.containsKey(listedMachine.machineId())) {
-            unrecordedSinceMs.put(listedMachine.machineId(), outbox.now().monotonicMs());
-        } else if (outbox.now().monotonicMs() - unrecordedSinceMs.getLong(listedMachine.machineId())
-                > (terminatedMachines.contains(listedMachine.machineId())
+        String id = listedMachine.machineId();
+        long nowMs = outbox.now().monotonicMs();
+        if (!unrecordedSinceMs.containsKey(id)) {
+            unrecordedSinceMs.put(id, nowMs);
+            return;
+        }
+        long adoptionDelayMs =
+                terminatedMachines.contains(id)
                         ? MachineConstants.TERMINATED_STILL_LISTED_MS
-                        : 2 * MachineConstants.INVENTORY_INTERVAL_MS)) {
-            unrecordedSinceMs.removeLong(listedMachine.machineId());
-            terminatedMachines.remove(listedMachine.machineId());
+                        : 2 * MachineConstants.INVENTORY_INTERVAL_MS;
+        if (nowMs - unrecordedSinceMs.getLong(id) > adoptionDelayMs) {
+            unrecordedSinceMs.removeLong(id);
+            terminatedMachines.remove(id);
             outbox.log(
                     LogEvent.of(LogEventType.MACHINE_ADOPTED)
-                            .with("machine", listedMachine.machineId())
+                            .with("machine", id)
                             .with("shard", shard.shardNumber()));
             lifecycle.addNewMachine(
-                    listedMachine.machineId(),
+                    id,
                     typeCatalog.get(listedMachine.type()),
                     listedMachine.zone(),
                     listedMachine.spot(),
--- a/src/main/java/org/shoreusher/core/machine/MachineCordon.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineCordon.java
@@ -1,5 +1,6 @@
 package org.shoreusher.core.machine;
 
+import java.util.Optional;
 import org.shoreusher.core.cluster.Machine;
 import org.shoreusher.core.cluster.ShardContext;
 import org.shoreusher.core.cluster.ShardState;
@@ -34,15 +35,15 @@
     void step() {
         boolean partitionedMachinesAreFaulty = arePartitionedMachinesFaulty();
         for (Machine machine : shard.machines().values()) {
-            String fault = findFault(machine, partitionedMachinesAreFaulty);
-            if (fault != null) {
+            Optional<String> fault = findFault(machine, partitionedMachinesAreFaulty);
+            if (fault.isPresent()) {
                 outbox.log(
                         LogEvent.of(LogEventType.MACHINE_CORDONED)
                                 .with("machine", machine.id())
-                                .with("reason", fault));
+                                .with("reason", fault.get()));
                 machine.drain();
             } else if (machine.state() == Machine.State.UP
-                    && machine.hasInterruptionNotice()
+                    && machine.worker().hasInterruptionNotice()
                     && machine.tasks().isEmpty()) {
                 machine.drain();
             }
@@ -58,36 +59,53 @@
      */
     private boolean arePartitionedMachinesFaulty() {
         long partitionedCount =
-                shard.machines().values().stream().filter(Machine::hasOneWayPartition).count();
+                shard.machines().values().stream()
+                        .filter(machine -> machine.worker().hasOneWayPartition())
+                        .count();
         return partitionedCount
                 <= Math.max(
                         1,
                         shard.machines().size() * MachineConstants.MAX_ONE_WAY_PARTITIONED_SHARE);
     }
 
-    /** The reason to cordon a machine, for the log; null if there is none. */
-    private String findFault(Machine machine, boolean partitionedMachinesAreFaulty) {
-        if (machine.state() == Machine.State.BOOTING && hasFailedToBoot(machine)) {
-            return "not booted after " + ageMs(machine) / 1000 + " s";
-        }
-        if (machine.state() == Machine.State.UP
-                && machine.failedJobIds().size() >= MachineConstants.FAULTY_MACHINE_FAILURES) {
-            return "tasks of " + machine.failedJobIds().size() + " jobs failed on it";
+    /** The reason to cordon a machine, for the log; empty if there is none. */
+    private Optional<String> findFault(Machine machine, boolean partitionedMachinesAreFaulty) {
+        return switch (machine.state()) {
+            case BOOTING -> findBootFault(machine);
+            case UP -> findFaultWhenUp(machine, partitionedMachinesAreFaulty);
+            case HANDING_OVER, DRAINING, TERMINATING -> Optional.empty();
+        };
+    }
+
+    private Optional<String> findBootFault(Machine machine) {
+        return hasFailedToBoot(machine)
+                ? Optional.of("not booted after " + ageMs(machine) / 1000 + " s")
+                : findUnresponsiveness(machine);
+    }
+
+    private Optional<String> findFaultWhenUp(
+            Machine machine, boolean partitionedMachinesAreFaulty) {
+        int failedJobCount = machine.failedJobIds().size();
+        if (failedJobCount >= MachineConstants.FAULTY_MACHINE_FAILURES) {
+            return Optional.of("tasks of " + failedJobCount + " jobs failed on it");
         }
-        if (machine.state() == Machine.State.UP && machine.isSlow()) {
-            return "its tasks take far longer than others of their jobs";
+        if (machine.isSlow()) {
+            return Optional.of("its tasks take far longer than others of their jobs");
         }
-        if (machine.state() == Machine.State.UP
-                && machine.hasOneWayPartition()
+        if (machine.worker().hasOneWayPartition()
                 && machine.tasks().isEmpty()
                 && partitionedMachinesAreFaulty) {
-            return "one-way partition";
+            return Optional.of("one-way partition");
         }
-        boolean hasInterruptionNotice =
-                machine.state() == Machine.State.UP && machine.hasInterruptionNotice();
-        return !hasInterruptionNotice && isUnresponsive(machine)
-                ? "unresponsive for " + sinceLeaseRenewalMs(machine) / 1000 + " s"
-                : null;
+        return machine.worker().hasInterruptionNotice()
+                ? Optional.empty()
+                : findUnresponsiveness(machine);
+    }
+
+    private Optional<String> findUnresponsiveness(Machine machine) {
+        return isUnresponsive(machine)
+                ? Optional.of("unresponsive for " + sinceLeaseRenewalMs(machine) / 1000 + " s")
+                : Optional.empty();
     }
 
     private long ageMs(Machine machine) {
@@ -106,7 +124,7 @@
     }
 
     private long sinceLeaseRenewalMs(Machine machine) {
-        return outbox.now().monotonicMs() - machine.leaseRenewedAtMs();
+        return outbox.now().monotonicMs() - machine.worker().leaseRenewedAtMs();
     }
 
     /**
@@ -114,7 +132,6 @@
      */
     private boolean isUnresponsive(Machine machine) {
         return machine.mayHaveRunTasks()
-                && (machine.state() == Machine.State.UP || machine.state() == Machine.State.BOOTING)
                 && machine.tasks().isEmpty()
                 && sinceLeaseRenewalMs(machine)
                         > LeaderLease.workerLeaseBoundMs(settings) + MachineConstants.MIN_BILLED_MS;
--- a/src/main/java/org/shoreusher/core/machine/MachineLifecycle.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineLifecycle.java
@@ -5,6 +5,7 @@
 import org.shoreusher.core.cluster.ShardContext;
 import org.shoreusher.core.cluster.ShardState;
 import org.shoreusher.core.leadership.ShardAuthority;
+import org.shoreusher.core.message.Effect.CloudOperation;
 import org.shoreusher.core.message.MachineType;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreSchema.MachineRecord;
@@ -52,7 +53,7 @@
         Machine machine =
                 new Machine(id, type, record.zone(), record.spot(), record.provisionedWallMs());
         machine.loadUse(record.mayHaveRunTasks());
-        machine.inheritLease(authority.previousLeaderRenewalBoundMs());
+        machine.worker().inheritLease(authority.previousLeaderRenewalBoundMs());
         shard.machines().put(id, machine);
         return machine;
     }
@@ -70,12 +71,30 @@
             return null;
         }
         Machine machine = new Machine(id, type, zone, spot, provisionedWallMs);
-        machine.startLease(outbox.now().monotonicMs());
+        machine.worker().startLease(outbox.now().monotonicMs());
         shard.machines().put(id, machine);
         machineRecords.markDirty(id);
         return machine;
     }
 
+    /**
+     * Adds a machine that the cloud has provisioned, unless it is known or terminated already.
+     *
+     * @param requestedWallMs wall-clock ms at which the request was sent
+     */
+    void addProvisioned(String id, CloudOperation.Provision request, long requestedWallMs) {
+        if (!authority.isLeadershipLost()
+                && !shard.machines().containsKey(id)
+                && !terminatedMachines.contains(id)) {
+            addNewMachine(
+                    id,
+                    typeCatalog.get(request.type()),
+                    request.zone(),
+                    request.spot(),
+                    requestedWallMs);
+        }
+    }
+
     /**
      * Puts the tasks of machines whose worker leases have expired back into the queue. The worker
      * has killed them by then.
@@ -89,20 +108,32 @@
                                 .with("shard", shard.shardNumber())
                                 .with("tasks", machine.tasks().size()));
                 machine.snapshotTasks().forEach(ledger::remove);
-                machine.expireIncarnation();
+                machine.worker().expireIncarnation();
             }
         }
     }
 
-    /**
-     * Removes a machine that no longer exists, with its tasks and its record. The reason is logged.
-     */
-    void removeTerminated(Machine machine, String reason) {
+    /** Why a machine was removed, for the log. */
+    enum RemovalReason {
+        /** The cloud's list no longer has it. */
+        NOT_LISTED("no longer in the cloud's list"),
+        /** The cloud confirmed that it terminated it. */
+        TERMINATED("terminated by this node");
+
+        private final String description;
+
+        RemovalReason(String description) {
+            this.description = description;
+        }
+    }
+
+    /** Removes a machine that no longer exists, with its tasks and its record. */
+    void removeTerminated(Machine machine, RemovalReason reason) {
         outbox.log(
                 LogEvent.of(LogEventType.MACHINE_REMOVED)
                         .with("machine", machine.id())
                         .with("shard", shard.shardNumber())
-                        .with("reason", reason));
+                        .with("reason", reason.description));
         machine.snapshotTasks().forEach(ledger::remove);
         shard.removeMachine(machine.id());
         machineRecords.markDirty(machine.id());
--- a/src/main/java/org/shoreusher/core/machine/MachineRecords.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineRecords.java
@@ -5,6 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
 import java.util.TreeMap;
 import org.shoreusher.core.cluster.Machine;
 import org.shoreusher.core.cluster.ShardContext;
@@ -13,7 +14,6 @@
 import org.shoreusher.core.message.Effect.StoreOperation;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreCache;
-import org.shoreusher.core.store.StoreConstants;
 import org.shoreusher.core.store.StoreSchema;
 import org.shoreusher.core.store.StoreSchema.MachineGroupRecord;
 import org.shoreusher.core.store.StoreSchema.MachineRecord;
@@ -40,12 +40,7 @@
     /** Machines whose records may differ from {@link #desiredRecord}, oldest first. */
     private final ObjectLinkedOpenHashSet<String> dirtyIds = new ObjectLinkedOpenHashSet<>();
 
-    /**
-     * Keys of wide groups, written under a larger value limit, whose machines move to narrow ones.
-     */
-    private final ObjectLinkedOpenHashSet<String> wideGroupsToSplit =
-            new ObjectLinkedOpenHashSet<>();
-
+    private final WideGroupMigration wideGroupMigration;
     private boolean writeInFlight;
     private long nextWriteMs;
 
@@ -63,6 +58,7 @@
         versionNegotiation = context.node().versionNegotiation();
         this.machineIndex = machineIndex;
         this.leadership = leadership;
+        wideGroupMigration = new WideGroupMigration(shard, settings, machineIndex);
     }
 
     /** Returns whether the store has a record of the machine, whichever shard it belongs to. */
@@ -95,7 +91,8 @@
         boolean handingOver = machine.state() == Machine.State.HANDING_OVER;
         // A node of the previous version would write a wide group beside the narrow one, and later
         // read "not used" in the narrow one.
-        boolean mixedVersions = usesNarrowGroups() && !versionNegotiation.areServicesSupported();
+        boolean mixedVersions =
+                wideGroupMigration.isNeeded() && !versionNegotiation.areServicesSupported();
         return new MachineRecord(
                 handingOver ? machine.handoverTargetShard() : shard.shardNumber(),
                 machine.type().name(),
@@ -105,10 +102,6 @@
                 handingOver || mixedVersions || machine.mayHaveRunTasks());
     }
 
-    private boolean usesNarrowGroups() {
-        return settings.maxValueBytes() < StoreConstants.WIDE_GROUP_MIN_VALUE_BYTES;
-    }
-
     /**
      * Writes the records of machines before tasks start on them, and removes those of terminated
      * machines, in batches: a few hundred machines that boot within seconds would otherwise use up
@@ -116,17 +109,30 @@
      */
     public void write() {
         if (writeInFlight
-                || (dirtyIds.isEmpty() && wideGroupsToSplit.isEmpty())
+                || (dirtyIds.isEmpty() && wideGroupMigration.groupKeys().isEmpty())
                 || !leadership.isLeader()
                 || outbox.now().monotonicMs() < nextWriteMs) {
             return;
         }
-        splitWideGroups();
+        dirtyIds.addAll(wideGroupMigration.begin(dirtyIds));
         Map<String, Map<String, MachineRecord>> groups = new LinkedHashMap<>();
         List<String> batch = collectBatch(groups);
         batch.forEach(dirtyIds::remove);
         Map<String, Long> preconditions = new LinkedHashMap<>(leadership.fencingPrecondition());
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
+        addGroupWrites(groups, preconditions, writes);
+        addWideGroupRemovals(preconditions, writes);
+        if (writes.isEmpty()) {
+            applyWriteResult(batch);
+        } else {
+            send(batch, preconditions, writes);
+        }
+    }
+
+    private void addGroupWrites(
+            Map<String, Map<String, MachineRecord>> groups,
+            Map<String, Long> preconditions,
+            Map<String, Map<String, Object>> writes) {
         groups.forEach(
                 (key, group) -> {
                     if (!group.equals(machineIndex.group(key))) {
@@ -134,18 +140,23 @@
                         writes.put(key, MachineGroupRecord.toMap(key, group));
                     }
                 });
-        for (String wideKey : wideGroupsToSplit) {
+    }
+
+    private void addWideGroupRemovals(
+            Map<String, Long> preconditions, Map<String, Map<String, Object>> writes) {
+        for (String wideKey : wideGroupMigration.groupKeys()) {
             if (writes.size() < settings.maxTransactionWrites()
-                    && machineIndex.group(wideKey).keySet().stream()
-                            .allMatch(this::isRecordedElsewhere)) {
+                    && wideGroupMigration.isComplete(wideKey)) {
                 preconditions.put(wideKey, storeCache.version(wideKey));
                 writes.put(wideKey, null);
             }
         }
-        if (writes.isEmpty()) {
-            applyWriteResult(batch);
-            return;
-        }
+    }
+
+    private void send(
+            List<String> batch,
+            Map<String, Long> preconditions,
+            Map<String, Map<String, Object>> writes) {
         writeInFlight =
                 outbox.callStore(
                         new StoreOperation.CompareAndSwap(preconditions, writes),
@@ -186,57 +197,20 @@
                 groups.put(key, group);
             }
             batch.add(id);
-            MachineRecord desired = desiredRecord(id);
-            MachineRecord current = group.get(id);
             // A record that assigns the machine to another shard is that shard's to change.
-            if (desired == null
-                    && current != null
-                    && current.shardNumber() == shard.shardNumber()) {
-                group.remove(id);
-            } else if (desired != null
-                    && (current == null || current.shardNumber() == shard.shardNumber())) {
-                group.put(id, desired);
+            MachineRecord current = group.get(id);
+            if (current == null || current.shardNumber() == shard.shardNumber()) {
+                MachineRecord desired = desiredRecord(id);
+                if (desired == null) {
+                    group.remove(id);
+                } else {
+                    group.put(id, desired);
+                }
             }
         }
         return batch;
     }
 
-    /**
-     * Whether a machine's entry in a wide group is no longer needed: its narrow group has it, or it
-     * has been terminated.
-     */
-    private boolean isRecordedElsewhere(String id) {
-        return machineIndex.group(StoreSchema.machineGroupKey(id, false)).containsKey(id)
-                || (machineIndex.group(StoreSchema.machineGroupKey(id, true)).get(id).shardNumber()
-                                == shard.shardNumber()
-                        && !shard.machines().containsKey(id));
-    }
-
-    /**
-     * When a machine in a wide group changes, moves the whole group to narrow ones, a few of them a
-     * write: the wide group may be larger than this node's value limit, so it can't be rewritten.
-     */
-    private void splitWideGroups() {
-        if (!usesNarrowGroups()) {
-            return;
-        }
-        for (String id : dirtyIds.toArray(new String[0])) {
-            String wideKey = StoreSchema.machineGroupKey(id, true);
-            if (machineIndex.group(wideKey).containsKey(id) && wideGroupsToSplit.add(wideKey)) {
-                machineIndex
-                        .group(wideKey)
-                        .forEach(
-                                (otherId, record) -> {
-                                    if (record.shardNumber() == shard.shardNumber()
-                                            && shard.machines().containsKey(otherId)) {
-                                        dirtyIds.add(otherId);
-                                    }
-                                });
-            }
-        }
-        wideGroupsToSplit.removeIf(wideKey -> machineIndex.group(wideKey).isEmpty());
-    }
-
     /**
      * Compares the machines of a write with what the cache shows after it: notes which are durable
      * or handed over, and marks those still different as changed, so that they are written again.
@@ -245,29 +219,34 @@
         for (String id : batch) {
             Machine machine = shard.machines().get(id);
             MachineRecord record = machineIndex.get(id);
-            if (machine != null && record != null && record.shardNumber() != shard.shardNumber()) {
-                if (machine.state() == Machine.State.HANDING_OVER) {
-                    outbox.log(
-                            LogEvent.of(LogEventType.MACHINE_HANDED_OVER)
-                                    .with("machine", id)
-                                    .with("shard", shard.shardNumber())
-                                    .with("target_shard", record.shardNumber()));
+            if (record != null && record.shardNumber() != shard.shardNumber()) {
+                if (machine != null) {
+                    removeHandedOver(machine, record);
                 }
-                shard.removeMachine(id);
-            } else if (record != null && record.shardNumber() != shard.shardNumber()) {
-                continue;
-            } else if (machine == null
-                    && record != null
-                    && !machineIndex
-                            .group(StoreSchema.machineGroupKey(id, settings.maxValueBytes()))
-                            .containsKey(id)) {
+            } else if (machine == null && record != null && !isInPresentGroup(id)) {
                 // Terminated, and only its wide group still has it, which is about to be removed.
                 continue;
-            } else if (record == null ? machine != null : !record.equals(desiredRecord(id))) {
+            } else if (!Objects.equals(record, desiredRecord(id))) {
                 dirtyIds.add(id);
             } else if (machine != null) {
                 machine.setDurableUseRecord(record.mayHaveRunTasks());
             }
         }
     }
+
+    private void removeHandedOver(Machine machine, MachineRecord record) {
+        if (machine.state() == Machine.State.HANDING_OVER) {
+            outbox.log(
+                    LogEvent.of(LogEventType.MACHINE_HANDED_OVER)
+                            .with("machine", machine.id())
+                            .with("shard", shard.shardNumber())
+                            .with("target_shard", record.shardNumber()));
+        }
+        shard.removeMachine(machine.id());
+    }
+
+    private boolean isInPresentGroup(String id) {
+        String key = StoreSchema.machineGroupKey(id, settings.maxValueBytes());
+        return machineIndex.group(key).containsKey(id);
+    }
 }
--- a/src/main/java/org/shoreusher/core/machine/ReservedReplicaCapacity.java
+++ b/src/main/java/org/shoreusher/core/machine/ReservedReplicaCapacity.java
@@ -3,6 +3,7 @@
 import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap;
 import java.util.Comparator;
 import java.util.List;
+import java.util.Optional;
 import org.shoreusher.core.cluster.ClusterConstants;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.cluster.Machine;
@@ -47,64 +48,71 @@
         this.scaleOut = scaleOut;
     }
 
-    /**
-     * Adds machines to a scale-out request.
-     *
-     * @param requested machines to request so far
-     * @param maxMachines upper bound on the number of machines in the request
-     */
-    void step(List<BinPacker.MachineCapacity> requested, int maxMachines) {
-        MachineType type =
-                machineTypes.all().stream()
-                        .min(
-                                Comparator.comparingDouble(
-                                        candidate ->
-                                                candidate.onDemandPricePerHour()
-                                                        / Math.max(
-                                                                ClusterConstants.EPSILON,
-                                                                candidate.cpus())))
-                        .orElse(null);
-        targetCpusPerZone = type == null ? 0 : targetCpusPerZone(type);
+    /** Adds the machines to a plan that the reservation lacks. */
+    void addTo(ProvisionPlan plan) {
         freeCpusByZone.clear();
         zoneWithMostCapacity = null;
+        Optional<MachineType> cheapestType = cheapestTypePerCpu();
+        targetCpusPerZone = cheapestType.map(this::targetCpusPerZone).orElse(0.0);
         if (targetCpusPerZone <= 0) {
             return;
         }
+        MachineType type = cheapestType.get();
+        countFreeCpus(plan.toProvision());
+        addMissingMachines(type, plan);
+        if (type.zones().stream().anyMatch(this::hasTooLittleCapacity)) {
+            zoneWithMostCapacity =
+                    type.zones().stream()
+                            .max(Comparator.comparingDouble(freeCpusByZone::getDouble))
+                            .get();
+        }
+    }
+
+    /** The type whose on-demand machines have the lowest price per CPU. */
+    private Optional<MachineType> cheapestTypePerCpu() {
+        return machineTypes.all().stream()
+                .min(
+                        Comparator.comparingDouble(
+                                type ->
+                                        type.onDemandPricePerHour()
+                                                / Math.max(ClusterConstants.EPSILON, type.cpus())));
+    }
+
+    private void countFreeCpus(List<BinPacker.MachineCapacity> toProvision) {
         for (Machine machine : shard.machines().values()) {
-            if (!machine.isSpot()
-                    && (shard.isAvailable(machine)
-                            || (machine.state() == Machine.State.BOOTING
-                                    && !machine.mayHaveRunTasks()))) {
-                double replicaCpus = 0;
-                for (TaskAttempt attempt : machine.tasks().values()) {
-                    replicaCpus +=
-                            attempt.job().spec().workloadType().runsToCompletion()
-                                    ? 0
-                                    : attempt.job().spec().cpus();
-                }
-                freeCpusByZone.addTo(machine.zone(), machine.type().cpus() - replicaCpus);
+            if (!machine.isSpot() && shard.isAvailableOrBooting(machine)) {
+                freeCpusByZone.addTo(machine.zone(), machine.type().cpus() - replicaCpus(machine));
             }
         }
         scaleOut.pendingCapacity().forEach(this::addCapacity);
-        requested.forEach(this::addCapacity);
+        toProvision.forEach(this::addCapacity);
+    }
+
+    private static double replicaCpus(Machine machine) {
+        double replicaCpus = 0;
+        for (TaskAttempt attempt : machine.tasks().values()) {
+            JobSpec spec = attempt.job().spec();
+            replicaCpus += spec.workloadType().runsToCompletion() ? 0 : spec.cpus();
+        }
+        return replicaCpus;
+    }
+
+    private void addMissingMachines(MachineType type, ProvisionPlan plan) {
         for (String zone : type.zones()) {
-            while (freeCpusByZone.getDouble(zone) < targetCpusPerZone
-                    && requested.size() < maxMachines
-                    && !scaleOut.isUnavailable(
-                            new ScaleOut.MachineKind(type.name(), zone, false))) {
+            MachineKind kind = new MachineKind(type.name(), zone, false);
+            while (hasTooLittleCapacity(zone)
+                    && plan.toProvision().size() < plan.maxNewMachines()
+                    && !scaleOut.isUnavailable(kind)) {
                 BinPacker.MachineCapacity capacity =
                         new BinPacker.MachineCapacity(type, zone, false);
-                requested.add(capacity);
+                plan.toProvision().add(capacity);
                 addCapacity(capacity);
             }
         }
-        if (type.zones().stream()
-                .anyMatch(zone -> freeCpusByZone.getDouble(zone) < targetCpusPerZone)) {
-            zoneWithMostCapacity =
-                    type.zones().stream()
-                            .max(Comparator.comparingDouble(freeCpusByZone::getDouble))
-                            .get();
-        }
+    }
+
+    private boolean hasTooLittleCapacity(String zone) {
+        return freeCpusByZone.getDouble(zone) < targetCpusPerZone;
     }
 
     /**
@@ -129,10 +137,11 @@
      * reserved.
      */
     boolean mustKeep(Machine machine) {
-        if (machine.isSpot()
-                || freeCpusByZone.getDouble(machine.zone()) - machine.type().cpus()
-                        < targetCpusPerZone) {
-            return !machine.isSpot() && targetCpusPerZone > 0;
+        if (machine.isSpot()) {
+            return false;
+        }
+        if (freeCpusByZone.getDouble(machine.zone()) - machine.type().cpus() < targetCpusPerZone) {
+            return targetCpusPerZone > 0;
         }
         freeCpusByZone.addTo(machine.zone(), -machine.type().cpus());
         return false;
--- a/src/main/java/org/shoreusher/core/machine/ScaleIn.java
+++ b/src/main/java/org/shoreusher/core/machine/ScaleIn.java
@@ -2,13 +2,19 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Set;
 import org.shoreusher.core.cluster.Machine;
 import org.shoreusher.core.cluster.ShardContext;
 import org.shoreusher.core.cluster.ShardState;
+import org.shoreusher.core.machine.MachineLifecycle.RemovalReason;
+import org.shoreusher.core.message.Command.CloudReply;
 import org.shoreusher.core.message.Effect.CloudOperation;
 import org.shoreusher.core.store.Outbox;
 
-/** Terminates the drained machines of a shard once they are empty; one call at a time. */
+/**
+ * Drains machines that have been idle for too long, and terminates drained machines once they are
+ * empty, with one call at a time.
+ */
 final class ScaleIn {
     private final ShardState shard;
     private final Outbox outbox;
@@ -23,15 +29,51 @@
         this.lifecycle = lifecycle;
     }
 
+    /**
+     * Drains machines that have been idle for too long, except those reserved for replicas.
+     *
+     * @param neededMachines the machines that the plan has tasks for
+     */
+    void drainIdle(Set<Machine> neededMachines, ReservedReplicaCapacity reservedReplicaCapacity) {
+        for (Machine machine : shard.machines().values()) {
+            if (machine.state() == Machine.State.UP
+                    && machine.isIdle()
+                    && !neededMachines.contains(machine)
+                    && machine.isIdleTimeKnown()
+                    && !reservedReplicaCapacity.mustKeep(machine)
+                    && machine.idleForMs(outbox.now().monotonicMs()) > idleTimeoutMs(machine)) {
+                machine.drainAsIdle();
+            }
+        }
+    }
+
+    private static long idleTimeoutMs(Machine machine) {
+        return machine.isSpot()
+                ? MachineConstants.SPOT_IDLE_TIMEOUT_MS
+                : MachineConstants.ON_DEMAND_IDLE_TIMEOUT_MS;
+    }
+
     /** Requests the next termination when it is due. */
     void step() {
         if (terminationInFlight || outbox.now().monotonicMs() < nextTerminationMs) {
             return;
         }
+        List<String> ids = beginTerminations();
+        if (!ids.isEmpty()) {
+            terminationInFlight =
+                    outbox.callCloud(
+                            new CloudOperation.Terminate(List.copyOf(ids)),
+                            reply -> handleReply(ids, reply));
+        }
+    }
+
+    private List<String> beginTerminations() {
         List<String> ids = new ArrayList<>();
         for (Machine machine : shard.machines().values()) {
-            if ((machine.state() == Machine.State.DRAINING
-                            || machine.state() == Machine.State.TERMINATING)
+            boolean mayBeTerminated =
+                    machine.state() == Machine.State.DRAINING
+                            || machine.state() == Machine.State.TERMINATING;
+            if (mayBeTerminated
                     && machine.tasks().isEmpty()
                     && ids.size() < MachineConstants.MAX_MACHINES_PER_TERMINATE) {
                 // From now on no task may start on it, whatever the outcome of the call.
@@ -39,46 +81,24 @@
                 ids.add(machine.id());
             }
         }
-        if (ids.isEmpty()) {
-            return;
-        }
-        terminationInFlight =
-                outbox.callCloud(
-                        new CloudOperation.Terminate(List.copyOf(ids)),
-                        reply -> {
-                            terminationInFlight = false;
-                            if (reply.status() != 200) {
-                                nextTerminationMs =
-                                        outbox.now().monotonicMs()
-                                                + MachineConstants.CLOUD_RETRY_MS;
-                                ids.forEach(
-                                        id ->
-                                                handleUnconfirmedTermination(
-                                                        shard.machines().get(id), reply.status()));
-                                return;
-                            }
-                            for (String id : ids) {
-                                Machine machine = shard.machines().get(id);
-                                if (machine != null) {
-                                    lifecycle.removeTerminated(machine, "terminated by this node");
-                                }
-                            }
-                        });
+        return ids;
     }
 
-    /**
-     * Handles a termination that was not confirmed. A machine that was drained only because it was
-     * idle becomes usable again if this call and all earlier ones were refused for certain:
-     * otherwise tasks would wait during an outage of the cloud's API beside machines that wait for
-     * their termination.
-     *
-     * @param machine the machine; null if it is known to be terminated
-     * @param status HTTP status of the reply; 503 and 429 mean that nothing was done
-     */
-    private void handleUnconfirmedTermination(Machine machine, int status) {
-        if (machine == null) {
-            return;
+    private void handleReply(List<String> ids, CloudReply reply) {
+        terminationInFlight = false;
+        boolean isConfirmed = reply.status() == 200;
+        if (!isConfirmed) {
+            nextTerminationMs = outbox.now().monotonicMs() + MachineConstants.CLOUD_RETRY_MS;
+        }
+        // Without an answer the termination may still take effect.
+        boolean isCertainlyRefused = reply.status() == 503 || reply.status() == 429;
+        for (String id : ids) {
+            Machine machine = shard.machines().get(id);
+            if (machine != null && isConfirmed) {
+                lifecycle.removeTerminated(machine, RemovalReason.TERMINATED);
+            } else if (machine != null) {
+                machine.handleUnconfirmedTermination(isCertainlyRefused);
+            }
         }
-        machine.terminationUnconfirmed(status == 503 || status == 429);
     }
 }
--- a/src/main/java/org/shoreusher/core/machine/ScaleOut.java
+++ b/src/main/java/org/shoreusher/core/machine/ScaleOut.java
@@ -27,14 +27,6 @@
  * one.
  */
 final class ScaleOut {
-    /**
-     * What the cloud's capacity is counted by.
-     *
-     * @param type name of the machine type
-     * @param spot whether a spot machine, else an on-demand one
-     */
-    record MachineKind(String type, String zone, boolean spot) {}
-
     /** A request that has no final answer yet. */
     private static final class PendingRequest {
         final CloudOperation.Provision request;
@@ -51,10 +43,11 @@
     private final ShardState shard;
     private final ShardAuthority authority;
     private final Outbox outbox;
-    private final Autoscaler autoscaler;
+    private final MachineLifecycle lifecycle;
+    private final Runnable onAllAnswered;
     private final int maxPendingRequests;
 
-    /** Steady ms until which a kind that had no capacity is not requested again. */
+    /** Monotonic ms until which a kind that had no capacity is not requested again. */
     private final Object2LongOpenHashMap<MachineKind> unavailableUntilMs =
             new Object2LongOpenHashMap<>();
 
@@ -69,18 +62,20 @@
 
     private long nextAttemptMs;
 
-    /** Creates the scale-out of a shard; nothing is requested yet. */
-    ScaleOut(ShardContext context, Autoscaler autoscaler) {
+    /**
+     * Creates the scale-out of a shard; nothing is requested yet.
+     *
+     * @param onAllAnswered called when the last pending request is answered
+     */
+    ScaleOut(ShardContext context, MachineLifecycle lifecycle, Runnable onAllAnswered) {
         shard = context.state();
         authority = context.authority();
         outbox = context.outbox();
-        this.autoscaler = autoscaler;
-        maxPendingRequests =
-                Math.max(
-                        1,
-                        (int)
-                                (context.settings().cloudRequestsPerS()
-                                        * StoreConstants.RATE_LIMIT_USE_SHARE));
+        this.lifecycle = lifecycle;
+        this.onAllAnswered = onAllAnswered;
+        double requestsPerS =
+                context.settings().cloudRequestsPerS() * StoreConstants.RATE_LIMIT_USE_SHARE;
+        maxPendingRequests = Math.max(1, (int) requestsPerS);
     }
 
     /** Whether the cloud has recently had no capacity for this kind of machine. */
@@ -123,28 +118,27 @@
                     for (int remaining = count;
                             remaining > 0 && pendingRequests.size() < maxPendingRequests;
                             remaining -= MachineConstants.MAX_MACHINES_PER_PROVISION) {
-                        // The name contains the term, so that no other leader uses it, nor this
-                        // node after a restart.
-                        CloudOperation.Provision request =
-                                new CloudOperation.Provision(
-                                        "part-"
-                                                + shard.shardNumber()
-                                                + "-"
-                                                + authority.term()
-                                                + "-"
-                                                + nextRequestNumber++,
-                                        kind.type,
-                                        kind.zone,
-                                        kind.spot,
-                                        Math.min(
-                                                remaining,
-                                                MachineConstants.MAX_MACHINES_PER_PROVISION));
-                        pendingRequests.add(new PendingRequest(request, capacityByKind.get(kind)));
+                        pendingRequests.add(
+                                new PendingRequest(
+                                        newRequest(kind, remaining), capacityByKind.get(kind)));
                     }
                 });
         step();
     }
 
+    private CloudOperation.Provision newRequest(MachineKind kind, int machineCount) {
+        // The name contains the term, so that no other leader uses it, nor this node after a
+        // restart.
+        String name =
+                "part-" + shard.shardNumber() + "-" + authority.term() + "-" + nextRequestNumber++;
+        return new CloudOperation.Provision(
+                name,
+                kind.type(),
+                kind.zone(),
+                kind.spot(),
+                Math.min(machineCount, MachineConstants.MAX_MACHINES_PER_PROVISION));
+    }
+
     /** Sends the pending requests that are due, new ones and those to be repeated. */
     void step() {
         if (outbox.now().monotonicMs() < nextAttemptMs
@@ -173,11 +167,11 @@
     private void handleReply(PendingRequest pendingRequest, CloudReply reply) {
         CloudOperation.Provision request = pendingRequest.request;
         MachineKind kind = new MachineKind(request.type(), request.zone(), request.spot());
-        boolean isOutOfCapacity =
+        boolean outOfCapacity =
                 reply.status() == 503
                         && reply.body() != null
                         && "no capacity".equals(reply.body().get("error"));
-        cloudFailing = reply.status() != 200 && reply.status() != 400 && !isOutOfCapacity;
+        cloudFailing = reply.status() != 200 && reply.status() != 400 && !outOfCapacity;
         if (cloudFailing) {
             // A request without an answer may have taken effect: it is repeated under its name.
             nextAttemptMs = outbox.now().monotonicMs() + MachineConstants.CLOUD_RETRY_MS;
@@ -185,13 +179,12 @@
         }
         pendingRequests.remove(pendingRequest);
         if (pendingRequests.isEmpty()) {
-            autoscaler.replanNow();
+            onAllAnswered.run();
         }
         if (reply.status() == 200) {
             handleProvisioned(request, kind, reply, pendingRequest.requestedWallMs);
-        } else if (isOutOfCapacity) {
-            unavailableUntilMs.put(
-                    kind, outbox.now().monotonicMs() + MachineConstants.NO_CAPACITY_BACKOFF_MS);
+        } else if (outOfCapacity) {
+            markUnavailable(kind);
         } else {
             outbox.log(
                     LogEvent.of(LogEventType.PROVISION_REJECTED)
@@ -200,6 +193,11 @@
         }
     }
 
+    private void markUnavailable(MachineKind kind) {
+        unavailableUntilMs.put(
+                kind, outbox.now().monotonicMs() + MachineConstants.NO_CAPACITY_BACKOFF_MS);
+    }
+
     private void handleProvisioned(
             CloudOperation.Provision request,
             MachineKind kind,
@@ -216,11 +214,10 @@
                             .with("zone", request.zone())
                             .with("spot", request.spot()));
             if (machineIds.size() < request.count()) {
-                unavailableUntilMs.put(
-                        kind, outbox.now().monotonicMs() + MachineConstants.NO_CAPACITY_BACKOFF_MS);
+                markUnavailable(kind);
             }
             for (String id : machineIds) {
-                autoscaler.addProvisioned(id, request, requestedWallMs);
+                lifecycle.addProvisioned(id, request, requestedWallMs);
             }
         } catch (FieldMap.InvalidFieldException e) {
             outbox.log(
