--- a/src/main/java/org/shoreusher/core/machine/CloudInventory.java
+++ b/src/main/java/org/shoreusher/core/machine/CloudInventory.java
@@ -27,6 +27,9 @@
  * of its machines have been terminated, and which machines have no record and need to be adopted.
  */
 public final class CloudInventory {
+    /** State of a machine in the list that has stopped by itself (protocol). */
+    private static final String FAILED_STATE = "failed";
+
     private final ShardState shard;
     private final ShardAuthority authority;
     private final Settings settings;
@@ -144,7 +147,7 @@
 
     private void applyListedMachine(ListedMachine listedMachine) {
         Machine machine = shard.machines().get(listedMachine.machineId());
-        if (machine != null && listedMachine.state().equals("failed")) {
+        if (machine != null && listedMachine.state().equals(FAILED_STATE)) {
             lifecycle.handleMachineFailure(machine);
         }
         if (machine == null && lifecycle.shouldAdopt(listedMachine.machineId())) {
--- a/src/main/java/org/shoreusher/core/machine/MachineConstants.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineConstants.java
@@ -40,9 +40,7 @@
      */
     public static final long TERMINATED_STILL_LISTED_MS = 60_000;
 
-    /**
-     * Consecutive failed tasks, of different jobs, after which a machine is quarantined as faulty.
-     */
+    /** Consecutive failed tasks, of different jobs, after which a machine is cordoned as faulty. */
     public static final int FAULTY_MACHINE_FAILURES = 3;
 
     /** ms; how often the autoscaler runs. */
--- a/src/main/java/org/shoreusher/core/machine/ReservedReplicaCapacity.java
+++ b/src/main/java/org/shoreusher/core/machine/ReservedReplicaCapacity.java
@@ -133,18 +133,20 @@
     }
 
     /**
-     * Whether an empty machine must be kept. One that need not be kept no longer counts as
-     * reserved.
+     * Releases an empty machine from the reservation if the rest is enough without it.
+     *
+     * @return whether the machine may be terminated
      */
-    boolean mustKeep(Machine machine) {
-        if (machine.isSpot()) {
-            return false;
+    boolean tryRelease(Machine machine) {
+        if (machine.isSpot() || targetCpusPerZone <= 0) {
+            return true;
         }
-        if (freeCpusByZone.getDouble(machine.zone()) - machine.type().cpus() < targetCpusPerZone) {
-            return targetCpusPerZone > 0;
+        double remainingCpus = freeCpusByZone.getDouble(machine.zone()) - machine.type().cpus();
+        if (remainingCpus < targetCpusPerZone) {
+            return false;
         }
-        freeCpusByZone.addTo(machine.zone(), -machine.type().cpus());
-        return false;
+        freeCpusByZone.put(machine.zone(), remainingCpus);
+        return true;
     }
 
     /**
--- a/src/main/java/org/shoreusher/core/machine/ScaleIn.java
+++ b/src/main/java/org/shoreusher/core/machine/ScaleIn.java
@@ -40,7 +40,7 @@
                     && machine.isIdle()
                     && !neededMachines.contains(machine)
                     && machine.isIdleTimeKnown()
-                    && !reservedReplicaCapacity.mustKeep(machine)
+                    && reservedReplicaCapacity.tryRelease(machine)
                     && machine.idleForMs(outbox.now().monotonicMs()) > idleTimeoutMs(machine)) {
                 machine.drainAsIdle();
             }
--- a/src/main/java/org/shoreusher/core/machine/ScaleOut.java
+++ b/src/main/java/org/shoreusher/core/machine/ScaleOut.java
@@ -27,6 +27,9 @@
  * one.
  */
 final class ScaleOut {
+    /** The error of a reply by which the cloud has no machine of a kind (protocol). */
+    private static final String NO_CAPACITY_ERROR = "no capacity";
+
     /** A request that has no final answer yet. */
     private static final class PendingRequest {
         final CloudOperation.Provision request;
@@ -170,7 +173,7 @@
         boolean outOfCapacity =
                 reply.status() == 503
                         && reply.body() != null
-                        && "no capacity".equals(reply.body().get("error"));
+                        && NO_CAPACITY_ERROR.equals(reply.body().get("error"));
         cloudFailing = reply.status() != 200 && reply.status() != 400 && !outOfCapacity;
         if (cloudFailing) {
             // A request without an answer may have taken effect: it is repeated under its name.
