--- a/src/main/java/org/shoreusher/core/leadership/ShardLeadership.java
+++ b/src/main/java/org/shoreusher/core/leadership/ShardLeadership.java
@@ -6,11 +6,12 @@
 import org.shoreusher.core.message.ClockReading;
 import org.shoreusher.core.message.Command.StoreReply;
 import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.core.message.ReplyStatus;
+import org.shoreusher.core.store.CompletionRecord;
 import org.shoreusher.core.store.Outbox;
+import org.shoreusher.core.store.ShardRecord;
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.core.store.StoreSchema;
-import org.shoreusher.core.store.StoreSchema.CompletionRecord;
-import org.shoreusher.core.store.StoreSchema.ShardRecord;
 import org.shoreusher.log.LogEvent;
 import org.shoreusher.log.LogEventType;
 import org.shoreusher.settings.Settings;
@@ -86,6 +87,11 @@
         nextRenewalMs = sentAt.monotonicMs() + LeaderLease.renewalIntervalMs(settings);
     }
 
+    /** The number of the shard. */
+    public int shardNumber() {
+        return shardNumber;
+    }
+
     /** The name of the leading process, HOST/SUFFIX. */
     public String processName() {
         return processName;
@@ -289,7 +295,7 @@
         if (isLost) {
             return;
         }
-        if (reply.status() == 200) {
+        if (reply.status() == ReplyStatus.OK) {
             recordVersion = storeCache.applyOwnWrites(reply, writes);
             onLeaseConfirmed(record.leaseExpiryWallMs(), sentAt);
             standby.onRecordConfirmed(record.standby());
@@ -311,7 +317,7 @@
             return;
         }
         nextRenewalMs = outbox.now().monotonicMs() + LeadershipConstants.LEASE_RENEWAL_RETRY_MS;
-        if (reply.status() == 409) {
+        if (reply.status() == ReplyStatus.CONFLICT) {
             // Either another node has become the leader, or an earlier renewal that got no answer
             // was applied.
             renewalInFlight =
@@ -321,7 +327,7 @@
                                     Map.of()),
                             fencingReply -> {
                                 renewalInFlight = false;
-                                if (fencingReply.status() == 409) {
+                                if (fencingReply.status() == ReplyStatus.CONFLICT) {
                                     loseLeadership("fencing key changed");
                                 }
                             });
@@ -339,7 +345,7 @@
     }
 
     private void onShardRecordRead(StoreReply reply) {
-        if (isLost || reply.status() != 200) {
+        if (isLost || reply.status() != ReplyStatus.OK) {
             return;
         }
         try {
@@ -395,7 +401,7 @@
                         new StoreOperation.CompareAndSwap(preconditions, writes),
                         reply -> {
                             renewalInFlight = false;
-                            if (reply.status() == 200 && !isLost) {
+                            if (reply.status() == ReplyStatus.OK && !isLost) {
                                 recordVersion = storeCache.applyOwnWrites(reply, writes);
                                 standby.onRecordConfirmed(record.standby());
                                 term = raisedTerm;
--- a/src/main/java/org/shoreusher/core/machine/Autoscaler.java
+++ b/src/main/java/org/shoreusher/core/machine/Autoscaler.java
@@ -14,6 +14,7 @@
 import org.shoreusher.core.message.MachineType;
 import org.shoreusher.core.schedule.BinPacker;
 import org.shoreusher.core.schedule.JobQueue;
+import org.shoreusher.core.schedule.MachineCapacity;
 import org.shoreusher.core.schedule.ShardScheduling;
 import org.shoreusher.core.store.Outbox;
 
@@ -108,7 +109,7 @@
     }
 
     private void plan() {
-        List<BinPacker.MachineCapacity> capacities = shortfall.existingCapacity();
+        List<MachineCapacity> capacities = shortfall.existingCapacity();
         capacities.addAll(scaleOut.pendingCapacity());
         BinPacker binPacker = shortfall.binPacker(capacities);
         List<Job> jobs = jobQueue.inSchedulingOrder();
@@ -145,7 +146,7 @@
     /**
      * Surplus machines of other shards are handed over, which is faster and cheaper than a boot.
      */
-    private void removeMachinesAvailableElsewhere(List<BinPacker.MachineCapacity> toProvision) {
+    private void removeMachinesAvailableElsewhere(List<MachineCapacity> toProvision) {
         int needed = Math.max(0, toProvision.size() - shardDemand.idleMachinesElsewhere());
         toProvision.subList(needed, toProvision.size()).clear();
     }
@@ -154,7 +155,7 @@
     private Object2IntOpenHashMap<String> countMachinesPerZone() {
         Object2IntOpenHashMap<String> counts = new Object2IntOpenHashMap<>();
         shard.machines().values().forEach(machine -> counts.addTo(machine.zone(), 1));
-        scaleOut.pendingCapacity().forEach(capacity -> counts.addTo(capacity.zone, 1));
+        scaleOut.pendingCapacity().forEach(capacity -> counts.addTo(capacity.zone(), 1));
         return counts;
     }
 }
--- a/src/main/java/org/shoreusher/core/machine/CapacityShortfall.java
+++ b/src/main/java/org/shoreusher/core/machine/CapacityShortfall.java
@@ -8,6 +8,7 @@
 import org.shoreusher.core.cluster.ShardState;
 import org.shoreusher.core.message.MachineType;
 import org.shoreusher.core.schedule.BinPacker;
+import org.shoreusher.core.schedule.MachineCapacity;
 import org.shoreusher.core.schedule.QuotaHeadroom;
 
 /**
@@ -56,18 +57,18 @@
     }
 
     /** The free capacity of machines that can start tasks or are booting. */
-    List<BinPacker.MachineCapacity> existingCapacity() {
-        List<BinPacker.MachineCapacity> capacities = new ArrayList<>();
+    List<MachineCapacity> existingCapacity() {
+        List<MachineCapacity> capacities = new ArrayList<>();
         for (Machine machine : shard.machines().values()) {
             if (shard.isAvailableOrBooting(machine)) {
-                capacities.add(new BinPacker.MachineCapacity(machine));
+                capacities.add(new MachineCapacity(machine));
             }
         }
         return capacities;
     }
 
     /** A bin packer that places tasks up to the quotas that apply to scale-out. */
-    BinPacker binPacker(List<BinPacker.MachineCapacity> capacities) {
+    BinPacker binPacker(List<MachineCapacity> capacities) {
         return new BinPacker(
                 capacities, quotaHeadroom::cpuHeadroomForScaleOut, quotaHeadroom::gpuHeadroom);
     }
--- a/src/main/java/org/shoreusher/core/machine/CloudInventory.java
+++ b/src/main/java/org/shoreusher/core/machine/CloudInventory.java
@@ -15,6 +15,7 @@
 import org.shoreusher.core.message.Command.ListedMachine;
 import org.shoreusher.core.message.Command.MachineListPage;
 import org.shoreusher.core.message.Effect.CloudOperation;
+import org.shoreusher.core.message.ReplyStatus;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.log.LogEvent;
 import org.shoreusher.log.LogEventType;
@@ -114,7 +115,7 @@
                                 ? MachineConstants.INVENTORY_INTERVAL_MS
                                 : MachineConstants.RECONCILIATION_INVENTORY_INTERVAL_MS);
         partialList = null;
-        if (reply.status() != 200 || authority.isLeadershipLost()) {
+        if (reply.status() != ReplyStatus.OK || authority.isLeadershipLost()) {
             return;
         }
         try {
--- a/src/main/java/org/shoreusher/core/machine/MachinePricing.java
+++ b/src/main/java/org/shoreusher/core/machine/MachinePricing.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.core.message.MachineType;
-import org.shoreusher.core.schedule.BinPacker;
+import org.shoreusher.core.schedule.MachineCapacity;
 
 /** Compares machine types by what a task costs on them. */
 final class MachinePricing {
@@ -33,6 +33,6 @@
 
     /** Tasks of a job that fit on an empty machine; 1 if none does. */
     static int tasksPerMachine(MachineType type, JobSpec spec) {
-        return Math.max(1, new BinPacker.MachineCapacity(type, "", true).fittingTaskCount(spec));
+        return Math.max(1, new MachineCapacity(type, "", true).fittingTaskCount(spec));
     }
 }
--- a/src/main/java/org/shoreusher/core/machine/MachineRecords.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineRecords.java
@@ -12,11 +12,12 @@
 import org.shoreusher.core.cluster.ShardState;
 import org.shoreusher.core.leadership.ShardLeadership;
 import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.core.message.ReplyStatus;
+import org.shoreusher.core.store.MachineGroupRecord;
+import org.shoreusher.core.store.MachineRecord;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.core.store.StoreSchema;
-import org.shoreusher.core.store.StoreSchema.MachineGroupRecord;
-import org.shoreusher.core.store.StoreSchema.MachineRecord;
 import org.shoreusher.core.store.VersionNegotiation;
 import org.shoreusher.log.LogEvent;
 import org.shoreusher.log.LogEventType;
@@ -165,7 +166,7 @@
                             if (leadership.isLost()) {
                                 return;
                             }
-                            if (reply.status() == 200) {
+                            if (reply.status() == ReplyStatus.OK) {
                                 storeCache.applyOwnWrites(reply, writes);
                             }
                             applyWriteResult(batch);
--- a/src/main/java/org/shoreusher/core/machine/ProvisionPlan.java
+++ b/src/main/java/org/shoreusher/core/machine/ProvisionPlan.java
@@ -10,6 +10,7 @@
 import org.shoreusher.core.cluster.Machine;
 import org.shoreusher.core.message.MachineType;
 import org.shoreusher.core.schedule.BinPacker;
+import org.shoreusher.core.schedule.MachineCapacity;
 
 /** One plan of which machines to provision: places jobs one by one and adds what they lack. */
 final class ProvisionPlan {
@@ -18,7 +19,7 @@
     private final MachineKindSelector kindSelector;
     private final int maxNewMachines;
     private final Object2IntOpenHashMap<String> machinesPerZone;
-    private final List<BinPacker.MachineCapacity> toProvision = new ArrayList<>();
+    private final List<MachineCapacity> toProvision = new ArrayList<>();
 
     /**
      * Creates a plan without new machines.
@@ -41,7 +42,7 @@
     }
 
     /** The machines to provision, in the order in which they were added; a live view. */
-    List<BinPacker.MachineCapacity> toProvision() {
+    List<MachineCapacity> toProvision() {
         return toProvision;
     }
 
@@ -53,7 +54,7 @@
     /** The existing machines that tasks were placed on; null is among them for new machines. */
     Set<Machine> neededMachines() {
         Set<Machine> neededMachines = new HashSet<>();
-        binPacker.placedTasks().forEach(placed -> neededMachines.add(placed.capacity().machine));
+        binPacker.placedTasks().forEach(placed -> neededMachines.add(placed.capacity().machine()));
         return neededMachines;
     }
 
@@ -77,8 +78,7 @@
                 unplaced / MachinePricing.tasksPerMachine(type, job.spec()) / type.zones().size();
         int count = Math.max(1, Math.min(machinesPerRound, maxNewMachines - toProvision.size()));
         for (int i = 0; i < count; i++) {
-            BinPacker.MachineCapacity capacity =
-                    new BinPacker.MachineCapacity(type, kind.zone(), kind.spot());
+            MachineCapacity capacity = new MachineCapacity(type, kind.zone(), kind.spot());
             toProvision.add(capacity);
             binPacker.addCapacity(capacity);
         }
--- a/src/main/java/org/shoreusher/core/machine/ReservedReplicaCapacity.java
+++ b/src/main/java/org/shoreusher/core/machine/ReservedReplicaCapacity.java
@@ -12,7 +12,7 @@
 import org.shoreusher.core.cluster.TaskAttempt;
 import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.core.message.MachineType;
-import org.shoreusher.core.schedule.BinPacker;
+import org.shoreusher.core.schedule.MachineCapacity;
 import org.shoreusher.settings.Settings;
 
 /**
@@ -78,7 +78,7 @@
                                                 / Math.max(ClusterConstants.EPSILON, type.cpus())));
     }
 
-    private void countFreeCpus(List<BinPacker.MachineCapacity> toProvision) {
+    private void countFreeCpus(List<MachineCapacity> toProvision) {
         for (Machine machine : shard.machines().values()) {
             if (!machine.isSpot() && shard.isAvailableOrBooting(machine)) {
                 freeCpusByZone.addTo(machine.zone(), machine.type().cpus() - replicaCpus(machine));
@@ -103,8 +103,7 @@
             while (hasTooLittleCapacity(zone)
                     && plan.toProvision().size() < plan.maxNewMachines()
                     && !scaleOut.isUnavailable(kind)) {
-                BinPacker.MachineCapacity capacity =
-                        new BinPacker.MachineCapacity(type, zone, false);
+                MachineCapacity capacity = new MachineCapacity(type, zone, false);
                 plan.toProvision().add(capacity);
                 addCapacity(capacity);
             }
@@ -126,9 +125,9 @@
                 : zoneWithMostCapacity;
     }
 
-    private void addCapacity(BinPacker.MachineCapacity capacity) {
-        if (!capacity.spot) {
-            freeCpusByZone.addTo(capacity.zone, capacity.type.cpus());
+    private void addCapacity(MachineCapacity capacity) {
+        if (!capacity.isSpot()) {
+            freeCpusByZone.addTo(capacity.zone(), capacity.type().cpus());
         }
     }
 
@@ -157,10 +156,8 @@
         double largestHalfCpus = 0;
         for (Job job : shard.jobs().values()) {
             if (!job.spec().workloadType().runsToCompletion()) {
-                largestHalfCpus =
-                        Math.max(
-                                largestHalfCpus,
-                                (job.spec().taskCount() + 1) / 2 * job.spec().cpus());
+                int largerHalf = (job.spec().taskCount() + 1) / 2;
+                largestHalfCpus = Math.max(largestHalfCpus, largerHalf * job.spec().cpus());
             }
         }
         // Before the first service arrives, an objective tells whether work is expected that must
--- a/src/main/java/org/shoreusher/core/machine/ScaleIn.java
+++ b/src/main/java/org/shoreusher/core/machine/ScaleIn.java
@@ -9,6 +9,7 @@
 import org.shoreusher.core.machine.MachineLifecycle.RemovalReason;
 import org.shoreusher.core.message.Command.CloudReply;
 import org.shoreusher.core.message.Effect.CloudOperation;
+import org.shoreusher.core.message.ReplyStatus;
 import org.shoreusher.core.store.Outbox;
 
 /**
@@ -86,12 +87,14 @@
 
     private void handleReply(List<String> ids, CloudReply reply) {
         terminationInFlight = false;
-        boolean isConfirmed = reply.status() == 200;
+        boolean isConfirmed = reply.status() == ReplyStatus.OK;
         if (!isConfirmed) {
             nextTerminationMs = outbox.now().monotonicMs() + MachineConstants.CLOUD_RETRY_MS;
         }
         // Without an answer the termination may still take effect.
-        boolean isCertainlyRefused = reply.status() == 503 || reply.status() == 429;
+        boolean isCertainlyRefused =
+                reply.status() == ReplyStatus.SERVICE_UNAVAILABLE
+                        || reply.status() == ReplyStatus.TOO_MANY_REQUESTS;
         for (String id : ids) {
             Machine machine = shard.machines().get(id);
             if (machine != null && isConfirmed) {
--- a/src/main/java/org/shoreusher/core/machine/ScaleOut.java
+++ b/src/main/java/org/shoreusher/core/machine/ScaleOut.java
@@ -10,7 +10,8 @@
 import org.shoreusher.core.leadership.ShardAuthority;
 import org.shoreusher.core.message.Command.CloudReply;
 import org.shoreusher.core.message.Effect.CloudOperation;
-import org.shoreusher.core.schedule.BinPacker;
+import org.shoreusher.core.message.ReplyStatus;
+import org.shoreusher.core.schedule.MachineCapacity;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreConstants;
 import org.shoreusher.log.LogEvent;
@@ -33,11 +34,11 @@
     /** A request that has no final answer yet. */
     private static final class PendingRequest {
         final CloudOperation.Provision request;
-        final BinPacker.MachineCapacity emptyCapacity;
+        final MachineCapacity emptyCapacity;
         boolean inFlight;
         long requestedWallMs;
 
-        PendingRequest(CloudOperation.Provision request, BinPacker.MachineCapacity emptyCapacity) {
+        PendingRequest(CloudOperation.Provision request, MachineCapacity emptyCapacity) {
             this.request = request;
             this.emptyCapacity = emptyCapacity;
         }
@@ -93,26 +94,27 @@
     }
 
     /** The capacity of the machines that have been requested and not been provisioned yet. */
-    List<BinPacker.MachineCapacity> pendingCapacity() {
-        List<BinPacker.MachineCapacity> capacities = new ArrayList<>();
+    List<MachineCapacity> pendingCapacity() {
+        List<MachineCapacity> capacities = new ArrayList<>();
         for (PendingRequest pendingRequest : pendingRequests) {
             for (int i = 0; i < pendingRequest.request.count(); i++) {
                 capacities.add(
-                        new BinPacker.MachineCapacity(
-                                pendingRequest.emptyCapacity.type,
-                                pendingRequest.emptyCapacity.zone,
-                                pendingRequest.emptyCapacity.spot));
+                        new MachineCapacity(
+                                pendingRequest.emptyCapacity.type(),
+                                pendingRequest.emptyCapacity.zone(),
+                                pendingRequest.emptyCapacity.isSpot()));
             }
         }
         return capacities;
     }
 
     /** Requests machines like these, at most {@link #maxNewMachines} of them. */
-    void requestMachines(List<BinPacker.MachineCapacity> toProvision) {
+    void requestMachines(List<MachineCapacity> toProvision) {
         Map<MachineKind, Integer> countByKind = new LinkedHashMap<>();
-        Map<MachineKind, BinPacker.MachineCapacity> capacityByKind = new LinkedHashMap<>();
-        for (BinPacker.MachineCapacity capacity : toProvision) {
-            MachineKind kind = new MachineKind(capacity.type.name(), capacity.zone, capacity.spot);
+        Map<MachineKind, MachineCapacity> capacityByKind = new LinkedHashMap<>();
+        for (MachineCapacity capacity : toProvision) {
+            MachineKind kind =
+                    new MachineKind(capacity.type().name(), capacity.zone(), capacity.isSpot());
             countByKind.merge(kind, 1, Integer::sum);
             capacityByKind.putIfAbsent(kind, capacity);
         }
@@ -171,10 +173,13 @@
         CloudOperation.Provision request = pendingRequest.request;
         MachineKind kind = new MachineKind(request.type(), request.zone(), request.spot());
         boolean outOfCapacity =
-                reply.status() == 503
+                reply.status() == ReplyStatus.SERVICE_UNAVAILABLE
                         && reply.body() != null
                         && NO_CAPACITY_ERROR.equals(reply.body().get("error"));
-        cloudFailing = reply.status() != 200 && reply.status() != 400 && !outOfCapacity;
+        cloudFailing =
+                reply.status() != ReplyStatus.OK
+                        && reply.status() != ReplyStatus.BAD_REQUEST
+                        && !outOfCapacity;
         if (cloudFailing) {
             // A request without an answer may have taken effect: it is repeated under its name.
             nextAttemptMs = outbox.now().monotonicMs() + MachineConstants.CLOUD_RETRY_MS;
@@ -184,7 +189,7 @@
         if (pendingRequests.isEmpty()) {
             onAllAnswered.run();
         }
-        if (reply.status() == 200) {
+        if (reply.status() == ReplyStatus.OK) {
             handleProvisioned(request, kind, reply, pendingRequest.requestedWallMs);
         } else if (outOfCapacity) {
             markUnavailable(kind);
