--- a/src/main/java/org/shoreusher/core/cluster/Machine.java
+++ b/src/main/java/org/shoreusher/core/cluster/Machine.java
@@ -9,7 +9,6 @@
 import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.core.message.MachineType;
 import org.shoreusher.core.message.WorkerHeartbeat;
-import org.shoreusher.settings.Settings;
 
 /**
  * What the leader of a shard knows of one machine of that shard. Times are monotonic ms unless a
@@ -338,89 +337,4 @@
     public int reservedTaskCount() {
         return resources.reservedTaskCount();
     }
-
-    /** See {@link WorkerConnection#address}. */
-    public String address() {
-        return worker.address();
-    }
-
-    /** See {@link WorkerConnection#incarnation}. */
-    public long incarnation() {
-        return worker.incarnation();
-    }
-
-    /** See {@link WorkerConnection#sequenceNumber}. */
-    public long sequenceNumber() {
-        return worker.sequenceNumber();
-    }
-
-    /** See {@link WorkerConnection#lastHeartbeatAtMs}. */
-    public long lastHeartbeatAtMs() {
-        return worker.lastHeartbeatAtMs();
-    }
-
-    /** See {@link WorkerConnection#previousLeaderRenewalAtMs}. */
-    public long previousLeaderRenewalAtMs() {
-        return worker.previousLeaderRenewalAtMs();
-    }
-
-    /** See {@link WorkerConnection#isReconciled}. */
-    public boolean isReconciled() {
-        return worker.isReconciled();
-    }
-
-    /** See {@link WorkerConnection#lastExpiredIncarnation}. */
-    public long lastExpiredIncarnation() {
-        return worker.lastExpiredIncarnation();
-    }
-
-    /** See {@link WorkerConnection#interruptionNoticeS}. */
-    public double interruptionNoticeS() {
-        return worker.interruptionNoticeS();
-    }
-
-    /** See {@link WorkerConnection#hasInterruptionNotice}. */
-    public boolean hasInterruptionNotice() {
-        return worker.hasInterruptionNotice();
-    }
-
-    /** See {@link WorkerConnection#reportedTaskCount}. */
-    public int reportedTaskCount() {
-        return worker.reportedTaskCount();
-    }
-
-    /** See {@link WorkerConnection#wasUsedByPreviousLeader}. */
-    public boolean wasUsedByPreviousLeader() {
-        return worker.wasUsedByPreviousLeader();
-    }
-
-    /** See {@link WorkerConnection#hasOneWayPartition}. */
-    public boolean hasOneWayPartition() {
-        return worker.hasOneWayPartition();
-    }
-
-    /** See {@link WorkerConnection#setUsedByPreviousLeader}. */
-    public void setUsedByPreviousLeader(boolean used) {
-        worker.setUsedByPreviousLeader(used);
-    }
-
-    /** See {@link WorkerConnection#recordHeartbeatOrder}. */
-    public void recordHeartbeatOrder(long incarnation, long sequenceNumber) {
-        worker.recordHeartbeatOrder(incarnation, sequenceNumber);
-    }
-
-    /** See {@link WorkerConnection#recordReply}. */
-    public void recordReply(long nowMs) {
-        worker.recordReply(nowMs);
-    }
-
-    /** See {@link WorkerConnection#extendLeaseTo}. */
-    public void extendLeaseTo(long renewedAtMs) {
-        worker.extendLeaseTo(renewedAtMs);
-    }
-
-    /** See {@link WorkerConnection#inferReplyDelivery}. */
-    public void inferReplyDelivery(WorkerHeartbeat heartbeat, long nowMs, Settings settings) {
-        worker.inferReplyDelivery(heartbeat, nowMs, settings);
-    }
 }
--- a/src/main/java/org/shoreusher/core/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/HeartbeatHandler.java
@@ -93,8 +93,8 @@
      * certain to be newer than those starts.
      */
     private boolean mayPredateFailover(Machine machine, WorkerHeartbeat heartbeat) {
-        return machine.wasUsedByPreviousLeader()
-                && !machine.isReconciled()
+        return machine.worker().wasUsedByPreviousLeader()
+                && !machine.worker().isReconciled()
                 && heartbeat.fencingToken() < authority.acquisitionTerm();
     }
 
@@ -108,17 +108,19 @@
      * reconciliation of the whole shard for as long as the partition lasted.
      */
     private boolean recordAndCheckExpiry(Machine machine, WorkerHeartbeat heartbeat) {
-        if (!heartbeat.isNewerThan(machine.incarnation(), machine.sequenceNumber())) {
+        if (!heartbeat.isNewerThan(
+                machine.worker().incarnation(), machine.worker().sequenceNumber())) {
             return false;
         }
-        machine.recordHeartbeatOrder(heartbeat.incarnation(), heartbeat.sequenceNumber());
+        machine.worker().recordHeartbeatOrder(heartbeat.incarnation(), heartbeat.sequenceNumber());
         return outbox.now().monotonicMs()
-                > machine.previousLeaderRenewalAtMs() + LeaderLease.workerLeaseBoundMs(settings);
+                > machine.worker().previousLeaderRenewalAtMs()
+                        + LeaderLease.workerLeaseBoundMs(settings);
     }
 
     /** Renews the worker's lease, with no orders but those that are right for any leader. */
     private void renewWorkerLease(long requestId, Machine machine, WorkerHeartbeat heartbeat) {
-        machine.extendLeaseTo(outbox.now().monotonicMs());
+        machine.worker().extendLeaseTo(outbox.now().monotonicMs());
         outbox.respond(
                 requestId,
                 new Response.HeartbeatAccepted(
@@ -134,15 +136,16 @@
      */
     private static boolean isStale(Machine machine, WorkerHeartbeat heartbeat) {
         return machine.state() == Machine.State.HANDING_OVER
-                || heartbeat.incarnation() <= machine.lastExpiredIncarnation()
-                || (machine.isReconciled()
-                        && !heartbeat.isNewerThan(machine.incarnation(), machine.sequenceNumber()));
+                || heartbeat.incarnation() <= machine.worker().lastExpiredIncarnation()
+                || (machine.worker().isReconciled()
+                        && !heartbeat.isNewerThan(
+                                machine.worker().incarnation(), machine.worker().sequenceNumber()));
     }
 
     /** Applies the newest heartbeat of a machine and answers it with orders. */
     private void accept(long requestId, Machine machine, WorkerHeartbeat heartbeat) {
         standbyReplication.discardHeldAnswer(machine);
-        machine.inferReplyDelivery(heartbeat, outbox.now().monotonicMs(), settings);
+        machine.worker().inferReplyDelivery(heartbeat, outbox.now().monotonicMs(), settings);
         heartbeatReader.apply(machine, heartbeat);
         standbyReplication.answerOrHold(requestId, machine, decideOrders(machine, heartbeat));
     }
--- a/src/main/java/org/shoreusher/core/heartbeat/HeartbeatReader.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/HeartbeatReader.java
@@ -57,7 +57,8 @@
      * before. Attempts that it does not show are removed, since they never started or have ended.
      */
     void apply(Machine machine, WorkerHeartbeat heartbeat) {
-        boolean isFirstSinceFailover = machine.wasUsedByPreviousLeader() && !machine.isReconciled();
+        boolean isFirstSinceFailover =
+                machine.worker().wasUsedByPreviousLeader() && !machine.worker().isReconciled();
         machine.applyHeartbeat(heartbeat, outbox.now().monotonicMs());
         if (!machine.mayHaveRunTasks()) {
             machine.markUsed();
@@ -69,7 +70,7 @@
             machine.tasks().values().forEach(ledger::recordInherited);
         }
         removeAbsentAttempts(machine, presentTaskKeys);
-        if (machine.hasInterruptionNotice()) {
+        if (machine.worker().hasInterruptionNotice()) {
             evictBeforeInterruption(machine);
         }
         machine.updateIdleSince(outbox.now().monotonicMs());
@@ -117,7 +118,8 @@
             if (!spec.workloadType().runsToCompletion()
                     || (spec.checkpointIntervalS() > 0
                             && attempt.state() == TaskAttempt.State.RUNNING
-                            && spec.checkpointDurationS() < machine.interruptionNoticeS())) {
+                            && spec.checkpointDurationS()
+                                    < machine.worker().interruptionNoticeS())) {
                 attempt.evict();
             }
         }
--- a/src/main/java/org/shoreusher/core/heartbeat/TaskStarter.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/TaskStarter.java
@@ -58,7 +58,7 @@
         // Answer and heartbeat are limited in size, however many small tasks would fit.
         int remainingTasks =
                 ClusterConstants.MAX_TASKS_PER_MACHINE
-                        - Math.max(machine.tasks().size(), machine.reportedTaskCount());
+                        - Math.max(machine.tasks().size(), machine.worker().reportedTaskCount());
         for (PlacedTasks placed : placementPlan.takeTasksToStart(machine)) {
             int taskIndex = -1;
             for (int i = 0; i < placed.taskCount() && remainingTasks > 0; i++, remainingTasks--) {
--- a/src/main/java/org/shoreusher/core/reconcile/Reconciliation.java
+++ b/src/main/java/org/shoreusher/core/reconcile/Reconciliation.java
@@ -135,7 +135,8 @@
                             if (record.shardNumber() == shard.shardNumber()) {
                                 Machine machine = lifecycle.addRecordedMachine(id, record);
                                 if (machine != null) {
-                                    machine.setUsedByPreviousLeader(record.mayHaveRunTasks());
+                                    machine.worker()
+                                            .setUsedByPreviousLeader(record.mayHaveRunTasks());
                                 }
                             }
                         });
@@ -301,7 +302,7 @@
         double unreconciledGpus = 0;
         for (Machine machine : shard.machines().values()) {
             if (machine.mayHaveRunTasks()
-                    && !machine.isReconciled()
+                    && !machine.worker().isReconciled()
                     && !shard.hasWorkerLeaseExpired(machine)) {
                 unreconciled++;
                 unreconciledCpus += machine.type().cpus();
--- a/src/main/java/org/shoreusher/core/replication/StandbyReplication.java
+++ b/src/main/java/org/shoreusher/core/replication/StandbyReplication.java
@@ -206,7 +206,7 @@
     }
 
     private void sendAnswer(long requestId, Machine machine, List<WorkerOrder> orders) {
-        machine.recordReply(outbox.now().monotonicMs());
+        machine.worker().recordReply(outbox.now().monotonicMs());
         outbox.respond(requestId, new Response.HeartbeatAccepted(authority.term(), orders));
     }
 
--- a/src/main/java/org/shoreusher/core/schedule/TaskStopper.java
+++ b/src/main/java/org/shoreusher/core/schedule/TaskStopper.java
@@ -54,18 +54,18 @@
         // An unresponsive machine most likely cannot be reached: its lease expires, or its next
         // heartbeat is answered with the order.
         if (authority.isLeader()
-                && machine.address() != null
-                && machine.isReconciled()
-                && outbox.now().monotonicMs() - machine.lastHeartbeatAtMs()
+                && machine.worker().address() != null
+                && machine.worker().isReconciled()
+                && outbox.now().monotonicMs() - machine.worker().lastHeartbeatAtMs()
                         < shard.heartbeatTimeoutMs()
                 && outbox.now().monotonicMs() - attempt.lastStopOrderMs()
                         > ScheduleConstants.STOP_ORDER_RETRY_MS) {
             attempt.recordStopOrder(outbox.now().monotonicMs());
             outbox.add(
                     new Effect.SendOrders(
-                            machine.address(),
+                            machine.worker().address(),
                             authority.term(),
-                            machine.incarnation(),
+                            machine.worker().incarnation(),
                             List.of(stopOrder(attempt, gracePeriodS))));
         }
     }
--- a/src/test/java/org/shoreusher/core/cluster/MachineTest.java
+++ b/src/test/java/org/shoreusher/core/cluster/MachineTest.java
@@ -32,22 +32,23 @@
                     0);
 
     private void heartbeat(long incarnation, long sequenceNumber, long atMs) {
-        machine.inferReplyDelivery(
-                new WorkerHeartbeat(
-                        "host-1",
-                        "",
-                        "t",
-                        "a",
-                        true,
-                        incarnation,
-                        sequenceNumber,
-                        1,
-                        Double.NaN,
-                        List.of()),
-                atMs,
-                SETTINGS);
-        machine.recordHeartbeatOrder(incarnation, sequenceNumber);
-        machine.recordReply(atMs);
+        machine.worker()
+                .inferReplyDelivery(
+                        new WorkerHeartbeat(
+                                "host-1",
+                                "",
+                                "t",
+                                "a",
+                                true,
+                                incarnation,
+                                sequenceNumber,
+                                1,
+                                Double.NaN,
+                                List.of()),
+                        atMs,
+                        SETTINGS);
+        machine.worker().recordHeartbeatOrder(incarnation, sequenceNumber);
+        machine.worker().recordReply(atMs);
     }
 
     /**
@@ -61,11 +62,11 @@
         heartbeat(1, 11, 150_000);
         heartbeat(1, 14, 150_001);
         heartbeat(2, 17, 150_002);
-        assertFalse(machine.hasOneWayPartition());
+        assertFalse(machine.worker().hasOneWayPartition());
         heartbeat(2, 20, 150_500);
-        assertFalse(machine.hasOneWayPartition());
+        assertFalse(machine.worker().hasOneWayPartition());
         heartbeat(2, 21, 155_000);
-        assertFalse(machine.hasOneWayPartition());
+        assertFalse(machine.worker().hasOneWayPartition());
     }
 
     /**
@@ -77,9 +78,9 @@
         heartbeat(1, 10, 100_000);
         heartbeat(1, 13, 115_000);
         heartbeat(2, 16, 130_000);
-        assertTrue(machine.hasOneWayPartition());
+        assertTrue(machine.worker().hasOneWayPartition());
         heartbeat(2, 17, 135_000);
-        assertFalse(machine.hasOneWayPartition(), "a report in time shows that it hears");
+        assertFalse(machine.worker().hasOneWayPartition(), "a report in time shows that it hears");
     }
 
     /**
