--- a/src/main/java/org/shoreusher/core/reconcile/StoredStateLoader.java
+++ b/src/main/java/org/shoreusher/core/reconcile/StoredStateLoader.java
@@ -136,7 +136,7 @@
     private void loadMachine(String machineId, MachineRecord record) {
         Machine machine = lifecycle.addRecordedMachine(machineId, record);
         if (machine != null) {
-            machine.setUsedByPreviousLeader(record.mayHaveRunTasks());
+            machine.worker().setUsedByPreviousLeader(record.mayHaveRunTasks());
         }
     }
 }
--- a/src/main/java/org/shoreusher/core/replication/HeartbeatAnswers.java
+++ b/src/main/java/org/shoreusher/core/replication/HeartbeatAnswers.java
@@ -56,7 +56,7 @@
 
     /** Sends an answer, which renews the worker's lease. */
     void send(long requestId, Machine machine, List<WorkerOrder> orders) {
-        machine.recordReply(nowMs());
+        machine.worker().recordReply(nowMs());
         outbox.respond(requestId, new Response.HeartbeatAccepted(authority.term(), orders));
     }
 
