--- a/src/main/java/org/shoreusher/core/store/Outbox.java
+++ b/src/main/java/org/shoreusher/core/store/Outbox.java
@@ -1,7 +1,5 @@
 package org.shoreusher.core.store;
 
-import it.unimi.dsi.fastutil.longs.Long2ObjectOpenHashMap;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
 import org.shoreusher.core.message.ClockReading;
@@ -15,70 +13,34 @@
 import org.shoreusher.core.message.Response;
 import org.shoreusher.log.LogEvent;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.SharedConstants;
 
 /**
- * Collects the effects of a batch, tracks the calls whose answers are pending, and keeps calls
- * within the rate limits of the key-value store and the cloud by token buckets.
+ * The way out of the core: answers, messages, log events, and calls to the key-value store and the
+ * cloud. A call is sent only within the rate limits, and its reply goes to the callback that was
+ * given with it.
  */
 public final class Outbox {
-    private final Long2ObjectOpenHashMap<Consumer<StoreReply>> pendingStoreCalls =
-            new Long2ObjectOpenHashMap<>();
-    private final Long2ObjectOpenHashMap<Consumer<CloudReply>> pendingCloudCalls =
-            new Long2ObjectOpenHashMap<>();
-    private final TokenBucket storeCallTokens;
-    private final TokenBucket leaderWriteTokens;
-    private final TokenBucket userWriteTokens;
-    private final TokenBucket renewalTokens;
-    private final TokenBucket cloudCallTokens;
-    private List<Effect> effects = new ArrayList<>();
+    private final EffectBuffer effects = new EffectBuffer();
+    private final PendingCalls<StoreReply> storeCalls = new PendingCalls<>();
+    private final PendingCalls<CloudReply> cloudCalls = new PendingCalls<>();
+    private final StoreHealth storeHealth = new StoreHealth();
+    private final RateLimits rateLimits;
     private long nextCallId = 1;
-    private long storeAnsweredAtMs = Long.MIN_VALUE / 2;
-    private long storeFailedAtMs = Long.MIN_VALUE / 2;
     private ClockReading now = new ClockReading(0, 0);
 
     /**
-     * Creates an empty outbox with full token buckets.
+     * Creates an empty outbox.
      *
      * @param settings the deployment's settings, which give the rate limits of all nodes together
      * @param shardCount the number of shards
      */
     public Outbox(Settings settings, int shardCount) {
-        int leaders = Math.min(settings.nodeCount(), shardCount);
-        // The shares of leaders' and users' writes add up to a little more than the rate limit,
-        // because they rarely coincide. If they do, the store answers 429, and the write is tried
-        // again later like after any other failure.
-        double callsPerS =
-                settings.storeRequestsPerS()
-                        * StoreConstants.RATE_LIMIT_USE_SHARE
-                        / settings.nodeCount();
-        double writes = settings.storeWritesPerS() * StoreConstants.RATE_LIMIT_USE_SHARE;
-        double leaderWritesPerS = leaderWritesPerS(settings, shardCount);
-        storeCallTokens =
-                new TokenBucket(
-                        callsPerS * (1 - StoreConstants.LEASE_RENEWAL_REQUEST_SHARE),
-                        callsPerS / 2);
-        renewalTokens =
-                new TokenBucket(
-                        Math.max(2, callsPerS * StoreConstants.LEASE_RENEWAL_REQUEST_SHARE),
-                        Math.max(4, callsPerS * StoreConstants.LEASE_RENEWAL_REQUEST_SHARE));
-        leaderWriteTokens = new TokenBucket(leaderWritesPerS, leaderWritesPerS);
-        userWriteTokens =
-                new TokenBucket(writes / settings.nodeCount(), writes / settings.nodeCount());
-        cloudCallTokens =
-                new TokenBucket(
-                        settings.cloudRequestsPerS()
-                                * StoreConstants.RATE_LIMIT_USE_SHARE
-                                / leaders,
-                        settings.cloudRequestsPerS() / leaders);
+        rateLimits = new RateLimits(settings, shardCount);
     }
 
     /** Returns the writes per second that a shard's leader plans to make at most. */
     public static double leaderWritesPerS(Settings settings, int shardCount) {
-        return settings.storeWritesPerS()
-                * StoreConstants.RATE_LIMIT_USE_SHARE
-                * StoreConstants.LEADER_WRITE_SHARE
-                / Math.min(settings.nodeCount(), shardCount);
+        return RateLimits.leaderWritesPerS(settings, shardCount);
     }
 
     /** The clocks at the start of the present batch. */
@@ -93,9 +55,7 @@
 
     /** Returns the effects collected since the last call, in order, and starts an empty list. */
     public List<Effect> drainEffects() {
-        List<Effect> drained = effects;
-        effects = new ArrayList<>();
-        return drained;
+        return effects.drain();
     }
 
     /** Adds an effect. */
@@ -125,11 +85,15 @@
      * Calls the key-value store for background work.
      *
      * @param operation the operation
-     * @param callback called with the answer, or with status 0 if there is none
+     * @param callback called with the answer, or with {@link ReplyStatus#NO_REPLY} if there is none
      * @return false if the rate limit leaves no token; then nothing is sent
      */
     public boolean callStore(StoreOperation operation, Consumer<StoreReply> callback) {
-        return tryCallStore(operation, leaderWriteTokens, callback);
+        if (!rateLimits.tryAcquireForLeader(operation, now.monotonicMs())) {
+            return false;
+        }
+        sendStoreCall(operation, false, callback);
+        return true;
     }
 
     /**
@@ -139,19 +103,7 @@
      * @return false if the rate limit leaves no token; then nothing is sent
      */
     public boolean callStoreForUser(StoreOperation operation, Consumer<StoreReply> callback) {
-        return tryCallStore(operation, userWriteTokens, callback);
-    }
-
-    private boolean tryCallStore(
-            StoreOperation operation, TokenBucket writeBucket, Consumer<StoreReply> callback) {
-        int writeCount =
-                operation instanceof StoreOperation.CompareAndSwap compareAndSwap
-                        ? compareAndSwap.writes().size()
-                        : 0;
-        if (!storeCallTokens.tryAcquire(1, now.monotonicMs())) {
-            return false;
-        }
-        if (writeCount > 0 && !writeBucket.tryAcquire(writeCount, now.monotonicMs())) {
+        if (!rateLimits.tryAcquireForUser(operation, now.monotonicMs())) {
             return false;
         }
         sendStoreCall(operation, false, callback);
@@ -167,10 +119,9 @@
      */
     public boolean callStoreForLease(
             StoreOperation.CompareAndSwap operation, Consumer<StoreReply> callback) {
-        if (!renewalTokens.tryAcquire(1, now.monotonicMs())) {
+        if (!rateLimits.tryAcquireForLease(operation, now.monotonicMs())) {
             return false;
         }
-        leaderWriteTokens.overdraw(operation.writes().size(), now.monotonicMs());
         sendStoreCall(operation, true, callback);
         return true;
     }
@@ -178,7 +129,7 @@
     private void sendStoreCall(
             StoreOperation operation, boolean urgent, Consumer<StoreReply> callback) {
         long callId = nextCallId++;
-        pendingStoreCalls.put(callId, callback);
+        storeCalls.add(callId, callback);
         effects.add(new Effect.StoreCall(callId, operation, urgent));
     }
 
@@ -186,45 +137,33 @@
      * Calls the cloud.
      *
      * @param operation the operation
-     * @param callback called with the answer, or with status 0 if there is none
+     * @param callback called with the answer, or with {@link ReplyStatus#NO_REPLY} if there is none
      * @return false if the rate limit leaves no token; then nothing is sent
      */
     public boolean callCloud(CloudOperation operation, Consumer<CloudReply> callback) {
-        if (!cloudCallTokens.tryAcquire(1, now.monotonicMs())) {
+        if (!rateLimits.tryAcquireForCloud(now.monotonicMs())) {
             return false;
         }
         long callId = nextCallId++;
-        pendingCloudCalls.put(callId, callback);
+        cloudCalls.add(callId, callback);
         effects.add(new Effect.CloudCall(callId, operation));
         return true;
     }
 
-    /** Passes an answer of the key-value store to the callback of its call. */
+    /** Passes a reply of the key-value store to the callback of its call. */
     public void onReply(StoreReply reply) {
-        // A 429 shows that the store is available; only a missing answer and 503 count as failures.
-        if (reply.status() == ReplyStatus.NO_REPLY
-                || reply.status() == ReplyStatus.SERVICE_UNAVAILABLE) {
-            storeFailedAtMs = now.monotonicMs();
-        } else {
-            storeAnsweredAtMs = now.monotonicMs();
-        }
-        Consumer<StoreReply> callback = pendingStoreCalls.remove(reply.callId());
-        if (callback != null) {
-            callback.accept(reply);
-        }
+        storeHealth.onReply(reply.status(), now.monotonicMs());
+        storeCalls.complete(reply.callId(), reply);
     }
 
-    /** Passes an answer of the cloud to the callback of its call. */
+    /** Passes a reply of the cloud to the callback of its call. */
     public void onReply(CloudReply reply) {
-        Consumer<CloudReply> callback = pendingCloudCalls.remove(reply.callId());
-        if (callback != null) {
-            callback.accept(reply);
-        }
+        cloudCalls.complete(reply.callId(), reply);
     }
 
-    /** Returns the ms since the last successful answer of the key-value store. */
+    /** Returns the ms since the key-value store last answered. */
     public long sinceStoreReplyMs() {
-        return now.monotonicMs() - storeAnsweredAtMs;
+        return storeHealth.sinceReplyMs(now.monotonicMs());
     }
 
     /**
@@ -232,7 +171,6 @@
      * succeeded for longer than the call timeout.
      */
     public boolean isStoreUnavailable() {
-        return storeFailedAtMs >= storeAnsweredAtMs
-                && sinceStoreReplyMs() > SharedConstants.STORE_TIMEOUT_MS;
+        return storeHealth.isUnavailable(now.monotonicMs());
     }
 }
--- a/src/main/java/org/shoreusher/core/store/StoreConstants.java
+++ b/src/main/java/org/shoreusher/core/store/StoreConstants.java
@@ -42,6 +42,14 @@
     /** Share of a node's store request rate that is reserved for lease renewals. */
     public static final double LEASE_RENEWAL_REQUEST_SHARE = 0.1;
 
+    /** Lease renewals per second that a node may always send, however low its request rate is. */
+    public static final double MIN_LEASE_RENEWALS_PER_S = 2;
+
+    /**
+     * Lease renewals that a node may always send at once: for a renewal, its check, and retries.
+     */
+    public static final double MIN_LEASE_RENEWAL_BURST = 4;
+
     /**
      * Share of the store's write rate for the leaders' background writes. Each node also has a
      * share for user requests, which seldom need all of it.
--- /dev/null
+++ b/src/main/java/org/shoreusher/core/store/StoreHealth.java
@@ -0,0 +1,37 @@
+package org.shoreusher.core.store;
+
+import org.shoreusher.core.message.ReplyStatus;
+import org.shoreusher.settings.SharedConstants;
+
+/** Tells from the replies of the key-value store whether it is available to this node. */
+final class StoreHealth {
+    /** Longer ago than any timeout, without overflow when it is subtracted. */
+    private static final long NEVER_MS = Long.MIN_VALUE / 2;
+
+    private long answeredAtMs = NEVER_MS;
+    private long failedAtMs = NEVER_MS;
+
+    /** Notes a reply, or that there was none. */
+    void onReply(int status, long nowMs) {
+        // A 429 shows that the store is available; only a missing reply and a 503 count as
+        // failures.
+        if (status == ReplyStatus.NO_REPLY || status == ReplyStatus.SERVICE_UNAVAILABLE) {
+            failedAtMs = nowMs;
+        } else {
+            answeredAtMs = nowMs;
+        }
+    }
+
+    /** Returns the ms since the store last answered. */
+    long sinceReplyMs(long nowMs) {
+        return nowMs - answeredAtMs;
+    }
+
+    /**
+     * Returns whether the store is unavailable: the latest call failed, and no call has succeeded
+     * for longer than the call timeout.
+     */
+    boolean isUnavailable(long nowMs) {
+        return failedAtMs >= answeredAtMs && sinceReplyMs(nowMs) > SharedConstants.STORE_TIMEOUT_MS;
+    }
+}
