--- a/src/main/java/org/shoreusher/core/leadership/ShardLeadership.java
+++ b/src/main/java/org/shoreusher/core/leadership/ShardLeadership.java
@@ -1,56 +1,37 @@
 package org.shoreusher.core.leadership;
 
-import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.function.Supplier;
 import org.shoreusher.core.message.ClockReading;
-import org.shoreusher.core.message.Command.StoreReply;
-import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.core.message.Effect.StoreOperation.CompareAndSwap;
 import org.shoreusher.core.message.ReplyStatus;
-import org.shoreusher.core.store.CompletionRecord;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.ShardRecord;
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.core.store.StoreSchema;
-import org.shoreusher.log.LogEvent;
-import org.shoreusher.log.LogEventType;
+import org.shoreusher.core.store.TermRecord;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.wire.FieldMap;
-import org.shoreusher.wire.StoreFormat;
 
 /**
  * The leadership of one shard: its lease, its term, and the fencing precondition of every write for
- * the shard. Leadership that is lost never returns; a node that acquires the shard again gets a new
- * instance.
+ * the shard. A leadership that is lost never returns; a node that acquires the shard again gets a
+ * new instance.
  *
  * <p>The fencing key of a shard is written only when its leader changes. Each write has the key's
  * version as a precondition, so the writes of a previous leader fail, however late they arrive.
  */
 public final class ShardLeadership {
-    private final int shardNumber;
-    private final Settings settings;
-    private final Outbox outbox;
+    /** An expiry in the past: any node may acquire the shard. */
+    private static final long EXPIRED_WALL_MS = 0;
+
     private final StoreCache storeCache;
-    private final String processName;
-    private final LeaderLease lease;
-    private final NamedStandby standby = new NamedStandby();
-    private final long fencingVersion;
-    private final long acquiredAtMs;
+    private final LeadershipState state;
+    private final ShardRecordWriter recordWriter;
+    private final StoredCompletions storedCompletions;
+    private final LeaseRenewal renewal;
+    private final long acquisitionRevision;
     private final long acquisitionTerm;
-    private long leaderSinceMs;
-    private long recordVersion;
-    private long term;
-    private boolean isLost;
-    private boolean renewalInFlight;
-    private boolean expiryLogged;
-
-    /** The revision that the store cache must reach after the last lease expiry; 0: it has. */
-    private long requiredRevision;
-
-    private long nextRenewalMs;
-
-    /** The last chunk of completed tasks that was written. */
-    private int lastWrittenChunk;
+    private final long acquiredAtMs;
 
     /**
      * Creates the leadership after the store has confirmed the acquisition.
@@ -61,7 +42,7 @@
      * @param storeCache the store cache
      * @param record the shard's record as written by the acquisition
      * @param sentAt the clocks when the acquisition was sent
-     * @param version the revision at which the store applied it
+     * @param acquisitionRevision the revision at which the store applied it
      */
     public ShardLeadership(
             int shardNumber,
@@ -70,36 +51,31 @@
             StoreCache storeCache,
             ShardRecord record,
             ClockReading sentAt,
-            long version) {
-        this.shardNumber = shardNumber;
-        this.settings = settings;
-        this.outbox = outbox;
+            long acquisitionRevision) {
         this.storeCache = storeCache;
-        processName = record.leader();
-        term = record.term();
-        acquisitionTerm = term;
-        fencingVersion = version;
-        recordVersion = version;
+        this.acquisitionRevision = acquisitionRevision;
+        acquisitionTerm = record.term();
         acquiredAtMs = outbox.now().monotonicMs();
-        leaderSinceMs = acquiredAtMs;
-        lease = new LeaderLease(settings);
-        lease.onConfirmed(record.leaseExpiryWallMs(), sentAt);
-        nextRenewalMs = sentAt.monotonicMs() + LeaderLease.renewalIntervalMs(settings);
+        state = new LeadershipState(shardNumber, settings, outbox, storeCache, record, sentAt);
+        recordWriter = new ShardRecordWriter(outbox, storeCache, state, acquisitionRevision);
+        storedCompletions = new StoredCompletions(shardNumber, settings, storeCache);
+        renewal =
+                new LeaseRenewal(settings, outbox, state, recordWriter, storedCompletions, sentAt);
     }
 
     /** The number of the shard. */
     public int shardNumber() {
-        return shardNumber;
+        return state.shardNumber();
     }
 
     /** The name of the leading process, HOST/SUFFIX. */
     public String processName() {
-        return processName;
+        return state.processName();
     }
 
     /** Returns whether the leadership has ended for good. */
     public boolean isLost() {
-        return isLost;
+        return state.isLost();
     }
 
     /**
@@ -108,13 +84,13 @@
      * @param standbyProcess the standby's process name; null: none
      */
     public void nameStandby(String standbyProcess) {
-        standby.setDesired(standbyProcess);
-        nextRenewalMs = Math.min(nextRenewalMs, outbox.now().monotonicMs());
+        recordWriter.standby().setDesired(standbyProcess);
+        renewal.renewSoon();
     }
 
     /** Returns whether the record names no standby and no write in flight can still name one. */
     public boolean hasDefinitelyNoStandby() {
-        return standby.isDefinitelyNone();
+        return recordWriter.standby().isDefinitelyNone();
     }
 
     /**
@@ -122,7 +98,7 @@
      * and change the stored state.
      */
     public boolean isLeader() {
-        return !isLost && lease.isValid(outbox.now());
+        return state.isLeader();
     }
 
     /**
@@ -130,7 +106,7 @@
      * workers: while the lease is valid and for a grace period after its expiry.
      */
     public boolean mayExtendWorkerLeases() {
-        return !isLost && lease.isWithinGracePeriod(outbox.now());
+        return state.mayExtendWorkerLeases();
     }
 
     /**
@@ -138,7 +114,7 @@
      * acquisition's term and can be raised.
      */
     public long term() {
-        return term;
+        return state.term();
     }
 
     /**
@@ -154,12 +130,12 @@
      * previous leaders.
      */
     public long acquisitionRevision() {
-        return fencingVersion;
+        return acquisitionRevision;
     }
 
     /** The monotonic time in ms since which the lease has been valid without interruption. */
     public long leaderSinceMs() {
-        return leaderSinceMs;
+        return state.leaderSinceMs();
     }
 
     /** The monotonic time in ms at which the acquisition was confirmed. */
@@ -169,7 +145,7 @@
 
     /** Returns the precondition that fails after a later leadership change. */
     public Map<String, Long> fencingPrecondition() {
-        return Map.of(StoreSchema.fencingKey(shardNumber), fencingVersion);
+        return recordWriter.fencingPrecondition();
     }
 
     /**
@@ -177,21 +153,12 @@
      * ended the last lease expiry.
      */
     public boolean isStoreCacheCaughtUp() {
-        if (requiredRevision > 0 && storeCache.revision() >= requiredRevision) {
-            requiredRevision = 0;
-        }
-        return requiredRevision == 0;
+        return state.isStoreCacheCaughtUp();
     }
 
     /** Logs an expiry of the lease, once. */
     public void logLeaseExpiry() {
-        if (!isLeader() && !isLost && !expiryLogged) {
-            expiryLogged = true;
-            outbox.log(
-                    LogEvent.of(LogEventType.LEASE_EXPIRED)
-                            .with("shard", shardNumber)
-                            .with("term", term));
-        }
+        state.logLeaseExpiry();
     }
 
     /**
@@ -202,55 +169,7 @@
      *     they are not loaded
      */
     public void renewLease(Supplier<CompletionSnapshot> completionSupplier) {
-        if (renewalInFlight || outbox.now().monotonicMs() < nextRenewalMs) {
-            return;
-        }
-        ClockReading sentAt = outbox.now();
-        long expiryWallMs =
-                Math.max(lease.expiryWallMs(), sentAt.wallMs() + LeaderLease.durationMs(settings));
-        CompletionSnapshot completions = completionSupplier.get();
-        Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
-        ShardRecord record =
-                new ShardRecord(
-                        processName,
-                        expiryWallMs,
-                        term,
-                        completions == null
-                                ? completionsInShardRecord()
-                                : completions.recordValue(0),
-                        standby.desired());
-        writes.put(StoreSchema.shardKey(shardNumber), record.toMap());
-        // The chunks take turns: with many jobs every chunk changes between renewals, and the last
-        // ones must become durable as well.
-        int overflowChunks = completions == null ? 0 : completions.recordCount() - 1;
-        int previousChunk = lastWrittenChunk;
-        for (int offset = 1;
-                offset <= overflowChunks
-                        && writes.size()
-                                < Math.min(
-                                        settings.maxTransactionWrites(),
-                                        LeadershipConstants.MAX_COMPLETION_RECORDS_PER_WRITE);
-                offset++) {
-            int chunk = 1 + (previousChunk + offset - 1) % overflowChunks;
-            Map<String, Object> completedRanges = completions.recordValue(chunk);
-            if (!completedRanges.equals(storedCompletions(chunk))
-                    || storeCache.get(StoreSchema.completionKey(shardNumber, chunk)) == null) {
-                writes.put(
-                        StoreSchema.completionKey(shardNumber, chunk),
-                        new CompletionRecord(completedRanges).toMap());
-                lastWrittenChunk = chunk;
-            }
-        }
-        standby.onWriteSent(record.standby());
-        renewalInFlight =
-                outbox.callStoreForLease(
-                        new StoreOperation.CompareAndSwap(
-                                preconditions(StoreSchema.shardKey(shardNumber), recordVersion),
-                                writes),
-                        reply -> {
-                            renewalInFlight = false;
-                            onRenewalReply(reply, record, sentAt, completions, writes);
-                        });
+        renewal.renewIfDue(completionSupplier);
     }
 
     /**
@@ -260,16 +179,7 @@
      * @param chunk 0 for the shard's own record, a higher number for an overflow record
      */
     public Map<String, Object> storedCompletions(int chunk) {
-        if (chunk == 0) {
-            return completionsInShardRecord();
-        }
-        StoreCache.Entry entry = storeCache.get(StoreSchema.completionKey(shardNumber, chunk));
-        return entry == null ? Map.of() : CompletionRecord.fromMap(entry.value()).completedRanges();
-    }
-
-    private Map<String, Object> completionsInShardRecord() {
-        return ShardRecord.fromMap(storeCache.get(StoreSchema.shardKey(shardNumber)).value())
-                .completedRanges();
+        return storedCompletions.chunk(chunk);
     }
 
     /**
@@ -280,92 +190,7 @@
      * @return that precondition and the fencing precondition
      */
     public Map<String, Long> preconditions(String key, long version) {
-        Map<String, Long> preconditions = new LinkedHashMap<>();
-        preconditions.put(StoreSchema.fencingKey(shardNumber), fencingVersion);
-        preconditions.put(key, version);
-        return preconditions;
-    }
-
-    private void onRenewalReply(
-            StoreReply reply,
-            ShardRecord record,
-            ClockReading sentAt,
-            CompletionSnapshot completions,
-            Map<String, Map<String, Object>> writes) {
-        if (isLost) {
-            return;
-        }
-        if (reply.status() == ReplyStatus.OK) {
-            recordVersion = storeCache.applyOwnWrites(reply, writes);
-            onLeaseConfirmed(record.leaseExpiryWallMs(), sentAt);
-            standby.onRecordConfirmed(record.standby());
-            nextRenewalMs =
-                    standby.isDesiredStored()
-                            ? sentAt.monotonicMs() + LeaderLease.renewalIntervalMs(settings)
-                            : outbox.now().monotonicMs();
-            if (expiryLogged && isLeader()) {
-                expiryLogged = false;
-                leaderSinceMs = outbox.now().monotonicMs();
-                outbox.log(
-                        LogEvent.of(LogEventType.LEASE_RECOVERED)
-                                .with("shard", shardNumber)
-                                .with("term", term));
-            }
-            if (completions != null) {
-                completions.markDurable();
-            }
-            return;
-        }
-        nextRenewalMs = outbox.now().monotonicMs() + LeadershipConstants.LEASE_RENEWAL_RETRY_MS;
-        if (reply.status() == ReplyStatus.CONFLICT) {
-            // Either another node has become the leader, or an earlier renewal that got no answer
-            // was applied.
-            renewalInFlight =
-                    outbox.callStoreForLease(
-                            new StoreOperation.CompareAndSwap(
-                                    Map.of(StoreSchema.fencingKey(shardNumber), fencingVersion),
-                                    Map.of()),
-                            fencingReply -> {
-                                renewalInFlight = false;
-                                if (fencingReply.status() == ReplyStatus.CONFLICT) {
-                                    loseLeadership("fencing key changed");
-                                }
-                            });
-            outbox.callStore(
-                    new StoreOperation.Get(StoreSchema.shardKey(shardNumber)),
-                    this::onShardRecordRead);
-        }
-    }
-
-    private void onLeaseConfirmed(long expiryWallMs, ClockReading sentAt) {
-        if (!isLeader()) {
-            requiredRevision = recordVersion;
-        }
-        lease.onConfirmed(expiryWallMs, sentAt);
-    }
-
-    private void onShardRecordRead(StoreReply reply) {
-        if (isLost || reply.status() != ReplyStatus.OK) {
-            return;
-        }
-        try {
-            StoreFormat.Entry entry = StoreFormat.readEntry(new FieldMap(reply.body()));
-            ShardRecord record = ShardRecord.fromMap(entry.value());
-            if (!record.leader().equals(processName)) {
-                loseLeadership("acquired by " + record.leader());
-            } else if (entry.version() > recordVersion) {
-                recordVersion = entry.version();
-                standby.onRecordConfirmed(record.standby());
-                term = Math.max(term, record.term());
-                onLeaseConfirmed(record.leaseExpiryWallMs(), outbox.now());
-                nextRenewalMs = outbox.now().monotonicMs();
-            }
-        } catch (FieldMap.InvalidFieldException missing) {
-            outbox.log(
-                    LogEvent.of(LogEventType.STORE_REPLY_INVALID)
-                            .with("call", "get_shard_record")
-                            .with("problem", missing.getMessage()));
-        }
+        return recordWriter.preconditions(key, version);
     }
 
     /**
@@ -375,45 +200,28 @@
      * @param observedToken the token that the worker has seen
      */
     public void raiseTerm(long observedToken) {
-        if (renewalInFlight || !isLeader()) {
+        if (recordWriter.isWriteInFlight() || !isLeader()) {
             return;
         }
-        StoreCache.Entry termEntry = storeCache.get(StoreSchema.TERM_KEY);
-        long storedTerm =
-                termEntry == null ? 0 : ((Number) termEntry.value().get("term")).longValue();
-        long raisedTerm = Math.max(storedTerm, observedToken) + 1;
-        Map<String, Long> preconditions =
-                preconditions(StoreSchema.shardKey(shardNumber), recordVersion);
-        preconditions.put(StoreSchema.TERM_KEY, termEntry == null ? 0 : termEntry.version());
-        Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
+        long raisedTerm = Math.max(TermRecord.in(storeCache).term(), observedToken) + 1;
         ShardRecord record =
-                new ShardRecord(
-                        processName,
-                        lease.expiryWallMs(),
-                        raisedTerm,
-                        completionsInShardRecord(),
-                        standby.desired());
-        writes.put(StoreSchema.shardKey(shardNumber), record.toMap());
-        writes.put(StoreSchema.TERM_KEY, Map.of("term", raisedTerm));
-        standby.onWriteSent(record.standby());
-        renewalInFlight =
-                outbox.callStoreForLease(
-                        new StoreOperation.CompareAndSwap(preconditions, writes),
-                        reply -> {
-                            renewalInFlight = false;
-                            if (reply.status() == ReplyStatus.OK && !isLost) {
-                                recordVersion = storeCache.applyOwnWrites(reply, writes);
-                                standby.onRecordConfirmed(record.standby());
-                                term = raisedTerm;
-                                outbox.log(
-                                        LogEvent.of(LogEventType.TERM_RAISED)
-                                                .with("shard", shardNumber)
-                                                .with("term", raisedTerm)
-                                                .with("observed_token", observedToken));
-                            } else {
-                                nextRenewalMs = outbox.now().monotonicMs();
-                            }
-                        });
+                recordWriter.newRecord(
+                        state.leaseExpiryWallMs(), raisedTerm, storedCompletions.chunk(0));
+        Map<String, Long> preconditions = recordWriter.recordPreconditions();
+        preconditions.put(StoreSchema.TERM_KEY, storeCache.version(StoreSchema.TERM_KEY));
+        Map<String, Map<String, Object>> writes = recordWriter.writes(record);
+        writes.put(StoreSchema.TERM_KEY, new TermRecord(raisedTerm).toMap());
+        recordWriter.write(
+                record,
+                new CompareAndSwap(preconditions, writes),
+                reply -> {
+                    if (reply.status() == ReplyStatus.OK && !state.isLost()) {
+                        state.raiseTermTo(raisedTerm);
+                        state.logTermRaised(observedToken);
+                    } else {
+                        renewal.renewSoon();
+                    }
+                });
     }
 
     /**
@@ -422,8 +230,8 @@
      * @param record the record that the store cache now shows
      */
     public void onShardRecordChange(ShardRecord record) {
-        if (!record.leader().equals(processName)) {
-            loseLeadership("acquired by " + record.leader());
+        if (!record.leader().equals(state.processName())) {
+            state.loseLeadership("acquired by " + record.leader());
         }
     }
 
@@ -437,30 +245,14 @@
      * @param completions the completed tasks to store with the record
      */
     public void stepDown(String reason, CompletionSnapshot completions) {
-        if (renewalInFlight) {
+        if (recordWriter.isWriteInFlight()) {
             return;
         }
         // The standby takes over at once, and it knows every order that left this leader.
         ShardRecord record =
-                new ShardRecord(
-                        processName, 0, term, completions.recordValue(0), standby.desired());
-        if (outbox.callStoreForLease(
-                new StoreOperation.CompareAndSwap(
-                        preconditions(StoreSchema.shardKey(shardNumber), recordVersion),
-                        Map.of(StoreSchema.shardKey(shardNumber), record.toMap())),
-                reply -> {})) {
-            loseLeadership("stepped down: " + reason);
-        }
-    }
-
-    private void loseLeadership(String reason) {
-        if (!isLost) {
-            isLost = true;
-            outbox.log(
-                    LogEvent.of(LogEventType.LEADERSHIP_LOST)
-                            .with("shard", shardNumber)
-                            .with("term", term)
-                            .with("reason", reason));
+                recordWriter.newRecord(EXPIRED_WALL_MS, state.term(), completions.recordValue(0));
+        if (recordWriter.writeLast(record)) {
+            state.loseLeadership("stepped down: " + reason);
         }
     }
 }
--- a/src/main/java/org/shoreusher/core/store/StoreConstants.java
+++ b/src/main/java/org/shoreusher/core/store/StoreConstants.java
@@ -45,9 +45,7 @@
     /** Lease renewals per second that a node may always send, however low its request rate is. */
     public static final double MIN_LEASE_RENEWALS_PER_S = 2;
 
-    /**
-     * Lease renewals that a node may always send at once: for a renewal, its check, and retries.
-     */
+    /** Lease renewals that a node may always send at once, however low its rate is. */
     public static final double MIN_LEASE_RENEWAL_BURST = 4;
 
     /**
