--- a/src/main/java/org/shoreusher/core/machine/Autoscaler.java
+++ b/src/main/java/org/shoreusher/core/machine/Autoscaler.java
@@ -18,11 +18,11 @@
 import org.shoreusher.core.message.MachineType;
 import org.shoreusher.core.schedule.BinPacker;
 import org.shoreusher.core.schedule.JobQueue;
+import org.shoreusher.core.schedule.MachineCapacity;
 import org.shoreusher.core.schedule.QuotaHeadroom;
 import org.shoreusher.core.schedule.SchedulingOrder;
 import org.shoreusher.core.schedule.ShardScheduling;
 import org.shoreusher.core.store.Outbox;
-import org.shoreusher.settings.Settings;
 
 /**
  * Scales the machines of one shard out and in: plans once a second what to provision, drain and
@@ -31,7 +31,6 @@
 public final class Autoscaler {
     private final ShardState shard;
     private final ShardAuthority authority;
-    private final Settings settings;
     private final Outbox outbox;
     private final MachineTypeCatalog typeCatalog;
     private final ScaleOut scaleOut;
@@ -66,7 +65,6 @@
             ShardDemand shardDemand) {
         shard = context.state();
         authority = context.authority();
-        settings = context.settings();
         outbox = context.outbox();
         typeCatalog = machines.typeCatalog();
         inventory = machines.inventory();
@@ -136,7 +134,7 @@
     // ---- scale out ---------------------------------------------------------------------------
 
     private void plan() {
-        List<BinPacker.MachineCapacity> capacities = machineCapacities();
+        List<MachineCapacity> capacities = machineCapacities();
         capacities.addAll(scaleOut.pendingCapacity());
         BinPacker binPacker =
                 new BinPacker(
@@ -145,7 +143,7 @@
                         quotaHeadroom::gpuHeadroom);
         List<Job> jobs = jobQueue.inSchedulingOrder();
         int maxNewMachines = scaleOut.maxNewMachines();
-        List<BinPacker.MachineCapacity> toProvision = new ArrayList<>();
+        List<MachineCapacity> toProvision = new ArrayList<>();
         Object2IntOpenHashMap<String> machinesPerZone = countPerZone();
         for (Job job : jobs) {
             MachineType cheapestType = cheapestType(job.spec());
@@ -160,7 +158,7 @@
             job.setLargerHalfZone(reservedReplicaCapacity.zoneForLargerHalf(job.spec()));
         }
         Set<Machine> neededMachines = new HashSet<>();
-        binPacker.placedTasks().forEach(placed -> neededMachines.add(placed.capacity().machine));
+        binPacker.placedTasks().forEach(placed -> neededMachines.add(placed.capacity().machine()));
         if (authority.isReconciled()) {
             drainIdle(neededMachines);
         }
@@ -188,7 +186,7 @@
             Job job,
             int taskCount,
             BinPacker binPacker,
-            List<BinPacker.MachineCapacity> toProvision,
+            List<MachineCapacity> toProvision,
             int maxNewMachines,
             Object2IntOpenHashMap<String> machinesPerZone) {
         int unplaced = taskCount;
@@ -204,8 +202,7 @@
             int count =
                     Math.max(1, Math.min(machinesPerRound, maxNewMachines - toProvision.size()));
             for (int i = 0; i < count; i++) {
-                BinPacker.MachineCapacity capacity =
-                        new BinPacker.MachineCapacity(type, kind.zone(), kind.spot());
+                MachineCapacity capacity = new MachineCapacity(type, kind.zone(), kind.spot());
                 toProvision.add(capacity);
                 binPacker.addCapacity(capacity);
             }
@@ -215,14 +212,14 @@
     }
 
     /** The free capacity of machines that can start tasks or are booting. */
-    private List<BinPacker.MachineCapacity> machineCapacities() {
-        List<BinPacker.MachineCapacity> capacities = new ArrayList<>();
+    private List<MachineCapacity> machineCapacities() {
+        List<MachineCapacity> capacities = new ArrayList<>();
         for (Machine machine : shard.machines().values()) {
             // A machine that a previous leader used has no capacity until it is reconciled: it may
             // hold tasks, or be unreachable.
             if (shard.isAvailable(machine)
                     || (machine.state() == Machine.State.BOOTING && !machine.mayHaveRunTasks())) {
-                capacities.add(new BinPacker.MachineCapacity(machine));
+                capacities.add(new MachineCapacity(machine));
             }
         }
         return capacities;
@@ -254,14 +251,14 @@
 
     /** Tasks of a job that fit on an empty machine. */
     private static int tasksPerMachine(MachineType type, JobSpec spec) {
-        return new BinPacker.MachineCapacity(type, "", true).fittingTaskCount(spec);
+        return new MachineCapacity(type, "", true).fittingTaskCount(spec);
     }
 
     /** The shard's machines in each zone, requested ones included. */
     private Object2IntOpenHashMap<String> countPerZone() {
         Object2IntOpenHashMap<String> counts = new Object2IntOpenHashMap<>();
         shard.machines().values().forEach(machine -> counts.addTo(machine.zone(), 1));
-        scaleOut.pendingCapacity().forEach(capacity -> counts.addTo(capacity.zone, 1));
+        scaleOut.pendingCapacity().forEach(capacity -> counts.addTo(capacity.zone(), 1));
         return counts;
     }
 
