--- /dev/null
+++ b/src/main/java/org/shoreusher/core/NewJobAssignment.java
@@ -0,0 +1,59 @@
+package org.shoreusher.core;
+
+import java.util.Arrays;
+import org.shoreusher.core.gossip.PeerGossip;
+import org.shoreusher.core.message.GossipMessage.ShardSummary;
+import org.shoreusher.core.message.GossipMessage.TeamDemand;
+import org.shoreusher.core.message.JobSpec;
+
+/** Assigns new jobs to the shard with the most headroom. */
+final class NewJobAssignment {
+    private final PeerGossip peerGossip;
+
+    /** CPUs of jobs assigned to each shard since this node last sent gossip. */
+    private final double[] assignedCpus;
+
+    NewJobAssignment(PeerGossip peerGossip, int shardCount) {
+        this.peerGossip = peerGossip;
+        assignedCpus = new double[shardCount];
+    }
+
+    /** Forgets past assignments, which the gossip of the shards now shows. */
+    void reset() {
+        Arrays.fill(assignedCpus, 0);
+    }
+
+    /**
+     * Returns the shard with the most headroom for a new job, and counts the job against that
+     * headroom until the next gossip round.
+     */
+    int assign(JobSpec spec) {
+        int bestShard = 0;
+        double mostHeadroom = Double.NEGATIVE_INFINITY;
+        for (int shardNumber = 0; shardNumber < assignedCpus.length; shardNumber++) {
+            double headroom = headroom(shardNumber, spec.team());
+            if (headroom > mostHeadroom) {
+                mostHeadroom = headroom;
+                bestShard = shardNumber;
+            }
+        }
+        assignedCpus[bestShard] += spec.taskCount() * spec.cpus();
+        return bestShard;
+    }
+
+    private double headroom(int shardNumber, String team) {
+        ShardSummary summary = peerGossip.shardSummary(shardNumber);
+        if (summary == null) {
+            return CoreConstants.UNKNOWN_SHARD_HEADROOM_CPUS - assignedCpus[shardNumber];
+        }
+        double headroom = summary.cpuHeadroom() - assignedCpus[shardNumber];
+        TeamDemand demand = summary.teamDemands().get(team);
+        // Jobs of one team are kept in one shard where possible, so that the team's quota is not
+        // split.
+        return demand == null
+                ? headroom
+                : headroom
+                        + CoreConstants.TEAM_AFFINITY_WEIGHT
+                                * (demand.highPriorityCpus() + demand.otherCpus());
+    }
+}
--- a/src/main/java/org/shoreusher/core/Shard.java
+++ b/src/main/java/org/shoreusher/core/Shard.java
@@ -2,43 +2,31 @@
 
 import java.util.Map;
 import org.shoreusher.core.cluster.Job;
-import org.shoreusher.core.cluster.Machine;
 import org.shoreusher.core.cluster.ShardContext;
 import org.shoreusher.core.cluster.ShardState;
-import org.shoreusher.core.gossip.GossipConstants;
 import org.shoreusher.core.gossip.LedShardView;
 import org.shoreusher.core.gossip.ShardDemand;
 import org.shoreusher.core.heartbeat.HeartbeatHandler;
 import org.shoreusher.core.heartbeat.HeartbeatReader;
 import org.shoreusher.core.job.CompletionRecords;
-import org.shoreusher.core.job.HighWaterMarks;
 import org.shoreusher.core.job.OpenJobs;
 import org.shoreusher.core.job.RunTimeEstimates;
 import org.shoreusher.core.job.ShardJobs;
-import org.shoreusher.core.job.TerminalStateWriter;
 import org.shoreusher.core.leadership.PeerView;
 import org.shoreusher.core.leadership.ReconciliationProgress;
 import org.shoreusher.core.leadership.ShardAuthority;
 import org.shoreusher.core.leadership.ShardLeadership;
 import org.shoreusher.core.machine.Autoscaler;
-import org.shoreusher.core.machine.CloudInventory;
 import org.shoreusher.core.machine.MachineLifecycle;
-import org.shoreusher.core.machine.MachineRecords;
 import org.shoreusher.core.machine.ShardMachines;
-import org.shoreusher.core.machine.TerminatedMachines;
 import org.shoreusher.core.message.GossipMessage.ShardSummary;
 import org.shoreusher.core.reconcile.PromotedAttemptLog;
 import org.shoreusher.core.reconcile.Reconciliation;
 import org.shoreusher.core.replication.StandbyReplication;
-import org.shoreusher.core.schedule.BinPackerFactory;
-import org.shoreusher.core.schedule.JobQueue;
 import org.shoreusher.core.schedule.PreemptionPass;
 import org.shoreusher.core.schedule.QuotaHeadroom;
 import org.shoreusher.core.schedule.QuotaShares;
-import org.shoreusher.core.schedule.SchedulingOrder;
 import org.shoreusher.core.schedule.ShardScheduling;
-import org.shoreusher.core.schedule.TaskMigration;
-import org.shoreusher.core.schedule.TaskStopper;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.settings.SharedConstants;
@@ -52,8 +40,6 @@
  * describes which invariants hold for the starts of tasks.
  */
 final class Shard implements LedShardView {
-    private final NodeServices services;
-    private final PeerView peerView;
     private final ShardLeadership leadership;
     private final ShardContext context;
     private final ShardState state;
@@ -71,6 +57,7 @@
     private final Autoscaler autoscaler;
     private final PreemptionPass preemption;
     private final HeartbeatHandler heartbeatHandler;
+    private final WorkerReachability workerReachability;
     private long nextSchedulingPassMs;
     private long nextStatusLineMs;
 
@@ -92,8 +79,6 @@
             PeerView peerView,
             ShardLeadership leadership,
             PromotedAttemptLog promotedAttempts) {
-        this.services = services;
-        this.peerView = peerView;
         this.leadership = leadership;
         outbox = services.context().outbox();
         storeCache = services.context().storeCache();
@@ -101,6 +86,7 @@
         state = new ShardState(shardNumber, shardCount, services.context().settings(), outbox);
         authority = new ShardAuthority(services.context(), peerView, leadership, progress);
         context = new ShardContext(services.context(), state, authority);
+        workerReachability = new WorkerReachability(state, authority, leadership, peerView, outbox);
         shardDemand =
                 new ShardDemand(shardNumber, shardCount, peerView, state.jobs(), state.machines());
         quotaShares =
@@ -119,9 +105,10 @@
                         progress,
                         shardDemand);
         RunTimeEstimates runTimeEstimates = new RunTimeEstimates();
-        scheduling = createScheduling(runTimeEstimates);
-        jobs = createJobs(runTimeEstimates);
-        machines = createMachines();
+        ShardAssembly assembly = new ShardAssembly(services, context, leadership, runTimeEstimates);
+        scheduling = assembly.createScheduling(quotaHeadroom);
+        jobs = assembly.createJobs(scheduling);
+        machines = assembly.createMachines();
         standbyReplication = new StandbyReplication(context, peerView, leadership);
         state.resourceLedger().addListener(scheduling.taskMigration());
         state.resourceLedger().addListener(standbyReplication);
@@ -144,62 +131,6 @@
                         context, jobs, machines, scheduling, standbyReplication, heartbeatReader);
     }
 
-    private ShardScheduling createScheduling(RunTimeEstimates runTimeEstimates) {
-        SchedulingOrder schedulingOrder = new SchedulingOrder(context.settings(), runTimeEstimates);
-        TaskStopper taskStopper = new TaskStopper(context);
-        TaskMigration taskMigration =
-                new TaskMigration(
-                        context, schedulingOrder, runTimeEstimates, quotaHeadroom, taskStopper);
-        return new ShardScheduling(
-                schedulingOrder,
-                new JobQueue(context, schedulingOrder),
-                quotaHeadroom,
-                new BinPackerFactory(state, quotaHeadroom, taskMigration::spreadLimit),
-                taskStopper,
-                taskMigration);
-    }
-
-    private ShardJobs createJobs(RunTimeEstimates runTimeEstimates) {
-        OpenJobs openJobs =
-                new OpenJobs(
-                        context,
-                        scheduling.taskMigration()::onJobEnded,
-                        attempt -> scheduling.taskStopper().sendStop(attempt, 0));
-        HighWaterMarks highWaterMarks =
-                new HighWaterMarks(
-                        state.shardNumber(),
-                        state.shardCount(),
-                        context.node(),
-                        services.submissionBatches(),
-                        leadership,
-                        state.jobs());
-        TerminalStateWriter terminalStateWriter =
-                new TerminalStateWriter(
-                        outbox, storeCache, services.submissionBatches(), leadership);
-        return new ShardJobs(
-                openJobs,
-                highWaterMarks,
-                terminalStateWriter,
-                runTimeEstimates,
-                services.submissionBatches());
-    }
-
-    private ShardMachines createMachines() {
-        TerminatedMachines terminatedMachines = new TerminatedMachines();
-        MachineRecords machineRecords =
-                new MachineRecords(context, services.machineIndex(), leadership);
-        MachineLifecycle lifecycle =
-                new MachineLifecycle(
-                        context, services.machineTypes(), machineRecords, terminatedMachines);
-        return new ShardMachines(
-                services.machineTypes(),
-                services.machineIndex(),
-                machineRecords,
-                lifecycle,
-                new CloudInventory(context, services.machineTypes(), lifecycle, terminatedMachines),
-                terminatedMachines);
-    }
-
     // ---- events ------------------------------------------------------------------------------
 
     /** Handles the heartbeats of the shard's workers. */
@@ -264,30 +195,9 @@
         leadership.stepDown(reason, completionRecords());
     }
 
-    /**
-     * Returns whether most workers can't reach this node although its lease is valid, as in a
-     * one-way partition: after being redirected here they have returned to other nodes. A leader
-     * that stayed until the partition ends would lose all tasks that run on those machines.
-     */
+    /** Returns whether most workers can't reach this node although its lease is valid. */
     boolean isUnreachableFromWorkers() {
-        if (!authority.isLoaded()
-                || !authority.isLeader()
-                || outbox.now().monotonicMs() - leadership.leaderSinceMs()
-                        < GossipConstants.REDIRECTED_WORKER_RETRY_MS) {
-            return false;
-        }
-        // This runs in every batch, so machines are counted only if some workers have returned to
-        // other nodes.
-        int unreachableWorkers = peerView.workersUnableToReachLeader(state.shardNumber());
-        if (unreachableWorkers <= 1) {
-            return false;
-        }
-        int runningMachines = 0;
-        for (Machine machine : state.machines().values()) {
-            runningMachines += machine.state() == Machine.State.UP ? 1 : 0;
-        }
-        return unreachableWorkers
-                > Math.max(1, runningMachines * CoreConstants.STEP_DOWN_UNREACHABLE_SHARE);
+        return workerReachability.isLeaderUnreachable();
     }
 
     private CompletionRecords completionRecords() {
@@ -325,6 +235,15 @@
             return;
         }
         nextSchedulingPassMs = outbox.now().monotonicMs() + CoreConstants.FULL_SCAN_INTERVAL_MS;
+        runSchedulingPass();
+        if (outbox.now().monotonicMs() >= nextStatusLineMs) {
+            nextStatusLineMs = outbox.now().monotonicMs() + SharedConstants.STATUS_LOG_INTERVAL_MS;
+            outbox.log(ShardStatus.statusEvent(this, storeCache.size()));
+        }
+    }
+
+    /** Looks over all machines and jobs: leases, reconciliation, quotas, capacity, preemption. */
+    private void runSchedulingPass() {
         machines.lifecycle().expireWorkerLeases();
         reconciliation.step();
         quotaShares.step(
@@ -333,9 +252,5 @@
         preemption.preemptForReplicas();
         preemption.preemptForPriority();
         scheduling.taskMigration().step();
-        if (outbox.now().monotonicMs() >= nextStatusLineMs) {
-            nextStatusLineMs = outbox.now().monotonicMs() + SharedConstants.STATUS_LOG_INTERVAL_MS;
-            outbox.log(ShardStatus.statusEvent(this, storeCache.size()));
-        }
     }
 }
--- a/src/main/java/org/shoreusher/core/Shards.java
+++ b/src/main/java/org/shoreusher/core/Shards.java
@@ -1,10 +1,13 @@
 package org.shoreusher.core;
 
+import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.leadership.AcquiredLeadership;
 import org.shoreusher.core.leadership.LeadershipAcquisition;
 import org.shoreusher.core.leadership.LeadershipPeerView;
 import org.shoreusher.core.reconcile.PromotedAttemptLog;
 import org.shoreusher.core.replication.StandbyReplicas;
+import org.shoreusher.core.store.JobRecord;
+import org.shoreusher.core.store.MachineRecord;
 import org.shoreusher.core.store.NodeContext;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.ShardRecord;
@@ -159,4 +162,47 @@
             shard.leadership().onShardRecordChange(record);
         }
     }
+
+    /** Returns the led shard that has a machine, or null. */
+    Shard ledShardWithMachine(String machineId) {
+        for (Shard shard : ledShards) {
+            if (shard != null && shard.state().machines().containsKey(machineId)) {
+                return shard;
+            }
+        }
+        return null;
+    }
+
+    /** Returns an open job of the led shards, or null. */
+    Job job(String jobId) {
+        for (Shard shard : ledShards) {
+            Job job = shard == null ? null : shard.jobs().get(jobId);
+            if (job != null) {
+                return job;
+            }
+        }
+        return null;
+    }
+
+    /** Passes a new record of a machine to the led shards. */
+    void onMachineRecordChange(String machineId, MachineRecord record) {
+        for (Shard shard : ledShards) {
+            if (shard != null) {
+                shard.machineLifecycle().applyRecord(machineId, record);
+            }
+        }
+    }
+
+    /** Passes a new record of a job to the led shards. */
+    void onJobRecordChange(String jobId, JobRecord record) {
+        for (Shard shard : ledShards) {
+            if (shard != null && shard.state().shardNumber() == record.shardNumber()) {
+                shard.openJobs().recordChanged(jobId, record);
+            } else if (shard != null) {
+                // Two nodes may have accepted the job for different shards; the job's own record
+                // decides.
+                shard.openJobs().close(jobId);
+            }
+        }
+    }
 }
--- /dev/null
+++ b/src/main/java/org/shoreusher/core/WorkerReachability.java
@@ -0,0 +1,60 @@
+package org.shoreusher.core;
+
+import org.shoreusher.core.cluster.Machine;
+import org.shoreusher.core.cluster.ShardState;
+import org.shoreusher.core.gossip.GossipConstants;
+import org.shoreusher.core.leadership.PeerView;
+import org.shoreusher.core.leadership.ShardAuthority;
+import org.shoreusher.core.leadership.ShardLeadership;
+import org.shoreusher.core.store.Outbox;
+
+/** Tells whether a leader's workers can reach it. */
+final class WorkerReachability {
+    private final ShardState state;
+    private final ShardAuthority authority;
+    private final ShardLeadership leadership;
+    private final PeerView peerView;
+    private final Outbox outbox;
+
+    WorkerReachability(
+            ShardState state,
+            ShardAuthority authority,
+            ShardLeadership leadership,
+            PeerView peerView,
+            Outbox outbox) {
+        this.state = state;
+        this.authority = authority;
+        this.leadership = leadership;
+        this.peerView = peerView;
+        this.outbox = outbox;
+    }
+
+    /**
+     * Returns whether most workers can't reach this node although its lease is valid, as in a
+     * one-way partition: after being redirected here they have returned to other nodes. A leader
+     * that stayed until the partition ends would lose all tasks that run on those machines.
+     */
+    boolean isLeaderUnreachable() {
+        if (!authority.isLoaded()
+                || !authority.isLeader()
+                || outbox.now().monotonicMs() - leadership.leaderSinceMs()
+                        < GossipConstants.REDIRECTED_WORKER_RETRY_MS) {
+            return false;
+        }
+        // This runs in every batch, so machines are counted only if some workers have returned to
+        // other nodes.
+        int unreachableWorkers = peerView.workersUnableToReachLeader(state.shardNumber());
+        return unreachableWorkers > 1
+                && unreachableWorkers
+                        > Math.max(
+                                1, runningMachines() * CoreConstants.STEP_DOWN_UNREACHABLE_SHARE);
+    }
+
+    private int runningMachines() {
+        int runningMachines = 0;
+        for (Machine machine : state.machines().values()) {
+            runningMachines += machine.state() == Machine.State.UP ? 1 : 0;
+        }
+        return runningMachines;
+    }
+}
--- a/src/main/java/org/shoreusher/core/heartbeat/HeartbeatReader.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/HeartbeatReader.java
@@ -1,6 +1,5 @@
 package org.shoreusher.core.heartbeat;
 
-import org.shoreusher.core.store.JobRecord;
 import it.unimi.dsi.fastutil.objects.ObjectOpenHashSet;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.cluster.Machine;
@@ -19,6 +18,7 @@
 import org.shoreusher.core.reconcile.Reconciliation;
 import org.shoreusher.core.schedule.ShardScheduling;
 import org.shoreusher.core.schedule.TaskMigration;
+import org.shoreusher.core.store.JobRecord;
 import org.shoreusher.core.store.Outbox;
 
 /**
--- a/src/main/java/org/shoreusher/core/heartbeat/MachineRegistration.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/MachineRegistration.java
@@ -1,11 +1,11 @@
 package org.shoreusher.core.heartbeat;
 
-import org.shoreusher.core.store.MachineRecord;
 import org.shoreusher.core.cluster.Machine;
 import org.shoreusher.core.cluster.ShardContext;
 import org.shoreusher.core.cluster.ShardState;
 import org.shoreusher.core.machine.ShardMachines;
 import org.shoreusher.core.message.WorkerHeartbeat;
+import org.shoreusher.core.store.MachineRecord;
 import org.shoreusher.core.store.Outbox;
 
 /** Registers machines whose worker sends the first heartbeat that this leader receives from it. */
--- a/src/main/java/org/shoreusher/core/heartbeat/ReportedTaskOrders.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/ReportedTaskOrders.java
@@ -1,7 +1,5 @@
 package org.shoreusher.core.heartbeat;
 
-import org.shoreusher.core.store.JobStatus;
-import org.shoreusher.core.store.JobRecord;
 import java.util.ArrayList;
 import java.util.List;
 import org.shoreusher.core.cluster.Job;
@@ -15,6 +13,8 @@
 import org.shoreusher.core.message.WorkerHeartbeat.TaskStatus;
 import org.shoreusher.core.message.WorkerOrder;
 import org.shoreusher.core.schedule.TaskStopper;
+import org.shoreusher.core.store.JobRecord;
+import org.shoreusher.core.store.JobStatus;
 
 /** Decides which tasks of a heartbeat the worker is to stop, and which to forget. */
 final class ReportedTaskOrders {
--- a/src/main/java/org/shoreusher/core/heartbeat/TaskStarter.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/TaskStarter.java
@@ -1,6 +1,5 @@
 package org.shoreusher.core.heartbeat;
 
-import org.shoreusher.core.schedule.PlacedTasks;
 import java.util.List;
 import org.shoreusher.balance.TaskId;
 import org.shoreusher.core.cluster.ClusterConstants;
@@ -13,6 +12,7 @@
 import org.shoreusher.core.job.ShardJobs;
 import org.shoreusher.core.leadership.ShardAuthority;
 import org.shoreusher.core.message.WorkerOrder;
+import org.shoreusher.core.schedule.PlacedTasks;
 import org.shoreusher.core.schedule.PlacementPlan;
 import org.shoreusher.core.schedule.ShardScheduling;
 import org.shoreusher.core.schedule.TaskMigration;
--- a/src/main/java/org/shoreusher/core/store/StoreSchema.java
+++ b/src/main/java/org/shoreusher/core/store/StoreSchema.java
@@ -39,6 +39,16 @@
         return SHARD_PREFIX + shardNumber;
     }
 
+    /** Returns whether a key is that of a shard's record. */
+    public static boolean isShardKey(String key) {
+        return key.startsWith(SHARD_PREFIX) && key.indexOf('/', SHARD_PREFIX.length()) < 0;
+    }
+
+    /** Returns the shard's number in the key of its record. */
+    public static int shardNumber(String shardKey) {
+        return Integer.parseInt(shardKey.substring(SHARD_PREFIX.length()));
+    }
+
     /**
      * The fencing key of a shard. It is written only when the leader changes, and its version is a
      * precondition of all writes for the shard.
--- a/src/test/java/org/shoreusher/core/job/HighWaterMarksTest.java
+++ b/src/test/java/org/shoreusher/core/job/HighWaterMarksTest.java
@@ -1,7 +1,5 @@
 package org.shoreusher.core.job;
 
-import org.shoreusher.core.store.JobRecord;
-import org.shoreusher.core.store.ShardRecord;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -22,8 +20,10 @@
 import org.shoreusher.core.message.Effect;
 import org.shoreusher.core.message.Effect.StoreOperation;
 import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.core.store.JobRecord;
 import org.shoreusher.core.store.NodeContext;
 import org.shoreusher.core.store.Outbox;
+import org.shoreusher.core.store.ShardRecord;
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.core.store.StoreSchema;
 import org.shoreusher.settings.Features;
@@ -70,9 +70,7 @@
                                 0);
                 jobs.put(job.id(), job);
                 storeCache.apply(
-                        StoreSchema.jobKey(job.id()),
-                        JobRecord.open(0, job.spec(), 0).toMap(),
-                        1);
+                        StoreSchema.jobKey(job.id()), JobRecord.open(0, job.spec(), 0).toMap(), 1);
             }
         }
 
--- a/src/test/java/org/shoreusher/core/job/SubmissionBatchesTest.java
+++ b/src/test/java/org/shoreusher/core/job/SubmissionBatchesTest.java
@@ -102,15 +102,12 @@
                 storeCache.apply(
                         StoreSchema.submissionBatchKey("n/" + shardNumber, 1),
                         SubmissionBatchRecord.toMap(
-                                Map.of(
-                                        "wk-1",
-                                        JobRecord.open(shardNumber, spec, 0).toMap())),
+                                Map.of("wk-1", JobRecord.open(shardNumber, spec, 0).toMap())),
                         shardNumber == 1 ? 5 : 6);
             }
             assertEquals(1, submissionBatches[0].jobRecord("wk-1").shardNumber());
             assertEquals(1, notified.get(notified.size() - 1));
-            storeCache.apply(
-                    StoreSchema.jobKey("wk-1"), JobRecord.open(0, spec, 0).toMap(), 7);
+            storeCache.apply(StoreSchema.jobKey("wk-1"), JobRecord.open(0, spec, 0).toMap(), 7);
             assertEquals(0, submissionBatches[0].jobRecord("wk-1").shardNumber());
         }
     }
--- a/src/test/java/org/shoreusher/core/schedule/BinPackerTest.java
+++ b/src/test/java/org/shoreusher/core/schedule/BinPackerTest.java
@@ -156,9 +156,7 @@
         BinPacker planner =
                 new BinPacker(
                         new ArrayList<>(
-                                List.of(
-                                        new MachineCapacity(half),
-                                        new MachineCapacity(full))),
+                                List.of(new MachineCapacity(half), new MachineCapacity(full))),
                         t -> 100,
                         t -> 0);
         assertEquals(
