--- a/src/main/java/org/shoreusher/balance/BalanceStatistics.java
+++ b/src/main/java/org/shoreusher/balance/BalanceStatistics.java
@@ -1,5 +1,6 @@
 package org.shoreusher.balance;
 
+import java.util.Collections;
 import java.util.EnumMap;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
@@ -11,7 +12,7 @@
     private static final long MAX_PER_MILLE = 1_000;
     private static final long MAX_DURATION_MS = 3_600_000;
 
-    private final Histogram spread = new Histogram(MAX_PER_MILLE, DIGITS);
+    private final Histogram skew = new Histogram(MAX_PER_MILLE, DIGITS);
     private final Histogram migrationMs = new Histogram(MAX_DURATION_MS, DIGITS);
     private final Histogram repeatedWorkMs = new Histogram(MAX_DURATION_MS, DIGITS);
     private final Map<Migration.Reason, Integer> abandoned = new EnumMap<>(Migration.Reason.class);
@@ -22,8 +23,8 @@
     BalanceStatistics() {}
 
     /** Records the skew of a high-demand team, from 0 to 1. */
-    void recordSkew(double skew) {
-        spread.recordValue(Math.round(Math.min(1, skew) * PER_UNIT));
+    void recordSkew(double skewShare) {
+        skew.recordValue(Math.round(Math.min(1, skewShare) * PER_UNIT));
     }
 
     /** Counts a migration that has begun. */
@@ -61,20 +62,33 @@
         return begun;
     }
 
-    /** Returns a summary in one line. */
-    public String summary() {
-        return ("spread median %.3f, 99%% %.3f, most %.3f; moves %d begun, %d started,"
-                        + " %d completed before, abandoned %s; move 99%% %.1f s;"
-                        + " repeated work most %.1f s")
-                .formatted(
-                        spread.getValueAtPercentile(50) / PER_UNIT,
-                        spread.getValueAtPercentile(99) / PER_UNIT,
-                        spread.getMaxValue() / PER_UNIT,
-                        begun,
-                        started,
-                        completed,
-                        abandoned,
-                        migrationMs.getValueAtPercentile(99) / PER_UNIT,
-                        repeatedWorkMs.getMaxValue() / PER_UNIT);
+    /** Returns how many tasks have started at their target. */
+    public int migrationsStarted() {
+        return started;
+    }
+
+    /** Returns how many tasks completed before they were stopped. */
+    public int migrationsObsolete() {
+        return completed;
+    }
+
+    /** Returns the number of abandoned migrations by reason; unmodifiable. */
+    public Map<Migration.Reason, Integer> migrationsAbandoned() {
+        return Collections.unmodifiableMap(abandoned);
+    }
+
+    /** Returns a percentile (0 to 100) of the skew of high-demand teams, from 0 to 1. */
+    public double skewPercentile(double percentile) {
+        return skew.getValueAtPercentile(percentile) / PER_UNIT;
+    }
+
+    /** Returns a percentile (0 to 100) of the ms from the beginning of a migration to the start. */
+    public long durationPercentileMs(double percentile) {
+        return migrationMs.getValueAtPercentile(percentile);
+    }
+
+    /** Returns the most work that one migration has caused to be repeated, in ms. */
+    public long maxRepeatedWorkMs() {
+        return repeatedWorkMs.getMaxValue();
     }
 }
--- a/src/main/java/org/shoreusher/balance/Balancer.java
+++ b/src/main/java/org/shoreusher/balance/Balancer.java
@@ -103,13 +103,13 @@
      *
      * @return the migrations that have begun
      */
-    public List<Migration> planMigrations(SchedulerView view, long nowMs) {
+    public List<Migration> planMigrations(SchedulerView scheduler, long nowMs) {
         sourceCooldownUntilMs.values().removeIf(untilMs -> untilMs <= nowMs);
         targetCooldownUntilMs.values().removeIf(untilMs -> untilMs <= nowMs);
         PlanningRound round = new PlanningRound(nowMs);
         for (String team : new TreeSet<>(highDemandTeams.highDemandTeams())) {
             statistics.recordSkew(load.skew(team));
-            planner.choose(team, view, round);
+            planner.choose(team, scheduler, round);
         }
         return round.begun;
     }
@@ -217,10 +217,10 @@
     /**
      * The task of a migration has certainly left its source.
      *
-     * @param saved whether the source has reported that the task wrote a checkpoint
+     * @param isCheckpointed whether the source has reported that the task wrote a checkpoint
      */
-    public void markLeftSource(Migration migration, boolean saved, long nowMs) {
-        settleCost(migration, saved ? 0 : migration.task().unsavedS());
+    public void markLeftSource(Migration migration, boolean isCheckpointed, long nowMs) {
+        settleCost(migration, isCheckpointed ? 0 : migration.task().unsavedS());
         migration.markLeftSource(nowMs + timeouts.targetStartMs());
     }
 
@@ -257,8 +257,8 @@
         }
         return Optional.of(
                 migration.state() == Migration.State.STOPPING
-                        ? Migration.Reason.SOURCE_SILENT
-                        : Migration.Reason.TARGET_SILENT);
+                        ? Migration.Reason.SOURCE_UNRESPONSIVE
+                        : Migration.Reason.TARGET_UNRESPONSIVE);
     }
 
     private void settleCost(Migration migration, double repeatedS) {
--- a/src/main/java/org/shoreusher/balance/HighDemandTeams.java
+++ b/src/main/java/org/shoreusher/balance/HighDemandTeams.java
@@ -18,7 +18,7 @@
 
     private final BalanceSettings settings;
     private final LoadModel load;
-    private final Set<String> hot = new HashSet<>();
+    private final Set<String> highDemandTeams = new HashSet<>();
     private Map<String, Double> demandCpus = Map.of();
 
     /** Creates an empty set of high-demand teams. */
@@ -34,29 +34,33 @@
         for (String team : load.teams()) {
             addIfHighDemand(team);
         }
-        hot.removeIf(team -> demandShare(team) < settings.highDemandShare() * RELEASE_FACTOR);
+        highDemandTeams.removeIf(
+                team -> demandShare(team) < settings.highDemandShare() * RELEASE_FACTOR);
     }
 
     private void addIfHighDemand(String team) {
         if (demandShare(team) >= settings.highDemandShare()) {
-            hot.add(team);
+            highDemandTeams.add(team);
         }
     }
 
     /** Returns the share of all CPUs that a team uses and wants, from 0 to 1. */
     double demandShare(String team) {
-        return load.cpus() <= 0
+        return load.totalCpus() <= 0
                 ? 0
-                : Math.min(1, (load.cpus(team) + demandCpus.getOrDefault(team, 0.0)) / load.cpus());
+                : Math.min(
+                        1,
+                        (load.teamCpus(team) + demandCpus.getOrDefault(team, 0.0))
+                                / load.totalCpus());
     }
 
     /** Whether the team is a high-demand one. */
     boolean isHighDemand(String team) {
-        return hot.contains(team);
+        return highDemandTeams.contains(team);
     }
 
     /** Returns the high-demand teams. */
     Set<String> highDemandTeams() {
-        return hot;
+        return highDemandTeams;
     }
 }
--- a/src/main/java/org/shoreusher/balance/LoadModel.java
+++ b/src/main/java/org/shoreusher/balance/LoadModel.java
@@ -27,7 +27,7 @@
     private final Map<String, MachineLoad> machines = new LinkedHashMap<>();
     private final Map<String, TeamLoad> teams = new HashMap<>();
     private final List<String> machineOrder = new ArrayList<>();
-    private double cpus;
+    private double totalCpus;
 
     /** Adds a machine; does nothing if it is known already. */
     public void addMachine(String id, String zone, double machineCpus, double fetchGbPerS) {
@@ -36,7 +36,7 @@
         }
         machines.put(id, new MachineLoad(id, zone, machineCpus, fetchGbPerS));
         machineOrder.add(id);
-        cpus += machineCpus;
+        totalCpus += machineCpus;
     }
 
     /** Removes a machine and everything on it. */
@@ -46,11 +46,11 @@
             return;
         }
         machineOrder.remove(id);
-        cpus -= machine.cpus();
+        totalCpus -= machine.cpus();
         for (String name : machine.teams()) {
             TeamLoad team = teams.get(name);
             team.machines.remove(id);
-            team.cpus -= machine.cpus(name);
+            team.cpus -= machine.teamCpus(name);
         }
     }
 
@@ -81,12 +81,12 @@
     }
 
     /** Returns the CPUs of all machines. */
-    public double cpus() {
-        return cpus;
+    public double totalCpus() {
+        return totalCpus;
     }
 
     /** Returns the CPUs that a team uses. */
-    public double cpus(String team) {
+    public double teamCpus(String team) {
         TeamLoad load = teams.get(team);
         return load == null ? 0 : Math.max(0, load.cpus);
     }
@@ -94,12 +94,12 @@
     /** Returns the CPUs that a team uses on one machine. */
     public double teamCpusOn(String id, String team) {
         MachineLoad machine = machines.get(id);
-        return machine == null ? 0 : machine.cpus(team);
+        return machine == null ? 0 : machine.teamCpus(team);
     }
 
     /** Returns the share of all CPUs that a team uses, from 0 to 1. */
     public double meanShare(String team) {
-        return cpus <= 0 ? 0 : cpus(team) / cpus;
+        return totalCpus <= 0 ? 0 : teamCpus(team) / totalCpus;
     }
 
     /** Returns the skew of a team as the class comment defines it. */
--- a/src/main/java/org/shoreusher/balance/MachineLoad.java
+++ b/src/main/java/org/shoreusher/balance/MachineLoad.java
@@ -68,7 +68,7 @@
     }
 
     /** Returns the CPUs that a team uses here. */
-    double cpus(String team) {
+    double teamCpus(String team) {
         TeamUse use = teams.get(team);
         return use == null ? 0 : use.cpus;
     }
--- a/src/main/java/org/shoreusher/balance/MigratableTask.java
+++ b/src/main/java/org/shoreusher/balance/MigratableTask.java
@@ -6,7 +6,7 @@
  * @param machine the machine on which it runs
  * @param remainingS estimated seconds that it still has to run
  * @param unsavedS seconds of progress that would be repeated if writing a checkpoint failed
- * @param saveS seconds that writing a checkpoint takes when it is stopped
+ * @param checkpointDurationS seconds that writing a checkpoint takes when it is stopped
  */
 public record MigratableTask(
         TaskId id,
@@ -18,4 +18,4 @@
         String machine,
         double remainingS,
         double unsavedS,
-        double saveS) {}
+        double checkpointDurationS) {}
--- a/src/main/java/org/shoreusher/balance/Migration.java
+++ b/src/main/java/org/shoreusher/balance/Migration.java
@@ -40,13 +40,13 @@
         /** The job was cancelled or moved to another shard. */
         JOB_CLOSED,
         /** The source did not report in time that the task is gone. */
-        SOURCE_SILENT,
+        SOURCE_UNRESPONSIVE,
         /** The target sent no heartbeat in time. */
-        TARGET_SILENT,
+        TARGET_UNRESPONSIVE,
         /** The team's quota has no headroom for the task. */
-        TEAM_LIMIT,
+        QUOTA_EXCEEDED,
         /** The known state of the machines has turned out to be wrong. */
-        REBUILD
+        STATE_UNCERTAIN
     }
 
     private final MigratableTask task;
@@ -147,7 +147,8 @@
      */
     void abandon(Reason abandonReason) {
         if (state.isTerminal()) {
-            throw new IllegalStateException("a move that has ended can't be abandoned: " + state);
+            throw new IllegalStateException(
+                    "cannot abandon a migration in the terminal state " + state);
         }
         state = State.ABANDONED;
         reason = abandonReason;
@@ -155,7 +156,8 @@
 
     private void requireState(State expected) {
         if (state != expected) {
-            throw new IllegalStateException("a move is " + state + " instead of " + expected);
+            throw new IllegalStateException(
+                    "a migration is in state " + state + " instead of " + expected);
         }
     }
 }
--- a/src/main/java/org/shoreusher/balance/MigrationPlanner.java
+++ b/src/main/java/org/shoreusher/balance/MigrationPlanner.java
@@ -72,7 +72,7 @@
      * Selects migrations of a team. Each begins at once, so that the next selection takes it into
      * account.
      */
-    void choose(String team, SchedulerView view, MigrationLimits limits) {
+    void choose(String team, SchedulerView scheduler, MigrationLimits limits) {
         double shareLimit = load.meanShare(team) + settings.spreadMargin();
         if (load.skew(team) <= settings.spreadMargin() + settings.hysteresis()) {
             return;
@@ -82,7 +82,7 @@
             if (!limits.canBeginForTeam(team)) {
                 return;
             }
-            PlannedMigration planned = choose(source, targets, team, view, limits);
+            PlannedMigration planned = choose(source, targets, team, scheduler, limits);
             if (planned != null) {
                 limits.begin(planned);
                 targets.removeIf(target -> target.id().equals(planned.target()));
@@ -123,7 +123,7 @@
     }
 
     private static double projectedShare(MachineLoad machine, String team, MigrationLimits limits) {
-        return (machine.cpus(team) + limits.incomingCpus(machine.id(), team)) / machine.cpus();
+        return (machine.teamCpus(team) + limits.incomingCpus(machine.id(), team)) / machine.cpus();
     }
 
     /**
@@ -133,15 +133,15 @@
             MachineLoad source,
             List<MachineLoad> targets,
             String team,
-            SchedulerView view,
+            SchedulerView scheduler,
             MigrationLimits limits) {
         if (!limits.canLeave(source.id())) {
             return null;
         }
         PlannedMigration best = null;
-        for (MigratableTask task : view.migratableTasks(source.id(), team)) {
+        for (MigratableTask task : scheduler.migratableTasks(source.id(), team)) {
             // Upper bound: a target that already has the image.
-            double maxGainS = task.remainingS() - task.saveS() - START_LAG_S;
+            double maxGainS = task.remainingS() - task.checkpointDurationS() - START_LAG_S;
             if (!limits.canMigrate(task) || (best != null && best.gainS() >= maxGainS)) {
                 continue;
             }
@@ -152,7 +152,7 @@
                         && limits.canEnter(target.id())
                         && limits.canBeginInZone(target.zone())
                         && reducesSkew(source, target, task, limits)
-                        && view.canAccept(target.id(), task)) {
+                        && scheduler.canAccept(target.id(), task)) {
                     best = new PlannedMigration(task, target.id(), gainS);
                 }
             }
@@ -161,7 +161,9 @@
     }
 
     private static double costS(MigratableTask task, MachineLoad target) {
-        return target.imageFetchS(task.image(), task.imageGb()) + task.saveS() + START_LAG_S;
+        return target.imageFetchS(task.image(), task.imageGb())
+                + task.checkpointDurationS()
+                + START_LAG_S;
     }
 
     private static double gainS(MigratableTask task, MachineLoad target) {
@@ -180,6 +182,6 @@
             MachineLoad source, MachineLoad target, MigratableTask task, MigrationLimits limits) {
         double shareAfter =
                 projectedShare(target, task.team(), limits) + task.cpus() / target.cpus();
-        return shareAfter < source.cpus(task.team()) / source.cpus();
+        return shareAfter < source.teamCpus(task.team()) / source.cpus();
     }
 }
--- a/src/main/java/org/shoreusher/core/schedule/MigrationEvents.java
+++ b/src/main/java/org/shoreusher/core/schedule/MigrationEvents.java
@@ -47,6 +47,14 @@
     static LogEvent statistics(int shardNumber, BalanceStatistics statistics) {
         return LogEvent.of(LogEventType.MIGRATION_STATISTICS)
                 .with("shard", shardNumber)
-                .with("summary", statistics.summary());
+                .with("skew_median", statistics.skewPercentile(50))
+                .with("skew_p99", statistics.skewPercentile(99))
+                .with("skew_max", statistics.skewPercentile(100))
+                .with("begun", statistics.migrationsBegun())
+                .with("started", statistics.migrationsStarted())
+                .with("obsolete", statistics.migrationsObsolete())
+                .with("abandoned", statistics.migrationsAbandoned().toString())
+                .with("duration_p99_ms", statistics.durationPercentileMs(99))
+                .with("max_repeated_work_ms", statistics.maxRepeatedWorkMs());
     }
 }
--- a/src/main/java/org/shoreusher/core/schedule/PlacementPlan.java
+++ b/src/main/java/org/shoreusher/core/schedule/PlacementPlan.java
@@ -12,6 +12,7 @@
 import org.shoreusher.core.cluster.ShardContext;
 import org.shoreusher.core.cluster.ShardState;
 import org.shoreusher.core.job.HighWaterMarks;
+import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.core.store.Outbox;
 
 /**
@@ -102,12 +103,10 @@
         int placedBefore = packer.placedTasks().size();
         int unplaced = unplacedTasks.getInt(job);
         packer.place(job, Math.min(plannedCount + unplaced, job.pendingCount()));
-        unplaced -=
-                packer.placedTasks().size() > placedBefore
-                        ? Math.max(
-                                0,
-                                packer.placedTasks().get(placedBefore).taskCount() - plannedCount)
-                        : 0;
+        if (packer.placedTasks().size() > placedBefore) {
+            int placedCount = packer.placedTasks().get(placedBefore).taskCount();
+            unplaced -= Math.max(0, placedCount - plannedCount);
+        }
         if (unplaced <= 0 || job.pendingCount() == 0) {
             unplacedTasks.removeInt(job);
         } else {
@@ -117,8 +116,8 @@
 
     /**
      * Records tasks that are planned for a machine. Several passes of the packer may place the same
-     * job on one machine; they are merged, because each part placed on its own later would ignore
-     * the others in the job's zone constraints.
+     * job on one machine; they are merged, because each of them placed on its own later would
+     * ignore the others in the job's zone constraints.
      */
     private void addPlanned(PlacedTasks placed) {
         List<PlacedTasks> plannedHere =
@@ -133,6 +132,7 @@
         }
     }
 
+    /** Makes a new plan over all machines and jobs. */
     private void plan() {
         plannedTasks.clear();
         unplacedTasks.clear();
@@ -144,46 +144,43 @@
         BinPacker packer = binPackers.create();
         double totalCpus = shard.totalCpus();
         double reservableCpus = totalCpus * ScheduleConstants.MAX_RESERVED_CPU_SHARE;
-        double markAheadCpus = totalCpus * ScheduleConstants.HIGH_WATER_MARK_LOOKAHEAD_SHARE;
+        double lookaheadCpus = totalCpus * ScheduleConstants.HIGH_WATER_MARK_LOOKAHEAD_SHARE;
         for (Job job : jobs) {
             int allowedTasks = Math.min(job.pendingCount(), packer.maxTasksWithinQuota(job.spec()));
             int unplaced = packer.place(job, job.pendingCount());
             if (unplaced > 0) {
                 unplacedTasks.put(job, unplaced);
-                List<Machine> reserved =
-                        packer.reserveMachines(
-                                job.spec(),
-                                (int)
-                                        Math.min(
-                                                unplaced,
-                                                reservableCpus
-                                                        / Math.max(
-                                                                ClusterConstants.EPSILON,
-                                                                job.spec().cpus())));
-                reservableCpus -= reserved.size() * job.spec().cpus();
-                reserved.forEach(machine -> reservedFor.put(machine, job));
+                reservableCpus -= reserveMachines(packer, job, unplaced, reservableCpus);
             }
             // High-water mark: what is about to start, and what comes next when a machine has
             // capacity again.
             int nextTasks =
-                    (int)
-                            Math.min(
-                                    unplaced,
-                                    Math.ceil(
-                                            markAheadCpus
-                                                    / Math.max(
-                                                            ClusterConstants.EPSILON,
-                                                            job.spec().cpus())));
-            markAheadCpus -= nextTasks * job.spec().cpus();
-            if (allowedTasks - unplaced + nextTasks > 0) {
-                highWaterMarks.request(
-                        job, job.highWaterMarkForNext(allowedTasks - unplaced + nextTasks));
+                    (int) Math.min(unplaced, Math.ceil(tasksWithin(lookaheadCpus, job.spec())));
+            lookaheadCpus -= nextTasks * job.spec().cpus();
+            int startableTasks = allowedTasks - unplaced + nextTasks;
+            if (startableTasks > 0) {
+                highWaterMarks.request(job, job.highWaterMarkForNext(startableTasks));
             }
         }
         packer.placedTasks().forEach(this::addPlanned);
-        nextPlanMs =
-                outbox.now().monotonicMs()
-                        + (packer.machinesScanned() + shard.machines().size() + jobs.size())
-                                / ScheduleConstants.PLACEMENT_STEPS_PER_MS;
+        long steps = packer.machinesScanned() + shard.machines().size() + jobs.size();
+        nextPlanMs = outbox.now().monotonicMs() + steps / ScheduleConstants.PLACEMENT_STEPS_PER_MS;
+    }
+
+    /**
+     * Reserves machines for a job that found no capacity.
+     *
+     * @return the CPUs that are reserved for its tasks
+     */
+    private double reserveMachines(BinPacker packer, Job job, int unplaced, double reservableCpus) {
+        int maxMachines = (int) Math.min(unplaced, tasksWithin(reservableCpus, job.spec()));
+        List<Machine> reserved = packer.reserveMachines(job.spec(), maxMachines);
+        reserved.forEach(machine -> reservedFor.put(machine, job));
+        return reserved.size() * job.spec().cpus();
+    }
+
+    /** Returns how many tasks of the job so many CPUs are; not rounded. */
+    private static double tasksWithin(double cpus, JobSpec spec) {
+        return cpus / Math.max(ClusterConstants.EPSILON, spec.cpus());
     }
 }
--- a/src/main/java/org/shoreusher/core/schedule/Preemption.java
+++ b/src/main/java/org/shoreusher/core/schedule/Preemption.java
@@ -3,7 +3,9 @@
 import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap;
 import java.util.ArrayList;
 import java.util.Comparator;
+import java.util.Iterator;
 import java.util.List;
+import java.util.function.Predicate;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.cluster.Machine;
 import org.shoreusher.core.cluster.ShardState;
@@ -36,16 +38,11 @@
         this.now = now;
         for (Machine machine : shard.machines().values()) {
             for (TaskAttempt attempt : machine.tasks().values()) {
+                JobSpec spec = attempt.job().spec();
                 if (attempt.isBeingEvicted() || attempt.mustStop()) {
-                    reclaimedTeamCpus.addTo(
-                            attempt.job().spec().team(), attempt.job().spec().cpus());
-                    reclaimedCpus += attempt.job().spec().cpus();
-                } else if (attempt.job().spec().checkpointIntervalS() > 0
-                        && attempt.state() == TaskAttempt.State.RUNNING
-                        && now.monotonicMs() - attempt.createdMs()
-                                > ScheduleConstants.MIN_COUNTED_RUN_MS
-                        && shard.isAvailable(machine)
-                        && schedulingOrder.isPreemptible(attempt.job(), now.wallMs())) {
+                    reclaimedTeamCpus.addTo(spec.team(), spec.cpus());
+                    reclaimedCpus += spec.cpus();
+                } else if (shard.isAvailable(machine) && isPreemptible(attempt)) {
                     victims.add(attempt);
                 }
             }
@@ -57,7 +54,14 @@
                         .reversed()
                         .thenComparing(attempt -> -attempt.runningSinceMs())
                         .thenComparing(attempt -> attempt.job().id())
-                        .thenComparingInt(attempt -> attempt.taskIndex()));
+                        .thenComparingInt(TaskAttempt::taskIndex));
+    }
+
+    private boolean isPreemptible(TaskAttempt attempt) {
+        return attempt.job().spec().checkpointIntervalS() > 0
+                && attempt.state() == TaskAttempt.State.RUNNING
+                && now.monotonicMs() - attempt.createdMs() > ScheduleConstants.MIN_COUNTED_RUN_MS
+                && schedulingOrder.isPreemptible(attempt.job(), now.wallMs());
     }
 
     /**
@@ -68,44 +72,56 @@
      */
     List<TaskAttempt> choose(List<Job> orderedJobs, BinPacker packer) {
         for (Job job : orderedJobs) {
-            boolean isHighPriority = job.spec().priority().compareTo(JobSpec.Priority.HIGH) <= 0;
-            if (job.isSuspectedFaulty()
-                    || !(isHighPriority
-                            || (job.spec().priority() == JobSpec.Priority.NORMAL
-                                    && schedulingOrder.isNearLatestStart(job, now.wallMs())))) {
+            if (job.isSuspectedFaulty() || !mayPreempt(job)) {
                 continue;
             }
             JobSpec spec = job.spec();
             int tasksOverQuota = job.pendingCount() - packer.maxTasksWithinQuota(spec);
             int unplacedTasks = packer.place(job, job.pendingCount());
             if (tasksOverQuota > 0) {
-                double alreadyReclaimedCpus = reclaimedTeamCpus.getDouble(spec.team());
-                double missingCpus = tasksOverQuota * spec.cpus() - alreadyReclaimedCpus;
+                double missingCpus =
+                        tasksOverQuota * spec.cpus() - reclaimedTeamCpus.getDouble(spec.team());
                 reclaimedTeamCpus.put(spec.team(), Math.max(0, -missingCpus));
-                selectVictims(spec, missingCpus, spec.team());
+                selectVictims(
+                        spec,
+                        missingCpus,
+                        victim -> victim.job().spec().team().equals(spec.team()));
             }
             // Capacity for replicas of services is made by ReplicaPreemption.
             if (unplacedTasks > 0 && spec.workloadType().runsToCompletion()) {
                 double missingCpus = unplacedTasks * spec.cpus() - reclaimedCpus;
                 reclaimedCpus = Math.max(0, -missingCpus);
-                selectVictims(spec, missingCpus, null);
+                selectVictims(spec, missingCpus, victim -> true);
             }
         }
         return chosen;
     }
 
-    private void selectVictims(JobSpec waitingSpec, double requiredCpus, String team) {
+    /** Whether tasks of lower priority may be preempted for the job now. */
+    private boolean mayPreempt(Job job) {
+        JobSpec.Priority priority = job.spec().priority();
+        return priority.compareTo(JobSpec.Priority.HIGH) <= 0
+                || (priority == JobSpec.Priority.NORMAL
+                        && schedulingOrder.isNearLatestStart(job, now.wallMs()));
+    }
+
+    /**
+     * Selects victims of lower priority, on machines that the waiting job may use, until enough
+     * CPUs are reclaimed.
+     */
+    private void selectVictims(
+            JobSpec waitingSpec, double requiredCpus, Predicate<TaskAttempt> isCandidate) {
         double missingCpus = requiredCpus;
-        for (int i = 0; i < victims.size() && missingCpus > 0; i++) {
-            TaskAttempt victim = victims.get(i);
+        Iterator<TaskAttempt> remaining = victims.iterator();
+        while (missingCpus > 0 && remaining.hasNext()) {
+            TaskAttempt victim = remaining.next();
             JobSpec spec = victim.job().spec();
+            Machine machine = victim.machine();
             if (spec.priority().compareTo(waitingSpec.priority()) > 0
-                    && (team == null || spec.team().equals(team))
+                    && isCandidate.test(victim)
                     && waitingSpec.allowsMachine(
-                            victim.machine().type().name(),
-                            victim.machine().zone(),
-                            victim.machine().isSpot())) {
-                victims.remove(i--);
+                            machine.type().name(), machine.zone(), machine.isSpot())) {
+                remaining.remove();
                 chosen.add(victim);
                 missingCpus -= spec.cpus();
             }
--- a/src/main/java/org/shoreusher/core/schedule/QuotaShares.java
+++ b/src/main/java/org/shoreusher/core/schedule/QuotaShares.java
@@ -1,17 +1,12 @@
 package org.shoreusher.core.schedule;
 
 import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap;
-import it.unimi.dsi.fastutil.objects.ObjectOpenHashSet;
-import java.util.Arrays;
-import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.function.Function;
-import org.shoreusher.core.message.Effect.StoreOperation;
 import org.shoreusher.core.message.GossipMessage.TeamDemand;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.QuotaRecord;
 import org.shoreusher.core.store.StoreCache;
-import org.shoreusher.core.store.StoreSchema;
 import org.shoreusher.settings.Settings;
 
 /**
@@ -24,27 +19,18 @@
  * read.
  */
 public final class QuotaShares {
-    /**
-     * A write that lowers this shard's share.
-     *
-     * @param version version of the record that is the precondition of the write
-     * @param record the shares after the write
-     */
-    private record Transfer(long version, QuotaRecord record) {}
+    private static final int NO_SHARD = -1;
 
     private final int shardNumber;
     private final int shardCount;
     private final Settings settings;
     private final Outbox outbox;
-    private final StoreCache storeCache;
-    private final Map<String, Long> fencingPreconditions;
+    private final QuotaRecords records;
 
     /** Transfers whose outcome is unknown; until it is known the lower share applies. */
-    private final Object2ObjectOpenHashMap<String, Transfer> pendingTransfers =
+    private final Object2ObjectOpenHashMap<String, QuotaTransfer> pendingTransfers =
             new Object2ObjectOpenHashMap<>();
 
-    private final ObjectOpenHashSet<String> teamsInFlight = new ObjectOpenHashSet<>();
-
     /**
      * CPUs that this shard should not exceed once the demands of the others are considered, by
      * team.
@@ -52,7 +38,6 @@
     private final Object2ObjectOpenHashMap<String, Double> targetCpus =
             new Object2ObjectOpenHashMap<>();
 
-    private boolean creationInFlight;
     private long nextStepMs;
 
     /**
@@ -71,38 +56,44 @@
         this.shardCount = shardCount;
         this.settings = settings;
         this.outbox = outbox;
-        this.storeCache = storeCache;
-        this.fencingPreconditions = fencingPreconditions;
+        records = new QuotaRecords(shardCount, settings, outbox, storeCache, fencingPreconditions);
     }
 
     /** Returns the CPUs that tasks of the team in this shard may use. */
     double cpuShare(String team) {
         Settings.Team teamSettings = settings.teams().get(team);
-        if (shardCount == 1 || teamSettings == null || Double.isInfinite(teamSettings.maxCpus())) {
-            return teamSettings == null ? 0 : teamSettings.maxCpus();
+        double limit = teamSettings == null ? 0 : teamSettings.maxCpus();
+        if (teamSettings == null || !isShared(limit)) {
+            return limit;
         }
-        QuotaRecord stored = storedShares(team);
-        Transfer pending = pendingTransfers.get(team);
-        return stored == null
-                ? 0
-                : pending == null
-                        ? stored.cpus()[shardNumber]
-                        : Math.min(stored.cpus()[shardNumber], pending.record.cpus()[shardNumber]);
+        return share(team, QuotaRecord::cpus);
     }
 
     /** Returns the GPUs that tasks of the team in this shard may use. */
     double gpuShare(String team) {
         Settings.Team teamSettings = settings.teams().get(team);
-        if (shardCount == 1 || teamSettings == null || Double.isInfinite(teamSettings.maxGpus())) {
-            return teamSettings == null ? 0 : teamSettings.maxGpus();
+        double limit = teamSettings == null ? 0 : teamSettings.maxGpus();
+        if (teamSettings == null || !isShared(limit)) {
+            return limit;
+        }
+        return share(team, QuotaRecord::gpus);
+    }
+
+    private boolean isShared(double limit) {
+        return shardCount > 1 && !Double.isInfinite(limit);
+    }
+
+    /** Returns this shard's share, or what a pending transfer would leave if that is less. */
+    private double share(String team, Function<QuotaRecord, double[]> resource) {
+        QuotaRecord stored = records.get(team);
+        if (stored == null) {
+            return 0;
         }
-        QuotaRecord stored = storedShares(team);
-        Transfer pending = pendingTransfers.get(team);
-        return stored == null
-                ? 0
-                : pending == null
-                        ? stored.gpus()[shardNumber]
-                        : Math.min(stored.gpus()[shardNumber], pending.record.gpus()[shardNumber]);
+        double share = resource.apply(stored)[shardNumber];
+        QuotaTransfer pending = pendingTransfers.get(team);
+        return pending == null
+                ? share
+                : Math.min(share, resource.apply(pending.shares())[shardNumber]);
     }
 
     /**
@@ -114,11 +105,6 @@
         return targetShare == null ? cpuShare(team) : Math.min(cpuShare(team), targetShare);
     }
 
-    private QuotaRecord storedShares(String team) {
-        StoreCache.Entry entry = storeCache.get(StoreSchema.quotaKey(team));
-        return entry == null ? null : QuotaRecord.fromMap(entry.value(), shardCount);
-    }
-
     /**
      * Creates missing records and transfers shares to shards with a higher demand.
      *
@@ -134,13 +120,14 @@
             return;
         }
         nextStepMs = outbox.now().monotonicMs() + ScheduleConstants.QUOTA_SHARES_INTERVAL_MS;
-        createMissingRecords();
+        records.createMissing();
         for (Settings.Team team : settings.teams().values()) {
-            if (!Double.isInfinite(team.maxCpus())
-                    && storedShares(team.name()) != null
-                    && !teamsInFlight.contains(team.name())) {
+            QuotaRecord stored =
+                    Double.isInfinite(team.maxCpus()) ? null : records.get(team.name());
+            if (stored != null && !records.isWriteInFlight(team.name())) {
                 rebalance(
                         team,
+                        stored,
                         cpusUsed.apply(team.name()),
                         demands.apply(team.name()),
                         Math.max(1, quantum.apply(team.name())));
@@ -148,172 +135,63 @@
         }
     }
 
-    private void createMissingRecords() {
-        Map<String, Long> preconditions = new LinkedHashMap<>(fencingPreconditions);
-        Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
-        for (Settings.Team team : settings.teams().values()) {
-            if (storeCache.get(StoreSchema.quotaKey(team.name())) == null
-                    && writes.size() < settings.maxTransactionWrites()) {
-                preconditions.put(StoreSchema.quotaKey(team.name()), 0L);
-                writes.put(
-                        StoreSchema.quotaKey(team.name()),
-                        QuotaRecord.splitEvenly(
-                                        finiteOrZero(team.maxCpus()),
-                                        finiteOrZero(team.maxGpus()),
-                                        shardCount)
-                                .toMap());
-            }
-        }
-        if (!writes.isEmpty() && !creationInFlight) {
-            creationInFlight =
-                    outbox.callStore(
-                            new StoreOperation.CompareAndSwap(preconditions, writes),
-                            reply -> {
-                                creationInFlight = false;
-                                if (reply.status() == 200) {
-                                    storeCache.applyOwnWrites(reply, writes);
-                                }
-                            });
-        }
-    }
-
-    private static double finiteOrZero(double limit) {
-        return Double.isInfinite(limit) ? 0 : limit;
-    }
-
     private void rebalance(
-            Settings.Team team, double cpusUsed, TeamDemand[] demands, double quantum) {
-        QuotaRecord stored = storedShares(team.name());
-        Transfer pending = pendingTransfers.get(team.name());
-        if (pending != null
-                && storeCache.version(StoreSchema.quotaKey(team.name())) == pending.version) {
+            Settings.Team team,
+            QuotaRecord stored,
+            double cpusUsed,
+            TeamDemand[] demands,
+            double quantum) {
+        QuotaTransfer pending = pendingTransfers.get(team.name());
+        if (pending != null && records.version(team.name()) == pending.version()) {
             // The outcome is unknown: repeating the same write is safe, since it succeeds or the
             // record has changed.
-            sendTransfer(team.name(), pending);
+            send(team.name(), pending);
             return;
         }
         pendingTransfers.remove(team.name());
-        double[] targetShares = targetShares(team.maxCpus(), demands, stored.cpus(), quantum);
-        targetCpus.put(team.name(), targetShares[shardNumber]);
+        double[] targets =
+                QuotaTargets.targetShares(team.maxCpus(), demands, stored.cpus(), quantum);
+        targetCpus.put(team.name(), targets[shardNumber]);
+        double ownShare = stored.cpus()[shardNumber];
         double surplusCpus =
-                Math.floor(
-                                (stored.cpus()[shardNumber]
-                                                - Math.max(cpusUsed, targetShares[shardNumber]))
-                                        / quantum)
+                Math.floor((ownShare - Math.max(cpusUsed, targets[shardNumber])) / quantum)
                         * quantum;
         if (surplusCpus < quantum) {
             return;
         }
-        double[] cpus = stored.cpus().clone();
-        double[] gpus = stored.gpus().clone();
-        int recipient = -1;
-        for (int shard = 0; shard < shardCount; shard++) {
-            if (shard != shardNumber
-                    && demands[shard] != null
-                    && targetShares[shard] - cpus[shard] >= quantum
-                    && (recipient < 0
-                            || targetShares[shard] - cpus[shard]
-                                    > targetShares[recipient] - cpus[recipient])) {
-                recipient = shard;
-            }
+        int recipient = neediestShard(demands, targets, stored.cpus(), quantum);
+        if (recipient != NO_SHARD) {
+            double cpuCount = Math.min(surplusCpus, targets[recipient] - stored.cpus()[recipient]);
+            QuotaTransfer transfer =
+                    QuotaTransfer.of(
+                            records.version(team.name()), stored, shardNumber, recipient, cpuCount);
+            pendingTransfers.put(team.name(), transfer);
+            send(team.name(), transfer);
         }
-        if (recipient < 0) {
-            return;
-        }
-        double transferredCpus = Math.min(surplusCpus, targetShares[recipient] - cpus[recipient]);
-        cpus[shardNumber] -= transferredCpus;
-        cpus[recipient] += transferredCpus;
-        // GPUs are transferred in proportion to the CPUs.
-        double transferredGpus =
-                stored.cpus()[shardNumber] <= 0
-                        ? 0
-                        : Math.floor(
-                                gpus[shardNumber] * transferredCpus / stored.cpus()[shardNumber]);
-        gpus[shardNumber] -= transferredGpus;
-        gpus[recipient] += transferredGpus;
-        Transfer transfer =
-                new Transfer(
-                        storeCache.version(StoreSchema.quotaKey(team.name())),
-                        new QuotaRecord(cpus, gpus));
-        pendingTransfers.put(team.name(), transfer);
-        sendTransfer(team.name(), transfer);
     }
 
-    private void sendTransfer(String team, Transfer transfer) {
-        Map<String, Long> preconditions = new LinkedHashMap<>(fencingPreconditions);
-        preconditions.put(StoreSchema.quotaKey(team), transfer.version);
-        Map<String, Map<String, Object>> writes =
-                Map.of(StoreSchema.quotaKey(team), transfer.record.toMap());
-        boolean sent =
-                outbox.callStore(
-                        new StoreOperation.CompareAndSwap(preconditions, writes),
-                        reply -> {
-                            teamsInFlight.remove(team);
-                            if (reply.status() == 200) {
-                                pendingTransfers.remove(team);
-                                storeCache.applyOwnWrites(reply, writes);
-                            }
-                        });
-        if (sent) {
-            teamsInFlight.add(team);
-        }
+    private void send(String team, QuotaTransfer transfer) {
+        records.send(team, transfer, () -> pendingTransfers.remove(team));
     }
 
     /**
-     * Computes how a quota should be shared: high-priority demand first, then other demand, and the
-     * remainder evenly.
-     *
-     * @param limit the quota, in CPUs
-     * @param demands demand of each shard; a shard without (null) keeps its share
-     * @param currentShares current share of each shard
-     * @param quantum shares are rounded to a multiple of this
+     * Returns the number of the other shard that is furthest below its target; {@link #NO_SHARD} if
+     * none is so by a quantum.
      */
-    public static double[] targetShares(
-            double limit, TeamDemand[] demands, double[] currentShares, double quantum) {
-        int shardCount = currentShares.length;
-        double[] targetShares = new double[shardCount];
-        double remaining = limit;
-        // A shard without recent gossip keeps its share: no other shard may use it anyway.
+    private int neediestShard(
+            TeamDemand[] demands, double[] targets, double[] shares, double quantum) {
+        int neediest = NO_SHARD;
+        double largestGap = 0;
         for (int shard = 0; shard < shardCount; shard++) {
-            if (demands[shard] == null) {
-                targetShares[shard] = currentShares[shard];
-                remaining -= currentShares[shard];
-            }
-        }
-        for (int level = 0; level < 2; level++) {
-            double sum = 0;
-            for (TeamDemand demand : demands) {
-                sum +=
-                        demand == null
-                                ? 0
-                                : level == 0 ? demand.highPriorityCpus() : demand.otherCpus();
-            }
-            double ratio = sum <= 0 ? 0 : Math.min(1, Math.max(0, remaining) / sum);
-            for (int shard = 0; shard < shardCount; shard++) {
-                if (demands[shard] != null) {
-                    double granted =
-                            (level == 0
-                                            ? demands[shard].highPriorityCpus()
-                                            : demands[shard].otherCpus())
-                                    * ratio;
-                    targetShares[shard] += granted;
-                }
-            }
-            remaining -= sum * ratio;
-        }
-        long reportingShards = Arrays.stream(demands).filter(demand -> demand != null).count();
-        for (int shard = 0; shard < shardCount; shard++) {
-            if (demands[shard] != null) {
-                targetShares[shard] =
-                        Math.floor(
-                                        (targetShares[shard]
-                                                                + Math.max(0, remaining)
-                                                                        / reportingShards)
-                                                        / quantum
-                                                + 0.5)
-                                * quantum;
+            double gap = targets[shard] - shares[shard];
+            if (shard != shardNumber
+                    && demands[shard] != null
+                    && gap >= quantum
+                    && (neediest == NO_SHARD || gap > largestGap)) {
+                neediest = shard;
+                largestGap = gap;
             }
         }
-        return targetShares;
+        return neediest;
     }
 }
--- a/src/main/java/org/shoreusher/core/schedule/SchedulingOrder.java
+++ b/src/main/java/org/shoreusher/core/schedule/SchedulingOrder.java
@@ -1,5 +1,6 @@
 package org.shoreusher.core.schedule;
 
+import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
 import org.shoreusher.core.cluster.Job;
@@ -20,6 +21,7 @@
     /**
      * The sort key of one job at one moment, computed once per job and scheduling round.
      *
+     * @param job the job
      * @param priorityBand priority band; lower values are scheduled first
      * @param missedObjectives number of service-level objectives that the job can no longer meet
      * @param remainingCpuS remaining CPU-seconds; 0 if the slack decides
@@ -28,6 +30,9 @@
     private record JobRank(
             Job job, int priorityBand, int missedObjectives, double remainingCpuS, double slackS) {}
 
+    /** Comes before the bands of all priorities. */
+    private static final int STARVING_BAND = -1;
+
     private final Settings settings;
     private final RunTimeEstimates estimates;
 
@@ -41,7 +46,7 @@
 
     /** Sorts the jobs in place, in the order in which they are to be scheduled. */
     public void sort(List<Job> jobs, long wallMs) {
-        List<JobRank> ranks = new java.util.ArrayList<>(jobs.size());
+        List<JobRank> ranks = new ArrayList<>(jobs.size());
         for (Job job : jobs) {
             ranks.add(rank(job, wallMs));
         }
@@ -106,26 +111,30 @@
         if (slackS == Double.MAX_VALUE) {
             slackS = ScheduleConstants.DEFAULT_DEADLINE_S - ageS - remainingS;
         }
-        // Low and normal priority share a band: low-priority objectives allow more time, so
-        // ordering by slack serves both in time. A job that has not started for very long goes
-        // first; a steady stream of urgent work would otherwise starve it.
-        int priorityBand =
-                job.hasStarted() || ageS < ScheduleConstants.STARVATION_AGE_S
-                        ? Math.min(
-                                job.spec().priority().ordinal(), JobSpec.Priority.NORMAL.ordinal())
-                        : -1;
+        int priorityBand = priorityBand(job, ageS);
         boolean hasAmpleSlack =
                 priorityBand > JobSpec.Priority.HIGH.ordinal()
                         && slackS >= ScheduleConstants.URGENT_MAX_SLACK_S
                         && !isGuaranteeUrgent(job, ageS);
-        return new JobRank(
-                job,
-                priorityBand,
-                missedObjectives,
+        double remainingCpuS =
                 hasAmpleSlack
                         ? job.pendingCount() * job.spec().cpus() * estimates.expectedRunS(job)
-                        : 0,
-                slackS);
+                        : 0;
+        return new JobRank(job, priorityBand, missedObjectives, remainingCpuS, slackS);
+    }
+
+    /**
+     * Returns the priority band; lower values are scheduled first.
+     *
+     * <p>Low and normal priority share a band: low-priority objectives allow more time, so ordering
+     * by slack serves both in time. A job that has not started for very long goes first; a constant
+     * stream of urgent work would otherwise starve it.
+     */
+    private static int priorityBand(Job job, double ageS) {
+        if (!job.hasStarted() && ageS >= ScheduleConstants.STARVATION_AGE_S) {
+            return STARVING_BAND;
+        }
+        return Math.min(job.spec().priority().ordinal(), JobSpec.Priority.NORMAL.ordinal());
     }
 
     /**
--- a/src/main/java/org/shoreusher/core/schedule/TaskMigration.java
+++ b/src/main/java/org/shoreusher/core/schedule/TaskMigration.java
@@ -199,7 +199,7 @@
             } else if (quotaHeadroom.cpuHeadroom(reservation.spec().team())
                     < -ClusterConstants.EPSILON) {
                 // The quota share may have been lowered since the task left its source.
-                abandon(reservation, Migration.Reason.TEAM_LIMIT);
+                abandon(reservation, Migration.Reason.QUOTA_EXCEEDED);
             } else {
                 release(reservation);
                 balancer.markStarted(reservation.migration(), outbox.now().monotonicMs());
@@ -262,7 +262,7 @@
     /** Abandons all migrations: the known state of the machines has turned out to be wrong. */
     public void abandonAll() {
         List.copyOf(reservations.values())
-                .forEach(reservation -> abandon(reservation, Migration.Reason.REBUILD));
+                .forEach(reservation -> abandon(reservation, Migration.Reason.STATE_UNCERTAIN));
     }
 
     private void abandon(MigrationReservation reservation, Migration.Reason reason) {
--- a/src/test/java/org/shoreusher/balance/BalancerTest.java
+++ b/src/test/java/org/shoreusher/balance/BalancerTest.java
@@ -206,14 +206,14 @@
         Migration migration = scheduler.planMigrations().get(0);
         assertEquals(Optional.empty(), scheduler.balancer.timeoutReason(migration, 19_999));
         assertEquals(
-                Optional.of(Migration.Reason.SOURCE_SILENT),
+                Optional.of(Migration.Reason.SOURCE_UNRESPONSIVE),
                 scheduler.balancer.timeoutReason(migration, 20_000));
         scheduler.balancer.markLeftSource(migration, true, 20_000);
         assertEquals(Optional.empty(), scheduler.balancer.timeoutReason(migration, 29_999));
         assertEquals(
-                Optional.of(Migration.Reason.TARGET_SILENT),
+                Optional.of(Migration.Reason.TARGET_UNRESPONSIVE),
                 scheduler.balancer.timeoutReason(migration, 30_000));
-        scheduler.balancer.abandon(migration, Migration.Reason.TARGET_SILENT, 30_000);
+        scheduler.balancer.abandon(migration, Migration.Reason.TARGET_UNRESPONSIVE, 30_000);
         assertEquals(Optional.empty(), scheduler.balancer.timeoutReason(migration, 90_000));
         assertNull(scheduler.balancer.migration(migration.task().id()));
     }
--- a/src/test/java/org/shoreusher/balance/FakeScheduler.java
+++ b/src/test/java/org/shoreusher/balance/FakeScheduler.java
@@ -112,7 +112,7 @@
                 machine,
                 task.remainingS(),
                 task.unsavedS(),
-                task.saveS());
+                task.checkpointDurationS());
     }
 
     @Override
--- a/src/test/java/org/shoreusher/balance/LoadModelTest.java
+++ b/src/test/java/org/shoreusher/balance/LoadModelTest.java
@@ -92,8 +92,8 @@
         load.removeMachine("nowhere");
         load.addMachine("m", "a", 8, 1);
         load.removeTask("m", "t", 4);
-        assertEquals(0, load.cpus("t"));
+        assertEquals(0, load.teamCpus("t"));
         assertEquals(0, load.skew("t"));
-        assertEquals(8, load.cpus());
+        assertEquals(8, load.totalCpus());
     }
 }
--- a/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
+++ b/src/test/java/org/shoreusher/core/OwnerPiecesTest.java
@@ -26,7 +26,7 @@
 import org.shoreusher.core.message.GossipMessage.TeamDemand;
 import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.core.message.MachineType;
-import org.shoreusher.core.schedule.QuotaShares;
+import org.shoreusher.core.schedule.QuotaTargets;
 import org.shoreusher.core.store.JobRecord;
 import org.shoreusher.core.store.NodeContext;
 import org.shoreusher.core.store.Outbox;
@@ -162,7 +162,7 @@
                             : new TeamDemand(random.nextInt(30), random.nextInt(60));
         }
         double max = Arrays.stream(shares).sum();
-        double[] targets = QuotaShares.targetShares(max, demands, shares, 1);
+        double[] targets = QuotaTargets.targetShares(max, demands, shares, 1);
         double urgent =
                 Arrays.stream(demands)
                         .filter(demand -> demand != null)
