--- a/src/main/java/org/shoreusher/core/store/StoreCache.java
+++ b/src/main/java/org/shoreusher/core/store/StoreCache.java
@@ -19,7 +19,7 @@
  * applied by version, so pages, watch results and this node's own writes may arrive in any order.
  */
 public final class StoreCache {
-    /** The version of a key that does not exist, in preconditions. */
+    /** The version of a key that has no value. */
     public static final long ABSENT = 0;
 
     /**
