--- a/src/main/java/org/shoreusher/measure/BalanceMeasurement.java
+++ b/src/main/java/org/shoreusher/measure/BalanceMeasurement.java
@@ -1,17 +1,17 @@
 package org.shoreusher.measure;
 
-import java.nio.file.Files;
+import static org.shoreusher.measure.MeasurementOutput.print;
+
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.Options;
 import org.shoreusher.balance.BalanceSettings;
+import org.shoreusher.log.LogEventType;
 import org.shoreusher.standin.CloudStandIn;
-import org.shoreusher.standin.JobProfile;
 import org.shoreusher.standin.TaskHistory;
 
 /**
@@ -27,19 +27,18 @@
                     .addOption("t", "seconds", true, "length, default 240")
                     .addOption("o", "on", false, "with the feature on");
 
-    private static final int MOST_MACHINES = 4_000;
-    private static final int MOST_SECONDS = 3_600;
+    private static final int CONTROLLERS = 3;
+    private static final int MAX_MACHINES = 4_000;
+    private static final int MAX_SECONDS = 3_600;
     private static final double CPUS = 8;
     private static final double FETCH_GB_PER_S = 0.5;
-    private static final double REPORT_S = 0.8;
-    private static final double LEASE_S = 10;
-    private static final long SAMPLE_MS = 1_000;
-    private static final long PRINT_EVERY = 10;
+    private static final double HEARTBEAT_INTERVAL_S = 0.8;
+    private static final double WORKER_LEASE_S = 10;
+    private static final long SAMPLE_INTERVAL_MS = 1_000;
+    private static final long SAMPLES_PER_LINE = 10;
 
     /** ms; the spread may be above its margin this long, until tasks become migratable and move. */
-    private static final long RETURN_MS = 60_000;
-
-    private static final String FEATURE = "[balance]\nenabled = true\n";
+    private static final long MAX_SPREAD_MS = 60_000;
 
     private final int machines;
     private final int seed;
@@ -64,43 +63,44 @@
     /** Runs the measurement. */
     static void run(CommandLine line) throws Exception {
         new BalanceMeasurement(
-                        Measurements.integer(line, "machines", 1, MOST_MACHINES, 60),
+                        Measurements.integer(line, "machines", 1, MAX_MACHINES, 60),
                         Measurements.integer(line, "seed", 0, Integer.MAX_VALUE, 1),
                         line.hasOption("on"),
-                        Measurements.integer(line, "seconds", 1, MOST_SECONDS, 240))
-                .play();
-    }
-
-    private void play() throws Exception {
-        Path features = Files.createTempFile("features", ".toml");
-        Files.writeString(features, FEATURE);
-        Cluster.Topology shape =
-                new Cluster.Topology(
-                        3,
-                        machines,
-                        new CloudStandIn.MachineOffer(CPUS, 64, FETCH_GB_PER_S, List.of("a", "b")),
-                        DoubledTeamLoad.teamCpuLimits(machines * CPUS),
-                        REPORT_S,
-                        LEASE_S,
-                        on ? features : null);
+                        Measurements.integer(line, "seconds", 1, MAX_SECONDS, 240))
+                .measure();
+    }
+
+    private void measure() throws Exception {
         BalanceSettings settings = BalanceSettings.DEFAULTS;
         LoadSpreadSampler spread =
                 new LoadSpreadSampler(
                         DoubledTeamLoad.DOUBLED_TEAM,
                         settings.spreadMargin(),
                         settings.spreadMargin() + settings.hysteresis());
-        try (Cluster cluster = new Cluster(shape)) {
+        try (TemporaryFeaturesFile features = TemporaryFeaturesFile.enabling("balance");
+                Cluster cluster = new Cluster(topology(features.path()))) {
             cluster.start();
-            play(cluster, spread);
+            submitAll(cluster, spread);
             cluster.requireAlive();
-            report(cluster, spread);
+            printResults(cluster, spread);
+            cluster.requireNoViolations();
             check(cluster.history(), spread, settings);
-        } finally {
-            Files.delete(features);
         }
     }
 
-    private void play(Cluster cluster, LoadSpreadSampler spread) throws InterruptedException {
+    private Cluster.Topology topology(Path featuresFile) {
+        return new Cluster.Topology(
+                CONTROLLERS,
+                machines,
+                new CloudStandIn.MachineOffer(CPUS, 64, FETCH_GB_PER_S, List.of("a", "b")),
+                DoubledTeamLoad.teamCpuLimits(machines * CPUS),
+                HEARTBEAT_INTERVAL_S,
+                WORKER_LEASE_S,
+                on ? featuresFile : null);
+    }
+
+    /** Submits all jobs of the load at their times, and samples the spread meanwhile. */
+    private void submitAll(Cluster cluster, LoadSpreadSampler spread) throws InterruptedException {
         long beganMs = ControllerProcess.nowMs();
         long nextSampleMs = beganMs;
         List<DoubledTeamLoad.Arrival> arrivals =
@@ -122,7 +122,7 @@
         while (ControllerProcess.nowMs() < untilMs) {
             if (ControllerProcess.nowMs() >= nextMs) {
                 spread.sample(cluster.cloud(), jobs);
-                nextMs += SAMPLE_MS;
+                nextMs += SAMPLE_INTERVAL_MS;
                 printSample(cluster, spread);
             }
             Thread.sleep(Math.max(1, Math.min(nextMs, untilMs) - ControllerProcess.nowMs()));
@@ -133,11 +133,11 @@
     /** Records when the spread is back within its bound, and prints every tenth sample. */
     private void printSample(Cluster cluster, LoadSpreadSampler spread) {
         samples++;
-        long atMs = samples * SAMPLE_MS;
+        long atMs = samples * SAMPLE_INTERVAL_MS;
         if (returnedMs < 0 && atMs > doublesMs && spread.latest() <= spread.bound()) {
             returnedMs = atMs - doublesMs;
         }
-        if (samples % PRINT_EVERY == 0) {
+        if (samples % SAMPLES_PER_LINE == 0) {
             print(
                     "%d s: spread %.2f, %d machines, %d tasks",
                     atMs / 1_000,
@@ -147,99 +147,93 @@
         }
     }
 
-    private void report(Cluster cluster, LoadSpreadSampler spread) {
-        TaskHistory history = cluster.history();
-        Histogram waits = waits(history);
-        int moves = 0;
-        int abandoned = 0;
-        double processorS = 0;
-        for (ControllerProcess controller : cluster.controllers()) {
-            moves +=
-                    controller
-                            .linesMatching(
-                                    Long.MIN_VALUE,
-                                    text -> text.contains("event=migration_completed "))
-                            .size();
-            abandoned +=
-                    controller
-                            .linesMatching(
-                                    Long.MIN_VALUE,
-                                    text -> text.contains("event=migration_abandoned "))
-                            .size();
-            processorS += controller.cpuTimeS();
-        }
+    private void printResults(Cluster cluster, LoadSpreadSampler spread) {
         print(
                 "balancer %s, seed %d, %d machines, %d s",
                 on ? "on" : "off", seed, machines, endMs / 1_000);
-        print("spread of the hot team: %s", spread);
+        print("spread of the doubled team: %s", spread);
         print("within the bound again %.0f s after the load doubled", returnedMs / 1_000.0);
+        printTasks(cluster);
+        printWaits(cluster.history());
+        double repeatedS = repeatedWorkS(cluster.history());
+        double completedS = completedWorkS(cluster.history());
+        print(
+                "repeated work of the doubled class: %.0f s of %.0f s done (%.4f)",
+                repeatedS, completedS, repeatedS / completedS);
         print(
-                "tasks: %d started, %d complete, %d fetches; %d moved, %d moves abandoned",
-                history.startCount(),
-                history.completedCount(),
-                history.imageFetchCount(),
-                moves,
-                abandoned);
+                "CPU time of all controllers: %.1f s",
+                cluster.controllers().stream().mapToDouble(ControllerProcess::cpuTimeS).sum());
+    }
+
+    private static void printTasks(Cluster cluster) {
         print(
-                "wait to the first start: median %.1f s, 99%% %.1f s, most %.1f s",
-                waits.getValueAtPercentile(50) / 1_000.0,
-                waits.getValueAtPercentile(99) / 1_000.0,
-                waits.getMaxValue() / 1_000.0);
+                "tasks: %d started, %d completed, %d fetches; %d migrated, %d migrations abandoned",
+                cluster.history().startCount(),
+                cluster.history().completedCount(),
+                cluster.history().imageFetchCount(),
+                eventCount(cluster, LogEventType.MIGRATION_COMPLETED),
+                eventCount(cluster, LogEventType.MIGRATION_ABANDONED));
+    }
+
+    private static long eventCount(Cluster cluster, LogEventType type) {
+        return cluster.controllers().stream()
+                .mapToLong(controller -> controller.eventCount(type))
+                .sum();
+    }
+
+    private void printWaits(TaskHistory history) {
+        Histogram waitsMs = waitsMs(history);
         print(
-                "repeated work of the hot class: %.0f s of %.0f s done (%.4f)",
-                repeatedS(history), workedS(history), repeatedS(history) / workedS(history));
-        print("processor time of all controllers: %.1f s", processorS);
+                "wait to the first start: median %.1f s, 99%% %.1f s, max %.1f s",
+                waitsMs.getValueAtPercentile(50) / 1_000.0,
+                waitsMs.getValueAtPercentile(99) / 1_000.0,
+                waitsMs.getMaxValue() / 1_000.0);
     }
 
-    private Histogram waits(TaskHistory history) {
-        Histogram waits = new Histogram(2);
+    private Histogram waitsMs(TaskHistory history) {
+        Histogram waitsMs = new Histogram(2);
         history.firstStartMsByTask()
                 .forEach(
                         (task, startMs) -> {
                             String job = task.substring(0, task.indexOf('/'));
-                            waits.recordValue(Math.max(0, startMs - submittedMs.get(job)));
+                            waitsMs.recordValue(Math.max(0, startMs - submittedMs.get(job)));
                         });
-        return waits;
+        return waitsMs;
+    }
+
+    private static boolean isOfDoubledClass(JobRequest job) {
+        return job.jobClass().equals(DoubledTeamLoad.DOUBLED_CLASS);
     }
 
-    private double repeatedS(TaskHistory history) {
+    private double repeatedWorkS(TaskHistory history) {
         double seconds = 0;
-        for (Map.Entry<String, Double> e : history.repeatedWorkSByJob().entrySet()) {
-            boolean hot = jobs.get(e.getKey()).jobClass().equals(DoubledTeamLoad.DOUBLED_CLASS);
-            seconds += hot ? e.getValue() : 0;
+        for (Map.Entry<String, Double> entry : history.repeatedWorkSByJob().entrySet()) {
+            JobRequest job = jobs.get(entry.getKey());
+            seconds += isOfDoubledClass(job) ? entry.getValue() : 0;
         }
         return seconds;
     }
 
-    private double workedS(TaskHistory history) {
+    private double completedWorkS(TaskHistory history) {
         double seconds = 0;
         for (String task : history.completedTasks()) {
             JobRequest job = jobs.get(task.substring(0, task.indexOf('/')));
-            JobProfile profile = job.profile();
-            seconds +=
-                    job.jobClass().equals(DoubledTeamLoad.DOUBLED_CLASS) ? profile.runTimeS() : 0;
+            seconds += isOfDoubledClass(job) ? job.profile().runTimeS() : 0;
         }
         return seconds;
     }
 
     private void check(TaskHistory history, LoadSpreadSampler spread, BalanceSettings settings) {
-        if (!history.violations().isEmpty()) {
-            throw new IllegalStateException(String.join("; ", history.violations()));
-        }
-        if (on && spread.longestAvoidableMs() > RETURN_MS) {
+        if (on && spread.longestAvoidableMs() > MAX_SPREAD_MS) {
             throw new IllegalStateException(
-                    "the spread was above its margin, with room elsewhere, for "
+                    "the spread was above its margin, with free capacity elsewhere, for "
                             + spread.longestAvoidableMs()
                             + " ms");
         }
-        double budget = settings.defaultBudget().maxRepeatedWorkShare() * workedS(history);
-        if (on && repeatedS(history) > budget) {
-            throw new IllegalStateException(
-                    "repeated " + repeatedS(history) + " s, allowed are " + budget);
+        double repeatedS = repeatedWorkS(history);
+        double budgetS = settings.defaultBudget().maxRepeatedWorkShare() * completedWorkS(history);
+        if (on && repeatedS > budgetS) {
+            throw new IllegalStateException("repeated " + repeatedS + " s, allowed are " + budgetS);
         }
     }
-
-    private static void print(String form, Object... values) {
-        System.out.println(String.format(Locale.ROOT, form, values));
-    }
 }
--- a/src/main/java/org/shoreusher/measure/Cluster.java
+++ b/src/main/java/org/shoreusher/measure/Cluster.java
@@ -13,6 +13,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
+import org.shoreusher.log.LogEventType;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.standin.CloudStandIn;
 import org.shoreusher.standin.ControllerClient;
@@ -173,23 +174,30 @@
     void requireAlive() {
         for (ControllerProcess controller : controllers) {
             if (!controller.isAlive()) {
-                ControllerProcess.Line line = controller.lastLine(Long.MIN_VALUE, text -> true);
                 throw new IllegalStateException(
-                        controller.host()
-                                + " has ended by itself: "
-                                + (line == null ? "no line" : line.text()));
+                        controller.host() + " has exited by itself: " + controller.lastLineText());
             }
         }
     }
 
+    /**
+     * Checks that no task has run on two machines at once.
+     *
+     * @throws IllegalStateException with all violations
+     */
+    void requireNoViolations() {
+        if (!history.violations().isEmpty()) {
+            throw new IllegalStateException(String.join("; ", history.violations()));
+        }
+    }
+
     /** The controller that last became leader of shard 0; null if none has yet. */
     ControllerProcess leader() {
         ControllerProcess leader = null;
         long latestMs = Long.MIN_VALUE;
         for (ControllerProcess controller : controllers) {
             ControllerProcess.Line line =
-                    controller.lastLine(
-                            Long.MIN_VALUE, text -> text.contains("event=shard_acquired shard=0 "));
+                    controller.lastEvent(Long.MIN_VALUE, LogEventType.SHARD_ACQUIRED);
             if (line != null && line.atMs() > latestMs) {
                 latestMs = line.atMs();
                 leader = controller;
--- a/src/main/java/org/shoreusher/measure/ControllerProcess.java
+++ b/src/main/java/org/shoreusher/measure/ControllerProcess.java
@@ -7,13 +7,19 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
-import java.util.function.Predicate;
+import org.shoreusher.log.LogEventType;
 
 /** A controller in its own process, with the lines that it has logged. Thread-safe. */
 final class ControllerProcess {
     /** A line of the log; {@code atMs} is {@link System#nanoTime} in ms when it was read. */
-    record Line(long atMs, String text) {}
+    record Line(long atMs, String text) {
+        /** Whether the line shows an event of this type. */
+        boolean shows(LogEventType type) {
+            return text.contains("event=" + type.eventName() + " ");
+        }
+    }
 
     private final String host;
     private final List<String> command;
@@ -25,6 +31,7 @@
         this.command = List.copyOf(command);
     }
 
+    /** The host name in the settings. */
     String host() {
         return host;
     }
@@ -40,10 +47,10 @@
         reader.start();
     }
 
-    private void read(Process of) {
+    private void read(Process source) {
         try (BufferedReader reader =
                 new BufferedReader(
-                        new InputStreamReader(of.getInputStream(), StandardCharsets.UTF_8))) {
+                        new InputStreamReader(source.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = reader.readLine(); line != null; line = reader.readLine()) {
                 add(new Line(nowMs(), line));
             }
@@ -66,25 +73,30 @@
         process.destroyForcibly();
     }
 
+    /** Whether the process has been started and not exited. */
     boolean isAlive() {
         return process != null && process.isAlive();
     }
 
-    /** The last matching line after a point in time; null if there is none. */
-    synchronized Line lastLine(long afterMs, Predicate<String> predicate) {
+    /** The last event of one of some types after a point in time; null if there is none. */
+    synchronized Line lastEvent(long afterMs, LogEventType... types) {
         for (int i = lines.size() - 1; i >= 0 && lines.get(i).atMs() > afterMs; i--) {
-            if (predicate.test(lines.get(i).text())) {
-                return lines.get(i);
+            Line line = lines.get(i);
+            if (Arrays.stream(types).anyMatch(line::shows)) {
+                return line;
             }
         }
         return null;
     }
 
-    /** All matching lines after a point in time. */
-    synchronized List<Line> linesMatching(long afterMs, Predicate<String> predicate) {
-        return lines.stream()
-                .filter(line -> line.atMs() > afterMs && predicate.test(line.text()))
-                .toList();
+    /** How many events of a type have been logged. */
+    synchronized long eventCount(LogEventType type) {
+        return lines.stream().filter(line -> line.shows(type)).count();
+    }
+
+    /** The text of the last line of the log; "no line" if there is none. */
+    synchronized String lastLineText() {
+        return lines.isEmpty() ? "no line" : lines.get(lines.size() - 1).text();
     }
 
     /** Current or peak resident memory in MB; NaN if the system does not provide it. */
@@ -104,7 +116,10 @@
 
     /** CPU time of the process in s; NaN if the system does not provide it. */
     double cpuTimeS() {
-        return process.info().totalCpuDuration().map(d -> d.toMillis() / 1000.0).orElse(Double.NaN);
+        return process.info()
+                .totalCpuDuration()
+                .map(duration -> duration.toMillis() / 1000.0)
+                .orElse(Double.NaN);
     }
 
     /** {@link System#nanoTime} in ms. */
--- a/src/main/java/org/shoreusher/measure/FailoverFigures.java
+++ b/src/main/java/org/shoreusher/measure/FailoverFigures.java
@@ -10,7 +10,7 @@
     private static final long LONGEST_MS = 600_000;
     private static final int DIGITS = 3;
 
-    private final Histogram toTakeover = new Histogram(LONGEST_MS, DIGITS);
+    private final Histogram toFailover = new Histogram(LONGEST_MS, DIGITS);
     private final Histogram toFirstStart = new Histogram(LONGEST_MS, DIGITS);
     private final Histogram toAllPlaced = new Histogram(LONGEST_MS, DIGITS);
     private final Map<String, Integer> outcomes = new TreeMap<>();
@@ -18,13 +18,13 @@
     /**
      * Records one failover.
      *
-     * @param takeoverMs ms from the kill to the failover
+     * @param failoverMs ms from the kill to the failover
      * @param firstStartMs ms from the failover to the first start of a task
      * @param allPlacedMs ms from the failover until as many tasks ran as before the kill
      * @param outcome whether and how a standby was promoted
      */
-    void record(long takeoverMs, long firstStartMs, long allPlacedMs, String outcome) {
-        toTakeover.recordValue(takeoverMs);
+    void record(long failoverMs, long firstStartMs, long allPlacedMs, String outcome) {
+        toFailover.recordValue(failoverMs);
         toFirstStart.recordValue(firstStartMs);
         toAllPlaced.recordValue(allPlacedMs);
         outcomes.merge(outcome, 1, Integer::sum);
@@ -37,10 +37,10 @@
 
     /** Prints the percentiles and outcomes of a configuration. */
     void print(String setting) {
-        System.out.println(setting + ": " + toTakeover.getTotalCount() + " kills, " + outcomes);
-        print("kill to takeover", toTakeover);
-        print("takeover to first start", toFirstStart);
-        print("takeover to all placed", toAllPlaced);
+        System.out.println(setting + ": " + toFailover.getTotalCount() + " kills, " + outcomes);
+        print("kill to failover", toFailover);
+        print("failover to first start", toFirstStart);
+        print("failover to all placed", toAllPlaced);
     }
 
     private static void print(String what, Histogram histogram) {
--- a/src/main/java/org/shoreusher/measure/FleetMeasurement.java
+++ b/src/main/java/org/shoreusher/measure/FleetMeasurement.java
@@ -1,10 +1,12 @@
 package org.shoreusher.measure;
 
+import static org.shoreusher.measure.MeasurementOutput.print;
+
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.Options;
+import org.shoreusher.log.LogEventType;
 import org.shoreusher.standin.CloudStandIn;
 import org.shoreusher.standin.JobProfile;
 
@@ -19,89 +21,86 @@
                     .addOption("m", "machines", true, "machines, default 4000")
                     .addOption("t", "tasks", true, "tasks on each machine, default 1");
 
-    private static final int MOST_MACHINES = 4_000;
-    private static final int MOST_TASKS = 100;
-    private static final int TASKS_OF_JOB = 500;
-    private static final int TAKEOVERS = 2;
+    private static final int MAX_MACHINES = 4_000;
+    private static final int MAX_TASKS_PER_MACHINE = 100;
+    private static final int TASKS_PER_JOB = 500;
+    private static final int FAILOVERS = 2;
     private static final double CPUS = 4;
-    private static final double RUN_S = 3_600;
-    private static final double REPORT_S = 5;
-    private static final double LEASE_S = 26.5;
-    private static final double ALL_UP_S = 240;
-    private static final double REBUILD_S = 120;
-    private static final long STEADY_MS = 20_000;
+    private static final double RUN_TIME_S = 3_600;
+    private static final double HEARTBEAT_INTERVAL_S = 5;
+    private static final double WORKER_LEASE_S = 26.5;
+    private static final double START_TIMEOUT_S = 240;
+    private static final double FAILOVER_TIMEOUT_S = 120;
+    private static final long STEADY_STATE_MS = 20_000;
 
     private FleetMeasurement() {}
 
     /** Runs the measurement. */
     static void run(CommandLine line) throws Exception {
         measure(
-                Measurements.integer(line, "machines", 1, MOST_MACHINES, MOST_MACHINES),
-                Measurements.integer(line, "tasks", 1, MOST_TASKS, 1));
+                Measurements.integer(line, "machines", 1, MAX_MACHINES, MAX_MACHINES),
+                Measurements.integer(line, "tasks", 1, MAX_TASKS_PER_MACHINE, 1));
     }
 
-    private static void measure(int machines, int tasksEach) throws Exception {
-        int tasks = machines * tasksEach;
-        Cluster.Topology shape =
+    private static void measure(int machines, int tasksPerMachine) throws Exception {
+        int tasks = machines * tasksPerMachine;
+        Cluster.Topology topology =
                 new Cluster.Topology(
                         3,
                         machines,
                         new CloudStandIn.MachineOffer(CPUS, 8, 1, List.of("a", "b")),
                         Map.of("team", machines * CPUS),
-                        REPORT_S,
-                        LEASE_S,
+                        HEARTBEAT_INTERVAL_S,
+                        WORKER_LEASE_S,
                         null);
-        try (Cluster cluster = new Cluster(shape)) {
+        try (Cluster cluster = new Cluster(topology)) {
             cluster.start();
             long beganMs = ControllerProcess.nowMs();
-            for (int first = 0; first < tasks; first += TASKS_OF_JOB) {
-                cluster.submit(job(first, Math.min(TASKS_OF_JOB, tasks - first), tasksEach));
+            for (int first = 0; first < tasks; first += TASKS_PER_JOB) {
+                cluster.submit(job(first, Math.min(TASKS_PER_JOB, tasks - first), tasksPerMachine));
             }
             awaitAll(cluster, tasks);
             print("%d machines, %d tasks run after %.1f s", machines, tasks, sinceS(beganMs));
             printSteadyState(cluster);
-            for (int i = 0; i < TAKEOVERS; i++) {
+            for (int i = 0; i < FAILOVERS; i++) {
                 failOver(cluster, tasks);
             }
             printSteadyState(cluster);
             cluster.requireAlive();
-            if (!cluster.history().violations().isEmpty()) {
-                throw new IllegalStateException(String.join("; ", cluster.history().violations()));
-            }
+            cluster.requireNoViolations();
         }
     }
 
-    private static JobRequest job(int first, int tasks, int tasksEach) {
+    private static JobRequest job(int first, int tasks, int tasksPerMachine) {
         String id = String.format("wk-%06d", first + 1);
         return new JobRequest(
                 id,
                 "c",
                 "team",
                 tasks,
-                CPUS / tasksEach,
+                CPUS / tasksPerMachine,
                 0.1,
-                new JobProfile("image", 0.1, RUN_S, 0, 0));
+                new JobProfile("image", 0.1, RUN_TIME_S, 0, 0));
     }
 
     /** Prints memory and CPU use of each controller while nothing changes. */
     private static void printSteadyState(Cluster cluster) throws InterruptedException {
         ControllerProcess leader = cluster.leader();
         double before = leader.cpuTimeS();
-        Thread.sleep(STEADY_MS);
-        double share = (leader.cpuTimeS() - before) * 1_000 / STEADY_MS;
+        Thread.sleep(STEADY_STATE_MS);
+        double share = (leader.cpuTimeS() - before) * 1_000 / STEADY_STATE_MS;
         for (ControllerProcess controller : cluster.controllers()) {
             ControllerProcess.Line line =
-                    controller.lastLine(
-                            Long.MIN_VALUE, text -> text.contains("event=process_status "));
+                    controller.lastEvent(Long.MIN_VALUE, LogEventType.PROCESS_STATUS);
             print(
-                    "%s%s: %.0f MB held, %.0f MB at most; %s",
+                    "%s%s: %.0f MB resident, %.0f MB at peak; %s",
                     controller.host(),
-                    controller == leader ? " (owner)" : "",
+                    controller == leader ? " (leader)" : "",
                     controller.memoryMb(false),
                     controller.memoryMb(true),
                     line == null ? "" : line.text().replaceAll(".*event=process_status ", ""));
         }
-        print("owner's processor: %.2f of a core", share);
+        print("CPU use of the leader: %.2f of a core", share);
     }
 
     /** Kills the leader, waits for failover and reconciliation, and restarts the killed process. */
@@ -110,22 +109,21 @@
         int running = cluster.history().runningCount();
         long killedMs = ControllerProcess.nowMs();
         killed.killAndWait();
-        Cluster.await("another took the part", REBUILD_S, () -> cluster.leader() != killed);
+        Cluster.await(
+                "another controller is leader",
+                FAILOVER_TIMEOUT_S,
+                () -> cluster.leader() != killed);
         ControllerProcess successor = cluster.leader();
         Cluster.await(
-                "the part is rebuilt",
-                REBUILD_S,
-                () ->
-                        successor.lastLine(
-                                        killedMs,
-                                        text -> text.contains("event=shard_reconciled shard=0 "))
-                                != null);
-        long failoverMs =
-                successor.lastLine(killedMs, text -> text.contains("event=shard_acquired ")).atMs();
+                "the shard is reconciled",
+                FAILOVER_TIMEOUT_S,
+                () -> successor.lastEvent(killedMs, LogEventType.SHARD_RECONCILED) != null);
+        long failoverMs = successor.lastEvent(killedMs, LogEventType.SHARD_ACQUIRED).atMs();
         ControllerProcess.Line reconciledLine =
-                successor.lastLine(killedMs, text -> text.contains("event=shard_reconciled "));
+                successor.lastEvent(killedMs, LogEventType.SHARD_RECONCILED);
         print(
-                "owner killed: taken after %.1f s, rebuilt after %.1f s more; tasks %d -> %d; %s",
+                "leader killed: failover after %.1f s, reconciled after %.1f s more; tasks %d ->"
+                        + " %d; %s",
                 (failoverMs - killedMs) / 1000.0,
                 (reconciledLine.atMs() - failoverMs) / 1000.0,
                 running,
@@ -136,14 +134,11 @@
     }
 
     private static void awaitAll(Cluster cluster, int tasks) throws InterruptedException {
-        Cluster.await("all tasks run", ALL_UP_S, () -> cluster.history().runningCount() == tasks);
+        Cluster.await(
+                "all tasks run", START_TIMEOUT_S, () -> cluster.history().runningCount() == tasks);
     }
 
     private static double sinceS(long beganMs) {
         return (ControllerProcess.nowMs() - beganMs) / 1000.0;
     }
-
-    private static void print(String form, Object... values) {
-        System.out.println(String.format(Locale.ROOT, form, values));
-    }
 }
--- a/src/main/java/org/shoreusher/measure/LoadSpreadSampler.java
+++ b/src/main/java/org/shoreusher/measure/LoadSpreadSampler.java
@@ -62,7 +62,7 @@
         long nowMs = ControllerProcess.nowMs();
         aboveBound.sample(latest > bound, nowMs);
         double most = (load.meanShare(team) + margin) * machineCpus - DoubledTeamLoad.CPUS;
-        boolean room =
+        boolean hasFreeCapacity =
                 machines.workers().stream()
                         .map(worker -> worker.identity().id())
                         .anyMatch(
@@ -70,7 +70,7 @@
                                         load.teamCpusOn(id, team) <= most
                                                 && used.getOrDefault(id, 0.0)
                                                         <= machineCpus - DoubledTeamLoad.CPUS);
-        avoidable.sample(latest > bound && room, nowMs);
+        avoidable.sample(latest > bound && hasFreeCapacity, nowMs);
     }
 
     /** The spread of the latest sample. */
@@ -94,7 +94,7 @@
     @Override
     public String toString() {
         return ("median %.2f, 90%% %.2f, most %.2f; above %.2f for %.0f s at a stretch at most,"
-                        + " with room elsewhere for %.0f s")
+                        + " with free capacity elsewhere for %.0f s")
                 .formatted(
                         shares.getValueAtPercentile(50) / THOUSAND,
                         shares.getValueAtPercentile(90) / THOUSAND,
--- a/src/main/java/org/shoreusher/measure/Measurements.java
+++ b/src/main/java/org/shoreusher/measure/Measurements.java
@@ -19,11 +19,11 @@
             """
             usage: shoreusher measure NAME [options], from the repository's root, after a build
               takeover  --machines N --kills K --silent SHARE --jobs N --seed S
-                        time without starts when owners are killed, with and without standby
+                        time without starts when leaders are killed, with and without standby
               fleet     --machines N --tasks N
-                        memory, processor and rebuilds with thousands of workers
+                        memory, CPU use and failovers with thousands of workers
               balance   --machines N --seed S --seconds N --on
-                        an evening on which one team's load doubles
+                        the balancer while one team's load doubles
             Exits with 1 when something that must not happen did.\
             """;
 
--- a/src/main/java/org/shoreusher/standin/StandInTask.java
+++ b/src/main/java/org/shoreusher/standin/StandInTask.java
@@ -6,13 +6,13 @@
     enum State {
         FETCHING("pulling"),
         RUNNING("running"),
-        SAVING("flushing"),
+        CHECKPOINTING("flushing"),
         EXITED("exited");
 
         final String wireName;
 
-        State(String shown) {
-            this.wireName = shown;
+        State(String wireName) {
+            this.wireName = wireName;
         }
     }
 
@@ -31,6 +31,11 @@
         this.profile = profile;
     }
 
+    /** Whether the task uses resources of its machine. */
+    boolean isActive() {
+        return state != State.EXITED;
+    }
+
     /** Progress of a running task in s, including that of earlier attempts. */
     double progressS() {
         return initialProgressS + (System.nanoTime() - runningSinceNs) / 1e9;
--- a/src/main/java/org/shoreusher/standin/WorkerStandIn.java
+++ b/src/main/java/org/shoreusher/standin/WorkerStandIn.java
@@ -1,14 +1,11 @@
 package org.shoreusher.standin;
 
 import io.netty.channel.EventLoop;
-import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 import org.shoreusher.net.HttpCaller;
@@ -17,15 +14,17 @@
 
 /**
  * A worker that follows the protocol: it sends heartbeats to one controller at a time, follows
- * redirects, keeps its lease and session, and simulates its tasks according to their job's profile.
- * Thousands of workers share one event loop. Thread-safe.
+ * redirects, keeps its lease and incarnation, and simulates its tasks according to their job's
+ * profile. Thousands of workers share one event loop. Thread-safe.
  */
 public final class WorkerStandIn {
-    private static final long PATIENCE_MS = 4_000;
+    private static final long RESPONSE_TIMEOUT_MS = 4_000;
     private static final long RETRY_MS = 1_000;
-    private static final long SOONEST_REPORT_MS = 500;
-    private static final double REPORT_SPREAD = 0.25;
-    private static final int CONNECTIONS = 1;
+    private static final long MIN_HEARTBEAT_INTERVAL_MS = 500;
+    private static final double INTERVAL_JITTER_SHARE = 0.25;
+    private static final int MAX_IDLE_CONNECTIONS = 1;
+    private static final int OK = 200;
+    private static final int MISDIRECTED = 421;
 
     /** A machine's name, type and zone, and whether it is a spot machine. */
     public record Identity(String id, String type, String zone, boolean spot) {}
@@ -53,11 +52,9 @@
     private final Random random;
     private final List<String> hosts;
     private final Map<String, HttpCaller> callers = new HashMap<>();
-    private final Map<String, StandInTask> tasks = new LinkedHashMap<>();
-    private final Set<String> images = new HashSet<>();
-    private final Set<String> fetching = new HashSet<>();
+    private final StandInTasks tasks;
     private int target;
-    private long session = 1;
+    private long incarnation = 1;
     private long sequence;
     private long fencingToken;
     private long fencingTokenReportedNs = System.nanoTime();
@@ -73,9 +70,10 @@
         this.identity = identity;
         this.environment = environment;
         random = new Random(identity.id().hashCode());
+        tasks = new StandInTasks(identity.id(), environment, new TaskHost());
         hosts = environment.controllers().keySet().stream().sorted().toList();
         target = random.nextInt(hosts.size());
-        schedule(random.nextInt((int) SOONEST_REPORT_MS), this::sendHeartbeat);
+        schedule(random.nextInt((int) MIN_HEARTBEAT_INTERVAL_MS), this::sendHeartbeat);
     }
 
     /** The machine's name, type and zone. */
@@ -86,7 +84,7 @@
     /** Stops the worker and ends all of its tasks, as when the machine fails. */
     public synchronized void stop() {
         stopped = true;
-        endTasks();
+        tasks.killAll();
     }
 
     /** Partitions the worker from all controllers; its tasks go on until the lease expires. */
@@ -96,22 +94,30 @@
 
     /** Names of the tasks that use resources: those that have not exited. */
     public synchronized List<String> activeTasks() {
-        return tasks.values().stream()
-                .filter(task -> task.state != StandInTask.State.EXITED)
-                .map(task -> task.name)
-                .toList();
+        return tasks.activeTasks();
     }
 
     synchronized boolean hasActiveTask(String task) {
-        return !stopped
-                && tasks.containsKey(task)
-                && tasks.get(task).state != StandInTask.State.EXITED;
+        return !stopped && tasks.isActive(task);
     }
 
-    private void schedule(double ms, Runnable action) {
+    private void schedule(double delayMs, Runnable action) {
         environment
                 .loop()
-                .schedule(() -> unlessStopped(action), Math.round(ms), TimeUnit.MILLISECONDS);
+                .schedule(() -> unlessStopped(action), Math.round(delayMs), TimeUnit.MILLISECONDS);
+    }
+
+    /** What the tasks need of this worker. */
+    private final class TaskHost implements StandInTasks.Host {
+        @Override
+        public void schedule(double delayMs, Runnable action) {
+            WorkerStandIn.this.schedule(delayMs, action);
+        }
+
+        @Override
+        public void onTaskChange() {
+            scheduleEarlyHeartbeat();
+        }
     }
 
     private synchronized void unlessStopped(Runnable action) {
@@ -124,25 +130,12 @@
     private void checkLease() {
         if (System.nanoTime() - leaseStartNs
                 > TimeUnit.MILLISECONDS.toNanos(environment.workerLeaseMs())) {
-            endTasks();
-            session++;
+            tasks.killAll();
+            incarnation++;
             leaseStartNs = System.nanoTime();
         }
     }
 
-    private void endTasks() {
-        tasks.values().forEach(this::recordInterruption);
-        tasks.clear();
-    }
-
-    private void recordInterruption(StandInTask task) {
-        if (task.state == StandInTask.State.RUNNING || task.state == StandInTask.State.SAVING) {
-            environment
-                    .history()
-                    .recordEnd(task.name, identity.id(), task.progressS(), task.checkpointedS());
-        }
-    }
-
     // ---- heartbeats --------------------------------------------------------------------------
 
     private void sendHeartbeat() {
@@ -157,14 +150,19 @@
         changed = false;
         lastHeartbeatNs = System.nanoTime();
         long sentNs = lastHeartbeatNs;
-        long heartbeatSession = session;
+        long heartbeatIncarnation = incarnation;
         caller().call(
                         "/hello",
                         body(),
-                        PATIENCE_MS,
-                        (status, answer) ->
+                        RESPONSE_TIMEOUT_MS,
+                        (status, response) ->
                                 unlessStopped(
-                                        () -> answered(status, answer, sentNs, heartbeatSession)));
+                                        () ->
+                                                onResponse(
+                                                        status,
+                                                        response,
+                                                        sentNs,
+                                                        heartbeatIncarnation)));
     }
 
     private HttpCaller caller() {
@@ -174,23 +172,23 @@
                         new HttpCaller(
                                 environment.loop(),
                                 environment.controllers().get(host),
-                                CONNECTIONS));
+                                MAX_IDLE_CONNECTIONS));
     }
 
-    private void answered(
-            int status, Map<String, Object> answer, long sentNs, long heartbeatSession) {
+    private void onResponse(
+            int status, Map<String, Object> body, long sentNs, long heartbeatIncarnation) {
         inFlight = false;
-        if (status == 200) {
-            accepted(new FieldMap(answer), sentNs, heartbeatSession);
+        if (status == OK) {
+            onAccepted(new FieldMap(body), sentNs, heartbeatIncarnation);
             scheduleHeartbeat();
             return;
         }
         caller().closeIdleConnections();
-        String elsewhere = status == 421 && answer != null ? (String) answer.get("foreman") : null;
-        int named = elsewhere == null ? -1 : hosts.indexOf(elsewhere);
-        if (named >= 0 && named != target) {
-            target = named;
-            schedule(random.nextInt((int) SOONEST_REPORT_MS), this::sendHeartbeat);
+        int redirect =
+                status == MISDIRECTED && body != null ? hosts.indexOf(body.get("foreman")) : -1;
+        if (redirect >= 0 && redirect != target) {
+            target = redirect;
+            schedule(random.nextInt((int) MIN_HEARTBEAT_INTERVAL_MS), this::sendHeartbeat);
         } else {
             target = (target + 1) % hosts.size();
             schedule(RETRY_MS, this::sendHeartbeat);
@@ -198,15 +196,9 @@
     }
 
     private void scheduleHeartbeat() {
-        double spread = 1 - REPORT_SPREAD + 2 * REPORT_SPREAD * random.nextDouble();
-        long number = sequence;
-        schedule(
-                changed ? SOONEST_REPORT_MS : environment.heartbeatIntervalMs() * spread,
-                () -> {
-                    if (number == sequence) {
-                        sendHeartbeat();
-                    }
-                });
+        double jitter = 1 - INTERVAL_JITTER_SHARE + 2 * INTERVAL_JITTER_SHARE * random.nextDouble();
+        scheduleUnlessSent(
+                changed ? MIN_HEARTBEAT_INTERVAL_MS : environment.heartbeatIntervalMs() * jitter);
     }
 
     /** Schedules an early heartbeat, at the shortest interval that the protocol allows. */
@@ -214,60 +206,51 @@
         changed = true;
         if (!inFlight) {
             double sinceMs = (System.nanoTime() - lastHeartbeatNs) / 1e6;
-            long number = sequence;
-            schedule(
-                    Math.max(0, SOONEST_REPORT_MS - sinceMs),
-                    () -> {
-                        if (number == sequence) {
-                            sendHeartbeat();
-                        }
-                    });
+            scheduleUnlessSent(Math.max(0, MIN_HEARTBEAT_INTERVAL_MS - sinceMs));
         }
     }
 
-    private Map<String, Object> body() {
-        List<Object> shown = new ArrayList<>();
-        tasks.values().forEach(task -> shown.add(taskFields(task)));
-        Map<String, Object> report = new LinkedHashMap<>();
-        report.put("box", identity.id());
-        // Nothing listens there: direct orders are lost, as behind a partition.
-        report.put("addr", "127.0.0.1:1");
-        report.put("press", identity.type());
-        report.put("yard", identity.zone());
-        report.put("loaners", identity.spot());
-        report.put("shift", session);
-        report.put("tally", ++sequence);
-        report.put("baton", fencingToken);
-        report.put("sheets", shown);
-        return report;
+    /** Schedules a heartbeat that is skipped if another one has been sent by then. */
+    private void scheduleUnlessSent(double delayMs) {
+        long sequenceBefore = sequence;
+        schedule(
+                delayMs,
+                () -> {
+                    if (sequence == sequenceBefore) {
+                        sendHeartbeat();
+                    }
+                });
     }
 
-    private static Map<String, Object> taskFields(StandInTask task) {
-        Map<String, Object> shown = new LinkedHashMap<>();
-        shown.put("sheet", task.name);
-        shown.put("try", task.attempt);
-        shown.put("status", task.state.wireName);
-        if (task.exitCause != null) {
-            shown.put("cause", task.exitCause);
-            shown.put("stored", task.checkpointSaved);
-        }
-        return shown;
+    private Map<String, Object> body() {
+        Map<String, Object> heartbeat = new LinkedHashMap<>();
+        heartbeat.put("box", identity.id());
+        // Nothing listens there: direct orders are lost, as behind a partition.
+        heartbeat.put("addr", "127.0.0.1:1");
+        heartbeat.put("press", identity.type());
+        heartbeat.put("yard", identity.zone());
+        heartbeat.put("loaners", identity.spot());
+        heartbeat.put("shift", incarnation);
+        heartbeat.put("tally", ++sequence);
+        heartbeat.put("baton", fencingToken);
+        heartbeat.put("sheets", tasks.heartbeatFields());
+        return heartbeat;
     }
 
     // ---- orders ------------------------------------------------------------------------------
 
-    private void accepted(FieldMap answer, long sentNs, long heartbeatSession) {
+    private void onAccepted(FieldMap response, long sentNs, long heartbeatIncarnation) {
         try {
-            if (heartbeatSession != session || answer.integer("baton") < fencingToken) {
+            if (heartbeatIncarnation != incarnation || response.integer("baton") < fencingToken) {
                 return;
             }
-            observeFencingToken(answer.integer("baton"));
+            observeFencingToken(response.integer("baton"));
             leaseStartNs = Math.max(leaseStartNs, sentNs);
-            for (FieldMap order : answer.maps("orders")) {
-                carryOut(order);
+            for (FieldMap order : response.maps("orders")) {
+                tasks.execute(order);
             }
         } catch (FieldMap.InvalidFieldException e) {
-            throw new IllegalStateException("an answer to a report: " + e.getMessage());
+            throw new IllegalStateException("the response to a heartbeat: " + e.getMessage());
         }
     }
 
@@ -281,102 +264,4 @@
         }
         fencingToken = seen;
     }
-
-    private void carryOut(FieldMap order) throws FieldMap.InvalidFieldException {
-        String name = order.text("sheet");
-        long attempt = order.integer("try");
-        StandInTask present = tasks.get(name);
-        switch (order.text("verb")) {
-            case "run" -> {
-                if (present == null) {
-                    start(name, attempt);
-                }
-            }
-            case "halt" -> {
-                if (present != null && present.attempt == attempt) {
-                    halt(present, order.numberOr("wind_down_s", 0));
-                }
-            }
-            default -> {
-                if (present != null && present.attempt == attempt) {
-                    tasks.remove(name);
-                }
-            }
-        }
-    }
-
-    private void start(String name, long attempt) {
-        JobProfile profile = environment.profiles().apply(name.substring(0, name.indexOf('/')));
-        StandInTask task = new StandInTask(name, attempt, profile);
-        tasks.put(name, task);
-        scheduleEarlyHeartbeat();
-        if (images.contains(profile.image())) {
-            run(task);
-        } else if (fetching.add(profile.image())) {
-            environment.history().recordImageFetch();
-            schedule(profile.imageFetchS() * 1_000, () -> fetched(profile.image()));
-        }
-    }
-
-    private void fetched(String image) {
-        fetching.remove(image);
-        images.add(image);
-        for (StandInTask task : tasks.values()) {
-            if (task.state == StandInTask.State.FETCHING && task.profile.image().equals(image)) {
-                run(task);
-            }
-        }
-    }
-
-    private void run(StandInTask task) {
-        task.state = StandInTask.State.RUNNING;
-        task.runningSinceNs = System.nanoTime();
-        task.initialProgressS = environment.history().recordStart(task.name, identity.id());
-        scheduleEarlyHeartbeat();
-        double leftS = Math.max(0, task.profile.runTimeS() - task.initialProgressS);
-        if (!Double.isInfinite(leftS)) {
-            schedule(leftS * 1_000, () -> complete(task));
-        }
-    }
-
-    private void complete(StandInTask task) {
-        if (tasks.get(task.name) == task && task.state == StandInTask.State.RUNNING) {
-            environment.history().recordCompletion(task.name, identity.id());
-            exit(task, "done");
-        }
-    }
-
-    private void halt(StandInTask task, double graceS) {
-        if (task.state == StandInTask.State.RUNNING
-                && task.profile.checkpointIntervalS() > 0
-                && graceS >= task.profile.checkpointDurationS()) {
-            task.state = StandInTask.State.SAVING;
-            scheduleEarlyHeartbeat();
-            double savedS = task.progressS();
-            schedule(
-                    task.profile.checkpointDurationS() * 1_000,
-                    () -> {
-                        if (tasks.get(task.name) == task
-                                && task.state == StandInTask.State.SAVING) {
-                            environment
-                                    .history()
-                                    .recordEnd(task.name, identity.id(), savedS, savedS);
-                            task.checkpointSaved = true;
-                            exit(task, "halted");
-                        }
-                    });
-        } else if (task.state == StandInTask.State.FETCHING) {
-            exit(task, "halted");
-        } else if (task.state == StandInTask.State.RUNNING
-                || graceS <= 0 && task.state == StandInTask.State.SAVING) {
-            recordInterruption(task);
-            exit(task, "halted");
-        }
-    }
-
-    private void exit(StandInTask task, String cause) {
-        task.state = StandInTask.State.EXITED;
-        task.exitCause = cause;
-        scheduleEarlyHeartbeat();
-    }
 }
