--- a/src/main/java/org/shoreusher/cli/ClassArchiveRun.java
+++ b/src/main/java/org/shoreusher/cli/ClassArchiveRun.java
@@ -21,7 +21,7 @@
         loadOwnClasses();
         int code = 0;
         try (ServiceSmokeCheck scenario = new ServiceSmokeCheck()) {
-            Path file = Files.createTempFile("rehearsal", ".json");
+            Path file = Files.createTempFile("class-archive-run", ".json");
             Files.writeString(file, scenario.settingsJson(), StandardCharsets.UTF_8);
             String[] flags = {"--features", "deploy/features.toml", "--config", file.toString()};
             Thread program = new Thread(() -> Main.main(flags));
@@ -30,7 +30,7 @@
             scenario.run();
             Files.delete(file);
         } catch (IllegalStateException e) {
-            System.err.println("rehearsal failed: " + e.getMessage());
+            System.err.println("smoke check failed: " + e.getMessage());
             code = 1;
         }
         System.exit(code);
--- a/src/main/java/org/shoreusher/cli/Main.java
+++ b/src/main/java/org/shoreusher/cli/Main.java
@@ -7,6 +7,7 @@
 import java.util.Arrays;
 import java.util.HexFormat;
 import java.util.Locale;
+import java.util.Set;
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.DefaultParser;
 import org.apache.commons.cli.HelpFormatter;
@@ -28,6 +29,8 @@
     private static final String MEASURE = "measure";
     private static final int USAGE = 2;
     private static final int UNUSABLE = 1;
+    private static final int INCARNATION_BYTES = 6;
+    private static final Set<String> LOG_LEVELS = Set.of("error", "info", "debug");
 
     private Main() {}
 
@@ -68,12 +71,16 @@
         if (args.length > 0 && args[0].equals(MEASURE)) {
             return measure(Arrays.copyOfRange(args, 1, args.length));
         }
-        CommandLine line;
         try {
-            line = new DefaultParser().parse(options(), args);
-        } catch (ParseException e) {
-            return complain(e.getMessage() + "; see --help", USAGE);
+            return run(parse(args));
+        } catch (UsageException e) {
+            return complain(e.getMessage(), USAGE);
+        } catch (InvalidSettingsException e) {
+            return complain(e.getMessage(), UNUSABLE);
         }
+    }
+
+    private static int run(CommandLine line) throws UsageException, InvalidSettingsException {
         if (line.hasOption("help")) {
             help();
             return 0;
@@ -83,27 +90,13 @@
             System.out.println("shoreusher " + (version == null ? "(not packaged)" : version));
             return 0;
         }
-        if (!line.getArgList().isEmpty() || !line.hasOption("config")) {
-            return complain(
-                    line.getArgList().isEmpty()
-                            ? "--config FILE is missing; see --help"
-                            : "unexpected: " + line.getArgList().get(0) + "; see --help",
-                    USAGE);
-        }
-        String level = System.getenv().getOrDefault("LOG_LEVEL", "info").toLowerCase(Locale.ROOT);
-        if (!level.equals("error") && !level.equals("info") && !level.equals("debug")) {
-            return complain("LOG_LEVEL must be error, info or debug, not '" + level + "'", USAGE);
-        }
-        Settings settings;
-        Features features = Features.NONE;
-        try {
-            settings = Settings.load(Path.of(line.getOptionValue("config")));
-            if (line.hasOption("features")) {
-                features = FeaturesFile.load(Path.of(line.getOptionValue("features")), settings);
-            }
-        } catch (InvalidSettingsException e) {
-            return complain(e.getMessage(), UNUSABLE);
-        }
+        requireConfigOnly(line);
+        String level = logLevel();
+        Settings settings = Settings.load(Path.of(line.getOptionValue("config")));
+        Features features =
+                line.hasOption("features")
+                        ? FeaturesFile.load(Path.of(line.getOptionValue("features")), settings)
+                        : Features.NONE;
         if (line.hasOption("check")) {
             System.out.println("settings are valid: " + settings.host() + " in " + settings.zone());
             return 0;
@@ -111,6 +104,40 @@
         return serve(settings, features, level);
     }
 
+    private static CommandLine parse(String[] args) throws UsageException {
+        try {
+            return new DefaultParser().parse(options(), args);
+        } catch (ParseException e) {
+            throw new UsageException(e.getMessage() + "; see --help");
+        }
+    }
+
+    private static void requireConfigOnly(CommandLine line) throws UsageException {
+        if (!line.getArgList().isEmpty()) {
+            throw new UsageException("unexpected: " + line.getArgList().get(0) + "; see --help");
+        }
+        if (!line.hasOption("config")) {
+            throw new UsageException("--config FILE is missing; see --help");
+        }
+    }
+
+    private static String logLevel() throws UsageException {
+        String level = System.getenv().getOrDefault("LOG_LEVEL", "info").toLowerCase(Locale.ROOT);
+        if (!LOG_LEVELS.contains(level)) {
+            throw new UsageException("LOG_LEVEL must be error, info or debug, not '" + level + "'");
+        }
+        return level;
+    }
+
+    /** Thrown for a command line or environment that cannot be used. */
+    private static final class UsageException extends Exception {
+        private static final long serialVersionUID = 1L;
+
+        UsageException(String message) {
+            super(message);
+        }
+    }
+
     private static int measure(String[] words) {
         try {
             return Measurements.run(words);
@@ -129,11 +156,11 @@
         System.setProperty("io.netty.allocator.numDirectArenas", "1");
         System.setProperty("io.netty.allocator.maxOrder", "3");
         System.setProperty("io.netty.leakDetection.level", "disabled");
-        byte[] suffix = new byte[6];
-        new SecureRandom().nextBytes(suffix);
+        byte[] incarnation = new byte[INCARNATION_BYTES];
+        new SecureRandom().nextBytes(incarnation);
+        String processName = settings.host() + "/" + HexFormat.of().formatHex(incarnation);
         try {
-            String owner = settings.host() + "/" + HexFormat.of().formatHex(suffix);
-            new Service(settings, features, owner).run();
+            new Service(settings, features, processName).run();
         } catch (InterruptedException e) {
             return complain("interrupted", UNUSABLE);
         } catch (Exception e) {
--- a/src/main/java/org/shoreusher/cli/Service.java
+++ b/src/main/java/org/shoreusher/cli/Service.java
@@ -38,7 +38,7 @@
     private final EventLoop loop = group.next();
     private final ManyToOneConcurrentArrayQueue<Command> queue;
     private final List<Command> batch = new ArrayList<>(ServiceConstants.MAX_COMMANDS_PER_BATCH);
-    private final StoreClient state;
+    private final StoreClient store;
     private final CloudClient cloud;
     private final WorkerClient workers;
     private final GossipTransport gossip;
@@ -61,7 +61,7 @@
                                 ServiceConstants.MIN_COMMAND_QUEUE_CAPACITY,
                                 settings.maxSockets()));
         node = new Node(settings, features, processName, ServiceConstants.SHARD_COUNT);
-        state = new StoreClient(loop, settings, this::enqueue);
+        store = new StoreClient(loop, settings, this::enqueue);
         cloud = new CloudClient(loop, settings, this::enqueue);
         workers = new WorkerClient(loop);
         gossip = new GossipTransport(group, settings, this::offer);
@@ -80,7 +80,7 @@
                         .with("zone", settings.zone())
                         .with("front", settings.frontAddress())
                         .with("peer", settings.peerAddress()));
-        lastTickMs = steadyMs();
+        lastTickMs = monotonicMs();
         loop.scheduleWithFixedDelay(
                 this::tick, 0, ServiceConstants.TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         if (LOG.isDebugEnabled()) {
@@ -112,7 +112,7 @@
     }
 
     private void tick() {
-        long now = steadyMs();
+        long now = monotonicMs();
         lastTickDelayMs = Math.max(0, now - lastTickMs - ServiceConstants.TICK_INTERVAL_MS);
         lastTickMs = now;
         offer(new Command.Tick());
@@ -123,10 +123,10 @@
      */
     private long lagMs() {
         return Math.max(
-                lastTickDelayMs, steadyMs() - lastTickMs - ServiceConstants.TICK_INTERVAL_MS);
+                lastTickDelayMs, monotonicMs() - lastTickMs - ServiceConstants.TICK_INTERVAL_MS);
     }
 
-    private static long steadyMs() {
+    private static long monotonicMs() {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     }
 
@@ -159,7 +159,7 @@
         batchScheduled = false;
         queue.drainTo(batch, ServiceConstants.MAX_COMMANDS_PER_BATCH);
         List<Effect> effects =
-                node.step(new ClockReading(steadyMs(), System.currentTimeMillis()), batch);
+                node.step(new ClockReading(monotonicMs(), System.currentTimeMillis()), batch);
         batch.clear();
         for (Effect effect : effects) {
             perform(effect);
@@ -170,20 +170,20 @@
     }
 
     private void perform(Effect effect) {
-        if (effect instanceof Effect.Respond e) {
-            frontend.respond(e);
-        } else if (effect instanceof Effect.StoreCall e) {
-            state.call(e);
-        } else if (effect instanceof Effect.CloudCall e) {
-            cloud.call(e);
-        } else if (effect instanceof Effect.SendOrders e) {
-            workers.sendOrders(e);
-        } else if (effect instanceof Effect.SendGossip e) {
-            gossip.broadcast(e.message());
-        } else if (effect instanceof Effect.SendStandbyMessage e) {
-            standby.send(e.host(), e.message());
-        } else if (effect instanceof Effect.Log e) {
-            EventLogger.log(LOG, e.event());
+        if (effect instanceof Effect.Respond respond) {
+            frontend.respond(respond);
+        } else if (effect instanceof Effect.StoreCall storeCall) {
+            store.call(storeCall);
+        } else if (effect instanceof Effect.CloudCall cloudCall) {
+            cloud.call(cloudCall);
+        } else if (effect instanceof Effect.SendOrders sendOrders) {
+            workers.sendOrders(sendOrders);
+        } else if (effect instanceof Effect.SendGossip sendGossip) {
+            gossip.broadcast(sendGossip.message());
+        } else if (effect instanceof Effect.SendStandbyMessage sendStandby) {
+            standby.send(sendStandby.host(), sendStandby.message());
+        } else if (effect instanceof Effect.Log log) {
+            EventLogger.log(LOG, log.event());
         }
     }
 }
--- a/src/main/java/org/shoreusher/cli/ServiceSmokeCheck.java
+++ b/src/main/java/org/shoreusher/cli/ServiceSmokeCheck.java
@@ -38,7 +38,7 @@
 
     private static final String SETTINGS =
             """
-            {"host_name":"rehearsal","zone":"z","front":"127.0.0.1:%d","back":"127.0.0.1:%d",
+            {"host_name":"smoke-check","zone":"z","front":"127.0.0.1:%d","back":"127.0.0.1:%d",
              "members":[],
              "endpoints":{"cloud":"127.0.0.1:%d","state":"127.0.0.1:%d"},
              "deployment":{"count":1,"zones":["z"],
@@ -57,7 +57,7 @@
     private final WorkerStandIn.Environment environment =
             new WorkerStandIn.Environment(
                     workers.next(),
-                    Map.of("rehearsal", new Settings.Address("127.0.0.1", front)),
+                    Map.of("smoke-check", new Settings.Address("127.0.0.1", front)),
                     REPORT_MS,
                     LEASE_MS,
                     job -> job.equals(SERVICE_ID) ? JobProfile.SERVICE : JobProfile.INSTANT,
--- a/src/main/java/org/shoreusher/peer/GossipCodec.java
+++ b/src/main/java/org/shoreusher/peer/GossipCodec.java
@@ -93,7 +93,7 @@
         public GossipMessage read(Kryo kryo, Input input, Class<? extends GossipMessage> type) {
             String from = input.readString();
             if (from == null) {
-                throw new KryoException("a hint without sender");
+                throw new KryoException("gossip without a sender");
             }
             long sentWallMs = input.readLong();
             boolean stateOk = input.readBoolean();
--- a/src/main/java/org/shoreusher/wire/StoreFormat.java
+++ b/src/main/java/org/shoreusher/wire/StoreFormat.java
@@ -37,7 +37,10 @@
                             + watch.blockMs(),
                     null);
         }
-        StoreOperation.CompareAndSwap compareAndSwap = (StoreOperation.CompareAndSwap) operation;
+        return new Request("/multi", body((StoreOperation.CompareAndSwap) operation));
+    }
+
+    private static Map<String, Object> body(StoreOperation.CompareAndSwap compareAndSwap) {
         List<Object> guards = new ArrayList<>();
         compareAndSwap
                 .preconditions()
@@ -56,7 +59,7 @@
         if (!writes.isEmpty()) {
             body.put("writes", writes);
         }
-        return new Request("/multi", body);
+        return body;
     }
 
     private static Map<String, Object> map(Object... pairs) {
--- a/src/main/java/org/shoreusher/wire/WorkerFormat.java
+++ b/src/main/java/org/shoreusher/wire/WorkerFormat.java
@@ -12,7 +12,7 @@
 
 /**
  * Decodes heartbeats of workers and encodes orders to them. The protocol calls a task "sheet", a
- * worker's session "shift", the fencing token "baton", and the sequence number "tally".
+ * worker's incarnation "shift", the fencing token "baton", and the sequence number "tally".
  */
 public final class WorkerFormat {
     private WorkerFormat() {}
@@ -26,28 +26,7 @@
             throws FieldMap.InvalidFieldException {
         List<TaskStatus> tasks = new ArrayList<>();
         for (FieldMap taskFields : heartbeat.maps("sheets")) {
-            String taskName = taskFields.text("sheet");
-            int slash = taskName.lastIndexOf('/');
-            if (slash < 1) {
-                throw new FieldMap.InvalidFieldException("sheet must look like wk-000412/3");
-            }
-            int index;
-            try {
-                index = Integer.parseInt(taskName.substring(slash + 1));
-            } catch (NumberFormatException e) {
-                throw new FieldMap.InvalidFieldException("sheet must look like wk-000412/3");
-            }
-            TaskState state = state(taskFields.text("status"));
-            tasks.add(
-                    new TaskStatus(
-                            taskName.substring(0, slash),
-                            index,
-                            taskFields.integer("try"),
-                            state,
-                            state == TaskState.EXITED
-                                    ? cause(taskFields.textOr("cause", ""))
-                                    : ExitCause.NONE,
-                            taskFields.flagOr("stored", false)));
+            tasks.add(readTask(taskFields));
         }
         return new WorkerHeartbeat(
                 heartbeat.text("box"),
@@ -62,6 +41,32 @@
                 tasks);
     }
 
+    private static TaskStatus readTask(FieldMap fields) throws FieldMap.InvalidFieldException {
+        String name = fields.text("sheet");
+        int slash = name.lastIndexOf('/');
+        if (slash < 1) {
+            throw invalidTaskName();
+        }
+        int taskIndex;
+        try {
+            taskIndex = Integer.parseInt(name.substring(slash + 1));
+        } catch (NumberFormatException e) {
+            throw invalidTaskName();
+        }
+        TaskState state = state(fields.text("status"));
+        return new TaskStatus(
+                name.substring(0, slash),
+                taskIndex,
+                fields.integer("try"),
+                state,
+                state == TaskState.EXITED ? cause(fields.textOr("cause", "")) : ExitCause.NONE,
+                fields.flagOr("stored", false));
+    }
+
+    private static FieldMap.InvalidFieldException invalidTaskName() {
+        return new FieldMap.InvalidFieldException("sheet must look like wk-000412/3");
+    }
+
     private static TaskState state(String text) {
         return switch (text) {
             case "pulling", "gathering" -> TaskState.FETCHING;
@@ -106,18 +111,19 @@
     }
 
     /** The body of the response to an accepted heartbeat. */
-    public static Map<String, Object> heartbeatResponse(long term, List<WorkerOrder> orders) {
+    public static Map<String, Object> heartbeatResponse(
+            long fencingToken, List<WorkerOrder> orders) {
         Map<String, Object> body = new LinkedHashMap<>();
-        body.put("baton", term);
+        body.put("baton", fencingToken);
         body.put("orders", writeOrders(orders));
         return body;
     }
 
-    /** The body of a direct call with orders; {@code session} is the worker's session. */
+    /** The body of a direct call with orders; {@code incarnation} is the worker's. */
     public static Map<String, Object> directOrders(
-            long term, long session, List<WorkerOrder> orders) {
-        Map<String, Object> body = heartbeatResponse(term, orders);
-        body.put("shift", session);
+            long fencingToken, long incarnation, List<WorkerOrder> orders) {
+        Map<String, Object> body = heartbeatResponse(fencingToken, orders);
+        body.put("shift", incarnation);
         return body;
     }
 }
--- a/src/test/java/org/shoreusher/cli/ServiceSmokeCheckTest.java
+++ b/src/test/java/org/shoreusher/cli/ServiceSmokeCheckTest.java
@@ -11,7 +11,8 @@
     void serviceRecoversFromAMachineLossAndEndsWhenCancelled() throws Exception {
         try (ServiceSmokeCheck smokeCheck = new ServiceSmokeCheck()) {
             byte[] file = smokeCheck.settingsJson().getBytes(StandardCharsets.UTF_8);
-            Service controller = new Service(Settings.parse(file), Features.NONE, "rehearsal/test");
+            Service controller =
+                    new Service(Settings.parse(file), Features.NONE, "smoke-check/test");
             Thread thread = new Thread(() -> run(controller));
             thread.start();
             try {
