--- /dev/null
+++ b/src/main/java/org/shoreusher/core/store/CompletionRecord.java
@@ -0,0 +1,39 @@
+package org.shoreusher.core.store;
+
+import java.util.Map;
+import org.shoreusher.settings.Settings;
+import org.shoreusher.wire.FieldMap;
+
+/**
+ * A completion record: completed tasks that would make the shard's own record exceed the size limit
+ * of values.
+ *
+ * @param completedRanges completed tasks as ranges by job
+ */
+public record CompletionRecord(Map<String, Object> completedRanges) {
+    /** Returns the largest size of a record of completed tasks, as JSON in bytes. */
+    public static int maxBytes(Settings settings) {
+        return (int) (settings.maxValueBytes() * StoreConstants.RECORD_FILL_SHARE);
+    }
+
+    /** Returns an overflow record as the store cache shows it, or null if there is none. */
+    public static CompletionRecord in(StoreCache storeCache, int shardNumber, int chunk) {
+        StoreCache.Entry entry = storeCache.get(StoreSchema.completionKey(shardNumber, chunk));
+        return entry == null ? null : fromMap(entry.value());
+    }
+
+    /** Reads the record from its stored fields. */
+    public static CompletionRecord fromMap(Map<String, Object> value) {
+        try {
+            return new CompletionRecord(new FieldMap(value).map("done").asMap());
+        } catch (FieldMap.InvalidFieldException e) {
+            throw new IllegalStateException(
+                    "a record of finished tasks of this service can't be read: " + e.getMessage());
+        }
+    }
+
+    /** Returns the stored fields of the record. */
+    public Map<String, Object> toMap() {
+        return Map.of("done", completedRanges);
+    }
+}
--- a/src/main/java/org/shoreusher/standin/StandInTasks.java
+++ b/src/main/java/org/shoreusher/standin/StandInTasks.java
@@ -146,7 +146,7 @@
         } else if (task.state == StandInTask.State.FETCHING) {
             exit(task, "halted");
         } else if (task.state == StandInTask.State.RUNNING
-                || gracePeriodS <= 0 && task.state == StandInTask.State.CHECKPOINTING) {
+                || (gracePeriodS <= 0 && task.state == StandInTask.State.CHECKPOINTING)) {
             recordInterruption(task);
             exit(task, "halted");
         }
--- a/src/test/java/org/shoreusher/core/job/SubmissionBatchesTest.java
+++ b/src/test/java/org/shoreusher/core/job/SubmissionBatchesTest.java
@@ -10,9 +10,11 @@
 import org.shoreusher.core.CoreTestData;
 import org.shoreusher.core.JobSpecBuilder;
 import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.core.store.JobRecord;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.core.store.StoreSchema;
+import org.shoreusher.core.store.SubmissionBatchRecord;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.SettingsBuilder;
 
@@ -55,15 +57,12 @@
             submissionBatches[0] = new SubmissionBatches(SETTINGS, outbox, storeCache);
             if (ended) {
                 storeCache.apply(
-                        StoreSchema.jobKey("wk-1"),
-                        StoreSchema.JobRecord.open(0, spec, 0).asDone().toMap(),
-                        9);
+                        StoreSchema.jobKey("wk-1"), JobRecord.open(0, spec, 0).asDone().toMap(), 9);
                 storeCache.evict(StoreSchema.jobKey("wk-1"));
             }
             storeCache.apply(
                     StoreSchema.submissionBatchKey("n/1", 1),
-                    StoreSchema.SubmissionBatchRecord.toMap(
-                            Map.of("wk-1", StoreSchema.JobRecord.open(0, spec, 0).toMap())),
+                    SubmissionBatchRecord.toMap(Map.of("wk-1", JobRecord.open(0, spec, 0).toMap())),
                     6);
             assertEquals(ended ? List.of() : List.of("wk-1"), notified);
             if (ended) {
@@ -71,4 +70,45 @@
             }
         }
     }
+
+    /**
+     * Two nodes have accepted the same job for different shards. Whichever record a node sees
+     * first, the older one counts. Otherwise each leader might leave the job to the other, and
+     * nobody would start it. The job's own record takes precedence over both.
+     */
+    @Example
+    void olderOfTwoSubmissionRecordsCounts() {
+        Settings settings = CoreTestData.settings(List.of());
+        JobSpec spec =
+                CoreTestData.job("wk-1", "c", JobSpec.Priority.HIGH, 3, 1, Double.NaN, 0).spec();
+        for (boolean olderFirst : new boolean[] {true, false}) {
+            Outbox outbox = new Outbox(settings, 2);
+            SubmissionBatches[] submissionBatches = new SubmissionBatches[1];
+            List<Integer> notified = new ArrayList<>();
+            StoreCache storeCache =
+                    new StoreCache(
+                            outbox,
+                            settings,
+                            (key, before, after) -> {
+                                if (key.startsWith(StoreSchema.SUBMISSION_BATCH_PREFIX)) {
+                                    submissionBatches[0].batchChanged(
+                                            key,
+                                            after,
+                                            (id, record) -> notified.add(record.shardNumber()));
+                                }
+                            });
+            submissionBatches[0] = new SubmissionBatches(settings, outbox, storeCache);
+            for (int shardNumber : olderFirst ? new int[] {1, 0} : new int[] {0, 1}) {
+                storeCache.apply(
+                        StoreSchema.submissionBatchKey("n/" + shardNumber, 1),
+                        SubmissionBatchRecord.toMap(
+                                Map.of("wk-1", JobRecord.open(shardNumber, spec, 0).toMap())),
+                        shardNumber == 1 ? 5 : 6);
+            }
+            assertEquals(1, submissionBatches[0].jobRecord("wk-1").shardNumber());
+            assertEquals(1, notified.get(notified.size() - 1));
+            storeCache.apply(StoreSchema.jobKey("wk-1"), JobRecord.open(0, spec, 0).toMap(), 7);
+            assertEquals(0, submissionBatches[0].jobRecord("wk-1").shardNumber());
+        }
+    }
 }
