--- a/src/main/java/org/shoreusher/core/gossip/RedirectedWorkers.java
+++ b/src/main/java/org/shoreusher/core/gossip/RedirectedWorkers.java
@@ -6,8 +6,8 @@
 /**
  * Workers of a shard that another node leads, and which now send their heartbeats to this node
  * although that leader has answered them before. Such workers can't reach their leader any more.
- * The number goes to the leader by gossip. A leader that most of its workers can't reach releases
- * the shard, because their leases would expire while it renews its own.
+ * The number goes to the leader by gossip. A leader that most of its workers can't reach steps
+ * down, because their leases would expire while it renews its own.
  */
 final class RedirectedWorkers {
     /** The heartbeats of one worker that arrived here. */
@@ -30,12 +30,12 @@
     /**
      * Records a heartbeat of a worker that belongs to another node's shard. Returns whether to
      * redirect the worker to other reachable nodes for a while rather than to its leader. That
-     * gives an unreachable leader time to release the shard; a worker sent back at once would wait
-     * there for its full request timeout. Returns true only if many workers come, because a single
-     * worker may just have missed one answer.
+     * gives an unreachable leader time to step down; a worker sent back at once would wait there
+     * for its full request timeout. Returns true only if many workers come, because a single worker
+     * may just have missed one answer.
      *
      * @param machineCount the number of machines of all shards
-     * @param nowMs steady clock, ms
+     * @param nowMs monotonic ms
      */
     boolean recordRedirect(WorkerHeartbeat heartbeat, int machineCount, long nowMs) {
         RedirectHistory history =
@@ -69,7 +69,7 @@
      * The number of workers that came lately and more than once, which can't reach their leader.
      * Removes older entries.
      *
-     * @param nowMs steady clock, ms
+     * @param nowMs monotonic ms
      */
     int countRepeatedlyRedirected(long nowMs) {
         historyByMachine
