--- /dev/null
+++ b/src/main/java/org/shoreusher/core/user/JobStateResponses.java
@@ -0,0 +1,54 @@
+package org.shoreusher.core.user;
+
+import org.shoreusher.core.message.Response;
+import org.shoreusher.core.message.Response.DisplayState;
+import org.shoreusher.core.message.Response.JobState;
+import org.shoreusher.core.message.Response.TaskCounts;
+import org.shoreusher.core.store.JobRecord;
+
+/** Builds the responses that tell users the state of a job. */
+final class JobStateResponses {
+    private final TaskCountSource taskCounts;
+
+    /** Responses with the counts of a source, which are for display only. */
+    JobStateResponses(TaskCountSource taskCounts) {
+        this.taskCounts = taskCounts;
+    }
+
+    /** The response to a poll: the state of the job, and its task counts. */
+    Response withCounts(String jobId, JobRecord record) {
+        TaskCounts current = taskCounts.taskCounts(jobId);
+        return switch (record.status()) {
+            case DONE ->
+                    withCounts(jobId, DisplayState.DONE, new TaskCounts(record.taskCount(), 0));
+            case CANCELLED ->
+                    withCounts(
+                            jobId, DisplayState.CANCELLED, new TaskCounts(current.completed(), 0));
+            case OPEN -> withCounts(jobId, openState(current), current);
+        };
+    }
+
+    private static Response withCounts(String jobId, DisplayState state, TaskCounts counts) {
+        return new JobState(jobId, state, counts, false);
+    }
+
+    /** The response with the state of a known job alone. */
+    Response stateOnly(String jobId, JobRecord record) {
+        DisplayState state =
+                switch (record.status()) {
+                    case DONE -> DisplayState.DONE;
+                    case CANCELLED -> DisplayState.CANCELLED;
+                    case OPEN -> openState(taskCounts.taskCounts(jobId));
+                };
+        return new JobState(jobId, state);
+    }
+
+    /** The response to a submission that has just become durable. */
+    static Response created(String jobId) {
+        return new JobState(jobId, DisplayState.PENDING, null, true);
+    }
+
+    private static DisplayState openState(TaskCounts current) {
+        return current.running() > 0 ? DisplayState.RUNNING : DisplayState.PENDING;
+    }
+}
--- a/src/main/java/org/shoreusher/core/user/SubmissionCommit.java
+++ b/src/main/java/org/shoreusher/core/user/SubmissionCommit.java
@@ -12,7 +12,7 @@
 import org.shoreusher.core.message.Command.StoreReply;
 import org.shoreusher.core.message.Effect.StoreOperation;
 import org.shoreusher.core.message.JobSpec;
-import org.shoreusher.core.message.Response;
+import org.shoreusher.core.message.ReplyStatus;
 import org.shoreusher.core.store.JobRecord;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreCache;
@@ -33,11 +33,19 @@
 final class SubmissionCommit {
     /** A job that is to be written, with all requests that submit it. */
     private record PendingSubmission(
-            JobSpec spec,
+            String jobId,
             long queuedAtMs,
             Map<String, Object> recordValue,
             int encodedBytes,
-            List<Long> requestIds) {}
+            List<Long> requestIds) {
+        /** The key of the job's own record. */
+        String key() {
+            return StoreSchema.jobKey(jobId);
+        }
+    }
+
+    /** How many preconditions a transaction may have for each write that it may have. */
+    private static final int MAX_PRECONDITIONS_PER_WRITE = 4;
 
     private final Settings settings;
     private final Outbox outbox;
@@ -104,7 +112,7 @@
         pendingSubmissions.put(
                 spec.id(),
                 new PendingSubmission(
-                        spec,
+                        spec.id(),
                         outbox.now().monotonicMs(),
                         recordValue,
                         encodedBytes + StoreConstants.RECORD_ENTRY_OVERHEAD_BYTES,
@@ -133,79 +141,93 @@
                         });
     }
 
+    /** Sends the next batch; returns false if the rate limit does not allow it now. */
     private boolean writeBatch() {
+        List<PendingSubmission> batch = nextBatch();
+        StoreOperation.CompareAndSwap operation = operationFor(batch);
+        boolean sent =
+                outbox.callStoreForUser(
+                        operation,
+                        reply -> {
+                            writesInFlight--;
+                            handleReply(reply, batch, operation.writes());
+                        });
+        if (sent) {
+            writesInFlight++;
+            batch.forEach(submission -> pendingSubmissions.remove(submission.jobId()));
+        }
+        return sent;
+    }
+
+    /** The first submissions that fit into one record, at least one. */
+    private List<PendingSubmission> nextBatch() {
+        double maxBatchBytes = settings.maxValueBytes() * StoreConstants.RECORD_FILL_SHARE;
+        // One precondition for each job, and one for the record.
+        int maxBatchSize = MAX_PRECONDITIONS_PER_WRITE * settings.maxTransactionWrites() - 1;
         List<PendingSubmission> batch = new ArrayList<>();
         int batchBytes = 0;
         for (PendingSubmission submission : pendingSubmissions.values()) {
-            // One precondition for each job, and one for the record.
             if (!batch.isEmpty()
-                    && (batchBytes + submission.encodedBytes
-                                    > settings.maxValueBytes() * StoreConstants.RECORD_FILL_SHARE
-                            || batch.size() >= 4 * settings.maxTransactionWrites() - 1)) {
+                    && (batchBytes + submission.encodedBytes > maxBatchBytes
+                            || batch.size() >= maxBatchSize)) {
                 break;
             }
             batch.add(submission);
             batchBytes += submission.encodedBytes;
         }
+        return batch;
+    }
+
+    private StoreOperation.CompareAndSwap operationFor(List<PendingSubmission> batch) {
         Map<String, Long> preconditions = new LinkedHashMap<>();
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
-        batch.forEach(
-                submission -> preconditions.put(StoreSchema.jobKey(submission.spec.id()), 0L));
+        batch.forEach(submission -> preconditions.put(submission.key(), StoreCache.ABSENT));
         if (batch.size() == 1) {
-            writes.put(StoreSchema.jobKey(batch.get(0).spec.id()), batch.get(0).recordValue);
+            writes.put(batch.get(0).key(), batch.get(0).recordValue);
         } else {
             // The name of this process is unique, so no batch record is ever overwritten.
-            String key = StoreSchema.submissionBatchKey(processName, nextBatchNumber++);
-            preconditions.put(key, 0L);
+            String batchKey = StoreSchema.submissionBatchKey(processName, nextBatchNumber++);
+            preconditions.put(batchKey, StoreCache.ABSENT);
             Map<String, Map<String, Object>> jobs = new LinkedHashMap<>();
-            batch.forEach(submission -> jobs.put(submission.spec.id(), submission.recordValue));
-            writes.put(key, SubmissionBatchRecord.toMap(jobs));
+            batch.forEach(submission -> jobs.put(submission.jobId(), submission.recordValue));
+            writes.put(batchKey, SubmissionBatchRecord.toMap(jobs));
         }
-        boolean sent =
-                outbox.callStoreForUser(
-                        new StoreOperation.CompareAndSwap(preconditions, writes),
-                        reply -> {
-                            writesInFlight--;
-                            handleReply(reply, batch, writes);
-                        });
-        if (sent) {
-            writesInFlight++;
-            batch.forEach(submission -> pendingSubmissions.remove(submission.spec.id()));
-        }
-        return sent;
+        return new StoreOperation.CompareAndSwap(preconditions, writes);
     }
 
     private void handleReply(
             StoreReply reply,
             List<PendingSubmission> batch,
             Map<String, Map<String, Object>> writes) {
-        if (reply.status() == 200) {
-            storeCache.applyOwnWrites(reply, writes);
-            batch.forEach(
-                    submission ->
-                            submission.requestIds.forEach(
-                                    requestId ->
-                                            outbox.respond(
-                                                    requestId,
-                                                    new Response.JobState(
-                                                            submission.spec.id(),
-                                                            Response.DisplayState.PENDING,
-                                                            null,
-                                                            true))));
-        } else if (reply.status() == 409) {
-            Set<String> failedKeys = failedPreconditions(reply);
-            for (PendingSubmission submission : batch) {
-                if (failedKeys.contains(StoreSchema.jobKey(submission.spec.id()))) {
-                    submission.requestIds.forEach(
-                            requestId -> onAlreadyKnown.accept(requestId, submission.spec.id()));
-                } else {
-                    requeue(submission);
-                }
+        switch (reply.status()) {
+            case ReplyStatus.OK -> {
+                storeCache.applyOwnWrites(reply, writes);
+                batch.forEach(this::answerCreated);
+            }
+            case ReplyStatus.CONFLICT -> handleConflict(batch, failedPreconditions(reply));
+            case ReplyStatus.TOO_MANY_REQUESTS -> batch.forEach(this::requeue);
+            default ->
+                    batch.forEach(
+                            submission ->
+                                    submission.requestIds.forEach(outbox::respondUnavailable));
+        }
+    }
+
+    private void answerCreated(PendingSubmission submission) {
+        submission.requestIds.forEach(
+                requestId ->
+                        outbox.respond(requestId, JobStateResponses.created(submission.jobId())));
+    }
+
+    /** Jobs that exist already are answered with their state; the others are written again. */
+    private void handleConflict(List<PendingSubmission> batch, Set<String> failedKeys) {
+        for (PendingSubmission submission : batch) {
+            if (failedKeys.contains(submission.key())) {
+                submission.requestIds.forEach(
+                        requestId -> onAlreadyKnown.accept(requestId, submission.jobId()));
+            } else {
+                requeue(submission);
             }
-        } else if (reply.status() == 429) {
-            batch.forEach(this::requeue);
-        } else {
-            batch.forEach(submission -> submission.requestIds.forEach(outbox::respondUnavailable));
         }
     }
 
@@ -218,7 +240,7 @@
     }
 
     private void requeue(PendingSubmission submission) {
-        PendingSubmission queued = pendingSubmissions.putIfAbsent(submission.spec.id(), submission);
+        PendingSubmission queued = pendingSubmissions.putIfAbsent(submission.jobId(), submission);
         if (queued != null) {
             queued.requestIds.addAll(submission.requestIds);
         }
--- a/src/main/java/org/shoreusher/core/user/UserRequests.java
+++ b/src/main/java/org/shoreusher/core/user/UserRequests.java
@@ -1,24 +1,16 @@
 package org.shoreusher.core.user;
 
-import java.util.Map;
-import java.util.function.Consumer;
 import java.util.function.ToIntFunction;
 import org.shoreusher.core.job.SubmissionBatches;
 import org.shoreusher.core.job.TerminalJobCache;
 import org.shoreusher.core.machine.MachineTypeCatalog;
-import org.shoreusher.core.message.Command.StoreReply;
-import org.shoreusher.core.message.Effect.StoreOperation;
 import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.core.message.Response;
-import org.shoreusher.core.message.Response.DisplayState;
 import org.shoreusher.core.store.JobRecord;
-import org.shoreusher.core.store.JobStatus;
 import org.shoreusher.core.store.LinearizableReads;
 import org.shoreusher.core.store.NodeContext;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreCache;
-import org.shoreusher.core.store.StoreSchema;
-import org.shoreusher.core.store.VersionNegotiation;
 import org.shoreusher.settings.Settings;
 
 /**
@@ -27,32 +19,21 @@
  * LinearizableReads}. A request that cannot be served now is refused at once.
  */
 public final class UserRequests {
-    private static final String NO_ID = "name_id must look like wk-000412";
+    private static final String INVALID_ID = "name_id must look like wk-000412";
     private static final String NEVER_RUNS =
             "can never run: unknown team, no machine type that fits, or above the team's limit";
     private static final String TOO_LONG = "the description is longer than a record may be";
 
-    /** The source of task counts, which are for display only. */
-    public interface CountSource {
-        /** The completed and running tasks of a job, as far as this node knows. */
-        Response.TaskCounts counts(String jobId);
-    }
-
-    private final Settings settings;
     private final Outbox outbox;
     private final StoreCache storeCache;
-    private final MachineTypeCatalog machineTypes;
-    private final VersionNegotiation versionNegotiation;
-    private final CountSource countSource;
     private final SubmissionBatches submissionBatches;
     private final SubmissionCommit submissionCommit;
-
+    private final AdmissionPolicy admissionPolicy;
+    private final JobCancellation jobCancellation;
+    private final JobStateResponses responses;
     private final TerminalJobCache terminalJobs;
     private final LinearizableReads linearizableReads;
 
-    /** Writes that await their reply. */
-    private int writesInFlight;
-
     /**
      * A handler for the requests of one node.
      *
@@ -64,15 +45,14 @@
             SubmissionBatches submissionBatches,
             MachineTypeCatalog machineTypes,
             String processName,
-            CountSource counts,
+            TaskCountSource taskCounts,
             ToIntFunction<JobSpec> shardWithMostHeadroom) {
-        settings = context.settings();
+        Settings settings = context.settings();
         outbox = context.outbox();
         storeCache = context.storeCache();
-        this.machineTypes = machineTypes;
-        versionNegotiation = context.versionNegotiation();
-        this.countSource = counts;
         this.submissionBatches = submissionBatches;
+        admissionPolicy = new AdmissionPolicy(settings, machineTypes, context.versionNegotiation());
+        responses = new JobStateResponses(taskCounts);
         terminalJobs = new TerminalJobCache(settings, outbox, storeCache);
         linearizableReads =
                 new LinearizableReads(
@@ -82,6 +62,9 @@
                         submissionBatches::jobRecord,
                         terminalJobs::get,
                         this::rejectIfOverloaded);
+        jobCancellation =
+                new JobCancellation(
+                        settings, outbox, storeCache, linearizableReads, this::rejectIfOverloaded);
         submissionCommit =
                 new SubmissionCommit(
                         settings,
@@ -89,13 +72,8 @@
                         storeCache,
                         processName,
                         shardWithMostHeadroom,
-                        (requestId, jobId) ->
-                                answerIfKnown(
-                                        requestId,
-                                        jobId,
-                                        () -> outbox.respondUnavailable(requestId)),
-                        (requestId, jobId) ->
-                                answerIfKnown(requestId, jobId, () -> rejectTooLong(requestId)));
+                        this::answerConflict,
+                        this::answerTooLong);
     }
 
     // ---- requests ----------------------------------------------------------------------------
@@ -109,39 +87,12 @@
         linearizableReads.readBatched(
                 requestId,
                 jobId,
-                record -> {
-                    if (record == null) {
-                        outbox.respond(requestId, new Response.NotFound());
-                    } else {
-                        outbox.respond(requestId, pollResponse(jobId, record));
-                    }
-                });
-    }
-
-    private Response pollResponse(String jobId, JobRecord record) {
-        Response.TaskCounts taskCounts = countSource.counts(jobId);
-        return switch (record.status()) {
-            case DONE ->
-                    jobState(
-                            jobId,
-                            DisplayState.DONE,
-                            new Response.TaskCounts(record.taskCount(), 0));
-            case CANCELLED ->
-                    jobState(
-                            jobId,
-                            DisplayState.CANCELLED,
-                            new Response.TaskCounts(taskCounts.completed(), 0));
-            case OPEN ->
-                    jobState(
-                            jobId,
-                            taskCounts.running() > 0 ? DisplayState.RUNNING : DisplayState.PENDING,
-                            taskCounts);
-        };
-    }
-
-    private static Response jobState(
-            String jobId, DisplayState displayState, Response.TaskCounts counts) {
-        return new Response.JobState(jobId, displayState, counts, false);
+                record ->
+                        outbox.respond(
+                                requestId,
+                                record == null
+                                        ? new Response.NotFound()
+                                        : responses.withCounts(jobId, record)));
     }
 
     /**
@@ -154,15 +105,14 @@
         if (!JobSpec.isValidId(jobId)) {
             outbox.respond(
                     requestId,
-                    new Response.Malformed(validationError == null ? NO_ID : validationError));
+                    new Response.Malformed(validationError == null ? INVALID_ID : validationError));
             return;
         }
         // A known job is answered with its state, whether or not the body is valid.
         if (spec != null
                 && storeCache.isLoaded()
-                && submissionBatches.jobRecord(jobId) == null
-                && terminalJobs.get(jobId) == null
-                && assessAdmission(spec) == Admission.ADMITTED) {
+                && !isInMemory(jobId)
+                && admissionPolicy.decide(spec) == AdmissionPolicy.Decision.ADMITTED) {
             commitUnlessOverloaded(requestId, spec);
             return;
         }
@@ -175,81 +125,33 @@
                     } else if (spec == null) {
                         outbox.respond(requestId, new Response.Malformed(validationError));
                     } else {
-                        switch (assessAdmission(spec)) {
-                            case ADMITTED -> commitUnlessOverloaded(requestId, spec);
-                            case REJECTED ->
-                                    outbox.respond(requestId, new Response.CannotRun(NEVER_RUNS));
-                            case UNDECIDED -> outbox.respondUnavailable(requestId);
-                        }
+                        admit(requestId, spec);
                     }
                 });
     }
 
-    /** Reads the job from the store, and answers with its state if there is one. */
-    private void answerIfKnown(long requestId, String jobId, Runnable otherwise) {
-        linearizableReads.readIndividually(
-                requestId,
-                jobId,
-                record -> {
-                    if (record == null) {
-                        otherwise.run();
-                    } else {
-                        answerKnownJob(requestId, jobId, record);
-                    }
-                });
-    }
-
-    /**
-     * Refuses a description that exceeds the limit on a record. Only after a read of the store: a
-     * job that was accepted under a higher limit must be found even if this node's cache lags.
-     */
-    private void rejectTooLong(long requestId) {
-        outbox.respond(requestId, new Response.Malformed(TOO_LONG));
+    /** A user cancels a job. */
+    public void cancel(long requestId, String jobId) {
+        if (JobSpec.isValidId(jobId)) {
+            jobCancellation.cancel(requestId, jobId);
+        } else {
+            outbox.respond(requestId, new Response.NotFound());
+        }
     }
 
-    private void answerKnownJob(long requestId, String jobId, JobRecord record) {
-        outbox.respond(
-                requestId,
-                new Response.JobState(
-                        jobId,
-                        switch (record.status()) {
-                            case DONE -> DisplayState.DONE;
-                            case CANCELLED -> DisplayState.CANCELLED;
-                            case OPEN ->
-                                    countSource.counts(jobId).running() > 0
-                                            ? DisplayState.RUNNING
-                                            : DisplayState.PENDING;
-                        }));
-    }
+    // ---- submissions -------------------------------------------------------------------------
 
-    /** Whether a job is admitted. */
-    private enum Admission {
-        /** The job can run. */
-        ADMITTED,
-        /** The job can never run. */
-        REJECTED,
-        /** This node cannot tell yet. */
-        UNDECIDED
+    private boolean isInMemory(String jobId) {
+        return submissionBatches.jobRecord(jobId) != null || terminalJobs.get(jobId) != null;
     }
 
-    private Admission assessAdmission(JobSpec spec) {
-        Settings.Team team = settings.teams().get(spec.team());
-        int minConcurrentTasks = spec.minConcurrentTasks();
-        if (team == null
-                || spec.cpus() * minConcurrentTasks > team.maxCpus()
-                || spec.gpus() * minConcurrentTasks > team.maxGpus()) {
-            return Admission.REJECTED;
+    /** Commits a job that is not known, or says why it can't be admitted. */
+    private void admit(long requestId, JobSpec spec) {
+        switch (admissionPolicy.decide(spec)) {
+            case ADMITTED -> commitUnlessOverloaded(requestId, spec);
+            case REJECTED -> outbox.respond(requestId, new Response.CannotRun(NEVER_RUNS));
+            case UNDECIDED -> outbox.respondUnavailable(requestId);
         }
-        // A node of a version without services would treat a replica as a batch task and complete
-        // the job when the replica exits.
-        if (!machineTypes.isLoaded()
-                || (!spec.workloadType().runsToCompletion()
-                        && !versionNegotiation.areServicesSupported())) {
-            return Admission.UNDECIDED;
-        }
-        return machineTypes.all().stream().anyMatch(type -> type.canFit(spec))
-                ? Admission.ADMITTED
-                : Admission.REJECTED;
     }
 
     private void commitUnlessOverloaded(long requestId, JobSpec spec) {
@@ -258,91 +160,42 @@
         }
     }
 
-    /** A user cancels a job. */
-    public void cancel(long requestId, String jobId) {
-        if (!JobSpec.isValidId(jobId)) {
-            outbox.respond(requestId, new Response.NotFound());
-            return;
-        }
-        linearizableReads.readBatched(
+    /** Another submission of the job has become durable first. */
+    private void answerConflict(long requestId, String jobId) {
+        answerIfKnown(requestId, jobId, () -> outbox.respondUnavailable(requestId));
+    }
+
+    /**
+     * The description exceeds the limit on a record. It is refused only after a read of the store:
+     * a job that was accepted under a higher limit must be found even if this node's cache lags.
+     */
+    private void answerTooLong(long requestId, String jobId) {
+        answerIfKnown(
                 requestId,
                 jobId,
-                record -> cancel(requestId, jobId, record, AdmissionConstants.MAX_WRITE_ATTEMPTS));
+                () -> outbox.respond(requestId, new Response.Malformed(TOO_LONG)));
     }
 
-    private void cancel(long requestId, String jobId, JobRecord record, int triesLeft) {
-        if (record == null) {
-            outbox.respond(requestId, new Response.NotFound());
-        } else if (record.status() == JobStatus.DONE) {
-            outbox.respond(requestId, new Response.JobState(jobId, DisplayState.DONE));
-        } else if (record.status() == JobStatus.CANCELLED) {
-            outbox.respond(requestId, new Response.JobState(jobId, DisplayState.CANCELLED));
-        } else {
-            Map<String, Map<String, Object>> writes =
-                    Map.of(
-                            StoreSchema.jobKey(jobId),
-                            record.asCancelled(settings.maxValueBytes()).toMap());
-            write(
-                    requestId,
-                    new StoreOperation.CompareAndSwap(
-                            Map.of(
-                                    StoreSchema.jobKey(jobId),
-                                    storeCache.version(StoreSchema.jobKey(jobId))),
-                            writes),
-                    AdmissionConstants.MAX_WRITE_ATTEMPTS,
-                    reply -> {
-                        if (reply.status() == 200) {
-                            outbox.respond(
-                                    requestId,
-                                    new Response.JobState(jobId, DisplayState.CANCELLED));
-                        } else if (triesLeft > 1) {
-                            linearizableReads.readIndividually(
-                                    requestId,
-                                    jobId,
-                                    latestRecord ->
-                                            cancel(requestId, jobId, latestRecord, triesLeft - 1));
-                        } else {
-                            outbox.respondUnavailable(requestId);
-                        }
-                    });
-        }
+    /** Reads the job from the store, and answers with its state if there is one. */
+    private void answerIfKnown(long requestId, String jobId, Runnable otherwise) {
+        linearizableReads.readIndividually(
+                requestId,
+                jobId,
+                record -> {
+                    if (record == null) {
+                        otherwise.run();
+                    } else {
+                        answerKnownJob(requestId, jobId, record);
+                    }
+                });
     }
 
-    /**
-     * Writes with preconditions. Calls {@code onReply} if the write took effect (200) or a
-     * precondition failed (409), and refuses the request on any other reply.
-     */
-    private void write(
-            long requestId,
-            StoreOperation.CompareAndSwap operation,
-            int triesLeft,
-            Consumer<StoreReply> onReply) {
-        if (rejectIfOverloaded(requestId)) {
-            return;
-        }
-        writesInFlight++;
-        boolean sent =
-                outbox.callStoreForUser(
-                        operation,
-                        reply -> {
-                            writesInFlight--;
-                            if (reply.status() == 200) {
-                                storeCache.applyOwnWrites(reply, operation.writes());
-                                onReply.accept(reply);
-                            } else if (reply.status() == 409) {
-                                onReply.accept(reply);
-                            } else if (reply.status() == 429 && triesLeft > 1) {
-                                write(requestId, operation, triesLeft - 1, onReply);
-                            } else {
-                                outbox.respondUnavailable(requestId);
-                            }
-                        });
-        if (!sent) {
-            writesInFlight--;
-            outbox.respondUnavailable(requestId);
-        }
+    private void answerKnownJob(long requestId, String jobId, JobRecord record) {
+        outbox.respond(requestId, responses.stateOnly(jobId, record));
     }
 
+    // ---- work that has gathered --------------------------------------------------------------
+
     /** Sends the writes and reads that have gathered, and gives the answers that are due. */
     public void step() {
         submissionCommit.commitPending();
@@ -358,10 +211,10 @@
 
     /** Refuses the request if this node can't serve it now; returns whether it did. */
     private boolean rejectIfOverloaded(long requestId) {
+        int inProgress = jobCancellation.writesInFlight() + linearizableReads.pendingCount();
         if (!storeCache.isLoaded()
                 || outbox.isStoreUnavailable()
-                || writesInFlight + linearizableReads.pendingCount()
-                        >= AdmissionConstants.MAX_USER_REQUESTS_IN_FLIGHT) {
+                || inProgress >= AdmissionConstants.MAX_USER_REQUESTS_IN_FLIGHT) {
             outbox.respondUnavailable(requestId);
             return true;
         }
