--- a/src/main/java/org/shoreusher/core/Node.java
+++ b/src/main/java/org/shoreusher/core/Node.java
@@ -185,12 +185,13 @@
             outbox.respondUnavailable(command.requestId());
         } else if (shardRecord.leaderHost().equals(settings.host())
                 || peerGossip.isSuspectedDown(shardRecord)) {
-            String redirectHost = peerGossip.interimHost(shardRecord.leaderHost());
-            if (redirectHost == null) {
-                outbox.respondUnavailable(command.requestId());
-            } else {
-                outbox.respond(command.requestId(), new Response.Redirect(redirectHost));
-            }
+            peerGossip
+                    .interimHost(shardRecord.leaderHost())
+                    .ifPresentOrElse(
+                            host ->
+                                    outbox.respond(
+                                            command.requestId(), new Response.Redirect(host)),
+                            () -> outbox.respondUnavailable(command.requestId()));
         } else {
             boolean awaitFailover =
                     command.workerHeartbeat().fencingToken() >= shardRecord.term()
@@ -198,12 +199,12 @@
                                     shardNumber,
                                     command.workerHeartbeat(),
                                     machineIndex.recordsById().size());
+            String leaderHost = shardRecord.leaderHost();
             String redirectHost =
-                    awaitFailover ? peerGossip.interimHost(shardRecord.leaderHost()) : null;
-            outbox.respond(
-                    command.requestId(),
-                    new Response.Redirect(
-                            redirectHost == null ? shardRecord.leaderHost() : redirectHost));
+                    awaitFailover
+                            ? peerGossip.interimHost(leaderHost).orElse(leaderHost)
+                            : leaderHost;
+            outbox.respond(command.requestId(), new Response.Redirect(redirectHost));
         }
     }
 
--- a/src/main/java/org/shoreusher/core/gossip/PeerGossip.java
+++ b/src/main/java/org/shoreusher/core/gossip/PeerGossip.java
@@ -2,6 +2,7 @@
 
 import java.util.Arrays;
 import java.util.Comparator;
+import java.util.Optional;
 import java.util.function.IntFunction;
 import org.shoreusher.core.gossip.ReceivedMessages.Received;
 import org.shoreusher.core.leadership.LeaderLease;
@@ -104,18 +105,17 @@
     }
 
     /**
-     * The host that a worker should send heartbeats to until its shard has a new leader; null if no
+     * The host that a worker should send heartbeats to until its shard has a new leader; empty if no
      * peer is suitable. Redirected to a leader that is cut off, the worker would wait there for its
      * whole timeout, again and again, while its lease runs out. Redirected between two responsive
      * nodes it asks every half second, so the successor hears from it at once.
      */
-    public String interimHost(String leaderHost) {
+    public Optional<String> interimHost(String leaderHost) {
         return received.all().stream()
                 .filter(last -> last.message().storeReachable() && hasSentRecently(last))
                 .map(last -> last.message().senderHost())
                 .filter(host -> !host.equals(leaderHost))
-                .min(Comparator.naturalOrder())
-                .orElse(null);
+                .min(Comparator.naturalOrder());
     }
 
     // ---- the state of peers ------------------------------------------------------------------
--- a/src/main/java/org/shoreusher/core/gossip/ShardDemand.java
+++ b/src/main/java/org/shoreusher/core/gossip/ShardDemand.java
@@ -2,6 +2,7 @@
 
 import java.util.HashMap;
 import java.util.Map;
+import java.util.OptionalInt;
 import java.util.function.Predicate;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.cluster.Machine;
@@ -15,6 +16,8 @@
  * their summaries say.
  */
 public final class ShardDemand {
+    private static final TeamDemand NO_DEMAND = new TeamDemand(0, 0);
+
     private final int shardNumber;
     private final int shardCount;
     private final PeerView peers;
@@ -39,8 +42,7 @@
     public double demandElsewhereCpus(String team) {
         double cpus = 0;
         for (int otherShard = 0; otherShard < shardCount; otherShard++) {
-            ShardSummary summary =
-                    otherShard == shardNumber ? null : peers.shardSummary(otherShard);
+            ShardSummary summary = summaryFromPeers(otherShard);
             TeamDemand demand = summary == null ? null : summary.teamDemands().get(team);
             cpus += demand == null ? 0 : demand.highPriorityCpus() + demand.otherCpus();
         }
@@ -51,19 +53,20 @@
     public TeamDemand[] demandByShard(String team) {
         TeamDemand[] demands = new TeamDemand[shardCount];
         for (int otherShard = 0; otherShard < shardCount; otherShard++) {
-            ShardSummary summary =
-                    otherShard == shardNumber ? null : peers.shardSummary(otherShard);
-            demands[otherShard] =
-                    otherShard == shardNumber
-                            ? ownDemand(team)
-                            : summary == null
-                                    ? null
-                                    : summary.teamDemands()
-                                            .getOrDefault(team, new TeamDemand(0, 0));
+            ShardSummary summary = summaryFromPeers(otherShard);
+            if (summary != null) {
+                demands[otherShard] = summary.teamDemands().getOrDefault(team, NO_DEMAND);
+            }
         }
+        demands[shardNumber] = ownDemand(team);
         return demands;
     }
 
+    /** The summary of another shard; null for this shard, or if there is no fresh one. */
+    private ShardSummary summaryFromPeers(int otherShard) {
+        return otherShard == shardNumber ? null : peers.shardSummary(otherShard);
+    }
+
     /** The team's demand in this shard. */
     private TeamDemand ownDemand(String team) {
         double highPriorityCpus = 0;
@@ -87,11 +90,13 @@
      * that is smaller than this would be useless.
      */
     public double largestTaskCpus(String team) {
-        double most = 0;
+        double largest = 0;
         for (Job job : jobs.values()) {
-            most = job.spec().team().equals(team) ? Math.max(most, job.spec().cpus()) : most;
+            if (job.spec().team().equals(team)) {
+                largest = Math.max(largest, job.spec().cpus());
+            }
         }
-        return most;
+        return largest;
     }
 
     /**
@@ -104,10 +109,9 @@
         double cpuHeadroom = 0;
         int idleMachines = 0;
         for (Machine machine : machines.values()) {
-            cpuHeadroom +=
-                    machine.state() == Machine.State.UP || machine.state() == Machine.State.BOOTING
-                            ? machine.cpusFree()
-                            : 0;
+            if (machine.state() == Machine.State.UP || machine.state() == Machine.State.BOOTING) {
+                cpuHeadroom += machine.cpusFree();
+            }
             idleMachines += isSurplus.test(machine) ? 1 : 0;
         }
         Map<String, TeamDemand> demands = new HashMap<>();
@@ -122,8 +126,7 @@
     public int idleMachinesElsewhere() {
         int idleMachines = 0;
         for (int otherShard = 0; otherShard < shardCount; otherShard++) {
-            ShardSummary summary =
-                    otherShard == shardNumber ? null : peers.shardSummary(otherShard);
+            ShardSummary summary = summaryFromPeers(otherShard);
             idleMachines += summary == null ? 0 : summary.idleMachines();
         }
         return idleMachines;
@@ -135,15 +138,17 @@
         return summary == null ? 0 : summary.machineShortfall();
     }
 
-    /** The number of the other shard that could use most machines; -1 if none needs any. */
-    public int shardWithLargestShortfall() {
-        int best = -1;
+    /** The number of the other shard that could use most machines; empty if none needs any. */
+    public OptionalInt shardWithLargestShortfall() {
+        OptionalInt neediest = OptionalInt.empty();
+        int largestShortfall = 0;
         for (int otherShard = 0; otherShard < shardCount; otherShard++) {
-            if (otherShard != shardNumber
-                    && machineShortfallOf(otherShard) > (best < 0 ? 0 : machineShortfallOf(best))) {
-                best = otherShard;
+            int shortfall = otherShard == shardNumber ? 0 : machineShortfallOf(otherShard);
+            if (shortfall > largestShortfall) {
+                largestShortfall = shortfall;
+                neediest = OptionalInt.of(otherShard);
             }
         }
-        return best;
+        return neediest;
     }
 }
