--- a/src/main/java/org/shoreusher/core/HeartbeatRouter.java
+++ b/src/main/java/org/shoreusher/core/HeartbeatRouter.java
@@ -72,12 +72,11 @@
     }
 
     private void redirectUntilFailover(long requestId, ShardRecord shardRecord) {
-        String interimHost = peerGossip.interimHost(shardRecord.leaderHost());
-        if (interimHost == null) {
-            outbox.respondUnavailable(requestId);
-        } else {
-            outbox.respond(requestId, new Response.Redirect(interimHost));
-        }
+        peerGossip
+                .interimHost(shardRecord.leaderHost())
+                .ifPresentOrElse(
+                        host -> outbox.respond(requestId, new Response.Redirect(host)),
+                        () -> outbox.respondUnavailable(requestId));
     }
 
     /**
@@ -92,11 +91,11 @@
                 heartbeat.fencingToken() >= shardRecord.term()
                         && peerGossip.recordRedirectedWorker(
                                 shardNumber, heartbeat, machineIndex.recordsById().size());
-        String interimHost =
-                awaitsFailover ? peerGossip.interimHost(shardRecord.leaderHost()) : null;
-        outbox.respond(
-                command.requestId(),
-                new Response.Redirect(
-                        interimHost == null ? shardRecord.leaderHost() : interimHost));
+        String leaderHost = shardRecord.leaderHost();
+        String redirectHost =
+                awaitsFailover
+                        ? peerGossip.interimHost(leaderHost).orElse(leaderHost)
+                        : leaderHost;
+        outbox.respond(command.requestId(), new Response.Redirect(redirectHost));
     }
 }
--- a/src/main/java/org/shoreusher/core/machine/MachineHandover.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineHandover.java
@@ -1,6 +1,7 @@
 package org.shoreusher.core.machine;
 
 import java.util.ArrayList;
+import java.util.OptionalInt;
 import java.util.HashSet;
 import java.util.Set;
 import org.shoreusher.core.cluster.Machine;
@@ -54,12 +55,15 @@
      * @param ownShortfall machines that this shard could fill itself
      */
     void handOverSurplus(int ownShortfall) {
-        int targetShard = shardDemand.shardWithLargestShortfall();
-        int remaining = targetShard < 0 ? 0 : shardDemand.machineShortfallOf(targetShard);
+        OptionalInt targetShard = shardDemand.shardWithLargestShortfall();
+        int remaining =
+                targetShard.isPresent()
+                        ? shardDemand.machineShortfallOf(targetShard.getAsInt())
+                        : 0;
         updateEvacuation(remaining, ownShortfall);
         for (Machine machine : new ArrayList<>(shard.machines().values())) {
             if (remaining > 0 && canBeHandedOver(machine)) {
-                machineRecords.handOver(machine, targetShard);
+                machineRecords.handOver(machine, targetShard.getAsInt());
                 remaining--;
                 surplusMachines.remove(machine);
             }
--- a/src/main/java/org/shoreusher/core/store/CompletionRecord.java
+++ b/src/main/java/org/shoreusher/core/store/CompletionRecord.java
@@ -16,6 +16,20 @@
         return (int) (settings.maxValueBytes() * StoreConstants.RECORD_FILL_SHARE);
     }
 
+    /** Returns the bytes that a job takes in a record besides its ranges. */
+    public static int overheadBytes(String jobId) {
+        return StoreConstants.RECORD_ENTRY_OVERHEAD_BYTES + jobId.length();
+    }
+
+    /**
+     * Returns how many consecutive tasks of a job fit into a record in whatever order they are
+     * completed; at least 1.
+     */
+    public static int tasksThatFit(String jobId, int maxRecordBytes) {
+        return Math.max(
+                1, (maxRecordBytes - overheadBytes(jobId)) / StoreConstants.RECORD_BYTES_PER_TASK);
+    }
+
     /** Returns an overflow record as the store cache shows it, or null if there is none. */
     public static CompletionRecord in(StoreCache storeCache, int shardNumber, int chunk) {
         StoreCache.Entry entry = storeCache.get(StoreSchema.completionKey(shardNumber, chunk));
