--- a/src/test/java/org/shoreusher/simulation/ClusterSimulation.java
+++ b/src/test/java/org/shoreusher/simulation/ClusterSimulation.java
@@ -3,7 +3,6 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Comparator;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.PriorityQueue;
@@ -12,18 +11,11 @@
 import java.util.function.Consumer;
 import java.util.function.IntPredicate;
 import java.util.function.ObjLongConsumer;
-import org.shoreusher.cli.ServiceConstants;
-import org.shoreusher.cloud.CloudConstants;
-import org.shoreusher.core.Node;
-import org.shoreusher.core.message.ClockReading;
 import org.shoreusher.core.message.Command;
 import org.shoreusher.core.message.Effect;
 import org.shoreusher.core.message.WorkerHeartbeat;
-import org.shoreusher.log.LogEventType;
 import org.shoreusher.settings.Features;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.SettingsBuilder;
-import org.shoreusher.settings.SharedConstants;
 import org.shoreusher.wire.FieldMap;
 
 /**
@@ -58,13 +50,13 @@
      */
     final Settings previousSettings;
 
-    private final int shardCount;
+    final int shardCount;
     final InjectedDefect injectedDefect;
     final SimulatedStore store;
     final SimulatedCloud cloud;
     final SimulatedUsers users;
     final Invariants invariants;
-    final List<Controller> controllers = new ArrayList<>();
+    final List<SimulatedController> controllers = new ArrayList<>();
     final EventLog log = new EventLog();
 
     final SimulatedNetwork network = new SimulatedNetwork(this);
@@ -104,7 +96,7 @@
     Runnable onCrash = () -> {};
 
     /** Called for every failover, with the process that acquired the shard. */
-    Consumer<Controller> onFailover = controller -> {};
+    Consumer<SimulatedController> onFailover = controller -> {};
 
     ClusterSimulation(long seed, Settings settings, int shardCount, InjectedDefect injectedDefect) {
         this(seed, settings, shardCount, injectedDefect, 8);
@@ -143,7 +135,7 @@
         users = new SimulatedUsers(this);
         invariants = new Invariants(this);
         for (int i = 0; i < settings.nodeCount(); i++) {
-            controllers.add(new Controller("node-" + i, i));
+            controllers.add(new SimulatedController(this, "node-" + i, i));
         }
         ON_NEW.get().accept(this, seed);
     }
@@ -152,7 +144,7 @@
         faults.forEach(fault -> scheduleAt(fault.atMs(), () -> fault.injection().accept(this)));
         controllers.stream()
                 .filter(controller -> !controller.startsOnUpgradeOnly)
-                .forEach(Controller::start);
+                .forEach(SimulatedController::start);
         while (!events.isEmpty() && events.peek().atMs <= untilMs) {
             Event event = events.poll();
             nowMs = event.atMs;
@@ -178,7 +170,7 @@
     }
 
     /** Delivers duplicates of heartbeats to every node just as a new leader starts. */
-    private void deliverRetainedHeartbeats() {
+    void deliverRetainedHeartbeats() {
         for (WorkerHeartbeat heartbeat : List.copyOf(retainedHeartbeats)) {
             duplicateHeartbeats++;
             controllers.forEach(
@@ -202,266 +194,4 @@
             throw new AssertionError(exception);
         }
     }
-
-    /** One controller: a core with clocks, which can crash and restart. */
-    final class Controller {
-        final String host;
-        private final int index;
-        private final double clockDrift;
-        private int incarnation;
-        private Node node;
-        private final List<Command> queue = new ArrayList<>();
-        private final Map<Long, Consumer<WireResponse>> pendingRequests = new HashMap<>();
-        private boolean wakeUpScheduled;
-        private long nextRequestId = 1;
-        private long pausedUntilMs;
-        private long wallClockOffsetMs;
-        private boolean upgraded;
-        final CrashInjector crashInjector = new CrashInjector();
-
-        /** Not started with the others, but by its upgrade only; a test acts for it until then. */
-        boolean startsOnUpgradeOnly;
-
-        Controller(String host, int index) {
-            this.host = host;
-            this.index = index;
-            clockDrift = random.nextDouble() * 0.0005;
-        }
-
-        void start() {
-            incarnation++;
-            wallClockOffsetMs =
-                    (long) ((random.nextDouble() * 2 - 1) * settings.maxClockOffsetMs());
-            node =
-                    new Node(
-                            localSettings(),
-                            enabledFeatures(),
-                            host + "/" + Long.toHexString(random.nextLong()),
-                            shardCount);
-            queue.clear();
-            pendingRequests.clear();
-            tick(incarnation);
-        }
-
-        private Features enabledFeatures() {
-            return hasFeatures.test(index) ? features : Features.NONE;
-        }
-
-        private Settings localSettings() {
-            Settings base = runsPreviousVersion() ? previousSettings : settings;
-            List<Settings.Member> members =
-                    controllers.stream()
-                            .filter(controller -> controller != this)
-                            .map(
-                                    controller ->
-                                            new Settings.Member(
-                                                    controller.host,
-                                                    base.peerAddress(),
-                                                    controller.zone()))
-                            .toList();
-            return new SettingsBuilder(base).host(host, members).build();
-        }
-
-        void crash(long restartAfterMs) {
-            incarnation++;
-            node = null;
-            pendingRequests.clear();
-            scheduleAfter(restartAfterMs, this::start);
-        }
-
-        /** Whether it runs the previous version, with that version's limits. */
-        boolean runsPreviousVersion() {
-            return previousSettings != null && !upgraded;
-        }
-
-        /** Runs the current version from its first start on. */
-        void startUpgraded() {
-            upgraded = true;
-        }
-
-        /**
-         * Restarts with the current limits; a process that crashes before its upgrade restarts as
-         * it was.
-         */
-        void upgrade(long restartAfterMs) {
-            upgraded = true;
-            crash(restartAfterMs);
-        }
-
-        /** Gives it no processor for a while. */
-        void pause(long durationMs) {
-            pausedUntilMs = nowMs + durationMs;
-        }
-
-        boolean isRunning() {
-            return node != null;
-        }
-
-        private void tick(int ofIncarnation) {
-            if (incarnation == ofIncarnation) {
-                enqueue(new Command.Tick());
-                scheduleAfter(ServiceConstants.TICK_INTERVAL_MS, () -> tick(ofIncarnation));
-            }
-        }
-
-        void enqueue(Command command) {
-            queue.add(command);
-            if (!wakeUpScheduled) {
-                wakeUpScheduled = true;
-                scheduleAt(Math.max(nowMs + 1, pausedUntilMs), this::processQueue);
-            }
-        }
-
-        private void processQueue() {
-            wakeUpScheduled = false;
-            if (node == null) {
-                queue.clear();
-                return;
-            }
-            if (nowMs < pausedUntilMs) {
-                wakeUpScheduled = true;
-                scheduleAt(pausedUntilMs, this::processQueue);
-                return;
-            }
-            List<Command> batch = new ArrayList<>(queue);
-            queue.clear();
-            ClockReading reading =
-                    new ClockReading(
-                            1_000_000L * (index + 1) + (long) (nowMs * (1 + clockDrift)),
-                            1_700_000_000_000L + nowMs + wallClockOffsetMs);
-            int ofIncarnation = incarnation;
-            for (Effect effect : node.step(reading, batch)) {
-                if (incarnation == ofIncarnation && crashInjector.isDueBefore(effect)) {
-                    crash(crashInjector.restartAfterMs());
-                    crashes++;
-                    onCrash.run();
-                }
-                if (incarnation != ofIncarnation) {
-                    return;
-                }
-                execute(effect);
-            }
-        }
-
-        String zone() {
-            return settings.zones().get(index % settings.zones().size());
-        }
-
-        /** A request arrives; the consumer gets the response, unless the process crashes first. */
-        void request(
-                java.util.function.LongFunction<Command> command, Consumer<WireResponse> response) {
-            if (node == null) {
-                return;
-            }
-            long id = nextRequestId++;
-            pendingRequests.put(id, response);
-            enqueue(command.apply(id));
-        }
-
-        private void execute(Effect effect) {
-            int ofIncarnation = incarnation;
-            onEffect.accept(host, effect);
-            if (effect instanceof Effect.Respond response) {
-                Consumer<WireResponse> destination = pendingRequests.remove(response.requestId());
-                if (destination != null) {
-                    destination.accept(WireResponse.of(response));
-                }
-            } else if (effect instanceof Effect.StoreCall call) {
-                long timeoutMs =
-                        SharedConstants.STORE_TIMEOUT_MS
-                                + (call.operation() instanceof Effect.StoreOperation.Watch w
-                                        ? w.blockMs()
-                                        : 0);
-                call(
-                        ofIncarnation,
-                        "state",
-                        timeoutMs,
-                        (status, body) ->
-                                enqueue(new Command.StoreReply(call.callId(), status, body)),
-                        reply -> store.handle(host, call.operation(), reply));
-            } else if (effect instanceof Effect.CloudCall call) {
-                call(
-                        ofIncarnation,
-                        "cloud",
-                        CloudConstants.CLOUD_TIMEOUT_MS,
-                        (status, body) ->
-                                enqueue(new Command.CloudReply(call.callId(), status, body)),
-                        reply -> cloud.handle(call.operation(), reply));
-            } else if (effect instanceof Effect.SendOrders orders) {
-                SimulatedWorker w = cloud.machineByAddress(orders.workerAddress());
-                if (w != null) {
-                    network.send(host, w.id, () -> w.receiveDirectOrders(orders));
-                }
-            } else if (effect instanceof Effect.SendGossip gossip) {
-                for (Controller controller : controllers) {
-                    if (controller != this) {
-                        network.send(
-                                host,
-                                controller.host,
-                                () -> controller.enqueue(new Command.Gossip(gossip.message())));
-                    }
-                }
-            } else if (effect instanceof Effect.SendStandbyMessage send) {
-                sendStandbyMessage(send);
-            } else if (effect instanceof Effect.Log logLine) {
-                EventLog.Entry entry = log.add(nowMs, host, logLine.event());
-                onLog.accept(entry);
-                if (entry.is(LogEventType.SHARD_ACQUIRED)) {
-                    deliverRetainedHeartbeats();
-                    onFailover.accept(this);
-                }
-            }
-        }
-
-        private void sendStandbyMessage(Effect.SendStandbyMessage effect) {
-            for (Controller controller : controllers) {
-                if (controller.host.equals(effect.host())) {
-                    network.send(
-                            host,
-                            controller.host,
-                            () -> controller.enqueue(new Command.Standby(effect.message())));
-                }
-            }
-        }
-
-        /** A call may be executed after its caller has given up, and its response may be lost. */
-        private void call(
-                int ofIncarnation,
-                String destination,
-                long timeoutMs,
-                ReplyHandler onReply,
-                Consumer<ReplyHandler> execute) {
-            boolean[] ended = {false};
-            scheduleAfter(
-                    timeoutMs,
-                    () -> {
-                        if (!ended[0] && incarnation == ofIncarnation) {
-                            ended[0] = true;
-                            onReply.respond(0, null);
-                        }
-                    });
-            network.send(
-                    host,
-                    destination,
-                    () ->
-                            execute.accept(
-                                    (status, body) -> {
-                                        Map<String, Object> copied = deepCopy(body);
-                                        network.send(
-                                                destination,
-                                                host,
-                                                () -> {
-                                                    if (!ended[0] && incarnation == ofIncarnation) {
-                                                        ended[0] = true;
-                                                        onReply.respond(status, copied);
-                                                    }
-                                                });
-                                    }));
-        }
-    }
-
-    /** Receives the response to a call. */
-    interface ReplyHandler {
-        void respond(int status, Map<String, Object> body);
-    }
 }
--- a/src/test/java/org/shoreusher/simulation/FaultInjection.java
+++ b/src/test/java/org/shoreusher/simulation/FaultInjection.java
@@ -90,8 +90,7 @@
             case 11 ->
                     cluster -> {
                         for (int p = 0; p < nodes; p++) {
-                            ClusterSimulation.Controller next =
-                                    cluster.controllers.get((node + p) % nodes);
+                            SimulatedController next = cluster.controllers.get((node + p) % nodes);
                             cluster.scheduleAfter(p * 8_000L, () -> next.crash(1_500));
                         }
                     };
@@ -148,14 +147,14 @@
     }
 
     static void isolateFromStoreAndPeers(
-            ClusterSimulation simulation, ClusterSimulation.Controller process, long durationMs) {
+            ClusterSimulation simulation, SimulatedController process, long durationMs) {
         simulation.network.partition(process.host, "state", durationMs);
         simulation.controllers.forEach(
                 other -> simulation.network.partition(process.host, other.host, durationMs));
     }
 
     static void isolateFromWorkers(
-            ClusterSimulation simulation, ClusterSimulation.Controller process, long durationMs) {
+            ClusterSimulation simulation, SimulatedController process, long durationMs) {
         simulation
                 .cloud
                 .machines()
@@ -165,7 +164,7 @@
     }
 
     /** For each shard, the process that acquired it last. */
-    static List<ClusterSimulation.Controller> currentLeaders(ClusterSimulation simulation) {
+    static List<SimulatedController> currentLeaders(ClusterSimulation simulation) {
         Map<String, String> last = new HashMap<>();
         simulation
                 .log
--- a/src/test/java/org/shoreusher/simulation/LeaderFailureTest.java
+++ b/src/test/java/org/shoreusher/simulation/LeaderFailureTest.java
@@ -20,7 +20,7 @@
 class LeaderFailureTest {
     /** A minute after the start each shard's leader is hit. */
     private static List<Fault> faultOnLeaders(
-            BiConsumer<ClusterSimulation, ClusterSimulation.Controller> injection) {
+            BiConsumer<ClusterSimulation, SimulatedController> injection) {
         return List.of(
                 new Fault(
                         60_000,
--- a/src/test/java/org/shoreusher/simulation/MigrationsTest.java
+++ b/src/test/java/org/shoreusher/simulation/MigrationsTest.java
@@ -250,7 +250,7 @@
                         cluster.scheduleAfter(
                                 cluster.random.nextInt(6_000),
                                 () -> {
-                                    for (ClusterSimulation.Controller controller :
+                                    for (SimulatedController controller :
                                             FaultInjection.currentLeaders(cluster)) {
                                         if (controller.isRunning()
                                                 && cluster.nowMs < FAULT_FREE_FROM_MS - 20_000) {
--- a/src/test/java/org/shoreusher/simulation/PreviousVersionInteropTest.java
+++ b/src/test/java/org/shoreusher/simulation/PreviousVersionInteropTest.java
@@ -149,7 +149,7 @@
         for (int i = 0; i < 16; i++) {
             simulation.users.submit(i, 1_000 + simulation.random.nextInt(100_000));
         }
-        ClusterSimulation.Controller currentNode = simulation.controllers.get(0);
+        SimulatedController currentNode = simulation.controllers.get(0);
         for (int i = 0; i < 4; i++) {
             // The node of the current version is down until the other one's lease has expired, or
             // both try at once.
--- a/src/test/java/org/shoreusher/simulation/SaturatedCluster.java
+++ b/src/test/java/org/shoreusher/simulation/SaturatedCluster.java
@@ -52,13 +52,13 @@
 
     /** The same with one fault that hits the leader. */
     static ClusterSimulation simulate(
-            long seed, BiConsumer<ClusterSimulation, ClusterSimulation.Controller> fault) {
+            long seed, BiConsumer<ClusterSimulation, SimulatedController> fault) {
         return simulate(seed, List.of(faultOnLeader(FAULT_MS, fault)));
     }
 
     /** A fault that hits the current leader of the shard. */
     static Fault faultOnLeader(
-            long atMs, BiConsumer<ClusterSimulation, ClusterSimulation.Controller> fault) {
+            long atMs, BiConsumer<ClusterSimulation, SimulatedController> fault) {
         return new Fault(
                 atMs,
                 cluster ->
@@ -84,7 +84,7 @@
     }
 
     /** The controller that the shard's record names as the standby; null if it names none. */
-    static ClusterSimulation.Controller namedStandby(ClusterSimulation simulation) {
+    static SimulatedController namedStandby(ClusterSimulation simulation) {
         Map<String, Object> record = simulation.store.value("part/0");
         Object standby = record == null ? null : record.get("standby");
         return simulation.controllers.stream()
--- a/src/test/java/org/shoreusher/simulation/ServiceFaultsTest.java
+++ b/src/test/java/org/shoreusher/simulation/ServiceFaultsTest.java
@@ -254,7 +254,7 @@
         int[] handled = {0, 0};
         simulation.scheduleAt(FAULT_MS - 1, () -> handled[0] = simulation.store.requestsHandled);
         for (int i = 0; i < polls; i++) {
-            ClusterSimulation.Controller node = simulation.controllers.get(i % 3);
+            SimulatedController node = simulation.controllers.get(i % 3);
             simulation.scheduleAt(
                     FAULT_MS + i * 3L,
                     () ->
--- a/src/test/java/org/shoreusher/simulation/ServicesTest.java
+++ b/src/test/java/org/shoreusher/simulation/ServicesTest.java
@@ -115,7 +115,7 @@
         long from = 20_000 + simulation.random.nextInt(20_000);
         int first = simulation.random.nextInt(3);
         for (int i = 0; i < 3; i++) {
-            ClusterSimulation.Controller controller = simulation.controllers.get((first + i) % 3);
+            SimulatedController controller = simulation.controllers.get((first + i) % 3);
             simulation.scheduleAt(
                     from + i * 12_000L,
                     () -> controller.upgrade(100 + simulation.random.nextInt(4_000)));
@@ -157,7 +157,7 @@
         submitJobsAndServices(simulation, 100_000);
         long from = 15_000 + simulation.random.nextInt(40_000);
         for (int i = 0; i < 3; i++) {
-            ClusterSimulation.Controller controller = simulation.controllers.get(i);
+            SimulatedController controller = simulation.controllers.get(i);
             simulation.scheduleAt(
                     from + i * 10_000L,
                     () -> controller.upgrade(100 + simulation.random.nextInt(4_000)));
@@ -210,7 +210,7 @@
         int[] longest = {0};
         simulation.scheduleAt(59_000, () -> longest[0] = simulation.store.longestValueBytes());
         for (int i = 0; i < 3; i++) {
-            ClusterSimulation.Controller controller = simulation.controllers.get(i);
+            SimulatedController controller = simulation.controllers.get(i);
             simulation.scheduleAt(60_000 + i * 15_000L, () -> controller.upgrade(1_000));
         }
         simulation.scheduleAt(110_000, simulation.store::applyCurrentLimits);
--- a/src/test/java/org/shoreusher/simulation/SimulatedCloud.java
+++ b/src/test/java/org/shoreusher/simulation/SimulatedCloud.java
@@ -117,7 +117,7 @@
         return (String) ((Map<?, ?>) listed).get("name_id");
     }
 
-    void handle(CloudOperation operation, ClusterSimulation.ReplyHandler reply) {
+    void handle(CloudOperation operation, ReplyHandler reply) {
         if (simulation.nowMs < outageUntilMs) {
             reply.respond(503, Map.of("error", "trouble"));
         } else if (operation instanceof CloudOperation.ListTypes) {
@@ -177,8 +177,7 @@
         return types;
     }
 
-    private void provision(
-            CloudOperation.Provision provision, ClusterSimulation.ReplyHandler reply) {
+    private void provision(CloudOperation.Provision provision, ReplyHandler reply) {
         Map<String, Object> before = responsesByRequestName.get(provision.name());
         if (before != null) {
             reply.respond(200, before);
--- a/src/test/java/org/shoreusher/simulation/SimulatedNetwork.java
+++ b/src/test/java/org/shoreusher/simulation/SimulatedNetwork.java
@@ -66,7 +66,7 @@
         partition(nodeInIt, "state", durationMs);
         partition(nodeInIt, "cloud", durationMs);
         partition(nodeInIt, "user", durationMs);
-        for (ClusterSimulation.Controller controller : simulation.controllers) {
+        for (SimulatedController controller : simulation.controllers) {
             if (!controller.host.equals(nodeInIt)) {
                 partition(nodeInIt, controller.host, durationMs);
                 for (SimulatedWorker machine : simulation.cloud.machines()) {
--- a/src/test/java/org/shoreusher/simulation/SimulatedStore.java
+++ b/src/test/java/org/shoreusher/simulation/SimulatedStore.java
@@ -28,10 +28,7 @@
 
     /** An open watch. */
     private record PendingWatch(
-            StoreOperation.Watch watch,
-            String host,
-            long untilMs,
-            ClusterSimulation.ReplyHandler reply) {}
+            StoreOperation.Watch watch, String host, long untilMs, ReplyHandler reply) {}
 
     private final ClusterSimulation simulation;
     private final TreeMap<String, StoredValue> values = new TreeMap<>();
@@ -189,10 +186,10 @@
         return stored == null ? null : stored.value;
     }
 
-    void handle(String host, StoreOperation operation, ClusterSimulation.ReplyHandler reply) {
+    void handle(String host, StoreOperation operation, ReplyHandler reply) {
         requestsHandled++;
         if (simulation.nowMs < slowUntilMs) {
-            ClusterSimulation.ReplyHandler quick = reply;
+            ReplyHandler quick = reply;
             reply =
                     (status, body) ->
                             simulation.scheduleAfter(
@@ -202,8 +199,7 @@
         respond(host, operation, reply);
     }
 
-    private void respond(
-            String host, StoreOperation operation, ClusterSimulation.ReplyHandler reply) {
+    private void respond(String host, StoreOperation operation, ReplyHandler reply) {
         if (isUnavailable(host)) {
             reply.respond(503, null);
         } else if (operation instanceof StoreOperation.CompareAndSwap m
@@ -260,7 +256,7 @@
         return fields;
     }
 
-    private void page(StoreOperation.Page page, ClusterSimulation.ReplyHandler reply) {
+    private void page(StoreOperation.Page page, ReplyHandler reply) {
         List<Object> entries = new ArrayList<>();
         boolean more = false;
         // Pages of 20 keys, so that every reading takes several and other writes come between.
@@ -278,9 +274,7 @@
     }
 
     private void compareAndSwap(
-            String host,
-            StoreOperation.CompareAndSwap operation,
-            ClusterSimulation.ReplyHandler reply) {
+            String host, StoreOperation.CompareAndSwap operation, ReplyHandler reply) {
         List<Object> failed = new ArrayList<>();
         operation
                 .preconditions()
--- a/src/test/java/org/shoreusher/simulation/SimulatedUsers.java
+++ b/src/test/java/org/shoreusher/simulation/SimulatedUsers.java
@@ -159,7 +159,7 @@
     }
 
     private void send(
-            ClusterSimulation.Controller node,
+            SimulatedController node,
             LongFunction<Command> command,
             BiConsumer<WireResponse, Long> onResponse,
             Runnable retry) {
@@ -263,7 +263,7 @@
         if (!probeAfterEachChange) {
             return;
         }
-        for (ClusterSimulation.Controller node : simulation.controllers) {
+        for (SimulatedController node : simulation.controllers) {
             simulation.scheduleAfter(
                     1 + simulation.random.nextInt(4),
                     () -> {
--- a/src/test/java/org/shoreusher/simulation/SimulatedWorker.java
+++ b/src/test/java/org/shoreusher/simulation/SimulatedWorker.java
@@ -1,25 +1,13 @@
 package org.shoreusher.simulation;
 
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.LinkedHashMap;
-import java.util.List;
-import java.util.Map;
 import org.shoreusher.core.message.Command;
 import org.shoreusher.core.message.Effect;
 import org.shoreusher.core.message.WorkerHeartbeat;
-import org.shoreusher.core.message.WorkerHeartbeat.ExitCause;
-import org.shoreusher.core.message.WorkerHeartbeat.TaskState;
-import org.shoreusher.core.message.WorkerHeartbeat.TaskStatus;
 import org.shoreusher.wire.WorkerFormat;
 
 /** A simulated worker with incarnations, leases and fencing tokens. */
 final class SimulatedWorker {
     private static final long RESPONSE_TIMEOUT_MS = 4_000;
-    private static final long RESULT_KEPT = -1;
-
-    /** One save in this number fails. */
-    private static final int ONE_SAVE_FAILS_IN = 4;
 
     /** One heartbeat in this number has a late duplicate. */
     private static final int ONE_HEARTBEAT_DUPLICATED_IN = 12;
@@ -31,8 +19,7 @@
     final long provisionedAtMs;
     private final ClusterSimulation simulation;
     private final int number;
-    private final Map<String, SimulatedTask> tasks = new LinkedHashMap<>();
-    private final Map<String, Long> results = new HashMap<>();
+    private final SimulatedTasks tasks;
     private boolean isUp;
     private boolean terminated;
     private long hangingUntilMs;
@@ -66,6 +53,7 @@
         this.spot = spot;
         this.number = number;
         this.provisionedAtMs = simulation.nowMs;
+        tasks = new SimulatedTasks(simulation, this);
     }
 
     String address() {
@@ -87,8 +75,7 @@
 
     void terminate() {
         terminated = true;
-        tasks.keySet().forEach(taskName -> simulation.invariants.taskStopped(this, taskName));
-        tasks.clear();
+        tasks.removeAtTermination();
     }
 
     /** The machine executes nothing and sends nothing for a while. */
@@ -122,6 +109,18 @@
                 && simulation.nowMs >= outboundBlockedUntilMs;
     }
 
+    boolean isTerminated() {
+        return terminated;
+    }
+
+    boolean isHanging() {
+        return simulation.nowMs < hangingUntilMs;
+    }
+
+    long hangingUntilMs() {
+        return hangingUntilMs;
+    }
+
     boolean hasTasks() {
         return !tasks.isEmpty();
     }
@@ -142,33 +141,26 @@
         simulation.scheduleAfter(50, this::heartbeatLoop);
     }
 
-    private void expireLeaseIfDue() {
+    void expireLeaseIfDue() {
         double extra =
                 simulation.injectedDefect == ClusterSimulation.InjectedDefect.WORKERS_OUTLIVE_LEASES
                         ? 3
                         : 1;
         if (simulation.nowMs - leaseRenewedAtMs
                 > simulation.settings.workerLeaseS() * 1000 * extra) {
-            tasks.forEach(
-                    (taskName, task) -> {
-                        if (task.state != TaskState.EXITED) {
-                            simulation.invariants.taskStopped(this, taskName);
-                        }
-                    });
-            tasks.clear();
+            tasks.removeAtLeaseExpiry();
             incarnation++;
             leaseRenewedAtMs = simulation.nowMs;
             requestPromptHeartbeat();
         }
     }
 
-    private void requestPromptHeartbeat() {
+    /** Lets the next heartbeat be sent as soon as the shortest interval allows. */
+    void requestPromptHeartbeat() {
         nextHeartbeatAtMs = 0;
     }
 
     private WorkerHeartbeat createHeartbeat() {
-        List<TaskStatus> list = new ArrayList<>();
-        tasks.values().forEach(task -> list.add(task.status()));
         double interruptionNoticeS =
                 reclaimedAtMs == 0 ? Double.NaN : (reclaimedAtMs - simulation.nowMs) / 1000.0;
         return new WorkerHeartbeat(
@@ -181,7 +173,7 @@
                 ++sequenceNumber,
                 fencingToken,
                 interruptionNoticeS,
-                list);
+                tasks.statuses());
     }
 
     /** A response arrives at the machine. */
@@ -193,7 +185,7 @@
         if (simulation.injectedDefect == ClusterSimulation.InjectedDefect.LATE_RESPONSES_EXECUTED
                 && !terminated
                 && response.status() == 200) {
-            executeOrders(response.body());
+            tasks.executeOrders(response.body());
         } else if (requestNumber == ofRequest && requestInFlight && !terminated) {
             long wait = Math.max(0, hangingUntilMs - simulation.nowMs);
             simulation.scheduleAfter(
@@ -232,7 +224,7 @@
         long ofIncarnation = incarnation;
         long ofRequest = ++requestNumber;
         WorkerHeartbeat heartbeat = createHeartbeat();
-        ClusterSimulation.Controller node = simulation.controllers.get(targetNode);
+        SimulatedController node = simulation.controllers.get(targetNode);
         simulation.scheduleAfter(
                 RESPONSE_TIMEOUT_MS,
                 () -> {
@@ -287,7 +279,7 @@
                     fencingToken = responseToken;
                     requestPromptHeartbeat();
                 }
-                executeOrders(response.body());
+                tasks.executeOrders(response.body());
             }
         } else if (response.status() == 421
                 && response.body().get("foreman") instanceof String host) {
@@ -322,151 +314,9 @@
         if (orders.fencingToken() >= fencingToken && orders.workerIncarnation() == incarnation) {
             fencingToken = orders.fencingToken();
             sequenceNumber++;
-            executeOrders(
+            tasks.executeOrders(
                     WorkerFormat.directOrders(
                             orders.fencingToken(), orders.workerIncarnation(), orders.orders()));
         }
     }
-
-    private void executeOrders(Map<String, Object> body) {
-        for (Object o : (List<?>) body.get("orders")) {
-            Map<?, ?> fields = (Map<?, ?>) o;
-            String name = (String) fields.get("sheet");
-            long attemptNumber = ((Number) fields.get("try")).longValue();
-            SimulatedTask task = tasks.get(name);
-            switch ((String) fields.get("verb")) {
-                case "run" -> startTask(name, attemptNumber, task);
-                case "halt" -> {
-                    if (task != null
-                            && task.attemptNumber == attemptNumber
-                            && task.state != TaskState.EXITED) {
-                        stopTask(name, task, ((Number) fields.get("wind_down_s")).doubleValue());
-                    }
-                }
-                default -> {
-                    if (task != null
-                            && task.attemptNumber == attemptNumber
-                            && task.state == TaskState.EXITED) {
-                        tasks.remove(name);
-                    }
-                }
-            }
-        }
-    }
-
-    private void startTask(String name, long attemptNumber, SimulatedTask existing) {
-        if (existing != null) {
-            if (existing.attemptNumber != attemptNumber
-                    && simulation.injectedDefect == ClusterSimulation.InjectedDefect.NONE) {
-                throw new AssertionError("started " + name + " where it is already");
-            }
-            return;
-        }
-        SimulatedTask task =
-                new SimulatedTask(
-                        name.substring(0, name.indexOf('/')),
-                        Integer.parseInt(name.substring(name.indexOf('/') + 1)),
-                        attemptNumber);
-        tasks.put(name, task);
-        requestPromptHeartbeat();
-        simulation.scheduleAfter(
-                200 + simulation.random.nextInt(800),
-                () -> continueTask(name, task, () -> runTask(name, task)));
-    }
-
-    /** Continues with a task unless it is gone; not while the machine hangs. */
-    private void continueTask(String name, SimulatedTask task, Runnable step) {
-        if (terminated || tasks.get(name) != task || task.state == TaskState.EXITED) {
-            return;
-        }
-        if (simulation.nowMs < hangingUntilMs) {
-            simulation.scheduleAt(hangingUntilMs + 1, () -> continueTask(name, task, step));
-            return;
-        }
-        expireLeaseIfDue();
-        if (tasks.get(name) == task) {
-            step.run();
-        }
-    }
-
-    private void runTask(String name, SimulatedTask task) {
-        task.state = TaskState.RUNNING;
-        simulation.invariants.taskStarted(this, name);
-        requestPromptHeartbeat();
-        if (!simulation.users.isBatch(task.jobId)) {
-            // A replica; a few exit all the same, with or without an error.
-            if (simulation.random.nextInt(6) == 0) {
-                simulation.scheduleAfter(
-                        simulation.random.nextInt(40_000),
-                        () ->
-                                continueTask(
-                                        name,
-                                        task,
-                                        () ->
-                                                exitTask(
-                                                        name,
-                                                        task,
-                                                        simulation.random.nextBoolean()
-                                                                ? ExitCause.ERROR
-                                                                : ExitCause.COMPLETED)));
-            }
-            return;
-        }
-        long duration = results.containsKey(name) ? 1 : simulation.users.randomRunMs(task.jobId);
-        simulation.scheduleAfter(
-                duration,
-                () ->
-                        continueTask(
-                                name,
-                                task,
-                                () -> {
-                                    if (task.state == TaskState.CHECKPOINTING) {
-                                        // It was stopped, and exits after its checkpoint.
-                                        return;
-                                    }
-                                    if (simulation.random.nextInt(60) == 0) {
-                                        exitTask(name, task, ExitCause.ERROR);
-                                    } else {
-                                        results.put(name, RESULT_KEPT);
-                                        simulation.invariants.taskCompleted(name);
-                                        exitTask(name, task, ExitCause.COMPLETED);
-                                    }
-                                }));
-    }
-
-    /** A running task writes a checkpoint if it can; one in some fails. */
-    private void stopTask(String name, SimulatedTask task, double windDownS) {
-        SimulatedUsers.SimulatedJob job = simulation.users.jobs.get(task.jobId);
-        if (job == null
-                || job.spec.checkpointIntervalS() <= 0
-                || windDownS < job.spec.checkpointDurationS()
-                || windDownS <= 0) {
-            exitTask(name, task, ExitCause.STOPPED);
-        } else if (task.state == TaskState.RUNNING) {
-            task.state = TaskState.CHECKPOINTING;
-            requestPromptHeartbeat();
-            simulation.scheduleAfter(
-                    Math.round(job.spec.checkpointDurationS() * 1_000),
-                    () ->
-                            continueTask(
-                                    name,
-                                    task,
-                                    () -> {
-                                        task.progressSaved =
-                                                simulation.random.nextInt(ONE_SAVE_FAILS_IN) > 0;
-                                        exitTask(name, task, ExitCause.STOPPED);
-                                    }));
-        } else if (task.state == TaskState.FETCHING) {
-            exitTask(name, task, ExitCause.STOPPED);
-        }
-    }
-
-    private void exitTask(String name, SimulatedTask task, ExitCause exitCause) {
-        if (task.state != TaskState.FETCHING) {
-            simulation.invariants.taskStopped(this, name);
-        }
-        task.state = TaskState.EXITED;
-        task.exitCause = exitCause;
-        requestPromptHeartbeat();
-    }
 }
--- a/src/test/java/org/shoreusher/simulation/StandbyCrashPointsTest.java
+++ b/src/test/java/org/shoreusher/simulation/StandbyCrashPointsTest.java
@@ -29,9 +29,7 @@
      * just reached.
      */
     private static void crashAt(
-            ClusterSimulation simulation,
-            ClusterSimulation.Controller leader,
-            CrashPoint crashPoint) {
+            ClusterSimulation simulation, SimulatedController leader, CrashPoint crashPoint) {
         leader.crashInjector.arm(crashPoint.matcher(), DOWNTIME_MS);
         simulation.onCrash =
                 () ->
@@ -104,7 +102,7 @@
                     simulate(
                             seed,
                             (cluster, leader) -> {
-                                ClusterSimulation.Controller standby = namedStandby(cluster);
+                                SimulatedController standby = namedStandby(cluster);
                                 cluster.network.partition(leader.host, standby.host, 8_000);
                                 leader.crashInjector.arm(removesStandby(after), DOWNTIME_MS);
                             });
--- a/src/test/java/org/shoreusher/simulation/StandbyFaultsTest.java
+++ b/src/test/java/org/shoreusher/simulation/StandbyFaultsTest.java
@@ -103,7 +103,7 @@
             simulation.features = StandbySimulations.FEATURES;
             List<Fault> faults = new java.util.ArrayList<>(StandbySimulations.randomCrashes(seed));
             for (int i = 0; i < 3; i++) {
-                ClusterSimulation.Controller process = simulation.controllers.get(i);
+                SimulatedController process = simulation.controllers.get(i);
                 faults.add(new Fault(50_000 + i * 9_000L, cluster -> process.upgrade(1_000)));
             }
             faults.add(new Fault(85_000, cluster -> cluster.store.applyCurrentLimits()));
--- a/src/test/java/org/shoreusher/simulation/StandbyPartitionsTest.java
+++ b/src/test/java/org/shoreusher/simulation/StandbyPartitionsTest.java
@@ -21,14 +21,12 @@
 class StandbyPartitionsTest {
     /** Runs a number of simulations with a fault that hits the leader, and checks each. */
     private static List<ClusterSimulation> simulateFaultOnLeader(
-            int worlds, BiConsumer<ClusterSimulation, ClusterSimulation.Controller> fault) {
+            int worlds, BiConsumer<ClusterSimulation, SimulatedController> fault) {
         return simulateFaultOnLeader(worlds, FAULT_MS, fault);
     }
 
     private static List<ClusterSimulation> simulateFaultOnLeader(
-            int worlds,
-            long atMs,
-            BiConsumer<ClusterSimulation, ClusterSimulation.Controller> fault) {
+            int worlds, long atMs, BiConsumer<ClusterSimulation, SimulatedController> fault) {
         List<ClusterSimulation> simulations = new ArrayList<>();
         for (long seed = 0; seed < worlds; seed++) {
             ClusterSimulation simulation = simulate(seed, List.of(faultOnLeader(atMs, fault)));
@@ -51,9 +49,9 @@
     }
 
     private static void crashWithMachinesUnresponsive(
-            ClusterSimulation simulation, ClusterSimulation.Controller... processes) {
+            ClusterSimulation simulation, SimulatedController... processes) {
         simulation.cloud.machines().forEach(machine -> machine.blockOutbound(UNRESPONSIVE_MS));
-        for (ClusterSimulation.Controller process : processes) {
+        for (SimulatedController process : processes) {
             process.crash(DOWNTIME_MS);
         }
     }
@@ -97,12 +95,12 @@
                 simulateFaultOnLeader(
                         8,
                         (cluster, leader) -> {
-                            ClusterSimulation.Controller first = namedStandby(cluster);
+                            SimulatedController first = namedStandby(cluster);
                             cluster.network.partition(leader.host, first.host, 30_000);
                             cluster.scheduleAfter(
                                     6_000,
                                     () -> {
-                                        ClusterSimulation.Controller second = namedStandby(cluster);
+                                        SimulatedController second = namedStandby(cluster);
                                         assertTrue(second != null && second != first);
                                         crashWithMachinesUnresponsive(cluster, second, leader);
                                     });
