--- a/src/test/java/org/shoreusher/core/job/CompletionRecordsTest.java
+++ b/src/test/java/org/shoreusher/core/job/CompletionRecordsTest.java
@@ -63,70 +63,86 @@
         return all;
     }
 
-    /**
-     * The store was filled by a previous leader, perhaps under a higher value limit and with a
-     * job's completions in one record or in two. Then a leader renews its lease, and some of the
-     * writes fail. After each write all durable completions are still in the store, and at the end
-     * all completions are.
-     */
-    @Property(tries = 150, seed = "12", shrinking = ShrinkingMode.OFF)
-    void durableCompletionsStayDurable(@ForAll @LongRange(min = 0) long seed) {
-        Random random = new Random(seed);
-        Settings settings = settings(new int[] {1024, 2048, 8192}[random.nextInt(3)]);
-        int previousValueBytes = new int[] {1024, 8192}[random.nextInt(2)];
-        List<Job> jobs = new ArrayList<>();
-        Map<Integer, Map<String, Object>> store = new LinkedHashMap<>();
-        store.put(0, new LinkedHashMap<>());
-        int records = 1 + random.nextInt(4);
-        for (int recordNumber = 1; recordNumber < records; recordNumber++) {
-            store.put(recordNumber, new LinkedHashMap<>());
+    /** The store of a shard whose completions a leader writes at each lease renewal. */
+    private static final class ShardStore {
+        private final Random random;
+        private final Settings settings;
+        private final int previousValueBytes;
+        private final List<Job> jobs = new ArrayList<>();
+        private final Map<Integer, Map<String, Object>> records = new LinkedHashMap<>();
+
+        ShardStore(Random random) {
+            this.random = random;
+            settings = settings(new int[] {1024, 2048, 8192}[random.nextInt(3)]);
+            previousValueBytes = new int[] {1024, 8192}[random.nextInt(2)];
         }
-        for (int i = 0; i < 1 + random.nextInt(12); i++) {
-            Job job = job(i, 1 + random.nextInt(1500));
-            jobs.add(job);
-            for (int copies = random.nextInt(3); copies > 0; copies--) {
-                BitSet set = new BitSet();
-                int upTo = random.nextInt(job.spec().taskCount() + 1);
-                for (int taskIndex = 0; taskIndex < upTo; taskIndex++) {
-                    set.set(taskIndex, random.nextInt(3) > 0);
-                }
-                int recordNumber = random.nextInt(records);
-                Map<String, Object> record = store.get(recordNumber);
-                record.put(job.id(), TaskRanges.format(set));
-                // A successor splits a shard's own record that is too long to be written again.
-                if (FieldMap.jsonLength(record)
-                        > (recordNumber == 0
-                                        ? Math.min(previousValueBytes, settings.maxValueBytes())
-                                        : previousValueBytes)
-                                * 0.75) {
-                    record.remove(job.id());
+
+        /** Fills records as a previous leader may have left them. */
+        void fill() {
+            records.put(0, new LinkedHashMap<>());
+            int recordCount = 1 + random.nextInt(4);
+            for (int recordNumber = 1; recordNumber < recordCount; recordNumber++) {
+                records.put(recordNumber, new LinkedHashMap<>());
+            }
+            for (int i = 0; i < 1 + random.nextInt(12); i++) {
+                Job job = job(i, 1 + random.nextInt(1500));
+                jobs.add(job);
+                for (int copies = random.nextInt(3); copies > 0; copies--) {
+                    storeSomeCompletions(job, recordCount);
                 }
             }
         }
-        for (Job job : jobs) {
-            store.forEach(
-                    (recordNumber, record) -> {
-                        if (record.get(job.id()) instanceof String ranges) {
-                            BitSet set = TaskRanges.parse(ranges);
-                            job.completedTasks().or(set);
-                            job.durablyCompletedTasks().or(set);
-                            CompletionRecords.adoptStoredRecord(job, set, recordNumber, settings);
-                        }
-                    });
+
+        private void storeSomeCompletions(Job job, int recordCount) {
+            BitSet completed = new BitSet();
+            int upTo = random.nextInt(job.spec().taskCount() + 1);
+            for (int taskIndex = 0; taskIndex < upTo; taskIndex++) {
+                completed.set(taskIndex, random.nextInt(3) > 0);
+            }
+            int recordNumber = random.nextInt(recordCount);
+            Map<String, Object> record = records.get(recordNumber);
+            record.put(job.id(), TaskRanges.format(completed));
+            // A successor splits a shard's own record that is too long to be written again.
+            int maxBytes =
+                    recordNumber == 0
+                            ? Math.min(previousValueBytes, settings.maxValueBytes())
+                            : previousValueBytes;
+            if (FieldMap.jsonLength(record) > maxBytes * 0.75) {
+                record.remove(job.id());
+            }
         }
-        for (int beat = 0; beat < 60; beat++) {
+
+        /** Reads the records as a new leader does. */
+        void load() {
             for (Job job : jobs) {
-                if (beat < 30) {
-                    for (int n = random.nextInt(40); n > 0; n--) {
-                        job.completedTasks().set(random.nextInt(job.spec().taskCount()));
-                    }
+                records.forEach(
+                        (recordNumber, record) -> {
+                            if (record.get(job.id()) instanceof String ranges) {
+                                BitSet completed = TaskRanges.parse(ranges);
+                                job.completedTasks().or(completed);
+                                job.durablyCompletedTasks().or(completed);
+                                CompletionRecords.adoptStoredRecord(
+                                        job, completed, recordNumber, settings);
+                            }
+                        });
+            }
+        }
+
+        void completeSomeTasks() {
+            for (Job job : jobs) {
+                for (int count = random.nextInt(40); count > 0; count--) {
+                    job.completedTasks().set(random.nextInt(job.spec().taskCount()));
                 }
             }
+        }
+
+        /** Renews the lease with as many records as a transaction allows; it may fail. */
+        void renewLease(boolean mayFail) {
             CompletionRecords completionRecords =
                     CompletionRecords.layOut(
                             jobs,
                             settings,
-                            recordNumber -> store.getOrDefault(recordNumber, Map.of()));
+                            recordNumber -> records.getOrDefault(recordNumber, Map.of()));
             Map<Integer, Map<String, Object>> writes = new LinkedHashMap<>();
             writes.put(0, completionRecords.recordValue(0));
             for (int recordNumber = 1;
@@ -134,7 +150,7 @@
                             && writes.size() < settings.maxTransactionWrites();
                     recordNumber++) {
                 Map<String, Object> wanted = completionRecords.recordValue(recordNumber);
-                if (!wanted.equals(store.get(recordNumber))) {
+                if (!wanted.equals(records.get(recordNumber))) {
                     writes.put(recordNumber, wanted);
                 }
             }
@@ -142,24 +158,44 @@
                     (recordNumber, record) ->
                             assertTrue(
                                     FieldMap.jsonLength(record) <= settings.maxValueBytes(),
-                                    "record "
-                                            + recordNumber
-                                            + " of "
-                                            + FieldMap.jsonLength(record)));
-            if (random.nextInt(4) > 0 || beat > 40) {
-                store.putAll(writes);
+                                    () -> recordNumber + ": " + FieldMap.jsonLength(record)));
+            if (random.nextInt(4) > 0 || !mayFail) {
+                records.putAll(writes);
                 completionRecords.markDurable();
             }
+        }
+
+        void assertDurableCompletionsStored() {
             for (Job job : jobs) {
                 BitSet missing = (BitSet) job.durablyCompletedTasks().clone();
-                missing.andNot(storedCompletions(store, job.id()));
+                missing.andNot(storedCompletions(records, job.id()));
                 assertTrue(missing.isEmpty(), () -> "lost of " + job.id() + ": " + missing);
-                BitSet notCompleted = storedCompletions(store, job.id());
+                BitSet notCompleted = storedCompletions(records, job.id());
                 notCompleted.andNot(job.completedTasks());
-                assertTrue(notCompleted.isEmpty(), "not finished: " + notCompleted);
+                assertTrue(notCompleted.isEmpty(), "not completed: " + notCompleted);
+            }
+        }
+    }
+
+    /**
+     * The store was filled by a previous leader, perhaps under a higher value limit and with a
+     * job's completions in one record or in two. Then a leader renews its lease, and some of the
+     * writes fail. After each write all durable completions are still in the store, and at the end
+     * all completions are.
+     */
+    @Property(tries = 150, seed = "12", shrinking = ShrinkingMode.OFF)
+    void durableCompletionsStayDurable(@ForAll @LongRange(min = 0) long seed) {
+        ShardStore store = new ShardStore(new Random(seed));
+        store.fill();
+        store.load();
+        for (int renewal = 0; renewal < 60; renewal++) {
+            if (renewal < 30) {
+                store.completeSomeTasks();
             }
+            store.renewLease(renewal <= 40);
+            store.assertDurableCompletionsStored();
         }
-        jobs.forEach(
+        store.jobs.forEach(
                 job -> assertEquals(job.completedTasks(), job.durablyCompletedTasks(), job.id()));
     }
 
@@ -194,22 +230,22 @@
             piece.forEach(
                     (id, ranges) -> {
                         BitSet set = TaskRanges.parse((String) ranges);
-                        assertTrue(!set.intersects(found.get(id)), "told twice: " + id);
+                        assertTrue(!set.intersects(found.get(id)), "stored twice: " + id);
                         found.merge(
                                 id,
                                 set,
-                                (a, b) -> {
-                                    BitSet both = (BitSet) a.clone();
-                                    both.or(b);
+                                (earlier, later) -> {
+                                    BitSet both = (BitSet) earlier.clone();
+                                    both.or(later);
                                     return both;
                                 });
                     });
         }
         all.forEach(
                 (id, set) -> {
-                    BitSet left = (BitSet) set.clone();
-                    left.andNot(found.get(id));
-                    assertTrue(left.isEmpty(), id);
+                    BitSet missing = (BitSet) set.clone();
+                    missing.andNot(found.get(id));
+                    assertTrue(missing.isEmpty(), id);
                 });
     }
 }
--- a/src/test/java/org/shoreusher/core/schedule/BinPackerTest.java
+++ b/src/test/java/org/shoreusher/core/schedule/BinPackerTest.java
@@ -48,73 +48,79 @@
                 .build();
     }
 
+    private static List<BinPacker.MachineCapacity> randomMachines(Random random) {
+        List<BinPacker.MachineCapacity> capacities = new ArrayList<>();
+        for (int i = 0; i < 1 + random.nextInt(6); i++) {
+            String zone = random.nextBoolean() ? "a" : "b";
+            Machine machine = new Machine("m" + i, TYPE, zone, random.nextBoolean(), 0);
+            occupy(machine, random.nextInt(9));
+            capacities.add(new BinPacker.MachineCapacity(machine));
+        }
+        return capacities;
+    }
+
+    private static Job randomJob(int number, Random random) {
+        boolean singleZone = random.nextInt(3) == 0;
+        JobSpec spec =
+                spec(
+                        "wk-" + number,
+                        1 + random.nextInt(9),
+                        1 + random.nextInt(4),
+                        random.nextInt(4) == 0 ? "a" : null,
+                        singleZone,
+                        !singleZone && random.nextBoolean(),
+                        random.nextBoolean());
+        return new Job("j" + number, spec, 0);
+    }
+
     /** Plans respect the capacity of machines, the quota of teams, zones and machine types. */
     @Property(tries = 400, seed = "11")
     void plansRespectMachineQuotaAndZoneLimits(@ForAll @LongRange(min = 0) long seed) {
         Random random = new Random(seed);
-        List<BinPacker.MachineCapacity> slots = new ArrayList<>();
-        for (int i = 0; i < 1 + random.nextInt(6); i++) {
-            Machine machine =
-                    new Machine(
-                            "m" + i,
-                            TYPE,
-                            random.nextBoolean() ? "a" : "b",
-                            random.nextBoolean(),
-                            0);
-            occupy(machine, random.nextInt(9));
-            slots.add(new BinPacker.MachineCapacity(machine));
-        }
-        double limit = random.nextInt(40);
-        BinPacker planner = new BinPacker(slots, team -> limit, team -> 0);
+        List<BinPacker.MachineCapacity> capacities = randomMachines(random);
+        double quotaCpus = random.nextInt(40);
+        BinPacker packer = new BinPacker(capacities, team -> quotaCpus, team -> 0);
         List<Job> jobs = new ArrayList<>();
         for (int i = 0; i < 1 + random.nextInt(4); i++) {
-            boolean singleZone = random.nextInt(3) == 0;
-            Job job =
-                    new Job(
-                            "j" + i,
-                            spec(
-                                    "wk-" + i,
-                                    1 + random.nextInt(9),
-                                    1 + random.nextInt(4),
-                                    random.nextInt(4) == 0 ? "a" : null,
-                                    singleZone,
-                                    !singleZone && random.nextBoolean(),
-                                    random.nextBoolean()),
-                            0);
+            Job job = randomJob(i, random);
             jobs.add(job);
-            planner.place(job, job.spec().taskCount());
+            packer.place(job, job.spec().taskCount());
         }
-        double used = 0;
-        Map<Machine, Double> on = new HashMap<>();
+        Map<Machine, Double> cpusByMachine = new HashMap<>();
         for (Job job : jobs) {
-            Map<String, Integer> zones = new HashMap<>();
-            int count = 0;
-            for (BinPacker.PlacedTasks placement : planner.placedTasks()) {
-                if (placement.job() == job) {
-                    assertTrue(
-                            job.spec()
-                                    .allowsMachine(
-                                            "t",
-                                            placement.capacity().zone,
-                                            placement.capacity().spot));
-                    zones.merge(placement.capacity().zone, placement.taskCount(), Integer::sum);
-                    on.merge(
-                            placement.capacity().machine,
-                            placement.taskCount() * job.spec().cpus(),
-                            Double::sum);
-                    used += placement.taskCount() * job.spec().cpus();
-                    count += placement.taskCount();
-                }
+            List<BinPacker.PlacedTasks> placements =
+                    packer.placedTasks().stream()
+                            .filter(placement -> placement.job() == job)
+                            .toList();
+            assertConstraintsRespected(job.spec(), placements);
+            for (BinPacker.PlacedTasks placement : placements) {
+                cpusByMachine.merge(
+                        placement.capacity().machine,
+                        placement.taskCount() * job.spec().cpus(),
+                        Double::sum);
             }
-            assertTrue(count <= job.spec().taskCount());
-            assertTrue(!job.spec().singleZone() || zones.size() <= 1);
-            int half = (job.spec().taskCount() + 1) / 2;
-            assertTrue(
-                    !job.spec().spreadAcrossZones()
-                            || zones.values().stream().allMatch(n -> n <= half));
         }
-        assertTrue(used <= limit);
-        on.forEach((machine, cpus) -> assertTrue(cpus <= machine.cpusFree()));
+        double usedCpus = cpusByMachine.values().stream().mapToDouble(cpus -> cpus).sum();
+        assertTrue(usedCpus <= quotaCpus);
+        cpusByMachine.forEach((machine, cpus) -> assertTrue(cpus <= machine.cpusFree()));
+    }
+
+    private static void assertConstraintsRespected(
+            JobSpec spec, List<BinPacker.PlacedTasks> placements) {
+        Map<String, Integer> tasksByZone = new HashMap<>();
+        int taskCount = 0;
+        for (BinPacker.PlacedTasks placement : placements) {
+            String zone = placement.capacity().zone;
+            assertTrue(spec.allowsMachine("t", zone, placement.capacity().spot));
+            tasksByZone.merge(zone, placement.taskCount(), Integer::sum);
+            taskCount += placement.taskCount();
+        }
+        assertTrue(taskCount <= spec.taskCount());
+        assertTrue(!spec.singleZone() || tasksByZone.size() <= 1);
+        int half = (spec.taskCount() + 1) / 2;
+        assertTrue(
+                !spec.spreadAcrossZones()
+                        || tasksByZone.values().stream().allMatch(tasks -> tasks <= half));
     }
 
     @Example
@@ -124,22 +130,22 @@
         Machine full = new Machine("m-full", TYPE, "a", true, 0);
         occupy(half, 4);
         occupy(full, 7);
-        BinPacker planner =
+        BinPacker packer =
                 new BinPacker(
                         new ArrayList<>(
                                 List.of(
                                         new BinPacker.MachineCapacity(empty),
                                         new BinPacker.MachineCapacity(half),
                                         new BinPacker.MachineCapacity(full))),
-                        t -> 100,
-                        t -> 0);
-        planner.place(new Job("wk-1", spec("wk-1", 3, 2, null, false, false, true), 0), 3);
+                        team -> 100,
+                        team -> 0);
+        packer.place(new Job("wk-1", spec("wk-1", 3, 2, null, false, false, true), 0), 3);
         assertEquals(
                 List.of("m-half", "m-empty"),
-                planner.placedTasks().stream()
+                packer.placedTasks().stream()
                         .map(placement -> placement.capacity().machine.id())
                         .toList());
-        assertEquals(2, planner.placedTasks().get(0).taskCount());
+        assertEquals(2, packer.placedTasks().get(0).taskCount());
     }
 
     /**
@@ -153,31 +159,31 @@
         Machine full = new Machine("m-full", TYPE, "a", true, 0);
         occupy(half, 4);
         occupy(full, 7);
-        BinPacker planner =
+        BinPacker packer =
                 new BinPacker(
                         new ArrayList<>(
                                 List.of(
                                         new BinPacker.MachineCapacity(half),
                                         new BinPacker.MachineCapacity(full))),
-                        t -> 100,
-                        t -> 0);
+                        team -> 100,
+                        team -> 0);
         assertEquals(
                 1,
-                planner.place(new Job("wk-1", spec("wk-1", 1, 8, null, false, false, true), 0), 1));
+                packer.place(new Job("wk-1", spec("wk-1", 1, 8, null, false, false, true), 0), 1));
         assertEquals(
                 List.of(half),
-                planner.reserveMachines(spec("wk-1", 1, 8, null, false, false, true), 1));
+                packer.reserveMachines(spec("wk-1", 1, 8, null, false, false, true), 1));
         assertEquals(
                 2,
-                planner.place(new Job("wk-2", spec("wk-2", 3, 1, null, false, false, true), 0), 3));
+                packer.place(new Job("wk-2", spec("wk-2", 3, 1, null, false, false, true), 0), 3));
         assertEquals(
                 List.of("m-full"),
-                planner.placedTasks().stream()
+                packer.placedTasks().stream()
                         .map(placement -> placement.capacity().machine.id())
                         .toList());
         assertEquals(
                 List.of(),
-                planner.reserveMachines(spec("wk-3", 1, 9, null, false, false, true), 1),
+                packer.reserveMachines(spec("wk-3", 1, 9, null, false, false, true), 1),
                 "no machine of this type ever has 9 CPUs");
     }
 
--- a/src/test/java/org/shoreusher/settings/FeaturesFileTest.java
+++ b/src/test/java/org/shoreusher/settings/FeaturesFileTest.java
@@ -81,71 +81,73 @@
                         .standby());
     }
 
+    /** Files that are rejected, and the message for each. */
+    private static final String[][] REJECTED = {
+        {"[balanse]", "features: balanse is unknown; allowed are [balance, standby]"},
+        {"balance = 3", "features: balance must be a section"},
+        {"[balance]\nenabled = 1", "features: balance.enabled must be true or false"},
+        {
+            "[balance]\nspread_margin = 0.01",
+            "features: balance.spread_margin must be a number from 0.05 to 1"
+        },
+        {
+            "[balance]\nspread_margin = \"wide\"",
+            "features: balance.spread_margin must be a number from 0.05 to 1"
+        },
+        {
+            "[balance]\nspread_margin = nan",
+            "features: balance.spread_margin must be a number from 0.05 to 1"
+        },
+        {
+            "[balance]\nmoves_at_once = 2.5",
+            "features: balance.moves_at_once must be a whole number from 0 to 1000"
+        },
+        {
+            "[balance]\nmoves_per_task = -1",
+            "features: balance.moves_per_task must be a whole number from 0 to 10"
+        },
+        {
+            "[balance.classes.rush]\nrepeated_share = 1.5",
+            "features: balance.classes.rush.repeated_share must be a number from 0 to 1"
+        },
+        {
+            "[balance.classes.other]",
+            "features: balance.classes.other is no class of this deployment;"
+                    + " allowed are [rush]"
+        },
+        {
+            "[balance.classes.rush]\nmoves = 1",
+            "features: balance.classes.rush.moves is unknown;"
+                    + " allowed are [moves_per_task, repeated_share]"
+        },
+        {"standby = 1", "features: standby must be a section"},
+        {
+            "[standby]\nack_timeout_ms = 4000",
+            "features: standby.ack_timeout_ms must be a whole number from 500 to 3000"
+        },
+        {
+            "[standby]\nhead_start_ms = 1.5",
+            "features: standby.head_start_ms must be a whole number from 0 to 5000"
+        },
+        {
+            "[standby]\nframe_records = 1",
+            "features: standby.frame_records must be a whole number from 2 to 500"
+        },
+        {
+            "[standby]\nmost_attempts = \"many\"",
+            "features: standby.most_attempts must be a whole number from 0 to 1000000"
+        },
+        {
+            "[standby]\nreplicas = 2",
+            "features: standby.replicas is unknown; allowed are"
+                    + " [enabled, ack_timeout_ms, head_start_ms, frame_records,"
+                    + " most_attempts]"
+        }
+    };
+
     @Example
     void namesTheInvalidSettingAndTheAllowedValues() {
-        String[][] cases = {
-            {"[balanse]", "features: balanse is unknown; allowed are [balance, standby]"},
-            {"balance = 3", "features: balance must be a section"},
-            {"[balance]\nenabled = 1", "features: balance.enabled must be true or false"},
-            {
-                "[balance]\nspread_margin = 0.01",
-                "features: balance.spread_margin must be a number from 0.05 to 1"
-            },
-            {
-                "[balance]\nspread_margin = \"wide\"",
-                "features: balance.spread_margin must be a number from 0.05 to 1"
-            },
-            {
-                "[balance]\nspread_margin = nan",
-                "features: balance.spread_margin must be a number from 0.05 to 1"
-            },
-            {
-                "[balance]\nmoves_at_once = 2.5",
-                "features: balance.moves_at_once must be a whole number from 0 to 1000"
-            },
-            {
-                "[balance]\nmoves_per_task = -1",
-                "features: balance.moves_per_task must be a whole number from 0 to 10"
-            },
-            {
-                "[balance.classes.rush]\nrepeated_share = 1.5",
-                "features: balance.classes.rush.repeated_share must be a number from 0 to 1"
-            },
-            {
-                "[balance.classes.other]",
-                "features: balance.classes.other is no class of this deployment;"
-                        + " allowed are [rush]"
-            },
-            {
-                "[balance.classes.rush]\nmoves = 1",
-                "features: balance.classes.rush.moves is unknown;"
-                        + " allowed are [moves_per_task, repeated_share]"
-            },
-            {"standby = 1", "features: standby must be a section"},
-            {
-                "[standby]\nack_timeout_ms = 4000",
-                "features: standby.ack_timeout_ms must be a whole number from 500 to 3000"
-            },
-            {
-                "[standby]\nhead_start_ms = 1.5",
-                "features: standby.head_start_ms must be a whole number from 0 to 5000"
-            },
-            {
-                "[standby]\nframe_records = 1",
-                "features: standby.frame_records must be a whole number from 2 to 500"
-            },
-            {
-                "[standby]\nmost_attempts = \"many\"",
-                "features: standby.most_attempts must be a whole number from 0 to 1000000"
-            },
-            {
-                "[standby]\nreplicas = 2",
-                "features: standby.replicas is unknown; allowed are"
-                        + " [enabled, ack_timeout_ms, head_start_ms, frame_records,"
-                        + " most_attempts]"
-            }
-        };
-        for (String[] testCase : cases) {
+        for (String[] testCase : REJECTED) {
             Settings.InvalidSettingsException exception =
                     assertThrows(
                             Settings.InvalidSettingsException.class,
--- a/src/test/java/org/shoreusher/simulation/PreviousVersionFormatsTest.java
+++ b/src/test/java/org/shoreusher/simulation/PreviousVersionFormatsTest.java
@@ -11,6 +11,8 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
+import java.util.stream.Stream;
 import net.jqwik.api.Example;
 import org.shoreusher.core.JobSpecBuilder;
 import org.shoreusher.core.message.GossipMessage;
@@ -18,7 +20,6 @@
 import org.shoreusher.log.LogEventType;
 import org.shoreusher.peer.GossipCodec;
 import org.shoreusher.settings.Settings;
-import org.shoreusher.settings.SettingsBuilder;
 import org.shoreusher.wire.FieldMap;
 import org.shoreusher.wire.UserFormat;
 
@@ -28,6 +29,24 @@
  * what this one writes.
  */
 class PreviousVersionFormatsTest {
+    /** Machines in the resource. */
+    private static final int MACHINES = 70;
+
+    /** Fields that the previous version needs in a job's description. */
+    private static final List<String> SPEC_FIELDS =
+            List.of(
+                    "name_id",
+                    "queue",
+                    "crew",
+                    "urgency",
+                    "sheets",
+                    "cpus",
+                    "gpus",
+                    "mem_gb",
+                    "plate",
+                    "size_gb",
+                    "runtime_s");
+
     private static final String GOSSIP_HEX =
             "6e6f64652db10068e5cf8b010000010000000000605340010000000000000029400304017465616d"
                 + "2db00000000000002040000000000000304001000301776b2d3030303030b10201776b2d30303030"
@@ -43,7 +62,8 @@
         }
     }
 
-    private static Settings settingsWithLimits(int valueBytes, int txnOps) {
+    /** The usual settings with these limits of the store. */
+    static Settings settingsWithLimits(int valueBytes, int txnOps) {
         return SimulationSettings.withStoreLimits(
                 SimulationSettings.standard().storeWritesPerS(), valueBytes, txnOps);
     }
@@ -80,69 +100,61 @@
                 SingleNodeSimulation node = nodeOnPreviousVersionStore(valueBytes, txnOps, 300);
                 String limits = valueBytes + " bytes, " + txnOps + " operations\n" + node.log;
                 assertTrue(node.log.contains(LogEventType.SHARD_ACQUIRED), limits);
-                before.forEach(
-                        (id, set) -> {
-                            BitSet missing = (BitSet) set.clone();
-                            missing.andNot(
-                                    new PreviousVersionStore(node.store())
-                                            .completedTasks()
-                                            .getOrDefault(id, new BitSet()));
-                            assertTrue(
-                                    missing.isEmpty(),
-                                    () -> id + " lost " + missing + ", " + limits);
-                            assertEquals(
-                                    (long) set.cardinality(),
-                                    node.poll(id).body().get("done"),
-                                    limits);
-                        });
-                assertEquals("pending", node.pollStatus("wk-000006"), limits);
-                assertEquals("pending", node.pollStatus("wk-000007"), limits);
-                assertEquals("aborted", node.pollStatus("wk-000008"), limits);
-                assertEquals("done", node.pollStatus("wk-000009"), limits);
-                assertEquals(404, node.pollStatus("wk-000010"), limits);
-                assertNotNull(node.heartbeat("host-000205", 1, 5), "a machine of its records");
-                // Now the machine's record changes, which splits its group where that is too
-                // long.
-                assertEquals(List.of(), node.heartbeat("host-000265", 1, 6));
-                for (int step = 0; step < 300; step++) {
-                    node.runSteps(1);
-                    assertEquals(
-                            70,
-                            node.store().valuesWithPrefix("machine/").entrySet().stream()
-                                    .flatMap(
-                                            machineGroup ->
-                                                    ((Map<?, ?>)
-                                                                    machineGroup
-                                                                            .getValue()
-                                                                            .get("machines"))
-                                                            .keySet().stream()
-                                                                    .map(
-                                                                            sign ->
-                                                                                    machineGroup
-                                                                                                    .getKey()
-                                                                                            + sign))
-                                    .distinct()
-                                    .count(),
-                            () -> "a machine stood in no group for a while, " + limits);
-                }
-                Map<String, Map<String, Object>> machines =
-                        node.store().valuesWithPrefix("machine/");
-                assertEquals(
-                        valueBytes < 6_000,
-                        machines.size() > 1 && !machines.containsKey("machine/host-0002"),
-                        () -> machines.keySet() + limits);
-                assertEquals(
-                        70,
-                        machines.values().stream()
-                                .mapToInt(
-                                        machineGroup ->
-                                                ((Map<?, ?>) machineGroup.get("machines")).size())
-                                .sum(),
-                        limits);
+                before.forEach((id, set) -> assertCompletionsKept(node, id, set, limits));
+                assertJobStatesKept(node, limits);
+                assertMachinesKept(node, valueBytes, limits);
             }
         }
     }
 
+    private static void assertCompletionsKept(
+            SingleNodeSimulation node, String jobId, BitSet completed, String limits) {
+        BitSet missing = (BitSet) completed.clone();
+        missing.andNot(
+                new PreviousVersionStore(node.store())
+                        .completedTasks()
+                        .getOrDefault(jobId, new BitSet()));
+        assertTrue(missing.isEmpty(), () -> jobId + " lost " + missing + ", " + limits);
+        assertEquals((long) completed.cardinality(), node.poll(jobId).body().get("done"), limits);
+    }
+
+    private static void assertJobStatesKept(SingleNodeSimulation node, String limits) {
+        assertEquals("pending", node.pollStatus("wk-000006"), limits);
+        assertEquals("pending", node.pollStatus("wk-000007"), limits);
+        assertEquals("aborted", node.pollStatus("wk-000008"), limits);
+        assertEquals("done", node.pollStatus("wk-000009"), limits);
+        assertEquals(404, node.pollStatus("wk-000010"), limits);
+    }
+
+    /** All machines stay in some group, also while a group that is too long is split. */
+    private static void assertMachinesKept(
+            SingleNodeSimulation node, int valueBytes, String limits) {
+        assertNotNull(node.heartbeat("host-000205", 1, 5), "a machine of its records");
+        // Now the machine's record changes, which splits its group where that is too long.
+        assertEquals(List.of(), node.heartbeat("host-000265", 1, 6));
+        for (int step = 0; step < 300; step++) {
+            node.runSteps(1);
+            assertEquals(
+                    MACHINES,
+                    machineNames(node).distinct().count(),
+                    () -> "a machine was in no group for a while, " + limits);
+        }
+        Set<String> groups = node.store().valuesWithPrefix("machine/").keySet();
+        assertEquals(
+                valueBytes < 6_000,
+                groups.size() > 1 && !groups.contains("machine/host-0002"),
+                () -> groups + limits);
+        assertEquals(MACHINES, machineNames(node).count(), limits);
+    }
+
+    private static Stream<String> machineNames(SingleNodeSimulation node) {
+        return node.store().valuesWithPrefix("machine/").entrySet().stream()
+                .flatMap(
+                        group ->
+                                ((Map<?, ?>) group.getValue().get("machines"))
+                                        .keySet().stream().map(sign -> group.getKey() + sign));
+    }
+
     /**
      * Each value that this version writes has the fields that the previous version needs, also for
      * a service.
@@ -159,70 +171,58 @@
                 "notes of formats, which that version skips like all keys it does not know");
         node.store()
                 .valuesWithPrefix("")
-                .forEach(
-                        (key, value) -> {
-                            if (key.startsWith("job/")) {
-                                assertTrue(
-                                        value.get("part") instanceof Number
-                                                && value.get("tasks") instanceof Number
-                                                && value.get("accepted") instanceof Number
-                                                && List.of("OPEN", "DONE", "CANCELLED")
-                                                        .contains(value.get("status")),
-                                        key);
-                                if (value.get("spec") instanceof Map<?, ?> spec) {
-                                    assertEquals(
-                                            "sweep",
-                                            spec.get("shape"),
-                                            key
-                                                    + ": any other shape would end that version's"
-                                                    + " process");
-                                    for (String field :
-                                            List.of(
-                                                    "name_id",
-                                                    "queue",
-                                                    "crew",
-                                                    "urgency",
-                                                    "sheets",
-                                                    "cpus",
-                                                    "gpus",
-                                                    "mem_gb",
-                                                    "plate",
-                                                    "size_gb",
-                                                    "runtime_s")) {
-                                        assertNotNull(spec.get(field), key + " " + field);
-                                    }
-                                }
-                            } else if (key.startsWith("machine/")) {
-                                List<?> names = (List<?>) value.get("names");
-                                ((Map<?, ?>) value.get("machines"))
-                                        .forEach(
-                                                (id, fields) -> {
-                                                    List<?> fieldList = (List<?>) fields;
-                                                    assertEquals(6, fieldList.size());
-                                                    assertTrue(
-                                                            ((Number) fieldList.get(1)).intValue()
-                                                                            < names.size()
-                                                                    && ((Number) fieldList.get(2))
-                                                                                    .intValue()
-                                                                            < names.size(),
-                                                            key);
-                                                });
-                            } else if (key.equals("part/0")) {
-                                assertTrue(
-                                        value.get("owner") instanceof String
-                                                && value.get("expiry") instanceof Number
-                                                && value.get("term") instanceof Number
-                                                && value.get("done") instanceof Map,
-                                        key);
-                            } else if (key.startsWith("part/0/begun/")) {
-                                ((Map<?, ?>) value.get("begun"))
-                                        .values()
-                                        .forEach(below -> assertTrue(below instanceof Number, key));
-                            }
-                        });
+                .forEach(PreviousVersionFormatsTest::assertReadByPreviousVersion);
         assertEquals(service, readDescription(node, service.id()));
     }
 
+    private static void assertReadByPreviousVersion(String key, Map<String, Object> value) {
+        if (key.startsWith("job/")) {
+            assertJobReadByPreviousVersion(key, value);
+        } else if (key.startsWith("machine/")) {
+            int names = ((List<?>) value.get("names")).size();
+            ((Map<?, ?>) value.get("machines"))
+                    .values()
+                    .forEach(fields -> assertMachineRead(key, names, (List<?>) fields));
+        } else if (key.equals("part/0")) {
+            assertTrue(
+                    value.get("owner") instanceof String
+                            && value.get("expiry") instanceof Number
+                            && value.get("term") instanceof Number
+                            && value.get("done") instanceof Map,
+                    key);
+        } else if (key.startsWith("part/0/begun/")) {
+            ((Map<?, ?>) value.get("begun"))
+                    .values()
+                    .forEach(below -> assertTrue(below instanceof Number, key));
+        }
+    }
+
+    private static void assertJobReadByPreviousVersion(String key, Map<String, Object> value) {
+        assertTrue(
+                value.get("part") instanceof Number
+                        && value.get("tasks") instanceof Number
+                        && value.get("accepted") instanceof Number
+                        && List.of("OPEN", "DONE", "CANCELLED").contains(value.get("status")),
+                key);
+        if (value.get("spec") instanceof Map<?, ?> spec) {
+            assertEquals(
+                    "sweep",
+                    spec.get("shape"),
+                    key + ": any other shape would end that version's process");
+            for (String field : SPEC_FIELDS) {
+                assertNotNull(spec.get(field), key + " " + field);
+            }
+        }
+    }
+
+    private static void assertMachineRead(String key, int names, List<?> fields) {
+        assertEquals(6, fields.size());
+        assertTrue(
+                ((Number) fields.get(1)).intValue() < names
+                        && ((Number) fields.get(2)).intValue() < names,
+                key);
+    }
+
     @SuppressWarnings("unchecked")
     private static JobSpec readDescription(SingleNodeSimulation node, String id) {
         try {
@@ -234,23 +234,8 @@
         }
     }
 
-    /** A cluster of two nodes, of which the other one is not simulated. */
-    private static SingleNodeSimulation nodeInClusterOfTwo() {
-        Settings settings = settingsWithLimits(2_048, 6);
-        Settings ofTwoNodes =
-                new SettingsBuilder(settings)
-                        .host(
-                                "node-0",
-                                List.of(new Settings.Member("node-1", settings.peerAddress(), "b")))
-                        .nodeCount(2)
-                        .build();
-        SingleNodeSimulation node = new SingleNodeSimulation(ofTwoNodes);
-        node.previousLeaderLeft();
-        node.runSteps(40);
-        return node;
-    }
-
-    private static JobSpec service(String id, int replicas) {
+    /** A service that is spread across zones. */
+    static JobSpec service(String id, int replicas) {
         return new JobSpecBuilder(id)
                 .jobClass("gate")
                 .workloadType(JobSpec.WorkloadType.SERVICE)
@@ -263,72 +248,6 @@
                 .build();
     }
 
-    private static long countServicesDisabled(SingleNodeSimulation node, String members) {
-        return node.log
-                .entries(LogEventType.SERVICES_DISABLED)
-                .filter(entry -> entry.text("members").equals(members))
-                .count();
-    }
-
-    /**
-     * A node rejects services as long as another node may run the previous version, whatever gossip
-     * says.
-     */
-    @Example
-    void refusesServicesUntilEveryNodeSupportsThem() {
-        SingleNodeSimulation node = nodeInClusterOfTwo();
-        assertEquals(503, node.submit(service("wk-000020", 3)));
-        assertEquals(1, countServicesDisabled(node, "[node-1]"));
-        assertEquals(0, node.log.count(LogEventType.SERVICES_ENABLED));
-        node.writeToStore("node/node-1", Map.of("formats", 2L));
-        node.runSteps(5);
-        assertEquals(201, node.submit(service("wk-000020", 3)));
-        assertEquals(
-                422,
-                node.submit(service("wk-000021", 25)),
-                "all replicas together are above the team's limit");
-        assertEquals("pending", node.pollStatus("wk-000020"));
-        node.runSteps(100);
-        assertEquals(1, node.log.count(LogEventType.SERVICES_ENABLED), "once");
-    }
-
-    /**
-     * A member that is downgraded shows when it acquires the shard. New services are refused until
-     * it is upgraded again, known services are still answered, and its new incarnation enables
-     * services by its version record.
-     */
-    @Example
-    void refusesNewServicesAfterAMemberDowngrades() {
-        SingleNodeSimulation node = nodeInClusterOfTwo();
-        node.writeToStore("node/node-1", Map.of("formats", 2L, "process", "node-1/new"));
-        node.runSteps(5);
-        assertEquals(201, node.submit(service("wk-000020", 3)));
-        long expiry = node.nowMs + 1_000_000;
-        node.writeToStore("part/0/fence", Map.of("owner", "node-1/old", "term", 9L));
-        node.writeToStore(
-                "part/0",
-                Map.of("owner", "node-1/old", "expiry", expiry, "term", 9L, "done", Map.of()));
-        node.runSteps(5);
-        assertEquals(503, node.submit(service("wk-000022", 3)));
-        assertEquals(2, countServicesDisabled(node, "[node-1]"));
-        assertEquals(200, node.submit(service("wk-000020", 3)));
-        node.writeToStore("node/node-1", Map.of("formats", 2L, "process", "node-1/newer"));
-        node.runSteps(5);
-        assertEquals(201, node.submit(service("wk-000022", 3)));
-        assertEquals(2, node.log.count(LogEventType.SERVICES_ENABLED));
-    }
-
-    /**
-     * Each incarnation writes a version record, so that one of an earlier incarnation on the same
-     * host does not count.
-     */
-    @Example
-    void everyIncarnationWritesItsVersionRecord() {
-        SingleNodeSimulation node = nodeInClusterOfTwo();
-        assertEquals(
-                Map.of("formats", 2L, "process", "node-0/1"), node.store().value("node/node-0"));
-    }
-
     /**
      * A leader of the previous version marks a replica that exits successfully as finished; it runs
      * again all the same.
--- a/src/test/java/org/shoreusher/simulation/PreviousVersionInteropTest.java
+++ b/src/test/java/org/shoreusher/simulation/PreviousVersionInteropTest.java
@@ -125,6 +125,39 @@
     }
 
     private static void simulate(long seed, boolean standby) {
+        ClusterSimulation simulation = createSimulation(seed, standby);
+        PreviousVersionLeader previousVersionLeader =
+                new PreviousVersionLeader(simulation, "node-1", 8_192, 12);
+        DurableState durable = new DurableState(simulation);
+        simulation.store.onWrite = durable::onWrite;
+        for (int i = 0; i < 16; i++) {
+            simulation.users.submit(i, 1_000 + simulation.random.nextInt(100_000));
+        }
+        for (int i = 0; i < 4; i++) {
+            scheduleLeadership(simulation, previousVersionLeader, i, standby);
+        }
+        scheduleFaults(simulation, seed, standby);
+        simulation.scheduleAt(UPGRADE_MS, () -> simulation.controllers.get(1).upgrade(500));
+        simulation.scheduleAt(UPGRADE_MS, () -> simulation.controllers.get(2).upgrade(900));
+        simulation.users.submitService(40, UPGRADE_MS + 20_000, 2, false);
+        simulation.faultFreeFromMs = FAULT_FREE_FROM_MS;
+        simulation.scheduleAt(FAULT_FREE_FROM_MS, simulation.invariants::checkWaitingJobs);
+        simulation.run(END_MS, List.of());
+        simulation.invariants.checkAtEnd();
+        String log = "seed " + seed + "\n" + simulation.log;
+        assertEquals(List.of(), simulation.invariants.violations, log);
+        assertTrue(
+                previousVersionLeader.failovers > 0,
+                () -> "the previous version never acquired the shard\n" + log);
+        assertTrue(
+                durable.previousVersionWrites
+                        > (standby ? MIN_WRITES_BESIDE_TWO_NODES : MIN_WRITES),
+                () -> "it hardly wrote anything: " + durable.previousVersionWrites);
+        assertEquals(List.of(), unfinishedBatchJobs(simulation), log);
+        assertEquals(List.of(), simulation.users.missingReplicas(), log);
+    }
+
+    private static ClusterSimulation createSimulation(long seed, boolean standby) {
         ClusterSimulation simulation =
                 new ClusterSimulation(
                         seed,
@@ -142,34 +175,36 @@
         } else {
             simulation.controllers.get(2).startsOnUpgradeOnly = true;
         }
-        PreviousVersionLeader previousVersionLeader =
-                new PreviousVersionLeader(simulation, "node-1", 8_192, 12);
-        DurableState durable = new DurableState(simulation);
-        simulation.store.onWrite = durable::onWrite;
-        for (int i = 0; i < 16; i++) {
-            simulation.users.submit(i, 1_000 + simulation.random.nextInt(100_000));
-        }
-        SimulatedController currentNode = simulation.controllers.get(0);
-        for (int i = 0; i < 4; i++) {
-            // The node of the current version is down until the other one's lease has expired, or
-            // both try at once.
-            long atMs = 10_000 + i * 35_000L + simulation.random.nextInt(10_000);
-            simulation.scheduleAt(
-                    atMs, () -> currentNode.crash(1_000 + simulation.random.nextInt(14_000)));
-            if (standby) {
-                // The standby is down as well, so that the previous version gets its turn.
-                simulation.scheduleAt(
-                        atMs,
-                        () ->
-                                simulation
-                                        .controllers
-                                        .get(2)
-                                        .crash(1_000 + simulation.random.nextInt(14_000)));
-            }
-            simulation.scheduleAt(
-                    atMs + simulation.random.nextInt(500),
-                    () -> previousVersionLeader.lead(8_000 + simulation.random.nextInt(9_000)));
+        return simulation;
+    }
+
+    /**
+     * Lets the previous version lead for a while. The nodes of the current version are down until
+     * the other one's lease has expired, or both versions try at once.
+     */
+    private static void scheduleLeadership(
+            ClusterSimulation simulation,
+            PreviousVersionLeader previousVersionLeader,
+            int number,
+            boolean standby) {
+        long atMs = 10_000 + number * 35_000L + simulation.random.nextInt(10_000);
+        crashAt(simulation, simulation.controllers.get(0), atMs);
+        if (standby) {
+            // The standby is down as well, so that the previous version gets its turn.
+            crashAt(simulation, simulation.controllers.get(2), atMs);
         }
+        simulation.scheduleAt(
+                atMs + simulation.random.nextInt(500),
+                () -> previousVersionLeader.lead(8_000 + simulation.random.nextInt(9_000)));
+    }
+
+    private static void crashAt(
+            ClusterSimulation simulation, SimulatedController controller, long atMs) {
+        simulation.scheduleAt(
+                atMs, () -> controller.crash(1_000 + simulation.random.nextInt(14_000)));
+    }
+
+    private static void scheduleFaults(ClusterSimulation simulation, long seed, boolean standby) {
         if (seed % 5 == 0) {
             simulation.scheduleAt(
                     20_000, () -> simulation.store.loseResponses(4, seed % 2 == 0, 60_000));
@@ -184,34 +219,17 @@
                             FaultInjection.currentLeaders(simulation)
                                     .forEach(controller -> controller.crash(20_000)));
         }
-        simulation.scheduleAt(UPGRADE_MS, () -> simulation.controllers.get(1).upgrade(500));
-        simulation.scheduleAt(UPGRADE_MS, () -> simulation.controllers.get(2).upgrade(900));
-        simulation.users.submitService(40, UPGRADE_MS + 20_000, 2, false);
-        simulation.faultFreeFromMs = FAULT_FREE_FROM_MS;
-        simulation.scheduleAt(FAULT_FREE_FROM_MS, simulation.invariants::checkWaitingJobs);
-        simulation.run(END_MS, List.of());
-        simulation.invariants.checkAtEnd();
-        String log = "seed " + seed + "\n" + simulation.log;
-        assertEquals(List.of(), simulation.invariants.violations, log);
-        assertTrue(
-                previousVersionLeader.failovers > 0,
-                () -> "the former version never took the part\n" + log);
-        assertTrue(
-                durable.previousVersionWrites
-                        > (standby ? MIN_WRITES_BESIDE_TWO_NODES : MIN_WRITES),
-                () -> "it hardly wrote anything: " + durable.previousVersionWrites);
-        assertEquals(
-                List.of(),
-                simulation.users.jobs.values().stream()
-                        .filter(
-                                job ->
-                                        job.accepted
-                                                && job.spec.workloadType().runsToCompletion()
-                                                && !job.doneConfirmed
-                                                && !job.cancelConfirmed)
-                        .map(job -> job.spec.id())
-                        .toList(),
-                log);
-        assertEquals(List.of(), simulation.users.missingReplicas(), log);
+    }
+
+    private static List<String> unfinishedBatchJobs(ClusterSimulation simulation) {
+        return simulation.users.jobs.values().stream()
+                .filter(
+                        job ->
+                                job.accepted
+                                        && job.spec.workloadType().runsToCompletion()
+                                        && !job.doneConfirmed
+                                        && !job.cancelConfirmed)
+                .map(job -> job.spec.id())
+                .toList();
     }
 }
