--- a/src/main/java/org/shoreusher/core/store/StoreCache.java
+++ b/src/main/java/org/shoreusher/core/store/StoreCache.java
@@ -6,6 +6,7 @@
 import java.util.TreeMap;
 import org.shoreusher.core.message.Command.StoreReply;
 import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.core.message.ReplyStatus;
 import org.shoreusher.log.LogEvent;
 import org.shoreusher.log.LogEventType;
 import org.shoreusher.settings.Settings;
@@ -18,6 +19,9 @@
  * applied by version, so pages, watch results and this node's own writes may arrive in any order.
  */
 public final class StoreCache {
+    /** The version of a key that has no value. */
+    public static final long ABSENT = 0;
+
     /**
      * The value of one key.
      *
@@ -107,7 +111,7 @@
      */
     public long version(String key) {
         Entry entry = entries.get(key);
-        return entry == null ? 0 : entry.version();
+        return entry == null ? ABSENT : entry.version();
     }
 
     /**
@@ -217,11 +221,11 @@
     }
 
     private void onReply(StoreReply reply, long sentAt) throws FieldMap.InvalidFieldException {
-        if (reply.status() == 410) {
+        if (reply.status() == ReplyStatus.GONE) {
             reload();
             return;
         }
-        if (reply.status() != 200) {
+        if (reply.status() != ReplyStatus.OK) {
             // An answer that exceeds the size limit fails like a lost one, and would fail each
             // time.
             if (isLoaded && !loading && ageMs() > StoreConstants.STORE_CACHE_RELOAD_AGE_MS) {
--- a/src/test/java/org/shoreusher/core/job/SubmissionBatchesTest.java
+++ b/src/test/java/org/shoreusher/core/job/SubmissionBatchesTest.java
@@ -10,9 +10,11 @@
 import org.shoreusher.core.CoreTestData;
 import org.shoreusher.core.JobSpecBuilder;
 import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.core.store.JobRecord;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.core.store.StoreSchema;
+import org.shoreusher.core.store.SubmissionBatchRecord;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.SettingsBuilder;
 
@@ -55,15 +57,12 @@
             submissionBatches[0] = new SubmissionBatches(SETTINGS, outbox, storeCache);
             if (ended) {
                 storeCache.apply(
-                        StoreSchema.jobKey("wk-1"),
-                        StoreSchema.JobRecord.open(0, spec, 0).asDone().toMap(),
-                        9);
+                        StoreSchema.jobKey("wk-1"), JobRecord.open(0, spec, 0).asDone().toMap(), 9);
                 storeCache.evict(StoreSchema.jobKey("wk-1"));
             }
             storeCache.apply(
                     StoreSchema.submissionBatchKey("n/1", 1),
-                    StoreSchema.SubmissionBatchRecord.toMap(
-                            Map.of("wk-1", StoreSchema.JobRecord.open(0, spec, 0).toMap())),
+                    SubmissionBatchRecord.toMap(Map.of("wk-1", JobRecord.open(0, spec, 0).toMap())),
                     6);
             assertEquals(ended ? List.of() : List.of("wk-1"), notified);
             if (ended) {
@@ -102,16 +101,13 @@
             for (int shardNumber : olderFirst ? new int[] {1, 0} : new int[] {0, 1}) {
                 storeCache.apply(
                         StoreSchema.submissionBatchKey("n/" + shardNumber, 1),
-                        StoreSchema.SubmissionBatchRecord.toMap(
-                                Map.of(
-                                        "wk-1",
-                                        StoreSchema.JobRecord.open(shardNumber, spec, 0).toMap())),
+                        SubmissionBatchRecord.toMap(
+                                Map.of("wk-1", JobRecord.open(shardNumber, spec, 0).toMap())),
                         shardNumber == 1 ? 5 : 6);
             }
             assertEquals(1, submissionBatches[0].jobRecord("wk-1").shardNumber());
             assertEquals(1, notified.get(notified.size() - 1));
-            storeCache.apply(
-                    StoreSchema.jobKey("wk-1"), StoreSchema.JobRecord.open(0, spec, 0).toMap(), 7);
+            storeCache.apply(StoreSchema.jobKey("wk-1"), JobRecord.open(0, spec, 0).toMap(), 7);
             assertEquals(0, submissionBatches[0].jobRecord("wk-1").shardNumber());
         }
     }
--- a/src/test/java/org/shoreusher/core/schedule/BinPackerTest.java
+++ b/src/test/java/org/shoreusher/core/schedule/BinPackerTest.java
@@ -48,13 +48,13 @@
                 .build();
     }
 
-    private static List<BinPacker.MachineCapacity> randomMachines(Random random) {
-        List<BinPacker.MachineCapacity> capacities = new ArrayList<>();
+    private static List<MachineCapacity> randomMachines(Random random) {
+        List<MachineCapacity> capacities = new ArrayList<>();
         for (int i = 0; i < 1 + random.nextInt(6); i++) {
             String zone = random.nextBoolean() ? "a" : "b";
             Machine machine = new Machine("m" + i, TYPE, zone, random.nextBoolean(), 0);
             occupy(machine, random.nextInt(9));
-            capacities.add(new BinPacker.MachineCapacity(machine));
+            capacities.add(new MachineCapacity(machine));
         }
         return capacities;
     }
@@ -77,7 +77,7 @@
     @Property(tries = 400, seed = "11")
     void plansRespectMachineQuotaAndZoneLimits(@ForAll @LongRange(min = 0) long seed) {
         Random random = new Random(seed);
-        List<BinPacker.MachineCapacity> capacities = randomMachines(random);
+        List<MachineCapacity> capacities = randomMachines(random);
         double quotaCpus = random.nextInt(40);
         BinPacker packer = new BinPacker(capacities, team -> quotaCpus, team -> 0);
         List<Job> jobs = new ArrayList<>();
@@ -88,14 +88,14 @@
         }
         Map<Machine, Double> cpusByMachine = new HashMap<>();
         for (Job job : jobs) {
-            List<BinPacker.PlacedTasks> placements =
+            List<PlacedTasks> placements =
                     packer.placedTasks().stream()
                             .filter(placement -> placement.job() == job)
                             .toList();
             assertConstraintsRespected(job.spec(), placements);
-            for (BinPacker.PlacedTasks placement : placements) {
+            for (PlacedTasks placement : placements) {
                 cpusByMachine.merge(
-                        placement.capacity().machine,
+                        placement.capacity().machine(),
                         placement.taskCount() * job.spec().cpus(),
                         Double::sum);
             }
@@ -105,13 +105,12 @@
         cpusByMachine.forEach((machine, cpus) -> assertTrue(cpus <= machine.cpusFree()));
     }
 
-    private static void assertConstraintsRespected(
-            JobSpec spec, List<BinPacker.PlacedTasks> placements) {
+    private static void assertConstraintsRespected(JobSpec spec, List<PlacedTasks> placements) {
         Map<String, Integer> tasksByZone = new HashMap<>();
         int taskCount = 0;
-        for (BinPacker.PlacedTasks placement : placements) {
-            String zone = placement.capacity().zone;
-            assertTrue(spec.allowsMachine("t", zone, placement.capacity().spot));
+        for (PlacedTasks placement : placements) {
+            String zone = placement.capacity().zone();
+            assertTrue(spec.allowsMachine("t", zone, placement.capacity().isSpot()));
             tasksByZone.merge(zone, placement.taskCount(), Integer::sum);
             taskCount += placement.taskCount();
         }
@@ -134,16 +133,16 @@
                 new BinPacker(
                         new ArrayList<>(
                                 List.of(
-                                        new BinPacker.MachineCapacity(empty),
-                                        new BinPacker.MachineCapacity(half),
-                                        new BinPacker.MachineCapacity(full))),
+                                        new MachineCapacity(empty),
+                                        new MachineCapacity(half),
+                                        new MachineCapacity(full))),
                         team -> 100,
                         team -> 0);
         packer.place(new Job("wk-1", spec("wk-1", 3, 2, null, false, false, true), 0), 3);
         assertEquals(
                 List.of("m-half", "m-empty"),
                 packer.placedTasks().stream()
-                        .map(placement -> placement.capacity().machine.id())
+                        .map(placement -> placement.capacity().machine().id())
                         .toList());
         assertEquals(2, packer.placedTasks().get(0).taskCount());
     }
@@ -162,9 +161,7 @@
         BinPacker packer =
                 new BinPacker(
                         new ArrayList<>(
-                                List.of(
-                                        new BinPacker.MachineCapacity(half),
-                                        new BinPacker.MachineCapacity(full))),
+                                List.of(new MachineCapacity(half), new MachineCapacity(full))),
                         team -> 100,
                         team -> 0);
         assertEquals(
@@ -179,7 +176,7 @@
         assertEquals(
                 List.of("m-full"),
                 packer.placedTasks().stream()
-                        .map(placement -> placement.capacity().machine.id())
+                        .map(placement -> placement.capacity().machine().id())
                         .toList());
         assertEquals(
                 List.of(),
--- a/src/test/java/org/shoreusher/core/store/QuotaRecordTest.java
+++ b/src/test/java/org/shoreusher/core/store/QuotaRecordTest.java
@@ -7,7 +7,6 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
-import org.shoreusher.core.store.StoreSchema.QuotaRecord;
 
 /** The record of the shards' shares of a quota. */
 class QuotaRecordTest {
