--- a/src/main/java/org/shoreusher/core/replication/StandbyReplication.java
+++ b/src/main/java/org/shoreusher/core/replication/StandbyReplication.java
@@ -1,6 +1,7 @@
 package org.shoreusher.core.replication;
 
 import java.util.List;
+import java.util.Optional;
 import org.shoreusher.core.cluster.Machine;
 import org.shoreusher.core.cluster.ResourceLedger;
 import org.shoreusher.core.cluster.ShardContext;
@@ -54,15 +55,23 @@
     private final ShardLeadership leadership;
     private final VersionNegotiation versionNegotiation;
     private final PeerView peerView;
+
+    /** Whether the warm standby is on; otherwise nothing is logged and no standby attached. */
     private final boolean enabled;
+
     private final StandbySettings settings;
     private final AttemptLogSender logSender;
     private final AttemptLogWriter logWriter;
     private final HeartbeatAnswers answers;
     private final StandbyChooser standbyChooser;
     private Phase phase = Phase.NO_STANDBY;
+
+    /** The last change before starts were held; the standby is named once it is acknowledged. */
     private long changeToConfirm;
+
+    /** Monotonic ms at which the standby was last named. */
     private long namedAtMs;
+
     private long nextStatisticsMs;
 
     /** Creates the replication of a shard that this process leads, without a standby at first. */
@@ -157,7 +166,10 @@
         }
         answers.sendAcknowledged(
                 requiresAcknowledgement() ? logSender.acknowledgedChangeCount() : Long.MAX_VALUE);
-        logSender.nextFrame(nowMs()).ifPresent(this::sendFrame);
+        Optional<LogFrame> frame = logSender.nextFrame(nowMs());
+        if (frame.isPresent()) {
+            sendFrame(frame.get());
+        }
         if (nowMs() >= nextStatisticsMs) {
             nextStatisticsMs = nowMs() + SharedConstants.STATUS_LOG_INTERVAL_MS;
             logStatistics();
--- a/src/main/java/org/shoreusher/standby/AttemptLogSender.java
+++ b/src/main/java/org/shoreusher/standby/AttemptLogSender.java
@@ -20,6 +20,7 @@
     /** The stream to the standby; null if there is none. */
     private OutgoingStream stream;
 
+    /** Number of streams begun so far. */
     private long attachmentCount;
 
     /** Number of changes of the table so far, replicated or not. */
@@ -79,9 +80,9 @@
         stream = null;
     }
 
-    /** The standby process of the current stream; null if there is none. */
+    /** The standby process of the current stream; to be called only while there is one. */
     public String standby() {
-        return stream == null ? null : stream.standby();
+        return stream.standby();
     }
 
     /** The frame to send now, new or to be resent. Monotonic ms. */
--- a/src/main/java/org/shoreusher/standby/StandbyChooser.java
+++ b/src/main/java/org/shoreusher/standby/StandbyChooser.java
@@ -11,7 +11,10 @@
  * resets backoff and failure counts.
  */
 public final class StandbyChooser {
+    /** ms; the first backoff. Each failure doubles it, so a faulty candidate costs little. */
     private static final long INITIAL_BACKOFF_MS = 1_000;
+
+    /** ms; the longest backoff, after which a recovered candidate is used again. */
     private static final long MAX_BACKOFF_MS = 60_000;
 
     /**
--- a/src/main/java/org/shoreusher/standby/package-info.java
+++ b/src/main/java/org/shoreusher/standby/package-info.java
@@ -1,5 +1,11 @@
 /**
  * Warm standby: a log of the attempts that may be on machines, replicated to a second controller.
- * Contains the state machines of both sides and their messages. No I/O, no clock, no randomness.
+ * Owns the state machines of both sides, their messages, and the choice of the standby.
+ *
+ * <p>Promises: a table that {@link org.shoreusher.standby.PromotionOutcome#IN_SYNC} applies to has
+ * every attempt that the leader recorded and the standby acknowledged, whatever the network lost,
+ * delayed, duplicated or reordered. No I/O, no clock, no randomness: the caller passes the time.
+ *
+ * <p>Uses no other package of the project.
  */
 package org.shoreusher.standby;
