--- a/src/main/java/org/shoreusher/core/Shard.java
+++ b/src/main/java/org/shoreusher/core/Shard.java
@@ -89,14 +89,9 @@
         workerReachability = new WorkerReachability(state, authority, leadership, peerView, outbox);
         shardDemand =
                 new ShardDemand(shardNumber, shardCount, peerView, state.jobs(), state.machines());
-        quotaShares =
-                new QuotaShares(
-                        shardNumber,
-                        shardCount,
-                        context.settings(),
-                        outbox,
-                        storeCache,
-                        leadership.fencingPrecondition());
+        RunTimeEstimates runTimeEstimates = new RunTimeEstimates();
+        ShardAssembly assembly = new ShardAssembly(services, context, leadership, runTimeEstimates);
+        quotaShares = assembly.createQuotaShares();
         quotaHeadroom =
                 new QuotaHeadroom(
                         context.settings(),
@@ -104,15 +99,11 @@
                         state.resourceLedger(),
                         progress,
                         shardDemand);
-        RunTimeEstimates runTimeEstimates = new RunTimeEstimates();
-        ShardAssembly assembly = new ShardAssembly(services, context, leadership, runTimeEstimates);
         scheduling = assembly.createScheduling(quotaHeadroom);
         jobs = assembly.createJobs(scheduling);
         machines = assembly.createMachines();
         standbyReplication = new StandbyReplication(context, peerView, leadership);
-        state.resourceLedger().addListener(scheduling.taskMigration());
-        state.resourceLedger().addListener(standbyReplication);
-        state.setMachineRemovalListener(scheduling.taskMigration()::onMachineRemoved);
+        listenToChanges();
         reconciliation =
                 new Reconciliation(
                         context,
@@ -124,11 +115,20 @@
                         promotedAttempts);
         autoscaler = new Autoscaler(context, machines, scheduling, runTimeEstimates, shardDemand);
         preemption = new PreemptionPass(context, scheduling);
+        heartbeatHandler = createHeartbeatHandler();
+    }
+
+    private HeartbeatHandler createHeartbeatHandler() {
         HeartbeatReader heartbeatReader =
                 new HeartbeatReader(context, jobs, machines, scheduling, reconciliation);
-        heartbeatHandler =
-                new HeartbeatHandler(
-                        context, jobs, machines, scheduling, standbyReplication, heartbeatReader);
+        return new HeartbeatHandler(
+                context, jobs, machines, scheduling, standbyReplication, heartbeatReader);
+    }
+
+    private void listenToChanges() {
+        state.resourceLedger().addListener(scheduling.taskMigration());
+        state.resourceLedger().addListener(standbyReplication);
+        state.setMachineRemovalListener(scheduling.taskMigration()::onMachineRemoved);
     }
 
     // ---- events ------------------------------------------------------------------------------
--- a/src/main/java/org/shoreusher/core/ShardAssembly.java
+++ b/src/main/java/org/shoreusher/core/ShardAssembly.java
@@ -15,6 +15,7 @@
 import org.shoreusher.core.schedule.BinPackerFactory;
 import org.shoreusher.core.schedule.JobQueue;
 import org.shoreusher.core.schedule.QuotaHeadroom;
+import org.shoreusher.core.schedule.QuotaShares;
 import org.shoreusher.core.schedule.SchedulingOrder;
 import org.shoreusher.core.schedule.ShardScheduling;
 import org.shoreusher.core.schedule.TaskMigration;
@@ -38,6 +39,17 @@
         this.runTimeEstimates = runTimeEstimates;
     }
 
+    /** Creates the shares of this shard in the quotas of all teams. */
+    QuotaShares createQuotaShares() {
+        return new QuotaShares(
+                context.state().shardNumber(),
+                context.state().shardCount(),
+                context.settings(),
+                context.outbox(),
+                services.context().storeCache(),
+                leadership.fencingPrecondition());
+    }
+
     /** Creates what decides which tasks run where. */
     ShardScheduling createScheduling(QuotaHeadroom quotaHeadroom) {
         SchedulingOrder schedulingOrder = new SchedulingOrder(context.settings(), runTimeEstimates);
--- a/src/main/java/org/shoreusher/core/store/CompletionRecord.java
+++ b/src/main/java/org/shoreusher/core/store/CompletionRecord.java
@@ -26,9 +26,8 @@
     public static CompletionRecord fromMap(Map<String, Object> value) {
         try {
             return new CompletionRecord(new FieldMap(value).map("done").asMap());
-        } catch (FieldMap.InvalidFieldException e) {
-            throw new IllegalStateException(
-                    "a record of finished tasks of this service can't be read: " + e.getMessage());
+        } catch (FieldMap.InvalidFieldException invalid) {
+            throw new CorruptRecordException("a completion record", value, invalid);
         }
     }
 
--- a/src/main/java/org/shoreusher/core/store/HighWaterMarkRecord.java
+++ b/src/main/java/org/shoreusher/core/store/HighWaterMarkRecord.java
@@ -18,9 +18,8 @@
             for (String jobId : fields.asMap().keySet()) {
                 highWaterMarks.put(jobId, (int) fields.integer(jobId));
             }
-        } catch (FieldMap.InvalidFieldException e) {
-            throw new IllegalStateException(
-                    "a record of marks of this service can't be read: " + e.getMessage());
+        } catch (FieldMap.InvalidFieldException invalid) {
+            throw new CorruptRecordException("a record of high-water marks", value, invalid);
         }
         return new HighWaterMarkRecord(highWaterMarks);
     }
--- a/src/main/java/org/shoreusher/core/store/JobRecord.java
+++ b/src/main/java/org/shoreusher/core/store/JobRecord.java
@@ -42,9 +42,8 @@
                     fields.integer("accepted"),
                     highWaterMark,
                     fields.has("spec") ? fields.map("spec").asMap() : null);
-        } catch (FieldMap.InvalidFieldException e) {
-            throw new IllegalStateException(
-                    "a job record of this service can't be read: " + e.getMessage());
+        } catch (FieldMap.InvalidFieldException invalid) {
+            throw new CorruptRecordException("a job record", value, invalid);
         }
     }
 
@@ -99,9 +98,8 @@
     public JobSpec parseSpec() {
         try {
             return UserFormat.readDescription(new FieldMap(specFields));
-        } catch (FieldMap.InvalidFieldException e) {
-            throw new IllegalStateException(
-                    "a job description of this service can't be read: " + e.getMessage());
+        } catch (FieldMap.InvalidFieldException invalid) {
+            throw new CorruptRecordException("a job description", specFields, invalid);
         }
     }
 
--- a/src/main/java/org/shoreusher/core/store/LinearizableReads.java
+++ b/src/main/java/org/shoreusher/core/store/LinearizableReads.java
@@ -116,23 +116,24 @@
         Map<String, Long> preconditions = new LinkedHashMap<>();
         List<PendingRead> batch = new ArrayList<>();
         for (PendingRead read : pendingReads) {
-            if (preconditions.size() >= 4 * settings.maxTransactionWrites()) {
+            if (preconditions.size()
+                    >= StoreConstants.MAX_PRECONDITIONS_PER_WRITE
+                            * settings.maxTransactionWrites()) {
                 break;
             }
-            preconditions.put(
-                    StoreSchema.jobKey(read.jobId()),
-                    storeCache.version(StoreSchema.jobKey(read.jobId())));
+            String jobKey = StoreSchema.jobKey(read.jobId());
+            preconditions.put(jobKey, storeCache.version(jobKey));
             batch.add(read);
         }
         pendingReads.subList(0, batch.size()).clear();
-        boolean isSent =
+        boolean sent =
                 outbox.callStoreForUser(
                         new StoreOperation.CompareAndSwap(preconditions, Map.of()),
                         reply -> {
                             batchesInFlight--;
                             onBatchReply(reply, batch, preconditions);
                         });
-        if (isSent) {
+        if (sent) {
             batchesInFlight++;
         } else {
             batch.forEach(read -> outbox.respondUnavailable(read.requestId()));
@@ -145,7 +146,7 @@
         if (reply.status() == ReplyStatus.CONFLICT) {
             try {
                 changedKeys.addAll(StoreFormat.readFailedKeys(new FieldMap(reply.body())));
-            } catch (FieldMap.InvalidFieldException e) {
+            } catch (FieldMap.InvalidFieldException invalid) {
                 batch.forEach(read -> changedKeys.add(StoreSchema.jobKey(read.jobId())));
             }
         } else if (reply.status() != ReplyStatus.OK) {
@@ -153,10 +154,11 @@
             return;
         }
         for (PendingRead read : batch) {
-            boolean isEvicted =
-                    preconditions.get(StoreSchema.jobKey(read.jobId())) > 0
+            String jobKey = StoreSchema.jobKey(read.jobId());
+            boolean wasEvicted =
+                    preconditions.get(jobKey) != StoreCache.ABSENT
                             && cachedRecord(read.jobId()) == null;
-            if (changedKeys.contains(StoreSchema.jobKey(read.jobId())) || isEvicted) {
+            if (changedKeys.contains(jobKey) || wasEvicted) {
                 // The job has been completed meanwhile and its terminal state evicted from memory.
                 // Its record exists all the same.
                 readIndividually(read);
@@ -187,7 +189,7 @@
                             read,
                             StoreFormat.readRevision(new FieldMap(reply.body())),
                             outbox.now().monotonicMs()));
-        } catch (FieldMap.InvalidFieldException e) {
+        } catch (FieldMap.InvalidFieldException invalid) {
             outbox.respondUnavailable(read.requestId());
         }
     }
@@ -226,31 +228,34 @@
             return;
         }
         singleReadsInFlight++;
-        boolean isSent =
+        boolean sent =
                 outbox.callStoreForUser(
                         new StoreOperation.Get(StoreSchema.jobKey(read.jobId())),
                         reply -> {
                             singleReadsInFlight--;
-                            if (reply.status() == ReplyStatus.NOT_FOUND) {
-                                answerOrAwaitRevision(read, reply);
-                                return;
-                            }
-                            if (reply.status() != ReplyStatus.OK) {
-                                outbox.respondUnavailable(read.requestId());
-                                return;
-                            }
-                            try {
-                                StoreFormat.Entry entry =
-                                        StoreFormat.readEntry(new FieldMap(reply.body()));
-                                storeCache.apply(entry.key(), entry.value(), entry.version());
-                                read.callback().accept(JobRecord.fromMap(entry.value()));
-                            } catch (FieldMap.InvalidFieldException x) {
-                                outbox.respondUnavailable(read.requestId());
-                            }
+                            onRecordRead(reply, read);
                         });
-        if (!isSent) {
+        if (!sent) {
             singleReadsInFlight--;
             outbox.respondUnavailable(read.requestId());
         }
     }
+
+    private void onRecordRead(StoreReply reply, PendingRead read) {
+        if (reply.status() == ReplyStatus.NOT_FOUND) {
+            answerOrAwaitRevision(read, reply);
+            return;
+        }
+        if (reply.status() != ReplyStatus.OK) {
+            outbox.respondUnavailable(read.requestId());
+            return;
+        }
+        try {
+            StoreFormat.Entry entry = StoreFormat.readEntry(new FieldMap(reply.body()));
+            storeCache.apply(entry.key(), entry.value(), entry.version());
+            read.callback().accept(JobRecord.fromMap(entry.value()));
+        } catch (FieldMap.InvalidFieldException invalid) {
+            outbox.respondUnavailable(read.requestId());
+        }
+    }
 }
--- a/src/main/java/org/shoreusher/core/store/MachineGroupRecord.java
+++ b/src/main/java/org/shoreusher/core/store/MachineGroupRecord.java
@@ -41,9 +41,8 @@
             return new MachineGroupRecord(machines);
         } catch (FieldMap.InvalidFieldException
                 | ClassCastException
-                | IndexOutOfBoundsException e) {
-            throw new IllegalStateException(
-                    "a record of machines of this service can't be read: " + e.getMessage());
+                | IndexOutOfBoundsException invalid) {
+            throw new CorruptRecordException("a group of machine records", value, invalid);
         }
     }
 
--- a/src/main/java/org/shoreusher/core/store/ShardRecord.java
+++ b/src/main/java/org/shoreusher/core/store/ShardRecord.java
@@ -37,9 +37,8 @@
                     fields.integer("term"),
                     fields.map("done").asMap(),
                     fields.textOr("standby", null));
-        } catch (FieldMap.InvalidFieldException e) {
-            throw new IllegalStateException(
-                    "a part record of this service can't be read: " + e.getMessage());
+        } catch (FieldMap.InvalidFieldException invalid) {
+            throw new CorruptRecordException("a shard record", value, invalid);
         }
     }
 
--- a/src/main/java/org/shoreusher/core/store/StoreCache.java
+++ b/src/main/java/org/shoreusher/core/store/StoreCache.java
@@ -22,6 +22,9 @@
     /** The version of a key that has no value. */
     public static final long ABSENT = 0;
 
+    /** The revision of a cache that is being loaded; lower than any revision of the store. */
+    private static final long NO_REVISION = -1;
+
     /**
      * The value of one key.
      *
@@ -51,14 +54,12 @@
     private final Object2LongOpenHashMap<String> removalVersions = new Object2LongOpenHashMap<>();
 
     private boolean loading = true;
-    private boolean isLoaded;
+    private boolean loaded;
     private boolean requestInFlight;
-    private String lastPageKey;
-    private TreeMap<String, Entry> pagedEntries = new TreeMap<>();
-    private long firstPageRevision;
+    private PageLoad pageLoad = new PageLoad();
     private long revision;
     private long requiredRevision;
-    private long completeAtMs = Long.MIN_VALUE / 2;
+    private long completeAtMs = StoreHealth.NEVER_MS;
     private long nextRequestMs;
 
     /**
@@ -85,7 +86,7 @@
 
     /** Returns whether the cache has been complete once. */
     public boolean isLoaded() {
-        return isLoaded;
+        return loaded;
     }
 
     /**
@@ -93,7 +94,7 @@
      * loaded.
      */
     public long revision() {
-        return loading ? -1 : revision;
+        return loading ? NO_REVISION : revision;
     }
 
     /** Returns the ms since the last moment at which the cache was known to be complete. */
@@ -170,9 +171,9 @@
         long appliedRevision;
         try {
             appliedRevision = StoreFormat.readRevision(new FieldMap(reply.body()));
-        } catch (FieldMap.InvalidFieldException e) {
+        } catch (FieldMap.InvalidFieldException invalid) {
             throw new IllegalStateException(
-                    "the state service confirmed a write without its revision: " + e.getMessage());
+                    "the key-value store confirmed a write without its revision", invalid);
         }
         writes.forEach((key, value) -> apply(key, value, appliedRevision));
         return appliedRevision;
@@ -197,10 +198,10 @@
         long sentAt = outbox.now().monotonicMs();
         StoreOperation operation =
                 loading
-                        ? new StoreOperation.Page(lastPageKey)
+                        ? new StoreOperation.Page(pageLoad.lastKey())
                         : new StoreOperation.Watch(
                                 revision,
-                                isLoaded && revision >= requiredRevision
+                                loaded && revision >= requiredRevision
                                         ? StoreConstants.WATCH_LONG_POLL_MS
                                         : 0);
         requestInFlight =
@@ -210,11 +211,11 @@
                             requestInFlight = false;
                             try {
                                 onReply(reply, sentAt);
-                            } catch (FieldMap.InvalidFieldException e) {
+                            } catch (FieldMap.InvalidFieldException invalid) {
                                 outbox.log(
                                         LogEvent.of(LogEventType.STORE_REPLY_INVALID)
                                                 .with("call", "read_changes")
-                                                .with("problem", e.getMessage()));
+                                                .with("problem", invalid.getMessage()));
                                 scheduleRetry();
                             }
                         });
@@ -223,22 +224,24 @@
     private void onReply(StoreReply reply, long sentAt) throws FieldMap.InvalidFieldException {
         if (reply.status() == ReplyStatus.GONE) {
             reload();
-            return;
-        }
-        if (reply.status() != ReplyStatus.OK) {
-            // An answer that exceeds the size limit fails like a lost one, and would fail each
-            // time.
-            if (isLoaded && !loading && ageMs() > StoreConstants.STORE_CACHE_RELOAD_AGE_MS) {
-                reload();
-            }
-            scheduleRetry();
-            return;
+        } else if (reply.status() != ReplyStatus.OK) {
+            onFailure();
+        } else if (loading) {
+            onPage(new FieldMap(reply.body()));
+        } else {
+            onChanges(new FieldMap(reply.body()), sentAt);
         }
-        FieldMap body = new FieldMap(reply.body());
-        if (loading) {
-            onPage(body);
-            return;
+    }
+
+    private void onFailure() {
+        // An answer that exceeds the size limit fails like a lost one, and would fail each time.
+        if (loaded && !loading && ageMs() > StoreConstants.STORE_CACHE_RELOAD_AGE_MS) {
+            reload();
         }
+        scheduleRetry();
+    }
+
+    private void onChanges(FieldMap body, long sentAt) throws FieldMap.InvalidFieldException {
         for (StoreFormat.Entry change : StoreFormat.readChanges(body)) {
             apply(change.key(), change.value(), change.version());
         }
@@ -250,43 +253,38 @@
             // The answer contains all changes up to the moment of the request, so the cache was
             // complete then.
             completeAtMs = sentAt;
-            isLoaded = true;
+            loaded = true;
         }
         nextRequestMs = outbox.now().monotonicMs() + watchIntervalMs;
     }
 
     private void onPage(FieldMap body) throws FieldMap.InvalidFieldException {
-        long pageRevision = StoreFormat.readRevision(body);
-        if (lastPageKey == null) {
-            firstPageRevision = pageRevision;
-        }
-        for (StoreFormat.Entry entry : StoreFormat.readPage(body)) {
-            pagedEntries.put(entry.key(), new Entry(entry.value(), entry.version()));
-            lastPageKey = entry.key();
-        }
-        if (StoreFormat.hasMorePages(body) && lastPageKey != null) {
+        if (!pageLoad.add(body)) {
             return;
         }
-        // Pages are read at different revisions. Watching from the first page's revision on makes
-        // the cache consistent.
+        PageLoad load = pageLoad;
+        pageLoad = new PageLoad();
+        removeMissingEntries(load);
+        loading = false;
+        revision = load.firstRevision();
+        requiredRevision = load.lastRevision();
+        load.entries().forEach((key, entry) -> apply(key, entry.value(), entry.version()));
+    }
+
+    /** Removes entries that had vanished from the store when the first page was read. */
+    private void removeMissingEntries(PageLoad load) {
         for (String key : entries.keySet().toArray(new String[0])) {
-            if (!pagedEntries.containsKey(key) && entries.get(key).version() <= firstPageRevision) {
+            if (!load.entries().containsKey(key)
+                    && entries.get(key).version() <= load.firstRevision()) {
                 Entry before = entries.remove(key);
                 listener.onChange(key, before, null);
             }
         }
-        TreeMap<String, Entry> loadedEntries = pagedEntries;
-        pagedEntries = new TreeMap<>();
-        loading = false;
-        revision = firstPageRevision;
-        requiredRevision = pageRevision;
-        loadedEntries.forEach((key, entry) -> apply(key, entry.value(), entry.version()));
     }
 
     private void reload() {
         loading = true;
-        lastPageKey = null;
-        pagedEntries = new TreeMap<>();
+        pageLoad = new PageLoad();
     }
 
     private void scheduleRetry() {
--- a/src/main/java/org/shoreusher/core/store/StoreConstants.java
+++ b/src/main/java/org/shoreusher/core/store/StoreConstants.java
@@ -77,4 +77,10 @@
      * completed.
      */
     public static final int RECORD_BYTES_PER_TASK = 3;
+
+    /**
+     * Preconditions that the store accepts in one transaction for each write that it accepts
+     * (protocol).
+     */
+    public static final int MAX_PRECONDITIONS_PER_WRITE = 4;
 }
--- a/src/main/java/org/shoreusher/core/store/StoreHealth.java
+++ b/src/main/java/org/shoreusher/core/store/StoreHealth.java
@@ -5,8 +5,8 @@
 
 /** Tells from the replies of the key-value store whether it is available to this node. */
 final class StoreHealth {
-    /** Longer ago than any timeout, without overflow when it is subtracted. */
-    private static final long NEVER_MS = Long.MIN_VALUE / 2;
+    /** A time longer ago than any timeout; no overflow when it is subtracted. */
+    static final long NEVER_MS = Long.MIN_VALUE / 2;
 
     private long answeredAtMs = NEVER_MS;
     private long failedAtMs = NEVER_MS;
--- a/src/main/java/org/shoreusher/core/store/SubmissionBatchRecord.java
+++ b/src/main/java/org/shoreusher/core/store/SubmissionBatchRecord.java
@@ -19,9 +19,8 @@
                         jobId,
                         JobRecord.fromMap(new FieldMap(value).map("jobs").map(jobId).asMap()));
             }
-        } catch (FieldMap.InvalidFieldException e) {
-            throw new IllegalStateException(
-                    "a record of arrivals of this service can't be read: " + e.getMessage());
+        } catch (FieldMap.InvalidFieldException invalid) {
+            throw new CorruptRecordException("a submission batch", value, invalid);
         }
         return new SubmissionBatchRecord(jobs);
     }
--- a/src/main/java/org/shoreusher/core/user/SubmissionCommit.java
+++ b/src/main/java/org/shoreusher/core/user/SubmissionCommit.java
@@ -141,7 +141,10 @@
             if (!batch.isEmpty()
                     && (batchBytes + submission.encodedBytes
                                     > settings.maxValueBytes() * StoreConstants.RECORD_FILL_SHARE
-                            || batch.size() >= 4 * settings.maxTransactionWrites() - 1)) {
+                            || batch.size()
+                                    >= StoreConstants.MAX_PRECONDITIONS_PER_WRITE
+                                                    * settings.maxTransactionWrites()
+                                            - 1)) {
                 break;
             }
             batch.add(submission);
