--- a/src/main/java/org/shoreusher/balance/Balancer.java
+++ b/src/main/java/org/shoreusher/balance/Balancer.java
@@ -109,7 +109,7 @@
         PlanningRound round = new PlanningRound(nowMs);
         for (String team : new TreeSet<>(highDemandTeams.highDemandTeams())) {
             statistics.recordSkew(load.skew(team));
-            planner.choose(team, scheduler, round);
+            planner.beginMigrations(team, scheduler, round);
         }
         return round.begun;
     }
@@ -210,7 +210,7 @@
     }
 
     /** Returns the migration of a task that is in progress; null if there is none. */
-    public Migration migration(TaskId task) {
+    Migration migration(TaskId task) {
         return migrations.get(task);
     }
 
--- a/src/main/java/org/shoreusher/balance/Migration.java
+++ b/src/main/java/org/shoreusher/balance/Migration.java
@@ -1,5 +1,7 @@
 package org.shoreusher.balance;
 
+import java.util.Optional;
+
 /**
  * The migration of one task from a machine to another.
  *
@@ -98,9 +100,9 @@
         return state;
     }
 
-    /** Returns why the migration was abandoned; null unless it was. */
-    public Reason reason() {
-        return reason;
+    /** Returns why the migration was abandoned; empty unless it was. */
+    public Optional<Reason> reason() {
+        return Optional.ofNullable(reason);
     }
 
     /** Whether the next step has not happened in time. */
--- a/src/main/java/org/shoreusher/balance/MigrationPlanner.java
+++ b/src/main/java/org/shoreusher/balance/MigrationPlanner.java
@@ -3,6 +3,7 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
+import java.util.Optional;
 
 /**
  * Selects migrations that bring the skew of a high-demand team back within the margin: from the
@@ -72,7 +73,7 @@
      * Selects migrations of a team. Each begins at once, so that the next selection takes it into
      * account.
      */
-    void choose(String team, SchedulerView scheduler, MigrationLimits limits) {
+    void beginMigrations(String team, SchedulerView scheduler, MigrationLimits limits) {
         double shareLimit = load.meanShare(team) + settings.spreadMargin();
         if (load.skew(team) <= settings.spreadMargin() + settings.hysteresis()) {
             return;
@@ -82,11 +83,12 @@
             if (!limits.canBeginForTeam(team)) {
                 return;
             }
-            PlannedMigration planned = choose(source, targets, team, scheduler, limits);
-            if (planned != null) {
-                limits.begin(planned);
-                targets.removeIf(target -> target.id().equals(planned.target()));
-            }
+            bestMigration(source, targets, team, scheduler, limits)
+                    .ifPresent(
+                            planned -> {
+                                limits.begin(planned);
+                                targets.removeIf(target -> target.id().equals(planned.target()));
+                            });
         }
     }
 
@@ -101,7 +103,8 @@
             }
         }
         sources.sort(
-                Comparator.comparingDouble((MachineLoad m) -> -m.shareBeyondOneTask(team))
+                Comparator.comparingDouble(
+                                (MachineLoad machine) -> -machine.shareBeyondOneTask(team))
                         .thenComparing(MachineLoad::id));
         return sources.subList(0, Math.min(MAX_SOURCES, sources.size()));
     }
@@ -127,16 +130,16 @@
     }
 
     /**
-     * Returns the task and target with the largest gain; null if no migration is worth its cost.
+     * Returns the task and target with the largest gain; empty if no migration is worth its cost.
      */
-    private PlannedMigration choose(
+    private Optional<PlannedMigration> bestMigration(
             MachineLoad source,
             List<MachineLoad> targets,
             String team,
             SchedulerView scheduler,
             MigrationLimits limits) {
         if (!limits.canLeave(source.id())) {
-            return null;
+            return Optional.empty();
         }
         PlannedMigration best = null;
         for (MigratableTask task : scheduler.migratableTasks(source.id(), team)) {
@@ -148,16 +151,22 @@
             for (MachineLoad target : targets) {
                 double gainS = gainS(task, target);
                 if ((best == null || gainS > best.gainS())
-                        && isWorthwhile(task, target)
-                        && limits.canEnter(target.id())
-                        && limits.canBeginInZone(target.zone())
-                        && reducesSkew(source, target, task, limits)
+                        && isSuitable(source, target, task, limits)
                         && scheduler.canAccept(target.id(), task)) {
                     best = new PlannedMigration(task, target.id(), gainS);
                 }
             }
         }
-        return best;
+        return Optional.ofNullable(best);
+    }
+
+    /** Whether the migration is worth its cost, within the limits, and reduces the skew. */
+    private boolean isSuitable(
+            MachineLoad source, MachineLoad target, MigratableTask task, MigrationLimits limits) {
+        return isWorthwhile(task, target)
+                && limits.canEnter(target.id())
+                && limits.canBeginInZone(target.zone())
+                && reducesSkew(source, target, task, limits);
     }
 
     private static double costS(MigratableTask task, MachineLoad target) {
--- a/src/main/java/org/shoreusher/core/schedule/BinPacker.java
+++ b/src/main/java/org/shoreusher/core/schedule/BinPacker.java
@@ -203,7 +203,7 @@
      *
      * @return the reserved machines, which take no further tasks in this plan
      */
-    public List<Machine> reserveMachines(JobSpec spec, int requested) {
+    List<Machine> reserveMachines(JobSpec spec, int requested) {
         List<Machine> reserved = new ArrayList<>();
         if (requested <= 0) {
             return reserved;
--- a/src/main/java/org/shoreusher/core/schedule/QuotaTargets.java
+++ b/src/main/java/org/shoreusher/core/schedule/QuotaTargets.java
@@ -4,7 +4,7 @@
 import org.shoreusher.core.message.GossipMessage.TeamDemand;
 
 /** Computes how a team's quota should be shared between the shards. */
-public final class QuotaTargets {
+final class QuotaTargets {
     private QuotaTargets() {}
 
     /**
@@ -16,7 +16,7 @@
      * @param currentShares current share of each shard
      * @param quantum shares are rounded to a multiple of this
      */
-    public static double[] targetShares(
+    static double[] targetShares(
             double limit, TeamDemand[] demands, double[] currentShares, double quantum) {
         double[] targetShares = new double[currentShares.length];
         double remaining = limit;
--- a/src/main/java/org/shoreusher/core/schedule/package-info.java
+++ b/src/main/java/org/shoreusher/core/schedule/package-info.java
@@ -6,7 +6,7 @@
  * done in responses to heartbeats. It sends stop orders, and the writes of quota records.
  *
  * <p>Invariants: the shares of a quota never sum to more than the quota; a task is counted on one
- * machine at most; tasks below a job's high-water mark only are started.
+ * machine at most; only tasks below a job's high-water mark are started.
  *
  * <p>May use {@code message}, {@code store}, {@code leadership}, {@code cluster}, {@code gossip}
  * and {@code job} of the core, and {@code balance}. Not thread-safe: all calls come from the core's
