--- a/src/main/java/org/shoreusher/core/heartbeat/TaskStarter.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/TaskStarter.java
@@ -1,6 +1,5 @@
 package org.shoreusher.core.heartbeat;
 
-import org.shoreusher.core.schedule.PlacedTasks;
 import java.util.List;
 import org.shoreusher.balance.TaskId;
 import org.shoreusher.core.cluster.ClusterConstants;
@@ -13,6 +12,7 @@
 import org.shoreusher.core.job.ShardJobs;
 import org.shoreusher.core.leadership.ShardAuthority;
 import org.shoreusher.core.message.WorkerOrder;
+import org.shoreusher.core.schedule.PlacedTasks;
 import org.shoreusher.core.schedule.PlacementPlan;
 import org.shoreusher.core.schedule.ShardScheduling;
 import org.shoreusher.core.schedule.TaskMigration;
@@ -58,7 +58,7 @@
         // Answer and heartbeat are limited in size, however many small tasks would fit.
         int remainingTasks =
                 ClusterConstants.MAX_TASKS_PER_MACHINE
-                        - Math.max(machine.tasks().size(), machine.reportedTaskCount());
+                        - Math.max(machine.tasks().size(), machine.worker().reportedTaskCount());
         for (PlacedTasks placed : placementPlan.takeTasksToStart(machine)) {
             int taskIndex = -1;
             for (int i = 0; i < placed.taskCount() && remainingTasks > 0; i++, remainingTasks--) {
