--- a/src/main/java/org/shoreusher/core/ShardStatus.java
+++ b/src/main/java/org/shoreusher/core/ShardStatus.java
@@ -21,7 +21,7 @@
         double usedCpus = 0;
         for (Machine machine : shard.state().machines().values()) {
             machinesByState[machine.state().ordinal()]++;
-            usedCpus += machine.cpusUsed();
+            usedCpus += machine.resources().cpusUsed();
         }
         Object2IntOpenHashMap<String> waitingByClass = new Object2IntOpenHashMap<>();
         shard.state()
--- a/src/main/java/org/shoreusher/core/cluster/Machine.java
+++ b/src/main/java/org/shoreusher/core/cluster/Machine.java
@@ -10,10 +10,7 @@
 import org.shoreusher.core.message.MachineType;
 import org.shoreusher.core.message.WorkerHeartbeat;
 
-/**
- * What the leader of a shard knows of one machine of that shard. Times are monotonic ms unless a
- * name says otherwise.
- */
+/** What the leader of a shard knows of one machine of that shard. */
 public final class Machine {
     /**
      * The stages of a machine's life; a machine only ever moves to a later one, except that a
@@ -64,11 +61,7 @@
     private final ObjectOpenHashSet<String> cachedImages = new ObjectOpenHashSet<>();
     private final ObjectOpenHashSet<String> failedJobIds = new ObjectOpenHashSet<>();
 
-    /**
-     * Creates a machine in state {@link State#BOOTING}.
-     *
-     * @param provisionedWallMs wall-clock ms at which it was requested
-     */
+    /** Creates a machine in state {@link State#BOOTING}. */
     public Machine(String id, MachineType type, String zone, boolean spot, long provisionedWallMs) {
         this.id = id;
         this.type = type;
@@ -98,10 +91,7 @@
         return spot;
     }
 
-    /**
-     * Wall-clock ms at which it was requested from the cloud, or its age in the cloud's list says
-     * so.
-     */
+    /** Wall-clock ms at which it was requested, or by its age in the cloud's list. */
     public long provisionedWallMs() {
         return provisionedWallMs;
     }
@@ -111,6 +101,11 @@
         return worker;
     }
 
+    /** Its CPUs, GPUs and memory: used, reserved and free. */
+    public MachineResources resources() {
+        return resources;
+    }
+
     // ---- life --------------------------------------------------------------------------------
 
     /** The stage of the machine's life. */
@@ -167,10 +162,7 @@
         }
     }
 
-    /**
-     * Whether it gets no more tasks, so that it becomes empty and can be handed over to a shard
-     * that has too few machines.
-     */
+    /** Whether it gets no more tasks, to be handed over to another shard once it is empty. */
     public boolean isEvacuating() {
         return evacuating;
     }
@@ -187,10 +179,7 @@
 
     // ---- use ---------------------------------------------------------------------------------
 
-    /**
-     * Whether tasks may have been started on it, by this leader or a previous one. Never false
-     * again once true.
-     */
+    /** Whether any leader may have started tasks on it; never false again once true. */
     public boolean mayHaveRunTasks() {
         return mayHaveRunTasks;
     }
@@ -305,36 +294,4 @@
     public static String taskKey(String jobId, int index) {
         return jobId + "/" + index;
     }
-
-    // ---- resources ---------------------------------------------------------------------------
-
-    /** CPUs that the tasks on it occupy. */
-    public double cpusUsed() {
-        return resources.cpusUsed();
-    }
-
-    /** CPUs neither used nor reserved; may be negative. */
-    public double cpusFree() {
-        return resources.cpusFree();
-    }
-
-    /** GPUs neither used nor reserved; may be negative. */
-    public double gpusFree() {
-        return resources.gpusFree();
-    }
-
-    /** GB of memory neither used nor reserved; may be negative. */
-    public double memGbFree() {
-        return resources.memGbFree();
-    }
-
-    /** Reserves capacity for so many tasks that migrate here; a negative number releases it. */
-    public void reserve(JobSpec spec, int taskCount) {
-        resources.reserve(spec, taskCount);
-    }
-
-    /** Tasks on their way here by task migration, for which capacity is reserved. */
-    public int reservedTaskCount() {
-        return resources.reservedTaskCount();
-    }
 }
--- a/src/main/java/org/shoreusher/core/cluster/MachineResources.java
+++ b/src/main/java/org/shoreusher/core/cluster/MachineResources.java
@@ -4,13 +4,13 @@
 import org.shoreusher.core.message.MachineType;
 
 /** The CPUs, GPUs and GB of memory of one machine: which are used, reserved and free. */
-final class MachineResources {
+public final class MachineResources {
     private final MachineType type;
     private double cpusUsed;
     private double gpusUsed;
     private double memGbUsed;
 
-    /** Tasks on their way here by task migration, for which the capacity below is reserved. */
+    /** Tasks for which the capacity below is reserved. */
     private int reservedTaskCount;
 
     private double cpusReserved;
@@ -40,31 +40,36 @@
         memGbUsed = isLast ? 0 : memGbUsed - spec.memGb();
     }
 
-    /** Reserves capacity for so many tasks; a negative number releases it. */
-    void reserve(JobSpec spec, int taskCount) {
+    /** Reserves capacity for so many tasks that migrate here; a negative number releases it. */
+    public void reserve(JobSpec spec, int taskCount) {
         reservedTaskCount += taskCount;
         cpusReserved = reservedTaskCount == 0 ? 0 : cpusReserved + taskCount * spec.cpus();
         gpusReserved = reservedTaskCount == 0 ? 0 : gpusReserved + taskCount * spec.gpus();
         memGbReserved = reservedTaskCount == 0 ? 0 : memGbReserved + taskCount * spec.memGb();
     }
 
-    int reservedTaskCount() {
+    /** Tasks on their way here by task migration, for which capacity is reserved. */
+    public int reservedTaskCount() {
         return reservedTaskCount;
     }
 
-    double cpusUsed() {
+    /** CPUs that the tasks on the machine occupy. */
+    public double cpusUsed() {
         return cpusUsed;
     }
 
-    double cpusFree() {
+    /** CPUs neither used nor reserved; may be negative. */
+    public double cpusFree() {
         return type.cpus() - cpusUsed - cpusReserved;
     }
 
-    double gpusFree() {
+    /** GPUs neither used nor reserved; may be negative. */
+    public double gpusFree() {
         return type.gpus() - gpusUsed - gpusReserved;
     }
 
-    double memGbFree() {
+    /** GB of memory neither used nor reserved; may be negative. */
+    public double memGbFree() {
         return type.memGb() - memGbUsed - memGbReserved;
     }
 }
--- a/src/main/java/org/shoreusher/core/gossip/ShardDemand.java
+++ b/src/main/java/org/shoreusher/core/gossip/ShardDemand.java
@@ -106,7 +106,7 @@
         for (Machine machine : machines.values()) {
             cpuHeadroom +=
                     machine.state() == Machine.State.UP || machine.state() == Machine.State.BOOTING
-                            ? machine.cpusFree()
+                            ? machine.resources().cpusFree()
                             : 0;
             idleMachines += isSurplus.test(machine) ? 1 : 0;
         }
--- a/src/main/java/org/shoreusher/core/heartbeat/TaskStarter.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/TaskStarter.java
@@ -41,8 +41,8 @@
 
     /** Whether the machine has free capacity, or capacity reserved for tasks that migrate to it. */
     boolean hasCapacityOrMigratedTasks(Machine machine) {
-        return machine.cpusFree() > ClusterConstants.EPSILON
-                || machine.gpusFree() > ClusterConstants.EPSILON
+        return machine.resources().cpusFree() > ClusterConstants.EPSILON
+                || machine.resources().gpusFree() > ClusterConstants.EPSILON
                 || taskMigration.hasReadyTasks(machine);
     }
 
--- a/src/main/java/org/shoreusher/core/machine/MachineHandover.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineHandover.java
@@ -90,7 +90,7 @@
                 evacuatingCount++;
                 machine.setEvacuating(shortfallElsewhere > 0);
             } else if (shard.isAvailable(machine)) {
-                freeCpus += machine.cpusFree();
+                freeCpus += machine.resources().cpusFree();
                 largestMachineCpus = Math.max(largestMachineCpus, machine.type().cpus());
                 leastUsed =
                         leastUsed == null || isLessUsed(machine, leastUsed) ? machine : leastUsed;
@@ -99,7 +99,7 @@
         if (shortfallElsewhere > evacuatingCount
                 && ownShortfall == 0
                 && leastUsed != null
-                && freeCpus - leastUsed.cpusFree()
+                && freeCpus - leastUsed.resources().cpusFree()
                         > largestMachineCpus * MachineConstants.HANDOVER_MIN_FREE_MACHINES) {
             leastUsed.setEvacuating(true);
         }
@@ -107,8 +107,8 @@
 
     /** Whether fewer CPUs of a machine are used than of another; the name decides among equals. */
     private static boolean isLessUsed(Machine machine, Machine other) {
-        return machine.cpusUsed() < other.cpusUsed()
-                || (machine.cpusUsed() == other.cpusUsed()
+        return machine.resources().cpusUsed() < other.resources().cpusUsed()
+                || (machine.resources().cpusUsed() == other.resources().cpusUsed()
                         && machine.id().compareTo(other.id()) < 0);
     }
 }
--- a/src/main/java/org/shoreusher/core/schedule/BalancerInput.java
+++ b/src/main/java/org/shoreusher/core/schedule/BalancerInput.java
@@ -120,7 +120,7 @@
         MachineCapacity capacity = new MachineCapacity(machine);
         return !capacity.isExpensive()
                 && !job.failedMachineIds().contains(machineId)
-                && machine.tasks().size() + machine.reservedTaskCount()
+                && machine.tasks().size() + machine.resources().reservedTaskCount()
                         < ClusterConstants.MAX_TASKS_PER_MACHINE
                 && capacity.isAllowedFor(job.spec())
                 && capacity.fittingTaskCount(job.spec()) > 0;
--- a/src/main/java/org/shoreusher/core/schedule/MachineCapacity.java
+++ b/src/main/java/org/shoreusher/core/schedule/MachineCapacity.java
@@ -30,9 +30,9 @@
                 machine.type(),
                 machine.zone(),
                 machine.isSpot(),
-                machine.cpusFree(),
-                machine.gpusFree(),
-                machine.memGbFree());
+                machine.resources().cpusFree(),
+                machine.resources().gpusFree(),
+                machine.resources().memGbFree());
     }
 
     /** The capacity of an empty machine that has not been provisioned yet. */
--- a/src/main/java/org/shoreusher/core/schedule/ProspectiveCapacity.java
+++ b/src/main/java/org/shoreusher/core/schedule/ProspectiveCapacity.java
@@ -26,9 +26,9 @@
      */
     ProspectiveCapacity(Machine machine, Comparator<TaskAttempt> preemptionOrder) {
         this.machine = machine;
-        freeCpus = machine.cpusFree();
-        freeGpus = machine.gpusFree();
-        freeMemGb = machine.memGbFree();
+        freeCpus = machine.resources().cpusFree();
+        freeGpus = machine.resources().gpusFree();
+        freeMemGb = machine.resources().memGbFree();
         for (TaskAttempt attempt : machine.tasks().values()) {
             if (attempt.mustStop() || attempt.isBeingEvicted()) {
                 release(attempt.job().spec());
--- a/src/main/java/org/shoreusher/core/schedule/TaskMigration.java
+++ b/src/main/java/org/shoreusher/core/schedule/TaskMigration.java
@@ -176,7 +176,7 @@
 
     /** Whether a migrated task waits for this machine's heartbeat. */
     public boolean hasReadyTasks(Machine machine) {
-        return machine.reservedTaskCount() > 0
+        return machine.resources().reservedTaskCount() > 0
                 && reservations.values().stream()
                         .anyMatch(reservation -> reservation.isReadyOn(machine));
     }
@@ -251,7 +251,7 @@
                 new MigrationReservation(
                         migration, attempt, shard.machines().get(migration.target()));
         reservations.put(reservation.taskId(), reservation);
-        reservation.target().reserve(reservation.spec(), 1);
+        reservation.target().resources().reserve(reservation.spec(), 1);
         attempt.evict();
         taskStopper.sendStop(attempt, TaskStopper.gracePeriodS(attempt));
         outbox.log(
@@ -276,7 +276,7 @@
      */
     private void release(MigrationReservation reservation) {
         reservations.remove(reservation.taskId());
-        reservation.target().reserve(reservation.spec(), -1);
+        reservation.target().resources().reserve(reservation.spec(), -1);
         if (!reservation.hasLeftSource()) {
             return;
         }
--- a/src/test/java/org/shoreusher/core/schedule/BinPackerTest.java
+++ b/src/test/java/org/shoreusher/core/schedule/BinPackerTest.java
@@ -114,7 +114,7 @@
                             || zones.values().stream().allMatch(n -> n <= half));
         }
         assertTrue(used <= limit);
-        on.forEach((machine, cpus) -> assertTrue(cpus <= machine.cpusFree()));
+        on.forEach((machine, cpus) -> assertTrue(cpus <= machine.resources().cpusFree()));
     }
 
     @Example
