--- a/src/main/java/org/shoreusher/core/job/CompletionRecords.java
+++ b/src/main/java/org/shoreusher/core/job/CompletionRecords.java
@@ -6,7 +6,6 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.function.Function;
 import java.util.function.IntFunction;
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.leadership.CompletionSnapshot;
@@ -162,47 +161,4 @@
             }
         }
     }
-
-    /**
-     * Splits a record of a previous leader that exceeds the limit into records that do not.
-     *
-     * @param rangesByJob the record's ranges, by job id
-     * @param storedElsewhere the completed tasks of a job that other records hold already; they are
-     *     left out
-     */
-    public static List<Map<String, Object>> splitIntoRecords(
-            Map<String, Object> rangesByJob,
-            Settings settings,
-            Function<String, BitSet> storedElsewhere) {
-        CompletionSlices slices = new CompletionSlices(settings);
-        List<Map<String, Object>> records = new ArrayList<>();
-        Map<String, Object> current = new LinkedHashMap<>();
-        int currentBytes = 0;
-        for (Map.Entry<String, Object> entry : rangesByJob.entrySet()) {
-            BitSet remaining = TaskRanges.parse((String) entry.getValue());
-            remaining.andNot(storedElsewhere.apply(entry.getKey()));
-            int overheadBytes = CompletionSlices.overheadBytes(entry.getKey());
-            int tasksPerPiece = slices.tasksPerSlice(entry.getKey());
-            for (int from = remaining.nextSetBit(0);
-                    from >= 0;
-                    from = remaining.nextSetBit(from + tasksPerPiece)) {
-                BitSet piece = new BitSet();
-                piece.set(from, from + tasksPerPiece);
-                piece.and(remaining);
-                String text = TaskRanges.format(piece);
-                if (currentBytes + overheadBytes + text.length() > slices.maxRecordBytes()
-                        || current.containsKey(entry.getKey())) {
-                    records.add(current);
-                    current = new LinkedHashMap<>();
-                    currentBytes = 0;
-                }
-                current.put(entry.getKey(), text);
-                currentBytes += overheadBytes + text.length();
-            }
-        }
-        if (!current.isEmpty()) {
-            records.add(current);
-        }
-        return records;
-    }
 }
