--- a/src/main/java/org/shoreusher/cli/ServiceSmokeCheck.java
+++ b/src/main/java/org/shoreusher/cli/ServiceSmokeCheck.java
@@ -29,12 +29,12 @@
     static final String SERVICE_ID = "wk-000900";
 
     private static final String REPLICA = SERVICE_ID + "/0";
-    private static final long STEP_MS = 20_000;
+    private static final long STEP_TIMEOUT_MS = 20_000;
     private static final long POLL_MS = 50;
     private static final int BATCH_JOBS = 5;
     private static final int MACHINES = 50;
-    private static final long REPORT_MS = 300;
-    private static final long LEASE_MS = 2_000;
+    private static final long HEARTBEAT_INTERVAL_MS = 300;
+    private static final long WORKER_LEASE_MS = 2_000;
 
     private static final String SETTINGS =
             """
@@ -50,16 +50,16 @@
               "clock_off_ms":25.0}}\
             """;
 
-    private final int front = freePort();
-    private final int back = freePort();
-    private final ControllerClient controller = new ControllerClient(front);
+    private final int frontPort = freePort();
+    private final int peerPort = freePort();
+    private final ControllerClient controller = new ControllerClient(frontPort);
     private final NioEventLoopGroup workers = new NioEventLoopGroup(1);
     private final WorkerStandIn.Environment environment =
             new WorkerStandIn.Environment(
                     workers.next(),
-                    Map.of("smoke-check", new Settings.Address("127.0.0.1", front)),
-                    REPORT_MS,
-                    LEASE_MS,
+                    Map.of("smoke-check", new Settings.Address("127.0.0.1", frontPort)),
+                    HEARTBEAT_INTERVAL_MS,
+                    WORKER_LEASE_MS,
                     job -> job.equals(SERVICE_ID) ? JobProfile.SERVICE : JobProfile.INSTANT,
                     new TaskHistory());
     private final CloudStandIn cloud =
@@ -75,7 +75,7 @@
 
     /** The settings of the controller to be checked, as JSON. */
     String settingsJson() {
-        return SETTINGS.formatted(front, back, cloudServer.port(), storeServer.port());
+        return SETTINGS.formatted(frontPort, peerPort, cloudServer.port(), storeServer.port());
     }
 
     private static int freePort() throws IOException {
@@ -86,41 +86,37 @@
 
     /** Runs the scenario; the controller must have been started or be about to. */
     void run() throws InterruptedException {
-        await("the controller is ready", () -> status("/ready", null) == 200);
+        await("the controller is ready", () -> call("/ready", null).isOk());
         for (int i = 1; i <= BATCH_JOBS; i++) {
             submit(job("wk-00000" + i, "sweep", 5));
         }
         for (int i = 1; i <= BATCH_JOBS; i++) {
             String id = "wk-00000" + i;
-            await(id + " is done", () -> "done".equals(shown(id)));
+            await(id + " is done", () -> "done".equals(displayState(id)));
         }
         submit(job(SERVICE_ID, "service", 0));
         await("the replica runs", () -> cloud.machineOf(REPLICA) != null);
-        await("the service is shown as running", () -> "running".equals(shown(SERVICE_ID)));
+        await("the service is shown as running", () -> "running".equals(displayState(SERVICE_ID)));
         String lost = cloud.machineOf(REPLICA);
         cloud.removeMachine(lost);
-        System.out.println("taken away: " + lost);
-        await("the replica is back on another machine", () -> cloud.machineOf(REPLICA) != null);
+        System.out.println("machine removed: " + lost);
+        await("the replica runs on another machine", () -> cloud.machineOf(REPLICA) != null);
         cancel();
         await("the replica is gone", () -> cloud.machineOf(REPLICA) == null);
-        require("the service is shown as cancelled", "aborted".equals(shown(SERVICE_ID)));
+        require("the service is shown as cancelled", "aborted".equals(displayState(SERVICE_ID)));
     }
 
     private void submit(Map<String, Object> job) throws InterruptedException {
         String id = (String) job.get("name_id");
-        await(id + " is accepted", () -> List.of(200, 201).contains(status("/v2/runs", job)));
+        await(id + " is accepted", () -> call("/v2/runs", job).isAccepted());
     }
 
     private void cancel() throws InterruptedException {
         String path = "/v2/runs/" + SERVICE_ID + "/cancel";
-        await("the cancellation is confirmed", () -> status(path, Map.of()) == 200);
+        await("the cancellation is confirmed", () -> call(path, Map.of()).isOk());
     }
 
-    private int status(String path, Map<String, Object> body) {
-        return call(path, body).status();
-    }
-
-    private String shown(String id) {
+    private String displayState(String id) {
         Map<String, Object> body = call("/v2/runs/" + id, null).body();
         return body == null ? null : (String) body.get("status");
     }
@@ -130,14 +126,14 @@
             return controller.call(path, body);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            return new ControllerClient.Reply(0, null);
+            return ControllerClient.Reply.NONE;
         }
     }
 
     private static void await(String step, BooleanSupplier condition) throws InterruptedException {
-        long end = System.nanoTime() + STEP_MS * 1_000_000;
+        long endNs = System.nanoTime() + STEP_TIMEOUT_MS * 1_000_000;
         while (!condition.getAsBoolean()) {
-            require(step, System.nanoTime() < end);
+            require(step, System.nanoTime() < endNs);
             Thread.sleep(POLL_MS);
         }
         System.out.println("seen: " + step);
@@ -145,7 +141,7 @@
 
     private static void require(String step, boolean seen) {
         if (!seen) {
-            throw new IllegalStateException("not seen within " + STEP_MS + " ms: " + step);
+            throw new IllegalStateException("not seen within " + STEP_TIMEOUT_MS + " ms: " + step);
         }
     }
 
--- a/src/main/java/org/shoreusher/cloud/CloudClient.java
+++ b/src/main/java/org/shoreusher/cloud/CloudClient.java
@@ -7,7 +7,7 @@
 import org.shoreusher.net.HttpCaller;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.wire.CloudFormat;
-import org.shoreusher.wire.StoreFormat;
+import org.shoreusher.wire.WireRequest;
 
 /** Client of the cloud's interface: carries out the core's cloud calls. */
 public final class CloudClient {
@@ -20,9 +20,9 @@
         this.core = core;
     }
 
-    /** Sends a call. The core gets exactly one reply; its status is 0 on failure or timeout. */
+    /** Sends a call. The core gets exactly one reply; without a status on failure or timeout. */
     public void call(Effect.CloudCall call) {
-        StoreFormat.Request request = CloudFormat.request(call.operation());
+        WireRequest request = CloudFormat.request(call.operation());
         caller.call(
                 request.path(),
                 request.body(),
--- a/src/main/java/org/shoreusher/measure/Cluster.java
+++ b/src/main/java/org/shoreusher/measure/Cluster.java
@@ -108,16 +108,17 @@
         }
         for (int i = 0; i < clients.size(); i++) {
             ControllerClient client = clients.get(i);
-            await("controller " + i + " is ready", 30, () -> status(client, "/ready", null) == 200);
+            await("controller " + i + " is ready", 30, () -> call(client, "/ready", null).isOk());
         }
     }
 
-    private static int status(ControllerClient client, String path, Map<String, Object> body) {
+    private static ControllerClient.Reply call(
+            ControllerClient client, String path, Map<String, Object> body) {
         try {
-            return client.call(path, body).status();
+            return client.call(path, body);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            return 0;
+            return ControllerClient.Reply.NONE;
         }
     }
 
@@ -130,8 +131,7 @@
                 60,
                 () -> {
                     ControllerClient client = clients.get(next[0]++ % clients.size());
-                    int status = status(client, "/v2/runs", job.toBody());
-                    return status == 200 || status == 201;
+                    return call(client, "/v2/runs", job.toBody()).isAccepted();
                 });
     }
 
@@ -141,13 +141,8 @@
     }
 
     private static boolean isDone(ControllerClient client, String job) {
-        try {
-            ControllerClient.Reply reply = client.call("/v2/runs/" + job, null);
-            return reply.status() == 200 && "done".equals(reply.body().get("status"));
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-            return false;
-        }
+        ControllerClient.Reply reply = call(client, "/v2/runs/" + job, null);
+        return reply.isOk() && "done".equals(reply.body().get("status"));
     }
 
     /**
--- a/src/main/java/org/shoreusher/net/HttpCaller.java
+++ b/src/main/java/org/shoreusher/net/HttpCaller.java
@@ -15,7 +15,6 @@
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpObjectAggregator;
-import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.util.concurrent.ScheduledFuture;
@@ -24,12 +23,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
+import org.shoreusher.core.message.ReplyStatus;
 import org.shoreusher.settings.Settings.Address;
 import org.shoreusher.wire.FieldMap;
 
 /**
  * HTTP client of one target with a pool of persistent connections and one request at a time on
- * each. Every call completes exactly once: with the response, or with status 0 on failure or
+ * each. Every call completes exactly once: with the response, or without a reply on failure or
  * timeout, after which its connection is closed. Not thread-safe: all methods run on the event
  * loop.
  */
@@ -39,17 +39,12 @@
         /**
          * Called once for each call.
          *
-         * @param status the HTTP status; 0 if there was no response
+         * @param status the HTTP status, or {@link ReplyStatus#NO_REPLY}
          * @param body the decoded body; null if it is not a map
          */
         void onResponse(int status, Map<String, Object> body);
     }
 
-    /** Status of a call without a response. */
-    private static final int NO_RESPONSE = 0;
-
-    private static final int OK = HttpResponseStatus.OK.code();
-
     private final Address target;
     private final Bootstrap bootstrap;
     private final EventLoop loop;
@@ -90,7 +85,7 @@
     public void call(
             String path, Map<String, Object> body, long timeoutMs, ResponseHandler handler) {
         if (callsInFlight >= NetConstants.MAX_CALLS_PER_TARGET) {
-            loop.execute(() -> handler.onResponse(NO_RESPONSE, null));
+            loop.execute(() -> handler.onResponse(ReplyStatus.NO_REPLY, null));
             return;
         }
         callsInFlight++;
@@ -141,7 +136,7 @@
                                 .send(call, request, timeoutMs);
                     } else {
                         request.release();
-                        call.complete(NO_RESPONSE, null);
+                        call.complete(ReplyStatus.NO_REPLY, null);
                     }
                 });
     }
@@ -186,7 +181,7 @@
                     loop.schedule(
                             () -> {
                                 channel.close();
-                                finish(NO_RESPONSE, null);
+                                finish(ReplyStatus.NO_REPLY, null);
                             },
                             timeoutMs,
                             TimeUnit.MILLISECONDS);
@@ -205,19 +200,21 @@
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
             int status =
-                    response.decoderResult().isSuccess() ? response.status().code() : NO_RESPONSE;
+                    response.decoderResult().isSuccess()
+                            ? response.status().code()
+                            : ReplyStatus.NO_REPLY;
             Map<String, Object> body = null;
             if (response.content().isReadable()) {
                 try {
                     body = FieldMap.parseCbor(ByteBufUtil.getBytes(response.content())).asMap();
                 } catch (IOException e) {
-                    status = status == OK ? NO_RESPONSE : status;
+                    status = status == ReplyStatus.OK ? ReplyStatus.NO_REPLY : status;
                 }
             }
-            if (status == OK && body == null) {
+            if (status == ReplyStatus.OK && body == null) {
                 body = Map.of();
             }
-            if (status != NO_RESPONSE
+            if (status != ReplyStatus.NO_REPLY
                     && HttpUtil.isKeepAlive(response)
                     && idleConnections.size() < maxIdle) {
                 idleConnections.addLast(this);
@@ -230,7 +227,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             idleConnections.remove(this);
-            finish(NO_RESPONSE, null);
+            finish(ReplyStatus.NO_REPLY, null);
         }
 
         @Override
--- a/src/main/java/org/shoreusher/standin/ControllerClient.java
+++ b/src/main/java/org/shoreusher/standin/ControllerClient.java
@@ -6,15 +6,30 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
+import org.shoreusher.core.message.ReplyStatus;
 import org.shoreusher.net.HttpCaller;
 import org.shoreusher.settings.Settings;
 
 /** Blocking client of a controller. Thread-safe. */
 public final class ControllerClient implements AutoCloseable {
     private static final long TIMEOUT_MS = 2_000;
+    private static final int CREATED = 201;
 
-    /** A response; status 0 if there was none. */
-    public record Reply(int status, Map<String, Object> body) {}
+    /** A response. */
+    public record Reply(int status, Map<String, Object> body) {
+        /** There was no response. */
+        public static final Reply NONE = new Reply(ReplyStatus.NO_REPLY, null);
+
+        /** Whether the request succeeded. */
+        public boolean isOk() {
+            return status == ReplyStatus.OK;
+        }
+
+        /** Whether a submitted job has been accepted, now or by an earlier request. */
+        public boolean isAccepted() {
+            return status == ReplyStatus.OK || status == CREATED;
+        }
+    }
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final HttpCaller caller;
@@ -28,7 +43,7 @@
     public Reply call(String path, Map<String, Object> body) throws InterruptedException {
         CompletableFuture<Reply> reply = new CompletableFuture<>();
         if (group.isShuttingDown()) {
-            return new Reply(0, null);
+            return Reply.NONE;
         }
         group.next()
                 .execute(
@@ -42,7 +57,7 @@
         try {
             return reply.get(2 * TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (ExecutionException | TimeoutException e) {
-            return new Reply(0, null);
+            return Reply.NONE;
         }
     }
 
--- a/src/main/java/org/shoreusher/standin/WorkerStandIn.java
+++ b/src/main/java/org/shoreusher/standin/WorkerStandIn.java
@@ -8,6 +8,7 @@
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
+import org.shoreusher.core.message.ReplyStatus;
 import org.shoreusher.net.HttpCaller;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.wire.FieldMap;
@@ -23,7 +24,6 @@
     private static final long MIN_HEARTBEAT_INTERVAL_MS = 500;
     private static final double INTERVAL_JITTER_SHARE = 0.25;
     private static final int MAX_IDLE_CONNECTIONS = 1;
-    private static final int OK = 200;
     private static final int MISDIRECTED = 421;
 
     /** A machine's name, type and zone, and whether it is a spot machine. */
@@ -178,7 +178,7 @@
     private void onResponse(
             int status, Map<String, Object> body, long sentNs, long heartbeatIncarnation) {
         inFlight = false;
-        if (status == OK) {
+        if (status == ReplyStatus.OK) {
             onAccepted(new FieldMap(body), sentNs, heartbeatIncarnation);
             scheduleHeartbeat();
             return;
--- a/src/main/java/org/shoreusher/store/StoreClient.java
+++ b/src/main/java/org/shoreusher/store/StoreClient.java
@@ -8,6 +8,7 @@
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.SharedConstants;
 import org.shoreusher.wire.StoreFormat;
+import org.shoreusher.wire.WireRequest;
 
 /** Client of the key-value store: carries out the core's store calls. */
 public final class StoreClient {
@@ -28,9 +29,9 @@
         this.core = core;
     }
 
-    /** Sends a call. The core gets exactly one reply; its status is 0 on failure or timeout. */
+    /** Sends a call. The core gets exactly one reply; without a status on failure or timeout. */
     public void call(Effect.StoreCall call) {
-        StoreFormat.Request request = StoreFormat.request(call.operation());
+        WireRequest request = StoreFormat.request(call.operation());
         long blockMs =
                 call.operation() instanceof Effect.StoreOperation.Watch watch ? watch.blockMs() : 0;
         HttpCaller selectedCaller = call.urgent() ? leaseRenewalCaller : caller;
--- a/src/main/java/org/shoreusher/user/RequestDecoder.java
+++ b/src/main/java/org/shoreusher/user/RequestDecoder.java
@@ -85,7 +85,7 @@
         String jobId = null;
         try {
             FieldMap fields = FieldMap.parseCbor(bytes(body));
-            jobId = fields.textOr("name_id", null);
+            jobId = UserFormat.readJobIdOrNull(fields);
             JobSpec spec = UserFormat.readSubmission(fields);
             return new Command.Submit(requestId, jobId, spec, null);
         } catch (IOException e) {
--- a/src/main/java/org/shoreusher/wire/CloudFormat.java
+++ b/src/main/java/org/shoreusher/wire/CloudFormat.java
@@ -17,22 +17,21 @@
     private CloudFormat() {}
 
     /** The HTTP request of a cloud operation. */
-    public static StoreFormat.Request request(CloudOperation operation) {
+    public static WireRequest request(CloudOperation operation) {
         if (operation instanceof CloudOperation.ListTypes) {
-            return new StoreFormat.Request("/flavors", null);
+            return WireRequest.get("/flavors");
         }
         if (operation instanceof CloudOperation.ListMachines listing) {
             String after =
                     listing.afterMachineId() == null
                             ? ""
                             : "after=" + listing.afterMachineId() + "&";
-            return new StoreFormat.Request(
-                    "/rentals?" + after + "most=" + WireConstants.PAGE_ENTRIES, null);
+            return WireRequest.get("/rentals?" + after + "most=" + WireConstants.PAGE_ENTRIES);
         }
         Map<String, Object> body = new LinkedHashMap<>();
         if (operation instanceof CloudOperation.Terminate termination) {
             body.put("boxes", termination.machineIds());
-            return new StoreFormat.Request("/rentals/return", body);
+            return new WireRequest("/rentals/return", body);
         }
         CloudOperation.Provision provision = (CloudOperation.Provision) operation;
         body.put("hire", provision.name());
@@ -40,7 +39,7 @@
         body.put("yard", provision.zone());
         body.put("loaners", provision.spot());
         body.put("number", (long) provision.count());
-        return new StoreFormat.Request("/rentals", body);
+        return new WireRequest("/rentals", body);
     }
 
     /** Decodes the machine types of a response. */
--- a/src/main/java/org/shoreusher/wire/MapDecoder.java
+++ b/src/main/java/org/shoreusher/wire/MapDecoder.java
@@ -35,8 +35,8 @@
             case VALUE_STRING -> parser.getText();
             case VALUE_NUMBER_INT -> readInteger(parser);
             case VALUE_NUMBER_FLOAT -> parser.getDoubleValue();
-            case VALUE_TRUE -> Boolean.TRUE;
-            case VALUE_FALSE -> Boolean.FALSE;
+            case VALUE_TRUE -> true;
+            case VALUE_FALSE -> false;
             case VALUE_NULL -> null;
             default -> throw new IOException("binary or unknown value");
         };
--- a/src/main/java/org/shoreusher/wire/StoreFormat.java
+++ b/src/main/java/org/shoreusher/wire/StoreFormat.java
@@ -13,31 +13,27 @@
 public final class StoreFormat {
     private StoreFormat() {}
 
-    /** An HTTP request: a GET if the body is null, else a POST. */
-    public record Request(String path, Map<String, Object> body) {}
-
     /** One key as read or as changed; the value is null if the key was removed. */
     public record Entry(String key, Map<String, Object> value, long version) {}
 
     /** The HTTP request of a store operation. */
-    public static Request request(StoreOperation operation) {
+    public static WireRequest request(StoreOperation operation) {
         if (operation instanceof StoreOperation.Get get) {
-            return new Request("/store/" + get.key(), null);
+            return WireRequest.get("/store/" + get.key());
         }
         if (operation instanceof StoreOperation.Page page) {
             String after = page.afterKey() == null ? "" : "&after=" + page.afterKey();
-            return new Request(
-                    "/store?prefix=" + after + "&most=" + WireConstants.PAGE_ENTRIES, null);
+            return WireRequest.get(
+                    "/store?prefix=" + after + "&most=" + WireConstants.PAGE_ENTRIES);
         }
         if (operation instanceof StoreOperation.Watch watch) {
-            return new Request(
+            return WireRequest.get(
                     "/watch?prefix=&after="
                             + watch.afterRevision()
                             + "&block_ms="
-                            + watch.blockMs(),
-                    null);
+                            + watch.blockMs());
         }
-        return new Request("/multi", body((StoreOperation.CompareAndSwap) operation));
+        return new WireRequest("/multi", body((StoreOperation.CompareAndSwap) operation));
     }
 
     private static Map<String, Object> body(StoreOperation.CompareAndSwap compareAndSwap) {
--- a/src/main/java/org/shoreusher/wire/UserFormat.java
+++ b/src/main/java/org/shoreusher/wire/UserFormat.java
@@ -48,6 +48,11 @@
 
     private UserFormat() {}
 
+    /** Decodes the job id alone of a submission; null if it is absent. */
+    public static String readJobIdOrNull(FieldMap fields) throws FieldMap.InvalidFieldException {
+        return fields.textOr("name_id", null);
+    }
+
     /**
      * Decodes the job of a submission.
      *
@@ -56,24 +61,23 @@
     public static JobSpec readSubmission(FieldMap fields) throws FieldMap.InvalidFieldException {
         String shape = fields.text("shape");
         // Gang scheduling and other shapes would be decoded here; the protocol has none today.
-        need(shape.equals(SWEEP) || shape.equals(SERVICE), "shape must be sweep or service");
-        return readSubmission(
-                fields, shape.equals(SWEEP) ? WorkloadType.BATCH : WorkloadType.SERVICE);
+        require(shape.equals(SWEEP) || shape.equals(SERVICE), "shape must be sweep or service");
+        return readSpec(fields, shape.equals(SWEEP) ? WorkloadType.BATCH : WorkloadType.SERVICE);
     }
 
     /** Decodes a specification from the store, as {@link #writeDescription} encodes it. */
     public static JobSpec readDescription(FieldMap fields) throws FieldMap.InvalidFieldException {
-        return readSubmission(
+        return readSpec(
                 fields,
                 fields.flagOr(SERVICE_MARK, false) ? WorkloadType.SERVICE : WorkloadType.BATCH);
     }
 
-    private static JobSpec readSubmission(FieldMap fields, WorkloadType shape)
+    private static JobSpec readSpec(FieldMap fields, WorkloadType shape)
             throws FieldMap.InvalidFieldException {
         String id = fields.text("name_id");
-        need(JobSpec.isValidId(id), "name_id must look like wk-000412");
+        require(JobSpec.isValidId(id), "name_id must look like wk-000412");
         long tasks = fields.integer("sheets");
-        need(
+        require(
                 tasks >= 1 && tasks <= MessageConstants.MAX_TASKS_PER_JOB,
                 "sheets must be between 1 and " + MessageConstants.MAX_TASKS_PER_JOB);
         double cpus = amount(fields, "cpus");
@@ -107,13 +111,13 @@
     private static double amount(FieldMap fields, String field)
             throws FieldMap.InvalidFieldException {
         double value = fields.number(field);
-        need(
+        require(
                 value >= 0 && value < Double.POSITIVE_INFINITY,
                 field + " must be a number that is not negative");
         return value;
     }
 
-    private static void need(boolean condition, String message)
+    private static void require(boolean condition, String message)
             throws FieldMap.InvalidFieldException {
         if (!condition) {
             throw new FieldMap.InvalidFieldException(message);
--- a/src/test/java/org/shoreusher/simulation/EffectHash.java
+++ b/src/test/java/org/shoreusher/simulation/EffectHash.java
@@ -13,6 +13,7 @@
 import org.shoreusher.wire.FieldMap;
 import org.shoreusher.wire.ResponseFormat;
 import org.shoreusher.wire.StoreFormat;
+import org.shoreusher.wire.WireRequest;
 import org.shoreusher.wire.WorkerFormat;
 
 /**
@@ -68,7 +69,7 @@
         return stream.putByte((byte) kind).putString(host);
     }
 
-    private void request(StoreFormat.Request request) {
+    private void request(WireRequest request) {
         stream.putString(request.body() == null ? "GET" : "POST").putString(request.path());
         if (request.body() != null) {
             body(request.body());
