--- /dev/null
+++ b/src/test/java/org/shoreusher/core/gossip/PeerGossipTest.java
@@ -0,0 +1,169 @@
+package org.shoreusher.core.gossip;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import net.jqwik.api.Example;
+import org.shoreusher.core.CoreTestData;
+import org.shoreusher.core.message.ClockReading;
+import org.shoreusher.core.message.Effect;
+import org.shoreusher.core.message.GossipMessage;
+import org.shoreusher.core.message.GossipMessage.ShardSummary;
+import org.shoreusher.core.message.Response.TaskCounts;
+import org.shoreusher.core.store.Outbox;
+import org.shoreusher.core.store.ShardRecord;
+import org.shoreusher.settings.Settings;
+import org.shoreusher.settings.SettingsBuilder;
+
+/** What a node concludes from the gossip of its peers, and what it sends itself. */
+class PeerGossipTest {
+    private static final Settings.Address NOWHERE = new Settings.Address("127.0.0.1", 1);
+    private static final Settings SETTINGS =
+            new SettingsBuilder(CoreTestData.settings(List.of()))
+                    .host(
+                            "a",
+                            List.of(
+                                    new Settings.Member("b", NOWHERE, "a"),
+                                    new Settings.Member("c", NOWHERE, "a")))
+                    .build();
+    private static final ShardSummary SUMMARY = new ShardSummary(4, 1, 2, Map.of());
+
+    private final Outbox outbox = new Outbox(SETTINGS, 2);
+    private final PeerGossip gossip = new PeerGossip(SETTINGS, outbox, 2, shardNumber -> null);
+
+    private void setTime(long nowMs) {
+        outbox.setNow(new ClockReading(nowMs, nowMs));
+        gossip.noteStart();
+    }
+
+    private void receive(String host, boolean storeReachable, int... ledShards) {
+        receiveSentAt(outbox.now().wallMs(), host, storeReachable, ledShards);
+    }
+
+    private void receiveSentAt(
+            long sentWallMs, String host, boolean storeReachable, int... ledShards) {
+        Map<Integer, ShardSummary> shards = new HashMap<>();
+        for (int shardNumber : ledShards) {
+            shards.put(shardNumber, SUMMARY);
+        }
+        gossip.receive(
+                new GossipMessage(
+                        host,
+                        sentWallMs,
+                        storeReachable,
+                        100,
+                        shards,
+                        Map.of(1, 3),
+                        Map.of("wk-000001", 5),
+                        Map.of("wk-000001", 2)));
+    }
+
+    @Example
+    void oldGossipIsNotUsed() {
+        setTime(1_000);
+        receive("b", true, 1);
+        assertTrue(gossip.isResponsive("b"));
+        assertFalse(gossip.isResponsive("c"));
+        assertEquals(SUMMARY, gossip.shardSummary(1));
+        assertNull(gossip.shardSummary(0));
+        assertEquals(3, gossip.workersUnableToReachLeader(1));
+        setTime(1_000 + GossipConstants.MAX_GOSSIP_AGE_MS);
+        assertFalse(gossip.isResponsive("b"));
+        assertNull(gossip.shardSummary(1));
+        assertEquals(0, gossip.workersUnableToReachLeader(1));
+        assertFalse(gossip.anyPeerReachesStore());
+    }
+
+    @Example
+    void storeOutageOfAllNeedsRecentGossipOfEveryPeer() {
+        setTime(10_000);
+        receive("b", false);
+        assertFalse(gossip.isStoreUnavailableToAllPeers(), "nothing is known of c");
+        receiveSentAt(10_000 - GossipConstants.MAX_GOSSIP_AGE_MS, "c", false);
+        assertFalse(gossip.isStoreUnavailableToAllPeers(), "the network delayed c's message");
+        receive("c", true);
+        assertFalse(gossip.isStoreUnavailableToAllPeers(), "c reaches the store");
+        receive("c", false);
+        assertTrue(gossip.isStoreUnavailableToAllPeers());
+    }
+
+    @Example
+    void interimHostIsTheFirstResponsivePeerThatReachesTheStore() {
+        setTime(1_000);
+        assertEquals(Optional.empty(), gossip.interimHost("b"));
+        receive("c", true);
+        receive("b", true);
+        assertEquals(Optional.of("b"), gossip.interimHost("c"));
+        assertEquals(Optional.of("c"), gossip.interimHost("b"));
+        receive("c", false);
+        assertEquals(Optional.empty(), gossip.interimHost("b"));
+        setTime(1_000 + GossipConstants.PEER_UNRESPONSIVE_MS);
+        assertEquals(Optional.empty(), gossip.interimHost("c"), "b has stopped sending");
+    }
+
+    @Example
+    void leaderIsSuspectedOnlyIfItsLeaseRunsOutAndItsGossipHasStopped() {
+        setTime(1_000);
+        receive("b", true, 0);
+        ShardRecord expired = new ShardRecord("b/1", 999, 1, Map.of(), null);
+        ShardRecord nearExpiry = new ShardRecord("b/1", 1_001, 1, Map.of(), null);
+        ShardRecord renewed = new ShardRecord("b/1", 1_000_000, 1, Map.of(), null);
+        assertTrue(gossip.isSuspectedDown(expired));
+        assertFalse(gossip.isSuspectedDown(nearExpiry));
+        setTime(1_001 + GossipConstants.PEER_UNRESPONSIVE_MS);
+        ShardRecord nearExpiryLater =
+                new ShardRecord("b/1", outbox.now().wallMs() + 1, 1, Map.of(), null);
+        assertTrue(gossip.isSuspectedDown(nearExpiryLater));
+        assertFalse(gossip.isSuspectedDown(renewed));
+    }
+
+    @Example
+    void peersThatLeadFewerShardsGoFirst() {
+        setTime(1_000);
+        assertEquals(0, gossip.peersWithPriority(0), "a node without shards waits for nobody");
+        assertEquals(2, gossip.peersWithPriority(1), "peers may be starting");
+        receive("b", true);
+        receive("c", true, 0, 1);
+        assertEquals(1, gossip.peersWithPriority(1));
+        assertTrue(gossip.isAnyPeerLeadingTwoFewer(2));
+        assertFalse(gossip.isAnyPeerLeadingTwoFewer(1));
+    }
+
+    @Example
+    void taskCountsComeFromAnyMessageThatNamesTheJob() {
+        setTime(1_000);
+        assertEquals(new TaskCounts(0, 0), gossip.taskCounts("wk-000001"));
+        receive("b", true);
+        assertEquals(new TaskCounts(2, 5), gossip.taskCounts("wk-000001"));
+        assertEquals(new TaskCounts(0, 0), gossip.taskCounts("wk-000002"));
+    }
+
+    @Example
+    void sendsAtAFixedIntervalAndRemembersThatItSaidTheStoreIsUnreachable() {
+        setTime(10_000);
+        assertTrue(gossip.sendIfDue());
+        assertFalse(gossip.sendIfDue());
+        GossipMessage first = lastSent();
+        assertEquals("a", first.senderHost());
+        assertFalse(first.storeReachable(), "the store has never answered");
+        long validUntilMs = gossip.storeOutageGossipValidUntilMs();
+        assertTrue(validUntilMs > 10_000 + GossipConstants.MAX_GOSSIP_AGE_MS);
+        setTime(10_000 + GossipConstants.GOSSIP_INTERVAL_MS);
+        assertTrue(gossip.sendIfDue());
+        assertEquals(0.5, lastSent().uptimeS());
+        assertEquals(
+                validUntilMs + GossipConstants.GOSSIP_INTERVAL_MS,
+                gossip.storeOutageGossipValidUntilMs());
+    }
+
+    private GossipMessage lastSent() {
+        List<Effect> effects = outbox.drainEffects();
+        return ((Effect.SendGossip) effects.get(effects.size() - 1)).message();
+    }
+}
--- a/src/test/java/org/shoreusher/core/schedule/QuotaSharesTest.java
+++ b/src/test/java/org/shoreusher/core/schedule/QuotaSharesTest.java
@@ -26,7 +26,7 @@
                             : new TeamDemand(random.nextInt(30), random.nextInt(60));
         }
         double max = Arrays.stream(shares).sum();
-        double[] targets = QuotaShares.targetShares(max, demands, shares, 1);
+        double[] targets = QuotaTargets.targetShares(max, demands, shares, 1);
         double urgent =
                 Arrays.stream(demands)
                         .filter(demand -> demand != null)
