--- a/src/test/java/org/shoreusher/balance/BalancerTest.java
+++ b/src/test/java/org/shoreusher/balance/BalancerTest.java
@@ -104,8 +104,8 @@
         for (Migration next = migration;
                 next != null;
                 next = firstOrNull(scheduler.planMigrations())) {
-            assertNotEquals(migration.target(), next.task().machine(), "came just now");
-            assertNotEquals("m-0", next.target(), "left just now");
+            assertNotEquals(migration.target(), next.task().machine(), "received a task just now");
+            assertNotEquals("m-0", next.target(), "lost a task just now");
             if (next != migration) {
                 scheduler.complete(next);
             }
@@ -162,7 +162,7 @@
         assertEquals(List.of(), scheduler.planMigrations(), "the save has failed");
         scheduler.balancer.budget().removeTask("c", 50_000);
         scheduler.nowMs = 149_000;
-        assertEquals(List.of(), scheduler.planMigrations(), "one task more for 99 s");
+        assertEquals(List.of(), scheduler.planMigrations(), "one more task for 99 s");
         scheduler.nowMs = 150_000;
         assertEquals(1, scheduler.planMigrations().size());
     }
@@ -197,7 +197,7 @@
         scheduler.balancer.updateDemand(Map.of(FakeScheduler.TEAM, 70.0));
         assertTrue(
                 scheduler.balancer.isHighDemand(FakeScheduler.TEAM),
-                "cools only well below the bound");
+                "leaves the high demand only well below the bound");
     }
 
     @Example
--- a/src/test/java/org/shoreusher/balance/MigrationPlannerOptimalityTest.java
+++ b/src/test/java/org/shoreusher/balance/MigrationPlannerOptimalityTest.java
@@ -31,7 +31,7 @@
         Random random = new Random(17);
         for (int i = 0; i < CASES; i++) {
             List<int[]> tasks = new ArrayList<>();
-            for (int t = 0; t < 9; t++) {
+            for (int count = 0; count < 9; count++) {
                 int[] task = {random.nextInt(2), 1 + random.nextInt(3)};
                 if (usedCpus(tasks, task[0]) + task[1] <= FakeScheduler.MACHINE_CPUS) {
                     tasks.add(task);
@@ -39,7 +39,7 @@
             }
             double planned = plannedMaximum(tasks);
             double optimum = optimalMaximum(tasks);
-            int largest = tasks.stream().mapToInt(t -> t[1]).max().orElseThrow();
+            int largest = tasks.stream().mapToInt(assigned -> assigned[1]).max().orElseThrow();
             assertTrue(
                     planned <= optimum + largest + MARGIN * FakeScheduler.MACHINE_CPUS,
                     () -> "planned " + planned + ", optimum " + optimum);
@@ -47,7 +47,7 @@
     }
 
     private static double usedCpus(List<int[]> tasks, int machine) {
-        return tasks.stream().filter(t -> t[0] == machine).mapToInt(t -> t[1]).sum();
+        return tasks.stream().filter(task -> task[0] == machine).mapToInt(task -> task[1]).sum();
     }
 
     /** The highest use of a machine, in CPUs, after the planner has nothing left to migrate. */
@@ -67,14 +67,16 @@
             migrations.forEach(scheduler::complete);
         }
         double most = 0;
-        for (int m = 0; m < MACHINES; m++) {
+        for (int machineIndex = 0; machineIndex < MACHINES; machineIndex++) {
             most =
                     Math.max(
                             most,
                             scheduler
                                     .balancer
                                     .load()
-                                    .teamCpusOn(FakeScheduler.machineId(m), FakeScheduler.TEAM));
+                                    .teamCpusOn(
+                                            FakeScheduler.machineId(machineIndex),
+                                            FakeScheduler.TEAM));
         }
         return most;
     }
@@ -86,18 +88,20 @@
     private static double optimalMaximum(List<int[]> tasks) {
         ExpressionsBasedModel model = new ExpressionsBasedModel();
         Variable largest = model.newVariable("largest").lower(0).weight(1);
-        Variable[][] on = new Variable[tasks.size()][MACHINES];
-        for (int t = 0; t < tasks.size(); t++) {
-            Expression once = model.newExpression("task " + t).level(1);
-            for (int m = 0; m < MACHINES; m++) {
-                on[t][m] = model.newVariable(t + " on " + m).binary();
-                once.set(on[t][m], 1);
+        Variable[][] assignment = new Variable[tasks.size()][MACHINES];
+        for (int taskIndex = 0; taskIndex < tasks.size(); taskIndex++) {
+            Expression once = model.newExpression("task " + taskIndex).level(1);
+            for (int machineIndex = 0; machineIndex < MACHINES; machineIndex++) {
+                assignment[taskIndex][machineIndex] =
+                        model.newVariable(taskIndex + " on " + machineIndex).binary();
+                once.set(assignment[taskIndex][machineIndex], 1);
             }
         }
-        for (int m = 0; m < MACHINES; m++) {
-            Expression use = model.newExpression("machine " + m).upper(0).set(largest, -1);
-            for (int t = 0; t < tasks.size(); t++) {
-                use.set(on[t][m], tasks.get(t)[1]);
+        for (int machineIndex = 0; machineIndex < MACHINES; machineIndex++) {
+            Expression use =
+                    model.newExpression("machine " + machineIndex).upper(0).set(largest, -1);
+            for (int taskIndex = 0; taskIndex < tasks.size(); taskIndex++) {
+                use.set(assignment[taskIndex][machineIndex], tasks.get(taskIndex)[1]);
             }
         }
         Optimisation.Result result = model.minimise();
--- a/src/test/java/org/shoreusher/core/cluster/MachineTest.java
+++ b/src/test/java/org/shoreusher/core/cluster/MachineTest.java
@@ -79,7 +79,8 @@
         heartbeat(2, 16, 130_000);
         assertTrue(machine.hasOneWayPartition());
         heartbeat(2, 17, 135_000);
-        assertFalse(machine.hasOneWayPartition(), "a report in time shows that it hears");
+        assertFalse(
+                machine.hasOneWayPartition(), "a heartbeat in time shows that responses arrive");
     }
 
     /**
--- a/src/test/java/org/shoreusher/core/leadership/LeaderLeaseTest.java
+++ b/src/test/java/org/shoreusher/core/leadership/LeaderLeaseTest.java
@@ -37,19 +37,23 @@
         lease.onConfirmed(
                 written + leaderOffsetMs + LeaderLease.durationMs(settings),
                 new ClockReading(0, written + leaderOffsetMs));
-        for (long t = 0; t < LeaderLease.durationMs(settings) + 4_000; t += 13) {
+        for (long elapsedMs = 0;
+                elapsedMs < LeaderLease.durationMs(settings) + 4_000;
+                elapsedMs += 13) {
             // The wall clock deviates within its bound; the monotonic clock may run up to 0.05%
             // fast.
-            long leaderWallMs = written + t + random.nextInt(2 * clockOffsetMs + 1) - clockOffsetMs;
+            long leaderWallMs =
+                    written + elapsedMs + random.nextInt(2 * clockOffsetMs + 1) - clockOffsetMs;
             long successorWallMs =
-                    written + t + random.nextInt(2 * clockOffsetMs + 1) - clockOffsetMs;
-            boolean acts = lease.isValid(new ClockReading((long) (t * 1.0005), leaderWallMs));
+                    written + elapsedMs + random.nextInt(2 * clockOffsetMs + 1) - clockOffsetMs;
+            boolean acts =
+                    lease.isValid(new ClockReading((long) (elapsedMs * 1.0005), leaderWallMs));
             boolean taken =
                     LeaderLease.isAcquirable(
                             settings,
                             written + leaderOffsetMs + LeaderLease.durationMs(settings),
                             new ClockReading(0, successorWallMs));
-            assertFalse(acts && taken, "both at " + t);
+            assertFalse(acts && taken, "both at " + elapsedMs);
         }
     }
 
--- a/src/test/java/org/shoreusher/core/schedule/QuotaSharesTest.java
+++ b/src/test/java/org/shoreusher/core/schedule/QuotaSharesTest.java
@@ -32,15 +32,15 @@
                         .filter(demand -> demand != null)
                         .mapToDouble(TeamDemand::highPriorityCpus)
                         .sum();
-        double silent = 0;
+        double withoutReport = 0;
         for (int shardNumber = 0; shardNumber < shardCount; shardNumber++) {
-            silent += demands[shardNumber] == null ? shares[shardNumber] : 0;
+            withoutReport += demands[shardNumber] == null ? shares[shardNumber] : 0;
         }
         for (int shardNumber = 0; shardNumber < shardCount; shardNumber++) {
             assertTrue(demands[shardNumber] != null || targets[shardNumber] == shares[shardNumber]);
             assertTrue(
                     demands[shardNumber] == null
-                            || urgent > max - silent
+                            || urgent > max - withoutReport
                             || targets[shardNumber]
                                     >= demands[shardNumber].highPriorityCpus() - 0.5);
         }
--- a/src/test/java/org/shoreusher/core/store/QuotaRecordTest.java
+++ b/src/test/java/org/shoreusher/core/store/QuotaRecordTest.java
@@ -16,7 +16,7 @@
             @ForAll @IntRange(min = 1, max = 5) int shardCount) {
         QuotaRecord record = QuotaRecord.splitEvenly(limit, 0, shardCount);
         assertEquals(limit, Arrays.stream(record.cpus()).sum(), 1e-9);
-        assertTrue(Arrays.stream(record.cpus()).allMatch(c -> c >= 0));
+        assertTrue(Arrays.stream(record.cpus()).allMatch(share -> share >= 0));
         QuotaRecord read = QuotaRecord.fromMap(record.toMap(), shardCount);
         assertTrue(Arrays.equals(record.cpus(), read.cpus()));
         // Shares for another number of shards are ignored.
--- a/src/test/java/org/shoreusher/core/store/TokenBucketTest.java
+++ b/src/test/java/org/shoreusher/core/store/TokenBucketTest.java
@@ -16,18 +16,21 @@
             @ForAll @IntRange(min = 1, max = 50) int rate,
             @ForAll List<@IntRange(max = 400) Integer> pauses) {
         TokenBucket bucket = new TokenBucket(rate, rate);
-        long now = 5;
-        List<Long> taken = new ArrayList<>();
+        long nowMs = 5;
+        List<Long> acquiredAtMs = new ArrayList<>();
         for (int pause : pauses) {
-            now += pause;
+            nowMs += pause;
             for (int i = 0; i < 20; i++) {
-                if (bucket.tryAcquire(1, now)) {
-                    taken.add(now);
+                if (bucket.tryAcquire(1, nowMs)) {
+                    acquiredAtMs.add(nowMs);
                 }
             }
         }
-        for (long from : taken) {
-            long count = taken.stream().filter(t -> t >= from && t <= from + 1000).count();
+        for (long fromMs : acquiredAtMs) {
+            long count =
+                    acquiredAtMs.stream()
+                            .filter(atMs -> atMs >= fromMs && atMs <= fromMs + 1000)
+                            .count();
             assertTrue(count <= 2 * rate + 1, count + " at a rate of " + rate);
         }
     }
--- a/src/test/java/org/shoreusher/simulation/AutoscalerTest.java
+++ b/src/test/java/org/shoreusher/simulation/AutoscalerTest.java
@@ -132,13 +132,13 @@
      */
     @Example
     void successorKeepsUnresponsiveMachinesThatWereUsed() {
-        List<String> returned = new ArrayList<>();
-        long[] returnedAtMs = {0};
+        List<String> terminated = new ArrayList<>();
+        long[] terminatedAtMs = {0};
         node.cloud =
                 operation -> {
                     if (operation instanceof CloudOperation.Terminate termination) {
-                        returned.addAll(termination.machineIds());
-                        returnedAtMs[0] = node.nowMs;
+                        terminated.addAll(termination.machineIds());
+                        terminatedAtMs[0] = node.nowMs;
                     }
                     return new Command.CloudReply(
                             0, operation instanceof CloudOperation.Terminate ? 200 : 0, Map.of());
@@ -147,14 +147,14 @@
         node.previousLeaderLeft("host-1");
         long from = node.nowMs;
         node.nowMs += 600_000;
-        for (int i = 0; returned.isEmpty() && i < 3_000; i++) {
+        for (int i = 0; terminated.isEmpty() && i < 3_000; i++) {
             node.runSteps(1);
         }
-        assertEquals(List.of("host-1"), returned);
+        assertEquals(List.of("host-1"), terminated);
         // Its lease of 8 s, and a minute.
         assertTrue(
-                returnedAtMs[0] - from - 600_000 > 60_000,
-                () -> "returned after " + (returnedAtMs[0] - from - 600_000));
+                terminatedAtMs[0] - from - 600_000 > 60_000,
+                () -> "terminated after " + (terminatedAtMs[0] - from - 600_000));
     }
 
     /**
--- a/src/test/java/org/shoreusher/simulation/CancellationTest.java
+++ b/src/test/java/org/shoreusher/simulation/CancellationTest.java
@@ -76,8 +76,8 @@
             node.runSteps(1);
         }
         List<String> orders = node.heartbeat("host-1", 2, 6);
-        assertNotNull(orders, "its lease holds");
-        assertFalse(orders.contains("run"), "the view does not show the cancellation yet");
+        assertNotNull(orders, "its lease is valid");
+        assertFalse(orders.contains("run"), "the cache does not contain the cancellation yet");
         node.runSteps(100);
         List<String> started = new ArrayList<>();
         for (int sequenceNumber = 3; sequenceNumber < 8; sequenceNumber++) {
--- a/src/test/java/org/shoreusher/simulation/ClusterSimulation.java
+++ b/src/test/java/org/shoreusher/simulation/ClusterSimulation.java
@@ -77,12 +77,12 @@
     /** Called for every event that a process logs. */
     Consumer<EventLog.Entry> onLog = entry -> {};
 
-    /** Told of every effect that is carried out, with the host whose core wanted it. */
+    /** Called for every effect that is executed, with the host whose core returned it. */
     BiConsumer<String, Effect> onEffect = (host, effect) -> {};
 
-    /** Told of every world that this thread makes, with its seed, before it begins. */
+    /** Called for every simulation that this thread creates, with its seed, before it starts. */
     static final ThreadLocal<ObjLongConsumer<ClusterSimulation>> ON_NEW =
-            ThreadLocal.withInitial(() -> (world, seed) -> {});
+            ThreadLocal.withInitial(() -> (simulation, seed) -> {});
 
     /** The features of the processes that use any. */
     Features features = Features.NONE;
--- a/src/test/java/org/shoreusher/simulation/ClusterSimulationTest.java
+++ b/src/test/java/org/shoreusher/simulation/ClusterSimulationTest.java
@@ -127,10 +127,10 @@
                 "hardly anything ran: " + simulation.invariants.taskStarts);
         assertTrue(
                 simulation.duplicateHeartbeats > 10,
-                "hardly any late copies: " + simulation.duplicateHeartbeats);
+                "hardly any late duplicates: " + simulation.duplicateHeartbeats);
         assertTrue(
                 simulation.network.duplicatedMessages > 100,
-                "hardly any repeats: " + simulation.network.duplicatedMessages);
+                "hardly any duplicated messages: " + simulation.network.duplicatedMessages);
     }
 
     @Property(tries = 15, seed = "815", shrinking = ShrinkingMode.OFF)
--- a/src/test/java/org/shoreusher/simulation/CompoundFailuresTest.java
+++ b/src/test/java/org/shoreusher/simulation/CompoundFailuresTest.java
@@ -153,12 +153,12 @@
             simulation.users.submit(i, (i < 51 ? 20_000 : 70_000) + simulation.random.nextInt(20));
         }
         for (int i = 0; i < 12; i++) {
-            int n = i;
+            int number = i;
             simulation.scheduleAt(
                     simulation.random.nextInt(150_000), simulation.users::pollUnknownJob);
             simulation.scheduleAt(
                     5_000 + simulation.random.nextInt(150_000),
-                    () -> simulation.users.submitInvalid(n));
+                    () -> simulation.users.submitInvalid(number));
         }
         simulation.faultFreeFromMs = FAULT_FREE_FROM_MS;
         simulation.scheduleAt(FAULT_FREE_FROM_MS, simulation.invariants::checkWaitingJobs);
@@ -234,8 +234,8 @@
                 List.of(
                         new Fault(
                                 60_000,
-                                x ->
-                                        FaultInjection.currentLeaders(x)
+                                cluster ->
+                                        FaultInjection.currentLeaders(cluster)
                                                 .forEach(controller -> controller.crash(500)))));
         simulation.invariants.checkAtEnd();
         simulation.invariants.checkHalfOfJobsServed();
--- a/src/test/java/org/shoreusher/simulation/FaultInjection.java
+++ b/src/test/java/org/shoreusher/simulation/FaultInjection.java
@@ -86,12 +86,15 @@
             case 10 ->
                     cluster ->
                             cluster.controllers.forEach(
-                                    p -> cluster.network.partition(host, p.host, length));
+                                    controller ->
+                                            cluster.network.partition(
+                                                    host, controller.host, length));
             case 11 ->
                     cluster -> {
-                        for (int p = 0; p < nodes; p++) {
-                            SimulatedController next = cluster.controllers.get((node + p) % nodes);
-                            cluster.scheduleAfter(p * 8_000L, () -> next.crash(1_500));
+                        for (int offset = 0; offset < nodes; offset++) {
+                            SimulatedController next =
+                                    cluster.controllers.get((node + offset) % nodes);
+                            cluster.scheduleAfter(offset * 8_000L, () -> next.crash(1_500));
                         }
                     };
             case 12 ->
@@ -113,7 +116,8 @@
                         // Without store and peers, but with its workers.
                         cluster.network.partition(host, "state", length);
                         cluster.controllers.forEach(
-                                p -> cluster.network.partition(host, p.host, length));
+                                controller ->
+                                        cluster.network.partition(host, controller.host, length));
                     };
             case 15 ->
                     cluster -> {
@@ -126,7 +130,9 @@
                         for (SimulatedWorker machine : cluster.cloud.machines()) {
                             if (cluster.random.nextInt(3) == 0) {
                                 cluster.controllers.forEach(
-                                        p -> cluster.network.partition(p.host, machine.id, length));
+                                        controller ->
+                                                cluster.network.partition(
+                                                        controller.host, machine.id, length));
                             }
                         }
                     };
--- a/src/test/java/org/shoreusher/simulation/HeartbeatsTest.java
+++ b/src/test/java/org/shoreusher/simulation/HeartbeatsTest.java
@@ -39,9 +39,12 @@
         assertEquals(
                 List.of(),
                 node.heartbeat("host-2", 10, 5),
-                "held since before the takeover: answered, but nothing may start");
+                "held since before the failover: answered, but nothing may start");
         assertEquals(List.of(), node.heartbeat("host-1", 20, 5));
-        assertEquals(List.of(), node.heartbeat("host-1", 21, 6), "host-2 has not been heard yet");
+        assertEquals(
+                List.of(),
+                node.heartbeat("host-1", 21, 6),
+                "host-2 has not sent a current heartbeat yet");
         node.runSteps(3);
         assertEquals(List.of(), node.heartbeat("host-1", 22, 6));
         assertEquals(
@@ -80,31 +83,31 @@
         node.runSteps(20);
         assertNull(
                 node.heartbeat("host-7", 10, 6),
-                "no record and no list shows it, and it has been answered before");
-        assertEquals(List.of(), node.heartbeat("host-8", 1, 0), "a new machine is taken on");
+                "no record and no inventory contains it, and it has been answered before");
+        assertEquals(List.of(), node.heartbeat("host-8", 1, 0), "a new machine is registered");
         node.runSteps(10);
-        List<String> returned = new ArrayList<>();
+        List<String> terminated = new ArrayList<>();
         node.cloud =
                 operation -> {
                     if (operation instanceof CloudOperation.Terminate termination) {
-                        returned.addAll(termination.machineIds());
+                        terminated.addAll(termination.machineIds());
                     }
                     return new Command.CloudReply(
                             0, operation instanceof CloudOperation.Terminate ? 200 : 0, Map.of());
                 };
-        for (int i = 1; returned.isEmpty() && i < 600; i++) {
+        for (int i = 1; terminated.isEmpty() && i < 600; i++) {
             node.runSteps(1);
-            if (i % 15 == 0 && returned.isEmpty()) {
+            if (i % 15 == 0 && terminated.isEmpty()) {
                 node.heartbeat("host-8", 1 + i, 6);
             }
         }
-        assertEquals(List.of("host-8"), returned, "idle for long");
+        assertEquals(List.of("host-8"), terminated, "idle for long");
         assertNull(
                 node.heartbeat("host-8", 1_000, 6),
-                "a copy that comes while its record is still there");
+                "a duplicate that arrives while its record is still there");
         node.runSteps(3);
-        assertNull(node.heartbeat("host-8", 1, 0), "a copy of its first report");
-        assertNull(node.heartbeat("host-8", 30, 6), "a copy of a later one");
+        assertNull(node.heartbeat("host-8", 1, 0), "a duplicate of its first heartbeat");
+        assertNull(node.heartbeat("host-8", 30, 6), "a duplicate of a later one");
     }
 
     /**
@@ -120,7 +123,7 @@
         assertEquals(
                 List.of(),
                 node.heartbeatAndGetStarts("host-1", 1, 5),
-                "made before it saw the new term");
+                "sent before it saw the new term");
         List<String> started = new ArrayList<>();
         for (int sequenceNumber = 2; sequenceNumber < 8; sequenceNumber++) {
             node.runSteps(3);
@@ -222,7 +225,7 @@
                 }
             }
             long lease = (long) (SimulationSettings.standard().workerLeaseS() * 1000);
-            assertEquals(newer, ranAtMs > 0, "newer reports: " + newer);
+            assertEquals(newer, ranAtMs > 0, "newer heartbeats: " + newer);
             assertTrue(!newer || ranAtMs > lease, "too early: " + ranAtMs);
         }
     }
@@ -269,9 +272,12 @@
         node.runSteps(3);
         List<String> orders = new ArrayList<>(first);
         orders.addAll(node.heartbeat("host-2", 3, 6));
-        assertTrue(orders.contains("run"), "the session has ended and the task with it: " + orders);
+        assertTrue(
+                orders.contains("run"),
+                "the incarnation has ended and the task with it: " + orders);
         assertNull(
-                node.heartbeat("host-1", 10, 6, running), "a copy of the former session's report");
+                node.heartbeat("host-1", 10, 6, running),
+                "a duplicate of the earlier incarnation's heartbeat");
         assertNull(
                 node.heartbeat(
                         "host-1",
--- a/src/test/java/org/shoreusher/simulation/Invariants.java
+++ b/src/test/java/org/shoreusher/simulation/Invariants.java
@@ -144,7 +144,7 @@
                             job.spec.id()
                                     + " waits since "
                                     + sinceMs
-                                    + " beside a machine with room");
+                                    + " beside a machine with capacity");
                     waitingSinceMs.put(job.spec.id(), simulation.nowMs);
                 }
             } else {
@@ -249,7 +249,7 @@
                                         && job.spec.workloadType().runsToCompletion())
                 .forEach(
                         job ->
-                                teams.computeIfAbsent(job.spec.team(), t -> new ArrayList<>())
+                                teams.computeIfAbsent(job.spec.team(), name -> new ArrayList<>())
                                         .add(job));
         teams.forEach(
                 (team, jobs) -> {
@@ -262,10 +262,10 @@
                 });
     }
 
-    private void checkHalfServed(String of, List<SimulatedUsers.SimulatedJob> jobs) {
+    private void checkHalfServed(String description, List<SimulatedUsers.SimulatedJob> jobs) {
         long done = jobs.stream().filter(job -> job.doneConfirmed).count();
         if (2 * done < jobs.size()) {
-            recordViolation("served", done + " of " + jobs.size() + " jobs of " + of);
+            recordViolation("served", done + " of " + jobs.size() + " jobs of " + description);
         }
     }
 
--- a/src/test/java/org/shoreusher/simulation/LargestClusterTest.java
+++ b/src/test/java/org/shoreusher/simulation/LargestClusterTest.java
@@ -35,11 +35,11 @@
                 List.of(
                         new Fault(
                                 ZONE_ISOLATED_MS,
-                                x -> x.network.isolateZone("b", "node-1", 35_000)),
+                                cluster -> cluster.network.isolateZone("b", "node-1", 35_000)),
                         new Fault(
                                 LEADER_CRASH_MS,
-                                x ->
-                                        FaultInjection.currentLeaders(x)
+                                cluster ->
+                                        FaultInjection.currentLeaders(cluster)
                                                 .forEach(controller -> controller.crash(4_000)))));
         simulation.invariants.checkAtEnd();
         assertEquals(List.of(), simulation.invariants.violations, simulation.log::toString);
--- a/src/test/java/org/shoreusher/simulation/LeaderFailureTest.java
+++ b/src/test/java/org/shoreusher/simulation/LeaderFailureTest.java
@@ -95,7 +95,7 @@
         // A failover after 7 s and a round of heartbeats at once; workers that wait for the lost
         // leader make it 12 s.
         Collections.sort(reconciledAtMs);
-        assertTrue(reconciledAtMs.get(2) < 60_000 + 9_500, () -> "rebuilt at " + reconciledAtMs);
+        assertTrue(reconciledAtMs.get(2) < 60_000 + 9_500, () -> "reconciled at " + reconciledAtMs);
     }
 
     /**
@@ -121,7 +121,8 @@
         Collections.sort(reconciledAtMs);
         // The lease expires after 6 to 9 s, then follows a round of heartbeats; with the grace
         // period it is 15 s and more.
-        assertTrue(reconciledAtMs.get(1) < 60_000 + 13_000, () -> "rebuilt at " + reconciledAtMs);
+        assertTrue(
+                reconciledAtMs.get(1) < 60_000 + 13_000, () -> "reconciled at " + reconciledAtMs);
     }
 
     /**
@@ -156,7 +157,8 @@
         // In some run a single message is late by seconds, or a machine waits for the old leader
         // once more.
         Collections.sort(reconciledAtMs);
-        assertTrue(reconciledAtMs.get(2) < 60_000 + 14_000, () -> "rebuilt at " + reconciledAtMs);
+        assertTrue(
+                reconciledAtMs.get(2) < 60_000 + 14_000, () -> "reconciled at " + reconciledAtMs);
     }
 
     /**
@@ -191,20 +193,22 @@
             simulation.run(
                     200_000,
                     List.of(
-                            new Fault(40_000, x -> x.network.isolateZone("b", "node-1", 35_000)),
+                            new Fault(
+                                    40_000,
+                                    cluster -> cluster.network.isolateZone("b", "node-1", 35_000)),
                             new Fault(
                                     45_000,
-                                    x ->
-                                            FaultInjection.currentLeaders(x)
+                                    cluster ->
+                                            FaultInjection.currentLeaders(cluster)
                                                     .forEach(controller -> controller.crash(300))),
-                            new Fault(70_000, x -> x.controllers.get(2).pause(12_000)),
+                            new Fault(70_000, cluster -> cluster.controllers.get(2).pause(12_000)),
                             new Fault(
                                     85_000,
-                                    x -> {
-                                        int n = 0;
-                                        for (SimulatedWorker machine : x.cloud.machines()) {
-                                            if (n++ % 3 == 0) {
-                                                x.cloud.terminate(machine);
+                                    cluster -> {
+                                        int index = 0;
+                                        for (SimulatedWorker machine : cluster.cloud.machines()) {
+                                            if (index++ % 3 == 0) {
+                                                cluster.cloud.terminate(machine);
                                             }
                                         }
                                     })));
@@ -216,7 +220,7 @@
                             .entries(LogEventType.MACHINES_PROVISIONED)
                             .mapToLong(entry -> Long.parseLong(entry.text("count")))
                             .sum();
-            assertTrue(machines > 1_000, () -> "rented " + machines);
+            assertTrue(machines > 1_000, () -> "provisioned " + machines);
             assertEquals(
                     0,
                     simulation.users.jobs.values().stream()
@@ -239,9 +243,9 @@
                             List.of(
                                     new Fault(
                                             60_000,
-                                            x -> {
-                                                FaultInjection.crashNextSuccessors(x, 3);
-                                                FaultInjection.currentLeaders(x)
+                                            cluster -> {
+                                                FaultInjection.crashNextSuccessors(cluster, 3);
+                                                FaultInjection.currentLeaders(cluster)
                                                         .forEach(
                                                                 controller ->
                                                                         controller.crash(100));
@@ -271,8 +275,9 @@
                             List.of(
                                     new Fault(
                                             50_000,
-                                            x -> {
-                                                for (SimulatedWorker machine : x.cloud.machines()) {
+                                            cluster -> {
+                                                for (SimulatedWorker machine :
+                                                        cluster.cloud.machines()) {
                                                     if (unreachable.isEmpty()
                                                             && machine.hasTasks()) {
                                                         machine.blockInbound(1_000_000);
--- a/src/test/java/org/shoreusher/simulation/MigrationStepsTest.java
+++ b/src/test/java/org/shoreusher/simulation/MigrationStepsTest.java
@@ -94,7 +94,7 @@
         for (int i = 0; i < reports; i++) {
             heartbeatAll();
             if (!firstWorker().tasksToldToStop.isEmpty()) {
-                assertEquals(1, firstWorker().tasksToldToStop.size(), "one move at a time");
+                assertEquals(1, firstWorker().tasksToldToStop.size(), "one migration at a time");
                 return firstWorker().tasksToldToStop.get(0);
             }
         }
@@ -114,7 +114,7 @@
             assertEquals(
                     List.of(taskName),
                     firstWorker().tasksToldToStop,
-                    "told again until it is gone");
+                    "ordered again until it is gone");
             assertEquals(List.of(), startedElsewhere(), "still on its source");
         }
         firstWorker().exitTask(taskName, ExitCause.STOPPED, true);
@@ -301,6 +301,6 @@
                         FEATURES);
         placeAllTasksOnFirstMachine("host-9");
         assertNull(awaitStopOrder(20));
-        assertTrue(!node.log.contains(LogEventType.SHARD_RECONCILED), "rebuilt too soon");
+        assertTrue(!node.log.contains(LogEventType.SHARD_RECONCILED), "reconciled too soon");
     }
 }
--- a/src/test/java/org/shoreusher/simulation/PreviousVersionStore.java
+++ b/src/test/java/org/shoreusher/simulation/PreviousVersionStore.java
@@ -40,8 +40,11 @@
      */
     Map<String, BitSet> completedTasks() {
         Map<String, BitSet> all = new HashMap<>();
-        for (int c = 0; c == 0 || store.value("part/0/done/" + c) != null; c++) {
-            Map<String, Object> record = store.value(c == 0 ? "part/0" : "part/0/done/" + c);
+        for (int recordNumber = 0;
+                recordNumber == 0 || store.value("part/0/done/" + recordNumber) != null;
+                recordNumber++) {
+            Map<String, Object> record =
+                    store.value(recordNumber == 0 ? "part/0" : "part/0/done/" + recordNumber);
             mapField(record, "done")
                     .forEach(
                             (id, text) ->
@@ -57,8 +60,10 @@
      */
     Map<String, Integer> highWaterMarks() {
         Map<String, Integer> marks = new HashMap<>();
-        for (int c = 0; store.value("part/0/begun/" + c) != null; c++) {
-            mapField(store.value("part/0/begun/" + c), "begun")
+        for (int recordNumber = 0;
+                store.value("part/0/begun/" + recordNumber) != null;
+                recordNumber++) {
+            mapField(store.value("part/0/begun/" + recordNumber), "begun")
                     .forEach(
                             (id, below) ->
                                     marks.merge(
--- a/src/test/java/org/shoreusher/simulation/ResourceUsage.java
+++ b/src/test/java/org/shoreusher/simulation/ResourceUsage.java
@@ -39,7 +39,7 @@
 
     int tasksOfJob(String jobId) {
         return tasksByJobAndZone.getOrDefault(jobId, Map.of()).values().stream()
-                .mapToInt(n -> n)
+                .mapToInt(count -> count)
                 .sum();
     }
 
--- a/src/test/java/org/shoreusher/simulation/ServiceReplicaTest.java
+++ b/src/test/java/org/shoreusher/simulation/ServiceReplicaTest.java
@@ -47,8 +47,8 @@
     }
 
     private static TaskStatus replicaStatus(
-            int n, long attemptNumber, TaskState state, ExitCause exitCause) {
-        return new TaskStatus("wk-1", n, (6L << 24) + attemptNumber, state, exitCause);
+            int number, long attemptNumber, TaskState state, ExitCause exitCause) {
+        return new TaskStatus("wk-1", number, (6L << 24) + attemptNumber, state, exitCause);
     }
 
     /**
--- a/src/test/java/org/shoreusher/simulation/ServicesTest.java
+++ b/src/test/java/org/shoreusher/simulation/ServicesTest.java
@@ -219,14 +219,14 @@
                 List.of(
                         new Fault(
                                 130_000,
-                                x ->
-                                        FaultInjection.currentLeaders(x)
+                                cluster ->
+                                        FaultInjection.currentLeaders(cluster)
                                                 .forEach(controller -> controller.crash(500)))));
         simulation.invariants.checkAtEnd();
         assertEquals(List.of(), simulation.invariants.violations, simulation.log::toString);
         assertTrue(
                 longest[0] > strict.maxValueBytes(),
-                () -> "the former version wrote nothing long: " + longest[0]);
+                () -> "the previous version wrote nothing long: " + longest[0]);
         assertEquals(
                 0,
                 simulation.users.jobs.values().stream().filter(x -> !x.doneConfirmed).count(),
--- a/src/test/java/org/shoreusher/simulation/SimulatedNetwork.java
+++ b/src/test/java/org/shoreusher/simulation/SimulatedNetwork.java
@@ -34,7 +34,7 @@
      * cancellations, transactions, provision and termination requests, direct orders, gossip, and
      * all their responses.
      */
-    void send(String from, String to, Runnable arrive) {
+    void send(String source, String destination, Runnable arrive) {
         long delayMs = 1 + simulation.random.nextInt(8);
         // More of them where late responses are to do harm.
         if (simulation.random.nextInt(
@@ -45,7 +45,7 @@
                 == 0) {
             delayMs += 2_000 + simulation.random.nextInt(4_000);
         }
-        long untilMs = partitionedUntilMs.getOrDefault(linkKey(from, to), 0L);
+        long untilMs = partitionedUntilMs.getOrDefault(linkKey(source, destination), 0L);
         simulation.scheduleAt(Math.max(simulation.nowMs, untilMs) + delayMs, arrive);
         if (simulation.random.nextInt(80) == 0) {
             simulation.scheduleAt(
--- a/src/test/java/org/shoreusher/simulation/SimulatedStore.java
+++ b/src/test/java/org/shoreusher/simulation/SimulatedStore.java
@@ -330,13 +330,13 @@
         List<Object> log = new ArrayList<>();
         for (Change change : changeLog) {
             if (change.revision > pending.watch.afterRevision()) {
-                Map<String, Object> m = new LinkedHashMap<>();
-                m.put(change.value == null ? "remove" : "write", change.key);
+                Map<String, Object> fields = new LinkedHashMap<>();
+                fields.put(change.value == null ? "remove" : "write", change.key);
                 if (change.value != null) {
-                    m.put("value", change.value);
+                    fields.put("value", change.value);
                 }
-                m.put("stamp", change.revision);
-                log.add(m);
+                fields.put("stamp", change.revision);
+                log.add(fields);
             }
         }
         if (log.isEmpty() && simulation.nowMs < pending.untilMs) {
--- a/src/test/java/org/shoreusher/simulation/SimulatedUsers.java
+++ b/src/test/java/org/shoreusher/simulation/SimulatedUsers.java
@@ -65,8 +65,8 @@
 
     /** Whether the job's tasks end by themselves. */
     boolean isBatch(String jobId) {
-        SimulatedJob w = jobs.get(jobId);
-        return w == null || w.spec.workloadType().runsToCompletion();
+        SimulatedJob job = jobs.get(jobId);
+        return job == null || job.spec.workloadType().runsToCompletion();
     }
 
     /** Submits a service with some replicas, which its user may cancel after a while. */
@@ -102,8 +102,8 @@
     }
 
     long randomRunMs(String jobId) {
-        SimulatedJob w = jobs.get(jobId);
-        return w == null ? 1_000 : w.runMs / 2 + simulation.random.nextInt((int) w.runMs);
+        SimulatedJob job = jobs.get(jobId);
+        return job == null ? 1_000 : job.runMs / 2 + simulation.random.nextInt((int) job.runMs);
     }
 
     /** Submits a random job. */
@@ -317,9 +317,9 @@
 
     /** The last task of the job has just completed. */
     void lastTaskCompleted(String jobId) {
-        SimulatedJob w = jobs.get(jobId);
-        if (w != null && simulation.random.nextInt(10) < cancelAtCompletionOfTen) {
-            cancel(w);
+        SimulatedJob job = jobs.get(jobId);
+        if (job != null && simulation.random.nextInt(10) < cancelAtCompletionOfTen) {
+            cancel(job);
         }
     }
 
--- a/src/test/java/org/shoreusher/simulation/SingleNodeSimulation.java
+++ b/src/test/java/org/shoreusher/simulation/SingleNodeSimulation.java
@@ -87,9 +87,9 @@
         heartbeat(machine, sequenceNumber, fencingToken, tasks);
         return ((List<?>) responses.get(lastRequestId).body().get("orders"))
                 .stream()
-                        .map(o -> (Map<?, ?>) o)
-                        .filter(o -> o.get("verb").equals("run"))
-                        .map(o -> (String) o.get("sheet"))
+                        .map(order -> (Map<?, ?>) order)
+                        .filter(order -> order.get("verb").equals("run"))
+                        .map(order -> (String) order.get("sheet"))
                         .toList();
     }
 
@@ -138,7 +138,7 @@
             return null;
         }
         List<Map<?, ?>> orders = new ArrayList<>();
-        ((List<?>) response.body().get("orders")).forEach(o -> orders.add((Map<?, ?>) o));
+        ((List<?>) response.body().get("orders")).forEach(order -> orders.add((Map<?, ?>) order));
         return orders;
     }
 
--- a/src/test/java/org/shoreusher/simulation/StandbyCrashPointsTest.java
+++ b/src/test/java/org/shoreusher/simulation/StandbyCrashPointsTest.java
@@ -94,7 +94,7 @@
      */
     @Example
     void leaderCrashWhileRemovingAStandby() {
-        int rebuilt = 0;
+        int reconciled = 0;
         int promoted = 0;
         for (long seed = 0; seed < 8; seed++) {
             boolean after = seed % 2 == 0;
@@ -109,9 +109,11 @@
             assertInvariants(simulation);
             assertTrue(simulation.crashes > 0, "nothing was removed");
             promoted += promotionsInSync(simulation);
-            rebuilt += promotionsWithoutName(simulation);
+            reconciled += promotionsWithoutName(simulation);
         }
-        assertTrue(promoted > 0 && rebuilt > 0, promoted + " promoted, " + rebuilt + " rebuilt");
+        assertTrue(
+                promoted > 0 && reconciled > 0,
+                promoted + " promoted, " + reconciled + " reconciled");
     }
 
     private static Predicate<Effect> removesStandby(boolean after) {
@@ -187,9 +189,9 @@
     }
 
     private static void blockOutboundOfHalf(ClusterSimulation simulation, long durationMs) {
-        int n = 0;
+        int index = 0;
         for (SimulatedWorker machine : simulation.cloud.machines()) {
-            if (n++ % 2 == 0) {
+            if (index++ % 2 == 0) {
                 machine.blockOutbound(durationMs);
             }
         }
--- a/src/test/java/org/shoreusher/simulation/StandbyFaultsTest.java
+++ b/src/test/java/org/shoreusher/simulation/StandbyFaultsTest.java
@@ -29,7 +29,7 @@
                 StandbySimulations.unfinishedJobs(simulation),
                 () -> "seed " + seed + "\n" + simulation.log);
         StandbySimulations.promotionOutcomes(simulation)
-                .forEach((how, n) -> promotionOutcomes.merge(how, n, Integer::sum));
+                .forEach((outcome, count) -> promotionOutcomes.merge(outcome, count, Integer::sum));
     }
 
     private void assertPromotions(int leastInSync) {
--- a/src/test/java/org/shoreusher/simulation/StandbyPartitionsTest.java
+++ b/src/test/java/org/shoreusher/simulation/StandbyPartitionsTest.java
@@ -21,14 +21,14 @@
 class StandbyPartitionsTest {
     /** Runs a number of simulations with a fault that hits the leader, and checks each. */
     private static List<ClusterSimulation> simulateFaultOnLeader(
-            int worlds, BiConsumer<ClusterSimulation, SimulatedController> fault) {
-        return simulateFaultOnLeader(worlds, FAULT_MS, fault);
+            int runs, BiConsumer<ClusterSimulation, SimulatedController> fault) {
+        return simulateFaultOnLeader(runs, FAULT_MS, fault);
     }
 
     private static List<ClusterSimulation> simulateFaultOnLeader(
-            int worlds, long atMs, BiConsumer<ClusterSimulation, SimulatedController> fault) {
+            int runs, long atMs, BiConsumer<ClusterSimulation, SimulatedController> fault) {
         List<ClusterSimulation> simulations = new ArrayList<>();
-        for (long seed = 0; seed < worlds; seed++) {
+        for (long seed = 0; seed < runs; seed++) {
             ClusterSimulation simulation = simulate(seed, List.of(faultOnLeader(atMs, fault)));
             assertInvariants(simulation);
             simulations.add(simulation);
--- a/src/test/java/org/shoreusher/simulation/StandbyRandomCrashesTest.java
+++ b/src/test/java/org/shoreusher/simulation/StandbyRandomCrashesTest.java
@@ -40,9 +40,9 @@
                     simulation.log.entries(LogEventType.ATTEMPT_LOG_CONTRADICTED).toList(),
                     () -> "seed " + number + "\n" + simulation.log);
             StandbySimulations.promotionOutcomes(simulation)
-                    .forEach((how, n) -> promotions.merge(how, n, Integer::sum));
+                    .forEach((outcome, count) -> promotions.merge(outcome, count, Integer::sum));
         }
-        System.out.println("promotions in " + SIMULATIONS + " worlds: " + promotions);
+        System.out.println("promotions in " + SIMULATIONS + " simulations: " + promotions);
         assertEquals(0, promotions.getOrDefault("contradicted_by_heartbeat", 0));
         assertTrue(
                 promotions.getOrDefault("in_sync", 0) > 2 * SIMULATIONS,
--- a/src/test/java/org/shoreusher/wire/FormatsTest.java
+++ b/src/test/java/org/shoreusher/wire/FormatsTest.java
@@ -29,18 +29,18 @@
     Arbitrary<Map<String, Object>> maps() {
         Arbitrary<Object> leaf =
                 Arbitraries.oneOf(
-                        Arbitraries.longs().map(x -> x),
-                        Arbitraries.doubles().map(x -> x),
-                        Arbitraries.strings().ofMaxLength(20).map(x -> x),
-                        Arbitraries.of(true, false).map(x -> x),
+                        Arbitraries.longs().map(value -> value),
+                        Arbitraries.doubles().map(value -> value),
+                        Arbitraries.strings().ofMaxLength(20).map(value -> value),
+                        Arbitraries.of(true, false).map(value -> value),
                         Arbitraries.just(null));
         Arbitrary<Object> inner =
                 Arbitraries.oneOf(
                         leaf,
-                        leaf.list().ofMaxSize(4).map(x -> x),
+                        leaf.list().ofMaxSize(4).map(value -> value),
                         Arbitraries.maps(Arbitraries.strings().ofMaxLength(8), leaf)
                                 .ofMaxSize(4)
-                                .map(x -> x));
+                                .map(value -> value));
         return Arbitraries.maps(Arbitraries.strings().ofMaxLength(8), inner).ofMaxSize(6);
     }
 
@@ -64,9 +64,9 @@
     /** A message with one changed byte is read or rejected, and never crashes the reader. */
     @Property(tries = 500, seed = "3")
     void corruptedJobIsReadOrRejected(
-            @ForAll("jobs") JobSpec job, @ForAll int at, @ForAll byte value) {
+            @ForAll("jobs") JobSpec job, @ForAll int position, @ForAll byte value) {
         byte[] bytes = FieldMap.toCbor(UserFormat.writeSubmission(job));
-        bytes[Math.floorMod(at, bytes.length)] = value;
+        bytes[Math.floorMod(position, bytes.length)] = value;
         try {
             assertTrue(
                     JobSpec.isValidId(UserFormat.readSubmission(FieldMap.parseCbor(bytes)).id()));
@@ -86,7 +86,8 @@
                         Arbitraries.of("a", "b").list().ofMaxSize(2).injectNull(0.5),
                         Arbitraries.of("a", "b").injectNull(0.5),
                         Arbitraries.of(true, false),
-                        amount.injectNull(0.5).map(d -> d == null ? Double.NaN : d))
+                        amount.injectNull(0.5)
+                                .map(seconds -> seconds == null ? Double.NaN : seconds))
                 .as(
                         (id, tasks, a, priority, types, zone, flag, deadline) ->
                                 new JobSpecBuilder("wk-" + id)
