--- a/src/test/java/org/shoreusher/core/CoreTestData.java
+++ b/src/test/java/org/shoreusher/core/CoreTestData.java
@@ -10,6 +10,7 @@
 public final class CoreTestData {
     private CoreTestData() {}
 
+    /** Settings of a small deployment with these service-level objectives. */
     public static Settings settings(List<Settings.Objective> objectives) {
         Settings.Address nowhere = new Settings.Address("127.0.0.1", 1);
         return new Settings(
@@ -37,6 +38,7 @@
                 25);
     }
 
+    /** A job of small tasks without any pending one. */
     public static Job job(
             String id,
             String jobClass,
--- a/src/test/java/org/shoreusher/simulation/LeaderFailureTest.java
+++ b/src/test/java/org/shoreusher/simulation/LeaderFailureTest.java
@@ -202,16 +202,7 @@
                                             FaultInjection.currentLeaders(cluster)
                                                     .forEach(controller -> controller.crash(300))),
                             new Fault(70_000, cluster -> cluster.controllers.get(2).pause(12_000)),
-                            new Fault(
-                                    85_000,
-                                    cluster -> {
-                                        int index = 0;
-                                        for (SimulatedWorker machine : cluster.cloud.machines()) {
-                                            if (index++ % 3 == 0) {
-                                                cluster.cloud.terminate(machine);
-                                            }
-                                        }
-                                    })));
+                            new Fault(85_000, LeaderFailureTest::terminateEveryThirdMachine)));
             simulation.invariants.checkAtEnd();
             assertEquals(List.of(), simulation.invariants.violations, simulation.log::toString);
             long machines =
@@ -319,4 +310,13 @@
                 .findFirst()
                 .orElseThrow();
     }
+
+    private static void terminateEveryThirdMachine(ClusterSimulation cluster) {
+        int index = 0;
+        for (SimulatedWorker machine : cluster.cloud.machines()) {
+            if (index++ % 3 == 0) {
+                cluster.cloud.terminate(machine);
+            }
+        }
+    }
 }
--- a/src/test/java/org/shoreusher/simulation/UnseenCancellationsTest.java
+++ b/src/test/java/org/shoreusher/simulation/UnseenCancellationsTest.java
@@ -128,18 +128,16 @@
                             List.of(
                                     new Fault(
                                             FAULT_MS,
-                                            cluster ->
-                                                    FaultInjection.currentLeaders(cluster)
-                                                            .forEach(
-                                                                    controller ->
-                                                                            cluster.store
-                                                                                    .stallCacheUpdates(
-                                                                                            controller
-                                                                                                    .host,
-                                                                                            100_000))),
+                                            UnseenCancellationsTest::stallCachesOfLeaders),
                                     cancelMostJobs(FAULT_MS + 2_500)));
             assertEquals(List.of(), simulation.invariants.violations, simulation.log::toString);
             assertTrue(countConfirmedCancellations(simulation) > 3, "hardly any cancellation");
         }
     }
+
+    private static void stallCachesOfLeaders(ClusterSimulation cluster) {
+        for (SimulatedController leader : FaultInjection.currentLeaders(cluster)) {
+            cluster.store.stallCacheUpdates(leader.host, 100_000);
+        }
+    }
 }
