--- a/src/main/java/org/shoreusher/core/job/CompletionSlices.java
+++ b/src/main/java/org/shoreusher/core/job/CompletionSlices.java
@@ -2,6 +2,7 @@
 
 import java.util.BitSet;
 import org.shoreusher.core.cluster.Job;
+import org.shoreusher.core.store.CompletionRecord;
 import org.shoreusher.core.store.StoreConstants;
 import org.shoreusher.settings.Settings;
 
@@ -18,7 +19,7 @@
 
     /** The slices under the settings' limit on a value. */
     CompletionSlices(Settings settings) {
-        maxRecordBytes = (int) (settings.maxValueBytes() * StoreConstants.RECORD_FILL_SHARE);
+        maxRecordBytes = CompletionRecord.maxBytes(settings);
     }
 
     /** The limit on the JSON length of a record, in bytes. */
@@ -26,17 +27,11 @@
         return maxRecordBytes;
     }
 
-    /** Bytes that a job takes in a record besides its ranges. */
-    static int overheadBytes(String jobId) {
-        return StoreConstants.RECORD_ENTRY_OVERHEAD_BYTES + jobId.length();
-    }
-
     /**
      * The number of tasks in a slice: as many as fit into a record if every other one is completed.
      */
     int tasksPerSlice(String jobId) {
-        return Math.max(
-                1, (maxRecordBytes - overheadBytes(jobId)) / StoreConstants.RECORD_BYTES_PER_TASK);
+        return CompletionRecord.tasksThatFit(jobId, maxRecordBytes);
     }
 
     /** Sizes the job's table of slices; all slices are unassigned if their number has changed. */
@@ -51,7 +46,8 @@
     int maxBytes(Job job, int slice) {
         int tasksPerSlice = tasksPerSlice(job.id());
         int taskCount = Math.min(tasksPerSlice, job.spec().taskCount() - slice * tasksPerSlice);
-        return overheadBytes(job.id()) + taskCount * StoreConstants.RECORD_BYTES_PER_TASK;
+        return CompletionRecord.overheadBytes(job.id())
+                + taskCount * StoreConstants.RECORD_BYTES_PER_TASK;
     }
 
     /** The given tasks that belong to a slice. */
--- a/src/main/java/org/shoreusher/core/machine/MachineTypeCatalog.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineTypeCatalog.java
@@ -8,6 +8,7 @@
 import org.shoreusher.core.message.Effect.CloudOperation;
 import org.shoreusher.core.message.Effect.StoreOperation;
 import org.shoreusher.core.message.MachineType;
+import org.shoreusher.core.message.ReplyStatus;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.core.store.StoreSchema;
@@ -75,7 +76,7 @@
     private void handleReply(CloudReply reply) {
         requestInFlight = false;
         nextRequestMs = outbox.now().monotonicMs() + MachineConstants.CLOUD_RETRY_MS;
-        if (reply.status() != 200) {
+        if (reply.status() != ReplyStatus.OK) {
             return;
         }
         nextRequestMs = outbox.now().monotonicMs() + MachineConstants.MACHINE_TYPES_INTERVAL_MS;
--- a/src/main/java/org/shoreusher/core/reconcile/Reconciliation.java
+++ b/src/main/java/org/shoreusher/core/reconcile/Reconciliation.java
@@ -153,7 +153,7 @@
         double unreconciledGpus = 0;
         for (Machine machine : shard.machines().values()) {
             if (machine.mayHaveRunTasks()
-                    && !machine.isReconciled()
+                    && !machine.worker().isReconciled()
                     && !shard.hasWorkerLeaseExpired(machine)) {
                 unreconciled++;
                 unreconciledCpus += machine.type().cpus();
--- a/src/main/java/org/shoreusher/core/store/CompletionRecordSplitter.java
+++ b/src/main/java/org/shoreusher/core/store/CompletionRecordSplitter.java
@@ -46,21 +46,20 @@
     }
 
     private void addJob(String jobId, BitSet completedTasks) {
-        int frameBytes = StoreConstants.RECORD_ENTRY_OVERHEAD_BYTES + jobId.length();
-        int tasksPerPiece =
-                Math.max(1, (maxRecordBytes - frameBytes) / StoreConstants.RECORD_BYTES_PER_TASK);
+        int overheadBytes = CompletionRecord.overheadBytes(jobId);
+        int tasksPerPiece = CompletionRecord.tasksThatFit(jobId, maxRecordBytes);
         for (int from = completedTasks.nextSetBit(0);
                 from >= 0;
                 from = completedTasks.nextSetBit(from + tasksPerPiece)) {
             BitSet piece = new BitSet();
             piece.set(from, from + tasksPerPiece);
             piece.and(completedTasks);
-            addPiece(jobId, TaskRanges.format(piece), frameBytes);
+            addPiece(jobId, TaskRanges.format(piece), overheadBytes);
         }
     }
 
-    private void addPiece(String jobId, String ranges, int frameBytes) {
-        int pieceBytes = frameBytes + ranges.length();
+    private void addPiece(String jobId, String ranges, int overheadBytes) {
+        int pieceBytes = overheadBytes + ranges.length();
         if (currentBytes + pieceBytes > maxRecordBytes || current.containsKey(jobId)) {
             records.add(current);
             current = new LinkedHashMap<>();
