--- a/src/main/java/org/shoreusher/core/schedule/QuotaHeadroom.java
+++ b/src/main/java/org/shoreusher/core/schedule/QuotaHeadroom.java
@@ -42,21 +42,25 @@
 
     /** Returns the GPUs with which further tasks of the team may start; may be negative. */
     public double gpuHeadroom(String team) {
-        Settings.Team teamSettings = settings.teams().get(team);
-        return quotaShares.gpuShare(team)
-                - ledger.usedGpus(team)
-                - unconfirmed(
-                        progress.unreconciledGpus(),
-                        teamSettings == null ? 0 : teamSettings.maxGpus(),
-                        ledger.inheritedGpus(team));
+        return quotaShares.gpuShare(team) - ledger.usedGpus(team) - unconfirmedGpus(team);
     }
 
     private double unconfirmedCpus(String team) {
+        return unconfirmed(progress.unreconciledCpus(), maxCpus(team), ledger.inheritedCpus(team));
+    }
+
+    private double unconfirmedGpus(String team) {
         Settings.Team teamSettings = settings.teams().get(team);
         return unconfirmed(
-                progress.unreconciledCpus(),
-                teamSettings == null ? 0 : teamSettings.maxCpus(),
-                ledger.inheritedCpus(team));
+                progress.unreconciledGpus(),
+                teamSettings == null ? 0 : teamSettings.maxGpus(),
+                ledger.inheritedGpus(team));
+    }
+
+    /** Returns the quota of a team; 0 for an unknown team. */
+    private double maxCpus(String team) {
+        Settings.Team teamSettings = settings.teams().get(team);
+        return teamSettings == null ? 0 : teamSettings.maxCpus();
     }
 
     /**
@@ -64,8 +68,8 @@
      * leader kept the team within its quota, so what was found on machines that have reported and
      * what is on the others do not exceed it together.
      */
-    private static double unconfirmed(double totalUnconfirmed, double limit, double found) {
-        return Math.min(totalUnconfirmed, Math.max(0, limit - found));
+    private static double unconfirmed(double totalUnconfirmed, double quota, double found) {
+        return Math.min(totalUnconfirmed, Math.max(0, quota - found));
     }
 
     /**
@@ -73,12 +77,10 @@
      * shards do not demand. Scaling out is based on this.
      */
     public double cpuHeadroomForScaleOut(String team) {
-        Settings.Team teamSettings = settings.teams().get(team);
-        double availableLimit =
-                teamSettings == null
-                        ? 0
-                        : teamSettings.maxCpus() - shardDemand.demandElsewhereCpus(team);
-        return Math.max(availableLimit, quotaShares.cpuShare(team))
+        boolean isKnown = settings.teams().containsKey(team);
+        double notDemandedElsewhere =
+                isKnown ? maxCpus(team) - shardDemand.demandElsewhereCpus(team) : 0;
+        return Math.max(notDemandedElsewhere, quotaShares.cpuShare(team))
                 - ledger.usedCpus(team)
                 - unconfirmedCpus(team);
     }
--- a/src/main/java/org/shoreusher/core/schedule/SchedulingOrder.java
+++ b/src/main/java/org/shoreusher/core/schedule/SchedulingOrder.java
@@ -71,7 +71,7 @@
         double timeLeftS = Double.MAX_VALUE;
         for (Settings.Objective objective : settings.objectives()) {
             double objectiveSlackS = slackS(objective, job, ageS, 0);
-            if (objectiveSlackS > runS || objective.kind().equals("wait")) {
+            if (objectiveSlackS > runS || objective.kind().equals(ObjectiveKind.WAIT)) {
                 timeLeftS = Math.min(timeLeftS, Math.max(objectiveSlackS, runS));
             }
         }
@@ -149,7 +149,7 @@
                 && settings.objectives().stream()
                         .anyMatch(
                                 objective ->
-                                        objective.kind().equals("guarantee")
+                                        objective.kind().equals(ObjectiveKind.GUARANTEE)
                                                 && ageS <= objective.withinS()
                                                 && objective.withinS() - ageS
                                                         < ScheduleConstants.URGENT_MAX_SLACK_S);
@@ -168,14 +168,14 @@
             return Double.MAX_VALUE;
         }
         return switch (objective.kind()) {
-            case "deadline" ->
+            case ObjectiveKind.DEADLINE ->
                     Double.isNaN(job.spec().deadlineS())
                             ? Double.MAX_VALUE
                             : job.spec().deadlineS() * objective.deadlineFactor()
                                     - ageS
                                     - remainingS;
-            case "finished" -> objective.withinS() - ageS - remainingS;
-            case "wait" ->
+            case ObjectiveKind.FINISHED -> objective.withinS() - ageS - remainingS;
+            case ObjectiveKind.WAIT ->
                     job.startedCount() > 0 && job.startedCount() >= maxConcurrentTasks(job)
                             ? Double.MAX_VALUE
                             : objective.withinS() - ageS;
