--- a/src/main/java/org/shoreusher/core/machine/MachineHandover.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineHandover.java
@@ -1,8 +1,8 @@
 package org.shoreusher.core.machine;
 
 import java.util.ArrayList;
-import java.util.OptionalInt;
 import java.util.HashSet;
+import java.util.OptionalInt;
 import java.util.Set;
 import org.shoreusher.core.cluster.Machine;
 import org.shoreusher.core.cluster.ShardContext;
@@ -94,7 +94,7 @@
                 evacuatingCount++;
                 machine.setEvacuating(shortfallElsewhere > 0);
             } else if (shard.isAvailable(machine)) {
-                freeCpus += machine.cpusFree();
+                freeCpus += machine.resources().cpusFree();
                 largestMachineCpus = Math.max(largestMachineCpus, machine.type().cpus());
                 leastUsed =
                         leastUsed == null || isLessUsed(machine, leastUsed) ? machine : leastUsed;
@@ -103,7 +103,7 @@
         if (shortfallElsewhere > evacuatingCount
                 && ownShortfall == 0
                 && leastUsed != null
-                && freeCpus - leastUsed.cpusFree()
+                && freeCpus - leastUsed.resources().cpusFree()
                         > largestMachineCpus * MachineConstants.HANDOVER_MIN_FREE_MACHINES) {
             leastUsed.setEvacuating(true);
         }
@@ -111,8 +111,8 @@
 
     /** Whether fewer CPUs of a machine are used than of another; the name decides among equals. */
     private static boolean isLessUsed(Machine machine, Machine other) {
-        return machine.cpusUsed() < other.cpusUsed()
-                || (machine.cpusUsed() == other.cpusUsed()
+        return machine.resources().cpusUsed() < other.resources().cpusUsed()
+                || (machine.resources().cpusUsed() == other.resources().cpusUsed()
                         && machine.id().compareTo(other.id()) < 0);
     }
 }
--- a/src/test/java/org/shoreusher/core/schedule/BinPackerTest.java
+++ b/src/test/java/org/shoreusher/core/schedule/BinPackerTest.java
@@ -102,7 +102,8 @@
         }
         double usedCpus = cpusByMachine.values().stream().mapToDouble(cpus -> cpus).sum();
         assertTrue(usedCpus <= quotaCpus);
-        cpusByMachine.forEach((machine, cpus) -> assertTrue(cpus <= machine.cpusFree()));
+        cpusByMachine.forEach(
+                (machine, cpus) -> assertTrue(cpus <= machine.resources().cpusFree()));
     }
 
     private static void assertConstraintsRespected(JobSpec spec, List<PlacedTasks> placements) {
