--- a/src/main/java/org/shoreusher/core/cluster/TaskAttempt.java
+++ b/src/main/java/org/shoreusher/core/cluster/TaskAttempt.java
@@ -81,7 +81,7 @@
     /** Notes how far the attempt has come by the newest heartbeat. */
     public void observe(State observedState, long nowMs) {
         state = observedState;
-        if (state == State.RUNNING && runningSinceMs == NOT_RUNNING_MS) {
+        if (state == State.RUNNING && !hasRun()) {
             runningSinceMs = nowMs;
         }
     }
@@ -119,7 +119,17 @@
         checkpointed = written;
     }
 
-    /** When a heartbeat first showed the task running, monotonic ms; -1: none has. */
+    /** Whether a heartbeat has shown the task running. */
+    public boolean hasRun() {
+        return runningSinceMs != NOT_RUNNING_MS;
+    }
+
+    /** Time in ms since a heartbeat first showed the task running; very long if none has. */
+    public long runningMs(long nowMs) {
+        return nowMs - runningSinceMs;
+    }
+
+    /** When a heartbeat first showed the task running, monotonic ms; before all others if none. */
     public long runningSinceMs() {
         return runningSinceMs;
     }
--- a/src/main/java/org/shoreusher/core/heartbeat/TaskExitRecorder.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/TaskExitRecorder.java
@@ -70,7 +70,7 @@
 
     /** Records how long a completed attempt ran, for the estimates and the machine's slowdown. */
     private void recordRunTime(Machine machine, Job job, TaskAttempt attempt) {
-        if (attempt.runningSinceMs() < 0) {
+        if (!attempt.hasRun()) {
             return;
         }
         double runTimeS = runningMs(attempt) / 1000.0;
@@ -144,11 +144,11 @@
 
     /** Whether an attempt has run for so long that a failure now is no failure to start. */
     boolean hasPassedStartup(TaskAttempt attempt) {
-        return attempt.runningSinceMs() >= 0
+        return attempt.hasRun()
                 && runningMs(attempt) >= HeartbeatConstants.FAILURE_BACKOFF_RESET_MS;
     }
 
     private long runningMs(TaskAttempt attempt) {
-        return outbox.now().monotonicMs() - attempt.runningSinceMs();
+        return attempt.runningMs(outbox.now().monotonicMs());
     }
 }
--- a/src/main/java/org/shoreusher/core/schedule/BalancerInput.java
+++ b/src/main/java/org/shoreusher/core/schedule/BalancerInput.java
@@ -93,7 +93,7 @@
 
     private MigratableTask toMigratableTask(TaskAttempt attempt) {
         JobSpec spec = attempt.job().spec();
-        double ranS = (outbox.now().monotonicMs() - attempt.runningSinceMs()) / 1000.0;
+        double ranS = attempt.runningMs(outbox.now().monotonicMs()) / 1000.0;
         return new MigratableTask(
                 new TaskId(attempt.job().id(), attempt.taskIndex()),
                 spec.jobClass(),
--- a/src/main/java/org/shoreusher/core/schedule/ReplicaPreemption.java
+++ b/src/main/java/org/shoreusher/core/schedule/ReplicaPreemption.java
@@ -123,10 +123,7 @@
      */
     private double lostCpuS(TaskAttempt attempt) {
         JobSpec spec = attempt.job().spec();
-        double ranS =
-                attempt.runningSinceMs() < 0
-                        ? 0
-                        : (now.monotonicMs() - attempt.runningSinceMs()) / 1000.0;
+        double ranS = attempt.hasRun() ? attempt.runningMs(now.monotonicMs()) / 1000.0 : 0;
         double lostS =
                 spec.checkpointIntervalS() > 0 ? Math.min(ranS, spec.checkpointIntervalS()) : ranS;
         double uncountedStartS =
