--- a/src/main/java/org/shoreusher/core/HeartbeatRouter.java
+++ b/src/main/java/org/shoreusher/core/HeartbeatRouter.java
@@ -93,9 +93,7 @@
                                 shardNumber, heartbeat, machineIndex.recordsById().size());
         String leaderHost = shardRecord.leaderHost();
         String redirectHost =
-                awaitsFailover
-                        ? peerGossip.interimHost(leaderHost).orElse(leaderHost)
-                        : leaderHost;
+                awaitsFailover ? peerGossip.interimHost(leaderHost).orElse(leaderHost) : leaderHost;
         outbox.respond(command.requestId(), new Response.Redirect(redirectHost));
     }
 }
--- a/src/main/java/org/shoreusher/core/gossip/PeerGossip.java
+++ b/src/main/java/org/shoreusher/core/gossip/PeerGossip.java
@@ -105,10 +105,10 @@
     }
 
     /**
-     * The host that a worker should send heartbeats to until its shard has a new leader; empty if no
-     * peer is suitable. Redirected to a leader that is cut off, the worker would wait there for its
-     * whole timeout, again and again, while its lease runs out. Redirected between two responsive
-     * nodes it asks every half second, so the successor hears from it at once.
+     * The host that a worker should send heartbeats to until its shard has a new leader; empty if
+     * no peer is suitable. Redirected to a leader that is cut off, the worker would wait there for
+     * its whole timeout, again and again, while its lease runs out. Redirected between two
+     * responsive nodes it asks every half second, so the successor hears from it at once.
      */
     public Optional<String> interimHost(String leaderHost) {
         return received.all().stream()
--- a/src/main/java/org/shoreusher/core/machine/MachineHandover.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineHandover.java
@@ -1,8 +1,8 @@
 package org.shoreusher.core.machine;
 
 import java.util.ArrayList;
-import java.util.OptionalInt;
 import java.util.HashSet;
+import java.util.OptionalInt;
 import java.util.Set;
 import org.shoreusher.core.cluster.Machine;
 import org.shoreusher.core.cluster.ShardContext;
--- a/src/main/java/org/shoreusher/core/machine/ReservedReplicaCapacity.java
+++ b/src/main/java/org/shoreusher/core/machine/ReservedReplicaCapacity.java
@@ -13,6 +13,7 @@
 import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.core.message.MachineType;
 import org.shoreusher.core.schedule.MachineCapacity;
+import org.shoreusher.settings.ObjectiveKind;
 import org.shoreusher.settings.Settings;
 
 /**
@@ -166,7 +167,7 @@
                 settings.objectives().stream()
                         .anyMatch(
                                 objective ->
-                                        objective.kind().equals("wait")
+                                        objective.kind() == ObjectiveKind.WAIT
                                                 && objective.withinS() < type.bootS());
         return largestHalfCpus > 0
                 ? MachineConstants.RESERVED_CAPACITY_HALF_SERVICES * largestHalfCpus + type.cpus()
--- a/src/main/java/org/shoreusher/core/schedule/SchedulingOrder.java
+++ b/src/main/java/org/shoreusher/core/schedule/SchedulingOrder.java
@@ -6,6 +6,7 @@
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.job.RunTimeEstimates;
 import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.settings.ObjectiveKind;
 import org.shoreusher.settings.Settings;
 
 /**
@@ -71,7 +72,7 @@
         double timeLeftS = Double.MAX_VALUE;
         for (Settings.Objective objective : settings.objectives()) {
             double objectiveSlackS = slackS(objective, job, ageS, 0);
-            if (objectiveSlackS > runS || objective.kind().equals("wait")) {
+            if (objectiveSlackS > runS || objective.kind() == ObjectiveKind.WAIT) {
                 timeLeftS = Math.min(timeLeftS, Math.max(objectiveSlackS, runS));
             }
         }
@@ -149,7 +150,7 @@
                 && settings.objectives().stream()
                         .anyMatch(
                                 objective ->
-                                        objective.kind().equals("guarantee")
+                                        objective.kind() == ObjectiveKind.GUARANTEE
                                                 && ageS <= objective.withinS()
                                                 && objective.withinS() - ageS
                                                         < ScheduleConstants.URGENT_MAX_SLACK_S);
@@ -168,18 +169,18 @@
             return Double.MAX_VALUE;
         }
         return switch (objective.kind()) {
-            case "deadline" ->
+            case DEADLINE ->
                     Double.isNaN(job.spec().deadlineS())
                             ? Double.MAX_VALUE
                             : job.spec().deadlineS() * objective.deadlineFactor()
                                     - ageS
                                     - remainingS;
-            case "finished" -> objective.withinS() - ageS - remainingS;
-            case "wait" ->
+            case FINISHED -> objective.withinS() - ageS - remainingS;
+            case WAIT ->
                     job.startedCount() > 0 && job.startedCount() >= maxConcurrentTasks(job)
                             ? Double.MAX_VALUE
                             : objective.withinS() - ageS;
-            default -> Double.MAX_VALUE;
+            case GUARANTEE, UNKNOWN -> Double.MAX_VALUE;
         };
     }
 
--- a/src/main/java/org/shoreusher/measure/Cluster.java
+++ b/src/main/java/org/shoreusher/measure/Cluster.java
@@ -191,10 +191,13 @@
         ControllerProcess leader = null;
         long latestMs = Long.MIN_VALUE;
         for (ControllerProcess controller : controllers) {
-            ControllerProcess.Line line =
-                    controller.lastEvent(Long.MIN_VALUE, LogEventType.SHARD_ACQUIRED);
-            if (line != null && line.atMs() > latestMs) {
-                latestMs = line.atMs();
+            long acquiredMs =
+                    controller
+                            .lastEvent(Long.MIN_VALUE, LogEventType.SHARD_ACQUIRED)
+                            .map(ControllerProcess.Line::atMs)
+                            .orElse(Long.MIN_VALUE);
+            if (acquiredMs > latestMs) {
+                latestMs = acquiredMs;
                 leader = controller;
             }
         }
--- a/src/main/java/org/shoreusher/measure/ControllerProcess.java
+++ b/src/main/java/org/shoreusher/measure/ControllerProcess.java
@@ -9,6 +9,7 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import java.util.Optional;
 import org.shoreusher.log.LogEventType;
 
 /** A controller in its own process, with the lines that it has logged. Thread-safe. */
@@ -78,15 +79,15 @@
         return process != null && process.isAlive();
     }
 
-    /** The last event of one of some types after a point in time; null if there is none. */
-    synchronized Line lastEvent(long afterMs, LogEventType... types) {
+    /** The last event of one of some types after a point in time. */
+    synchronized Optional<Line> lastEvent(long afterMs, LogEventType... types) {
         for (int i = lines.size() - 1; i >= 0 && lines.get(i).atMs() > afterMs; i--) {
             Line line = lines.get(i);
             if (Arrays.stream(types).anyMatch(line::shows)) {
-                return line;
+                return Optional.of(line);
             }
         }
-        return null;
+        return Optional.empty();
     }
 
     /** How many events of a type have been logged. */
@@ -99,9 +100,17 @@
         return lines.isEmpty() ? "no line" : lines.get(lines.size() - 1).text();
     }
 
-    /** Current or peak resident memory in MB; NaN if the system does not provide it. */
-    double memoryMb(boolean peak) {
-        String field = peak ? "VmHWM:" : "VmRSS:";
+    /** Resident memory in MB; NaN if the system does not provide it. */
+    double memoryMb() {
+        return memoryMb("VmRSS:");
+    }
+
+    /** Largest resident memory so far in MB; NaN if the system does not provide it. */
+    double peakMemoryMb() {
+        return memoryMb("VmHWM:");
+    }
+
+    private double memoryMb(String field) {
         try {
             for (String line : Files.readAllLines(Path.of("/proc/" + process.pid() + "/status"))) {
                 if (line.startsWith(field)) {
--- a/src/main/java/org/shoreusher/measure/FailoverMeasurement.java
+++ b/src/main/java/org/shoreusher/measure/FailoverMeasurement.java
@@ -157,10 +157,10 @@
         if (leader == null) {
             return false;
         }
-        ControllerProcess.Line last =
-                leader.lastEvent(
-                        sinceMs, LogEventType.STANDBY_IN_SYNC, LogEventType.STANDBY_ABANDONED);
-        return last != null && last.shows(LogEventType.STANDBY_IN_SYNC);
+        return leader.lastEvent(
+                        sinceMs, LogEventType.STANDBY_IN_SYNC, LogEventType.STANDBY_ABANDONED)
+                .filter(last -> last.shows(LogEventType.STANDBY_IN_SYNC))
+                .isPresent();
     }
 
     // ---- failovers ---------------------------------------------------------------------------
@@ -175,7 +175,8 @@
         killed.killAndWait();
         load.sustainUntil("another controller is leader", () -> cluster.leader() != killed);
         ControllerProcess successor = cluster.leader();
-        long failoverMs = successor.lastEvent(killedMs, LogEventType.SHARD_ACQUIRED).atMs();
+        long failoverMs =
+                successor.lastEvent(killedMs, LogEventType.SHARD_ACQUIRED).orElseThrow().atMs();
         load.sustainUntil(
                 "a task has started", () -> cluster.history().firstStartAfterMs(failoverMs) >= 0);
         load.sustainUntil(
@@ -214,12 +215,13 @@
     }
 
     private static String outcome(ControllerProcess successor, long sinceMs) {
-        ControllerProcess.Line line =
-                successor.lastEvent(
+        return successor
+                .lastEvent(
                         sinceMs,
                         LogEventType.ATTEMPT_LOG_PROMOTED,
-                        LogEventType.ATTEMPT_LOG_REJECTED);
-        return line == null ? "off" : line.text().replaceAll(".* outcome=| occurrences=.*", "");
+                        LogEventType.ATTEMPT_LOG_REJECTED)
+                .map(line -> line.text().replaceAll(".* outcome=| occurrences=.*", ""))
+                .orElse("off");
     }
 
     // ---- costs and checks --------------------------------------------------------------------
@@ -246,15 +248,17 @@
                     controller.host(),
                     controller == cluster.leader() ? " (leader)" : "",
                     (controller.cpuTimeS() - cpuTimesBeforeS.get(i)) / seconds,
-                    controller.memoryMb(false),
+                    controller.memoryMb(),
                     lastEventText(controller, LogEventType.STANDBY_STATISTICS),
                     lastEventText(controller, LogEventType.STANDBY_TRAFFIC));
         }
     }
 
     private static String lastEventText(ControllerProcess controller, LogEventType type) {
-        ControllerProcess.Line line = controller.lastEvent(Long.MIN_VALUE, type);
-        return line == null ? "" : "; " + line.text().replaceAll(".*event=standby_", "");
+        return controller
+                .lastEvent(Long.MIN_VALUE, type)
+                .map(line -> "; " + line.text().replaceAll(".*event=standby_", ""))
+                .orElse("");
     }
 
     private void printFigures() {
--- a/src/main/java/org/shoreusher/measure/FleetMeasurement.java
+++ b/src/main/java/org/shoreusher/measure/FleetMeasurement.java
@@ -90,15 +90,16 @@
         Thread.sleep(STEADY_STATE_MS);
         double share = (leader.cpuTimeS() - before) * 1_000 / STEADY_STATE_MS;
         for (ControllerProcess controller : cluster.controllers()) {
-            ControllerProcess.Line line =
-                    controller.lastEvent(Long.MIN_VALUE, LogEventType.PROCESS_STATUS);
             print(
                     "%s%s: %.0f MB resident, %.0f MB at peak; %s",
                     controller.host(),
                     controller == leader ? " (leader)" : "",
-                    controller.memoryMb(false),
-                    controller.memoryMb(true),
-                    line == null ? "" : line.text().replaceAll(".*event=process_status ", ""));
+                    controller.memoryMb(),
+                    controller.peakMemoryMb(),
+                    controller
+                            .lastEvent(Long.MIN_VALUE, LogEventType.PROCESS_STATUS)
+                            .map(line -> line.text().replaceAll(".*event=process_status ", ""))
+                            .orElse(""));
         }
         print("CPU use of the leader: %.2f of a core", share);
     }
@@ -117,10 +118,11 @@
         Cluster.await(
                 "the shard is reconciled",
                 FAILOVER_TIMEOUT_S,
-                () -> successor.lastEvent(killedMs, LogEventType.SHARD_RECONCILED) != null);
-        long failoverMs = successor.lastEvent(killedMs, LogEventType.SHARD_ACQUIRED).atMs();
+                () -> successor.lastEvent(killedMs, LogEventType.SHARD_RECONCILED).isPresent());
+        long failoverMs =
+                successor.lastEvent(killedMs, LogEventType.SHARD_ACQUIRED).orElseThrow().atMs();
         ControllerProcess.Line reconciledLine =
-                successor.lastEvent(killedMs, LogEventType.SHARD_RECONCILED);
+                successor.lastEvent(killedMs, LogEventType.SHARD_RECONCILED).orElseThrow();
         print(
                 "leader killed: failover after %.1f s, reconciled after %.1f s more; tasks %d ->"
                         + " %d; %s",
--- a/src/main/java/org/shoreusher/settings/Settings.java
+++ b/src/main/java/org/shoreusher/settings/Settings.java
@@ -3,6 +3,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.stream.Stream;
 
 /**
@@ -58,10 +59,23 @@
         int maxSockets,
         long maxClockOffsetMs) {
 
-    private static final int MAX_PORT = 65_535;
-
     /** An IP address and port. */
     public record Address(String ip, int port) {
+        private static final int MAX_PORT = 65_535;
+
+        /** Parses an address such as 10.0.0.1:8080; empty if it is invalid. */
+        public static Optional<Address> parse(String text) {
+            int colon = text.lastIndexOf(':');
+            try {
+                int port = Integer.parseInt(text.substring(colon + 1));
+                return colon > 0 && port > 0 && port <= MAX_PORT
+                        ? Optional.of(new Address(text.substring(0, colon), port))
+                        : Optional.empty();
+            } catch (NumberFormatException e) {
+                return Optional.empty();
+            }
+        }
+
         @Override
         public String toString() {
             return ip + ":" + port;
@@ -85,14 +99,18 @@
     /**
      * A service-level objective.
      *
-     * @param kind such as "wait", "finished", "deadline" or "guarantee"
+     * @param kind what it is about
      * @param jobClass the class of jobs that it applies to; empty for all classes
      * @param withinS time limit in s; NaN if it has none
      * @param share share of the jobs that must meet it; NaN if it has none
      * @param deadlineFactor factor on the deadline that a user gives
      */
     public record Objective(
-            String kind, String jobClass, double withinS, double share, double deadlineFactor) {}
+            ObjectiveKind kind,
+            String jobClass,
+            double withinS,
+            double share,
+            double deadlineFactor) {}
 
     /** The host names of all controllers, including this one. */
     public Stream<String> allHosts() {
@@ -116,17 +134,4 @@
     public static Settings parse(byte[] json) throws InvalidSettingsException {
         return SettingsParser.parse(json);
     }
-
-    /** Parses an address such as 10.0.0.1:8080; null if it is invalid. */
-    public static Address parseAddressOrNull(String text) {
-        int colon = text.lastIndexOf(':');
-        try {
-            int port = Integer.parseInt(text.substring(colon + 1));
-            return colon > 0 && port > 0 && port <= MAX_PORT
-                    ? new Address(text.substring(0, colon), port)
-                    : null;
-        } catch (NumberFormatException e) {
-            return null;
-        }
-    }
 }
--- a/src/main/java/org/shoreusher/settings/SettingsParser.java
+++ b/src/main/java/org/shoreusher/settings/SettingsParser.java
@@ -109,7 +109,7 @@
         for (SettingsSection fields : deployment.sections("objectives")) {
             objectives.add(
                     new Objective(
-                            fields.text("kind"),
+                            ObjectiveKind.fromSettings(fields.text("kind")),
                             fields.textOr("class", ""),
                             fields.numberOr("within_s", Double.NaN),
                             fields.numberOr("share", Double.NaN),
--- a/src/main/java/org/shoreusher/settings/SettingsSection.java
+++ b/src/main/java/org/shoreusher/settings/SettingsSection.java
@@ -80,11 +80,12 @@
     /** A required address. */
     Settings.Address address(String field) throws InvalidSettingsException {
         String text = text(field);
-        Settings.Address address = Settings.parseAddressOrNull(text);
-        if (address == null) {
-            throw invalid(field, "is not an address like 10.0.0.1:8080: '" + text + "'");
-        }
-        return address;
+        return Settings.Address.parse(text)
+                .orElseThrow(
+                        () ->
+                                invalid(
+                                        field,
+                                        "is not an address like 10.0.0.1:8080: '" + text + "'"));
     }
 
     /** The error for a field of this section. */
--- a/src/main/java/org/shoreusher/worker/WorkerClient.java
+++ b/src/main/java/org/shoreusher/worker/WorkerClient.java
@@ -1,6 +1,7 @@
 package org.shoreusher.worker;
 
 import io.netty.channel.EventLoop;
+import java.util.Optional;
 import org.shoreusher.core.message.Effect;
 import org.shoreusher.net.HttpCaller;
 import org.shoreusher.settings.Settings;
@@ -13,7 +14,7 @@
  */
 public final class WorkerClient {
     private final EventLoop loop;
-    private int inFlight;
+    private int callsInFlight;
 
     /** A client that runs on an event loop. */
     public WorkerClient(EventLoop loop) {
@@ -25,17 +26,17 @@
      * calls are in flight; the worker then gets them with the response to its next heartbeat.
      */
     public void sendOrders(Effect.SendOrders orders) {
-        Settings.Address address = Settings.parseAddressOrNull(orders.workerAddress());
-        if (address == null || inFlight >= WorkerConstants.MAX_DIRECT_ORDERS_IN_FLIGHT) {
+        Optional<Settings.Address> address = Settings.Address.parse(orders.workerAddress());
+        if (address.isEmpty() || callsInFlight >= WorkerConstants.MAX_DIRECT_ORDERS_IN_FLIGHT) {
             return;
         }
-        inFlight++;
-        new HttpCaller(loop, address, 0)
+        callsInFlight++;
+        new HttpCaller(loop, address.get(), 0)
                 .call(
                         "/orders",
                         WorkerFormat.directOrders(
                                 orders.fencingToken(), orders.workerIncarnation(), orders.orders()),
                         WorkerConstants.DIRECT_ORDERS_TIMEOUT_MS,
-                        (status, body) -> inFlight--);
+                        (status, body) -> callsInFlight--);
     }
 }
--- a/src/test/java/org/shoreusher/core/schedule/SchedulingOrderTest.java
+++ b/src/test/java/org/shoreusher/core/schedule/SchedulingOrderTest.java
@@ -11,6 +11,7 @@
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.job.RunTimeEstimates;
 import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.settings.ObjectiveKind;
 import org.shoreusher.settings.Settings;
 
 /** The order in which jobs are scheduled. */
@@ -20,8 +21,10 @@
         Settings settings =
                 CoreTestData.settings(
                         List.of(
-                                new Settings.Objective("deadline", "rush", Double.NaN, 0.9, 1),
-                                new Settings.Objective("finished", "slow", 200, 0.8, 1)));
+                                new Settings.Objective(
+                                        ObjectiveKind.DEADLINE, "rush", Double.NaN, 0.9, 1),
+                                new Settings.Objective(
+                                        ObjectiveKind.FINISHED, "slow", 200, 0.8, 1)));
         SchedulingOrder schedulingOrder = new SchedulingOrder(settings, new RunTimeEstimates());
         Job late = CoreTestData.job("wk-1", "rush", JobSpec.Priority.NORMAL, 1, 30, 40, 0);
         Job soon = CoreTestData.job("wk-2", "rush", JobSpec.Priority.NORMAL, 1, 30, 100, 0);
@@ -44,7 +47,9 @@
         SchedulingOrder schedulingOrder =
                 new SchedulingOrder(
                         CoreTestData.settings(
-                                List.of(new Settings.Objective("finished", "rolls", 200, 0.8, 1))),
+                                List.of(
+                                        new Settings.Objective(
+                                                ObjectiveKind.FINISHED, "rolls", 200, 0.8, 1))),
                         new RunTimeEstimates());
         Job large =
                 CoreTestData.job("wk-1", "rolls", JobSpec.Priority.NORMAL, 500, 40, Double.NaN, 0);
@@ -73,8 +78,10 @@
                 new SchedulingOrder(
                         CoreTestData.settings(
                                 List.of(
-                                        new Settings.Objective("guarantee", "", 90, 0.9, 1),
-                                        new Settings.Objective("finished", "rolls", 400, 0.8, 1))),
+                                        new Settings.Objective(
+                                                ObjectiveKind.GUARANTEE, "", 90, 0.9, 1),
+                                        new Settings.Objective(
+                                                ObjectiveKind.FINISHED, "rolls", 400, 0.8, 1))),
                         new RunTimeEstimates());
         Job large =
                 CoreTestData.job("wk-1", "rolls", JobSpec.Priority.NORMAL, 500, 1, Double.NaN, 0);
@@ -96,7 +103,11 @@
                         CoreTestData.settings(
                                 List.of(
                                         new Settings.Objective(
-                                                "deadline", "rush", Double.NaN, 0.9, 1))),
+                                                ObjectiveKind.DEADLINE,
+                                                "rush",
+                                                Double.NaN,
+                                                0.9,
+                                                1))),
                         new RunTimeEstimates());
         Job job = CoreTestData.job("wk-1", "rush", JobSpec.Priority.NORMAL, 1, 30, 100, 0);
         // It takes 30 s and a start of 2 s, so the latest start time is at 68 s.
