--- a/src/test/java/org/shoreusher/simulation/ClusterSimulationTest.java
+++ b/src/test/java/org/shoreusher/simulation/ClusterSimulationTest.java
@@ -61,12 +61,10 @@
                 List.of(),
                 simulation.invariants.violations,
                 () -> "seed " + seed + "\n" + simulation.log);
-        List<String> open =
-                simulation.users.jobs.values().stream()
-                        .filter(job -> !job.doneConfirmed && !job.cancelConfirmed)
-                        .map(job -> job.spec.id())
-                        .toList();
-        assertEquals(List.of(), open, () -> "seed " + seed + "\n" + simulation.log);
+        assertEquals(
+                List.of(),
+                simulation.users.unfinishedJobs(),
+                () -> "seed " + seed + "\n" + simulation.log);
         assertTrue(
                 simulation.invariants.taskStarts > 200,
                 "hardly anything ran: " + simulation.invariants.taskStarts);
@@ -136,12 +134,10 @@
     @Property(tries = 15, seed = "815", shrinking = ShrinkingMode.OFF)
     void completesAllJobsAfterFaultsEnd(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
         ClusterSimulation simulation = simulate(seed, InjectedDefect.NONE, faults(seed));
-        List<String> open =
-                simulation.users.jobs.values().stream()
-                        .filter(job -> !job.doneConfirmed && !job.cancelConfirmed)
-                        .map(job -> job.spec.id())
-                        .toList();
-        assertEquals(List.of(), open, () -> "seed " + seed + "\n" + simulation.log);
+        assertEquals(
+                List.of(),
+                simulation.users.unfinishedJobs(),
+                () -> "seed " + seed + "\n" + simulation.log);
     }
 
     @Example
--- a/src/test/java/org/shoreusher/simulation/CompoundFailuresTest.java
+++ b/src/test/java/org/shoreusher/simulation/CompoundFailuresTest.java
@@ -180,12 +180,10 @@
                 simulation.invariants.taskStarts > 100,
                 "hardly anything ran: " + simulation.invariants.taskStarts);
         assertTrue(simulation.store.batchedSubmissions > 0, "no submissions shared a write");
-        List<String> open =
-                simulation.users.jobs.values().stream()
-                        .filter(job -> !job.doneConfirmed && !job.cancelConfirmed)
-                        .map(job -> job.spec.id())
-                        .toList();
-        assertEquals(List.of(), open, () -> "seed " + seed + "\n" + simulation.log);
+        assertEquals(
+                List.of(),
+                simulation.users.unfinishedJobs(),
+                () -> "seed " + seed + "\n" + simulation.log);
     }
 
     /**
@@ -240,10 +238,6 @@
         simulation.invariants.checkAtEnd();
         simulation.invariants.checkHalfOfJobsServed();
         assertEquals(List.of(), simulation.invariants.violations, simulation.log::toString);
-        assertEquals(
-                0,
-                simulation.users.jobs.values().stream()
-                        .filter(x -> !x.doneConfirmed && !x.cancelConfirmed)
-                        .count());
+        assertEquals(List.of(), simulation.users.unfinishedJobs());
     }
 }
--- a/src/test/java/org/shoreusher/simulation/Invariants.java
+++ b/src/test/java/org/shoreusher/simulation/Invariants.java
@@ -45,8 +45,8 @@
         taskStarts++;
         startsAfterCompletion += completed.contains(taskName) ? 1 : 0;
         String jobId = taskName.substring(0, taskName.indexOf('/'));
-        SimulatedUsers.SimulatedJob w = simulation.users.jobs.get(jobId);
-        if (w == null) {
+        SimulatedUsers.SimulatedJob job = simulation.users.jobs.get(jobId);
+        if (job == null) {
             recordViolation("ran_unknown", taskName);
             return;
         }
@@ -54,11 +54,11 @@
         SimulatedWorker other = on.put(taskName, machine);
         if (other != null) {
             recordViolation("ran_twice", taskName + " on " + machine.id + " while on " + other.id);
-            resourceUsage.add(w.spec, other, -1);
+            resourceUsage.add(job.spec, other, -1);
         }
-        JobSpec spec = w.spec;
+        JobSpec spec = job.spec;
         resourceUsage.add(spec, machine, 1);
-        startsAfterCancellation += w.cancelConfirmed ? 1 : 0;
+        startsAfterCancellation += job.cancelConfirmed ? 1 : 0;
         double used = resourceUsage.cpusOfTeam(spec.team());
         double usedGpus = resourceUsage.gpusOfTeam(spec.team());
         int inZone = resourceUsage.tasksInZone(jobId, machine.zone);
@@ -82,7 +82,7 @@
                 || (spec.spreadAcrossZones() && inZone > (spec.taskCount() + 1) / 2)) {
             recordViolation("wrong_place", taskName + " in " + machine.zone);
         }
-        checkCancelled(taskName, w);
+        checkCancelled(taskName, job);
     }
 
     private void checkCancelled(String taskName, SimulatedUsers.SimulatedJob job) {
@@ -111,8 +111,8 @@
 
     void taskCompleted(String taskName) {
         String jobId = taskName.substring(0, taskName.indexOf('/'));
-        SimulatedUsers.SimulatedJob w = simulation.users.jobs.get(jobId);
-        if (completed.add(taskName) && w != null && isFinished(w)) {
+        SimulatedUsers.SimulatedJob job = simulation.users.jobs.get(jobId);
+        if (completed.add(taskName) && job != null && isFinished(job)) {
             simulation.users.lastTaskCompleted(jobId);
         }
     }
--- a/src/test/java/org/shoreusher/simulation/LargestClusterTest.java
+++ b/src/test/java/org/shoreusher/simulation/LargestClusterTest.java
@@ -47,11 +47,7 @@
                 simulation.cloud.peakMachines() >= MACHINES,
                 () -> "had " + simulation.cloud.peakMachines());
         assertTrue(simulation.log.count(LogEventType.SHARD_ACQUIRED) > 1, "no failover");
-        assertEquals(
-                0,
-                simulation.users.jobs.values().stream()
-                        .filter(x -> !x.doneConfirmed && !x.cancelConfirmed)
-                        .count());
+        assertEquals(List.of(), simulation.users.unfinishedJobs());
     }
 
     private static SimulatedUsers.SimulatedJob job(int number) {
--- a/src/test/java/org/shoreusher/simulation/LeaderFailureTest.java
+++ b/src/test/java/org/shoreusher/simulation/LeaderFailureTest.java
@@ -221,11 +221,7 @@
                             .mapToLong(entry -> Long.parseLong(entry.text("count")))
                             .sum();
             assertTrue(machines > 1_000, () -> "provisioned " + machines);
-            assertEquals(
-                    0,
-                    simulation.users.jobs.values().stream()
-                            .filter(x -> !x.doneConfirmed && !x.cancelConfirmed)
-                            .count());
+            assertEquals(List.of(), simulation.users.unfinishedJobs());
         }
     }
 
@@ -251,11 +247,7 @@
                                                                         controller.crash(100));
                                             })));
             assertEquals(List.of(), simulation.invariants.violations);
-            assertEquals(
-                    0,
-                    simulation.users.jobs.values().stream()
-                            .filter(x -> !x.doneConfirmed && !x.cancelConfirmed)
-                            .count());
+            assertEquals(List.of(), simulation.users.unfinishedJobs());
             assertTrue(simulation.log.count(LogEventType.SHARD_ACQUIRED) > 3);
         }
     }
@@ -301,11 +293,7 @@
                                                             .contains("terminated by this node")
                                                     && entry.atMs() < 100_000),
                     simulation.log::toString);
-            assertEquals(
-                    0,
-                    simulation.users.jobs.values().stream()
-                            .filter(x -> !x.doneConfirmed && !x.cancelConfirmed)
-                            .count());
+            assertEquals(List.of(), simulation.users.unfinishedJobs());
         }
     }
 
--- a/src/test/java/org/shoreusher/simulation/MigrationsTest.java
+++ b/src/test/java/org/shoreusher/simulation/MigrationsTest.java
@@ -108,12 +108,7 @@
 
     private static void assertInvariantsAndCompletion(ClusterSimulation simulation) {
         assertEquals(List.of(), simulation.invariants.violations, simulation.log::toString);
-        List<String> open =
-                simulation.users.jobs.values().stream()
-                        .filter(job -> !job.doneConfirmed && !job.cancelConfirmed)
-                        .map(job -> job.spec.id())
-                        .toList();
-        assertEquals(List.of(), open, simulation.log::toString);
+        assertEquals(List.of(), simulation.users.unfinishedJobs(), simulation.log::toString);
     }
 
     /**
--- a/src/test/java/org/shoreusher/simulation/SaturatedCluster.java
+++ b/src/test/java/org/shoreusher/simulation/SaturatedCluster.java
@@ -69,8 +69,7 @@
     /** No invariant was violated, every job has ended, and no heartbeat contradicted a log. */
     static void assertInvariants(ClusterSimulation simulation) {
         assertEquals(List.of(), simulation.invariants.violations, simulation.log::toString);
-        assertEquals(
-                List.of(), StandbySimulations.unfinishedJobs(simulation), simulation.log::toString);
+        assertEquals(List.of(), simulation.users.unfinishedJobs(), simulation.log::toString);
         assertEquals(
                 0,
                 StandbySimulations.promotionOutcomes(simulation)
--- a/src/test/java/org/shoreusher/simulation/ServicesTest.java
+++ b/src/test/java/org/shoreusher/simulation/ServicesTest.java
@@ -229,7 +229,7 @@
                 () -> "the previous version wrote nothing long: " + longest[0]);
         assertEquals(
                 0,
-                simulation.users.jobs.values().stream().filter(x -> !x.doneConfirmed).count(),
+                simulation.users.jobs.values().stream().filter(job -> !job.doneConfirmed).count(),
                 simulation.log::toString);
         // At most a tenth runs again, for completions between two lease renewals.
         assertTrue(
--- a/src/test/java/org/shoreusher/simulation/SimulatedCloud.java
+++ b/src/test/java/org/shoreusher/simulation/SimulatedCloud.java
@@ -7,6 +7,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.shoreusher.core.message.Effect.CloudOperation;
+import org.shoreusher.core.message.ReplyStatus;
 
 /**
  * A simulated cloud with inventories that lag and machines that never boot. It has one machine
@@ -119,11 +120,11 @@
 
     void handle(CloudOperation operation, ReplyHandler reply) {
         if (simulation.nowMs < outageUntilMs) {
-            reply.respond(503, Map.of("error", "trouble"));
+            reply.respond(ReplyStatus.SERVICE_UNAVAILABLE, Map.of("error", "trouble"));
         } else if (operation instanceof CloudOperation.ListTypes) {
-            reply.respond(200, Map.of("presses", machineTypes()));
+            reply.respond(ReplyStatus.OK, Map.of("presses", machineTypes()));
         } else if (operation instanceof CloudOperation.ListMachines listing) {
-            reply.respond(200, page(listing.afterMachineId()));
+            reply.respond(ReplyStatus.OK, page(listing.afterMachineId()));
         } else if (operation instanceof CloudOperation.Terminate termination) {
             for (String id : termination.machineIds()) {
                 SimulatedWorker machine = machines.get(id);
@@ -131,7 +132,7 @@
                     terminate(machine);
                 }
             }
-            reply.respond(200, Map.of());
+            reply.respond(ReplyStatus.OK, Map.of());
         } else {
             provision((CloudOperation.Provision) operation, reply);
         }
@@ -180,7 +181,7 @@
     private void provision(CloudOperation.Provision provision, ReplyHandler reply) {
         Map<String, Object> before = responsesByRequestName.get(provision.name());
         if (before != null) {
-            reply.respond(200, before);
+            reply.respond(ReplyStatus.OK, before);
             return;
         }
         long used =
@@ -198,7 +199,7 @@
                                 (provision.type().equals(LARGE_TYPE) ? 1 + capacity / 8 : capacity)
                                         - used);
         if (count <= 0) {
-            reply.respond(503, Map.of("error", "no capacity"));
+            reply.respond(ReplyStatus.SERVICE_UNAVAILABLE, Map.of("error", "no capacity"));
             return;
         }
         List<Object> names = new ArrayList<>();
@@ -226,6 +227,6 @@
         peakMachines = Math.max(peakMachines, machines.size());
         Map<String, Object> answer = Map.of("boxes", names);
         responsesByRequestName.put(provision.name(), answer);
-        reply.respond(200, answer);
+        reply.respond(ReplyStatus.OK, answer);
     }
 }
--- a/src/test/java/org/shoreusher/simulation/SimulatedController.java
+++ b/src/test/java/org/shoreusher/simulation/SimulatedController.java
@@ -12,6 +12,7 @@
 import org.shoreusher.core.message.ClockReading;
 import org.shoreusher.core.message.Command;
 import org.shoreusher.core.message.Effect;
+import org.shoreusher.core.message.ReplyStatus;
 import org.shoreusher.log.LogEventType;
 import org.shoreusher.settings.Features;
 import org.shoreusher.settings.Settings;
@@ -254,7 +255,7 @@
                 () -> {
                     if (!ended[0] && incarnation == ofIncarnation) {
                         ended[0] = true;
-                        onReply.respond(0, null);
+                        onReply.respond(ReplyStatus.NO_REPLY, null);
                     }
                 });
         simulation.network.send(
--- a/src/test/java/org/shoreusher/simulation/SimulatedStore.java
+++ b/src/test/java/org/shoreusher/simulation/SimulatedStore.java
@@ -8,6 +8,7 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.core.message.ReplyStatus;
 import org.shoreusher.core.store.StoreConstants;
 import org.shoreusher.core.store.TokenBucket;
 import org.shoreusher.settings.Settings;
@@ -201,32 +202,32 @@
 
     private void respond(String host, StoreOperation operation, ReplyHandler reply) {
         if (isUnavailable(host)) {
-            reply.respond(503, null);
-        } else if (operation instanceof StoreOperation.CompareAndSwap m
-                && !isWithinLimits(host, m)) {
+            reply.respond(ReplyStatus.SERVICE_UNAVAILABLE, null);
+        } else if (operation instanceof StoreOperation.CompareAndSwap swap
+                && !isWithinLimits(host, swap)) {
             reply.respond(400, null);
         } else if (operation instanceof StoreOperation.Page && areCacheUpdatesStalled(host)) {
             return;
-        } else if (operation instanceof StoreOperation.CompareAndSwap m
-                && !m.writes().isEmpty()
+        } else if (operation instanceof StoreOperation.CompareAndSwap swap
+                && !swap.writes().isEmpty()
                 && simulation.nowMs < responsesLostUntilMs
                 && simulation.random.nextInt(10) < responsesLostOfTen) {
             responsesLost++;
             // Regardless of the rate limits: only an execution may do harm.
             simulation.scheduleAfter(
                     lostWritesApplyAtOnce ? 0 : 2_000 + simulation.random.nextInt(10_000),
-                    () -> compareAndSwap(host, m, (status, body) -> {}));
+                    () -> compareAndSwap(host, swap, (status, body) -> {}));
         } else if (!requestTokens.tryAcquire(1, simulation.nowMs)
-                || (operation instanceof StoreOperation.CompareAndSwap m
-                        && !hasWriteTokens(m.writes().size()))) {
+                || (operation instanceof StoreOperation.CompareAndSwap swap
+                        && !hasWriteTokens(swap.writes().size()))) {
             requestsThrottled++;
-            reply.respond(429, null);
+            reply.respond(ReplyStatus.TOO_MANY_REQUESTS, null);
         } else if (operation instanceof StoreOperation.Get get) {
             StoredValue stored = values.get(get.key());
             if (stored == null) {
-                reply.respond(404, Map.of("ledger", revision));
+                reply.respond(ReplyStatus.NOT_FOUND, Map.of("ledger", revision));
             } else {
-                reply.respond(200, entry(get.key(), stored));
+                reply.respond(ReplyStatus.OK, entry(get.key(), stored));
             }
         } else if (operation instanceof StoreOperation.Page page) {
             page(page, reply);
@@ -270,7 +271,7 @@
             }
             entries.add(entry(entry.getKey(), entry.getValue()));
         }
-        reply.respond(200, Map.of("entries", entries, "more", more, "ledger", revision));
+        reply.respond(ReplyStatus.OK, Map.of("entries", entries, "more", more, "ledger", revision));
     }
 
     private void compareAndSwap(
@@ -288,7 +289,7 @@
         if (!failed.isEmpty()
                 && simulation.injectedDefect
                         != ClusterSimulation.InjectedDefect.PRECONDITIONS_IGNORED) {
-            reply.respond(409, Map.of("failed", failed, "ledger", revision));
+            reply.respond(ReplyStatus.CONFLICT, Map.of("failed", failed, "ledger", revision));
             return;
         }
         if (!operation.writes().isEmpty()) {
@@ -319,12 +320,12 @@
                 }
             }
         }
-        reply.respond(200, Map.of("ledger", revision));
+        reply.respond(ReplyStatus.OK, Map.of("ledger", revision));
     }
 
     private boolean respond(PendingWatch pending) {
         if (pending.watch.afterRevision() < compactedRevision) {
-            pending.reply.respond(410, null);
+            pending.reply.respond(ReplyStatus.GONE, null);
             return true;
         }
         List<Object> log = new ArrayList<>();
@@ -342,7 +343,7 @@
         if (log.isEmpty() && simulation.nowMs < pending.untilMs) {
             return false;
         }
-        pending.reply.respond(200, Map.of("ledger", revision, "log", log));
+        pending.reply.respond(ReplyStatus.OK, Map.of("ledger", revision, "log", log));
         return true;
     }
 
--- a/src/test/java/org/shoreusher/simulation/SimulatedUsers.java
+++ b/src/test/java/org/shoreusher/simulation/SimulatedUsers.java
@@ -101,6 +101,14 @@
         return down;
     }
 
+    /** Jobs that the user knows neither as done nor as cancelled. */
+    List<String> unfinishedJobs() {
+        return jobs.values().stream()
+                .filter(job -> !job.doneConfirmed && !job.cancelConfirmed)
+                .map(job -> job.spec.id())
+                .toList();
+    }
+
     long randomRunMs(String jobId) {
         SimulatedJob job = jobs.get(jobId);
         return job == null ? 1_000 : job.runMs / 2 + simulation.random.nextInt((int) job.runMs);
--- a/src/test/java/org/shoreusher/simulation/SimulatedWorker.java
+++ b/src/test/java/org/shoreusher/simulation/SimulatedWorker.java
@@ -2,11 +2,15 @@
 
 import org.shoreusher.core.message.Command;
 import org.shoreusher.core.message.Effect;
+import org.shoreusher.core.message.ReplyStatus;
 import org.shoreusher.core.message.WorkerHeartbeat;
 import org.shoreusher.wire.WorkerFormat;
 
 /** A simulated worker with incarnations, leases and fencing tokens. */
 final class SimulatedWorker {
+    /** The HTTP status by which a node names the leader. */
+    private static final int MISDIRECTED_REQUEST = 421;
+
     private static final long RESPONSE_TIMEOUT_MS = 4_000;
 
     /** One heartbeat in this number has a late duplicate. */
@@ -184,7 +188,7 @@
         }
         if (simulation.injectedDefect == ClusterSimulation.InjectedDefect.LATE_RESPONSES_EXECUTED
                 && !terminated
-                && response.status() == 200) {
+                && response.status() == ReplyStatus.OK) {
             tasks.executeOrders(response.body());
         } else if (requestNumber == ofRequest && requestInFlight && !terminated) {
             long wait = Math.max(0, hangingUntilMs - simulation.nowMs);
@@ -271,7 +275,7 @@
         }
         expireLeaseIfDue();
         requestInFlight = false;
-        if (response.status() == 200) {
+        if (response.status() == ReplyStatus.OK) {
             long responseToken = ((Number) response.body().get("baton")).longValue();
             if (ofIncarnation == incarnation && responseToken >= fencingToken) {
                 leaseRenewedAtMs = Math.max(leaseRenewedAtMs, sentAtMs);
@@ -281,7 +285,7 @@
                 }
                 tasks.executeOrders(response.body());
             }
-        } else if (response.status() == 421
+        } else if (response.status() == MISDIRECTED_REQUEST
                 && response.body().get("foreman") instanceof String host) {
             int named = Integer.parseInt(host.substring(host.indexOf('-') + 1));
             if (named == targetNode) {
--- a/src/test/java/org/shoreusher/simulation/StandbyFaultsTest.java
+++ b/src/test/java/org/shoreusher/simulation/StandbyFaultsTest.java
@@ -26,7 +26,7 @@
                 () -> "seed " + seed + "\n" + simulation.log);
         assertEquals(
                 List.of(),
-                StandbySimulations.unfinishedJobs(simulation),
+                simulation.users.unfinishedJobs(),
                 () -> "seed " + seed + "\n" + simulation.log);
         StandbySimulations.promotionOutcomes(simulation)
                 .forEach((outcome, count) -> promotionOutcomes.merge(outcome, count, Integer::sum));
--- a/src/test/java/org/shoreusher/simulation/StandbyRandomCrashesTest.java
+++ b/src/test/java/org/shoreusher/simulation/StandbyRandomCrashesTest.java
@@ -33,7 +33,7 @@
                     () -> "seed " + number + "\n" + simulation.log);
             assertEquals(
                     List.of(),
-                    StandbySimulations.unfinishedJobs(simulation),
+                    simulation.users.unfinishedJobs(),
                     () -> "seed " + number + "\n" + simulation.log);
             assertEquals(
                     List.of(),
--- a/src/test/java/org/shoreusher/simulation/StandbySimulations.java
+++ b/src/test/java/org/shoreusher/simulation/StandbySimulations.java
@@ -115,11 +115,4 @@
     static String firstPromotionOutcome(ClusterSimulation simulation) {
         return promotions(simulation).findFirst().orElseThrow().text("outcome");
     }
-
-    static List<String> unfinishedJobs(ClusterSimulation simulation) {
-        return simulation.users.jobs.values().stream()
-                .filter(job -> !job.doneConfirmed && !job.cancelConfirmed)
-                .map(job -> job.spec.id())
-                .toList();
-    }
 }
--- a/src/test/java/org/shoreusher/simulation/package-info.java
+++ b/src/test/java/org/shoreusher/simulation/package-info.java
@@ -9,6 +9,6 @@
  * PreviousVersion* stand for nodes of the version before services.
  *
  * <p>The simulations see the core through its commands and effects, and the formats of {@code wire}
- * and {@code peer}; they use nothing inside the core.
+ * and {@code peer}. Of the core's inside they use only constants and the token bucket.
  */
 package org.shoreusher.simulation;
