--- a/src/main/java/org/shoreusher/core/heartbeat/TaskStarter.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/TaskStarter.java
@@ -41,8 +41,8 @@
 
     /** Whether the machine has free capacity, or capacity reserved for tasks that migrate to it. */
     boolean hasCapacityOrMigratedTasks(Machine machine) {
-        return machine.cpusFree() > ClusterConstants.EPSILON
-                || machine.gpusFree() > ClusterConstants.EPSILON
+        return machine.resources().cpusFree() > ClusterConstants.EPSILON
+                || machine.resources().gpusFree() > ClusterConstants.EPSILON
                 || taskMigration.hasReadyTasks(machine);
     }
 
@@ -58,7 +58,7 @@
         // Answer and heartbeat are limited in size, however many small tasks would fit.
         int remainingTasks =
                 ClusterConstants.MAX_TASKS_PER_MACHINE
-                        - Math.max(machine.tasks().size(), machine.reportedTaskCount());
+                        - Math.max(machine.tasks().size(), machine.worker().reportedTaskCount());
         for (PlacedTasks placed : placementPlan.takeTasksToStart(machine)) {
             int taskIndex = -1;
             for (int i = 0; i < placed.taskCount() && remainingTasks > 0; i++, remainingTasks--) {
--- a/src/main/java/org/shoreusher/core/message/ReplyStatus.java
+++ b/src/main/java/org/shoreusher/core/message/ReplyStatus.java
@@ -8,6 +8,9 @@
     /** The call succeeded. */
     public static final int OK = 200;
 
+    /** The request was malformed, and nothing was done. */
+    public static final int BAD_REQUEST = 400;
+
     /** There is no such key. */
     public static final int NOT_FOUND = 404;
 
--- a/src/main/java/org/shoreusher/core/schedule/TaskMigration.java
+++ b/src/main/java/org/shoreusher/core/schedule/TaskMigration.java
@@ -176,7 +176,7 @@
 
     /** Whether a migrated task waits for this machine's heartbeat. */
     public boolean hasReadyTasks(Machine machine) {
-        return machine.reservedTaskCount() > 0
+        return machine.resources().reservedTaskCount() > 0
                 && reservations.values().stream()
                         .anyMatch(reservation -> reservation.isReadyOn(machine));
     }
@@ -199,7 +199,7 @@
             } else if (quotaHeadroom.cpuHeadroom(reservation.spec().team())
                     < -ClusterConstants.EPSILON) {
                 // The quota share may have been lowered since the task left its source.
-                abandon(reservation, Migration.Reason.TEAM_LIMIT);
+                abandon(reservation, Migration.Reason.QUOTA_EXCEEDED);
             } else {
                 release(reservation);
                 balancer.markStarted(reservation.migration(), outbox.now().monotonicMs());
@@ -251,7 +251,7 @@
                 new MigrationReservation(
                         migration, attempt, shard.machines().get(migration.target()));
         reservations.put(reservation.taskId(), reservation);
-        reservation.target().reserve(reservation.spec(), 1);
+        reservation.target().resources().reserve(reservation.spec(), 1);
         attempt.evict();
         taskStopper.sendStop(attempt, TaskStopper.gracePeriodS(attempt));
         outbox.log(
@@ -262,7 +262,7 @@
     /** Abandons all migrations: the known state of the machines has turned out to be wrong. */
     public void abandonAll() {
         List.copyOf(reservations.values())
-                .forEach(reservation -> abandon(reservation, Migration.Reason.REBUILD));
+                .forEach(reservation -> abandon(reservation, Migration.Reason.STATE_UNCERTAIN));
     }
 
     private void abandon(MigrationReservation reservation, Migration.Reason reason) {
@@ -276,7 +276,7 @@
      */
     private void release(MigrationReservation reservation) {
         reservations.remove(reservation.taskId());
-        reservation.target().reserve(reservation.spec(), -1);
+        reservation.target().resources().reserve(reservation.spec(), -1);
         if (!reservation.hasLeftSource()) {
             return;
         }
--- a/src/main/java/org/shoreusher/measure/Cluster.java
+++ b/src/main/java/org/shoreusher/measure/Cluster.java
@@ -13,6 +13,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
+import org.shoreusher.log.LogEventType;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.standin.CloudStandIn;
 import org.shoreusher.standin.ControllerClient;
@@ -107,16 +108,17 @@
         }
         for (int i = 0; i < clients.size(); i++) {
             ControllerClient client = clients.get(i);
-            await("controller " + i + " is ready", 30, () -> status(client, "/ready", null) == 200);
+            await("controller " + i + " is ready", 30, () -> call(client, "/ready", null).isOk());
         }
     }
 
-    private static int status(ControllerClient client, String path, Map<String, Object> body) {
+    private static ControllerClient.Reply call(
+            ControllerClient client, String path, Map<String, Object> body) {
         try {
-            return client.call(path, body).status();
+            return client.call(path, body);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            return 0;
+            return ControllerClient.Reply.NONE;
         }
     }
 
@@ -129,8 +131,7 @@
                 60,
                 () -> {
                     ControllerClient client = clients.get(next[0]++ % clients.size());
-                    int status = status(client, "/v2/runs", job.toBody());
-                    return status == 200 || status == 201;
+                    return call(client, "/v2/runs", job.toBody()).isAccepted();
                 });
     }
 
@@ -140,13 +141,8 @@
     }
 
     private static boolean isDone(ControllerClient client, String job) {
-        try {
-            ControllerClient.Reply reply = client.call("/v2/runs/" + job, null);
-            return reply.status() == 200 && "done".equals(reply.body().get("status"));
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-            return false;
-        }
+        ControllerClient.Reply reply = call(client, "/v2/runs/" + job, null);
+        return reply.isOk() && "done".equals(reply.body().get("status"));
     }
 
     /**
@@ -173,23 +169,30 @@
     void requireAlive() {
         for (ControllerProcess controller : controllers) {
             if (!controller.isAlive()) {
-                ControllerProcess.Line line = controller.lastLine(Long.MIN_VALUE, text -> true);
                 throw new IllegalStateException(
-                        controller.host()
-                                + " has ended by itself: "
-                                + (line == null ? "no line" : line.text()));
+                        controller.host() + " has exited by itself: " + controller.lastLineText());
             }
         }
     }
 
+    /**
+     * Checks that no task has run on two machines at once.
+     *
+     * @throws IllegalStateException with all violations
+     */
+    void requireNoViolations() {
+        if (!history.violations().isEmpty()) {
+            throw new IllegalStateException(String.join("; ", history.violations()));
+        }
+    }
+
     /** The controller that last became leader of shard 0; null if none has yet. */
     ControllerProcess leader() {
         ControllerProcess leader = null;
         long latestMs = Long.MIN_VALUE;
         for (ControllerProcess controller : controllers) {
             ControllerProcess.Line line =
-                    controller.lastLine(
-                            Long.MIN_VALUE, text -> text.contains("event=shard_acquired shard=0 "));
+                    controller.lastEvent(Long.MIN_VALUE, LogEventType.SHARD_ACQUIRED);
             if (line != null && line.atMs() > latestMs) {
                 latestMs = line.atMs();
                 leader = controller;
--- a/src/main/java/org/shoreusher/standby/StandbyChooser.java
+++ b/src/main/java/org/shoreusher/standby/StandbyChooser.java
@@ -3,6 +3,7 @@
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 import java.util.Comparator;
 import java.util.List;
+import java.util.Optional;
 
 /**
  * Chooses the process that becomes the standby, with exponential backoff between tries. A host that
@@ -10,7 +11,10 @@
  * resets backoff and failure counts.
  */
 public final class StandbyChooser {
+    /** ms; the first backoff. Each failure doubles it, so a faulty candidate costs little. */
     private static final long INITIAL_BACKOFF_MS = 1_000;
+
+    /** ms; the longest backoff, after which a recovered candidate is used again. */
     private static final long MAX_BACKOFF_MS = 60_000;
 
     /**
@@ -40,10 +44,10 @@
         this.ownZone = ownZone;
     }
 
-    /** The best candidate; null if there is none or the backoff has not ended. Steady clock, ms. */
-    public Candidate choose(List<Candidate> candidates, long nowMs) {
+    /** The best candidate; empty if there is none or the backoff has not ended. Monotonic ms. */
+    public Optional<Candidate> choose(List<Candidate> candidates, long nowMs) {
         if (nowMs < nextTryMs) {
-            return null;
+            return Optional.empty();
         }
         return candidates.stream()
                 .min(
@@ -52,8 +56,7 @@
                                                 failuresByHost.getInt(
                                                         hostOf(candidate.processName())))
                                 .thenComparing(candidate -> ownZone.equals(candidate.zone()))
-                                .thenComparing(Candidate::processName))
-                .orElse(null);
+                                .thenComparing(Candidate::processName));
     }
 
     private static String hostOf(String processName) {
--- a/src/test/java/org/shoreusher/core/cluster/MachineTest.java
+++ b/src/test/java/org/shoreusher/core/cluster/MachineTest.java
@@ -32,7 +32,7 @@
                     0);
 
     private void heartbeat(long incarnation, long sequenceNumber, long atMs) {
-        machine.inferReplyDelivery(
+        machine.worker().inferReplyDelivery(
                 new WorkerHeartbeat(
                         "host-1",
                         "",
@@ -46,8 +46,8 @@
                         List.of()),
                 atMs,
                 SETTINGS);
-        machine.recordHeartbeatOrder(incarnation, sequenceNumber);
-        machine.recordReply(atMs);
+        machine.worker().recordHeartbeatOrder(incarnation, sequenceNumber);
+        machine.worker().recordReply(atMs);
     }
 
     /**
@@ -61,11 +61,11 @@
         heartbeat(1, 11, 150_000);
         heartbeat(1, 14, 150_001);
         heartbeat(2, 17, 150_002);
-        assertFalse(machine.hasOneWayPartition());
+        assertFalse(machine.worker().hasOneWayPartition());
         heartbeat(2, 20, 150_500);
-        assertFalse(machine.hasOneWayPartition());
+        assertFalse(machine.worker().hasOneWayPartition());
         heartbeat(2, 21, 155_000);
-        assertFalse(machine.hasOneWayPartition());
+        assertFalse(machine.worker().hasOneWayPartition());
     }
 
     /**
@@ -77,10 +77,10 @@
         heartbeat(1, 10, 100_000);
         heartbeat(1, 13, 115_000);
         heartbeat(2, 16, 130_000);
-        assertTrue(machine.hasOneWayPartition());
+        assertTrue(machine.worker().hasOneWayPartition());
         heartbeat(2, 17, 135_000);
         assertFalse(
-                machine.hasOneWayPartition(), "a heartbeat in time shows that responses arrive");
+                machine.worker().hasOneWayPartition(), "a heartbeat in time shows that responses arrive");
     }
 
     /**
