--- /dev/null
+++ b/src/test/java/org/shoreusher/core/cluster/FailureBackoffTest.java
@@ -0,0 +1,46 @@
+package org.shoreusher.core.cluster;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.Set;
+import net.jqwik.api.Example;
+
+/** The delay of a job's next start after failures. */
+class FailureBackoffTest {
+    private final FailureBackoff failures = new FailureBackoff();
+
+    @Example
+    void firstFailureDoesNotDelayAndEachFurtherOneDoublesTheDelay() {
+        failures.record("machine-1", 0, true);
+        assertFalse(failures.isBackingOff(0));
+        long delayMs = ClusterConstants.MIN_FAILURE_BACKOFF_MS;
+        for (int i = 0; i < 40; i++) {
+            failures.record("machine-1", 0, true);
+            assertTrue(failures.isBackingOff(delayMs - 1), "failure " + (i + 2));
+            assertFalse(failures.isBackingOff(delayMs), "failure " + (i + 2));
+            delayMs = Math.min(2 * delayMs, ClusterConstants.MAX_FAILURE_BACKOFF_MS);
+        }
+    }
+
+    @Example
+    void failuresOfAJobWithCompletedTasksDoNotDelay() {
+        for (int i = 0; i < 5; i++) {
+            failures.record("machine-" + i % 2, 0, false);
+        }
+        assertFalse(failures.isBackingOff(0));
+        assertEquals(Set.of("machine-0", "machine-1"), failures.machineIds());
+    }
+
+    @Example
+    void resetForgetsFailuresButNotAPresentDelay() {
+        failures.record("machine-1", 0, true);
+        failures.record("machine-1", 0, true);
+        failures.reset();
+        assertTrue(failures.machineIds().isEmpty());
+        assertTrue(failures.isBackingOff(0));
+        failures.record("machine-1", 2 * ClusterConstants.MIN_FAILURE_BACKOFF_MS, true);
+        assertFalse(failures.isBackingOff(2 * ClusterConstants.MIN_FAILURE_BACKOFF_MS));
+    }
+}
