--- a/src/main/java/org/shoreusher/core/job/RunTimeEstimates.java
+++ b/src/main/java/org/shoreusher/core/job/RunTimeEstimates.java
@@ -21,7 +21,8 @@
         if (job.spec().estimatedRunS() > 0) {
             double ratio = runTimeS / job.spec().estimatedRunS();
             double[] meanRatio =
-                    meanRatioByClass.computeIfAbsent(job.spec().jobClass(), c -> new double[] {1});
+                    meanRatioByClass.computeIfAbsent(
+                            job.spec().jobClass(), jobClass -> new double[] {1});
             meanRatio[0] += (ratio - meanRatio[0]) * JobConstants.RUN_TIME_SAMPLE_WEIGHT;
         }
     }
--- a/src/main/java/org/shoreusher/core/user/SubmissionCommit.java
+++ b/src/main/java/org/shoreusher/core/user/SubmissionCommit.java
@@ -44,9 +44,6 @@
         }
     }
 
-    /** How many preconditions a transaction may have for each write that it may have. */
-    private static final int MAX_PRECONDITIONS_PER_WRITE = 4;
-
     private final Settings settings;
     private final Outbox outbox;
     private final StoreCache storeCache;
@@ -163,7 +160,8 @@
     private List<PendingSubmission> nextBatch() {
         double maxBatchBytes = settings.maxValueBytes() * StoreConstants.RECORD_FILL_SHARE;
         // One precondition for each job, and one for the record.
-        int maxBatchSize = MAX_PRECONDITIONS_PER_WRITE * settings.maxTransactionWrites() - 1;
+        int maxBatchSize =
+                StoreConstants.MAX_PRECONDITIONS_PER_WRITE * settings.maxTransactionWrites() - 1;
         List<PendingSubmission> batch = new ArrayList<>();
         int batchBytes = 0;
         for (PendingSubmission submission : pendingSubmissions.values()) {
