--- a/src/main/java/org/shoreusher/cli/Service.java
+++ b/src/main/java/org/shoreusher/cli/Service.java
@@ -29,7 +29,7 @@
  * A running controller. Adapters put commands into a queue; the core processes them in batches and
  * returns effects, which the adapters carry out. All of it runs on one event loop.
  */
-public final class Service {
+final class Service {
     private static final Logger LOG = LoggerFactory.getLogger("shoreusher");
 
     private final Settings settings;
@@ -53,7 +53,7 @@
      *
      * @param processName identifies this process: its host and a random incarnation
      */
-    public Service(Settings settings, Features features, String processName) {
+    Service(Settings settings, Features features, String processName) {
         this.settings = settings;
         queue =
                 new ManyToOneConcurrentArrayQueue<>(
@@ -70,7 +70,7 @@
     }
 
     /** Accepts connections and processes commands until {@link #stop} or the end of the process. */
-    public void run() throws InterruptedException {
+    void run() throws InterruptedException {
         frontend.listen();
         gossip.listen();
         EventLogger.log(
--- a/src/main/java/org/shoreusher/wire/WorkerFormat.java
+++ b/src/main/java/org/shoreusher/wire/WorkerFormat.java
@@ -89,7 +89,7 @@
     }
 
     /** Encodes orders as a list of maps. */
-    public static List<Object> writeOrders(List<WorkerOrder> orders) {
+    private static List<Object> writeOrders(List<WorkerOrder> orders) {
         List<Object> encoded = new ArrayList<>(orders.size());
         for (WorkerOrder order : orders) {
             Map<String, Object> fields = new LinkedHashMap<>();
@@ -111,8 +111,7 @@
     }
 
     /** The body of the response to an accepted heartbeat. */
-    public static Map<String, Object> heartbeatResponse(
-            long fencingToken, List<WorkerOrder> orders) {
+    static Map<String, Object> heartbeatResponse(long fencingToken, List<WorkerOrder> orders) {
         Map<String, Object> body = new LinkedHashMap<>();
         body.put("baton", fencingToken);
         body.put("orders", writeOrders(orders));
