--- a/src/test/java/org/shoreusher/core/CoreTestData.java
+++ b/src/test/java/org/shoreusher/core/CoreTestData.java
@@ -10,6 +10,7 @@
 public final class CoreTestData {
     private CoreTestData() {}
 
+    /** Returns settings of three nodes in one zone, with one team and these objectives. */
     public static Settings settings(List<Settings.Objective> objectives) {
         Settings.Address nowhere = new Settings.Address("127.0.0.1", 1);
         return new Settings(
@@ -37,6 +38,12 @@
                 25);
     }
 
+    /**
+     * Returns a job of the team with all tasks pending.
+     *
+     * @param estimate estimated run time of a task, in s
+     * @param deadline in s after the submission; NaN without a deadline
+     */
     public static Job job(
             String id,
             String jobClass,
--- a/src/test/java/org/shoreusher/core/cluster/MachineTest.java
+++ b/src/test/java/org/shoreusher/core/cluster/MachineTest.java
@@ -32,20 +32,21 @@
                     0);
 
     private void heartbeat(long incarnation, long sequenceNumber, long atMs) {
-        machine.worker().inferReplyDelivery(
-                new WorkerHeartbeat(
-                        "host-1",
-                        "",
-                        "t",
-                        "a",
-                        true,
-                        incarnation,
-                        sequenceNumber,
-                        1,
-                        Double.NaN,
-                        List.of()),
-                atMs,
-                SETTINGS);
+        machine.worker()
+                .inferReplyDelivery(
+                        new WorkerHeartbeat(
+                                "host-1",
+                                "",
+                                "t",
+                                "a",
+                                true,
+                                incarnation,
+                                sequenceNumber,
+                                1,
+                                Double.NaN,
+                                List.of()),
+                        atMs,
+                        SETTINGS);
         machine.worker().recordHeartbeatOrder(incarnation, sequenceNumber);
         machine.worker().recordReply(atMs);
     }
@@ -80,7 +81,8 @@
         assertTrue(machine.worker().hasOneWayPartition());
         heartbeat(2, 17, 135_000);
         assertFalse(
-                machine.worker().hasOneWayPartition(), "a heartbeat in time shows that responses arrive");
+                machine.worker().hasOneWayPartition(),
+                "a heartbeat in time shows that responses arrive");
     }
 
     /**
--- a/src/test/java/org/shoreusher/simulation/FaultInjection.java
+++ b/src/test/java/org/shoreusher/simulation/FaultInjection.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
+import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import org.shoreusher.log.LogEventType;
 import org.shoreusher.simulation.ClusterSimulation.Fault;
@@ -169,6 +170,12 @@
                                 simulation.network.partition(process.host, machine.id, durationMs));
     }
 
+    /** A fault that hits every current leader. */
+    static Consumer<ClusterSimulation> onCurrentLeaders(
+            BiConsumer<ClusterSimulation, SimulatedController> fault) {
+        return cluster -> currentLeaders(cluster).forEach(leader -> fault.accept(cluster, leader));
+    }
+
     /** For each shard, the process that acquired it last. */
     static List<SimulatedController> currentLeaders(ClusterSimulation simulation) {
         Map<String, String> last = new HashMap<>();
--- a/src/test/java/org/shoreusher/simulation/UnseenCancellationsTest.java
+++ b/src/test/java/org/shoreusher/simulation/UnseenCancellationsTest.java
@@ -122,22 +122,14 @@
     @Example
     void leaderWithAStaleCacheReleasesItsWorkers() {
         for (long seed = 0; seed < 6; seed++) {
+            Fault staleCache =
+                    new Fault(
+                            FAULT_MS,
+                            FaultInjection.onCurrentLeaders(
+                                    (cluster, leader) ->
+                                            cluster.store.stallCacheUpdates(leader.host, 100_000)));
             ClusterSimulation simulation =
-                    simulate(
-                            seed,
-                            List.of(
-                                    new Fault(
-                                            FAULT_MS,
-                                            cluster ->
-                                                    FaultInjection.currentLeaders(cluster)
-                                                            .forEach(
-                                                                    controller ->
-                                                                            cluster.store
-                                                                                    .stallCacheUpdates(
-                                                                                            controller
-                                                                                                    .host,
-                                                                                            100_000))),
-                                    cancelMostJobs(FAULT_MS + 2_500)));
+                    simulate(seed, List.of(staleCache, cancelMostJobs(FAULT_MS + 2_500)));
             assertEquals(List.of(), simulation.invariants.violations, simulation.log::toString);
             assertTrue(countConfirmedCancellations(simulation) > 3, "hardly any cancellation");
         }
