--- a/src/main/java/org/shoreusher/core/NodeServices.java
+++ b/src/main/java/org/shoreusher/core/NodeServices.java
@@ -6,7 +6,7 @@
 import org.shoreusher.core.store.NodeContext;
 
 /**
- * The parts of a node that its shards share.
+ * The collaborators of a node that its shards share.
  *
  * @param context the collaborators that all classes of the node share
  * @param submissionBatches jobs that were accepted together and share a stored record
--- a/src/main/java/org/shoreusher/core/leadership/CompletionSnapshot.java
+++ b/src/main/java/org/shoreusher/core/leadership/CompletionSnapshot.java
@@ -4,7 +4,7 @@
 
 /** The completed tasks of a shard at one moment, laid out in records for the store. */
 public interface CompletionSnapshot {
-    /** Returns the number of records; record 0 is part of the shard's own record. */
+    /** Returns the number of records; record 0 belongs to the shard's own record. */
     int recordCount();
 
     /** Returns the ranges of completed tasks in a record, by job id. */
--- a/src/main/java/org/shoreusher/core/leadership/LeaderLease.java
+++ b/src/main/java/org/shoreusher/core/leadership/LeaderLease.java
@@ -33,7 +33,7 @@
      * lease, the grace period and the worker's lease together stay below the time limit of a
      * cancellation.
      */
-    public static long gracePeriodMs(Settings settings) {
+    static long gracePeriodMs(Settings settings) {
         double gracePeriodMs =
                 settings.cancellationLimitS() * 1000
                         - durationMs(settings)
@@ -54,7 +54,7 @@
      * lease), the drift of both clocks, and a margin for the confirmation's way to the user. A
      * lease renewal shows no cancellations, so it is irrelevant here.
      */
-    public static long maxStoreCacheAgeMs(Settings settings) {
+    static long maxStoreCacheAgeMs(Settings settings) {
         return (long)
                         (settings.cancellationLimitS()
                                 * 1000
@@ -110,7 +110,7 @@
      * @param confirmedExpiryWallMs the expiry that was written, in wall-clock ms
      * @param sentAt the clocks when the write was sent
      */
-    public void onConfirmed(long confirmedExpiryWallMs, ClockReading sentAt) {
+    void onConfirmed(long confirmedExpiryWallMs, ClockReading sentAt) {
         expiryWallMs = confirmedExpiryWallMs;
         expiryMonotonicMs =
                 sentAt.monotonicMs()
@@ -125,7 +125,7 @@
     }
 
     /** Returns whether the leader may give orders. */
-    public boolean isValid(ClockReading now) {
+    boolean isValid(ClockReading now) {
         return remainingMs(now) > 0;
     }
 
@@ -147,8 +147,7 @@
      * @param recordedExpiryWallMs the expiry in the shard's record, in wall-clock ms
      * @param now the clocks
      */
-    public static boolean isAcquirable(
-            Settings settings, long recordedExpiryWallMs, ClockReading now) {
+    static boolean isAcquirable(Settings settings, long recordedExpiryWallMs, ClockReading now) {
         return now.wallMs()
                 > recordedExpiryWallMs
                         + settings.maxClockOffsetMs()
--- a/src/main/java/org/shoreusher/core/leadership/ShardLeadership.java
+++ b/src/main/java/org/shoreusher/core/leadership/ShardLeadership.java
@@ -105,7 +105,7 @@
      * Returns whether heartbeats may be answered without orders, which extends the leases of the
      * workers: while the lease is valid and for a grace period after its expiry.
      */
-    public boolean mayExtendWorkerLeases() {
+    boolean mayExtendWorkerLeases() {
         return state.mayExtendWorkerLeases();
     }
 
@@ -152,7 +152,7 @@
      * Returns whether the store cache shows everything that was written before the renewal that
      * ended the last lease expiry.
      */
-    public boolean isStoreCacheCaughtUp() {
+    boolean isStoreCacheCaughtUp() {
         return state.isStoreCacheCaughtUp();
     }
 
--- a/src/main/java/org/shoreusher/core/leadership/StoredCompletions.java
+++ b/src/main/java/org/shoreusher/core/leadership/StoredCompletions.java
@@ -8,7 +8,7 @@
 import org.shoreusher.settings.Settings;
 
 /**
- * The completed tasks in a shard's records: chunk 0 is part of the shard's own record, the others
+ * The completed tasks in a shard's records: chunk 0 belongs to the shard's own record, the others
  * are overflow records.
  */
 final class StoredCompletions {
--- a/src/main/java/org/shoreusher/core/store/TokenBucket.java
+++ b/src/main/java/org/shoreusher/core/store/TokenBucket.java
@@ -41,7 +41,7 @@
      * @param count how many tokens are taken
      * @param nowMs the monotonic clock in ms
      */
-    public void overdraw(double count, long nowMs) {
+    void overdraw(double count, long nowMs) {
         refill(nowMs);
         tokens -= count;
     }
