--- a/src/main/java/org/shoreusher/core/cluster/Job.java
+++ b/src/main/java/org/shoreusher/core/cluster/Job.java
@@ -12,7 +12,7 @@
  */
 public final class Job {
     /** A record index that stands for no record. */
-    public static final int NO_RECORD = -1;
+    static final int NO_RECORD = -1;
 
     private final String id;
     private final JobSpec spec;
--- a/src/main/java/org/shoreusher/core/heartbeat/HeartbeatConstants.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/HeartbeatConstants.java
@@ -8,11 +8,11 @@
      * ms; a replica that has run this long did not fail at its start, so the job's backoff is
      * reset.
      */
-    public static final long FAILURE_BACKOFF_RESET_MS = 20_000;
+    static final long FAILURE_BACKOFF_RESET_MS = 20_000;
 
     /**
      * s; shorter tasks are not used to measure a slowdown, since heartbeats are about a second
      * apart.
      */
-    public static final double MIN_SLOWDOWN_SAMPLE_S = 5;
+    static final double MIN_SLOWDOWN_SAMPLE_S = 5;
 }
--- a/src/main/java/org/shoreusher/core/job/JobConstants.java
+++ b/src/main/java/org/shoreusher/core/job/JobConstants.java
@@ -5,37 +5,37 @@
     private JobConstants() {}
 
     /** Terminal job states cached by each node; older ones are read from the store. */
-    public static final int MAX_CACHED_TERMINAL_JOBS = 20_000;
+    static final int MAX_CACHED_TERMINAL_JOBS = 20_000;
 
     /** ms; how often records of submission batches that are no longer needed are removed. */
-    public static final long SUBMISSION_BATCH_CLEANUP_INTERVAL_MS = 2_000;
+    static final long SUBMISSION_BATCH_CLEANUP_INTERVAL_MS = 2_000;
 
     /**
      * A cancelled job's record is kept in memory for this many times the time limit for
      * cancellations, after which none of its tasks can be left.
      */
-    public static final double CANCELLED_JOB_RETENTION_FACTOR = 2;
+    static final double CANCELLED_JOB_RETENTION_FACTOR = 2;
 
     /**
      * Share of a leader's writes that high-water marks may take; further marks are batched
      * meanwhile.
      */
-    public static final double HIGH_WATER_MARK_WRITE_SHARE = 0.5;
+    static final double HIGH_WATER_MARK_WRITE_SHARE = 0.5;
 
     /** Bytes that a high-water mark takes in its record besides the job's id. */
-    public static final int HIGH_WATER_MARK_OVERHEAD_BYTES = 10;
+    static final int HIGH_WATER_MARK_OVERHEAD_BYTES = 10;
 
     /**
      * Each high-water mark of a job is at least this many times the last one, so that a large job
      * costs only a handful of writes.
      */
-    public static final int HIGH_WATER_MARK_GROWTH_FACTOR = 2;
+    static final int HIGH_WATER_MARK_GROWTH_FACTOR = 2;
 
     /**
      * Weight of one completed task in the moving average that corrects the run time estimates of
      * its class.
      */
-    public static final double RUN_TIME_SAMPLE_WEIGHT = 0.05;
+    static final double RUN_TIME_SAMPLE_WEIGHT = 0.05;
 
     /** s; shortest expected run time of a task. */
     public static final double MIN_RUN_TIME_S = 1;
--- a/src/main/java/org/shoreusher/core/leadership/LeaderLease.java
+++ b/src/main/java/org/shoreusher/core/leadership/LeaderLease.java
@@ -21,7 +21,7 @@
      *
      * @param settings the deployment's settings
      */
-    public LeaderLease(Settings settings) {
+    LeaderLease(Settings settings) {
         safetyMarginMs = settings.maxClockOffsetMs() + LeadershipConstants.LEASE_EXPIRY_MARGIN_MS;
         gracePeriodMs = gracePeriodMs(settings);
     }
--- a/src/main/java/org/shoreusher/core/leadership/ReconciliationProgress.java
+++ b/src/main/java/org/shoreusher/core/leadership/ReconciliationProgress.java
@@ -11,7 +11,7 @@
     private double unreconciledGpus;
 
     /** Returns whether the stored state of the shard has been loaded. */
-    public boolean isLoaded() {
+    boolean isLoaded() {
         return loaded;
     }
 
--- a/src/main/java/org/shoreusher/core/leadership/ShardLeadership.java
+++ b/src/main/java/org/shoreusher/core/leadership/ShardLeadership.java
@@ -113,7 +113,7 @@
      * The leader's current term, which workers receive as the fencing token. It starts at the
      * acquisition's term and can be raised.
      */
-    public long term() {
+    long term() {
         return state.term();
     }
 
@@ -199,7 +199,7 @@
      *
      * @param observedToken the token that the worker has seen
      */
-    public void raiseTerm(long observedToken) {
+    void raiseTerm(long observedToken) {
         if (recordWriter.isWriteInFlight() || !isLeader()) {
             return;
         }
--- a/src/main/java/org/shoreusher/core/message/MessageConstants.java
+++ b/src/main/java/org/shoreusher/core/message/MessageConstants.java
@@ -5,13 +5,13 @@
     private MessageConstants() {}
 
     /** s; shortest Retry-After of a request that cannot be served now. */
-    public static final int MIN_RETRY_AFTER_S = 1;
+    static final int MIN_RETRY_AFTER_S = 1;
 
     /**
      * Consecutive rejected requests get this many different Retry-After times, one second apart, so
      * that they don't all come back together.
      */
-    public static final int RETRY_AFTER_JITTER_S = 3;
+    static final int RETRY_AFTER_JITTER_S = 3;
 
     /** The Retry-After of a rejected request in s; spread over the request numbers. */
     public static int retryAfterS(long request) {
@@ -25,5 +25,5 @@
      * Price of an on-demand machine, in multiples of the spot price, up to which it is as good as a
      * spot one.
      */
-    public static final double MAX_ON_DEMAND_PRICE_FACTOR = 1.5;
+    static final double MAX_ON_DEMAND_PRICE_FACTOR = 1.5;
 }
--- a/src/main/java/org/shoreusher/core/schedule/BinPackerFactory.java
+++ b/src/main/java/org/shoreusher/core/schedule/BinPackerFactory.java
@@ -25,7 +25,7 @@
     }
 
     /** Returns a bin packer over all available machines that have free capacity now. */
-    public BinPacker create() {
+    BinPacker create() {
         List<MachineCapacity> capacities = new ArrayList<>();
         for (Machine machine : shard.machines().values()) {
             if (shard.isAvailable(machine)) {
--- a/src/main/java/org/shoreusher/core/schedule/MachineCapacity.java
+++ b/src/main/java/org/shoreusher/core/schedule/MachineCapacity.java
@@ -125,7 +125,7 @@
     }
 
     /** Whether neither CPUs nor GPUs are left, so that hardly any task fits. */
-    public boolean isFull() {
+    boolean isFull() {
         return freeCpus <= ClusterConstants.EPSILON && freeGpus <= ClusterConstants.EPSILON;
     }
 
--- a/src/main/java/org/shoreusher/core/schedule/QuotaHeadroom.java
+++ b/src/main/java/org/shoreusher/core/schedule/QuotaHeadroom.java
@@ -36,7 +36,7 @@
     }
 
     /** Returns the CPUs with which further tasks of the team may start; may be negative. */
-    public double cpuHeadroom(String team) {
+    double cpuHeadroom(String team) {
         return quotaShares.cpuShareForStarts(team) - ledger.usedCpus(team) - unconfirmedCpus(team);
     }
 
--- a/src/main/java/org/shoreusher/core/schedule/SchedulingOrder.java
+++ b/src/main/java/org/shoreusher/core/schedule/SchedulingOrder.java
@@ -46,7 +46,7 @@
     }
 
     /** Sorts the jobs in place, in the order in which they are to be scheduled. */
-    public void sort(List<Job> jobs, long wallMs) {
+    void sort(List<Job> jobs, long wallMs) {
         List<JobRank> ranks = new ArrayList<>(jobs.size());
         for (Job job : jobs) {
             ranks.add(rank(job, wallMs));
--- a/src/main/java/org/shoreusher/core/store/CorruptRecordException.java
+++ b/src/main/java/org/shoreusher/core/store/CorruptRecordException.java
@@ -6,7 +6,7 @@
  * A record in the key-value store does not have the form in which this service writes it. Only this
  * service writes its keys, so the fault is in the program or in what an operator has changed.
  */
-public final class CorruptRecordException extends IllegalStateException {
+final class CorruptRecordException extends IllegalStateException {
     private static final long serialVersionUID = 1;
 
     /**
--- a/src/main/java/org/shoreusher/core/store/StoreConstants.java
+++ b/src/main/java/org/shoreusher/core/store/StoreConstants.java
@@ -19,40 +19,40 @@
     public static final long WATCH_LONG_POLL_MS = 2_000;
 
     /** ms; shortest interval between watches, so that a burst of changes costs one request. */
-    public static final long MIN_WATCH_INTERVAL_MS = 40;
+    static final long MIN_WATCH_INTERVAL_MS = 40;
 
     /**
      * Share of a node's request rate that its watch may take. At 22 requests a second that is one
      * every 130 ms.
      */
-    public static final double WATCH_REQUEST_SHARE = 0.35;
+    static final double WATCH_REQUEST_SHARE = 0.35;
 
     /**
      * ms; a store cache that is older than this when its watch fails is read again in pages: the
      * answer of a watch has no bound on its size.
      */
-    public static final long STORE_CACHE_RELOAD_AGE_MS = 20_000;
+    static final long STORE_CACHE_RELOAD_AGE_MS = 20_000;
 
     /** ms; pause after a failed store call of the store cache. */
-    public static final long STORE_RETRY_MS = 300;
+    static final long STORE_RETRY_MS = 300;
 
     /** Share of the rate limits of store and cloud that all nodes together plan to use. */
     public static final double RATE_LIMIT_USE_SHARE = 0.9;
 
     /** Share of a node's store request rate that is reserved for lease renewals. */
-    public static final double LEASE_RENEWAL_REQUEST_SHARE = 0.1;
+    static final double LEASE_RENEWAL_REQUEST_SHARE = 0.1;
 
     /** Lease renewals per second that a node may always send, however low its request rate is. */
-    public static final double MIN_LEASE_RENEWALS_PER_S = 2;
+    static final double MIN_LEASE_RENEWALS_PER_S = 2;
 
     /** Lease renewals that a node may always send at once, however low its rate is. */
-    public static final double MIN_LEASE_RENEWAL_BURST = 4;
+    static final double MIN_LEASE_RENEWAL_BURST = 4;
 
     /**
      * Share of the store's write rate for the leaders' background writes. Each node also has a
      * share for user requests, which seldom need all of it.
      */
-    public static final double LEADER_WRITE_SHARE = 0.8;
+    static final double LEADER_WRITE_SHARE = 0.8;
 
     /**
      * Bytes; with a lower value size limit, ten machines share a record, else a hundred, which take
@@ -64,13 +64,13 @@
     public static final int RECORD_ENTRY_OVERHEAD_BYTES = 24;
 
     /** Linearizable reads for user requests in flight; further requests are batched meanwhile. */
-    public static final int MAX_LINEARIZABLE_READS_IN_FLIGHT = 2;
+    static final int MAX_LINEARIZABLE_READS_IN_FLIGHT = 2;
 
     /**
      * ms; a read of an unknown job is given up when the store cache takes longer to catch up with
      * all submissions. Users wait 2 s.
      */
-    public static final long READ_CATCH_UP_TIMEOUT_MS = 1_000;
+    static final long READ_CATCH_UP_TIMEOUT_MS = 1_000;
 
     /**
      * Bytes that each task of a job takes in a record in the worst case, when every other task is
