--- a/src/main/java/org/shoreusher/core/gossip/ShardDemand.java
+++ b/src/main/java/org/shoreusher/core/gossip/ShardDemand.java
@@ -110,7 +110,7 @@
         int idleMachines = 0;
         for (Machine machine : machines.values()) {
             if (machine.state() == Machine.State.UP || machine.state() == Machine.State.BOOTING) {
-                cpuHeadroom += machine.cpusFree();
+                cpuHeadroom += machine.resources().cpusFree();
             }
             idleMachines += isSurplus.test(machine) ? 1 : 0;
         }
--- a/src/test/java/org/shoreusher/core/cluster/MachineTest.java
+++ b/src/test/java/org/shoreusher/core/cluster/MachineTest.java
@@ -80,7 +80,9 @@
         heartbeat(2, 16, 130_000);
         assertTrue(machine.worker().hasOneWayPartition());
         heartbeat(2, 17, 135_000);
-        assertFalse(machine.worker().hasOneWayPartition(), "a report in time shows that it hears");
+        assertFalse(
+                machine.worker().hasOneWayPartition(),
+                "a heartbeat in time shows that responses arrive");
     }
 
     /**
--- a/src/test/java/org/shoreusher/simulation/ClusterSimulationTest.java
+++ b/src/test/java/org/shoreusher/simulation/ClusterSimulationTest.java
@@ -61,12 +61,10 @@
                 List.of(),
                 simulation.invariants.violations,
                 () -> "seed " + seed + "\n" + simulation.log);
-        List<String> open =
-                simulation.users.jobs.values().stream()
-                        .filter(job -> !job.doneConfirmed && !job.cancelConfirmed)
-                        .map(job -> job.spec.id())
-                        .toList();
-        assertEquals(List.of(), open, () -> "seed " + seed + "\n" + simulation.log);
+        assertEquals(
+                List.of(),
+                simulation.users.unfinishedJobs(),
+                () -> "seed " + seed + "\n" + simulation.log);
         assertTrue(
                 simulation.invariants.taskStarts > 200,
                 "hardly anything ran: " + simulation.invariants.taskStarts);
@@ -127,21 +125,19 @@
                 "hardly anything ran: " + simulation.invariants.taskStarts);
         assertTrue(
                 simulation.duplicateHeartbeats > 10,
-                "hardly any late copies: " + simulation.duplicateHeartbeats);
+                "hardly any late duplicates: " + simulation.duplicateHeartbeats);
         assertTrue(
                 simulation.network.duplicatedMessages > 100,
-                "hardly any repeats: " + simulation.network.duplicatedMessages);
+                "hardly any duplicated messages: " + simulation.network.duplicatedMessages);
     }
 
     @Property(tries = 15, seed = "815", shrinking = ShrinkingMode.OFF)
     void completesAllJobsAfterFaultsEnd(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
         ClusterSimulation simulation = simulate(seed, InjectedDefect.NONE, faults(seed));
-        List<String> open =
-                simulation.users.jobs.values().stream()
-                        .filter(job -> !job.doneConfirmed && !job.cancelConfirmed)
-                        .map(job -> job.spec.id())
-                        .toList();
-        assertEquals(List.of(), open, () -> "seed " + seed + "\n" + simulation.log);
+        assertEquals(
+                List.of(),
+                simulation.users.unfinishedJobs(),
+                () -> "seed " + seed + "\n" + simulation.log);
     }
 
     @Example
--- a/src/test/java/org/shoreusher/simulation/CompoundFailuresTest.java
+++ b/src/test/java/org/shoreusher/simulation/CompoundFailuresTest.java
@@ -153,12 +153,12 @@
             simulation.users.submit(i, (i < 51 ? 20_000 : 70_000) + simulation.random.nextInt(20));
         }
         for (int i = 0; i < 12; i++) {
-            int n = i;
+            int number = i;
             simulation.scheduleAt(
                     simulation.random.nextInt(150_000), simulation.users::pollUnknownJob);
             simulation.scheduleAt(
                     5_000 + simulation.random.nextInt(150_000),
-                    () -> simulation.users.submitInvalid(n));
+                    () -> simulation.users.submitInvalid(number));
         }
         simulation.faultFreeFromMs = FAULT_FREE_FROM_MS;
         simulation.scheduleAt(FAULT_FREE_FROM_MS, simulation.invariants::checkWaitingJobs);
@@ -180,12 +180,10 @@
                 simulation.invariants.taskStarts > 100,
                 "hardly anything ran: " + simulation.invariants.taskStarts);
         assertTrue(simulation.store.batchedSubmissions > 0, "no submissions shared a write");
-        List<String> open =
-                simulation.users.jobs.values().stream()
-                        .filter(job -> !job.doneConfirmed && !job.cancelConfirmed)
-                        .map(job -> job.spec.id())
-                        .toList();
-        assertEquals(List.of(), open, () -> "seed " + seed + "\n" + simulation.log);
+        assertEquals(
+                List.of(),
+                simulation.users.unfinishedJobs(),
+                () -> "seed " + seed + "\n" + simulation.log);
     }
 
     /**
@@ -234,16 +232,12 @@
                 List.of(
                         new Fault(
                                 60_000,
-                                x ->
-                                        FaultInjection.currentLeaders(x)
+                                cluster ->
+                                        FaultInjection.currentLeaders(cluster)
                                                 .forEach(controller -> controller.crash(500)))));
         simulation.invariants.checkAtEnd();
         simulation.invariants.checkHalfOfJobsServed();
         assertEquals(List.of(), simulation.invariants.violations, simulation.log::toString);
-        assertEquals(
-                0,
-                simulation.users.jobs.values().stream()
-                        .filter(x -> !x.doneConfirmed && !x.cancelConfirmed)
-                        .count());
+        assertEquals(List.of(), simulation.users.unfinishedJobs());
     }
 }
--- a/src/test/java/org/shoreusher/simulation/LargestClusterTest.java
+++ b/src/test/java/org/shoreusher/simulation/LargestClusterTest.java
@@ -35,11 +35,11 @@
                 List.of(
                         new Fault(
                                 ZONE_ISOLATED_MS,
-                                x -> x.network.isolateZone("b", "node-1", 35_000)),
+                                cluster -> cluster.network.isolateZone("b", "node-1", 35_000)),
                         new Fault(
                                 LEADER_CRASH_MS,
-                                x ->
-                                        FaultInjection.currentLeaders(x)
+                                cluster ->
+                                        FaultInjection.currentLeaders(cluster)
                                                 .forEach(controller -> controller.crash(4_000)))));
         simulation.invariants.checkAtEnd();
         assertEquals(List.of(), simulation.invariants.violations, simulation.log::toString);
@@ -47,11 +47,7 @@
                 simulation.cloud.peakMachines() >= MACHINES,
                 () -> "had " + simulation.cloud.peakMachines());
         assertTrue(simulation.log.count(LogEventType.SHARD_ACQUIRED) > 1, "no failover");
-        assertEquals(
-                0,
-                simulation.users.jobs.values().stream()
-                        .filter(x -> !x.doneConfirmed && !x.cancelConfirmed)
-                        .count());
+        assertEquals(List.of(), simulation.users.unfinishedJobs());
     }
 
     private static SimulatedUsers.SimulatedJob job(int number) {
--- a/src/test/java/org/shoreusher/simulation/StandbyFaultsTest.java
+++ b/src/test/java/org/shoreusher/simulation/StandbyFaultsTest.java
@@ -26,10 +26,10 @@
                 () -> "seed " + seed + "\n" + simulation.log);
         assertEquals(
                 List.of(),
-                StandbySimulations.unfinishedJobs(simulation),
+                simulation.users.unfinishedJobs(),
                 () -> "seed " + seed + "\n" + simulation.log);
         StandbySimulations.promotionOutcomes(simulation)
-                .forEach((how, n) -> promotionOutcomes.merge(how, n, Integer::sum));
+                .forEach((outcome, count) -> promotionOutcomes.merge(outcome, count, Integer::sum));
     }
 
     private void assertPromotions(int leastInSync) {
