--- a/src/main/java/org/shoreusher/core/machine/MachineRecords.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineRecords.java
@@ -224,10 +224,8 @@
                 if (machine != null) {
                     removeHandedOver(machine, record);
                 }
-            } else if (machine == null && record != null && !isInPresentGroup(id)) {
-                // Terminated, and only its wide group still has it, which is about to be removed.
-                continue;
-            } else if (!Objects.equals(record, desiredRecord(id))) {
+            } else if (!isOnlyInWideGroup(id, machine, record)
+                    && !Objects.equals(record, desiredRecord(id))) {
                 dirtyIds.add(id);
             } else if (machine != null) {
                 machine.setDurableUseRecord(record.mayHaveRunTasks());
@@ -235,6 +233,14 @@
         }
     }
 
+    /**
+     * Whether a machine is terminated and only its wide group, which is about to be removed, still
+     * has it.
+     */
+    private boolean isOnlyInWideGroup(String id, Machine machine, MachineRecord record) {
+        return machine == null && record != null && !isInPresentGroup(id);
+    }
+
     private void removeHandedOver(Machine machine, MachineRecord record) {
         if (machine.state() == Machine.State.HANDING_OVER) {
             outbox.log(
--- a/src/main/java/org/shoreusher/core/store/PageLoad.java
+++ b/src/main/java/org/shoreusher/core/store/PageLoad.java
@@ -1,5 +1,6 @@
 package org.shoreusher.core.store;
 
+import java.util.SortedMap;
 import java.util.TreeMap;
 import org.shoreusher.wire.FieldMap;
 import org.shoreusher.wire.StoreFormat;
@@ -33,7 +34,7 @@
     }
 
     /** The entries of all pages, by key. */
-    TreeMap<String, StoreCache.Entry> entries() {
+    SortedMap<String, StoreCache.Entry> entries() {
         return entries;
     }
 
--- a/src/test/java/org/shoreusher/core/leadership/LeaderLeaseTest.java
+++ b/src/test/java/org/shoreusher/core/leadership/LeaderLeaseTest.java
@@ -71,7 +71,7 @@
                         || LeaderLease.durationMs(settings)
                                         + grace
                                         + LeaderLease.workerLeaseBoundMs(settings)
-                                        + 2 * clockOffsetMs
+                                        + 2L * clockOffsetMs
                                 <= cancel * 1000L);
     }
 }
--- a/src/test/java/org/shoreusher/settings/ConstantsPageTest.java
+++ b/src/test/java/org/shoreusher/settings/ConstantsPageTest.java
@@ -71,7 +71,7 @@
     private static String text(Field field) throws IllegalAccessException {
         Object value = field.get(null);
         return value instanceof Integer || value instanceof Long
-                ? String.format(Locale.ROOT, "%,d", value)
+                ? String.format(Locale.ROOT, "%,d", ((Number) value).longValue())
                 : String.valueOf(value);
     }
 
