--- a/src/main/java/org/shoreusher/standby/Attempt.java
+++ b/src/main/java/org/shoreusher/standby/Attempt.java
@@ -5,6 +5,7 @@
  * team's quota.
  *
  * @param machineId the id of the machine
+ * @param team the team whose quota the attempt uses
  * @param cpus number of CPUs
  * @param gpus number of GPUs
  * @param memGb GB of memory
--- a/src/main/java/org/shoreusher/standby/AttemptLogReceiver.java
+++ b/src/main/java/org/shoreusher/standby/AttemptLogReceiver.java
@@ -10,7 +10,8 @@
 
 /**
  * The standby's side of a shard's attempt log. Applies records in order, each exactly once. After a
- * gap, a checksum mismatch, or too many attempts the log is inconsistent until a new stream begins.
+ * sequence gap, a misplaced or missing snapshot begin, a checksum mismatch, or too many attempts,
+ * the log is inconsistent until a new stream begins.
  */
 public final class AttemptLogReceiver {
     private final int maxAttempts;
@@ -21,7 +22,7 @@
     private AttemptTable table = new AttemptTable();
 
     /** Sequence number of the last record applied; 0 before the first. */
-    private long lastApplied;
+    private long lastAppliedSequenceNumber;
 
     private boolean snapshotComplete;
     private boolean inconsistent;
@@ -47,30 +48,31 @@
         } else if (!frame.stream().equals(stream)) {
             return Optional.empty();
         }
-        if (!inconsistent && frame.firstSequenceNumber() > lastApplied + 1) {
+        if (!inconsistent && frame.firstSequenceNumber() > lastAppliedSequenceNumber + 1) {
             inconsistent = true;
         }
         // Records of an earlier copy of the frame are skipped.
-        for (long sequenceNumber = lastApplied + 1;
+        for (long sequenceNumber = lastAppliedSequenceNumber + 1;
                 sequenceNumber <= frame.lastSequenceNumber() && !inconsistent;
                 sequenceNumber++) {
             apply(frame.records().get((int) (sequenceNumber - frame.firstSequenceNumber())));
-            lastApplied = sequenceNumber;
+            lastAppliedSequenceNumber = sequenceNumber;
         }
-        return Optional.of(new LogAcknowledgement(stream, lastApplied, !inconsistent));
+        return Optional.of(
+                new LogAcknowledgement(stream, lastAppliedSequenceNumber, !inconsistent));
     }
 
     private void startStream(LogStream newStream) {
         stream = newStream;
         table = new AttemptTable();
-        lastApplied = 0;
+        lastAppliedSequenceNumber = 0;
         snapshotComplete = false;
         inconsistent = false;
     }
 
     private void apply(LogRecord record) {
         boolean isSnapshotBegin = record instanceof SnapshotBegin;
-        if (isSnapshotBegin != (lastApplied == 0)) {
+        if (isSnapshotBegin != (lastAppliedSequenceNumber == 0)) {
             inconsistent = true;
         } else if (record instanceof AttemptStarted started) {
             table.add(started.attempt());
@@ -80,8 +82,8 @@
         } else if (record instanceof SnapshotEnd end) {
             verifyChecksum(end.checksum());
             snapshotComplete = true;
-        } else if (record instanceof VerifyChecksum checked) {
-            verifyChecksum(checked.checksum());
+        } else if (record instanceof VerifyChecksum verify) {
+            verifyChecksum(verify.checksum());
         }
     }
 
--- a/src/main/java/org/shoreusher/standby/AttemptLogSender.java
+++ b/src/main/java/org/shoreusher/standby/AttemptLogSender.java
@@ -6,22 +6,22 @@
 
 /**
  * The leader's side of a shard's attempt log: the table of attempts, and the stream to the standby
- * while there is one. One frame is in flight at a time; changes meanwhile are collected for the
- * next one. An unacknowledged frame is resent unchanged, and the standby applies it once. A stream
- * begins with a snapshot in frames of bounded size, with changes interleaved.
+ * while there is one. One frame is in flight at a time; later changes are collected for the next
+ * one. An unacknowledged frame is resent unchanged, and the standby applies each of its records
+ * once. A stream begins with a snapshot in frames of bounded size, with changes interleaved.
  */
 public final class AttemptLogSender {
     private final int shardNumber;
     private final long term;
     private final String leader;
-    private final int frameRecords;
+    private final int maxFrameRecords;
     private final AttemptTable table = new AttemptTable();
 
     /** The stream to the standby; null if there is none. */
     private OutgoingStream stream;
 
     /** Number of streams begun so far. */
-    private long attachmentCount;
+    private long streamCount;
 
     /** Number of changes of the table so far, replicated or not. */
     private long changeCount;
@@ -32,13 +32,13 @@
      * @param shardNumber the number of the shard
      * @param term the term at which the leader acquired leadership
      * @param leader the leader process, HOST/SUFFIX
-     * @param frameRecords the maximum number of records in a frame
+     * @param maxFrameRecords the maximum number of records in a frame
      */
-    public AttemptLogSender(int shardNumber, long term, String leader, int frameRecords) {
+    public AttemptLogSender(int shardNumber, long term, String leader, int maxFrameRecords) {
         this.shardNumber = shardNumber;
         this.term = term;
         this.leader = leader;
-        this.frameRecords = frameRecords;
+        this.maxFrameRecords = maxFrameRecords;
     }
 
     /** Records that an attempt may be on its machine from now on. */
@@ -48,7 +48,8 @@
     }
 
     /**
-     * Records that an attempt is certainly off its machine, and its completion, if any, durable.
+     * Records that an attempt is certainly no longer on its machine, and that its completion, if
+     * any, is durable.
      */
     public void recordEnd(AttemptId id) {
         if (table.contains(id)) {
@@ -71,8 +72,8 @@
 
     /** Begins a new stream to a standby process, with a snapshot of the table. */
     public void attach(String standby, long nowMs) {
-        LogStream id = new LogStream(shardNumber, term, leader, standby, ++attachmentCount);
-        stream = new OutgoingStream(id, table, frameRecords, nowMs);
+        LogStream id = new LogStream(shardNumber, term, leader, standby, ++streamCount);
+        stream = new OutgoingStream(id, table, maxFrameRecords, nowMs);
     }
 
     /** Ends the stream, if there is one. */
@@ -85,19 +86,19 @@
         return stream.standby();
     }
 
-    /** The frame to send now, new or to be resent. Monotonic ms. */
+    /** The frame to send now, new or resent; empty if none is due. Monotonic ms. */
     public Optional<LogFrame> nextFrame(long nowMs) {
         return stream == null ? Optional.empty() : stream.nextFrame(nowMs, changeCount);
     }
 
-    /** Handles an acknowledgement. Those of other streams and earlier frames have no effect. */
+    /** Handles an acknowledgement. One of another stream or an earlier frame has no effect. */
     public void handleAcknowledgement(LogAcknowledgement acknowledgement) {
         if (stream != null) {
             stream.handleAcknowledgement(acknowledgement);
         }
     }
 
-    /** Whether the standby has applied the whole snapshot. */
+    /** Whether the standby has acknowledged the whole snapshot. */
     public boolean isSnapshotAcknowledged() {
         return stream != null && stream.isSnapshotAcknowledged();
     }
@@ -107,7 +108,10 @@
         return changeCount;
     }
 
-    /** The number of the change up to which the current standby has applied all; 0 before that. */
+    /**
+     * How many changes, from the first on, the acknowledgements of the current standby cover; 0
+     * until it has acknowledged the whole snapshot.
+     */
     public long acknowledgedChangeCount() {
         return stream == null ? 0 : stream.acknowledgedChangeCount();
     }
--- a/src/main/java/org/shoreusher/standby/LogRecord.java
+++ b/src/main/java/org/shoreusher/standby/LogRecord.java
@@ -12,8 +12,8 @@
     record AttemptStarted(Attempt attempt) implements LogRecord {}
 
     /**
-     * An attempt is certainly off its machine. For a completed attempt this record is sent only
-     * when the completion is durable in the key-value store.
+     * An attempt is certainly no longer on its machine. For a completed attempt this record is sent
+     * only once the completion is durable in the key-value store.
      */
     record AttemptEnded(AttemptId id) implements LogRecord {}
 
--- a/src/main/java/org/shoreusher/standby/LogStream.java
+++ b/src/main/java/org/shoreusher/standby/LogStream.java
@@ -1,20 +1,21 @@
 package org.shoreusher.standby;
 
 /**
- * Identifies one stream of log frames by sender, receiver and time. Frames and acknowledgements of
- * any other stream are ignored.
+ * Identifies one stream of log frames by shard, sender, receiver and order of creation. The standby
+ * ignores frames of a stream that a newer one has replaced, and the leader ignores acknowledgements
+ * of any stream but its current one.
  *
  * @param shardNumber the number of the shard whose attempts are replicated
  * @param term the term at which the sender acquired leadership of the shard
  * @param leader the sending leader process, HOST/SUFFIX
  * @param standby the receiving process, HOST/SUFFIX
- * @param attachmentNumber number of the stream among those that the leader has begun in this term,
- *     from 1
+ * @param attachmentNumber number of the stream among those that the leader has begun for this shard
+ *     and term, from 1
  */
 public record LogStream(
         int shardNumber, long term, String leader, String standby, long attachmentNumber) {
 
-    /** Whether this stream was begun later than another one of the same shard. */
+    /** Whether this stream began after another one of the same shard. */
     boolean isNewerThan(LogStream other) {
         return term > other.term
                 || (term == other.term && attachmentNumber > other.attachmentNumber);
--- a/src/main/java/org/shoreusher/standby/OutgoingStream.java
+++ b/src/main/java/org/shoreusher/standby/OutgoingStream.java
@@ -19,15 +19,15 @@
      */
     private static final long RESEND_INTERVAL_MS = 200;
 
-    /** ms between checksums, which also serve to detect a standby that has failed. */
+    /** ms between checksums, which also detect a failed standby while there are no changes. */
     private static final long CHECKSUM_INTERVAL_MS = 1_000;
 
-    /** frames; a standby with more unsent changes than fit in so many frames has failed. */
+    /** frames; a standby has failed if more changes are unsent than fit in this many frames. */
     private static final int MAX_FRAMES_BEHIND = 40;
 
     private final LogStream stream;
     private final AttemptTable table;
-    private final int frameRecords;
+    private final int maxFrameRecords;
     private final ArrayDeque<LogRecord> pendingRecords = new ArrayDeque<>();
     private List<Attempt> snapshotAttempts;
     private int snapshotSentCount;
@@ -42,19 +42,22 @@
     private long lastSentMs;
     private long nextSequenceNumber = 1;
     private long nextChecksumMs;
+
+    /** The acknowledged change count once the frame in flight is acknowledged. */
     private long changeCountInFlight;
+
     private long acknowledgedChangeCount;
 
     /**
      * Begins a stream.
      *
-     * @param table the leader's table, which later changes are made in
-     * @param frameRecords the maximum number of records in a frame
+     * @param table the leader's table, which stays in use for later changes
+     * @param maxFrameRecords the maximum number of records in a frame
      */
-    OutgoingStream(LogStream stream, AttemptTable table, int frameRecords, long nowMs) {
+    OutgoingStream(LogStream stream, AttemptTable table, int maxFrameRecords, long nowMs) {
         this.stream = stream;
         this.table = table;
-        this.frameRecords = frameRecords;
+        this.maxFrameRecords = maxFrameRecords;
         snapshotAttempts = table.copyAttempts();
         pendingRecords.add(new SnapshotBegin());
         nextChecksumMs = nowMs + CHECKSUM_INTERVAL_MS;
@@ -65,13 +68,13 @@
         return stream.standby();
     }
 
-    /** Appends a change that was made in the table. */
+    /** Appends a change that has been made in the table. */
     void append(LogRecord change) {
         pendingRecords.add(change);
     }
 
     /**
-     * The frame to send now, new or to be resent.
+     * The frame to send now, new or resent; empty if none is due.
      *
      * @param changeCount the number of all changes of the table so far
      */
@@ -98,11 +101,11 @@
     private List<LogRecord> collectRecords(long nowMs) {
         List<LogRecord> records = new ArrayList<>();
         // At least half of each frame is left to the snapshot, so that it completes under any load.
-        int maxChanges = snapshotEnded ? frameRecords : Math.max(1, frameRecords / 2);
+        int maxChanges = snapshotEnded ? maxFrameRecords : Math.max(1, maxFrameRecords / 2);
         while (!pendingRecords.isEmpty() && records.size() < maxChanges) {
             records.add(pendingRecords.poll());
         }
-        while (snapshotSentCount < snapshotAttempts.size() && records.size() < frameRecords) {
+        while (snapshotSentCount < snapshotAttempts.size() && records.size() < maxFrameRecords) {
             Attempt attempt = snapshotAttempts.get(snapshotSentCount++);
             if (table.contains(attempt.id())) {
                 records.add(new AttemptStarted(attempt));
@@ -127,7 +130,7 @@
         }
     }
 
-    /** Handles an acknowledgement. Those of other streams and earlier frames have no effect. */
+    /** Handles an acknowledgement. One of another stream or an earlier frame has no effect. */
     void handleAcknowledgement(LogAcknowledgement acknowledgement) {
         if (!acknowledgement.stream().equals(stream)) {
             return;
@@ -143,12 +146,15 @@
         }
     }
 
-    /** Whether the standby has applied the whole snapshot. */
+    /** Whether the standby has acknowledged the whole snapshot. */
     boolean isSnapshotAcknowledged() {
         return snapshotAcknowledged;
     }
 
-    /** The number of the change up to which the standby has applied all; 0 before that. */
+    /**
+     * How many changes, from the first on, the standby's acknowledgements cover; 0 until it has
+     * acknowledged the whole snapshot.
+     */
     long acknowledgedChangeCount() {
         return snapshotAcknowledged ? acknowledgedChangeCount : 0;
     }
@@ -157,6 +163,6 @@
     boolean hasFailed(long nowMs, long ackTimeoutMs) {
         return rejected
                 || (frameInFlight != null && nowMs - firstSentMs > ackTimeoutMs)
-                || pendingRecords.size() > MAX_FRAMES_BEHIND * frameRecords;
+                || pendingRecords.size() > MAX_FRAMES_BEHIND * maxFrameRecords;
     }
 }
--- a/src/main/java/org/shoreusher/standby/PromotionOutcome.java
+++ b/src/main/java/org/shoreusher/standby/PromotionOutcome.java
@@ -1,15 +1,12 @@
 package org.shoreusher.standby;
 
-/**
- * Whether a new leader can use its replicated log, or why it has to reconcile from heartbeats
- * instead.
- */
+/** Whether a new leader can use its replicated log, or why it has to reconcile from heartbeats. */
 public enum PromotionOutcome {
     /** The log holds every attempt that may be on a machine. */
     IN_SYNC,
     /** The shard record that the failover replaced named no standby, or another process. */
     NOT_NAMED,
-    /** No frame was ever received. */
+    /** No frame was received. */
     NO_LOG,
     /** The log is from another leader or another term. */
     TERM_MISMATCH,
--- a/src/main/java/org/shoreusher/standby/StandbyChooser.java
+++ b/src/main/java/org/shoreusher/standby/StandbyChooser.java
@@ -6,9 +6,9 @@
 import java.util.Optional;
 
 /**
- * Chooses the process that becomes the standby, with exponential backoff between tries. A host that
- * failed less often is preferred, then one in another zone. A standby that has been named for long
- * resets backoff and failure counts.
+ * Chooses the process that becomes the standby, with exponential backoff after each failure.
+ * Prefers a host that has failed less often, then one in another zone. A standby that has been
+ * named for long enough resets the backoff and the failure counts.
  */
 public final class StandbyChooser {
     /** ms; the first backoff. Each failure doubles it, so a faulty candidate costs little. */
@@ -18,7 +18,7 @@
     private static final long MAX_BACKOFF_MS = 60_000;
 
     /**
-     * ms; a standby that has been named for so long is stable, and earlier failures are forgotten.
+     * ms; a standby that has been named for this long is stable, and earlier failures are cleared.
      */
     private static final long STABLE_AFTER_MS = 60_000;
 
@@ -33,7 +33,7 @@
     private final String ownZone;
     private final Object2IntOpenHashMap<String> failuresByHost = new Object2IntOpenHashMap<>();
     private long backoffMs = INITIAL_BACKOFF_MS;
-    private long nextTryMs = Long.MIN_VALUE;
+    private long backoffEndsAtMs = Long.MIN_VALUE;
 
     /**
      * Creates a chooser without any known failure.
@@ -46,7 +46,7 @@
 
     /** The best candidate; empty if there is none or the backoff has not ended. Monotonic ms. */
     public Optional<Candidate> choose(List<Candidate> candidates, long nowMs) {
-        if (nowMs < nextTryMs) {
+        if (nowMs < backoffEndsAtMs) {
             return Optional.empty();
         }
         return candidates.stream()
@@ -63,14 +63,17 @@
         return LogStream.hostOf(processName);
     }
 
-    /** Records that a standby failed and was abandoned, and begins the next backoff. */
+    /** Records that a standby failed and was abandoned, and starts the next backoff. */
     public void recordFailure(String processName, long nowMs) {
         failuresByHost.addTo(hostOf(processName), 1);
-        nextTryMs = nowMs + backoffMs;
+        backoffEndsAtMs = nowMs + backoffMs;
         backoffMs = Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
     }
 
-    /** Records for how many ms the standby has been named; resets backoff once it is stable. */
+    /**
+     * Records for how many ms the standby has been named. Once it is stable, resets the backoff and
+     * the failure counts.
+     */
     public void recordNamedFor(long namedForMs) {
         if (namedForMs >= STABLE_AFTER_MS && backoffMs > INITIAL_BACKOFF_MS) {
             backoffMs = INITIAL_BACKOFF_MS;
--- a/src/main/java/org/shoreusher/standby/package-info.java
+++ b/src/main/java/org/shoreusher/standby/package-info.java
@@ -3,8 +3,9 @@
  * Owns the state machines of both sides, their messages, and the choice of the standby.
  *
  * <p>Promises: a table that {@link org.shoreusher.standby.PromotionOutcome#IN_SYNC} applies to has
- * every attempt that the leader recorded and the standby acknowledged, whatever the network lost,
- * delayed, duplicated or reordered. No I/O, no clock, no randomness: the caller passes the time.
+ * every attempt that the leader recorded and the standby acknowledged, unless it has ended, even if
+ * the network loses, delays, duplicates or reorders messages. No I/O, no clock, no randomness: the
+ * caller passes the time.
  *
  * <p>Uses no other package of the project.
  */
--- a/src/test/java/org/shoreusher/standby/AttemptLogTest.java
+++ b/src/test/java/org/shoreusher/standby/AttemptLogTest.java
@@ -34,9 +34,9 @@
     private final AttemptLogReceiver receiver = new AttemptLogReceiver(MAX_ATTEMPTS);
     private long nowMs = 1;
 
-    private static Attempt attempt(int task) {
-        AttemptId id = new AttemptId("wk-000001", task, (TERM << 24) + task);
-        return new Attempt(id, "host-" + task % 5, "team", 2, 0, 4);
+    private static Attempt attempt(int taskIndex) {
+        AttemptId id = new AttemptId("wk-000001", taskIndex, (TERM << 24) + taskIndex);
+        return new Attempt(id, "host-" + taskIndex % 5, "team", 2, 0, 4);
     }
 
     /** Delivers frames and acknowledgements until nothing more is due. */
@@ -52,8 +52,8 @@
         return receiver.promotionOutcome(STANDBY, STANDBY, LEADER, TERM);
     }
 
-    private LogStream stream(long term, long attachment) {
-        return new LogStream(0, term, LEADER, STANDBY, attachment);
+    private LogStream stream(long term, long streamNumber) {
+        return new LogStream(0, term, LEADER, STANDBY, streamNumber);
     }
 
     @Example
@@ -76,12 +76,12 @@
         assertEquals(19, receiver.attemptCount());
     }
 
-    /** Whatever the network duplicates, loses or delivers late, both tables end up the same. */
+    /** Both tables converge although the network duplicates, loses and delays messages. */
     @Property(tries = 200, seed = "41", shrinking = ShrinkingMode.OFF)
     void bothTablesConvergeOverAnUnreliableNetwork(@ForAll long seed) {
         Random random = new Random(seed);
         List<LogFrame> frames = new ArrayList<>();
-        List<LogAcknowledgement> answers = new ArrayList<>();
+        List<LogAcknowledgement> acknowledgements = new ArrayList<>();
         sender.attach(STANDBY, nowMs);
         for (int step = 0; step < 400; step++) {
             nowMs += random.nextInt(150);
@@ -93,10 +93,11 @@
             sender.nextFrame(nowMs).ifPresent(frames::add);
             if (!frames.isEmpty() && random.nextBoolean()) {
                 LogFrame arrived = frames.get(random.nextInt(frames.size()));
-                answers.add(receiver.receive(arrived).orElseThrow());
+                acknowledgements.add(receiver.receive(arrived).orElseThrow());
             }
-            if (!answers.isEmpty() && random.nextBoolean()) {
-                sender.handleAcknowledgement(answers.get(random.nextInt(answers.size())));
+            if (!acknowledgements.isEmpty() && random.nextBoolean()) {
+                sender.handleAcknowledgement(
+                        acknowledgements.get(random.nextInt(acknowledgements.size())));
             }
         }
         nowMs += TIMEOUT_MS;
@@ -170,16 +171,19 @@
 
     @Example
     void tooManyAttemptsPutTheStandbyOutOfSync() {
-        AttemptLogReceiver small = new AttemptLogReceiver(2);
+        AttemptLogReceiver smallReceiver = new AttemptLogReceiver(2);
         List<LogRecord> records = new ArrayList<>(List.of(new SnapshotBegin()));
         for (int i = 0; i < 3; i++) {
             records.add(new AttemptStarted(attempt(i)));
         }
         assertFalse(
-                small.receive(new LogFrame(stream(TERM, 1), 1, records)).orElseThrow().accepted());
+                smallReceiver
+                        .receive(new LogFrame(stream(TERM, 1), 1, records))
+                        .orElseThrow()
+                        .accepted());
     }
 
-    /** Frames of an outdated term or stream change nothing, and get no response. */
+    /** Frames of an earlier term or stream change nothing and are not acknowledged. */
     @Example
     void ignoresFramesOfEarlierStreams() {
         LogFrame earlier = new LogFrame(stream(TERM, 1), 1, List.of(new SnapshotBegin()));
@@ -193,7 +197,7 @@
         assertEquals(PromotionOutcome.TERM_MISMATCH, outcome());
     }
 
-    /** Acknowledgements of an earlier stream, or of earlier records, are ignored. */
+    /** Acknowledgements and rejections of an earlier stream are ignored. */
     @Example
     void ignoresAcknowledgementsOfEarlierStreams() {
         sender.recordStart(attempt(1));
@@ -251,24 +255,24 @@
     @Example
     void prefersAnotherZoneAndBacksOffUntilAStandbyIsNamed() {
         StandbyChooser chooser = new StandbyChooser("a");
-        StandbyChooser.Candidate near = new StandbyChooser.Candidate("node-1/x", "a");
-        StandbyChooser.Candidate far = new StandbyChooser.Candidate("node-2/y", "b");
-        List<StandbyChooser.Candidate> both = List.of(near, far);
-        assertEquals(far, chooser.choose(both, 0).orElseThrow());
-        chooser.recordFailure(far.processName(), 0);
+        StandbyChooser.Candidate sameZone = new StandbyChooser.Candidate("node-1/x", "a");
+        StandbyChooser.Candidate otherZone = new StandbyChooser.Candidate("node-2/y", "b");
+        List<StandbyChooser.Candidate> both = List.of(sameZone, otherZone);
+        assertEquals(otherZone, chooser.choose(both, 0).orElseThrow());
+        chooser.recordFailure(otherZone.processName(), 0);
         assertEquals(Optional.empty(), chooser.choose(both, 999));
-        assertEquals(near, chooser.choose(both, 1_000).orElseThrow());
-        chooser.recordFailure(near.processName(), 1_000);
+        assertEquals(sameZone, chooser.choose(both, 1_000).orElseThrow());
+        chooser.recordFailure(sameZone.processName(), 1_000);
         assertEquals(Optional.empty(), chooser.choose(both, 2_999));
-        assertEquals(far, chooser.choose(both, 3_000).orElseThrow());
+        assertEquals(otherZone, chooser.choose(both, 3_000).orElseThrow());
         for (int i = 0; i < 20; i++) {
-            chooser.recordFailure(near.processName(), 0);
+            chooser.recordFailure(sameZone.processName(), 0);
         }
         assertEquals(Optional.empty(), chooser.choose(both, 59_999));
-        assertEquals(far, chooser.choose(both, 60_000).orElseThrow());
+        assertEquals(otherZone, chooser.choose(both, 60_000).orElseThrow());
         chooser.recordNamedFor(60_000);
-        chooser.recordFailure(far.processName(), 0);
-        assertEquals(near, chooser.choose(both, 1_000).orElseThrow());
+        chooser.recordFailure(otherZone.processName(), 0);
+        assertEquals(sameZone, chooser.choose(both, 1_000).orElseThrow());
         assertEquals(Optional.empty(), chooser.choose(List.of(), 1_000));
     }
 }
