--- a/src/main/java/org/shoreusher/core/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/HeartbeatHandler.java
@@ -18,10 +18,10 @@
 import org.shoreusher.settings.Settings;
 
 /**
- * Handles the heartbeats of a shard's workers and answers them with orders.
+ * Handles the heartbeats of a shard's workers and responds to them with orders.
  *
- * <p>Guarantees: a task is started only in the answer to the newest heartbeat of its machine, only
- * while the leader's lease is valid, and only if no machine can be running the task.
+ * <p>Guarantees: a task is started only in the response to the newest heartbeat of its machine,
+ * only while the leader's lease is valid, and only if no machine can be running the task.
  */
 public final class HeartbeatHandler {
     private final ShardState shard;
@@ -54,10 +54,10 @@
     }
 
     /**
-     * Handles one heartbeat of a machine that belongs to this shard, or to no shard yet. Exactly
-     * one answer to the request is emitted or, if a standby has to acknowledge the starts first, is
-     * emitted later. Heartbeats that must not be answered get an "unavailable" answer, and the
-     * worker tries another node.
+     * Handles one heartbeat of a machine that belongs to this shard, or to no shard yet. The
+     * request gets exactly one response: at once or, if a standby has to acknowledge the starts in
+     * it first, later. A heartbeat that must not renew the worker's lease gets the response
+     * "unavailable", and the worker tries another node.
      */
     public void handle(long requestId, WorkerHeartbeat heartbeat) {
         if (!authority.canAnswerHeartbeats() || hasNewerFencingToken(heartbeat)) {
@@ -74,7 +74,7 @@
         if (machine == null) {
             outbox.respondUnavailable(requestId);
         } else if (mayPredateFailover(machine, heartbeat)
-                && !recordAndCheckExpiry(machine, heartbeat)) {
+                && !recordOrderAndCheckLeaseExpiry(machine, heartbeat)) {
             renewWorkerLease(requestId, machine, heartbeat);
         } else if (isStale(machine, heartbeat)) {
             outbox.respondUnavailable(requestId);
@@ -88,9 +88,9 @@
     }
 
     /**
-     * Whether the heartbeat may have been delayed since before the failover and lack tasks that the
-     * previous leader started after it. Only a heartbeat with a fencing token of this leader is
-     * certain to be newer than those starts.
+     * Whether the heartbeat may have been sent before the failover and delayed, so that it lacks
+     * tasks that the previous leader started after it. Only a heartbeat with a fencing token of
+     * this leader is certain to be newer than those starts.
      */
     private boolean mayPredateFailover(Machine machine, WorkerHeartbeat heartbeat) {
         return machine.worker().wasUsedByPreviousLeader()
@@ -99,15 +99,17 @@
     }
 
     /**
-     * Records the heartbeat's place in the order of heartbeats. Returns whether no task of the
-     * previous leader can be left on the machine, although it has not seen this leader's term.
+     * Records the position of a newer heartbeat in the order of heartbeats. Returns whether the
+     * heartbeat is newer and the worker lease from the previous leader has expired. Then no task of
+     * that leader can be left on the machine, although the worker has not received this leader's
+     * term.
      *
-     * <p>Each newer heartbeat with an old fencing token shows that the worker did not receive the
-     * answer to the one before. Its lease therefore runs from the last answer of the previous
-     * leader. Without this check a one-way partition between one worker and the leader delayed the
-     * reconciliation of the whole shard for as long as the partition lasted.
+     * <p>Each newer heartbeat with an old fencing token shows that the worker did not receive this
+     * leader's response to the one before. Its lease therefore runs from the last response of the
+     * previous leader. Without this check, a one-way partition between one worker and the leader
+     * delays the reconciliation of the whole shard until the partition has healed.
      */
-    private boolean recordAndCheckExpiry(Machine machine, WorkerHeartbeat heartbeat) {
+    private boolean recordOrderAndCheckLeaseExpiry(Machine machine, WorkerHeartbeat heartbeat) {
         if (!heartbeat.isNewerThan(
                 machine.worker().incarnation(), machine.worker().sequenceNumber())) {
             return false;
@@ -118,7 +120,7 @@
                         + LeaderLease.workerLeaseBoundMs(settings);
     }
 
-    /** Renews the worker's lease, with no orders but those that are right for any leader. */
+    /** Renews the worker's lease, with only those orders that are correct under any leader. */
     private void renewWorkerLease(long requestId, Machine machine, WorkerHeartbeat heartbeat) {
         machine.worker().extendLeaseTo(outbox.now().monotonicMs());
         outbox.respond(
@@ -129,10 +131,10 @@
     }
 
     /**
-     * Whether the heartbeat must not be applied. The worker no longer waits for the answer to a
-     * delayed or duplicated heartbeat, and the task list in it is out of date. A machine that is
-     * being handed over to another shard may already run tasks of that shard's leader, which must
-     * not be stopped here.
+     * Whether the heartbeat must not be applied. The worker no longer waits for the response to a
+     * delayed or duplicated heartbeat, and its task list is out of date. A machine that is being
+     * handed over to another shard may already run tasks of that shard's leader, which this leader
+     * must not stop.
      */
     private static boolean isStale(Machine machine, WorkerHeartbeat heartbeat) {
         return machine.state() == Machine.State.HANDING_OVER
@@ -142,12 +144,12 @@
                                 machine.worker().incarnation(), machine.worker().sequenceNumber()));
     }
 
-    /** Applies the newest heartbeat of a machine and answers it with orders. */
+    /** Applies the newest heartbeat of a machine and responds to it with orders. */
     private void accept(long requestId, Machine machine, WorkerHeartbeat heartbeat) {
-        standbyReplication.discardHeldAnswer(machine);
+        standbyReplication.discardHeldResponse(machine);
         machine.worker().inferReplyDelivery(heartbeat, outbox.now().monotonicMs(), settings);
         heartbeatReader.apply(machine, heartbeat);
-        standbyReplication.answerOrHold(requestId, machine, decideOrders(machine, heartbeat));
+        standbyReplication.respondOrHold(requestId, machine, decideOrders(machine, heartbeat));
     }
 
     private List<WorkerOrder> decideOrders(Machine machine, WorkerHeartbeat heartbeat) {
--- a/src/main/java/org/shoreusher/core/heartbeat/HeartbeatReader.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/HeartbeatReader.java
@@ -54,7 +54,7 @@
 
     /**
      * Applies a heartbeat. The caller has checked that it is newer than all heartbeats applied
-     * before. Attempts that it does not show are removed, since they never started or have ended.
+     * before. Attempts that it does not list are removed, since they never started or have ended.
      */
     void apply(Machine machine, WorkerHeartbeat heartbeat) {
         boolean isFirstSinceFailover =
@@ -92,9 +92,9 @@
     }
 
     /**
-     * Removes the attempts that the heartbeat does not show. Their start order went out in the
-     * answer to an older heartbeat. The worker has either started the task, which this heartbeat
-     * would show, or never will.
+     * Removes the attempts that the heartbeat does not list. Their start order belongs to the
+     * response to an older heartbeat. Either the worker had started the task when it sent this
+     * heartbeat, which would then list it, or it will never start it.
      */
     private void removeAbsentAttempts(Machine machine, ObjectOpenHashSet<String> presentTaskKeys) {
         if (machine.tasks().size() <= presentTaskKeys.size()) {
@@ -109,8 +109,8 @@
     }
 
     /**
-     * Evicts tasks gracefully because the cloud reclaims the machine soon: service replicas, and
-     * tasks with enough time left to write a checkpoint.
+     * Evicts tasks gracefully because the cloud is about to reclaim the machine: service replicas,
+     * and running tasks that have enough time left to write a checkpoint.
      */
     private static void evictBeforeInterruption(Machine machine) {
         for (TaskAttempt attempt : machine.tasks().values()) {
@@ -125,7 +125,7 @@
         }
     }
 
-    /** Records a task that is on the machine, whether it is wanted there or not. */
+    /** Records a task that is on the machine, whether or not it should run there. */
     private void recordPresentTask(
             Machine machine, String taskKey, TaskStatus task, long fencingToken) {
         TaskAttempt attempt = machine.tasks().get(taskKey);
@@ -150,7 +150,9 @@
         }
     }
 
-    /** Adds an attempt that the leader did not know; it is to be stopped if it is not wanted. */
+    /**
+     * Adds an attempt that is missing from the leader's state, to be stopped unless it should run.
+     */
     private TaskAttempt addAttempt(Machine machine, TaskStatus task) {
         Job job = shard.jobs().get(task.jobId());
         boolean shouldRun =
@@ -175,8 +177,8 @@
     }
 
     /**
-     * A closed job that stands in for one that is terminal or unknown. Tasks of an unknown job are
-     * assumed to use the whole machine, so that nothing else is started beside them.
+     * Creates a closed job in place of one that is terminal or unknown. Tasks of an unknown job are
+     * assumed to use the whole machine, so that no other task is started on it.
      */
     private Job placeholderJob(Machine machine, String jobId) {
         JobRecord record = submissionBatches.jobRecord(jobId);
--- a/src/main/java/org/shoreusher/core/heartbeat/MachineRegistration.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/MachineRegistration.java
@@ -8,7 +8,7 @@
 import org.shoreusher.core.store.MachineRecord;
 import org.shoreusher.core.store.Outbox;
 
-/** Registers machines whose worker sends the first heartbeat that this leader receives from it. */
+/** Registers a machine when this leader receives the first heartbeat of its worker. */
 final class MachineRegistration {
     private final ShardState shard;
     private final Outbox outbox;
@@ -39,8 +39,8 @@
                     ? machines.lifecycle().addRecordedMachine(machineId, record)
                     : null;
         }
-        // Nor a machine that a previous leader terminated. A machine that has a fencing token but
-        // no record is registered only if the cloud lists it.
+        // The same holds for a machine that a previous leader terminated. A machine that has a
+        // fencing token but no record is therefore registered only if the cloud lists it.
         if (heartbeat.fencingToken() > 0 && !machines.inventory().isListed(machineId)) {
             return null;
         }
--- a/src/main/java/org/shoreusher/core/heartbeat/ReportedTaskOrders.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/ReportedTaskOrders.java
@@ -16,7 +16,7 @@
 import org.shoreusher.core.store.JobRecord;
 import org.shoreusher.core.store.JobStatus;
 
-/** Decides which tasks of a heartbeat the worker is to stop, and which to forget. */
+/** Decides which tasks of a heartbeat get a {@code STOP} or a {@code FORGET} order. */
 final class ReportedTaskOrders {
     private final ShardState shard;
     private final SubmissionBatches submissionBatches;
@@ -26,16 +26,16 @@
         this.submissionBatches = submissionBatches;
     }
 
-    /** Adds orders to forget the exited tasks whose result is durable. */
+    /** Adds {@code FORGET} orders for the exited tasks whose result need not be reported again. */
     void addForgetOrders(WorkerHeartbeat heartbeat, List<WorkerOrder> orders) {
         for (TaskStatus task : heartbeat.tasks()) {
-            if (task.state() == TaskState.EXITED && canForget(task)) {
+            if (task.state() == TaskState.EXITED && mayBeForgotten(task)) {
                 orders.add(order(WorkerOrder.Kind.FORGET, task));
             }
         }
     }
 
-    /** Adds orders to stop the tasks that must not run on the machine or are being evicted. */
+    /** Adds {@code STOP} orders for the tasks that must not run here or are being evicted. */
     void addStopOrders(Machine machine, List<WorkerOrder> orders) {
         for (TaskAttempt attempt : machine.tasks().values()) {
             if (attempt.mustStop()) {
@@ -48,10 +48,10 @@
     }
 
     /**
-     * Stop orders for tasks whose job is cancelled. Cancelled is a terminal state in the store, so
-     * these orders are correct whoever leads the shard and however old the heartbeat is. They are
-     * given as early as possible because leadership may change so often that a leader answers a
-     * worker only once (seen with ten leaders in two minutes).
+     * Returns {@code STOP} orders for the tasks whose job is cancelled. Cancelled is a terminal
+     * state in the store, so these orders are correct under any leader and for a heartbeat of any
+     * age. They are sent as early as possible: when leadership changes often, a leader may respond
+     * to a worker only once, as happened with ten leaders in two minutes.
      */
     List<WorkerOrder> stopOrdersForCancelledJobs(WorkerHeartbeat heartbeat) {
         List<WorkerOrder> orders = new ArrayList<>();
@@ -72,10 +72,12 @@
     }
 
     /**
-     * Whether the worker may forget an exited task: always after a failure or a stop, and after a
-     * completion once the completion record or the job's terminal state is in the store.
+     * Whether the worker may remove an exited task from its heartbeats ({@code FORGET}): always
+     * after a failure or a stop, and after a completion once the completion record or the job's
+     * terminal state is in the store. Completions of service replicas and of tasks without a job
+     * record are not stored, so these tasks may be removed at once.
      */
-    private boolean canForget(TaskStatus task) {
+    private boolean mayBeForgotten(TaskStatus task) {
         if (task.exitCause() != ExitCause.COMPLETED) {
             return true;
         }
@@ -84,7 +86,7 @@
             return !job.spec().workloadType().runsToCompletion()
                     || job.durablyCompletedTasks().get(task.taskIndex());
         }
-        // Completed jobs are no longer open.
+        // A job that has completed is no longer open.
         JobRecord record = submissionBatches.jobRecord(task.jobId());
         return record == null || record.status() != JobStatus.OPEN;
     }
--- a/src/main/java/org/shoreusher/core/heartbeat/TaskExitRecorder.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/TaskExitRecorder.java
@@ -34,20 +34,21 @@
     }
 
     /**
-     * Records a task that a heartbeat shows as exited. Idempotent: a worker shows the task until it
-     * is told to forget it.
+     * Records a task that a heartbeat shows as exited. Idempotent: a worker lists the task in each
+     * heartbeat until it receives a {@code FORGET} order.
      */
     void recordExit(Machine machine, String taskKey, TaskStatus task) {
-        TaskAttempt knownAttempt = machine.tasks().get(taskKey);
+        TaskAttempt attemptOnMachine = machine.tasks().get(taskKey);
         boolean isCurrent =
-                knownAttempt != null && knownAttempt.attemptNumber() == task.attemptNumber();
+                attemptOnMachine != null
+                        && attemptOnMachine.attemptNumber() == task.attemptNumber();
         if (isCurrent) {
-            knownAttempt.setCheckpointed(task.checkpointed());
+            attemptOnMachine.setCheckpointed(task.checkpointed());
         }
         Job job = shard.jobs().get(task.jobId());
         if (job != null && !job.spec().workloadType().runsToCompletion()) {
             if (isCurrent) {
-                recordReplicaExit(machine, job, knownAttempt, task.exitCause());
+                recordReplicaExit(machine, job, attemptOnMachine, task.exitCause());
             }
             return;
         }
@@ -55,16 +56,16 @@
             machine.failedJobIds().clear();
             if (job != null) {
                 if (isCurrent) {
-                    recordRunTime(machine, job, knownAttempt);
+                    recordRunTime(machine, job, attemptOnMachine);
                 }
-                recordCompletion(job, task.taskIndex(), knownAttempt);
+                recordCompletion(job, task.taskIndex(), attemptOnMachine);
             }
         }
         if (isCurrent) {
             if (job != null) {
                 recordFailure(machine, job, task.exitCause());
             }
-            ledger.remove(knownAttempt);
+            ledger.remove(attemptOnMachine);
         }
     }
 
@@ -81,9 +82,7 @@
         runTimeEstimates.recordRunTime(job, runTimeS);
     }
 
-    /**
-     * Records the first completion of a task, and stops the attempt that runs it elsewhere, if any.
-     */
+    /** Records the first completion of a task, and stops another active attempt at it, if any. */
     private void recordCompletion(Job job, int taskIndex, TaskAttempt completedAttempt) {
         if (taskIndex < 0
                 || taskIndex >= job.spec().taskCount()
@@ -100,7 +99,7 @@
         }
     }
 
-    /** Records a failed task; other causes of exit leave no trace. */
+    /** Records an exit that counts as a failure of the job; other exits have no effect. */
     private void recordFailure(Machine machine, Job job, ExitCause exitCause) {
         if (exitCause == ExitCause.ERROR) {
             job.recordFailure(machine.id(), outbox.now().monotonicMs());
@@ -111,8 +110,8 @@
     }
 
     /**
-     * Records that a service replica has exited. It is always restarted: promptly if it had run for
-     * long, and with increasing backoff if it keeps exiting early.
+     * Records that a service replica has exited. It is always restarted: promptly if it had passed
+     * its startup, and with increasing backoff if it keeps exiting early.
      */
     private void recordReplicaExit(
             Machine machine, Job job, TaskAttempt attempt, ExitCause exitCause) {
@@ -129,8 +128,8 @@
     }
 
     /**
-     * Attributes a failure to the job, if it fails everywhere, or else an error to the machine. The
-     * failures of a job that is itself at fault no longer count against any machine.
+     * Attributes an error to the machine, unless the job itself is suspected to be faulty. The
+     * failures of such a job no longer count against any machine.
      */
     private void attributeFailure(Machine machine, Job job, ExitCause exitCause) {
         if (job.isSuspectedFaulty()) {
@@ -142,7 +141,7 @@
         }
     }
 
-    /** Whether an attempt has run for so long that a failure now is no failure to start. */
+    /** Whether an attempt has run so long that a failure is no longer a failure to start. */
     boolean hasPassedStartup(TaskAttempt attempt) {
         return attempt.hasRun()
                 && runningMs(attempt) >= HeartbeatConstants.FAILURE_BACKOFF_RESET_MS;
--- a/src/main/java/org/shoreusher/core/heartbeat/TaskStarter.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/TaskStarter.java
@@ -18,7 +18,7 @@
 import org.shoreusher.core.schedule.TaskMigration;
 import org.shoreusher.core.store.Outbox;
 
-/** Starts tasks on a machine in the answer to its heartbeat. */
+/** Starts tasks on a machine in the response to its heartbeat. */
 final class TaskStarter {
     private final ShardState shard;
     private final ShardAuthority authority;
@@ -27,7 +27,7 @@
     private final TaskMigration taskMigration;
     private final PlacementPlan placementPlan;
 
-    /** Counts the starts of this leadership; the low bits of attempt numbers. */
+    /** The low bits of the next attempt number; counts the starts under this leadership from 1. */
     private long nextAttemptSequence = 1;
 
     TaskStarter(ShardContext context, ShardJobs jobs, ShardScheduling scheduling) {
@@ -47,15 +47,16 @@
     }
 
     /**
-     * Starts the migrated tasks that wait for this machine, then as many planned tasks as fit. Adds
-     * an order for each start.
+     * Starts the migrated tasks that are ready for this machine, then as many planned tasks as fit.
+     * Adds an order for each start.
      */
     void startTasks(Machine machine, List<WorkerOrder> orders) {
         // Migrated tasks go first: the machine's resources are already reserved for them.
         for (TaskId migrated : taskMigration.takeReadyTasks(machine)) {
             startTask(shard.jobs().get(migrated.job()), migrated.index(), machine, orders);
         }
-        // Answer and heartbeat are limited in size, however many small tasks would fit.
+        // The response and the heartbeat are limited in size, so a machine has a maximum number of
+        // tasks even if more small ones would fit.
         int remainingTasks =
                 ClusterConstants.MAX_TASKS_PER_MACHINE
                         - Math.max(machine.tasks().size(), machine.worker().reportedTaskCount());
@@ -64,8 +65,8 @@
             for (int i = 0; i < placed.taskCount() && remainingTasks > 0; i++, remainingTasks--) {
                 taskIndex = placed.job().pendingTasks().nextSetBit(taskIndex + 1);
                 if (taskIndex < 0 || taskIndex >= placed.job().highWaterMark()) {
-                    // The raised high-water mark is not durable yet. The next plan has the task
-                    // again.
+                    // The raised high-water mark is not durable yet. The next plan includes the
+                    // task again.
                     break;
                 }
                 startTask(placed.job(), taskIndex, machine, orders);
@@ -73,7 +74,7 @@
         }
     }
 
-    /** Starts a pending task with an attempt number that was never used before. */
+    /** Starts a pending task under an attempt number that was never used before. */
     private void startTask(Job job, int taskIndex, Machine machine, List<WorkerOrder> orders) {
         TaskAttempt attempt =
                 new TaskAttempt(
--- a/src/main/java/org/shoreusher/core/heartbeat/package-info.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/package-info.java
@@ -1,11 +1,11 @@
 /**
  * Handling of worker heartbeats by the leader of a shard: whether a heartbeat is accepted, what it
- * changes in the leader's state, and with which orders it is answered.
+ * changes in the leader's state, and which orders the response contains.
  *
- * <p>Promises: only the newest heartbeat of a machine changes any state, and every heartbeat gets
- * exactly one answer. A task is started only in such an answer, only while the leader's lease is
- * valid, and under an attempt number that was never used.
+ * <p>Promises: only the newest heartbeat of a machine changes the state of its tasks, and every
+ * heartbeat gets exactly one response. A task is started only in such a response, only while the
+ * leader's lease is valid, and under an attempt number that was never used.
  *
- * <p>May use all packages of {@code core} but {@code user} and the root.
+ * <p>May use all packages of {@code core} except {@code user} and the root.
  */
 package org.shoreusher.core.heartbeat;
--- a/src/main/java/org/shoreusher/core/reconcile/AttemptRestorer.java
+++ b/src/main/java/org/shoreusher/core/reconcile/AttemptRestorer.java
@@ -28,8 +28,8 @@
         this.machineIndex = machineIndex;
     }
 
-    /** Whether each machine of the log that still has a record in this shard could be loaded. */
-    boolean areAllMachinesKnown(List<Attempt> attempts) {
+    /** Whether each machine of the log that still has a record in this shard has been loaded. */
+    boolean areAllMachinesLoaded(List<Attempt> attempts) {
         return attempts.stream()
                 .map(Attempt::machineId)
                 .distinct()
@@ -46,7 +46,8 @@
 
     /**
      * Restores one attempt of the log, which may be on its machine. An attempt on a machine without
-     * a record is gone: the previous leader removed the record only after it knew that.
+     * a record in this shard has ended: the previous leader removed the record, or handed it over,
+     * only once that was certain.
      */
     void restore(Attempt attempt) {
         Machine machine = shard.machines().get(attempt.machineId());
@@ -54,12 +55,12 @@
             return;
         }
         AttemptId id = attempt.id();
-        Job knownJob = shard.jobs().get(id.jobId());
+        Job loadedJob = shard.jobs().get(id.jobId());
         boolean shouldRun =
-                knownJob != null
-                        && !knownJob.completedTasks().get(id.taskIndex())
-                        && knownJob.activeAttempts().get(id.taskIndex()) == null;
-        Job job = knownJob != null ? knownJob : placeholderJob(attempt);
+                loadedJob != null
+                        && !loadedJob.completedTasks().get(id.taskIndex())
+                        && loadedJob.activeAttempts().get(id.taskIndex()) == null;
+        Job job = loadedJob != null ? loadedJob : placeholderJob(attempt);
         TaskAttempt restoredAttempt =
                 new TaskAttempt(
                         job,
@@ -74,7 +75,7 @@
         ledger.add(restoredAttempt, shouldRun);
     }
 
-    /** A closed job that stands in for a terminal one whose tasks may still be on machines. */
+    /** Creates a closed job in place of a terminal one whose tasks may still be on machines. */
     private Job placeholderJob(Attempt attempt) {
         JobSpec spec =
                 JobSpec.withResourcesOnly(
--- a/src/main/java/org/shoreusher/core/reconcile/Reconciliation.java
+++ b/src/main/java/org/shoreusher/core/reconcile/Reconciliation.java
@@ -22,12 +22,13 @@
 /**
  * Reconciliation of a new leader's state with the machines of its shard. The leader first loads
  * jobs, completion records, high-water marks and machines from the store. The heartbeats of the
- * machines then show which tasks they run. Until every machine has sent a heartbeat, or its worker
- * lease has certainly expired, only tasks are started that were certainly never started before.
+ * machines then show which tasks they run. Until each machine has sent a heartbeat, or its worker
+ * lease has certainly expired, the leader starts only tasks that were certainly never started
+ * before or whose last attempt has certainly ended.
  *
  * <p>A new leader that was the standby in sync has the attempts of all machines in its replicated
- * log and need not wait. The attempts on machines that have not sent a heartbeat yet are known.
- * They keep counting against their machine's resources and their team's quota until a heartbeat
+ * log, and its reconciliation is complete at once. An attempt on a machine that has not sent a
+ * heartbeat yet counts against the machine's resources and the team's quota until a heartbeat
  * arrives or the worker lease has certainly expired.
  */
 public final class Reconciliation {
@@ -68,7 +69,7 @@
     /**
      * Loads what previous leaders stored: jobs, completed tasks, high-water marks and machines. The
      * store cache must have reached the revision at which leadership was acquired. Then restores
-     * the attempts from the replicated log if there is one that can be used.
+     * the attempts from the replicated log if it is usable.
      */
     public void loadFromStore() {
         progress.markLoaded();
@@ -81,7 +82,7 @@
 
     /** Restores all attempts of the log, unless it names a machine that could not be loaded. */
     private void restoreFromLog(List<Attempt> attempts) {
-        if (!attemptRestorer.areAllMachinesKnown(attempts)) {
+        if (!attemptRestorer.areAllMachinesLoaded(attempts)) {
             promotedLog.onRejected().accept(PromotionOutcome.UNKNOWN_MACHINE);
             return;
         }
@@ -101,12 +102,13 @@
     }
 
     /**
-     * Handles an attempt in a heartbeat that the leader does not know. If a previous leader started
-     * it, the replicated log is wrong. Then the log is no longer used, and the shard is reconciled
-     * from heartbeats. A heartbeat with a fencing token from before this leadership proves nothing:
-     * it may be a delayed copy that shows tasks which have ended since.
+     * Handles an attempt in a heartbeat that is missing from this leader's state. If a previous
+     * leader started it, the replicated log is wrong: the log is rejected, and the shard is
+     * reconciled from heartbeats. A heartbeat with a fencing token from before this leadership is
+     * no evidence against the log, because it may be a delayed one that lists tasks which have
+     * ended since.
      *
-     * @param fencingToken the highest term that the worker had seen when it sent the heartbeat
+     * @param fencingToken the highest term that the worker had received when it sent the heartbeat
      */
     public void handleUnknownAttempt(Machine machine, TaskStatus task, long fencingToken) {
         boolean isFromPreviousLeader =
@@ -135,8 +137,8 @@
     }
 
     /**
-     * Makes only those tasks of a job eligible to start that were certainly never started: the ones
-     * from the high-water mark on.
+     * Makes only the tasks from the job's high-water mark on pending. They were certainly never
+     * started before.
      */
     private static void withholdPossiblyRunningTasks(Job job) {
         job.clearPending();
@@ -146,7 +148,7 @@
                         && (job.spec().singleZone() || job.spec().spreadAcrossZones()));
     }
 
-    /** Counts the machines whose tasks are unknown, and sums up their CPUs and GPUs. */
+    /** Counts the machines whose tasks are unknown, and records their total CPUs and GPUs. */
     private int countUnreconciled() {
         int unreconciled = 0;
         double unreconciledCpus = 0;
@@ -164,7 +166,7 @@
         return unreconciled;
     }
 
-    /** Ends the reconciliation: all tasks without a live attempt may be started from here on. */
+    /** Ends the reconciliation: all tasks that are neither completed nor active become pending. */
     private void complete(String source) {
         progress.markComplete();
         int activeTasks = 0;
--- a/src/main/java/org/shoreusher/core/reconcile/StoredStateLoader.java
+++ b/src/main/java/org/shoreusher/core/reconcile/StoredStateLoader.java
@@ -26,8 +26,8 @@
 import org.shoreusher.settings.Settings;
 
 /**
- * Loads what previous leaders of a shard have stored: open jobs, completed tasks, machines and
- * high-water marks.
+ * Loads the state that previous leaders of a shard have stored: open jobs, completed tasks,
+ * machines and high-water marks.
  */
 final class StoredStateLoader {
     private final ShardState shard;
@@ -62,9 +62,9 @@
     }
 
     /**
-     * Loads everything. The store cache must have reached the revision at which leadership was
-     * acquired. The order matters: completed tasks and marks need their jobs, and a job can be
-     * found complete only after both.
+     * Loads the stored state. The store cache must have reached the revision at which leadership
+     * was acquired. Completed tasks and high-water marks are loaded after the jobs that they belong
+     * to, and the check whether a job is complete comes last because it needs both.
      */
     void load() {
         loadJobs();
@@ -112,7 +112,7 @@
         completedByJob.forEach(
                 (jobId, ranges) -> {
                     Job job = shard.jobs().get(jobId);
-                    // A version that did not know services may have stored a replica as completed.
+                    // A version without services may have stored a replica as completed.
                     if (job != null && job.spec().workloadType().runsToCompletion()) {
                         BitSet completedTasks = TaskRanges.parse((String) ranges);
                         job.completedTasks().or(completedTasks);
--- a/src/main/java/org/shoreusher/core/reconcile/package-info.java
+++ b/src/main/java/org/shoreusher/core/reconcile/package-info.java
@@ -4,7 +4,7 @@
  *
  * <p>Promises: until reconciliation is complete, only tasks are pending that were certainly never
  * started before or whose last attempt has certainly ended. A log that a heartbeat contradicts is
- * not used any more.
+ * rejected.
  *
  * <p>May use all packages of {@code core} below it: {@code message}, {@code store}, {@code
  * leadership}, {@code cluster}, {@code gossip}, {@code job}, {@code schedule}, {@code machine} and
--- a/src/main/java/org/shoreusher/core/replication/AttemptLogWriter.java
+++ b/src/main/java/org/shoreusher/core/replication/AttemptLogWriter.java
@@ -20,7 +20,6 @@
         this.logSender = logSender;
     }
 
-    /** Writes the start of an attempt. */
     void writeStart(TaskAttempt attempt) {
         JobSpec spec = attempt.job().spec();
         logSender.recordStart(
@@ -34,11 +33,10 @@
     }
 
     /**
-     * Writes the end of an attempt, as soon as it may be written. The completion record of a task
-     * becomes durable only with the leader's next lease renewal. A new leader that found the end in
-     * the log, but no completion in the store, would start the task again although a worker that
-     * has not sent it a heartbeat has the result. The end of a completed attempt is therefore
-     * written once its completion is durable.
+     * Writes the end of an attempt. For a completed task, the end is written only once the
+     * completion is durable, which takes until the leader's next lease renewal. A new leader with
+     * the end in its log, but no completion in the store, would start the task again although a
+     * worker that has not sent it a heartbeat yet has the result.
      */
     void writeEnd(TaskAttempt attempt) {
         if (isEndDurable(attempt)) {
@@ -60,7 +58,7 @@
                 });
     }
 
-    /** Whether the task did not complete, or its completion is durable. */
+    /** Whether the task has not completed, its completion is durable, or its job is closed. */
     private static boolean isEndDurable(TaskAttempt attempt) {
         Job job = attempt.job();
         return !job.completedTasks().get(attempt.taskIndex())
--- a/src/main/java/org/shoreusher/core/replication/StandbyReplicas.java
+++ b/src/main/java/org/shoreusher/core/replication/StandbyReplicas.java
@@ -21,8 +21,8 @@
 import org.shoreusher.standby.StandbySettings;
 
 /**
- * The attempt logs that this node receives as the standby of shard leaders, and their use when this
- * node becomes the leader of a shard. Does nothing when the warm standby is off.
+ * The attempt logs that this node receives as the standby of shard leaders, and their promotion
+ * when this node becomes the leader of a shard. Does nothing when the warm standby is off.
  */
 public final class StandbyReplicas {
     private final Settings settings;
@@ -35,9 +35,10 @@
             new EnumMap<>(PromotionOutcome.class);
 
     /**
-     * Creates replicas for all shards, without any log.
+     * Creates empty replicas for all shards.
      *
-     * @param processName the name of this process, HOST/SUFFIX; no other process ever had it
+     * @param processName the name of this process, HOST/SUFFIX; no other process, present or past,
+     *     has the same
      * @param shardCount the number of shards
      */
     public StandbyReplicas(NodeContext context, String processName, int shardCount) {
@@ -55,8 +56,8 @@
 
     /**
      * Handles a log frame from a leader and sends the acknowledgement. A frame for an earlier
-     * process of this host is rejected, so that the leader need not wait for its timeout: that
-     * process and its table are gone.
+     * process of this host is rejected: that process and its table no longer exist, and the
+     * rejection saves the leader the wait for its acknowledgement timeout.
      */
     public void receive(LogFrame frame) {
         LogStream stream = frame.stream();
@@ -64,7 +65,7 @@
             return;
         }
         if (stream.standby().equals(processName)) {
-            if (!isFromFormerTerm(stream)) {
+            if (!isFromEarlierTerm(stream)) {
                 receiverFor(stream.shardNumber()).receive(frame).ifPresent(this::send);
             }
         } else if (LogStream.hostOf(stream.standby()).equals(settings.host())) {
@@ -78,8 +79,8 @@
                         LogStream.hostOf(acknowledgement.stream().leader()), acknowledgement));
     }
 
-    /** Whether the store cache shows a newer leadership term of the shard. */
-    private boolean isFromFormerTerm(LogStream stream) {
+    /** Whether the store cache shows a later term of the shard than the stream's. */
+    private boolean isFromEarlierTerm(LogStream stream) {
         FencingRecord fencingRecord = FencingRecord.in(storeCache, stream.shardNumber());
         return fencingRecord != null && fencingRecord.term() > stream.term();
     }
@@ -97,8 +98,8 @@
      * @param namedStandby the standby named in the shard record that the failover replaced; null if
      *     none
      * @param previous the fencing record that the failover replaced; null if the shard is new
-     * @return the attempts that may be on the shard's machines; empty if the log can't be used and
-     *     they have to be learnt from heartbeats
+     * @return the attempts that may be on the shard's machines; empty if the log can't be used, so
+     *     that they have to be taken from heartbeats
      */
     public Optional<AttemptTable> promote(
             int shardNumber, String namedStandby, FencingRecord previous) {
--- a/src/main/java/org/shoreusher/core/replication/StandbyReplication.java
+++ b/src/main/java/org/shoreusher/core/replication/StandbyReplication.java
@@ -28,11 +28,12 @@
  * standby is off.
  *
  * <p>Invariant: <em>while the shard record may name a standby, no start order is sent before that
- * standby has acknowledged it.</em> An answer that contains starts is held until then. Ends of
- * attempts, and answers without starts, are not held. A standby is named only after it has
- * acknowledged a snapshot and every start since. Starts are held from before the write that names
- * it is sent. A standby that does not acknowledge in time is first removed from the record. Until
- * the store has confirmed the removal, nothing is started.
+ * standby has acknowledged it.</em> A response that contains starts is held until then. Ends of
+ * attempts, and responses without starts, are not held. A standby is named only after it has
+ * acknowledged a snapshot and every start sent since. Starts are held already before the write that
+ * names it is sent. When a named standby is abandoned, for example because it does not acknowledge
+ * in time, its name is removed from the record, and no task is started until the store has
+ * confirmed the removal.
  */
 public final class StandbyReplication implements ResourceLedger.Listener {
     /** The phases of replication to a standby. */
@@ -45,7 +46,7 @@
         CONFIRMING_STARTS,
         /** The shard record may name the standby; starts are held until acknowledged. */
         NAMED,
-        /** The name is being removed from the shard record; nothing is started. */
+        /** The name is being removed from the shard record; no task is started. */
         REMOVING_NAME
     }
 
@@ -56,18 +57,18 @@
     private final VersionNegotiation versionNegotiation;
     private final PeerView peerView;
 
-    /** Whether the warm standby is on; otherwise nothing is logged and no standby attached. */
+    /** Whether the warm standby is on; otherwise there is neither an attempt log nor a standby. */
     private final boolean enabled;
 
     private final StandbySettings settings;
     private final AttemptLogSender logSender;
     private final AttemptLogWriter logWriter;
-    private final HeartbeatAnswers answers;
+    private final HeartbeatResponses responses;
     private final StandbyChooser standbyChooser;
     private Phase phase = Phase.NO_STANDBY;
 
-    /** The last change before starts were held; the standby is named once it is acknowledged. */
-    private long changeToConfirm;
+    /** Number of changes before starts were held; all must be acknowledged to name the standby. */
+    private long requiredChangeCount;
 
     /** Monotonic ms at which the standby was last named. */
     private long namedAtMs;
@@ -92,11 +93,9 @@
                         leadership.processName(),
                         settings.frameRecords());
         logWriter = new AttemptLogWriter(logSender);
-        answers = new HeartbeatAnswers(authority, outbox, settings.ackTimeoutMs());
+        responses = new HeartbeatResponses(authority, outbox, settings.ackTimeoutMs());
     }
 
-    // ---- changes of the shard's attempts -----------------------------------------------------
-
     @Override
     public void attemptAdded(TaskAttempt attempt) {
         if (enabled) {
@@ -111,9 +110,7 @@
         }
     }
 
-    // ---- answers to heartbeats ---------------------------------------------------------------
-
-    /** Whether the state of replication permits starts, held or not. */
+    /** Whether orders may include starts in the current phase. Such a response may be held. */
     public boolean canStartTasks() {
         return phase != Phase.REMOVING_NAME;
     }
@@ -123,38 +120,37 @@
     }
 
     /**
-     * Discards the held answer to a machine's previous heartbeat. A newer heartbeat has arrived, so
-     * the worker does not wait for that answer any more.
+     * Discards the held response to a machine's previous heartbeat. To be called when a newer
+     * heartbeat has arrived: the worker no longer waits for that response.
      */
-    public void discardHeldAnswer(Machine machine) {
-        answers.discard(machine);
+    public void discardHeldResponse(Machine machine) {
+        responses.discard(machine);
     }
 
     /**
-     * Answers a heartbeat: at once, or as soon as the standby has acknowledged the starts in it.
+     * Responds to a heartbeat: at once or, if a standby has to acknowledge the starts among the
+     * orders, after the acknowledgement.
      */
-    public void answerOrHold(long requestId, Machine machine, List<WorkerOrder> orders) {
-        if (requiresAcknowledgement() && HeartbeatAnswers.containStarts(orders)) {
-            answers.hold(requestId, machine, orders, logSender.changeCount());
+    public void respondOrHold(long requestId, Machine machine, List<WorkerOrder> orders) {
+        if (requiresAcknowledgement() && HeartbeatResponses.containStarts(orders)) {
+            responses.hold(requestId, machine, orders, logSender.changeCount());
         } else {
-            answers.send(requestId, machine, orders);
+            responses.send(requestId, machine, orders);
         }
     }
 
-    // ---- the standby -------------------------------------------------------------------------
-
     /** Handles an acknowledgement of the standby. */
     public void handleAcknowledgement(LogAcknowledgement acknowledgement) {
         logSender.handleAcknowledgement(acknowledgement);
     }
 
-    /** Advances the phase, sends the next frame, and sends held answers that are acknowledged. */
+    /** Advances the phase, sends held responses that are acknowledged, and sends the next frame. */
     public void step() {
         if (!enabled) {
             return;
         }
         logWriter.writeDurableEnds();
-        if (hasStandby() && canNotContinue()) {
+        if (hasStandby() && mustAbandonStandby()) {
             abandonStandby();
         }
         switch (phase) {
@@ -164,7 +160,7 @@
             case NAMED -> standbyChooser.recordNamedFor(nowMs() - namedAtMs);
             case REMOVING_NAME -> awaitRemoval();
         }
-        answers.sendAcknowledged(
+        responses.sendAcknowledged(
                 requiresAcknowledgement() ? logSender.acknowledgedChangeCount() : Long.MAX_VALUE);
         Optional<LogFrame> frame = logSender.nextFrame(nowMs());
         if (frame.isPresent()) {
@@ -181,11 +177,11 @@
     }
 
     /**
-     * Whether the standby has failed, or this leader does not know all attempts any more. A
-     * heartbeat that contradicted the previous leader's log restarts reconciliation. Until it is
-     * complete this leader's own attempt table is not complete either.
+     * Whether the standby has failed, or this leader's own attempt table may lack attempts. A
+     * heartbeat that contradicts the previous leader's log restarts reconciliation, and until it is
+     * complete the table is not complete either.
      */
-    private boolean canNotContinue() {
+    private boolean mustAbandonStandby() {
         return !authority.isReconciled() || logSender.hasFailed(nowMs(), settings.ackTimeoutMs());
     }
 
@@ -196,14 +192,14 @@
 
     private void logStatistics() {
         LogEvent event = LogEvent.of(LogEventType.STANDBY_STATISTICS).with("shard", shardNumber);
-        outbox.log(answers.addStatistics(event).with("attempts", logSender.attemptCount()));
+        outbox.log(responses.addStatistics(event).with("attempts", logSender.attemptCount()));
     }
 
     private long nowMs() {
         return outbox.now().monotonicMs();
     }
 
-    /** Begins to replicate to the best candidate, once all attempts on machines are known. */
+    /** Begins to replicate to the best candidate, once reconciliation is complete. */
     private void tryAttach() {
         if (!authority.isReconciled()
                 || !authority.isLeader()
@@ -223,13 +219,15 @@
     private void awaitSnapshot() {
         if (logSender.isSnapshotAcknowledged()) {
             phase = Phase.CONFIRMING_STARTS;
-            changeToConfirm = logSender.changeCount();
+            requiredChangeCount = logSender.changeCount();
         }
     }
 
-    /** Names the standby in the shard record once all earlier starts are acknowledged. */
+    /**
+     * Names the standby in the shard record once all starts before the held ones are acknowledged.
+     */
     private void awaitConfirmation() {
-        if (logSender.acknowledgedChangeCount() >= changeToConfirm) {
+        if (logSender.acknowledgedChangeCount() >= requiredChangeCount) {
             phase = Phase.NAMED;
             namedAtMs = nowMs();
             leadership.nameStandby(logSender.standby());
@@ -254,14 +252,15 @@
         if (phase == Phase.NAMED) {
             phase = Phase.REMOVING_NAME;
             leadership.nameStandby(null);
-            answers.sendWithoutStarts();
+            responses.sendWithoutStarts();
         } else {
             phase = Phase.NO_STANDBY;
         }
     }
 
     /**
-     * Sends starts without a standby again once the store has confirmed the removal of its name.
+     * Permits starts again, without a standby, once the store has confirmed the removal of its
+     * name.
      */
     private void awaitRemoval() {
         if (leadership.hasDefinitelyNoStandby()) {
@@ -269,8 +268,8 @@
         }
     }
 
-    /** Drops all held answers, because leadership of the shard is lost. */
+    /** Discards all held responses, because leadership of the shard is lost. */
     public void close() {
-        answers.dropAll();
+        responses.discardAll();
     }
 }
--- a/src/main/java/org/shoreusher/core/replication/package-info.java
+++ b/src/main/java/org/shoreusher/core/replication/package-info.java
@@ -5,7 +5,8 @@
  * org.shoreusher.core.replication.StandbyReplicas} the standby's.
  *
  * <p>Promises: while the shard record may name a standby, no start order is sent before that
- * standby has acknowledged it. Without the feature nothing is replicated and no answer is held.
+ * standby has acknowledged it. When the feature is off, nothing is replicated and no response is
+ * held.
  *
  * <p>May use the packages {@code message}, {@code store}, {@code leadership} and {@code cluster} of
  * {@code core}, and {@code standby} for the log itself.
