--- a/src/main/java/org/shoreusher/core/message/Command.java
+++ b/src/main/java/org/shoreusher/core/message/Command.java
@@ -5,16 +5,15 @@
 import org.shoreusher.standby.StandbyMessage;
 
 /**
- * An input of {@code Node.step}. Request ids and call ids link an answer to what it answers: a
- * request id is answered by {@link Effect.Respond}, a call id was issued by {@link
- * Effect.StoreCall} or {@link Effect.CloudCall}.
+ * An input of {@code Node.step}. A request id links a request to its {@link Effect.Respond}. A call
+ * id links a reply to its {@link Effect.StoreCall} or {@link Effect.CloudCall}.
  */
 public sealed interface Command {
 
     /**
      * A user submits a job.
      *
-     * @param requestId the request to answer
+     * @param requestId the id of the request
      * @param jobId the job's id, chosen by the user; a second submission with the same id is
      *     idempotent
      * @param spec the job's description; null if the body was invalid
@@ -24,9 +23,9 @@
             implements Command {}
 
     /**
-     * A user asks for the state of a job.
+     * A user requests the state of a job.
      *
-     * @param requestId the request to answer
+     * @param requestId the id of the request
      * @param jobId the job's id
      */
     record Poll(long requestId, String jobId) implements Command {}
@@ -34,61 +33,61 @@
     /**
      * A user cancels a job.
      *
-     * @param requestId the request to answer
+     * @param requestId the id of the request
      * @param jobId the job's id
      */
     record Cancel(long requestId, String jobId) implements Command {}
 
     /**
-     * The load balancer asks whether this node can take requests.
+     * The load balancer checks whether this node can serve requests.
      *
-     * @param requestId the request to answer
+     * @param requestId the id of the request
      */
     record ReadinessCheck(long requestId) implements Command {}
 
     /**
      * A worker sends a heartbeat.
      *
-     * @param requestId the request to answer
+     * @param requestId the id of the request
      * @param workerHeartbeat the content of the heartbeat
      */
     record Heartbeat(long requestId, WorkerHeartbeat workerHeartbeat) implements Command {}
 
     /**
-     * The key-value store answered a call, or the call failed.
+     * The key-value store replied to a call, or the call failed.
      *
      * @param callId the id of the call
-     * @param status the HTTP status; 0 if there was no answer, in which case the call may have been
+     * @param status the HTTP status; 0 if there was no reply, in which case the call may have been
      *     executed, or may yet be
-     * @param body the fields of the answer
+     * @param body the fields of the reply
      */
     record StoreReply(long callId, int status, Map<String, Object> body) implements Command {}
 
     /**
-     * The cloud answered a call, or the call failed.
+     * The cloud replied to a call, or the call failed.
      *
      * @param callId the id of the call
-     * @param status the HTTP status; 0 if there was no answer, in which case the call may have been
+     * @param status the HTTP status; 0 if there was no reply, in which case the call may have been
      *     executed, or may yet be
-     * @param body the fields of the answer
+     * @param body the fields of the reply
      */
     record CloudReply(long callId, int status, Map<String, Object> body) implements Command {}
 
     /**
-     * Gossip from another controller.
+     * A peer sent gossip.
      *
      * @param message the gossip message
      */
     record Gossip(GossipMessage message) implements Command {}
 
     /**
-     * A message of the standby replication from another controller.
+     * A peer sent a message of the standby replication.
      *
      * @param message a frame of the attempt log, or an acknowledgement
      */
     record Standby(StandbyMessage message) implements Command {}
 
-    /** Time has passed; due work is done. */
+    /** Time has passed: the node does its due work without another input. */
     record Tick() implements Command {}
 
     /**
@@ -98,7 +97,7 @@
      * @param type the name of its machine type
      * @param zone its zone
      * @param spot whether it is a spot machine, which the cloud may interrupt
-     * @param state its state in the words of the cloud
+     * @param state its state, as named by the cloud
      * @param ageS seconds since it was provisioned
      */
     record ListedMachine(
--- a/src/main/java/org/shoreusher/core/message/Effect.java
+++ b/src/main/java/org/shoreusher/core/message/Effect.java
@@ -9,17 +9,17 @@
 public sealed interface Effect {
 
     /**
-     * Answers a request.
+     * Responds to a request.
      *
      * @param requestId the id of the request
-     * @param response the answer
+     * @param response the response
      */
     record Respond(long requestId, Response response) implements Effect {}
 
     /**
-     * Calls the key-value store. The answer arrives as a {@link Command.StoreReply}.
+     * Calls the key-value store. The reply arrives as a {@link Command.StoreReply}.
      *
-     * @param callId the id under which the answer is expected
+     * @param callId the id that the reply will carry
      * @param operation the operation
      * @param urgent whether the call renews or acquires a leader's lease, and so must not queue
      *     behind other calls
@@ -27,21 +27,21 @@
     record StoreCall(long callId, StoreOperation operation, boolean urgent) implements Effect {}
 
     /**
-     * Calls the cloud. The answer arrives as a {@link Command.CloudReply}.
+     * Calls the cloud. The reply arrives as a {@link Command.CloudReply}.
      *
-     * @param callId the id under which the answer is expected
+     * @param callId the id that the reply will carry
      * @param operation the operation
      */
     record CloudCall(long callId, CloudOperation operation) implements Effect {}
 
     /**
-     * Sends orders directly to a worker, without waiting for its next heartbeat. No answer is
-     * expected, and the message may be lost.
+     * Sends orders directly to a worker, without waiting for its next heartbeat. The worker sends
+     * no response, and the message may be lost.
      *
      * @param workerAddress the worker's network address
      * @param fencingToken the fencing token: the leader's term. A worker rejects a token lower than
-     *     the highest one it has seen
-     * @param workerIncarnation the worker incarnation for which the orders are meant; in any other
+     *     the highest one it has received
+     * @param workerIncarnation the worker incarnation that the orders are for; in any other
      *     incarnation the worker drops them
      * @param orders the orders
      */
@@ -53,16 +53,16 @@
             implements Effect {}
 
     /**
-     * Sends gossip to all other controllers; it may be lost.
+     * Sends gossip to all peers; it may be lost.
      *
      * @param message the gossip message
      */
     record SendGossip(GossipMessage message) implements Effect {}
 
     /**
-     * Sends a message of the standby replication to one controller; it may be lost.
+     * Sends a message of the standby replication to one peer; it may be lost.
      *
-     * @param host the controller's host
+     * @param host the peer's host
      * @param message a frame of the attempt log, or an acknowledgement
      */
     record SendStandbyMessage(String host, StandbyMessage message) implements Effect {}
@@ -87,13 +87,13 @@
         record Page(String afterKey) implements StoreOperation {}
 
         /**
-         * Writes several keys atomically, if all preconditions are met; otherwise nothing is
-         * written and the answer is 409.
+         * Writes several keys atomically if all preconditions are met; otherwise writes nothing,
+         * and the reply has status 409.
          *
-         * @param preconditions by key, the version that the key must have; 0: the key must be
+         * @param preconditions by key, the version that the key must have; 0 if the key must be
          *     absent
-         * @param writes the new values by key; a null value removes the key. If empty, the
-         *     operation is a linearizable check of the preconditions
+         * @param writes the new values by key; a null value removes the key. If the map is empty,
+         *     the operation is a linearizable check of the preconditions
          */
         record CompareAndSwap(
                 Map<String, Long> preconditions, Map<String, Map<String, Object>> writes)
@@ -102,8 +102,9 @@
         /**
          * Waits for changes and reads them.
          *
-         * @param afterRevision the revision after which changes are wanted
-         * @param blockMs how long the store waits for a first change, in ms; 0: not at all
+         * @param afterRevision the revision after which changes are read
+         * @param blockMs how long the store waits for the first change, in ms; 0 if it does not
+         *     wait
          */
         record Watch(long afterRevision, long blockMs) implements StoreOperation {}
     }
@@ -116,11 +117,12 @@
         /**
          * Provisions machines.
          *
-         * @param name the name of the request, by which it is idempotent; never reused
+         * @param name the unique name of the request; the cloud carries out repeated requests of
+         *     the same name only once
          * @param type the name of the machine type
          * @param zone the zone
-         * @param spot whether spot machines are wanted
-         * @param count how many machines are wanted; the cloud may provision fewer
+         * @param spot whether to provision spot machines
+         * @param count the number of machines; the cloud may provision fewer
          */
         record Provision(String name, String type, String zone, boolean spot, int count)
                 implements CloudOperation {}
--- a/src/main/java/org/shoreusher/core/message/JobSpec.java
+++ b/src/main/java/org/shoreusher/core/message/JobSpec.java
@@ -3,28 +3,28 @@
 import java.util.List;
 
 /**
- * A job as its user described it. Resources are those of one task.
+ * The user's description of a job. Resources are per task.
  *
  * @param id the user's id of the job; see {@link #isValidId}
- * @param jobClass the class that run-time estimates and objectives are kept by; may be empty
- * @param team the team whose quota the tasks use
+ * @param jobClass the class to which run-time estimates and objectives apply; may be empty
+ * @param team the team whose quota the tasks count against
  * @param workloadType whether the tasks run to completion or until the job is cancelled
  * @param priority the priority among jobs
- * @param taskCount the number of tasks, or of a service's replicas
+ * @param taskCount the number of tasks; for a service, of replicas
  * @param cpus CPUs that a task uses
  * @param gpus GPUs that a task uses
  * @param memGb memory that a task uses, in GB
- * @param image the image that a machine fetches before it runs a task
+ * @param image the container image that a machine fetches before it runs a task
  * @param imageGb the size of the image, in GB
- * @param machineTypes the machine types that a task may run on; null: any
- * @param zone the zone that the tasks must run in; null: any
+ * @param machineTypes the machine types that a task may run on; null allows all
+ * @param zone the zone that the tasks must run in; null allows all
  * @param singleZone whether all tasks must run in the same zone
  * @param spreadAcrossZones whether at most half of the tasks, rounded up, may run in one zone
  * @param spotAllowed whether tasks may run on spot machines
- * @param estimatedRunS the user's estimate of a task's run time, in seconds; 0: none
- * @param checkpointIntervalS seconds between two checkpoints of a task; 0: it takes none
+ * @param estimatedRunS the user's estimate of a task's run time, in seconds; 0 if none
+ * @param checkpointIntervalS seconds between two checkpoints of a task; 0 if it takes none
  * @param checkpointDurationS seconds that a checkpoint takes
- * @param deadlineS seconds from the submission in which the job should be completed; NaN: none
+ * @param deadlineS seconds after the submission by which the job should be completed; NaN if none
  */
 public record JobSpec(
         String id,
@@ -49,8 +49,8 @@
         double deadlineS) {
 
     /**
-     * A description that accounts for the resources of a task whose real description is not known.
-     * No task may be started from it.
+     * A substitute for an unknown job description, used to account for the resources of a task that
+     * is already on a machine. No task may be started from it.
      */
     public static JobSpec withResourcesOnly(
             String id, String team, double cpus, double gpus, double memGb) {
@@ -81,11 +81,10 @@
     public enum Priority {
         /** Production work. */
         PRODUCTION,
-        /** High. */
         HIGH,
         /** The usual priority. */
         NORMAL,
-        /** Work that others may preempt. */
+        /** Work that may be preempted by higher priorities. */
         LOW
     }
 
@@ -94,18 +93,18 @@
         /** A job array: independent tasks, each of which runs to completion. */
         BATCH,
         /**
-         * Replicas that run until the job is cancelled. A replica that exits is started again,
+         * Replicas that run until the job is cancelled. A replica is restarted whenever it exits,
          * whatever the cause.
          */
         SERVICE;
 
-        /** Whether a task that has completed is never started again. */
+        /** Whether a completed task is never started again. */
         public boolean runsToCompletion() {
             return this == BATCH;
         }
     }
 
-    /** Whether a text has the form of a job id: {@code wk-} and 1 to 37 digits. */
+    /** Whether a string is a valid job id: {@code wk-} and 1 to 37 digits. */
     public static boolean isValidId(String id) {
         if (id == null || id.length() < 4 || id.length() > 40 || !id.startsWith("wk-")) {
             return false;
@@ -119,8 +118,8 @@
     }
 
     /**
-     * Whether a task may run on a machine with these properties. Rules that depend on the job's
-     * other tasks are not considered.
+     * Whether a task may run on a machine with these properties. Does not check constraints that
+     * depend on the job's other tasks, such as {@link #singleZone}.
      */
     public boolean allowsMachine(String machineType, String machineZone, boolean isSpotMachine) {
         return (machineTypes == null || machineTypes.contains(machineType))
@@ -129,8 +128,8 @@
     }
 
     /**
-     * The number of tasks that must be able to run at the same time: all replicas of a service, one
-     * task of a batch job.
+     * The number of tasks that must be able to run at the same time: all replicas of a service, or
+     * one task of a batch job.
      */
     public int minConcurrentTasks() {
         return workloadType.runsToCompletion() ? 1 : taskCount;
--- a/src/main/java/org/shoreusher/core/message/MachineType.java
+++ b/src/main/java/org/shoreusher/core/message/MachineType.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * A machine type as the cloud describes it.
+ * A machine type offered by the cloud.
  *
  * @param memGb memory in GB
  * @param imageCacheGb size of the container image cache in GB
@@ -26,15 +26,18 @@
         List<String> zones) {
 
     /**
-     * Whether on-demand machines of this type cost so much more than spot ones that tasks which may
-     * run on spot should do so.
+     * Whether on-demand machines of this type cost so much more than spot machines that tasks
+     * should run on spot machines where their job allows it.
      */
     public boolean isOnDemandExpensive() {
         return onDemandPricePerHour
                 > spotPricePerHour * MessageConstants.MAX_ON_DEMAND_PRICE_FACTOR;
     }
 
-    /** Whether one task of a job can run on an empty machine of this type, constraints included. */
+    /**
+     * Whether a task of a job fits on an empty machine of this type. Includes the job's constraints
+     * on machine types and zones.
+     */
     public boolean canFit(JobSpec spec) {
         return spec.cpus() <= cpus
                 && spec.gpus() <= gpus
--- a/src/main/java/org/shoreusher/core/message/ReplyStatus.java
+++ b/src/main/java/org/shoreusher/core/message/ReplyStatus.java
@@ -1,6 +1,6 @@
 package org.shoreusher.core.message;
 
-/** Statuses of replies from the key-value store and the cloud: HTTP statuses, and no reply. */
+/** Statuses of calls to the key-value store and the cloud: HTTP statuses, and 0 for no reply. */
 public final class ReplyStatus {
     /** There was no reply: the call may have been executed, or may yet be. */
     public static final int NO_REPLY = 0;
@@ -11,7 +11,7 @@
     /** The request was malformed, and nothing was done. */
     public static final int BAD_REQUEST = 400;
 
-    /** There is no such key. */
+    /** The key does not exist. */
     public static final int NOT_FOUND = 404;
 
     /** A precondition was not met, and nothing was written. */
--- a/src/main/java/org/shoreusher/core/message/Response.java
+++ b/src/main/java/org/shoreusher/core/message/Response.java
@@ -2,37 +2,37 @@
 
 import java.util.List;
 
-/** The answer to a request of a user, a worker or the load balancer. */
+/** A response to a request of a user, a worker or the load balancer. */
 public sealed interface Response {
 
-    /** This node can take requests. */
+    /** This node can serve requests. */
     record Ready() implements Response {}
 
     /**
-     * The state of a job as shown to users.
+     * The state of a job, as reported to users.
      *
      * @param jobId the job's id
      * @param displayState the state
-     * @param taskCounts task counts for display; null where they were not asked for
+     * @param taskCounts task counts for display; null if the request does not include them
      * @param created whether this request created the job
      */
     record JobState(String jobId, DisplayState displayState, TaskCounts taskCounts, boolean created)
             implements Response {
-        /** A job that this request did not create, without task counts. */
-        public JobState(String id, DisplayState shown) {
-            this(id, shown, null, false);
+        /** The state of a job that this request did not create, without task counts. */
+        public JobState(String jobId, DisplayState displayState) {
+            this(jobId, displayState, null, false);
         }
     }
 
     /**
      * Task counts of a job, for display only.
      *
-     * @param completed completed tasks
-     * @param running running tasks
+     * @param completed the number of completed tasks
+     * @param running the number of active tasks
      */
     record TaskCounts(int completed, int running) {}
 
-    /** The states of a job as users see them. */
+    /** The states of a job that are reported to users. */
     enum DisplayState {
         PENDING,
         RUNNING,
@@ -40,7 +40,7 @@
         CANCELLED
     }
 
-    /** There is no such job. */
+    /** The job does not exist. */
     record NotFound() implements Response {}
 
     /**
@@ -58,9 +58,9 @@
     record CannotRun(String reason) implements Response {}
 
     /**
-     * The request can't be served now.
+     * The request can't currently be served.
      *
-     * @param retryAfterS after how many seconds the sender should try again
+     * @param retryAfterS seconds after which the sender should retry
      */
     record Unavailable(int retryAfterS) implements Response {}
 
@@ -73,9 +73,9 @@
     record HeartbeatAccepted(long fencingToken, List<WorkerOrder> orders) implements Response {}
 
     /**
-     * A worker should send its heartbeats to another controller.
+     * A worker should send its heartbeats to another node.
      *
-     * @param host that controller's host
+     * @param host that node's host name
      */
     record Redirect(String host) implements Response {}
 }
--- a/src/main/java/org/shoreusher/core/message/WorkerHeartbeat.java
+++ b/src/main/java/org/shoreusher/core/message/WorkerHeartbeat.java
@@ -6,18 +6,18 @@
  * A heartbeat: the state of a worker and of all tasks on its machine.
  *
  * @param machineId the id of the machine
- * @param address HOST:PORT at which the worker takes direct orders; empty if none
+ * @param address HOST:PORT at which the worker accepts direct orders; empty if it accepts none
  * @param machineType the name of the machine type
  * @param zone the availability zone
  * @param spot whether it is a spot machine
  * @param incarnation the worker's incarnation; a worker whose lease has expired starts a new one,
  *     without tasks
  * @param sequenceNumber number of this heartbeat within the incarnation
- * @param fencingToken the fencing token: the highest leadership term that the worker has seen; 0 if
- *     none
+ * @param fencingToken the fencing token: the highest leadership term that the worker has received;
+ *     0 if none
  * @param interruptionNoticeS seconds until the cloud reclaims the machine, from the interruption
  *     notice; NaN if there is no notice
- * @param tasks all tasks on the machine, including exited ones that it was not yet told to forget
+ * @param tasks all tasks on the machine, including exited ones without a {@code forget} order yet
  */
 public record WorkerHeartbeat(
         String machineId,
@@ -33,13 +33,13 @@
 
     /** The states of a task on its machine. */
     public enum TaskState {
-        /** The worker fetches the image or the input. */
+        /** The worker is fetching the image or the input. */
         FETCHING,
-        /** The task runs, or is in a state that this version does not know. */
+        /** The task is running, or the worker sent a state that is unknown to this version. */
         RUNNING,
-        /** The task was told to stop and saves its progress. */
+        /** The task was ordered to stop and is saving its progress. */
         CHECKPOINTING,
-        /** The task has ended; the cause tells how. */
+        /** The task has exited; see {@link ExitCause}. */
         EXITED
     }
 
@@ -51,13 +51,13 @@
         COMPLETED,
         /** It was stopped by an order. */
         STOPPED,
-        /** It failed, or exited for a cause that this version does not know. */
+        /** It failed, or the worker sent a cause that is unknown to this version. */
         ERROR,
-        /** It was not started: the machine lacks free resources. */
+        /** It was not started: the machine had too few free resources. */
         INSUFFICIENT_RESOURCES,
-        /** It was not started: another attempt at the same task is on the machine. */
+        /** It was not started: another attempt of the same task was on the machine. */
         ANOTHER_ATTEMPT_PRESENT,
-        /** It was not started: the worker knows no such job or task. */
+        /** It was not started: the job or task was unknown to the worker. */
         UNKNOWN_TASK
     }
 
@@ -66,8 +66,8 @@
      *
      * @param jobId the id of the job
      * @param taskIndex the task's index in its job, from 0
-     * @param attemptNumber the attempt number; unique among all attempts at the task
-     * @param exitCause why it has exited; {@link ExitCause#NONE} unless it has
+     * @param attemptNumber the attempt number; unique among all attempts of the task
+     * @param exitCause why it has exited; {@link ExitCause#NONE} if it has not
      * @param checkpointed whether it was stopped and its progress was saved in a checkpoint
      */
     public record TaskStatus(
--- a/src/main/java/org/shoreusher/core/message/WorkerOrder.java
+++ b/src/main/java/org/shoreusher/core/message/WorkerOrder.java
@@ -1,14 +1,14 @@
 package org.shoreusher.core.message;
 
 /**
- * An order from the leader to a worker. Orders name the attempt, so that a repeated order never
- * affects another attempt at the same task.
+ * An order from the leader to a worker. Each order contains the attempt number, so that a repeated
+ * order never affects another attempt of the same task.
  *
  * @param kind what to do with the task
  * @param jobId the id of the job
  * @param taskIndex the task's index in its job, from 0
  * @param attemptNumber the attempt number
- * @param gracePeriodS seconds that a stopped task has to save its progress; only for {@link
+ * @param gracePeriodS maximum seconds for a stopped task to save its progress; only for {@link
  *     Kind#STOP}
  */
 public record WorkerOrder(
@@ -16,11 +16,11 @@
 
     /** What the worker is to do with the task. */
     public enum Kind {
-        /** Start the task under this attempt number. */
+        /** Start the task with this attempt number. */
         START,
-        /** Stop it, after the grace period at the latest. */
+        /** Stop the task, at the end of the grace period at the latest. */
         STOP,
-        /** Remove the exited task from further heartbeats. */
+        /** Remove the exited task from future heartbeats. */
         FORGET
     }
 }
