--- a/src/main/java/org/shoreusher/core/CoreConstants.java
+++ b/src/main/java/org/shoreusher/core/CoreConstants.java
@@ -4,33 +4,33 @@
 final class CoreConstants {
     private CoreConstants() {}
 
-    /** ms; how often a node checks whether it leads two shards more than another node. */
+    /** ms; how often a node checks whether it leads at least two shards more than another node. */
     static final long SHARD_REBALANCE_INTERVAL_MS = 5_000;
 
     /** Weight of a team's CPUs in a shard when the shard of the team's next job is chosen. */
     static final double TEAM_AFFINITY_WEIGHT = 3;
 
     /**
-     * Share of its machines that must have contacted other nodes before a leader steps down. A
-     * partitioned zone has about half of them.
+     * Share of a shard's running machines whose workers must have contacted other nodes before the
+     * leader steps down. A partitioned zone has about half of the machines.
      */
     static final double STEP_DOWN_UNREACHABLE_SHARE = 0.6;
 
     /**
-     * ms; a node that has stepped down for this reason does not try to acquire the shard for so
-     * long.
+     * ms; for this long, a node that stepped down because workers could not reach it does not try
+     * to acquire a shard.
      */
     static final long STEP_DOWN_COOLDOWN_MS = 15_000;
 
     /**
-     * ms; how often a leader scans all of its machines and jobs. Heartbeats are answered in
-     * between.
+     * ms; interval between two scheduling passes over all machines and jobs of a shard. Heartbeats
+     * are handled independently of it.
      */
     static final long FULL_SCAN_INTERVAL_MS = 100;
 
     /**
-     * CPUs; headroom assumed for a shard without fresh gossip, which gets jobs only if all others
-     * are far behind.
+     * CPUs; headroom assumed for a shard without recent gossip. It gets a new job only if all other
+     * shards have even less headroom.
      */
     static final double UNKNOWN_SHARD_HEADROOM_CPUS = -1_000;
 }
--- a/src/main/java/org/shoreusher/core/HeartbeatRouter.java
+++ b/src/main/java/org/shoreusher/core/HeartbeatRouter.java
@@ -13,8 +13,8 @@
 import org.shoreusher.settings.Settings;
 
 /**
- * Passes heartbeats to the shard of their machine, and redirects those of shards that other nodes
- * lead.
+ * Routes each heartbeat to the shard of its machine, or redirects the worker if another node leads
+ * that shard.
  */
 final class HeartbeatRouter {
     private final Settings settings;
@@ -34,7 +34,10 @@
         this.peerGossip = peerGossip;
     }
 
-    /** Handles or redirects a heartbeat. */
+    /**
+     * Handles or redirects a heartbeat. Responds that the service is unavailable if there is no
+     * node to redirect the worker to.
+     */
     void route(Command.Heartbeat command) {
         int shardNumber = shardOf(command.workerHeartbeat().machineId());
         Shard shard = shards.ledShard(shardNumber);
@@ -45,7 +48,7 @@
         ShardRecord shardRecord = storeCache.isLoaded() ? shards.shardRecord(shardNumber) : null;
         if (shardRecord == null) {
             outbox.respondUnavailable(command.requestId());
-        } else if (hasLostLeader(shardRecord)) {
+        } else if (isLeaderLost(shardRecord)) {
             redirectUntilFailover(command.requestId(), shardRecord);
         } else {
             redirectToLeader(command, shardNumber, shardRecord);
@@ -53,8 +56,8 @@
     }
 
     /**
-     * Returns the shard that a machine's record names. A machine without a record belongs to the
-     * led shard that provisioned it, or else to the shard that the hash of its name selects.
+     * Returns the number of the shard in the machine's record. A machine without a record belongs
+     * to the led shard that provisioned it, or else to the shard selected by the hash of its id.
      */
     private int shardOf(String machineId) {
         MachineRecord machineRecord = machineIndex.get(machineId);
@@ -65,8 +68,8 @@
         return shard == null ? shards.shardByHash(machineId) : shard.state().shardNumber();
     }
 
-    /** Returns whether the leader is a former process of this host, or suspected to be down. */
-    private boolean hasLostLeader(ShardRecord shardRecord) {
+    /** Returns whether the leader is a previous process of this host or is suspected to be down. */
+    private boolean isLeaderLost(ShardRecord shardRecord) {
         return shardRecord.leaderHost().equals(settings.host())
                 || peerGossip.isSuspectedDown(shardRecord);
     }
@@ -80,9 +83,9 @@
     }
 
     /**
-     * Redirects a worker to its leader. If many workers that have been answered by the leader come
-     * here, a partition may separate them from it. They are then kept between the responsive nodes
-     * for a moment, in which the leader may step down.
+     * Redirects a worker to its leader. If many workers contact this node although the leader has
+     * responded to them before, a partition may separate them from the leader. They are then
+     * redirected to responsive nodes for a while, so that the leader can step down.
      */
     private void redirectToLeader(
             Command.Heartbeat command, int shardNumber, ShardRecord shardRecord) {
--- a/src/main/java/org/shoreusher/core/NewJobAssignment.java
+++ b/src/main/java/org/shoreusher/core/NewJobAssignment.java
@@ -6,7 +6,7 @@
 import org.shoreusher.core.message.GossipMessage.TeamDemand;
 import org.shoreusher.core.message.JobSpec;
 
-/** Assigns new jobs to the shard with the most headroom. */
+/** Assigns each new job to the shard with the most headroom. */
 final class NewJobAssignment {
     private final PeerGossip peerGossip;
 
@@ -18,14 +18,14 @@
         assignedCpus = new double[shardCount];
     }
 
-    /** Forgets past assignments, which the gossip of the shards now shows. */
+    /** Clears the assigned CPUs; from now on gossip includes the jobs assigned so far. */
     void reset() {
         Arrays.fill(assignedCpus, 0);
     }
 
     /**
-     * Returns the shard with the most headroom for a new job, and counts the job against that
-     * headroom until the next gossip round.
+     * Returns the number of the shard with the most headroom for a new job, and subtracts the job
+     * from that headroom until the next gossip round.
      */
     int assign(JobSpec spec) {
         int bestShard = 0;
@@ -48,8 +48,8 @@
         }
         double headroom = summary.cpuHeadroom() - assignedCpus[shardNumber];
         TeamDemand demand = summary.teamDemands().get(team);
-        // Jobs of one team are kept in one shard where possible, so that the team's quota is not
-        // split.
+        // Keeps the jobs of one team in one shard where possible, so that the team's quota is not
+        // split between shards.
         return demand == null
                 ? headroom
                 : headroom
--- a/src/main/java/org/shoreusher/core/Node.java
+++ b/src/main/java/org/shoreusher/core/Node.java
@@ -46,8 +46,8 @@
      *
      * @param settings the deployment's settings
      * @param features the optional features that this node uses; other nodes may use different ones
-     * @param processName the name of this process: the host name, a slash, and a suffix that no
-     *     other process has ever used
+     * @param processName the name of this process: HOST/SUFFIX, where no other process has ever
+     *     used the suffix
      * @param shardCount the number of shards; the same on all nodes and for the lifetime of the
      *     stored data
      */
@@ -88,12 +88,12 @@
     }
 
     /**
-     * Processes a batch of commands, then all work that is due.
+     * Processes a batch of commands, then does all due work.
      *
-     * @param now the clocks at the start of the batch; the monotonic time never decreases from call
-     *     to call
+     * @param now the clocks at the start of the batch; the monotonic time never decreases between
+     *     calls
      * @param batch the commands in order of arrival; may be empty
-     * @return the effects, to be carried out at once and in order
+     * @return the effects, to be carried out immediately and in order
      */
     public List<Effect> step(ClockReading now, List<Command> batch) {
         outbox.setNow(now);
@@ -127,16 +127,16 @@
         } else if (command instanceof Command.Cancel cancel) {
             userRequests.cancel(cancel.requestId(), cancel.jobId());
         } else if (command instanceof Command.ReadinessCheck check) {
-            answerReadinessCheck(check);
+            respondToReadinessCheck(check);
         } else if (command instanceof Command.Gossip gossip) {
             peerGossip.receive(gossip.message());
         } else if (command instanceof Command.Standby standby) {
             handleStandbyMessage(standby.message());
         }
-        // A tick needs no handling: due work follows every batch.
+        // A tick needs no handling: step() does the due work after every batch.
     }
 
-    private void answerReadinessCheck(Command.ReadinessCheck check) {
+    private void respondToReadinessCheck(Command.ReadinessCheck check) {
         if (isReady()) {
             outbox.respond(check.requestId(), new Response.Ready());
         } else {
@@ -156,9 +156,9 @@
     }
 
     /**
-     * Returns whether the load balancer should send users to this node. A node that alone can't
-     * reach the key-value store reports that it is not ready. If no node reaches the store, this
-     * one stays ready, because the load balancer takes seconds to bring a node back.
+     * Returns whether the load balancer should send user requests to this node. A node that can't
+     * reach the key-value store while a peer can is not ready. If no node reaches the store, this
+     * one stays ready, because the load balancer takes seconds to put a node back into service.
      */
     private boolean isReady() {
         if (!storeCache.isLoaded() || !machineTypes.isLoaded()) {
@@ -169,7 +169,7 @@
     }
 
     private Response.TaskCounts taskCounts(String jobId) {
-        Job job = shards.job(jobId);
+        Job job = shards.openJob(jobId);
         return job == null
                 ? peerGossip.taskCounts(jobId)
                 : new Response.TaskCounts(
--- a/src/main/java/org/shoreusher/core/NodeServices.java
+++ b/src/main/java/org/shoreusher/core/NodeServices.java
@@ -6,11 +6,11 @@
 import org.shoreusher.core.store.NodeContext;
 
 /**
- * The collaborators of a node that its shards share.
+ * The collaborators that a node's shards share.
  *
- * @param context the collaborators that all classes of the node share
- * @param submissionBatches jobs that were accepted together and share a stored record
- * @param machineIndex the machine records of all shards, by machine
+ * @param context the collaborators that all classes of the node share, such as the store cache
+ * @param submissionBatches the jobs that were accepted together and share a stored record
+ * @param machineIndex the machine records of all shards, by machine id
  * @param machineTypes the machine types that the cloud offers
  */
 record NodeServices(
--- a/src/main/java/org/shoreusher/core/Shard.java
+++ b/src/main/java/org/shoreusher/core/Shard.java
@@ -33,7 +33,7 @@
 
 /**
  * A shard that this node leads: composes the collaborators and runs their due work. An instance
- * exists from the moment at which this node becomes the leader until the leadership is lost.
+ * exists from the time at which this node becomes the leader until the leadership is lost.
  *
  * <p>Invariant: every write to the key-value store has the shard's fencing key as a precondition,
  * so a write that arrives after a later leadership change has no effect. {@link HeartbeatHandler}
@@ -59,7 +59,7 @@
     private final HeartbeatHandler heartbeatHandler;
     private final WorkerReachability workerReachability;
     private long nextSchedulingPassMs;
-    private long nextStatusLineMs;
+    private long nextStatusLogMs;
 
     /**
      * Creates the shard after its leadership was acquired. Its jobs and machines are loaded later,
@@ -68,8 +68,8 @@
      * @param shardNumber the shard's number
      * @param shardCount the number of shards
      * @param services the node's shared collaborators
-     * @param peerView what gossip tells about other controllers and shards
-     * @param leadership the leadership that was acquired
+     * @param peerView the state of other nodes and shards according to their gossip
+     * @param leadership the acquired leadership
      * @param promotedAttempts the attempt log of the previous leader, if this node was its standby
      */
     Shard(
@@ -103,7 +103,7 @@
         jobs = assembly.createJobs(scheduling);
         machines = assembly.createMachines();
         standbyReplication = new StandbyReplication(context, peerView, leadership);
-        listenToChanges();
+        registerListeners();
         reconciliation =
                 new Reconciliation(
                         context,
@@ -125,25 +125,22 @@
                 context, jobs, machines, scheduling, standbyReplication, heartbeatReader);
     }
 
-    private void listenToChanges() {
+    private void registerListeners() {
         state.resourceLedger().addListener(scheduling.taskMigration());
         state.resourceLedger().addListener(standbyReplication);
         state.setMachineRemovalListener(scheduling.taskMigration()::onMachineRemoved);
     }
 
-    // ---- events ------------------------------------------------------------------------------
-
-    /** Handles the heartbeats of the shard's workers. */
     HeartbeatHandler heartbeatHandler() {
         return heartbeatHandler;
     }
 
-    /** The shard's open jobs, which follow the job records in the store cache. */
+    /** The open jobs, which are updated from the job records in the store cache. */
     OpenJobs openJobs() {
         return jobs.openJobs();
     }
 
-    /** The shard's machines, which follow the machine records in the store cache. */
+    /** The machines, which are updated from the machine records in the store cache. */
     MachineLifecycle machineLifecycle() {
         return machines.lifecycle();
     }
@@ -153,13 +150,10 @@
         return standbyReplication;
     }
 
-    /** The leadership of this shard. */
     ShardLeadership leadership() {
         return leadership;
     }
 
-    // ---- state -------------------------------------------------------------------------------
-
     @Override
     public ShardSummary summary() {
         return shardDemand.summarize(autoscaler::isSurplus, autoscaler.machineShortfall());
@@ -180,13 +174,13 @@
         return state;
     }
 
-    /** What this node may do at present as the shard's leader. */
+    /** The checks of what this node may currently do as the shard's leader. */
     ShardAuthority authority() {
         return authority;
     }
 
     /**
-     * Gives up the leadership so that another node can take over at once. Does nothing while a
+     * Gives up the leadership so that another node can take over immediately. Does nothing while a
      * lease renewal is in flight.
      *
      * @param reason the reason, for the log
@@ -205,8 +199,6 @@
                 state.jobs().values(), context.settings(), leadership::storedCompletions);
     }
 
-    // ---- time --------------------------------------------------------------------------------
-
     /**
      * Does all work that is due: renews the lease, loads the stored state once it is available,
      * writes records, and at fixed intervals runs a scheduling pass.
@@ -236,13 +228,13 @@
         }
         nextSchedulingPassMs = outbox.now().monotonicMs() + CoreConstants.FULL_SCAN_INTERVAL_MS;
         runSchedulingPass();
-        if (outbox.now().monotonicMs() >= nextStatusLineMs) {
-            nextStatusLineMs = outbox.now().monotonicMs() + SharedConstants.STATUS_LOG_INTERVAL_MS;
+        if (outbox.now().monotonicMs() >= nextStatusLogMs) {
+            nextStatusLogMs = outbox.now().monotonicMs() + SharedConstants.STATUS_LOG_INTERVAL_MS;
             outbox.log(ShardStatus.statusEvent(this, storeCache.size()));
         }
     }
 
-    /** Looks over all machines and jobs: leases, reconciliation, quotas, capacity, preemption. */
+    /** Updates leases, reconciliation, quotas, capacity and preemption of all machines and jobs. */
     private void runSchedulingPass() {
         machines.lifecycle().expireWorkerLeases();
         reconciliation.step();
--- a/src/main/java/org/shoreusher/core/ShardAssembly.java
+++ b/src/main/java/org/shoreusher/core/ShardAssembly.java
@@ -21,7 +21,7 @@
 import org.shoreusher.core.schedule.TaskMigration;
 import org.shoreusher.core.schedule.TaskStopper;
 
-/** Creates the groups of classes that work for a led shard, in the order of their packages. */
+/** Creates the collaborators of a led shard, grouped by package. */
 final class ShardAssembly {
     private final NodeServices services;
     private final ShardContext context;
@@ -39,7 +39,7 @@
         this.runTimeEstimates = runTimeEstimates;
     }
 
-    /** Creates the shares of this shard in the quotas of all teams. */
+    /** Creates this shard's shares of the quotas of all teams. */
     QuotaShares createQuotaShares() {
         return new QuotaShares(
                 context.state().shardNumber(),
@@ -50,7 +50,7 @@
                 leadership.fencingPrecondition());
     }
 
-    /** Creates what decides which tasks run where. */
+    /** Creates the classes that assign tasks to machines and stop tasks. */
     ShardScheduling createScheduling(QuotaHeadroom quotaHeadroom) {
         SchedulingOrder schedulingOrder = new SchedulingOrder(context.settings(), runTimeEstimates);
         TaskStopper taskStopper = new TaskStopper(context);
@@ -66,7 +66,7 @@
                 taskMigration);
     }
 
-    /** Creates what follows the shard's jobs. */
+    /** Creates the classes that manage the shard's jobs and their stored records. */
     ShardJobs createJobs(ShardScheduling scheduling) {
         OpenJobs openJobs =
                 new OpenJobs(
@@ -95,7 +95,7 @@
                 services.submissionBatches());
     }
 
-    /** Creates what follows the shard's machines. */
+    /** Creates the classes that manage the shard's machines and their stored records. */
     ShardMachines createMachines() {
         TerminatedMachines terminatedMachines = new TerminatedMachines();
         MachineRecords machineRecords =
--- a/src/main/java/org/shoreusher/core/ShardStatus.java
+++ b/src/main/java/org/shoreusher/core/ShardStatus.java
@@ -5,15 +5,14 @@
 import org.shoreusher.log.LogEvent;
 import org.shoreusher.log.LogEventType;
 
-/** Describes the state of a shard for operators. */
+/** Builds the log event that shows operators the state of a shard. */
 final class ShardStatus {
     private ShardStatus() {}
 
     /**
-     * Returns the event for the log: machines by state, CPUs in use, and tasks waiting by job
+     * Returns the event with the machines by state, the CPUs in use, and the pending tasks by job
      * class.
      *
-     * @param shard the shard
      * @param keysInMemory the number of keys in the store cache
      */
     static LogEvent statusEvent(Shard shard, int keysInMemory) {
@@ -23,11 +22,14 @@
             machinesByState[machine.state().ordinal()]++;
             usedCpus += machine.resources().cpusUsed();
         }
-        Object2IntOpenHashMap<String> waitingByClass = new Object2IntOpenHashMap<>();
+        Object2IntOpenHashMap<String> pendingTasksByClass = new Object2IntOpenHashMap<>();
         shard.state()
                 .jobs()
                 .values()
-                .forEach(job -> waitingByClass.addTo(job.spec().jobClass(), job.pendingCount()));
+                .forEach(
+                        job ->
+                                pendingTasksByClass.addTo(
+                                        job.spec().jobClass(), job.pendingCount()));
         int booting = machinesByState[Machine.State.BOOTING.ordinal()];
         int up = machinesByState[Machine.State.UP.ordinal()];
         return LogEvent.of(LogEventType.SHARD_STATUS)
@@ -39,7 +41,7 @@
                 .with("cpus_used", usedCpus)
                 .with("cpus_total", shard.state().totalCpus())
                 .with("jobs", shard.state().jobs().size())
-                .with("tasks_waiting", waitingByClass)
+                .with("tasks_waiting", pendingTasksByClass)
                 .with("keys_in_memory", keysInMemory);
     }
 }
--- a/src/main/java/org/shoreusher/core/Shards.java
+++ b/src/main/java/org/shoreusher/core/Shards.java
@@ -32,7 +32,7 @@
      *
      * @param shardCount the number of shards
      * @param services the node's shared collaborators
-     * @param peerView what gossip tells about other nodes
+     * @param peerView the state of other nodes according to their gossip
      * @param processName the name of this process, HOST/SUFFIX
      */
     Shards(int shardCount, NodeServices services, LeadershipPeerView peerView, String processName) {
@@ -48,7 +48,7 @@
                         context, processName, shardCount, peerView, this, this::startLeading);
     }
 
-    /** Returns the shard if this node leads it, or null. */
+    /** Returns the shard, or null if this node does not lead it or the number is out of range. */
     Shard ledShard(int shardNumber) {
         return shardNumber >= 0 && shardNumber < ledShards.length ? ledShards[shardNumber] : null;
     }
@@ -73,13 +73,14 @@
     }
 
     /**
-     * Returns the shard to which the hash of an id assigns a machine or job that no record assigns.
+     * Returns the number of the shard for a machine or job whose shard is in no record, by the hash
+     * of its id.
      */
     int shardByHash(String machineOrJobId) {
         return Math.floorMod(machineOrJobId.hashCode(), ledShards.length);
     }
 
-    /** The number of shards. */
+    /** The number of all shards, led by this node or not. */
     int shardCount() {
         return ledShards.length;
     }
@@ -90,8 +91,8 @@
     }
 
     /**
-     * Does the due work of all led shards, and tries for the leadership of at most one shard that
-     * has no leader.
+     * Does the due work of all led shards, and tries to acquire at most one shard that has no
+     * leader.
      */
     void step() {
         for (int shardNumber = 0; shardNumber < ledShards.length; shardNumber++) {
@@ -151,10 +152,10 @@
     }
 
     /**
-     * Tells the leadership of a shard that the store cache shows a new record of it.
+     * Passes a new shard record to the leadership of that shard, if this node leads it.
      *
      * @param shardNumber the shard's number
-     * @param record the new record
+     * @param record the new record from the store cache
      */
     void onShardRecordChange(int shardNumber, ShardRecord record) {
         Shard shard = ledShard(shardNumber);
@@ -173,8 +174,8 @@
         return null;
     }
 
-    /** Returns an open job of the led shards, or null. */
-    Job job(String jobId) {
+    /** Returns the job, or null if it is not an open job of a led shard. */
+    Job openJob(String jobId) {
         for (Shard shard : ledShards) {
             Job job = shard == null ? null : shard.jobs().get(jobId);
             if (job != null) {
@@ -199,8 +200,8 @@
             if (shard != null && shard.state().shardNumber() == record.shardNumber()) {
                 shard.openJobs().recordChanged(jobId, record);
             } else if (shard != null) {
-                // Two nodes may have accepted the job for different shards; the job's own record
-                // decides.
+                // Two nodes may have accepted the job for different shards; the shard in the job's
+                // own record is authoritative.
                 shard.openJobs().close(jobId);
             }
         }
--- a/src/main/java/org/shoreusher/core/StoreChangeRouter.java
+++ b/src/main/java/org/shoreusher/core/StoreChangeRouter.java
@@ -9,7 +9,7 @@
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.core.store.StoreSchema;
 
-/** Passes changes of the store cache to the classes that follow the records of that kind. */
+/** Routes changes of the store cache to the classes that use records of the changed kind. */
 final class StoreChangeRouter {
     private final NodeServices services;
     private final Shards shards;
@@ -28,11 +28,11 @@
     }
 
     /**
-     * Handles a change.
+     * Handles a change of one key.
      *
      * @param key the key
-     * @param before the previous entry; null: there was none
-     * @param after the new entry; null: the key was removed
+     * @param before the previous entry; null if there was none
+     * @param after the new entry; null if the key was removed
      */
     void onChange(String key, StoreCache.Entry before, StoreCache.Entry after) {
         services.context().versionNegotiation().onStoreChange(key);
--- a/src/main/java/org/shoreusher/core/WorkerReachability.java
+++ b/src/main/java/org/shoreusher/core/WorkerReachability.java
@@ -8,7 +8,7 @@
 import org.shoreusher.core.leadership.ShardLeadership;
 import org.shoreusher.core.store.Outbox;
 
-/** Tells whether a leader's workers can reach it. */
+/** Detects that most workers of a shard can't reach its leader. */
 final class WorkerReachability {
     private final ShardState state;
     private final ShardAuthority authority;
@@ -31,8 +31,9 @@
 
     /**
      * Returns whether most workers can't reach this node although its lease is valid, as in a
-     * one-way partition: after being redirected here they have returned to other nodes. A leader
-     * that stayed until the partition ends would lose all tasks that run on those machines.
+     * one-way partition: after being redirected to this node they have contacted other nodes again.
+     * A leader that did not step down before the partition ends would lose all tasks that run on
+     * those machines.
      */
     boolean isLeaderUnreachable() {
         if (!authority.isLoaded()
--- a/src/main/java/org/shoreusher/core/package-info.java
+++ b/src/main/java/org/shoreusher/core/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The node: composes the packages below it and routes commands to them. It decides nothing itself
- * but which shard an input belongs to, and when the node steps down from a shard.
+ * The node: composes its subpackages and routes commands to them. Its only decisions are which
+ * shard an input belongs to and when the node steps down from a shard.
  *
  * <p>May use all packages of the core; none of them may use this one.
  */
