--- a/src/main/java/org/shoreusher/core/cluster/FailureBackoff.java
+++ b/src/main/java/org/shoreusher/core/cluster/FailureBackoff.java
@@ -3,25 +3,24 @@
 import it.unimi.dsi.fastutil.objects.ObjectOpenHashSet;
 import java.util.Set;
 
-/** The failed attempts of a job, and the delay of its next start that follows from them. */
+/** Tracks the failed attempts of a job and computes the resulting delay of its next start. */
 final class FailureBackoff {
     private static final long NOT_DELAYED_MS = Long.MIN_VALUE;
 
-    /** More doublings than this exceed the longest backoff, and would overflow at last. */
+    /** More doublings exceed the longest backoff anyway, and would eventually overflow. */
     private static final int MAX_DOUBLINGS = 10;
 
-    private final ObjectOpenHashSet<String> machineIds = new ObjectOpenHashSet<>();
+    private final ObjectOpenHashSet<String> failedMachineIds = new ObjectOpenHashSet<>();
     private int failureCount;
 
-    /** Until when no task is started; monotonic ms. */
+    /** No task is started before this time; monotonic ms. */
     private long delayedUntilMs = NOT_DELAYED_MS;
 
     /** Machines on which a task has failed; a live view. */
-    Set<String> machineIds() {
-        return machineIds;
+    Set<String> failedMachineIds() {
+        return failedMachineIds;
     }
 
-    /** Whether starts are delayed. */
     boolean isBackingOff(long nowMs) {
         return nowMs < delayedUntilMs;
     }
@@ -29,11 +28,11 @@
     /**
      * Records a failed attempt.
      *
-     * @param delayStarts whether a second failure and each further one delay the next start, each
-     *     for twice as long
+     * @param delayStarts whether the second and each further failure delay the next start, each
+     *     twice as long as the one before
      */
-    void record(String machineId, long nowMs, boolean delayStarts) {
-        machineIds.add(machineId);
+    void recordFailure(String machineId, long nowMs, boolean delayStarts) {
+        failedMachineIds.add(machineId);
         failureCount++;
         if (delayStarts && failureCount > 1) {
             int doublings = Math.min(failureCount - 2, MAX_DOUBLINGS);
@@ -42,9 +41,9 @@
         }
     }
 
-    /** Forgets all failures; a present delay still runs out. */
+    /** Clears all failures. A delay that has already begun still applies until its end. */
     void reset() {
         failureCount = 0;
-        machineIds.clear();
+        failedMachineIds.clear();
     }
 }
--- a/src/main/java/org/shoreusher/core/cluster/Job.java
+++ b/src/main/java/org/shoreusher/core/cluster/Job.java
@@ -7,11 +7,11 @@
 import org.shoreusher.core.message.JobSpec;
 
 /**
- * The state of a job at the leader of its shard. Every task is pending, active or completed. A task
- * is named by its index, from 0 on.
+ * The state of a job at the leader of its shard. Every task is pending, active or completed. Tasks
+ * are identified by their index, starting at 0.
  */
 public final class Job {
-    /** A record index that stands for no record. */
+    /** Record index of a job or slice that has no record. */
     static final int NO_RECORD = -1;
 
     private final String id;
@@ -20,7 +20,7 @@
     private final BitSet completedTasks = new BitSet();
     private final BitSet durablyCompletedTasks = new BitSet();
 
-    /** Change it through {@link #setPending} only. */
+    /** Changed by {@link #setPending} and {@link #clearPending} only. */
     private final BitSet pendingTasks = new BitSet();
 
     /** The number of tasks in {@link #pendingTasks}. */
@@ -39,46 +39,46 @@
     private double observedRunSumS;
     private final FailureBackoff failures = new FailureBackoff();
 
-    /** A job without any pending task. */
+    /** Creates a job without pending tasks. */
     public Job(String id, JobSpec spec, long acceptedAtMs) {
         this.id = id;
         this.spec = spec;
         this.acceptedAtMs = acceptedAtMs;
     }
 
-    /** The user's id of the job. */
+    /** The id that the user chose for the job. */
     public String id() {
         return id;
     }
 
-    /** What the user asked for. */
+    /** The user's description of the job. */
     public JobSpec spec() {
         return spec;
     }
 
-    /** When the job was accepted: ms since the epoch, by the clock of the accepting node. */
+    /** When the job was accepted: ms since the Unix epoch, by the clock of the accepting node. */
     public long acceptedAtMs() {
         return acceptedAtMs;
     }
 
-    /** Tasks that the leader knows to be completed; a live view. */
+    /** Completed tasks, whether or not the store has recorded them; a live view. */
     public BitSet completedTasks() {
         return completedTasks;
     }
 
-    /** Completed tasks whose completion the store has recorded; a live view. */
+    /** Tasks whose completion is recorded in the store; a live view. */
     public BitSet durablyCompletedTasks() {
         return durablyCompletedTasks;
     }
 
-    /** Tasks that are to be started; a live view, not to be changed. */
+    /** Tasks waiting to be started; a live view that callers must not change. */
     public BitSet pendingTasks() {
         return pendingTasks;
     }
 
     /**
-     * The current attempt of each active task, by task index; a live view. Surplus attempts that
-     * are only being stopped are not in it.
+     * The current attempt of each active task, by task index; a live view. Does not contain surplus
+     * attempts, which are being stopped.
      */
     public Int2ObjectOpenHashMap<TaskAttempt> activeAttempts() {
         return activeAttempts;
@@ -86,23 +86,23 @@
 
     /** Machines on which a task of the job has failed; a live view. */
     public Set<String> failedMachineIds() {
-        return failures.machineIds();
+        return failures.failedMachineIds();
     }
 
-    /** The number of tasks that are to be started. */
+    /** The number of tasks waiting to be started. */
     public int pendingCount() {
         return pendingCount;
     }
 
     /**
      * The durable high-water mark: only tasks with a lower index may be started. A successor reads
-     * it from the store and so knows that no other task has ever been started.
+     * it from the store: no other task has ever been started.
      */
     public int highWaterMark() {
         return highWaterMark;
     }
 
-    /** Raises the durable high-water mark, never lowers it. */
+    /** Raises the durable high-water mark; a lower value has no effect. */
     public void raiseHighWaterMark(int mark) {
         highWaterMark = Math.max(highWaterMark, mark);
     }
@@ -112,7 +112,7 @@
         return highWaterMarkRecordIndex;
     }
 
-    /** Sets the record that holds the job's high-water mark. */
+    /** Sets the index of the record with the job's high-water mark. */
     public void setHighWaterMarkRecordIndex(int recordIndex) {
         highWaterMarkRecordIndex = recordIndex;
     }
@@ -122,18 +122,20 @@
         return completionRecordBySlice;
     }
 
-    /** Forgets the completion records of all slices, and sets the number of slices. */
+    /** Sets the number of slices; none of them has a completion record afterwards. */
     public void resetCompletionRecords(int sliceCount) {
         completionRecordBySlice = new int[sliceCount];
         Arrays.fill(completionRecordBySlice, NO_RECORD);
     }
 
-    /** Whether the job is terminal or belongs to another shard: none of its tasks may start. */
+    /**
+     * Whether the job is terminal or belongs to another shard; none of its tasks may be started.
+     */
     public boolean isClosed() {
         return closed;
     }
 
-    /** Closes the job for good. */
+    /** Closes the job permanently; see {@link #isClosed}. */
     public void close() {
         closed = true;
     }
@@ -143,14 +145,15 @@
         return terminalWriteInFlight;
     }
 
-    /** Notes whether a write of the terminal state awaits its reply. */
+    /** Sets whether a write of the terminal state awaits its reply. */
     public void setTerminalWriteInFlight(boolean inFlight) {
         terminalWriteInFlight = inFlight;
     }
 
     /**
-     * Whether the zones of the job's active tasks are not known yet. That is so for a job with a
-     * zone rule that was started under a previous leader, until all machines have sent a heartbeat.
+     * Whether the zones of the job's active tasks are not known yet. This is the case for a job
+     * with a zone constraint that was started by a previous leader, until all machines have sent a
+     * heartbeat.
      */
     public boolean hasUnknownTaskZones() {
         return taskZonesUnknown;
@@ -162,19 +165,19 @@
     }
 
     /**
-     * The zone that should get the larger half of the replicas, for a service that is spread across
-     * zones and has an odd number of them; null: any zone.
+     * The zone that should get the larger half of the replicas of a service that is spread across
+     * zones and has an odd number of replicas; null if any zone may get it.
      */
     public String largerHalfZone() {
         return largerHalfZone;
     }
 
-    /** Sets the zone that should get the larger half of the replicas; null: any zone. */
+    /** Sets the zone that should get the larger half of the replicas; null for any zone. */
     public void setLargerHalfZone(String zone) {
         largerHalfZone = zone;
     }
 
-    /** The number of starts that this leader has ordered or inherited. */
+    /** The number of starts ordered by this leader or inherited from a previous one. */
     public int startedCount() {
         return startedCount;
     }
@@ -184,7 +187,7 @@
         startedCount++;
     }
 
-    /** Makes no task pending. */
+    /** Marks all tasks as not pending. */
     public void clearPending() {
         pendingTasks.clear();
         pendingCount = 0;
@@ -198,12 +201,12 @@
         }
     }
 
-    /** Whether any task has ever been started, as far as this leader knows. */
+    /** Whether any task has been started, according to the state of this leader. */
     public boolean hasStarted() {
         return startedCount > 0 || !activeAttempts.isEmpty() || !completedTasks.isEmpty();
     }
 
-    /** Marks as pending every task from an index on that is neither completed nor active. */
+    /** Marks each task at or after an index as pending unless it is completed or active. */
     public void markPendingFrom(int firstTaskIndex) {
         for (int taskIndex = completedTasks.nextClearBit(firstTaskIndex);
                 taskIndex < spec.taskCount();
@@ -215,7 +218,7 @@
     }
 
     /**
-     * The lowest high-water mark under which the next {@code count} pending tasks may be started; 0
+     * The lowest high-water mark that allows the next {@code count} pending tasks to be started; 0
      * if no task is pending.
      */
     public int highWaterMarkForNext(int count) {
@@ -230,7 +233,7 @@
         return lastTaskIndex + 1;
     }
 
-    /** Records how long a completed task ran. */
+    /** Records the run time of a completed task, in seconds. */
     public void recordRunTime(double runTimeS) {
         observedRunCount++;
         observedRunSumS += runTimeS;
@@ -246,7 +249,7 @@
         return observedRunSumS / observedRunCount;
     }
 
-    /** Whether all tasks are completed. Never true of a service. */
+    /** Whether all tasks are completed; always false for a service. */
     public boolean isComplete() {
         return spec.workloadType().runsToCompletion()
                 && completedTasks.cardinality() >= spec.taskCount();
@@ -258,15 +261,17 @@
     }
 
     /**
-     * Records a failed attempt. While no task has completed, each further failure doubles the delay
-     * before the next start, up to {@link ClusterConstants#MAX_FAILURE_BACKOFF_MS}.
+     * Records a failed attempt. While no task has completed, the second failure delays the next
+     * start and each further one doubles the delay, up to {@link
+     * ClusterConstants#MAX_FAILURE_BACKOFF_MS}.
      */
     public void recordFailure(String machineId, long nowMs) {
-        failures.record(machineId, nowMs, completedTasks.isEmpty());
+        failures.recordFailure(machineId, nowMs, completedTasks.isEmpty());
     }
 
     /**
-     * Forgets all failures: a replica has run for long, so the cause was a machine or has passed.
+     * Clears all failures. Called when a replica has run for long, so that the cause was a machine
+     * or no longer exists.
      */
     public void resetFailures() {
         failures.reset();
@@ -277,6 +282,6 @@
      * has completed.
      */
     public boolean isSuspectedFaulty() {
-        return completedTasks.isEmpty() && failures.machineIds().size() > 1;
+        return completedTasks.isEmpty() && failures.failedMachineIds().size() > 1;
     }
 }
--- a/src/main/java/org/shoreusher/core/cluster/Machine.java
+++ b/src/main/java/org/shoreusher/core/cluster/Machine.java
@@ -10,26 +10,26 @@
 import org.shoreusher.core.message.MachineType;
 import org.shoreusher.core.message.WorkerHeartbeat;
 
-/** What the leader of a shard knows of one machine of that shard. */
+/** The state of a machine at the leader of its shard. */
 public final class Machine {
     /**
-     * The stages of a machine's life; a machine only ever moves to a later one, except that a
-     * refused termination of an idle machine brings it back to {@link #UP}.
+     * The lifecycle states. A machine only moves to a later state, except that a rejected
+     * termination of an idle machine returns it to {@link #UP}.
      */
     public enum State {
         /** Provisioned; its worker has sent no heartbeat to this leader yet. */
         BOOTING,
         /** Its worker has sent a heartbeat to this leader. */
         UP,
-        /** Its handover to another shard is being written to the store and is not confirmed yet. */
+        /** Its handover to another shard is being written to the store, not confirmed yet. */
         HANDING_OVER,
-        /** No task is started on it any more; it is terminated once empty. */
+        /** No new task is started on it, and it is terminated once it has no tasks. */
         DRAINING,
-        /** Its termination has been requested from the cloud and is not confirmed yet. */
+        /** Its termination has been requested from the cloud, not confirmed yet. */
         TERMINATING
     }
 
-    /** Value of {@link #idleSinceMs} while it is not known that the machine is idle. */
+    /** Value of {@link #idleSinceMs} while no heartbeat has shown the machine to be idle. */
     private static final long NOT_KNOWN_IDLE_MS = -1;
 
     private final String id;
@@ -42,10 +42,10 @@
     private final RelativeRunTime relativeRunTime = new RelativeRunTime();
     private State state = State.BOOTING;
 
-    /** Whether it is drained only because it was idle. */
+    /** Whether it is being drained only because it was idle. */
     private boolean drainedAsIdle;
 
-    /** Whether a termination request without an answer may still take effect. */
+    /** Whether a termination request without a reply may still take effect. */
     private boolean terminationOutcomeUnknown;
 
     private int handoverTargetShard;
@@ -53,7 +53,7 @@
     private boolean mayHaveRunTasks;
     private boolean hasDurableUseRecord;
 
-    /** Monotonic ms since which heartbeats have listed no task. */
+    /** Monotonic ms; start of the time in which heartbeats have listed no task. */
     private long idleSinceMs = NOT_KNOWN_IDLE_MS;
 
     private final Object2ObjectOpenHashMap<String, TaskAttempt> tasks =
@@ -71,17 +71,17 @@
         resources = new MachineResources(type);
     }
 
-    /** The cloud's name of the machine; never used again for another one. */
+    /** The id that the cloud assigned; never reused for another machine. */
     public String id() {
         return id;
     }
 
-    /** The type of the machine. */
+    /** The machine type, with its capacity and prices. */
     public MachineType type() {
         return type;
     }
 
-    /** The zone that the machine is in. */
+    /** The availability zone of the machine. */
     public String zone() {
         return zone;
     }
@@ -91,12 +91,12 @@
         return spot;
     }
 
-    /** Wall-clock ms at which it was requested, or by its age in the cloud's list. */
+    /** Wall-clock ms at which it was requested, or as computed from its age in the cloud's list. */
     public long provisionedWallMs() {
         return provisionedWallMs;
     }
 
-    /** What is known of its worker: heartbeats, lease and delivery of replies. */
+    /** The connection to its worker: heartbeats, lease and delivery of responses. */
     public WorkerConnection worker() {
         return worker;
     }
@@ -106,49 +106,47 @@
         return resources;
     }
 
-    // ---- life --------------------------------------------------------------------------------
-
-    /** The stage of the machine's life. */
+    /** The lifecycle state. */
     public State state() {
         return state;
     }
 
-    /** Stops starting tasks on it for good; only a machine that is booting or up is drained. */
+    /** Stops starting tasks on it permanently; the machine must be booting or up. */
     public void drain() {
         requireState(State.BOOTING, State.UP);
         state = State.DRAINING;
     }
 
-    /** Drains it because it was idle; a refused termination then makes it usable again. */
+    /** Drains it because it was idle; a rejected termination makes it usable again. */
     public void drainAsIdle() {
         requireState(State.UP);
         state = State.DRAINING;
         drainedAsIdle = true;
     }
 
-    /** Starts its handover to another shard. */
+    /** Begins its handover to another shard; the machine must be up. */
     public void beginHandover(int targetShard) {
         requireState(State.UP);
         state = State.HANDING_OVER;
         handoverTargetShard = targetShard;
     }
 
-    /** Notes that its termination is being requested, possibly not for the first time. */
+    /** Begins or repeats its termination; the machine must be draining or terminating. */
     public void beginTermination() {
         requireState(State.DRAINING, State.TERMINATING);
         state = State.TERMINATING;
     }
 
     /**
-     * Notes that a termination was not confirmed. A machine that was drained only because it was
-     * idle becomes usable again if this request and all earlier ones were refused for certain:
-     * otherwise tasks would wait during an outage of the cloud's API beside machines that wait for
-     * their termination.
+     * Handles a termination that was not confirmed. A machine that was drained only because it was
+     * idle becomes usable again if this request and all earlier ones were certainly rejected.
+     * Otherwise, during an outage of the cloud's API, tasks would remain pending although idle
+     * machines that await termination could run them.
      *
-     * @param certainlyRefused whether the cloud certainly did nothing
+     * @param certainlyRejected whether the cloud has certainly not carried out the request
      */
-    public void handleUnconfirmedTermination(boolean certainlyRefused) {
-        terminationOutcomeUnknown |= !certainlyRefused;
+    public void handleUnconfirmedTermination(boolean certainlyRejected) {
+        terminationOutcomeUnknown |= !certainlyRejected;
         if (drainedAsIdle && !terminationOutcomeUnknown) {
             state = State.UP;
             drainedAsIdle = false;
@@ -158,54 +156,52 @@
     private void requireState(State... allowed) {
         if (!List.of(allowed).contains(state)) {
             throw new IllegalStateException(
-                    "machine " + id + " is " + state + ", expected one of " + List.of(allowed));
+                    "state of machine " + id + " is " + state + ", expected " + List.of(allowed));
         }
     }
 
-    /** Whether it gets no more tasks, to be handed over to another shard once it is empty. */
+    /** Whether it gets no new tasks and is to be handed over to another shard once empty. */
     public boolean isEvacuating() {
         return evacuating;
     }
 
-    /** Starts or ends the evacuation. */
+    /** Begins or ends the evacuation; see {@link #isEvacuating}. */
     public void setEvacuating(boolean evacuating) {
         this.evacuating = evacuating;
     }
 
-    /** Number of the shard it is handed over to; valid in state {@link State#HANDING_OVER}. */
+    /** The number of the shard it is handed over to; valid only in {@link State#HANDING_OVER}. */
     public int handoverTargetShard() {
         return handoverTargetShard;
     }
 
-    // ---- use ---------------------------------------------------------------------------------
-
-    /** Whether any leader may have started tasks on it; never false again once true. */
+    /** Whether any leader may have started tasks on it; stays true once it is true. */
     public boolean mayHaveRunTasks() {
         return mayHaveRunTasks;
     }
 
-    /** Notes that tasks may be started on it from now on. */
+    /** Records that tasks may be started on it from now on. */
     public void markUsed() {
         mayHaveRunTasks = true;
     }
 
-    /** Sets what its record says about its use under previous leaders. */
+    /** Sets whether previous leaders may have started tasks on it, as read from its record. */
     public void loadUse(boolean recordedAsUsed) {
         mayHaveRunTasks = recordedAsUsed;
         hasDurableUseRecord = recordedAsUsed;
     }
 
-    /** Whether its record in the store says that it may have run tasks. No task starts before. */
+    /** Whether the store has recorded that it may have run tasks; a condition for any start. */
     public boolean hasDurableUseRecord() {
         return hasDurableUseRecord;
     }
 
-    /** Sets what its record in the store says. */
+    /** Sets whether the store has recorded that it may have run tasks. */
     public void setDurableUseRecord(boolean durable) {
         hasDurableUseRecord = durable;
     }
 
-    /** Takes over a heartbeat that is newer than all others; a booting machine is up from then. */
+    /** Applies a heartbeat that is newer than all previous ones; a booting machine becomes up. */
     public void applyHeartbeat(WorkerHeartbeat heartbeat, long nowMs) {
         worker.applyHeartbeat(heartbeat, nowMs);
         if (state == State.BOOTING) {
@@ -213,8 +209,6 @@
         }
     }
 
-    // ---- tasks -------------------------------------------------------------------------------
-
     /**
      * The attempts that are or may be on it, by {@link #taskKey}; a live view. Only {@link
      * ResourceLedger} adds and removes them.
@@ -223,7 +217,7 @@
         return tasks;
     }
 
-    /** Returns a copy of the tasks, for callers that add or remove some while they iterate. */
+    /** Returns a copy of the attempts, for callers that add or remove some while they iterate. */
     public List<TaskAttempt> snapshotTasks() {
         return new ArrayList<>(tasks.values());
     }
@@ -233,7 +227,7 @@
         return tasks.isEmpty() && resources.reservedTaskCount() == 0;
     }
 
-    /** Whether a heartbeat has shown that it has no tasks, since it last had some. */
+    /** Whether a heartbeat has shown that it is idle since it last had tasks. */
     public boolean isIdleTimeKnown() {
         return idleSinceMs != NOT_KNOWN_IDLE_MS;
     }
@@ -243,7 +237,7 @@
         return nowMs - idleSinceMs;
     }
 
-    /** Notes when heartbeats began to list no task; a machine with tasks is not idle. */
+    /** Starts the idle time after a heartbeat, unless it has started or the machine has tasks. */
     public void updateIdleSince(long nowMs) {
         if (!tasks.isEmpty()) {
             idleSinceMs = NOT_KNOWN_IDLE_MS;
@@ -252,28 +246,28 @@
         }
     }
 
-    /** Container images of tasks that ran on it; most likely in its cache still. */
+    /** Container images of tasks that ran on it, which are most likely still in its cache. */
     public Set<String> cachedImages() {
         return cachedImages;
     }
 
-    /** Jobs of which a task failed on it since a task last succeeded on it; a live view. */
+    /** Ids of jobs with a failed task on it since the last successful task on it; a live view. */
     public Set<String> failedJobIds() {
         return failedJobIds;
     }
 
-    /** Records that a task took so many times the mean run time of its job's finished tasks. */
+    /** Records a task's run time, divided by the mean run time of its job's completed tasks. */
     public void recordRunTime(double ratioToMean) {
         relativeRunTime.record(ratioToMean);
     }
 
-    /** Whether its tasks take so much longer than elsewhere that it should get no more of them. */
+    /** Whether its tasks take so much longer than elsewhere that it should get no new ones. */
     public boolean isSlow() {
         return relativeRunTime.isSlow();
     }
 
-    /** Adds an attempt with the resources that it uses. Called by the ledger only. */
-    void addTask(TaskAttempt attempt) {
+    /** Adds an attempt and uses its resources. Called by {@link ResourceLedger} only. */
+    void addAttempt(TaskAttempt attempt) {
         JobSpec spec = attempt.job().spec();
         tasks.put(taskKey(attempt.job().id(), attempt.taskIndex()), attempt);
         resources.use(spec);
@@ -281,8 +275,8 @@
         idleSinceMs = NOT_KNOWN_IDLE_MS;
     }
 
-    /** Removes an attempt; returns whether it was there. Called by the ledger only. */
-    boolean removeTask(TaskAttempt attempt) {
+    /** Removes an attempt if it is present; returns whether it was. See {@link ResourceLedger}. */
+    boolean removeAttempt(TaskAttempt attempt) {
         if (!tasks.remove(taskKey(attempt.job().id(), attempt.taskIndex()), attempt)) {
             return false;
         }
@@ -290,7 +284,7 @@
         return true;
     }
 
-    /** The key of a task in {@link #tasks}: job and array index. */
+    /** Returns the key of a task in {@link #tasks}: JOB_ID/INDEX. */
     public static String taskKey(String jobId, int index) {
         return jobId + "/" + index;
     }
--- a/src/main/java/org/shoreusher/core/cluster/MachineResources.java
+++ b/src/main/java/org/shoreusher/core/cluster/MachineResources.java
@@ -3,14 +3,14 @@
 import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.core.message.MachineType;
 
-/** The CPUs, GPUs and GB of memory of one machine: which are used, reserved and free. */
+/** The CPUs, GPUs and GB of memory of one machine: used, reserved and free amounts. */
 public final class MachineResources {
     private final MachineType type;
     private double cpusUsed;
     private double gpusUsed;
     private double memGbUsed;
 
-    /** Tasks for which the capacity below is reserved. */
+    /** Number of tasks that the reserved amounts below are for. */
     private int reservedTaskCount;
 
     private double cpusReserved;
@@ -22,7 +22,7 @@
         this.type = type;
     }
 
-    /** Uses the resources of one task. */
+    /** Adds the resources of one task to those in use. */
     void use(JobSpec spec) {
         cpusUsed += spec.cpus();
         gpusUsed += spec.gpus();
@@ -32,7 +32,8 @@
     /**
      * Releases the resources of one task.
      *
-     * @param isLast whether no task is left; the sums are then exactly 0 again
+     * @param isLast whether no task is left; the sums are then reset to exactly 0, without rounding
+     *     errors
      */
     void release(JobSpec spec, boolean isLast) {
         cpusUsed = isLast ? 0 : cpusUsed - spec.cpus();
@@ -40,7 +41,7 @@
         memGbUsed = isLast ? 0 : memGbUsed - spec.memGb();
     }
 
-    /** Reserves capacity for so many tasks that migrate here; a negative number releases it. */
+    /** Reserves capacity for a number of tasks that migrate here; a negative number releases it. */
     public void reserve(JobSpec spec, int taskCount) {
         reservedTaskCount += taskCount;
         cpusReserved = reservedTaskCount == 0 ? 0 : cpusReserved + taskCount * spec.cpus();
@@ -48,12 +49,12 @@
         memGbReserved = reservedTaskCount == 0 ? 0 : memGbReserved + taskCount * spec.memGb();
     }
 
-    /** Tasks on their way here by task migration, for which capacity is reserved. */
+    /** Number of tasks that are migrating here and for which capacity is reserved. */
     public int reservedTaskCount() {
         return reservedTaskCount;
     }
 
-    /** CPUs that the tasks on the machine occupy. */
+    /** CPUs used by the tasks on the machine, reservations excluded. */
     public double cpusUsed() {
         return cpusUsed;
     }
--- a/src/main/java/org/shoreusher/core/cluster/RelativeRunTime.java
+++ b/src/main/java/org/shoreusher/core/cluster/RelativeRunTime.java
@@ -1,14 +1,14 @@
 package org.shoreusher.core.cluster;
 
 /**
- * How slow a machine is: the moving average of its tasks' run times, each divided by the mean run
- * time of its job.
+ * The slowdown of a machine: the moving average of its tasks' run times, each divided by the mean
+ * run time of its job.
  */
 final class RelativeRunTime {
     private double average = 1;
     private int sampleCount;
 
-    /** Records that a task took so many times the mean run time of its job. */
+    /** Records a task's run time, divided by the mean run time of its job. */
     void record(double ratioToMean) {
         average =
                 sampleCount == 0
--- a/src/main/java/org/shoreusher/core/cluster/ResourceLedger.java
+++ b/src/main/java/org/shoreusher/core/cluster/ResourceLedger.java
@@ -11,12 +11,12 @@
  * {@link #remove} makes an active task pending again.
  */
 public final class ResourceLedger {
-    /** Is told of every attempt that is added or removed. */
+    /** Is notified of every attempt that is added or removed. */
     public interface Listener {
-        /** The attempt is or may be on its machine from now on. */
+        /** Called when the attempt is or may be on its machine from now on. */
         void attemptAdded(TaskAttempt attempt);
 
-        /** The attempt is certainly no longer on its machine. */
+        /** Called when the attempt is certainly no longer on its machine. */
         void attemptRemoved(TaskAttempt attempt);
     }
 
@@ -26,11 +26,13 @@
     private final Object2DoubleOpenHashMap<String> usedGpusByTeam =
             new Object2DoubleOpenHashMap<>();
 
-    /** CPUs by team of tasks that a previous leader has started; see {@link #recordInherited}. */
-    private final Object2DoubleOpenHashMap<String> inheritedCpus = new Object2DoubleOpenHashMap<>();
+    /** CPUs by team of tasks that a previous leader started; see {@link #recordInherited}. */
+    private final Object2DoubleOpenHashMap<String> inheritedCpusByTeam =
+            new Object2DoubleOpenHashMap<>();
 
-    /** GPUs by team, likewise. */
-    private final Object2DoubleOpenHashMap<String> inheritedGpus = new Object2DoubleOpenHashMap<>();
+    /** GPUs by team of the same tasks. */
+    private final Object2DoubleOpenHashMap<String> inheritedGpusByTeam =
+            new Object2DoubleOpenHashMap<>();
 
     /** Adds a listener; listeners are called in the order in which they were added. */
     public void addListener(Listener listener) {
@@ -38,44 +40,44 @@
     }
 
     /**
-     * Charges one task to its team's usage while it is on no machine, such as during a migration.
+     * Adds one task to its team's usage while it is on no machine, for example during a migration.
      */
     public void reserve(JobSpec spec) {
         usedCpusByTeam.addTo(spec.team(), spec.cpus());
         usedGpusByTeam.addTo(spec.team(), spec.gpus());
     }
 
-    /** Undoes {@link #reserve}. */
+    /** Subtracts a task that {@link #reserve} has added. */
     public void release(JobSpec spec) {
         usedCpusByTeam.addTo(spec.team(), -spec.cpus());
         usedGpusByTeam.addTo(spec.team(), -spec.gpus());
     }
 
     /**
-     * Counts an attempt that a previous leader has started and that the machine's first heartbeat
-     * to this leader shows.
+     * Counts an attempt that a previous leader started and that is listed in the machine's first
+     * heartbeat to this leader.
      */
     public void recordInherited(TaskAttempt attempt) {
-        inheritedCpus.addTo(attempt.job().spec().team(), attempt.job().spec().cpus());
-        inheritedGpus.addTo(attempt.job().spec().team(), attempt.job().spec().gpus());
+        inheritedCpusByTeam.addTo(attempt.job().spec().team(), attempt.job().spec().cpus());
+        inheritedGpusByTeam.addTo(attempt.job().spec().team(), attempt.job().spec().gpus());
     }
 
     /** CPUs of the team's tasks that were found on machines after the failover. */
     public double inheritedCpus(String team) {
-        return inheritedCpus.getDouble(team);
+        return inheritedCpusByTeam.getDouble(team);
     }
 
     /** GPUs of the team's tasks that were found on machines after the failover. */
     public double inheritedGpus(String team) {
-        return inheritedGpus.getDouble(team);
+        return inheritedGpusByTeam.getDouble(team);
     }
 
-    /** CPUs that the team's tasks use. */
+    /** CPUs used by the team's tasks, reservations included. */
     public double usedCpus(String team) {
         return usedCpusByTeam.getDouble(team);
     }
 
-    /** GPUs that the team's tasks use. */
+    /** GPUs used by the team's tasks, reservations included. */
     public double usedGpus(String team) {
         return usedGpusByTeam.getDouble(team);
     }
@@ -83,12 +85,12 @@
     /**
      * Adds an attempt that is or may be on its machine from now on.
      *
-     * @param assignedToJob whether it is the task's current attempt; false: a surplus one, to be
-     *     stopped
+     * @param assignedToJob true if it is the task's current attempt; false if it is a surplus one
+     *     that must be stopped
      */
     public void add(TaskAttempt attempt, boolean assignedToJob) {
         JobSpec spec = attempt.job().spec();
-        attempt.machine().addTask(attempt);
+        attempt.machine().addAttempt(attempt);
         reserve(spec);
         if (assignedToJob) {
             attempt.job().activeAttempts().put(attempt.taskIndex(), attempt);
@@ -98,14 +100,14 @@
     }
 
     /**
-     * Removes an attempt that is certainly no longer on its machine. The task is pending again
-     * unless it has completed. This is also safe during reconciliation: a task is on at most one
-     * machine, so a task that was seen on this machine is on none that has not yet sent a
-     * heartbeat.
+     * Removes an attempt that is certainly no longer on its machine. The task becomes pending again
+     * unless it is completed or its job is closed. This is also safe during reconciliation: a task
+     * is on at most one machine, so a task that this machine has reported can't be on a machine
+     * whose heartbeat is still missing.
      */
     public void remove(TaskAttempt attempt) {
         JobSpec spec = attempt.job().spec();
-        if (!attempt.machine().removeTask(attempt)) {
+        if (!attempt.machine().removeAttempt(attempt)) {
             return;
         }
         release(spec);
--- a/src/main/java/org/shoreusher/core/cluster/ShardContext.java
+++ b/src/main/java/org/shoreusher/core/cluster/ShardContext.java
@@ -6,11 +6,11 @@
 import org.shoreusher.settings.Settings;
 
 /**
- * What the collaborators of one shard share.
+ * The objects that the collaborators of one shard share.
  *
  * @param node the collaborators that all classes of the node share
  * @param state the shard's jobs and machines
- * @param authority what this node, as the shard's leader, may do at present
+ * @param authority the checks of what this node may currently do as the shard's leader
  */
 public record ShardContext(NodeContext node, ShardState state, ShardAuthority authority) {
     /** The deployment's settings. */
--- a/src/main/java/org/shoreusher/core/cluster/ShardState.java
+++ b/src/main/java/org/shoreusher/core/cluster/ShardState.java
@@ -8,7 +8,7 @@
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.settings.Settings;
 
-/** The open jobs and the machines of one shard, as its leader knows them. */
+/** The open jobs and the machines of one shard, as known to its leader. */
 public final class ShardState {
     private final int shardNumber;
     private final int shardCount;
@@ -34,17 +34,17 @@
         this.outbox = outbox;
     }
 
-    /** The shard's number. */
+    /** The shard's number, from 0 on. */
     public int shardNumber() {
         return shardNumber;
     }
 
-    /** The number of shards. */
+    /** The number of all shards of the deployment. */
     public int shardCount() {
         return shardCount;
     }
 
-    /** The open jobs by id, in the order in which they became known; a live view. */
+    /** The open jobs by id, in the order in which they were added; a live view. */
     public Map<String, Job> jobs() {
         return jobs;
     }
@@ -54,25 +54,27 @@
         return machines;
     }
 
-    /** Books the resources of all tasks that are or may be on machines. */
+    /** Accounts for the resources of all tasks that are or may be on machines. */
     public ResourceLedger resourceLedger() {
         return resourceLedger;
     }
 
-    /** Sets who is told the id of each machine that is removed. */
+    /**
+     * Sets the listener that receives the id of each removed machine; replaces the previous one.
+     */
     public void setMachineRemovalListener(Consumer<String> listener) {
         machineRemovalListener = listener;
     }
 
-    /** Forgets a machine that is gone or belongs to another shard. */
+    /** Removes a machine that no longer exists or belongs to another shard. */
     public void removeMachine(String machineId) {
         machines.remove(machineId);
         machineRemovalListener.accept(machineId);
     }
 
     /**
-     * Returns whether a machine may be given new tasks: it sends heartbeats, receives its orders,
-     * and is neither reserved for another shard nor under an interruption notice.
+     * Returns whether new tasks may be started on a machine: it sends heartbeats, receives its
+     * orders, is not evacuated for another shard and has no interruption notice.
      */
     public boolean isAvailable(Machine machine) {
         return machine.state() == Machine.State.UP
@@ -86,22 +88,22 @@
 
     /**
      * Returns whether a machine is available, or will be as soon as it has booted. A booting
-     * machine that a previous leader used may hold tasks or be unreachable; it does not count until
-     * it is reconciled.
+     * machine that a previous leader used may have tasks or be unreachable, so it is not available
+     * until it is reconciled.
      */
     public boolean isAvailableOrBooting(Machine machine) {
         return isAvailable(machine)
                 || (machine.state() == Machine.State.BOOTING && !machine.mayHaveRunTasks());
     }
 
-    /** The time in ms after its last heartbeat from which a machine counts as unresponsive. */
+    /** Time in ms after its last heartbeat from which a machine is unresponsive. */
     public double heartbeatTimeoutMs() {
         return settings.heartbeatIntervalS()
                 * 1000
                 * ClusterConstants.UNRESPONSIVE_HEARTBEAT_INTERVALS;
     }
 
-    /** Returns the CPUs of all running machines. */
+    /** Returns the total CPUs of all machines that are up, in use or not. */
     public double totalCpus() {
         double totalCpus = 0;
         for (Machine machine : machines.values()) {
--- a/src/main/java/org/shoreusher/core/cluster/TaskAttempt.java
+++ b/src/main/java/org/shoreusher/core/cluster/TaskAttempt.java
@@ -2,11 +2,11 @@
 
 /** One attempt to run a task: the task is or may be on the attempt's machine. */
 public final class TaskAttempt {
-    /** How far the attempt has come, by the machine's last heartbeat. */
+    /** The progress of the attempt according to the machine's newest heartbeat. */
     public enum State {
-        /** The start was ordered; the next heartbeat shows whether the machine carried it out. */
+        /** The start was ordered; the next heartbeat shows whether the worker carried it out. */
         START_ORDERED,
-        /** The machine is fetching the image. */
+        /** The worker is fetching the image or the input. */
         FETCHING,
         /** The task is running. */
         RUNNING,
@@ -29,7 +29,7 @@
     private long runningSinceMs = NOT_RUNNING_MS;
     private long lastStopOrderMs = NEVER_MS;
 
-    /** An attempt that is neither stopped nor evicted. */
+    /** Creates an attempt that is not being stopped or evicted. */
     public TaskAttempt(
             Job job,
             int taskIndex,
@@ -45,40 +45,40 @@
         this.createdMs = createdMs;
     }
 
-    /** The task's job. */
+    /** The job that the task belongs to. */
     public Job job() {
         return job;
     }
 
-    /** The task's index in its job. */
+    /** The task's index in its job, from 0. */
     public int taskIndex() {
         return taskIndex;
     }
 
     /**
-     * A number that no other attempt of the shard has: the leader's fencing token in the high bits,
-     * a counter in the low ones.
+     * The number that is unique among all attempts of the shard: the leader's fencing token in the
+     * high bits, a counter in the low {@link ClusterConstants#ATTEMPT_SEQUENCE_BITS} bits.
      */
     public long attemptNumber() {
         return attemptNumber;
     }
 
-    /** The machine that the attempt is on. */
+    /** The machine that the attempt is or may be on. */
     public Machine machine() {
         return machine;
     }
 
-    /** When this leader ordered the start, or first learned of the attempt; monotonic ms. */
+    /** When this leader ordered the start or first recorded the attempt; monotonic ms. */
     public long createdMs() {
         return createdMs;
     }
 
-    /** How far the attempt has come. */
+    /** The state according to the newest heartbeat. */
     public State state() {
         return state;
     }
 
-    /** Notes how far the attempt has come by the newest heartbeat. */
+    /** Sets the state according to the newest heartbeat, received at a monotonic time in ms. */
     public void observe(State observedState, long nowMs) {
         state = observedState;
         if (state == State.RUNNING && !hasRun()) {
@@ -87,14 +87,14 @@
     }
 
     /**
-     * Whether the attempt is to be stopped without a checkpoint: its job was cancelled or is not
-     * known, or the task has completed on another machine.
+     * Whether the attempt must be stopped without a checkpoint: its job was cancelled or is
+     * unknown, or the task has completed on another machine.
      */
     public boolean mustStop() {
         return mustStop;
     }
 
-    /** Has the attempt stopped without a checkpoint, from now on with every reply. */
+    /** Orders the stop, without a checkpoint, in every heartbeat response from now on. */
     public void requireStop() {
         mustStop = true;
     }
@@ -104,42 +104,42 @@
         return beingEvicted;
     }
 
-    /** Has the attempt evicted gracefully; the task is pending again once it has exited. */
+    /** Begins a graceful eviction; the task becomes pending again once it has exited. */
     public void evict() {
         beingEvicted = true;
     }
 
-    /** Whether the machine has reported a checkpoint when the task was stopped. */
+    /** Whether the worker has reported that a checkpoint was written when the task was stopped. */
     public boolean isCheckpointed() {
         return checkpointed;
     }
 
-    /** Notes whether a checkpoint was written when the task was stopped. */
+    /** Sets whether a checkpoint was written when the task was stopped. */
     public void setCheckpointed(boolean written) {
         checkpointed = written;
     }
 
-    /** Whether a heartbeat has shown the task running. */
+    /** Whether a heartbeat has listed the task as running. */
     public boolean hasRun() {
         return runningSinceMs != NOT_RUNNING_MS;
     }
 
-    /** Time in ms since a heartbeat first showed the task running; very long if none has. */
+    /** Time in ms since a heartbeat first listed the task as running; very long if none has. */
     public long runningMs(long nowMs) {
         return nowMs - runningSinceMs;
     }
 
-    /** When a heartbeat first showed the task running, monotonic ms; before all others if none. */
+    /** When a heartbeat first listed the task as running, monotonic ms; -1 if none has. */
     public long runningSinceMs() {
         return runningSinceMs;
     }
 
-    /** When the last direct stop order was sent, monotonic ms; long ago if none was. */
+    /** When the last direct stop order was sent, monotonic ms; far in the past if none was. */
     public long lastStopOrderMs() {
         return lastStopOrderMs;
     }
 
-    /** Notes that a direct stop order is sent. */
+    /** Records that a direct stop order is sent. */
     public void recordStopOrder(long nowMs) {
         lastStopOrderMs = nowMs;
     }
--- a/src/main/java/org/shoreusher/core/cluster/WorkerConnection.java
+++ b/src/main/java/org/shoreusher/core/cluster/WorkerConnection.java
@@ -4,8 +4,8 @@
 import org.shoreusher.settings.Settings;
 
 /**
- * What the leader of a shard knows of the worker on one machine: its newest heartbeat, its lease,
- * and whether replies reach it. Times are monotonic ms.
+ * The leader's state of the worker on one machine: its newest heartbeat, its lease, and whether
+ * responses reach it. Times are monotonic ms.
  */
 public final class WorkerConnection {
     private static final long NEVER_MS = Long.MIN_VALUE / 2;
@@ -21,19 +21,19 @@
     private long leaseRenewedAtMs;
     private long previousLeaderRenewalAtMs;
     private long lastExpiredIncarnation;
-    private long lastReplyAtMs = NEVER_MS;
+    private long lastResponseAtMs = NEVER_MS;
 
-    /** Replies in a row that seem not to have reached the worker. */
-    private int unacknowledgedReplies;
+    /** Consecutive responses that the worker has apparently not received. */
+    private int unacknowledgedResponses;
 
-    // ---- heartbeats --------------------------------------------------------------------------
-
-    /** Address of the worker, from the newest heartbeat; null before the first. */
+    /** Address of the worker from the newest heartbeat; null before the first heartbeat. */
     public String address() {
         return address;
     }
 
-    /** The worker's incarnation in the newest heartbeat. A new one starts with no tasks. */
+    /**
+     * The worker's incarnation in the newest heartbeat. A new incarnation has no tasks at first.
+     */
     public long incarnation() {
         return incarnation;
     }
@@ -43,12 +43,12 @@
         return sequenceNumber;
     }
 
-    /** When this leader received the newest heartbeat; long ago if it received none. */
+    /** When this leader received the newest heartbeat; far in the past if it received none. */
     public long lastHeartbeatAtMs() {
         return lastHeartbeatAtMs;
     }
 
-    /** Tasks in the newest heartbeat, exited ones included. */
+    /** Number of tasks in the newest heartbeat, exited ones included. */
     public int reportedTaskCount() {
         return reportedTaskCount;
     }
@@ -58,12 +58,12 @@
         return !Double.isNaN(interruptionNoticeS);
     }
 
-    /** Seconds until the cloud reclaims it, as of the newest heartbeat; NaN without notice. */
+    /** Seconds from the newest heartbeat until the cloud reclaims the machine; NaN if no notice. */
     public double interruptionNoticeS() {
         return interruptionNoticeS;
     }
 
-    /** Takes over a heartbeat that is newer than all others. */
+    /** Applies a heartbeat that is newer than all previous ones. */
     void applyHeartbeat(WorkerHeartbeat heartbeat, long nowMs) {
         recordHeartbeatOrder(heartbeat.incarnation(), heartbeat.sequenceNumber());
         address = heartbeat.address();
@@ -73,23 +73,25 @@
         reportedTaskCount = heartbeat.tasks().size();
     }
 
-    /** Notes the newest heartbeat's place in the order of heartbeats, and nothing else of it. */
+    /**
+     * Records the incarnation and sequence number of the newest heartbeat, and nothing else of it.
+     */
     public void recordHeartbeatOrder(long newestIncarnation, long newestSequenceNumber) {
         incarnation = newestIncarnation;
         sequenceNumber = newestSequenceNumber;
     }
 
     /**
-     * Whether this leader has accepted a heartbeat of the worker, so that its task list replaces
-     * what was inferred from the store.
+     * Whether this leader has accepted a heartbeat of the worker, whose task list replaces the
+     * state that was inferred from the store.
      */
     public boolean isReconciled() {
         return reconciled;
     }
 
     /**
-     * Whether a previous leader may have started tasks on the machine. Then only a heartbeat made
-     * after the failover reconciles it.
+     * Whether a previous leader may have started tasks on the machine. If so, only a heartbeat that
+     * was created after the failover reconciles it.
      */
     public boolean wasUsedByPreviousLeader() {
         return usedByPreviousLeader;
@@ -100,24 +102,22 @@
         usedByPreviousLeader = used;
     }
 
-    // ---- lease -------------------------------------------------------------------------------
-
     /**
-     * The latest moment at which a reply, of this leader or a previous one, may have renewed the
-     * worker's lease. The lease expires one worker lease after it.
+     * The latest time at which a response of this or a previous leader may have renewed the
+     * worker's lease. The lease expires one worker lease duration later.
      */
     public long leaseRenewedAtMs() {
         return leaseRenewedAtMs;
     }
 
-    /** The latest moment at which a previous leader may have renewed the lease. */
+    /** The latest time at which a previous leader may have renewed the lease. */
     public long previousLeaderRenewalAtMs() {
         return previousLeaderRenewalAtMs;
     }
 
     /**
-     * Newest incarnation of the worker whose lease has expired. A heartbeat of this incarnation or
-     * an older one arrives late and lists tasks that no longer run.
+     * The worker's newest incarnation whose lease has expired. A heartbeat of this or an older
+     * incarnation has been delayed and lists tasks that no longer run.
      */
     public long lastExpiredIncarnation() {
         return lastExpiredIncarnation;
@@ -128,64 +128,63 @@
         leaseRenewedAtMs = nowMs;
     }
 
-    /** Sets until when a previous leader may have renewed the worker's lease. */
+    /** Sets the latest time at which a previous leader may have renewed the worker's lease. */
     public void inheritLease(long renewalBoundMs) {
         leaseRenewedAtMs = renewalBoundMs;
         previousLeaderRenewalAtMs = renewalBoundMs;
     }
 
-    /** Notes that the lease may have been renewed until a moment, at the earliest. */
+    /** Records that the lease may have been renewed as late as a time; never moves it back. */
     public void extendLeaseTo(long renewedAtMs) {
         leaseRenewedAtMs = Math.max(leaseRenewedAtMs, renewedAtMs);
     }
 
-    /** Notes that the lease of the worker's present incarnation has expired. */
+    /** Records that the lease of the worker's current incarnation has expired. */
     public void expireIncarnation() {
         lastExpiredIncarnation = incarnation;
     }
 
-    // ---- delivery of replies -----------------------------------------------------------------
-
-    /** Notes a reply of this leader, which renews the worker's lease. */
+    /** Records a response of this leader, which renews the worker's lease. */
     public void recordReply(long nowMs) {
-        lastReplyAtMs = nowMs;
+        lastResponseAtMs = nowMs;
         leaseRenewedAtMs = nowMs;
     }
 
     /**
-     * Infers from a new heartbeat whether the reply to the previous one reached the worker. A
-     * worker without a reply waits for its timeout and tries other nodes before it comes back, and
-     * in the end its incarnation ends although the replies were sent in time. To be called before
-     * the heartbeat's incarnation is taken over.
+     * Infers from a new heartbeat whether the response to the previous one reached the worker. A
+     * worker without a response waits for its timeout and tries other nodes before it contacts this
+     * one again, and eventually its incarnation ends although the responses were sent in time. Must
+     * be called before the heartbeat is applied.
      */
     public void inferReplyDelivery(WorkerHeartbeat heartbeat, long nowMs, Settings settings) {
-        if (lastReplyAtMs == NEVER_MS) {
+        if (lastResponseAtMs == NEVER_MS) {
             return;
         }
-        long sinceReplyMs = nowMs - lastReplyAtMs;
+        long sinceResponseMs = nowMs - lastResponseAtMs;
         boolean hasNewIncarnation = heartbeat.incarnation() > incarnation;
         if (hasNewIncarnation
-                && sinceReplyMs
+                && sinceResponseMs
                         < ClusterConstants.WORKER_RESPONSE_TIMEOUT_MS
                                 - ClusterConstants.HEARTBEAT_LATENESS_MARGIN_MS) {
-            // Delayed by a network partition and delivered together with the previous heartbeat: a
-            // worker without a reply would have waited for its timeout first. Without this check,
-            // sound machines were cordoned half a second after a partition had healed.
+            // The heartbeat was delayed by a network partition and delivered together with the
+            // previous one: a worker without a response would have waited for its timeout first.
+            // Without this check, healthy machines were cordoned half a second after the partition
+            // had healed.
             return;
         }
-        if (hasNewIncarnation && sinceReplyMs < settings.workerLeaseS() * 1000) {
-            unacknowledgedReplies =
+        if (hasNewIncarnation && sinceResponseMs < settings.workerLeaseS() * 1000) {
+            unacknowledgedResponses =
                     Math.max(
-                            unacknowledgedReplies + 1,
+                            unacknowledgedResponses + 1,
                             ClusterConstants.ONE_WAY_PARTITION_MISSED_RESPONSES);
-        } else if (hasNewIncarnation || sinceReplyMs > longestHeartbeatIntervalMs(settings)) {
-            unacknowledgedReplies++;
+        } else if (hasNewIncarnation || sinceResponseMs > longestHeartbeatIntervalMs(settings)) {
+            unacknowledgedResponses++;
         } else {
-            unacknowledgedReplies = 0;
+            unacknowledgedResponses = 0;
         }
     }
 
-    /** Time from a reply that arrived to the next heartbeat, at most. */
+    /** Longest time in ms from a response that reached the worker to its next heartbeat. */
     private static double longestHeartbeatIntervalMs(Settings settings) {
         return Math.max(
                 ClusterConstants.WORKER_RESPONSE_TIMEOUT_MS,
@@ -196,10 +195,10 @@
     }
 
     /**
-     * Whether there seems to be a one-way partition: its heartbeats arrive, but replies don't reach
-     * it. It gets no tasks until a heartbeat shows that a reply did.
+     * Whether there is apparently a one-way partition: heartbeats arrive, but responses don't reach
+     * the worker. The machine gets no tasks until a heartbeat shows that a response did.
      */
     public boolean hasOneWayPartition() {
-        return unacknowledgedReplies >= ClusterConstants.ONE_WAY_PARTITION_MISSED_RESPONSES;
+        return unacknowledgedResponses >= ClusterConstants.ONE_WAY_PARTITION_MISSED_RESPONSES;
     }
 }
--- a/src/test/java/org/shoreusher/core/CoreTestData.java
+++ b/src/test/java/org/shoreusher/core/CoreTestData.java
@@ -6,21 +6,21 @@
 import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.settings.Settings;
 
-/** Settings and jobs for tests of a leader's classes. */
+/** Settings and jobs for unit tests of the core. */
 public final class CoreTestData {
     private CoreTestData() {}
 
-    /** Returns settings of three nodes in one zone, with one team and these objectives. */
+    /** Returns settings of a deployment of three nodes in one zone, with one team. */
     public static Settings settings(List<Settings.Objective> objectives) {
-        Settings.Address nowhere = new Settings.Address("127.0.0.1", 1);
+        Settings.Address unusedAddress = new Settings.Address("127.0.0.1", 1);
         return new Settings(
                 "n",
                 "a",
-                nowhere,
-                nowhere,
+                unusedAddress,
+                unusedAddress,
                 List.of(),
-                nowhere,
-                nowhere,
+                unusedAddress,
+                unusedAddress,
                 3,
                 List.of("a"),
                 Map.of("team", new Settings.Team("team", 8, 16, 0, 0)),
@@ -41,17 +41,17 @@
     /**
      * Returns a job of the team with all tasks pending.
      *
-     * @param estimate estimated run time of a task, in s
-     * @param deadline in s after the submission; NaN without a deadline
+     * @param estimatedRunS estimated run time of a task, in s
+     * @param deadlineS deadline in s after the submission; NaN if none
      */
     public static Job job(
             String id,
             String jobClass,
             JobSpec.Priority priority,
-            int tasks,
-            double estimate,
-            double deadline,
-            long acceptedMs) {
+            int taskCount,
+            double estimatedRunS,
+            double deadlineS,
+            long acceptedAtMs) {
         Job job =
                 new Job(
                         id,
@@ -59,14 +59,14 @@
                                 .jobClass(jobClass)
                                 .team("team")
                                 .priority(priority)
-                                .taskCount(tasks)
+                                .taskCount(taskCount)
                                 .cpus(2)
                                 .image("i")
-                                .estimatedRunS(estimate)
-                                .deadlineS(deadline)
+                                .estimatedRunS(estimatedRunS)
+                                .deadlineS(deadlineS)
                                 .build(),
-                        acceptedMs);
-        for (int i = 0; i < tasks; i++) {
+                        acceptedAtMs);
+        for (int i = 0; i < taskCount; i++) {
             job.setPending(i, true);
         }
         return job;
--- a/src/test/java/org/shoreusher/core/JobSpecBuilder.java
+++ b/src/test/java/org/shoreusher/core/JobSpecBuilder.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.shoreusher.core.message.JobSpec;
 
-/** Builds a job for tests: by default a batch job of high priority with one small task. */
+/** Builds a job description; by default a batch job of high priority with one small task. */
 public final class JobSpecBuilder {
     private final String id;
     private String jobClass = "class";
@@ -26,7 +26,7 @@
     private double checkpointDurationS = 0;
     private double deadlineS = Double.NaN;
 
-    /** Starts with a job of this id and default values. */
+    /** Creates a builder with default values for all components except the id. */
     public JobSpecBuilder(String id) {
         this.id = id;
     }
@@ -97,25 +97,25 @@
         return this;
     }
 
-    /** Sets the zone; null allows all. */
+    /** Sets the zone that all tasks must run in; null allows all. */
     public JobSpecBuilder zone(String value) {
         zone = value;
         return this;
     }
 
-    /** Sets the flag that all tasks must be in one zone. */
+    /** Sets whether all tasks must run in the same zone. */
     public JobSpecBuilder singleZone(boolean value) {
         singleZone = value;
         return this;
     }
 
-    /** Sets the flag that tasks are spread across zones. */
+    /** Sets whether the tasks are spread across zones. */
     public JobSpecBuilder spreadAcrossZones(boolean value) {
         spreadAcrossZones = value;
         return this;
     }
 
-    /** Sets the flag that spot machines are allowed. */
+    /** Sets whether tasks may run on spot machines. */
     public JobSpecBuilder spotAllowed(boolean value) {
         spotAllowed = value;
         return this;
@@ -145,7 +145,7 @@
         return this;
     }
 
-    /** Builds the job. */
+    /** Builds the job description. */
     public JobSpec build() {
         return new JobSpec(
                 id,
--- a/src/test/java/org/shoreusher/core/StoredRecords.java
+++ b/src/test/java/org/shoreusher/core/StoredRecords.java
@@ -16,63 +16,64 @@
 import org.shoreusher.core.store.StoreSchema;
 import org.shoreusher.core.store.SubmissionBatchRecord;
 
-/** A stored record of every kind, by its key, and records read and written again. */
+/** Sample records of every kind by key, and the round trip of a record through its class. */
 public final class StoredRecords {
     private static final long ACCEPTED_MS = 1_700_000_000_000L;
-    private static final int WIDE = 8_192;
-    private static final int NARROW = 1_024;
+    private static final int LARGE_VALUE_LIMIT_BYTES = 8_192;
+    private static final int SMALL_VALUE_LIMIT_BYTES = 1_024;
 
     private StoredRecords() {}
 
-    /** Records of every kind as they are written now. */
+    /** Records of every kind as the current version writes them. */
     public static Map<String, Map<String, Object>> samples() {
         Map<String, Map<String, Object>> store = new LinkedHashMap<>();
-        Map<String, Object> done = Map.of("wk-000001", "0-3,7");
+        Map<String, Object> completedTasks = Map.of("wk-000001", "0-3,7");
         store.put(
                 StoreSchema.shardKey(0),
-                new ShardRecord("node-0/a1", ACCEPTED_MS, 9, done, "node-1/b2").toMap());
+                new ShardRecord("node-0/a1", ACCEPTED_MS, 9, completedTasks, "node-1/b2").toMap());
         store.put(
                 StoreSchema.shardKey(1),
                 new ShardRecord("node-2/c3", ACCEPTED_MS, 4, Map.of(), null).toMap());
-        store.put(StoreSchema.completionKey(0, 1), new CompletionRecord(done).toMap());
+        store.put(StoreSchema.completionKey(0, 1), new CompletionRecord(completedTasks).toMap());
         store.put(
                 StoreSchema.highWaterMarkKey(0, 0),
                 HighWaterMarkRecord.toMap(Map.of("wk-000001", 12)));
         store.put(StoreSchema.quotaKey("team-0"), QuotaRecord.splitEvenly(25, 3, 2).toMap());
-        jobs(store);
-        machines(store);
+        putJobs(store);
+        putMachines(store);
         return store;
     }
 
-    private static void jobs(Map<String, Map<String, Object>> store) {
-        JobRecord open = JobRecord.open(0, batch("wk-000001"), ACCEPTED_MS);
-        JobRecord service = JobRecord.open(1, service("wk-000002"), ACCEPTED_MS + 1);
-        JobRecord begun = new JobRecord(0, JobStatus.OPEN, 7, ACCEPTED_MS, 3, open.specFields());
+    private static void putJobs(Map<String, Map<String, Object>> store) {
+        JobRecord open = JobRecord.open(0, batchJob("wk-000001"), ACCEPTED_MS);
+        JobRecord service = JobRecord.open(1, serviceJob("wk-000002"), ACCEPTED_MS + 1);
+        JobRecord started = new JobRecord(0, JobStatus.OPEN, 7, ACCEPTED_MS, 3, open.specFields());
         store.put(StoreSchema.jobKey("wk-000001"), open.toMap());
         store.put(StoreSchema.jobKey("wk-000002"), service.toMap());
-        store.put(StoreSchema.jobKey("wk-000003"), begun.toMap());
+        store.put(StoreSchema.jobKey("wk-000003"), started.toMap());
         store.put(StoreSchema.jobKey("wk-000004"), open.asDone().toMap());
-        store.put(StoreSchema.jobKey("wk-000005"), open.asCancelled(WIDE).toMap());
+        store.put(
+                StoreSchema.jobKey("wk-000005"), open.asCancelled(LARGE_VALUE_LIMIT_BYTES).toMap());
         store.put(StoreSchema.jobKey("wk-000006"), open.asCancelled(1).toMap());
-        Map<String, Map<String, Object>> arrived = new LinkedHashMap<>();
-        arrived.put("wk-000007", open.toMap());
-        arrived.put("wk-000008", service.toMap());
+        Map<String, Map<String, Object>> submissions = new LinkedHashMap<>();
+        submissions.put("wk-000007", open.toMap());
+        submissions.put("wk-000008", service.toMap());
         store.put(
                 StoreSchema.submissionBatchKey("node-0/a1", 5),
-                SubmissionBatchRecord.toMap(arrived));
+                SubmissionBatchRecord.toMap(submissions));
     }
 
-    private static void machines(Map<String, Map<String, Object>> store) {
+    private static void putMachines(Map<String, Map<String, Object>> store) {
         Map<String, MachineRecord> group = new TreeMap<>();
         group.put("host-000201", new MachineRecord(0, "box", "a", false, ACCEPTED_MS, true));
         group.put("host-000202", new MachineRecord(1, "large", "b", true, ACCEPTED_MS, false));
-        for (int valueBytes : new int[] {WIDE, NARROW}) {
+        for (int valueBytes : new int[] {LARGE_VALUE_LIMIT_BYTES, SMALL_VALUE_LIMIT_BYTES}) {
             String key = StoreSchema.machineGroupKey("host-000201", valueBytes);
             store.put(key, MachineGroupRecord.toMap(key, group));
         }
     }
 
-    private static JobSpec batch(String id) {
+    private static JobSpec batchJob(String id) {
         return new JobSpecBuilder(id)
                 .jobClass("class")
                 .priority(JobSpec.Priority.HIGH)
@@ -91,7 +92,7 @@
                 .build();
     }
 
-    private static JobSpec service(String id) {
+    private static JobSpec serviceJob(String id) {
         return new JobSpecBuilder(id)
                 .jobClass("gate")
                 .team("team-1")
@@ -105,7 +106,7 @@
                 .build();
     }
 
-    /** The value as the class of its record writes it again after reading it. */
+    /** Returns the value after its record class has read and written it. */
     public static Map<String, Object> again(String key, Map<String, Object> value) {
         if (key.contains("/done/")) {
             return CompletionRecord.fromMap(value).toMap();
@@ -126,10 +127,10 @@
         } else if (key.startsWith(StoreSchema.quotaKey(""))) {
             return QuotaRecord.fromMap(value, 2).toMap();
         }
-        throw new IllegalArgumentException("no record has the key " + key);
+        throw new IllegalArgumentException("no record class for key " + key);
     }
 
-    /** The description of a job's record as it is stored after reading it; null: it has none. */
+    /** Returns the job description that a job's record contains; null if it contains none. */
     public static JobSpec description(Map<String, Object> value) {
         JobRecord job = JobRecord.fromMap(value);
         return job.specFields() == null ? null : job.parseSpec();
--- a/src/test/java/org/shoreusher/core/cluster/FailureBackoffTest.java
+++ b/src/test/java/org/shoreusher/core/cluster/FailureBackoffTest.java
@@ -7,17 +7,17 @@
 import java.util.Set;
 import net.jqwik.api.Example;
 
-/** The delay of a job's next start after failures. */
+/** Tests when failures delay the next start of a job, and for how long. */
 class FailureBackoffTest {
     private final FailureBackoff failures = new FailureBackoff();
 
     @Example
     void firstFailureDoesNotDelayAndEachFurtherOneDoublesTheDelay() {
-        failures.record("machine-1", 0, true);
+        failures.recordFailure("machine-1", 0, true);
         assertFalse(failures.isBackingOff(0));
         long delayMs = ClusterConstants.MIN_FAILURE_BACKOFF_MS;
         for (int i = 0; i < 40; i++) {
-            failures.record("machine-1", 0, true);
+            failures.recordFailure("machine-1", 0, true);
             assertTrue(failures.isBackingOff(delayMs - 1), "failure " + (i + 2));
             assertFalse(failures.isBackingOff(delayMs), "failure " + (i + 2));
             delayMs = Math.min(2 * delayMs, ClusterConstants.MAX_FAILURE_BACKOFF_MS);
@@ -27,20 +27,20 @@
     @Example
     void failuresOfAJobWithCompletedTasksDoNotDelay() {
         for (int i = 0; i < 5; i++) {
-            failures.record("machine-" + i % 2, 0, false);
+            failures.recordFailure("machine-" + i % 2, 0, false);
         }
         assertFalse(failures.isBackingOff(0));
-        assertEquals(Set.of("machine-0", "machine-1"), failures.machineIds());
+        assertEquals(Set.of("machine-0", "machine-1"), failures.failedMachineIds());
     }
 
     @Example
-    void resetForgetsFailuresButNotAPresentDelay() {
-        failures.record("machine-1", 0, true);
-        failures.record("machine-1", 0, true);
+    void resetClearsFailuresButNotACurrentDelay() {
+        failures.recordFailure("machine-1", 0, true);
+        failures.recordFailure("machine-1", 0, true);
         failures.reset();
-        assertTrue(failures.machineIds().isEmpty());
+        assertTrue(failures.failedMachineIds().isEmpty());
         assertTrue(failures.isBackingOff(0));
-        failures.record("machine-1", 2 * ClusterConstants.MIN_FAILURE_BACKOFF_MS, true);
+        failures.recordFailure("machine-1", 2 * ClusterConstants.MIN_FAILURE_BACKOFF_MS, true);
         assertFalse(failures.isBackingOff(2 * ClusterConstants.MIN_FAILURE_BACKOFF_MS));
     }
 }
--- a/src/test/java/org/shoreusher/core/cluster/JobTest.java
+++ b/src/test/java/org/shoreusher/core/cluster/JobTest.java
@@ -6,11 +6,11 @@
 import org.shoreusher.core.CoreTestData;
 import org.shoreusher.core.message.JobSpec;
 
-/** What a leader concludes from the failures of a job. */
+/** Tests the state that a leader derives from the failures of a job. */
 class JobTest {
-    /** A job whose tasks fail on every machine is distinguished from a faulty machine. */
+    /** Failures on several machines indicate a faulty job rather than a faulty machine. */
     @Example
-    void jobFailingOnEveryMachineIsSuspectAndBacksOff() {
+    void jobFailingOnSeveralMachinesIsSuspectedFaultyAndBacksOff() {
         Job job = CoreTestData.job("wk-1", "c", JobSpec.Priority.LOW, 5, 10, Double.NaN, 0);
         job.recordFailure("m-1", 1_000);
         assertTrue(!job.isSuspectedFaulty() && !job.isBackingOff(1_000));
--- a/src/test/java/org/shoreusher/core/cluster/MachineTest.java
+++ b/src/test/java/org/shoreusher/core/cluster/MachineTest.java
@@ -11,7 +11,7 @@
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.SettingsBuilder;
 
-/** What a leader concludes from the times of a machine's heartbeats. */
+/** Tests the detection of one-way partitions and of slow machines. */
 class MachineTest {
     private static final Settings SETTINGS =
             new SettingsBuilder(CoreTestData.settings(List.of()))
@@ -52,9 +52,10 @@
     }
 
     /**
-     * After a partition that is longer than a lease, the delayed heartbeats arrive one after the
-     * other, the later ones with the next incarnation. That says nothing about whether responses
-     * arrive. Ten healthy machines of 250 were once terminated for it.
+     * After a partition longer than a lease, the delayed heartbeats arrive in quick succession, the
+     * later ones with the next incarnation. This must not count as a one-way partition: it does not
+     * indicate whether responses arrive, and once led to the termination of 10 healthy machines of
+     * 250.
      */
     @Example
     void heartbeatsDelayedByAPartitionIndicateNoOneWayPartition() {
@@ -70,8 +71,8 @@
     }
 
     /**
-     * An incarnation that ends although its heartbeats were answered in time shows a one-way
-     * partition: the worker did not receive the responses.
+     * An incarnation that ends although responses were sent in time indicates a one-way partition:
+     * the worker did not receive the responses.
      */
     @Example
     void incarnationEndingDespiteResponsesIndicatesAOneWayPartition() {
@@ -82,23 +83,23 @@
         heartbeat(2, 17, 135_000);
         assertFalse(
                 machine.worker().hasOneWayPartition(),
-                "a heartbeat in time shows that responses arrive");
+                "a punctual heartbeat shows that the worker received the response");
     }
 
     /**
-     * One slow task is chance. Several slow tasks in a row, far beyond the differences between
-     * machines of a type, show a slow machine.
+     * A single slow task may be chance. Several consecutive tasks that are much slower than the
+     * normal differences between machines of a type indicate a slow machine.
      */
     @Example
     void distinguishesASlowMachineFromASlowTask() {
         MachineType type = new MachineType("t", 8, 0, 16, 10, 1, 1, 0.4, 10, List.of("a"));
         Machine slow = new Machine("m-1", type, "a", true, 0);
-        Machine good = new Machine("m-2", type, "a", true, 0);
+        Machine normal = new Machine("m-2", type, "a", true, 0);
         for (int i = 0; i < 6; i++) {
             slow.recordRunTime(4);
-            good.recordRunTime(i == 2 ? 4 : 1.1);
+            normal.recordRunTime(i == 2 ? 4 : 1.1);
         }
         assertTrue(slow.isSlow());
-        assertTrue(!good.isSlow());
+        assertTrue(!normal.isSlow());
     }
 }
