--- a/src/main/java/org/shoreusher/balance/BalanceSettings.java
+++ b/src/main/java/org/shoreusher/balance/BalanceSettings.java
@@ -7,15 +7,16 @@
  *
  * @param spreadMargin share of a machine's CPUs by which a high-demand team's use of any machine
  *     may exceed its mean use of all machines
- * @param hysteresis share by which the skew must exceed the margin before tasks are migrated
- * @param highDemandShare share of all CPUs that a team must use and want to count as a high-demand
- *     team
- * @param maxConcurrentMigrations largest number of migrations in progress in a shard
- * @param maxMigrationsPerTeam largest number of migrations in progress of one team
- * @param maxMigrationsPerZone largest number of migrations in progress into one zone
+ * @param hysteresis share of a machine's CPUs by which the skew must exceed the margin before tasks
+ *     are migrated
+ * @param highDemandShare smallest share of all CPUs, by usage and unmet demand together, from which
+ *     a team counts as a high-demand team
+ * @param maxConcurrentMigrations largest number of migrations in progress in one shard
+ * @param maxMigrationsPerTeam largest number of migrations in progress of one team in a shard
+ * @param maxMigrationsPerZone largest number of migrations in progress into one zone in a shard
  * @param cooldownS seconds after a migration during which no task leaves its target and none goes
  *     to its source
- * @param minGainFactor how many times the cost of a migration its task must still have to run
+ * @param minGainFactor smallest ratio of a task's remaining run time to the cost of its migration
  * @param defaultBudget budget of a job class without one of its own
  * @param budgetsByClass budgets by job class
  */
@@ -32,11 +33,11 @@
         Map<String, ClassBudget> budgetsByClass) {
 
     /**
-     * What migrations may cost a job class.
+     * The limits on migrations of a job class.
      *
-     * @param maxMigrationsPerTask how often one task may be migrated
-     * @param maxRepeatedWorkShare work repeated because of migrations, as a share of the time that
-     *     tasks of the class have spent on machines
+     * @param maxMigrationsPerTask largest number of migrations of one task
+     * @param maxRepeatedWorkShare largest amount of work repeated because of migrations, as a share
+     *     of the time that tasks of the class have spent on machines
      */
     public record ClassBudget(int maxMigrationsPerTask, double maxRepeatedWorkShare) {}
 
@@ -45,7 +46,7 @@
             new BalanceSettings(
                     0.25, 0.05, 0.2, 8, 4, 4, 15, 2, new ClassBudget(1, 0.02), Map.of());
 
-    /** Returns the budget of a job class. */
+    /** Returns the budget of a job class, or the default budget if it has none of its own. */
     public ClassBudget budget(String jobClass) {
         return budgetsByClass.getOrDefault(jobClass, defaultBudget);
     }
--- a/src/main/java/org/shoreusher/balance/BalanceStatistics.java
+++ b/src/main/java/org/shoreusher/balance/BalanceStatistics.java
@@ -5,26 +5,26 @@
 import java.util.Map;
 import org.HdrHistogram.Histogram;
 
-/** Counts what the balancer does, for the operator's log. */
+/** The statistics of migrations and of the skew, for the operator's log. */
 public final class BalanceStatistics {
-    private static final int DIGITS = 2;
-    private static final double PER_UNIT = 1_000;
-    private static final long MAX_PER_MILLE = 1_000;
+    private static final int SIGNIFICANT_DIGITS = 2;
+    private static final double MILLIS_PER_UNIT = 1_000;
+    private static final long MAX_SKEW_PER_MILLE = 1_000;
     private static final long MAX_DURATION_MS = 3_600_000;
 
-    private final Histogram skew = new Histogram(MAX_PER_MILLE, DIGITS);
-    private final Histogram migrationMs = new Histogram(MAX_DURATION_MS, DIGITS);
-    private final Histogram repeatedWorkMs = new Histogram(MAX_DURATION_MS, DIGITS);
+    private final Histogram skew = new Histogram(MAX_SKEW_PER_MILLE, SIGNIFICANT_DIGITS);
+    private final Histogram migrationMs = new Histogram(MAX_DURATION_MS, SIGNIFICANT_DIGITS);
+    private final Histogram repeatedWorkMs = new Histogram(MAX_DURATION_MS, SIGNIFICANT_DIGITS);
     private final Map<Migration.Reason, Integer> abandoned = new EnumMap<>(Migration.Reason.class);
     private int begun;
     private int started;
-    private int completed;
+    private int obsolete;
 
     BalanceStatistics() {}
 
-    /** Records the skew of a high-demand team, from 0 to 1. */
+    /** Records the skew of a high-demand team, from 0 to 1; a higher value counts as 1. */
     void recordSkew(double skewShare) {
-        skew.recordValue(Math.round(Math.min(1, skewShare) * PER_UNIT));
+        skew.recordValue(Math.round(Math.min(1, skewShare) * MILLIS_PER_UNIT));
     }
 
     /** Counts a migration that has begun. */
@@ -42,9 +42,9 @@
         migrationMs.recordValue(Math.min(MAX_DURATION_MS, Math.max(0, afterMs)));
     }
 
-    /** Counts a task that completed before it was stopped. */
-    void recordCompleted() {
-        completed++;
+    /** Counts a migration whose task completed before it was stopped. */
+    void recordObsolete() {
+        obsolete++;
     }
 
     /** Counts an abandoned migration. */
@@ -52,9 +52,10 @@
         abandoned.merge(reason, 1, Integer::sum);
     }
 
-    /** Records the seconds of work that one migration causes to be repeated. */
+    /** Records the seconds of work that must be repeated because of one migration. */
     void recordRepeatedWork(double seconds) {
-        repeatedWorkMs.recordValue(Math.min(MAX_DURATION_MS, Math.round(seconds * PER_UNIT)));
+        repeatedWorkMs.recordValue(
+                Math.min(MAX_DURATION_MS, Math.round(seconds * MILLIS_PER_UNIT)));
     }
 
     /** Returns the number of migrations that have begun. */
@@ -62,14 +63,14 @@
         return begun;
     }
 
-    /** Returns how many tasks have started at their target. */
+    /** Returns the number of migrations whose tasks have started at their target. */
     public int migrationsStarted() {
         return started;
     }
 
-    /** Returns how many tasks completed before they were stopped. */
+    /** Returns the number of migrations whose tasks completed before they were stopped. */
     public int migrationsObsolete() {
-        return completed;
+        return obsolete;
     }
 
     /** Returns the number of abandoned migrations by reason; unmodifiable. */
@@ -79,15 +80,17 @@
 
     /** Returns a percentile (0 to 100) of the skew of high-demand teams, from 0 to 1. */
     public double skewPercentile(double percentile) {
-        return skew.getValueAtPercentile(percentile) / PER_UNIT;
+        return skew.getValueAtPercentile(percentile) / MILLIS_PER_UNIT;
     }
 
-    /** Returns a percentile (0 to 100) of the ms from the beginning of a migration to the start. */
+    /**
+     * Returns a percentile (0 to 100) of the ms from a migration's beginning to the task's start.
+     */
     public long durationPercentileMs(double percentile) {
         return migrationMs.getValueAtPercentile(percentile);
     }
 
-    /** Returns the most work that one migration has caused to be repeated, in ms. */
+    /** Returns the most work that had to be repeated because of one migration, in ms. */
     public long maxRepeatedWorkMs() {
         return repeatedWorkMs.getMaxValue();
     }
--- a/src/main/java/org/shoreusher/balance/Balancer.java
+++ b/src/main/java/org/shoreusher/balance/Balancer.java
@@ -11,11 +11,12 @@
 
 /**
  * Decides for one shard how the load of high-demand teams is spread and which running tasks are
- * migrated, and tracks the migrations in progress. Deterministic; not thread-safe.
+ * migrated, and tracks the migrations in progress. Times are monotonic, in ms. Deterministic; not
+ * thread-safe.
  */
 public final class Balancer {
     /**
-     * Timeouts of a migration, which depend on the deployment.
+     * The timeouts of a migration, which depend on the deployment's settings.
      *
      * @param sourceStopMs ms within which the task must have left its source
      * @param targetStartMs ms after that within which it must have started at its target
@@ -29,21 +30,23 @@
     private final MigrationBudget budget;
     private final MigrationPlanner planner;
     private final BalanceStatistics statistics = new BalanceStatistics();
+
+    /** The migrations in progress, in the order of their beginning. */
     private final Map<TaskId, Migration> migrations = new LinkedHashMap<>();
 
     /**
-     * Machines that no task may leave until the given time (ms), because one has just been migrated
-     * to them.
+     * Machines from which no task is migrated until the given time, because a migration to them has
+     * just ended.
      */
     private final Map<String, Long> sourceCooldownUntilMs = new HashMap<>();
 
     /**
-     * Machines that no task may be migrated to until the given time (ms), because one has just left
-     * them.
+     * Machines to which no task is migrated until the given time, because a migration from them has
+     * just ended.
      */
     private final Map<String, Long> targetCooldownUntilMs = new HashMap<>();
 
-    /** Creates a balancer that knows no machines yet. */
+    /** Creates a balancer without machines. */
     public Balancer(BalanceSettings settings, Timeouts timeouts) {
         this.settings = settings;
         this.timeouts = timeouts;
@@ -62,28 +65,29 @@
         return budget;
     }
 
-    /** Returns the statistics of all migrations so far. */
+    /** Returns the statistics of all migrations so far; a live view. */
     public BalanceStatistics statistics() {
         return statistics;
     }
 
-    /** Updates the CPUs that each team wants beyond what it uses. */
-    public void updateDemand(Map<String, Double> wantedCpus) {
-        highDemandTeams.updateDemand(wantedCpus);
+    /** Updates the unmet demand of each team: the CPUs that it needs beyond those it uses. */
+    public void updateDemand(Map<String, Double> unmetDemandCpus) {
+        highDemandTeams.updateDemand(unmetDemandCpus);
     }
 
-    /** Whether the team's demand is high, so that its load is to be spread. */
+    /** Whether the team is a high-demand team, whose load is spread. */
     public boolean isHighDemand(String team) {
         return highDemandTeams.isHighDemand(team);
     }
 
     /**
      * Returns the most CPUs that a team may use on a machine while other machines have capacity: at
-     * least those of one task, and infinite unless the team's demand is high.
+     * least those of one task, and infinite unless the team is a high-demand team.
      *
      * @param taskCpus CPUs of one task
-     * @param fetchShare share of a task's time that fetching its image elsewhere takes, if the
-     *     machine has the image; 0 otherwise. It raises the limit, CPU for CPU
+     * @param fetchShare share of the machine's CPUs by which the limit is raised: the share of a
+     *     task's time that fetching its image elsewhere would take if the machine has the image, or
+     *     0
      */
     public double maxTeamCpus(String machine, String team, double taskCpus, double fetchShare) {
         MachineLoad machineLoad = load.machineLoad(machine);
@@ -96,10 +100,8 @@
                         * machineLoad.cpus());
     }
 
-    // ---- migrations --------------------------------------------------------------------------
-
     /**
-     * Begins the migrations that are worth their cost now.
+     * Begins the migrations of high-demand teams that are worth their cost now.
      *
      * @return the migrations that have begun
      */
@@ -129,8 +131,8 @@
     }
 
     /**
-     * The limits of one planning round, from the migrations in progress and those that the round
-     * has begun.
+     * The limits of one planning round, given the migrations in progress, which include those that
+     * the round has begun.
      */
     private final class PlanningRound implements MigrationPlanner.MigrationLimits {
         private final long nowMs;
@@ -204,6 +206,7 @@
         }
     }
 
+    /** Returns the zone of a machine; empty if the machine is unknown. */
     private String zoneOf(String machine) {
         MachineLoad machineLoad = load.machineLoad(machine);
         return machineLoad == null ? "" : machineLoad.zone();
@@ -215,7 +218,7 @@
     }
 
     /**
-     * The task of a migration has certainly left its source.
+     * Records that the task of a migration has certainly left its source.
      *
      * @param isCheckpointed whether the source has reported that the task wrote a checkpoint
      */
@@ -224,25 +227,26 @@
         migration.markLeftSource(nowMs + timeouts.targetStartMs());
     }
 
-    /** The task of a migration completed before it was stopped. */
-    public void markCompleted(Migration migration, long nowMs) {
+    /** Ends a migration whose task completed before it was stopped. */
+    public void markObsolete(Migration migration, long nowMs) {
         settleCost(migration, 0);
-        migration.markCompleted();
-        statistics.recordCompleted();
+        migration.markObsolete();
+        statistics.recordObsolete();
         finish(migration, nowMs);
     }
 
-    /** The task of a migration was started at its target. */
+    /** Ends a migration whose task is started at its target. */
     public void markStarted(Migration migration, long nowMs) {
         migration.markStarted();
         statistics.recordStarted(nowMs - migration.begunAtMs());
         finish(migration, nowMs);
     }
 
-    /** Abandons a migration. */
+    /** Ends a migration without a start at its target. */
     public void abandon(Migration migration, Migration.Reason reason, long nowMs) {
         if (migration.state() == Migration.State.STOPPING) {
-            // The task may still lose the work since its last checkpoint.
+            // The stop order is not withdrawn: the task may still lose the work since its last
+            // checkpoint.
             settleCost(migration, migration.task().unsavedS());
         }
         migration.abandon(reason);
@@ -250,7 +254,7 @@
         finish(migration, nowMs);
     }
 
-    /** Returns why a migration has timed out; empty if it has not. */
+    /** Returns the reason to abandon a migration that has timed out; empty if it has not. */
     public Optional<Migration.Reason> timeoutReason(Migration migration, long nowMs) {
         if (!migration.isOverdue(nowMs)) {
             return Optional.empty();
--- a/src/main/java/org/shoreusher/balance/HighDemandTeams.java
+++ b/src/main/java/org/shoreusher/balance/HighDemandTeams.java
@@ -5,32 +5,35 @@
 import java.util.Set;
 
 /**
- * Determines the high-demand teams, those whose usage and demand are a large share of all CPUs.
- * Only their load is spread; tasks of the other teams are packed on the fullest machine, so that
- * machines become idle and can be scaled in.
+ * Determines the high-demand teams: those whose usage and unmet demand together are a large share
+ * of all CPUs. Only their load is spread; tasks of other teams are packed on the fullest machines,
+ * so that other machines become idle and can be scaled in.
  */
 final class HighDemandTeams {
     /**
-     * Factor on the threshold below which a team stops being a high-demand one; the hysteresis
-     * prevents flapping.
+     * Factor on the threshold from which a team becomes a high-demand team; below the product it
+     * stops being one. The hysteresis prevents flapping.
      */
     private static final double RELEASE_FACTOR = 0.8;
 
     private final BalanceSettings settings;
     private final LoadModel load;
     private final Set<String> highDemandTeams = new HashSet<>();
-    private Map<String, Double> demandCpus = Map.of();
+    private Map<String, Double> unmetDemandCpus = Map.of();
 
-    /** Creates an empty set of high-demand teams. */
     HighDemandTeams(BalanceSettings settings, LoadModel load) {
         this.settings = settings;
         this.load = load;
     }
 
-    /** Updates the CPUs that each team wants beyond what it uses. */
-    void updateDemand(Map<String, Double> wantedCpus) {
-        demandCpus = Map.copyOf(wantedCpus);
-        wantedCpus.keySet().forEach(this::addIfHighDemand);
+    /**
+     * Updates the high-demand teams.
+     *
+     * @param unmetDemandCpus CPUs that each team needs beyond those it uses; absent teams need none
+     */
+    void updateDemand(Map<String, Double> unmetDemandCpus) {
+        this.unmetDemandCpus = Map.copyOf(unmetDemandCpus);
+        unmetDemandCpus.keySet().forEach(this::addIfHighDemand);
         for (String team : load.teams()) {
             addIfHighDemand(team);
         }
@@ -44,22 +47,21 @@
         }
     }
 
-    /** Returns the share of all CPUs that a team uses and wants, from 0 to 1. */
+    /** Returns the team's usage and unmet demand as a share of all CPUs, from 0 to 1. */
     double demandShare(String team) {
         return load.totalCpus() <= 0
                 ? 0
                 : Math.min(
                         1,
-                        (load.teamCpus(team) + demandCpus.getOrDefault(team, 0.0))
+                        (load.teamCpus(team) + unmetDemandCpus.getOrDefault(team, 0.0))
                                 / load.totalCpus());
     }
 
-    /** Whether the team is a high-demand one. */
     boolean isHighDemand(String team) {
         return highDemandTeams.contains(team);
     }
 
-    /** Returns the high-demand teams. */
+    /** Returns the high-demand teams; a live view. */
     Set<String> highDemandTeams() {
         return highDemandTeams;
     }
--- a/src/main/java/org/shoreusher/balance/LoadModel.java
+++ b/src/main/java/org/shoreusher/balance/LoadModel.java
@@ -9,16 +9,17 @@
 import java.util.Set;
 
 /**
- * The load of the machines by team, updated with every task and heartbeat.
+ * The load of the machines by team. The caller updates it with every task that is added or removed
+ * and every machine that sends a heartbeat or is removed.
  *
  * <p>The skew of a team is the largest share of a machine's CPUs that the team uses there beyond
  * one task, less the team's mean share over all machines: {@code max_m((c_tm - q_tm) / C_m) - sum
  * c_tm / sum C_m}, where {@code c_tm} are the team's CPUs on machine {@code m}, {@code q_tm} its
- * largest task there and {@code C_m} the machine's CPUs. It is at least 0. One task is left out
- * since a single task cannot be spread.
+ * largest task there and {@code C_m} the machine's CPUs. It is at least 0. The largest task is left
+ * out because a single task cannot be spread.
  */
 public final class LoadModel {
-    /** A team's load over all machines. */
+    /** A team's load on all machines, and the ids of the machines that it uses. */
     private static final class TeamLoad {
         private final Set<String> machines = new LinkedHashSet<>();
         private double cpus;
@@ -26,10 +27,18 @@
 
     private final Map<String, MachineLoad> machines = new LinkedHashMap<>();
     private final Map<String, TeamLoad> teams = new HashMap<>();
+
+    /** Machine ids in the order in which the machines were added. */
     private final List<String> machineOrder = new ArrayList<>();
+
     private double totalCpus;
 
-    /** Adds a machine; does nothing if it is known already. */
+    /**
+     * Adds a machine; does nothing if it was added before or has no CPUs.
+     *
+     * @param fetchGbPerS rate of image fetches in GB/s; if it is not positive, fetches count as
+     *     free
+     */
     public void addMachine(String id, String zone, double machineCpus, double fetchGbPerS) {
         if (machines.containsKey(id) || machineCpus <= 0) {
             return;
@@ -39,7 +48,7 @@
         totalCpus += machineCpus;
     }
 
-    /** Removes a machine and everything on it. */
+    /** Removes a machine with its tasks; does nothing if it is unknown. */
     public void removeMachine(String id) {
         MachineLoad machine = machines.remove(id);
         if (machine == null) {
@@ -80,29 +89,29 @@
         }
     }
 
-    /** Returns the CPUs of all machines. */
+    /** Returns the total CPUs of all machines. */
     public double totalCpus() {
         return totalCpus;
     }
 
-    /** Returns the CPUs that a team uses. */
+    /** Returns the CPUs that a team uses on all machines; 0 for an unknown team. */
     public double teamCpus(String team) {
         TeamLoad load = teams.get(team);
         return load == null ? 0 : Math.max(0, load.cpus);
     }
 
-    /** Returns the CPUs that a team uses on one machine. */
+    /** Returns the CPUs that a team uses on one machine; 0 for an unknown team or machine. */
     public double teamCpusOn(String id, String team) {
         MachineLoad machine = machines.get(id);
         return machine == null ? 0 : machine.teamCpus(team);
     }
 
-    /** Returns the share of all CPUs that a team uses, from 0 to 1. */
+    /** Returns the share of all CPUs that a team uses, from 0 to 1; 0 without machines. */
     public double meanShare(String team) {
         return totalCpus <= 0 ? 0 : teamCpus(team) / totalCpus;
     }
 
-    /** Returns the skew of a team as the class comment defines it. */
+    /** Returns the skew of a team, which the class comment defines. */
     public double skew(String team) {
         double maxShare = 0;
         for (String id : machinesOf(team)) {
@@ -111,12 +120,12 @@
         return Math.max(0, maxShare - meanShare(team));
     }
 
-    /** Returns the teams that have ever used a machine. */
+    /** Returns the teams that have or had tasks on machines; a live view. */
     public Iterable<String> teams() {
         return teams.keySet();
     }
 
-    /** Returns the machines that a team uses. */
+    /** Returns the ids of the machines that a team uses; a live view. */
     Iterable<String> machinesOf(String team) {
         TeamLoad load = teams.get(team);
         return load == null ? List.of() : load.machines;
@@ -127,7 +136,6 @@
         return machines.get(id);
     }
 
-    /** Returns the number of machines. */
     int machineCount() {
         return machineOrder.size();
     }
--- a/src/main/java/org/shoreusher/balance/MachineLoad.java
+++ b/src/main/java/org/shoreusher/balance/MachineLoad.java
@@ -6,13 +6,14 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** The load of one machine by team, and the images that it has. */
+/** The load of one machine by team, and the images that its tasks have used. */
 final class MachineLoad {
     /**
-     * The tasks of a team on the machine. Task sizes are kept because the largest task does not
+     * The usage of the machine by one team. Task sizes are kept because the largest task does not
      * count as skew.
      */
-    private static final class TeamUse {
+    private static final class TeamUsage {
+        /** CPUs that the team's tasks use, in total. */
         private double cpus;
 
         /** Number of tasks by CPUs per task. */
@@ -23,7 +24,7 @@
     private final String zone;
     private final double cpus;
     private final double fetchGbPerS;
-    private final Map<String, TeamUse> teams = new HashMap<>();
+    private final Map<String, TeamUsage> teams = new HashMap<>();
     private final Set<String> images = new HashSet<>();
 
     /** Creates the load of an empty machine. */
@@ -46,40 +47,39 @@
         return cpus;
     }
 
-    /** Adds a task. Its image is on the machine from now on. */
+    /** Adds a task. Its image is assumed to stay on the machine. */
     void addTask(String team, double taskCpus, String image) {
-        TeamUse use = teams.computeIfAbsent(team, name -> new TeamUse());
-        use.cpus += taskCpus;
-        use.sizes.merge(taskCpus, 1, Integer::sum);
+        TeamUsage usage = teams.computeIfAbsent(team, name -> new TeamUsage());
+        usage.cpus += taskCpus;
+        usage.sizes.merge(taskCpus, 1, Integer::sum);
         images.add(image);
     }
 
-    /** Removes a task. */
+    /** Removes a task; does nothing if the team has none here. */
     void removeTask(String team, double taskCpus) {
-        TeamUse use = teams.get(team);
-        if (use == null) {
+        TeamUsage usage = teams.get(team);
+        if (usage == null) {
             return;
         }
-        use.cpus -= taskCpus;
-        use.sizes.computeIfPresent(taskCpus, (size, count) -> count > 1 ? count - 1 : null);
-        if (use.sizes.isEmpty()) {
+        usage.cpus -= taskCpus;
+        usage.sizes.computeIfPresent(taskCpus, (size, count) -> count > 1 ? count - 1 : null);
+        if (usage.sizes.isEmpty()) {
             teams.remove(team);
         }
     }
 
     /** Returns the CPUs that a team uses here. */
     double teamCpus(String team) {
-        TeamUse use = teams.get(team);
-        return use == null ? 0 : use.cpus;
+        TeamUsage usage = teams.get(team);
+        return usage == null ? 0 : usage.cpus;
     }
 
-    /** Returns the share of the machine's CPUs that the team uses beyond its largest task here. */
+    /** Returns the share of the machine's CPUs that the team's tasks except the largest use. */
     double shareBeyondOneTask(String team) {
-        TeamUse use = teams.get(team);
-        return use == null ? 0 : Math.max(0, use.cpus - use.sizes.lastKey()) / cpus;
+        TeamUsage usage = teams.get(team);
+        return usage == null ? 0 : Math.max(0, usage.cpus - usage.sizes.lastKey()) / cpus;
     }
 
-    /** Whether the team has tasks here. */
     boolean hasTeam(String team) {
         return teams.containsKey(team);
     }
@@ -88,7 +88,10 @@
         return teams.keySet();
     }
 
-    /** Returns the seconds that fetching an image takes here; 0 if a task here has used it. */
+    /**
+     * Returns the seconds that fetching an image takes here; 0 if a task here has used it or the
+     * fetch rate is not positive.
+     */
     double imageFetchS(String image, double imageGb) {
         return images.contains(image) || fetchGbPerS <= 0 ? 0 : imageGb / fetchGbPerS;
     }
--- a/src/main/java/org/shoreusher/balance/Migration.java
+++ b/src/main/java/org/shoreusher/balance/Migration.java
@@ -3,24 +3,24 @@
 import java.util.Optional;
 
 /**
- * The migration of one task from a machine to another.
+ * The migration of one task from a machine, the source, to another, the target.
  *
  * <p>Invariant: the task may be started at the target only in state {@link State#STARTING}, which
- * is reached only after it has certainly left the source. Every other outcome puts the task back
- * into the queue, unless it completed before it was stopped.
+ * is reached only after it has certainly left the source. An abandoned migration leaves the task to
+ * the scheduler, which starts it again on any machine once it has left the source.
  */
 public final class Migration {
     /** State of a migration. */
     public enum State {
-        /** The task has been told to stop; capacity is reserved at the target. */
+        /** The task was ordered to stop; capacity at the target is reserved. */
         STOPPING(false),
         /** The task has left the source and waits for the target's next heartbeat. */
         STARTING(false),
-        /** The start order was sent to the target. */
+        /** The task was started at the target: the order is in the response to its heartbeat. */
         STARTED(true),
         /** The task completed before it was stopped. */
-        COMPLETED(true),
-        /** The task is back in the queue, or its job has ended. */
+        OBSOLETE(true),
+        /** The migration was abandoned; see {@link Reason}. */
         ABANDONED(true);
 
         private final boolean isTerminal;
@@ -29,25 +29,28 @@
             this.isTerminal = isTerminal;
         }
 
-        /** Whether the state is terminal. */
+        /** Whether the migration is no longer in progress. */
         public boolean isTerminal() {
             return isTerminal;
         }
     }
 
-    /** Why a migration was abandoned. The names appear in the log. */
+    /** The reason for which a migration was abandoned. The names appear in the log. */
     public enum Reason {
-        /** The target is gone, unresponsive, cordoned or full, or does not receive responses. */
+        /**
+         * The target no longer accepts tasks: it is gone, unresponsive, cordoned, draining,
+         * reserved for another shard, under an interruption notice, or behind a one-way partition.
+         */
         TARGET_LOST,
-        /** The job was cancelled or moved to another shard. */
+        /** The job has reached a terminal state or belongs to another shard. */
         JOB_CLOSED,
-        /** The source did not report in time that the task is gone. */
+        /** The task did not certainly leave the source in time. */
         SOURCE_UNRESPONSIVE,
-        /** The target sent no heartbeat in time. */
+        /** The target sent no heartbeat in time after the task had left the source. */
         TARGET_UNRESPONSIVE,
-        /** The team's quota has no headroom for the task. */
+        /** The team uses more than the shard's share of its quota, which may have been lowered. */
         QUOTA_EXCEEDED,
-        /** The known state of the machines has turned out to be wrong. */
+        /** The recorded state of the machines has turned out to be wrong. */
         STATE_UNCERTAIN
     }
 
@@ -57,12 +60,15 @@
     private final long begunAtMs;
     private State state = State.STOPPING;
     private Reason reason;
+
+    /** Monotonic time in ms by which the next state must be reached. */
     private long deadlineMs;
 
     /**
      * Creates a migration that begins now.
      *
-     * @param deadlineMs time (ms) by which the task must have left the source
+     * @param nowMs monotonic time in ms
+     * @param deadlineMs monotonic time in ms by which the task must have left the source
      */
     Migration(MigratableTask task, String target, double gainS, long nowMs, long deadlineMs) {
         this.task = task;
@@ -72,25 +78,25 @@
         this.deadlineMs = deadlineMs;
     }
 
-    /** Returns the task as it was when the migration began. */
+    /** Returns the task with its state at the beginning of the migration. */
     public MigratableTask task() {
         return task;
     }
 
-    /** Returns the machine to which the task is migrated. */
+    /** Returns the id of the machine to which the task is migrated. */
     public String target() {
         return target;
     }
 
     /**
-     * Returns the seconds that the task is expected to run at the target, less the cost of the
+     * Returns the expected gain in seconds: the task's remaining run time, less the cost of the
      * migration.
      */
     public double gainS() {
         return gainS;
     }
 
-    /** Returns the time (ms) at which the migration began. */
+    /** Returns the monotonic time in ms at which the migration began. */
     public long begunAtMs() {
         return begunAtMs;
     }
@@ -100,20 +106,20 @@
         return state;
     }
 
-    /** Returns why the migration was abandoned; empty unless it was. */
+    /** Returns the reason for which the migration was abandoned; empty unless it was. */
     public Optional<Reason> reason() {
         return Optional.ofNullable(reason);
     }
 
-    /** Whether the next step has not happened in time. */
+    /** Whether the migration is in progress and has not reached the next state in time. */
     boolean isOverdue(long nowMs) {
         return !state.isTerminal() && nowMs >= deadlineMs;
     }
 
     /**
-     * The task has left the source.
+     * Records that the task has left the source.
      *
-     * @param startDeadlineMs time (ms) by which it must have started at the target
+     * @param startDeadlineMs monotonic time in ms by which it must have started at the target
      * @throws IllegalStateException unless the state is {@link State#STOPPING}
      */
     void markLeftSource(long startDeadlineMs) {
@@ -123,7 +129,7 @@
     }
 
     /**
-     * The task was started at the target.
+     * Records that the task was started at the target.
      *
      * @throws IllegalStateException unless the state is {@link State#STARTING}
      */
@@ -133,13 +139,13 @@
     }
 
     /**
-     * The task completed before it was stopped.
+     * Records that the task completed before it was stopped.
      *
      * @throws IllegalStateException unless the state is {@link State#STOPPING}
      */
-    void markCompleted() {
+    void markObsolete() {
         requireState(State.STOPPING);
-        state = State.COMPLETED;
+        state = State.OBSOLETE;
     }
 
     /**
@@ -150,7 +156,7 @@
     void abandon(Reason abandonReason) {
         if (state.isTerminal()) {
             throw new IllegalStateException(
-                    "cannot abandon a migration in the terminal state " + state);
+                    "cannot abandon the migration of " + task.id() + " in terminal state " + state);
         }
         state = State.ABANDONED;
         reason = abandonReason;
@@ -159,7 +165,12 @@
     private void requireState(State expected) {
         if (state != expected) {
             throw new IllegalStateException(
-                    "a migration is in state " + state + " instead of " + expected);
+                    "migration of "
+                            + task.id()
+                            + " is in state "
+                            + state
+                            + ", expected "
+                            + expected);
         }
     }
 }
--- a/src/main/java/org/shoreusher/balance/MigrationBudget.java
+++ b/src/main/java/org/shoreusher/balance/MigrationBudget.java
@@ -7,22 +7,31 @@
 import org.shoreusher.balance.BalanceSettings.ClassBudget;
 
 /**
- * Limits how often tasks are migrated, and how much work is repeated because of it: a share of the
- * time that tasks of the job class have spent on machines.
+ * Limits how often a task is migrated, and how much work of a job class is repeated because of
+ * migrations: at most a share of the time that tasks of the class have spent on machines.
  *
- * <p>Nothing is stored. The tasks of a job that was started under a previous leader count as having
- * used up their migrations, so that a failover never refills a budget.
+ * <p>The budget is kept in memory only. Tasks of a job that was started under a previous leader are
+ * not migrated, so that a failover never resets a budget.
  */
 public final class MigrationBudget {
-    /** The run time of a job class and what migrations have cost it. */
+    /** The time that tasks of a job class have run, and the work that migrations have cost. */
     private static final class ClassUsage {
+        /** Tasks that are or may be on machines. */
         private int runningTasks;
+
+        /** The monotonic time in ms up to which {@link #workedS} is computed. */
         private long updatedAtMs;
+
+        /** Seconds that tasks have spent on machines. */
         private double workedS;
+
+        /** Seconds of work that must be repeated because of migrations. */
         private double repeatedS;
+
+        /** Seconds of work that must be repeated if migrations in progress write no checkpoint. */
         private double atRiskS;
 
-        /** Adds the run time since the last call. */
+        /** Adds the time that tasks have spent on machines since the last call. */
         void advanceTo(long nowMs) {
             workedS += runningTasks * (nowMs - updatedAtMs) / 1_000.0;
             updatedAtMs = nowMs;
@@ -30,8 +39,13 @@
     }
 
     private final BalanceSettings settings;
-    private final Map<String, Map<Integer, Integer>> migrations = new HashMap<>();
+
+    /** Number of migrations by job id and task index. */
+    private final Map<String, Map<Integer, Integer>> migrationCounts = new HashMap<>();
+
+    /** Jobs whose tasks are not migrated. */
     private final Set<String> exhaustedJobs = new HashSet<>();
+
     private final Map<String, ClassUsage> usageByClass = new HashMap<>();
 
     MigrationBudget(BalanceSettings settings) {
@@ -39,16 +53,17 @@
     }
 
     /**
-     * A job was started under a previous leader: how often its tasks were migrated is not known.
+     * Excludes a job that was started under a previous leader from migration, because the number of
+     * migrations of its tasks is unknown.
      */
-    public void markBegunByPreviousLeader(String job) {
+    public void markStartedByPreviousLeader(String job) {
         exhaustedJobs.add(job);
     }
 
-    /** Forgets a job that has ended. */
+    /** Removes a job that has reached a terminal state. */
     public void removeJob(String job) {
         exhaustedJobs.remove(job);
-        migrations.remove(job);
+        migrationCounts.remove(job);
     }
 
     /** Counts a task of the class that is on a machine from now on. */
@@ -65,7 +80,7 @@
         usage.runningTasks = Math.max(0, usage.runningTasks - 1);
     }
 
-    /** Whether a task may be migrated now. */
+    /** Whether the budgets of the task and of its job class allow a migration now. */
     boolean allowsMigration(MigratableTask task, long nowMs) {
         ClassBudget budget = settings.budget(task.jobClass());
         ClassUsage usage = usage(task.jobClass());
@@ -76,18 +91,19 @@
                         <= budget.maxRepeatedWorkShare() * usage.workedS;
     }
 
-    /** Counts a migration that begins. Its unsaved work is at risk until {@link #settle}. */
+    /** Counts a migration that begins. The task's unsaved work is at risk until {@link #settle}. */
     void begin(MigratableTask task) {
-        migrations
+        migrationCounts
                 .computeIfAbsent(task.id().job(), job -> new HashMap<>())
                 .merge(task.id().index(), 1, Integer::sum);
         usage(task.jobClass()).atRiskS += task.unsavedS();
     }
 
     /**
-     * The task has left its machine.
+     * Replaces the work that a migration puts at risk by the work that it causes to be repeated.
+     * Must be called once per migration.
      *
-     * @param repeatedS seconds of its work that must be repeated
+     * @param repeatedS seconds of the task's work that must be repeated
      */
     void settle(MigratableTask task, double repeatedS) {
         ClassUsage usage = usage(task.jobClass());
@@ -96,10 +112,10 @@
     }
 
     private int migrationsOf(TaskId task) {
-        return migrations.getOrDefault(task.job(), Map.of()).getOrDefault(task.index(), 0);
+        return migrationCounts.getOrDefault(task.job(), Map.of()).getOrDefault(task.index(), 0);
     }
 
-    /** Returns the seconds of work of a job class that migrations have caused to be repeated. */
+    /** Returns the seconds of a job class's work that had to be repeated because of migrations. */
     public double repeatedS(String jobClass) {
         return usage(jobClass).repeatedS;
     }
--- a/src/main/java/org/shoreusher/balance/MigrationPlanner.java
+++ b/src/main/java/org/shoreusher/balance/MigrationPlanner.java
@@ -6,72 +6,80 @@
 import java.util.Optional;
 
 /**
- * Selects migrations that bring the skew of a high-demand team back within the margin: from the
- * machines with the largest share of the team's load to machines whose share stays below. A
- * planning round examines a bounded number of machines; the next round continues where it ended.
+ * Selects migrations that bring the skew of a high-demand team back within the margin. A migration
+ * goes from a machine of which the team uses too large a share to one of which it then uses a
+ * smaller share. A planning round considers a bounded number of targets; the next round continues
+ * with the machines after them.
  */
 final class MigrationPlanner {
     /**
      * A migration worth its cost.
      *
      * @param task the task
-     * @param target the machine to which it goes
+     * @param target id of the machine to which it is migrated
      * @param gainS expected gain in seconds
      */
     record PlannedMigration(MigratableTask task, String target, double gainS) {}
 
-    /** Limits on further migrations, from those in progress. */
+    /** The limits on further migrations, given those in progress. */
     interface MigrationLimits {
-        /** Whether another migration of the team may begin. */
+        /**
+         * Whether another migration of the team may begin, by the limits per shard and per team.
+         */
         boolean canBeginForTeam(String team);
 
-        /** Whether the task may be migrated, given its budget and the migrations in progress. */
+        /** Whether the task may be migrated: it is not being migrated, and its budget allows it. */
         boolean canMigrate(MigratableTask task);
 
-        /** Whether tasks may leave the machine: none has recently been migrated to it. */
+        /** Whether tasks may leave the machine: none is being or was recently migrated to it. */
         boolean canLeave(String machine);
 
-        /** Whether tasks may be migrated to the machine: none has recently left it. */
+        /**
+         * Whether tasks may be migrated to the machine: none is being or was recently migrated from
+         * it.
+         */
         boolean canEnter(String machine);
 
-        /** Returns the CPUs of a team that are about to leave a machine. */
+        /** Returns the CPUs of a team's tasks that are being stopped on a machine to migrate. */
         double outgoingCpus(String machine, String team);
 
         /** Whether another migration into the zone may begin. */
         boolean canBeginInZone(String zone);
 
-        /** Returns the CPUs of a team that are being migrated to a machine. */
+        /** Returns the CPUs of a team's tasks that are being migrated to a machine. */
         double incomingCpus(String machine, String team);
 
         /** Begins a migration. */
         void begin(PlannedMigration planned);
     }
 
-    /** Largest number of overloaded machines that one round takes tasks from. */
+    /** Largest number of machines from which one round migrates tasks of a team. */
     private static final int MAX_SOURCES = 32;
 
-    /** Largest number of machines that one round considers as targets. */
+    /** Largest number of machines that one round considers as targets for a team. */
     private static final int MAX_TARGETS = 256;
 
     /**
-     * Seconds from the decision to start a task until it runs: the next heartbeat of the target,
-     * and the start itself.
+     * Assumed seconds from the decision to start a task until it runs: the time to the target's
+     * next heartbeat, and the start itself.
      */
-    private static final double START_LAG_S = 2;
+    private static final double START_LATENCY_S = 2;
 
     private final BalanceSettings settings;
     private final LoadModel load;
+
+    /** Index of the machine with which the targets of the next round begin. */
     private int nextTargetIndex;
 
-    /** Creates a planner that reads the given load. */
+    /** Creates a planner over the given load, which the caller keeps up to date. */
     MigrationPlanner(BalanceSettings settings, LoadModel load) {
         this.settings = settings;
         this.load = load;
     }
 
     /**
-     * Selects migrations of a team. Each begins at once, so that the next selection takes it into
-     * account.
+     * Selects migrations of a team; none if its skew is within the margin and the hysteresis. Each
+     * begins at once, so that the next selection takes it into account.
      */
     void beginMigrations(String team, SchedulerView scheduler, MigrationLimits limits) {
         double shareLimit = load.meanShare(team) + settings.spreadMargin();
@@ -92,7 +100,7 @@
         }
     }
 
-    /** Returns the machines above the limit, the largest share first. */
+    /** Returns at most {@link #MAX_SOURCES} machines above the limit, the largest share first. */
     private List<MachineLoad> sources(String team, double shareLimit, MigrationLimits limits) {
         List<MachineLoad> sources = new ArrayList<>();
         for (String id : load.machinesOf(team)) {
@@ -109,7 +117,10 @@
         return sources.subList(0, Math.min(MAX_SOURCES, sources.size()));
     }
 
-    /** Returns the next machines in the round-robin order, the smallest share first. */
+    /**
+     * Returns the next {@link #MAX_TARGETS} machines in round-robin order, sorted by the team's
+     * share after the migrations in progress, smallest first.
+     */
     private List<MachineLoad> targets(String team, MigrationLimits limits) {
         List<MachineLoad> targets = new ArrayList<>();
         int count = Math.min(MAX_TARGETS, load.machineCount());
@@ -130,7 +141,8 @@
     }
 
     /**
-     * Returns the task and target with the largest gain; empty if no migration is worth its cost.
+     * Returns the task and target with the largest gain, of equal ones the first; empty if no
+     * migration is suitable.
      */
     private Optional<PlannedMigration> bestMigration(
             MachineLoad source,
@@ -143,8 +155,8 @@
         }
         PlannedMigration best = null;
         for (MigratableTask task : scheduler.migratableTasks(source.id(), team)) {
-            // Upper bound: a target that already has the image.
-            double maxGainS = task.remainingS() - task.checkpointDurationS() - START_LAG_S;
+            // Upper bound: the gain at a target that already has the image.
+            double maxGainS = task.remainingS() - task.checkpointDurationS() - START_LATENCY_S;
             if (!limits.canMigrate(task) || (best != null && best.gainS() >= maxGainS)) {
                 continue;
             }
@@ -160,7 +172,7 @@
         return Optional.ofNullable(best);
     }
 
-    /** Whether the migration is worth its cost, within the limits, and reduces the skew. */
+    /** Whether the migration is worth its cost, allowed by the limits, and reduces the skew. */
     private boolean isSuitable(
             MachineLoad source, MachineLoad target, MigratableTask task, MigrationLimits limits) {
         return isWorthwhile(task, target)
@@ -172,13 +184,14 @@
     private static double costS(MigratableTask task, MachineLoad target) {
         return target.imageFetchS(task.image(), task.imageGb())
                 + task.checkpointDurationS()
-                + START_LAG_S;
+                + START_LATENCY_S;
     }
 
     private static double gainS(MigratableTask task, MachineLoad target) {
         return task.remainingS() - costS(task, target);
     }
 
+    /** Whether the remaining run time is large enough compared to the cost of the migration. */
     private boolean isWorthwhile(MigratableTask task, MachineLoad target) {
         return task.remainingS() >= settings.minGainFactor() * costS(task, target);
     }
--- a/src/main/java/org/shoreusher/balance/TaskId.java
+++ b/src/main/java/org/shoreusher/balance/TaskId.java
@@ -1,7 +1,7 @@
 package org.shoreusher.balance;
 
 /**
- * Identifies a task.
+ * Identifies a task of any job.
  *
  * @param job id of the job
  * @param index index of the task in the job
--- a/src/main/java/org/shoreusher/core/schedule/BalancerInput.java
+++ b/src/main/java/org/shoreusher/core/schedule/BalancerInput.java
@@ -18,8 +18,8 @@
 import org.shoreusher.core.store.Outbox;
 
 /**
- * The state of a shard as the balancer needs it: unmet demand, tasks that can be migrated, and
- * machines that accept them.
+ * The state of a shard that the balancer needs: the teams' unmet demand, the tasks that can be
+ * migrated, and the machines that accept them.
  */
 final class BalancerInput implements SchedulerView {
     private final ShardState shard;
@@ -40,18 +40,21 @@
         this.quotaHeadroom = quotaHeadroom;
     }
 
-    /** Returns the CPUs that each team wants beyond what it uses, within its quota headroom. */
+    /**
+     * Returns the unmet demand of each team with pending tasks: the CPUs of those tasks, limited to
+     * the team's quota headroom; at least 0.
+     */
     Map<String, Double> unmetDemandCpus() {
-        Map<String, Double> wantedCpus = new HashMap<>();
+        Map<String, Double> unmetDemandCpus = new HashMap<>();
         for (Job job : shard.jobs().values()) {
             if (job.pendingCount() > 0) {
-                wantedCpus.merge(
+                unmetDemandCpus.merge(
                         job.spec().team(), job.pendingCount() * job.spec().cpus(), Double::sum);
             }
         }
-        wantedCpus.replaceAll(
+        unmetDemandCpus.replaceAll(
                 (team, cpus) -> Math.max(0, Math.min(cpus, quotaHeadroom.cpuHeadroom(team))));
-        return wantedCpus;
+        return unmetDemandCpus;
     }
 
     @Override
@@ -69,7 +72,10 @@
         return migratable;
     }
 
-    /** Whether a task can be stopped and restarted without harm to its job. */
+    /**
+     * Whether a task may be migrated: it is the current attempt, is not being stopped, saves its
+     * progress, has run long enough for its start to count, and its job is preemptible.
+     */
     private boolean isMigratable(TaskAttempt attempt) {
         Job job = attempt.job();
         return attempt.state() == TaskAttempt.State.RUNNING
@@ -83,7 +89,7 @@
                 && schedulingOrder.isPreemptible(job, outbox.now().wallMs());
     }
 
-    /** Whether tasks of the job save their progress and may run in any zone. */
+    /** Whether tasks of the job write checkpoints and have no constraints between zones. */
     private static boolean canRestartElsewhere(JobSpec spec) {
         return spec.workloadType().runsToCompletion()
                 && spec.checkpointIntervalS() > 0
@@ -93,7 +99,7 @@
 
     private MigratableTask toMigratableTask(TaskAttempt attempt) {
         JobSpec spec = attempt.job().spec();
-        double ranS = attempt.runningMs(outbox.now().monotonicMs()) / 1000.0;
+        double runningS = attempt.runningMs(outbox.now().monotonicMs()) / 1000.0;
         return new MigratableTask(
                 new TaskId(attempt.job().id(), attempt.taskIndex()),
                 spec.jobClass(),
@@ -102,8 +108,8 @@
                 spec.image(),
                 spec.imageGb(),
                 attempt.machine().id(),
-                runTimeEstimates.expectedRunS(attempt.job()) - ranS,
-                Math.min(spec.checkpointIntervalS(), ranS),
+                runTimeEstimates.expectedRunS(attempt.job()) - runningS,
+                Math.min(spec.checkpointIntervalS(), runningS),
                 spec.checkpointDurationS());
     }
 
--- a/src/main/java/org/shoreusher/core/schedule/MigrationSpreadLimit.java
+++ b/src/main/java/org/shoreusher/core/schedule/BalancerSpreadLimit.java
@@ -4,11 +4,11 @@
 import org.shoreusher.core.cluster.Machine;
 import org.shoreusher.core.message.JobSpec;
 
-/** Limits the load of high-demand teams per machine by the rules of the balancer. */
-final class MigrationSpreadLimit implements SpreadLimit {
+/** Limits the load of high-demand teams on a machine as the balancer computes it. */
+final class BalancerSpreadLimit implements SpreadLimit {
     private final Balancer balancer;
 
-    MigrationSpreadLimit(Balancer balancer) {
+    BalancerSpreadLimit(Balancer balancer) {
         this.balancer = balancer;
     }
 
--- a/src/main/java/org/shoreusher/core/schedule/BinPacker.java
+++ b/src/main/java/org/shoreusher/core/schedule/BinPacker.java
@@ -10,15 +10,16 @@
 import org.shoreusher.core.message.JobSpec;
 
 /**
- * Best-fit bin packing of waiting tasks: each task goes to the machine with the least free capacity
- * that still fits it, so that machines empty out and can be scaled in.
+ * Best-fit bin packing of pending tasks: each task is placed on the fullest machine that has
+ * capacity for it, so that other machines become idle and can be scaled in.
  *
- * <p>A plan describes the moment at which it is made. {@link PlacementPlan} caches it between
- * heartbeats, since starts are sent only in responses to heartbeats. Not thread-safe.
+ * <p>A bin packer makes one plan, from the state at that time. {@link PlacementPlan} caches the
+ * plan between heartbeats, because starts are ordered only in responses to heartbeats. Not
+ * thread-safe.
  */
 public final class BinPacker {
 
-    /** Sorts machines that are not provisioned yet after all others. */
+    /** Sorts machines that are not provisioned yet after others with the same sort key. */
     private static final String AFTER_ALL_MACHINE_IDS = "~";
 
     private static final SpreadPass[] SPREAD_PASSES = SpreadPass.values();
@@ -31,7 +32,7 @@
                                             ? capacity.machine().id()
                                             : AFTER_ALL_MACHINE_IDS);
 
-    /** Machines that still have free capacity. */
+    /** Machines that still have free capacity in this plan; sorted again for each job. */
     private final List<MachineCapacity> capacities;
 
     private final PlannedQuota quota;
@@ -40,7 +41,7 @@
     private long machinesScanned;
 
     /**
-     * Creates a plan without a spread limit.
+     * Creates an empty plan without a spread limit.
      *
      * @param capacities machines with free capacity; the list is changed
      * @param cpuHeadroom CPUs of the quota that a team may still use
@@ -54,7 +55,7 @@
     }
 
     /**
-     * Creates a plan that spreads the load of some teams.
+     * Creates an empty plan with a spread limit.
      *
      * @param capacities machines with free capacity; the list is changed
      * @param cpuHeadroom CPUs of the quota that a team may still use
@@ -71,7 +72,7 @@
         this.spreadLimit = spreadLimit;
     }
 
-    /** Returns everything placed so far, in the order of placement. */
+    /** Returns the tasks placed so far, in the order of placement; a live view. */
     public List<PlacedTasks> placedTasks() {
         return placedTasks;
     }
@@ -86,7 +87,7 @@
         return !capacities.isEmpty();
     }
 
-    /** Returns how many machines were examined so far, summed over jobs: the cost of the plan. */
+    /** Returns the number of machines examined, summed over jobs: the cost of the plan. */
     long machinesScanned() {
         return machinesScanned;
     }
@@ -99,7 +100,7 @@
     /**
      * Places up to {@code requested} tasks of a job.
      *
-     * @return how many tasks found no machine although the quota allows them
+     * @return how many of these tasks the quota allows but no machine can take
      */
     public int place(Job job, int requested) {
         int unplaced = Math.min(requested, maxTasksWithinQuota(job.spec()));
@@ -123,13 +124,12 @@
     }
 
     /**
-     * Returns the position of a machine in the packing order of a job; lower values are filled
-     * first.
+     * Returns the rank of a machine in the packing order of a job; the lowest is filled first.
      *
-     * <p>It is the free fraction, not the absolute free capacity: small machines would otherwise
-     * always come before larger ones with some capacity left, and the larger ones, cheaper per CPU,
-     * would stay nearly empty. The cost of an image fetch is added, so that a slightly emptier
-     * machine that has the image is preferred.
+     * <p>The rank is the free fraction of the CPUs instead of the number of free CPUs: by their
+     * number, small machines would always come before partly used larger ones, and the larger ones,
+     * which are cheaper per CPU, would stay nearly empty. The cost of an image fetch is added, so
+     * that a slightly emptier machine that has the image is preferred.
      */
     private static double packingRank(MachineCapacity capacity, Job job) {
         boolean hasFailedHere =
@@ -142,8 +142,8 @@
     }
 
     /**
-     * Assigns tasks to machines in order; returns how many found no capacity within the limit of
-     * this pass.
+     * Assigns tasks to machines in packing order; returns how many found no capacity within the
+     * limit of this pass.
      */
     private int fill(Job job, int requested, ZoneConstraints zoneConstraints, SpreadPass pass) {
         JobSpec spec = job.spec();
@@ -181,7 +181,7 @@
         placedTasks.add(new PlacedTasks(job, capacity, taskCount));
     }
 
-    /** Returns how many more tasks of the job this pass allows on a machine. */
+    /** Returns how many more tasks of the job the spread limit of this pass allows on a machine. */
     private int maxTasksWithinSpread(MachineCapacity capacity, JobSpec spec, SpreadPass pass) {
         if (!capacity.isProvisioned() || spec.cpus() <= 0 || pass == SpreadPass.UNLIMITED) {
             return Integer.MAX_VALUE;
@@ -198,8 +198,9 @@
     }
 
     /**
-     * Reserves partly free machines for a job that found no capacity, those with the most free CPUs
-     * first. Otherwise smaller tasks would keep filling them and a larger task would never fit.
+     * Reserves partly used machines for a job whose tasks do not fit on them yet, those with the
+     * most free CPUs first. Otherwise smaller tasks would keep filling them, and a larger task
+     * might never fit.
      *
      * @return the reserved machines, which take no further tasks in this plan
      */
--- a/src/main/java/org/shoreusher/core/schedule/BinPackerFactory.java
+++ b/src/main/java/org/shoreusher/core/schedule/BinPackerFactory.java
@@ -15,7 +15,7 @@
     /**
      * Creates the factory of one shard.
      *
-     * @param spreadLimit returns the limit on one team's share of a machine that holds now
+     * @param spreadLimit returns the limit on a team's load per machine for a plan made now
      */
     public BinPackerFactory(
             ShardState shard, QuotaHeadroom quotaHeadroom, Supplier<SpreadLimit> spreadLimit) {
--- a/src/main/java/org/shoreusher/core/schedule/ImageFetch.java
+++ b/src/main/java/org/shoreusher/core/schedule/ImageFetch.java
@@ -8,15 +8,14 @@
 final class ImageFetch {
     private ImageFetch() {}
 
-    /** Returns the seconds that a fetch of the job's image takes on a machine of this type. */
+    /** Returns the seconds that fetching the job's image takes on a machine of this type. */
     static double fetchS(MachineType type, JobSpec spec) {
         return spec.imageGb()
                 / Math.max(ScheduleConstants.MIN_IMAGE_FETCH_GB_PER_S, type.imageFetchGbPerS());
     }
 
     /**
-     * Returns the share of a task's time on a machine that goes into fetching its image, from 0 to
-     * 1.
+     * Returns the share of a task's time on a machine that fetching its image takes, from 0 to 1.
      */
     static double shareOfRunTime(MachineType type, JobSpec spec) {
         double fetchS = fetchS(type, spec);
@@ -24,8 +23,8 @@
     }
 
     /**
-     * Returns the cost in CPUs: those of one task, times the share of its time on the machine that
-     * the fetch takes; 0 if the machine has the image.
+     * Returns the cost of the fetch in CPUs: those of one task, times the share of the task's time
+     * on the machine that the fetch takes; 0 if the machine has the image.
      */
     static double costCpus(MachineCapacity capacity, JobSpec spec) {
         if (capacity.isProvisioned() && capacity.machine().cachedImages().contains(spec.image())) {
--- a/src/main/java/org/shoreusher/core/schedule/JobQueue.java
+++ b/src/main/java/org/shoreusher/core/schedule/JobQueue.java
@@ -7,7 +7,7 @@
 import org.shoreusher.core.cluster.ShardState;
 import org.shoreusher.core.store.Outbox;
 
-/** The jobs of a shard that wait for resources. */
+/** The jobs of a shard with pending tasks that may be started now. */
 public final class JobQueue {
     private final ShardState shard;
     private final Outbox outbox;
@@ -21,8 +21,9 @@
     }
 
     /**
-     * Returns the jobs with pending tasks that may be started now, in the order in which they
-     * should get resources; a new list.
+     * Returns the jobs with pending tasks, in scheduling order, as a new list. Left out are closed
+     * jobs, those that delay starts after failures, and those with zone constraints whose tasks'
+     * zones are not known yet.
      */
     public List<Job> inSchedulingOrder() {
         List<Job> schedulable = new ArrayList<>();
--- a/src/main/java/org/shoreusher/core/schedule/MachineCapacity.java
+++ b/src/main/java/org/shoreusher/core/schedule/MachineCapacity.java
@@ -6,7 +6,7 @@
 import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.core.message.MachineType;
 
-/** The capacity of one machine that is still free while a plan is made. */
+/** The capacity of one machine that is still free while a plan is made; not thread-safe. */
 public final class MachineCapacity {
     private final Machine machine;
     private final MachineType type;
@@ -20,10 +20,10 @@
     /** CPUs that the current plan assigns here, by team; created with the first entry. */
     private Object2DoubleOpenHashMap<String> plannedCpus;
 
-    /** Position in the packing order of the current job; lower values are filled first. */
+    /** The key by which a bin packer sorts the machines for the current job, lowest first. */
     private double sortKey;
 
-    /** The capacity of an existing machine that is free now. */
+    /** Creates the capacity of an existing machine that is free now. */
     public MachineCapacity(Machine machine) {
         this(
                 machine,
@@ -35,7 +35,7 @@
                 machine.resources().memGbFree());
     }
 
-    /** The capacity of an empty machine that has not been provisioned yet. */
+    /** Creates the capacity of an empty machine that has not been provisioned yet. */
     public MachineCapacity(MachineType type, String zone, boolean spot) {
         this(null, type, zone, spot, type.cpus(), type.gpus(), type.memGb());
     }
@@ -63,7 +63,6 @@
         return machine;
     }
 
-    /** Whether the machine exists already. */
     boolean isProvisioned() {
         return machine != null;
     }
@@ -84,8 +83,8 @@
     }
 
     /**
-     * Whether this is an on-demand machine that costs far more than a spot one. It is filled last,
-     * so that it becomes idle first when load drops.
+     * Whether this is an on-demand machine of a type that is far cheaper as a spot machine. It is
+     * filled last, so that it becomes idle first when load drops.
      */
     boolean isExpensive() {
         return expensive;
@@ -99,17 +98,16 @@
         return sortKey;
     }
 
-    /** Sets the position in the packing order of the current job. */
     void setSortKey(double sortKey) {
         this.sortKey = sortKey;
     }
 
-    /** Whether the job may run on machines of this type, zone and kind. */
+    /** Whether the job may run on this machine by its type, its zone, and spot or on-demand. */
     boolean isAllowedFor(JobSpec spec) {
         return spec.allowsMachine(type.name(), zone, spot);
     }
 
-    /** Returns how many tasks of the job fit into the free capacity. */
+    /** Returns how many tasks of the job fit into the free CPUs, GPUs and memory. */
     public int fittingTaskCount(JobSpec spec) {
         double count = Integer.MAX_VALUE;
         count = Math.min(count, fittingCount(freeCpus, spec.cpus()));
@@ -124,7 +122,7 @@
                 : Integer.MAX_VALUE;
     }
 
-    /** Whether neither CPUs nor GPUs are left, so that hardly any task fits. */
+    /** Whether neither CPUs nor GPUs are free, so that hardly any task fits. */
     boolean isFull() {
         return freeCpus <= ClusterConstants.EPSILON && freeGpus <= ClusterConstants.EPSILON;
     }
@@ -134,7 +132,7 @@
         return plannedCpus == null ? 0 : plannedCpus.getDouble(team);
     }
 
-    /** Records that the current plan assigns so many tasks of the job to this machine. */
+    /** Records tasks of the job that the current plan assigns to this machine. */
     void recordPlanned(JobSpec spec, int taskCount) {
         if (plannedCpus == null) {
             plannedCpus = new Object2DoubleOpenHashMap<>();
@@ -142,7 +140,7 @@
         plannedCpus.addTo(spec.team(), spec.cpus() * taskCount);
     }
 
-    /** Subtracts the resources of so many tasks from the free capacity. */
+    /** Subtracts the resources of tasks of the job from the free capacity. */
     void allocate(JobSpec spec, int taskCount) {
         freeCpus -= spec.cpus() * taskCount;
         freeGpus -= spec.gpus() * taskCount;
--- a/src/main/java/org/shoreusher/core/schedule/MigrationEvents.java
+++ b/src/main/java/org/shoreusher/core/schedule/MigrationEvents.java
@@ -10,7 +10,7 @@
 final class MigrationEvents {
     private MigrationEvents() {}
 
-    /** A migration has begun; its task is being stopped. */
+    /** A migration has begun; its task is being stopped on the source. */
     static LogEvent started(MigrationReservation reservation, double skew) {
         Migration migration = reservation.migration();
         return LogEvent.of(LogEventType.MIGRATION_STARTED)
@@ -22,7 +22,7 @@
                 .with("gain_s", Math.round(migration.gainS()));
     }
 
-    /** The task starts at its target. */
+    /** The task is started at its target. */
     static LogEvent completed(MigrationReservation reservation, long nowMs) {
         return LogEvent.of(LogEventType.MIGRATION_COMPLETED)
                 .with("task", reservation.taskId())
@@ -43,7 +43,7 @@
                 .with("reason", reason.name().toLowerCase(Locale.ROOT));
     }
 
-    /** What migrations have done so far in a shard. */
+    /** The statistics of a shard's migrations so far. */
     static LogEvent statistics(int shardNumber, BalanceStatistics statistics) {
         return LogEvent.of(LogEventType.MIGRATION_STATISTICS)
                 .with("shard", shardNumber)
--- a/src/main/java/org/shoreusher/core/schedule/MigrationReservation.java
+++ b/src/main/java/org/shoreusher/core/schedule/MigrationReservation.java
@@ -7,7 +7,7 @@
 import org.shoreusher.core.cluster.TaskAttempt;
 import org.shoreusher.core.message.JobSpec;
 
-/** A migration in progress, with the capacity reserved at its target. */
+/** A migration in progress, for which capacity at the target is reserved. */
 final class MigrationReservation {
     private final Migration migration;
     private final TaskAttempt source;
@@ -29,7 +29,7 @@
         return source;
     }
 
-    /** Returns the machine on which the task is started again. */
+    /** Returns the machine on which the task is to start again. */
     Machine target() {
         return target;
     }
@@ -51,12 +51,11 @@
         return hasLeftSource;
     }
 
-    /** Records that the task has left the source. */
     void markLeftSource() {
         hasLeftSource = true;
     }
 
-    /** Whether the task can start as soon as this machine sends a heartbeat. */
+    /** Whether the task can start in the response to this machine's next heartbeat. */
     boolean isReadyOn(Machine machine) {
         return target == machine && hasLeftSource;
     }
--- a/src/main/java/org/shoreusher/core/schedule/PlacementPlan.java
+++ b/src/main/java/org/shoreusher/core/schedule/PlacementPlan.java
@@ -16,12 +16,12 @@
 import org.shoreusher.core.store.Outbox;
 
 /**
- * Decides which waiting tasks start on which machine.
+ * Decides which pending tasks start on which machine.
  *
- * <p>A plan over all machines and jobs assigns tasks to machines. Tasks for which it found no
- * capacity go to the next machine that sends a heartbeat and has some. A plan is reused for a time
- * in proportion to its cost: a small deployment plans on every heartbeat, a large one a few times a
- * second.
+ * <p>A plan over all machines and jobs assigns tasks to machines. Tasks that it could not place
+ * start on the next machine that sends a heartbeat and has capacity for them. A plan is reused for
+ * a time in proportion to its cost: a small deployment plans on every heartbeat, a large one a few
+ * times a second.
  */
 public final class PlacementPlan {
     private final ShardState shard;
@@ -33,11 +33,11 @@
     private final Object2ObjectOpenHashMap<Machine, List<PlacedTasks>> plannedTasks =
             new Object2ObjectOpenHashMap<>();
 
-    /** Tasks that no machine had capacity for, by job, in scheduling order. */
+    /** Number of tasks by job that quota allows but no machine could take, in scheduling order. */
     private final Object2IntLinkedOpenHashMap<Job> unplacedTasks =
             new Object2IntLinkedOpenHashMap<>();
 
-    /** Machines that are reserved, until they have enough capacity, for a job that found none. */
+    /** Machines reserved until the next plan, each for a job whose tasks do not fit there yet. */
     private final Object2ObjectOpenHashMap<Machine, Job> reservedFor =
             new Object2ObjectOpenHashMap<>();
 
@@ -66,9 +66,9 @@
         if (plannedHere == null && unplacedTasks.isEmpty()) {
             return List.of();
         }
-        // The plan may be outdated: the machine, the team's usage or the job may have changed, so
-        // everything is checked again. A job is placed in one call, its planned and its unplaced
-        // tasks together, because the packer does not count its own placements as tasks of the job.
+        // The machine, the team's usage or the job may have changed since the plan was made, so
+        // everything is checked again. A job's planned and unplaced tasks are placed in one call,
+        // because the zone constraints of a second call would ignore the tasks of the first.
         BinPacker packer =
                 new BinPacker(
                         new ArrayList<>(List.of(new MachineCapacity(machine))),
@@ -88,6 +88,7 @@
             if (triedJobs.add(job)) {
                 place(packer, job, 0);
             }
+            // A reserved machine takes no tasks of jobs after the one that it is reserved for.
             if (reservedFor.get(machine) == job && job.pendingCount() > 0) {
                 break;
             }
@@ -96,8 +97,8 @@
     }
 
     /**
-     * Places the tasks of a job that are planned for the machine, and as many of its unplaced ones
-     * as fit.
+     * Places the tasks of a job that are planned for the machine, and as many of the job's unplaced
+     * tasks as fit.
      */
     private void place(BinPacker packer, Job job, int plannedCount) {
         int placedBefore = packer.placedTasks().size();
@@ -115,9 +116,9 @@
     }
 
     /**
-     * Records tasks that are planned for a machine. Several passes of the packer may place the same
-     * job on one machine; they are merged, because each of them placed on its own later would
-     * ignore the others in the job's zone constraints.
+     * Records tasks that are planned for a machine. Several passes of the packer may place tasks of
+     * the same job on one machine. They are merged, so that {@link #takeTasksToStart} places them
+     * in one call; in separate calls the zone constraints would ignore the tasks of earlier ones.
      */
     private void addPlanned(PlacedTasks placed) {
         List<PlacedTasks> plannedHere =
@@ -152,12 +153,12 @@
                 unplacedTasks.put(job, unplaced);
                 reservableCpus -= reserveMachines(packer, job, unplaced, reservableCpus);
             }
-            // High-water mark: what is about to start, and what comes next when a machine has
-            // capacity again.
-            int nextTasks =
+            // The high-water mark covers the tasks that are placed, and those that start next when
+            // machines have capacity again.
+            int lookaheadTasks =
                     (int) Math.min(unplaced, Math.ceil(tasksWithin(lookaheadCpus, job.spec())));
-            lookaheadCpus -= nextTasks * job.spec().cpus();
-            int startableTasks = allowedTasks - unplaced + nextTasks;
+            lookaheadCpus -= lookaheadTasks * job.spec().cpus();
+            int startableTasks = allowedTasks - unplaced + lookaheadTasks;
             if (startableTasks > 0) {
                 highWaterMarks.request(job, job.highWaterMarkForNext(startableTasks));
             }
@@ -168,9 +169,9 @@
     }
 
     /**
-     * Reserves machines for a job that found no capacity.
+     * Reserves machines for the unplaced tasks of a job.
      *
-     * @return the CPUs that are reserved for its tasks
+     * @return the CPUs of the tasks for which machines are reserved, one task per machine
      */
     private double reserveMachines(BinPacker packer, Job job, int unplaced, double reservableCpus) {
         int maxMachines = (int) Math.min(unplaced, tasksWithin(reservableCpus, job.spec()));
@@ -179,7 +180,7 @@
         return reserved.size() * job.spec().cpus();
     }
 
-    /** Returns how many tasks of the job so many CPUs are; not rounded. */
+    /** Returns the number of the job's tasks that use this many CPUs; not rounded. */
     private static double tasksWithin(double cpus, JobSpec spec) {
         return cpus / Math.max(ClusterConstants.EPSILON, spec.cpus());
     }
--- a/src/main/java/org/shoreusher/core/schedule/PlannedQuota.java
+++ b/src/main/java/org/shoreusher/core/schedule/PlannedQuota.java
@@ -5,7 +5,7 @@
 import org.shoreusher.core.cluster.ClusterConstants;
 import org.shoreusher.core.message.JobSpec;
 
-/** The quota headroom of teams, less what a plan has assigned to them so far. */
+/** The quota headroom of teams, less what a plan has assigned to their tasks so far. */
 final class PlannedQuota {
     private final ToDoubleFunction<String> cpuHeadroom;
     private final ToDoubleFunction<String> gpuHeadroom;
@@ -38,7 +38,7 @@
         return (int) Math.max(0, count);
     }
 
-    /** Records that the plan assigns so many more tasks of the job. */
+    /** Records further tasks of the job that the plan assigns. */
     void add(JobSpec spec, int taskCount) {
         plannedCpus.addTo(spec.team(), taskCount * spec.cpus());
         plannedGpus.addTo(spec.team(), taskCount * spec.gpus());
--- a/src/main/java/org/shoreusher/core/schedule/Preemption.java
+++ b/src/main/java/org/shoreusher/core/schedule/Preemption.java
@@ -14,19 +14,26 @@
 import org.shoreusher.core.message.JobSpec;
 
 /**
- * Selects tasks to preempt so that waiting tasks of higher priority can start, within their team's
- * quota or on machines.
+ * Selects tasks to preempt so that pending tasks of higher priority can start: tasks of the same
+ * team where its quota is used up, and for batch jobs also tasks of any team where no machine has
+ * capacity.
  *
- * <p>Only tasks that write checkpoints are preempted, so that no work is lost, and none that
- * started so recently that its start would not count for the objectives.
+ * <p>Only tasks that write checkpoints are preempted, so that they can save their work, and none
+ * that started so recently that its start would not count for the objectives.
  */
 final class Preemption {
+    /** CPUs by team that stopping tasks will release and that cover no pending task yet. */
     private final Object2DoubleOpenHashMap<String> reclaimedTeamCpus =
             new Object2DoubleOpenHashMap<>();
+
+    /** Tasks that can be preempted and are not chosen yet, in preemption order. */
     private final List<TaskAttempt> victims = new ArrayList<>();
+
     private final List<TaskAttempt> chosen = new ArrayList<>();
     private final SchedulingOrder schedulingOrder;
     private final ClockReading now;
+
+    /** CPUs on machines that stopping tasks will release and that cover no pending task yet. */
     private double reclaimedCpus;
 
     /**
@@ -47,8 +54,8 @@
                 }
             }
         }
-        // Lowest priority first, then the task that has run for the shortest time: it has the most
-        // work left, so stopping it frees capacity for longest.
+        // Lowest priority first, then the task that has run for the shortest time: it probably has
+        // the most work left, so stopping it frees capacity for the longest time.
         victims.sort(
                 Comparator.comparing((TaskAttempt attempt) -> attempt.job().spec().priority())
                         .reversed()
@@ -68,7 +75,8 @@
      * Selects the tasks to preempt.
      *
      * @param orderedJobs jobs in scheduling order
-     * @param packer capacity that is free now; waiting tasks are placed in it
+     * @param packer a bin packer over the capacity that is free now; pending tasks that fit are
+     *     placed with it
      */
     List<TaskAttempt> choose(List<Job> orderedJobs, BinPacker packer) {
         for (Job job : orderedJobs) {
@@ -87,7 +95,7 @@
                         missingCpus,
                         victim -> victim.job().spec().team().equals(spec.team()));
             }
-            // Capacity for replicas of services is made by ReplicaPreemption.
+            // ReplicaPreemption frees capacity for replicas of services.
             if (unplacedTasks > 0 && spec.workloadType().runsToCompletion()) {
                 double missingCpus = unplacedTasks * spec.cpus() - reclaimedCpus;
                 reclaimedCpus = Math.max(0, -missingCpus);
@@ -97,7 +105,10 @@
         return chosen;
     }
 
-    /** Whether tasks of lower priority may be preempted for the job now. */
+    /**
+     * Whether tasks of lower priority may be preempted for the job now: always for high priority
+     * and above, shortly before the latest start time for normal priority.
+     */
     private boolean mayPreempt(Job job) {
         JobSpec.Priority priority = job.spec().priority();
         return priority.compareTo(JobSpec.Priority.HIGH) <= 0
@@ -106,20 +117,20 @@
     }
 
     /**
-     * Selects victims of lower priority, on machines that the waiting job may use, until enough
-     * CPUs are reclaimed.
+     * Selects victims of lower priority, on machines that the pending job may use, until they
+     * release enough CPUs or none is left.
      */
     private void selectVictims(
-            JobSpec waitingSpec, double requiredCpus, Predicate<TaskAttempt> isCandidate) {
+            JobSpec pendingSpec, double requiredCpus, Predicate<TaskAttempt> isCandidate) {
         double missingCpus = requiredCpus;
         Iterator<TaskAttempt> remaining = victims.iterator();
         while (missingCpus > 0 && remaining.hasNext()) {
             TaskAttempt victim = remaining.next();
             JobSpec spec = victim.job().spec();
             Machine machine = victim.machine();
-            if (spec.priority().compareTo(waitingSpec.priority()) > 0
+            if (spec.priority().compareTo(pendingSpec.priority()) > 0
                     && isCandidate.test(victim)
-                    && waitingSpec.allowsMachine(
+                    && pendingSpec.allowsMachine(
                             machine.type().name(), machine.zone(), machine.isSpot())) {
                 remaining.remove();
                 chosen.add(victim);
--- a/src/main/java/org/shoreusher/core/schedule/PreemptionPass.java
+++ b/src/main/java/org/shoreusher/core/schedule/PreemptionPass.java
@@ -8,7 +8,7 @@
 import org.shoreusher.core.leadership.ShardAuthority;
 import org.shoreusher.core.store.Outbox;
 
-/** Preempts running tasks of a shard so that waiting work of higher priority can start. */
+/** Preempts running tasks of a shard so that pending tasks of higher priority can start. */
 public final class PreemptionPass {
     private final ShardState shard;
     private final ShardAuthority authority;
@@ -20,7 +20,7 @@
     private final TaskStopper taskStopper;
     private long nextPreemptionMs;
 
-    /** Creates the preemption of one shard. */
+    /** Creates the preemption pass of one shard. */
     public PreemptionPass(ShardContext context, ShardScheduling scheduling) {
         shard = context.state();
         authority = context.authority();
@@ -33,9 +33,8 @@
     }
 
     /**
-     * Stops batch tasks where replicas of services wait for capacity. Unlike {@link
-     * #preemptForPriority} this happens at once, without a grace period, and also during
-     * reconciliation.
+     * Stops batch tasks where replicas of services are pending. Unlike {@link #preemptForPriority},
+     * it acts on every call, without a grace period, and also during reconciliation.
      */
     public void preemptForReplicas() {
         if (!authority.canStartTasks()
@@ -55,10 +54,14 @@
         }
     }
 
-    /** Stops preemptible tasks where waiting work of higher priority finds no capacity. */
+    /**
+     * Evicts preemptible tasks gracefully where pending tasks of higher priority find no capacity
+     * or quota. Acts at most once per {@link ScheduleConstants#PREEMPTION_INTERVAL_MS}, and only
+     * after reconciliation is complete.
+     */
     public void preemptForPriority() {
-        // Until all machines have reported, the tasks that they may still be running limit the
-        // headroom, and stopping known tasks would not change that.
+        // Until reconciliation is complete, the headroom is limited by the tasks that machines may
+        // still be running, and stopping known tasks would not change that.
         if (outbox.now().monotonicMs() < nextPreemptionMs
                 || !authority.isReconciled()
                 || !authority.canStartTasks()) {
--- a/src/main/java/org/shoreusher/core/schedule/ProspectiveCapacity.java
+++ b/src/main/java/org/shoreusher/core/schedule/ProspectiveCapacity.java
@@ -9,18 +9,18 @@
 import org.shoreusher.core.cluster.TaskAttempt;
 import org.shoreusher.core.message.JobSpec;
 
-/** The capacity that a machine has free, or will have when its stopping tasks have exited. */
+/** The capacity of a machine that is free now or will be when its stopping tasks have exited. */
 final class ProspectiveCapacity {
     private final Machine machine;
     private double freeCpus;
     private double freeGpus;
     private double freeMemGb;
 
-    /** Batch tasks on the machine that are not stopping yet. */
+    /** Batch tasks on the machine that are not being stopped, in preemption order. */
     private final List<TaskAttempt> preemptible = new ArrayList<>();
 
     /**
-     * Collects the batch tasks of a machine.
+     * Collects the free capacity and the batch tasks of a machine.
      *
      * @param preemptionOrder the order in which tasks are preempted
      */
@@ -44,8 +44,9 @@
     }
 
     /**
-     * Returns the tasks to preempt so that one task of the job fits, in preemption order; empty if
-     * it would still not fit.
+     * Returns the tasks of lower priority to preempt so that one task of the job fits, in
+     * preemption order: an empty list if it fits already, an empty Optional if it would not fit
+     * even then.
      */
     Optional<List<TaskAttempt>> selectVictims(JobSpec spec) {
         List<TaskAttempt> victims = new ArrayList<>();
@@ -67,7 +68,7 @@
         return fits(spec, cpus, gpus, memGb) ? Optional.of(victims) : Optional.empty();
     }
 
-    /** Replaces the victims by one task of the job. */
+    /** Replaces the victims by one task of the job in the prospective capacity. */
     void replace(List<TaskAttempt> victims, JobSpec spec) {
         for (TaskAttempt victim : victims) {
             preemptible.remove(victim);
--- a/src/main/java/org/shoreusher/core/schedule/QuotaHeadroom.java
+++ b/src/main/java/org/shoreusher/core/schedule/QuotaHeadroom.java
@@ -6,8 +6,8 @@
 import org.shoreusher.settings.Settings;
 
 /**
- * The quota headroom of teams in a shard: the shard's share of the quota, less what its tasks use
- * and what machines that have not reported since the failover may be running.
+ * The quota headroom of teams in a shard: the shard's share of the quota, less what the team's
+ * tasks use and what it may be using on machines that are not reconciled since the failover.
  */
 public final class QuotaHeadroom {
     private final Settings settings;
@@ -30,51 +30,58 @@
         this.shardDemand = shardDemand;
     }
 
-    /** Returns the CPUs that tasks of the team use or may be using. */
+    /** Returns the CPUs that tasks of the team use, or may use on machines not yet reconciled. */
     public double cpusUsed(String team) {
-        return ledger.usedCpus(team) + unconfirmedCpus(team);
+        return ledger.usedCpus(team) + maxUnreconciledCpus(team);
     }
 
     /** Returns the CPUs with which further tasks of the team may start; may be negative. */
     double cpuHeadroom(String team) {
-        return quotaShares.cpuShareForStarts(team) - ledger.usedCpus(team) - unconfirmedCpus(team);
+        return quotaShares.cpuShareForStarts(team)
+                - ledger.usedCpus(team)
+                - maxUnreconciledCpus(team);
     }
 
     /** Returns the GPUs with which further tasks of the team may start; may be negative. */
     public double gpuHeadroom(String team) {
-        return quotaShares.gpuShare(team) - ledger.usedGpus(team) - unconfirmedGpus(team);
+        return quotaShares.gpuShare(team) - ledger.usedGpus(team) - maxUnreconciledGpus(team);
     }
 
-    private double unconfirmedCpus(String team) {
-        return unconfirmed(progress.unreconciledCpus(), maxCpus(team), ledger.inheritedCpus(team));
+    private double maxUnreconciledCpus(String team) {
+        return maxUnreconciled(
+                progress.unreconciledCpus(), maxCpus(team), ledger.inheritedCpus(team));
     }
 
-    private double unconfirmedGpus(String team) {
+    private double maxUnreconciledGpus(String team) {
         Settings.Team teamSettings = settings.teams().get(team);
-        return unconfirmed(
+        return maxUnreconciled(
                 progress.unreconciledGpus(),
                 teamSettings == null ? 0 : teamSettings.maxGpus(),
                 ledger.inheritedGpus(team));
     }
 
-    /** Returns the quota of a team; 0 for an unknown team. */
+    /** Returns the CPU quota of a team: infinite without a quota, 0 for an unknown team. */
     private double maxCpus(String team) {
         Settings.Team teamSettings = settings.teams().get(team);
         return teamSettings == null ? 0 : teamSettings.maxCpus();
     }
 
     /**
-     * Returns what machines that have not reported yet may be using of a team's quota. The previous
-     * leader kept the team within its quota, so what was found on machines that have reported and
-     * what is on the others do not exceed it together.
+     * Returns an upper bound of what a team may be using on machines that are not reconciled yet.
+     * The previous leader kept the team within its quota, so the team's inherited tasks on
+     * reconciled machines and its tasks on all others together use at most the quota.
+     *
+     * @param unreconciled resources in use on machines that are not reconciled, at most
+     * @param inherited resources of the team's tasks that were found after the failover
      */
-    private static double unconfirmed(double totalUnconfirmed, double quota, double found) {
-        return Math.min(totalUnconfirmed, Math.max(0, quota - found));
+    private static double maxUnreconciled(double unreconciled, double quota, double inherited) {
+        return Math.min(unreconciled, Math.max(0, quota - inherited));
     }
 
     /**
-     * Returns the CPUs with which tasks could start if this shard got all of the quota that other
-     * shards do not demand. Scaling out is based on this.
+     * Returns the CPUs with which further tasks of the team could start if this shard's share were
+     * raised to the part of the quota that other shards do not demand, where that is more; may be
+     * negative. Scale-out is based on it.
      */
     public double cpuHeadroomForScaleOut(String team) {
         boolean isKnown = settings.teams().containsKey(team);
@@ -82,6 +89,6 @@
                 isKnown ? maxCpus(team) - shardDemand.demandElsewhereCpus(team) : 0;
         return Math.max(notDemandedElsewhere, quotaShares.cpuShare(team))
                 - ledger.usedCpus(team)
-                - unconfirmedCpus(team);
+                - maxUnreconciledCpus(team);
     }
 }
--- a/src/main/java/org/shoreusher/core/schedule/QuotaRecords.java
+++ b/src/main/java/org/shoreusher/core/schedule/QuotaRecords.java
@@ -11,14 +11,14 @@
 import org.shoreusher.core.store.StoreSchema;
 import org.shoreusher.settings.Settings;
 
-/** The quota records of the teams in the key-value store, one for each team. */
+/** The quota records in the key-value store: one per team, with the shares of all shards. */
 final class QuotaRecords {
     private final int shardCount;
     private final Settings settings;
     private final Outbox outbox;
     private final StoreCache storeCache;
     private final Map<String, Long> fencingPreconditions;
-    private final ObjectOpenHashSet<String> teamsInFlight = new ObjectOpenHashSet<>();
+    private final ObjectOpenHashSet<String> teamsWithWriteInFlight = new ObjectOpenHashSet<>();
     private boolean creationInFlight;
 
     QuotaRecords(
@@ -34,29 +34,33 @@
         this.fencingPreconditions = fencingPreconditions;
     }
 
-    /** Returns the shares of all shards as the store cache has them; null if there is no record. */
+    /** Returns a team's record in the store cache; null if there is none. */
     QuotaRecord get(String team) {
         StoreCache.Entry entry = storeCache.get(StoreSchema.quotaKey(team));
         return entry == null ? null : QuotaRecord.fromMap(entry.value(), shardCount);
     }
 
-    /** Returns the version of a team's record. */
+    /** Returns the version of a team's record in the store cache. */
     long version(String team) {
         return storeCache.version(StoreSchema.quotaKey(team));
     }
 
-    /** Whether a write of the team's record has been sent and not answered yet. */
+    /** Whether a write of the team's record awaits its reply. */
     boolean isWriteInFlight(String team) {
-        return teamsInFlight.contains(team);
+        return teamsWithWriteInFlight.contains(team);
     }
 
-    /** Creates the records that are missing, with even shares, as many as one write may contain. */
+    /**
+     * Creates missing records with even shares, as many as one write may contain. Does nothing
+     * while an earlier such write awaits its reply.
+     */
     void createMissing() {
         Map<String, Long> preconditions = new LinkedHashMap<>(fencingPreconditions);
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
         for (Settings.Team team : settings.teams().values()) {
             String key = StoreSchema.quotaKey(team.name());
             if (storeCache.get(key) == null && writes.size() < settings.maxTransactionWrites()) {
+                // Version 0: the record must not exist.
                 preconditions.put(key, 0L);
                 writes.put(key, evenShares(team).toMap());
             }
@@ -86,7 +90,8 @@
     /**
      * Sends the write of a transfer.
      *
-     * @param onSuccess called when the store has confirmed it
+     * @param onSuccess called when the store has confirmed the write, before the store cache is
+     *     updated
      */
     void send(String team, QuotaTransfer transfer, Runnable onSuccess) {
         String key = StoreSchema.quotaKey(team);
@@ -97,14 +102,14 @@
                 outbox.callStore(
                         new StoreOperation.CompareAndSwap(preconditions, writes),
                         reply -> {
-                            teamsInFlight.remove(team);
+                            teamsWithWriteInFlight.remove(team);
                             if (reply.status() == ReplyStatus.OK) {
                                 onSuccess.run();
                                 storeCache.applyOwnWrites(reply, writes);
                             }
                         });
         if (isSent) {
-            teamsInFlight.add(team);
+            teamsWithWriteInFlight.add(team);
         }
     }
 }
--- a/src/main/java/org/shoreusher/core/schedule/QuotaShares.java
+++ b/src/main/java/org/shoreusher/core/schedule/QuotaShares.java
@@ -13,10 +13,10 @@
  * A shard's share of each team's quota.
  *
  * <p>One record per team in the key-value store contains the shares of all shards; they never sum
- * to more than the quota. Only the leader of a shard lowers its share, in the same compare-and-swap
- * that raises another shard's. It respects the lower share from before the write is sent, so two
- * shards never use the same CPU. For a resource without a quota the record contains 0, which is not
- * read.
+ * to more than the quota. Only the leader of a shard lowers the shard's share, in the same
+ * compare-and-swap that raises the share of another shard. The lower share applies in this shard
+ * already before the write is sent, so two shards never use the same CPU. For a resource without a
+ * quota the record contains 0, which is ignored.
  */
 public final class QuotaShares {
     private static final int NO_SHARD = -1;
@@ -27,17 +27,18 @@
     private final Outbox outbox;
     private final QuotaRecords records;
 
-    /** Transfers whose outcome is unknown; until it is known the lower share applies. */
+    /** Transfers by team whose outcome is unknown; until it is known, the lower share applies. */
     private final Object2ObjectOpenHashMap<String, QuotaTransfer> pendingTransfers =
             new Object2ObjectOpenHashMap<>();
 
     /**
-     * CPUs that this shard should not exceed once the demands of the others are considered, by
-     * team.
+     * This shard's target share by team, in CPUs, computed from the demands of all shards; absent
+     * until it has been computed for the first time.
      */
     private final Object2ObjectOpenHashMap<String, Double> targetCpus =
             new Object2ObjectOpenHashMap<>();
 
+    /** Monotonic time of the next step, in ms. */
     private long nextStepMs;
 
     /**
@@ -59,7 +60,10 @@
         records = new QuotaRecords(shardCount, settings, outbox, storeCache, fencingPreconditions);
     }
 
-    /** Returns the CPUs that tasks of the team in this shard may use. */
+    /**
+     * Returns the CPUs that tasks of the team in this shard may use: infinite without a quota, 0
+     * for an unknown team or if its quota record is missing.
+     */
     double cpuShare(String team) {
         Settings.Team teamSettings = settings.teams().get(team);
         double limit = teamSettings == null ? 0 : teamSettings.maxCpus();
@@ -69,7 +73,7 @@
         return share(team, QuotaRecord::cpus);
     }
 
-    /** Returns the GPUs that tasks of the team in this shard may use. */
+    /** Returns the GPUs that tasks of the team in this shard may use; see {@link #cpuShare}. */
     double gpuShare(String team) {
         Settings.Team teamSettings = settings.teams().get(team);
         double limit = teamSettings == null ? 0 : teamSettings.maxGpus();
@@ -83,7 +87,7 @@
         return shardCount > 1 && !Double.isInfinite(limit);
     }
 
-    /** Returns this shard's share, or what a pending transfer would leave if that is less. */
+    /** Returns this shard's share, or the share after a pending transfer if that is less. */
     private double share(String team, Function<QuotaRecord, double[]> resource) {
         QuotaRecord stored = records.get(team);
         if (stored == null) {
@@ -97,8 +101,8 @@
     }
 
     /**
-     * Returns the CPUs up to which new tasks should start. It may be below the share, so that
-     * another shard can get what its more urgent tasks need.
+     * Returns the CPUs up to which further tasks of the team may start: the share, or the target
+     * share if that is less, so that the surplus can go to a shard with more urgent tasks.
      */
     double cpuShareForStarts(String team) {
         Double targetShare = targetCpus.get(team);
@@ -106,11 +110,13 @@
     }
 
     /**
-     * Creates missing records and transfers shares to shards with a higher demand.
+     * Creates missing records and transfers surplus shares to shards below their target. Does
+     * nothing with a single shard, or within {@link ScheduleConstants#QUOTA_SHARES_INTERVAL_MS} of
+     * the last step.
      *
-     * @param cpusUsed CPUs that this shard's tasks of a team use or may use
-     * @param demands each shard's demand for a team, null where no recent gossip is known
-     * @param quantum smallest useful transfer for a team, in CPUs
+     * @param cpusUsed returns the CPUs that this shard's tasks of a team use or may use
+     * @param demands returns each shard's demand for a team; null for a shard without recent gossip
+     * @param quantum returns the smallest useful transfer for a team, in CPUs; at least 1 is used
      */
     public void step(
             Function<String, Double> cpusUsed,
@@ -143,8 +149,8 @@
             double quantum) {
         QuotaTransfer pending = pendingTransfers.get(team.name());
         if (pending != null && records.version(team.name()) == pending.version()) {
-            // The outcome is unknown: repeating the same write is safe, since it succeeds or the
-            // record has changed.
+            // The outcome of the write is unknown. Repeating it is safe: it fails if the record has
+            // changed.
             send(team.name(), pending);
             return;
         }
@@ -159,7 +165,7 @@
         if (surplusCpus < quantum) {
             return;
         }
-        int recipient = neediestShard(demands, targets, stored.cpus(), quantum);
+        int recipient = shardFurthestBelowTarget(demands, targets, stored.cpus(), quantum);
         if (recipient != NO_SHARD) {
             double cpuCount = Math.min(surplusCpus, targets[recipient] - stored.cpus()[recipient]);
             QuotaTransfer transfer =
@@ -175,23 +181,23 @@
     }
 
     /**
-     * Returns the number of the other shard that is furthest below its target; {@link #NO_SHARD} if
-     * none is so by a quantum.
+     * Returns the number of the other shard that is furthest below its target share; {@link
+     * #NO_SHARD} if none is below it by a quantum or more.
      */
-    private int neediestShard(
+    private int shardFurthestBelowTarget(
             TeamDemand[] demands, double[] targets, double[] shares, double quantum) {
-        int neediest = NO_SHARD;
+        int furthestBelow = NO_SHARD;
         double largestGap = 0;
         for (int shard = 0; shard < shardCount; shard++) {
             double gap = targets[shard] - shares[shard];
             if (shard != shardNumber
                     && demands[shard] != null
                     && gap >= quantum
-                    && (neediest == NO_SHARD || gap > largestGap)) {
-                neediest = shard;
+                    && (furthestBelow == NO_SHARD || gap > largestGap)) {
+                furthestBelow = shard;
                 largestGap = gap;
             }
         }
-        return neediest;
+        return furthestBelow;
     }
 }
--- a/src/main/java/org/shoreusher/core/schedule/QuotaTargets.java
+++ b/src/main/java/org/shoreusher/core/schedule/QuotaTargets.java
@@ -3,25 +3,27 @@
 import java.util.function.ToDoubleFunction;
 import org.shoreusher.core.message.GossipMessage.TeamDemand;
 
-/** Computes how a team's quota should be shared between the shards. */
+/** Computes the share of a team's quota that each shard should have. */
 final class QuotaTargets {
     private QuotaTargets() {}
 
     /**
-     * Returns the share that each shard should have: high-priority demand first, then other demand,
-     * and the remainder evenly.
+     * Returns the target share of each shard, in CPUs: high-priority demand is granted first, then
+     * other demand, and the remainder is split evenly. Rounding may raise the sum above the quota.
      *
      * @param limit the quota, in CPUs
-     * @param demands demand of each shard; a shard without (null) keeps its share
-     * @param currentShares current share of each shard
-     * @param quantum shares are rounded to a multiple of this
+     * @param demands demand of each shard; null for a shard without recent gossip, which keeps its
+     *     share
+     * @param currentShares current share of each shard, in CPUs
+     * @param quantum target shares are rounded to the nearest multiple of this, in CPUs
      */
     static double[] targetShares(
             double limit, TeamDemand[] demands, double[] currentShares, double quantum) {
         double[] targetShares = new double[currentShares.length];
         double remaining = limit;
         int shardsWithDemand = 0;
-        // A shard without recent gossip keeps its share: no other shard may use it anyway.
+        // Only the leader of a shard can lower its share, so without recent gossip from a shard its
+        // share is not available to others.
         for (int shard = 0; shard < demands.length; shard++) {
             if (demands[shard] == null) {
                 targetShares[shard] = currentShares[shard];
@@ -42,7 +44,7 @@
     }
 
     /**
-     * Grants one kind of demand in full, or in proportion if less remains.
+     * Grants one kind of demand in full, or the same fraction to each shard if less remains.
      *
      * @return the CPUs granted
      */
--- a/src/main/java/org/shoreusher/core/schedule/QuotaTransfer.java
+++ b/src/main/java/org/shoreusher/core/schedule/QuotaTransfer.java
@@ -3,17 +3,20 @@
 import org.shoreusher.core.store.QuotaRecord;
 
 /**
- * A write that lowers this shard's share of a team's quota in favour of another shard.
+ * A write that transfers a part of this shard's share of a team's quota to another shard.
  *
- * @param version version of the record that is the precondition of the write
+ * @param version the version of the quota record that is the precondition of the write
  * @param shares the shares of all shards after the write
  */
 record QuotaTransfer(long version, QuotaRecord shares) {
     /**
-     * Returns a transfer of CPUs, and of GPUs in proportion.
+     * Returns a transfer of CPUs, and of GPUs in the same proportion, rounded down.
      *
+     * @param version version of the stored record
+     * @param stored the stored record
      * @param from number of the shard whose share is lowered
      * @param to number of the shard whose share is raised
+     * @param cpuCount CPUs to transfer
      */
     static QuotaTransfer of(long version, QuotaRecord stored, int from, int to, double cpuCount) {
         double[] cpus = stored.cpus().clone();
--- a/src/main/java/org/shoreusher/core/schedule/ReplicaPreemption.java
+++ b/src/main/java/org/shoreusher/core/schedule/ReplicaPreemption.java
@@ -12,9 +12,9 @@
 import org.shoreusher.core.message.JobSpec;
 
 /**
- * Selects batch tasks of lower priority that are preempted at once, without a grace period, on
- * machines where waiting replicas of services then fit. A replica serves users, so it cannot wait
- * until a task has written a checkpoint or finished, nor until a machine has booted.
+ * Selects batch tasks of lower priority to preempt at once, without a grace period, so that pending
+ * replicas of services fit on their machines. A replica serves users, so it cannot wait until a
+ * task has written a checkpoint or completed, nor until a machine has booted.
  */
 final class ReplicaPreemption {
     /**
@@ -22,18 +22,18 @@
      *
      * @param capacity the machine
      * @param victims the tasks to preempt there
-     * @param lostCpuS CPU-seconds that this costs
+     * @param costCpuS CPU-seconds of lost work, and of fetching the replica's image
      */
     private record Candidate(
-            ProspectiveCapacity capacity, List<TaskAttempt> victims, double lostCpuS) {}
+            ProspectiveCapacity capacity, List<TaskAttempt> victims, double costCpuS) {}
 
     private final QuotaHeadroom quotaHeadroom;
     private final ClockReading now;
     private final List<ProspectiveCapacity> capacities = new ArrayList<>();
 
     /**
-     * Collects the batch tasks on every machine that accepts work, those with the least lost work
-     * first.
+     * Collects the capacity and the batch tasks of every available machine; the tasks of a machine
+     * are preempted in the order of the work that is lost, least first.
      */
     ReplicaPreemption(ShardState shard, QuotaHeadroom quotaHeadroom, ClockReading now) {
         this.quotaHeadroom = quotaHeadroom;
@@ -51,8 +51,8 @@
     }
 
     /**
-     * Selects the tasks to stop so that the waiting replicas of these services, given in scheduling
-     * order, fit.
+     * Selects the tasks to stop so that the pending replicas of these services, given in scheduling
+     * order, fit as far as possible.
      */
     List<TaskAttempt> choose(List<Job> services) {
         List<TaskAttempt> chosen = new ArrayList<>();
@@ -79,7 +79,8 @@
     }
 
     /**
-     * Returns the way to make one replica fit that loses the least work; empty if there is none.
+     * Returns the way to make one replica fit that has the lowest cost; empty if there is none. No
+     * task is preempted where the replica fits already.
      */
     private Optional<Candidate> cheapestCandidate(Job job, ZoneConstraints zoneConstraints) {
         Candidate cheapest = null;
@@ -92,11 +93,11 @@
             if (victims.isEmpty()) {
                 continue;
             }
-            double lostCpuS =
+            double costCpuS =
                     victims.get().stream().mapToDouble(this::lostCpuS).sum()
                             + fetchCpuS(machine, job.spec());
-            if (cheapest == null || lostCpuS < cheapest.lostCpuS()) {
-                cheapest = new Candidate(capacity, victims.get(), lostCpuS);
+            if (cheapest == null || costCpuS < cheapest.costCpuS()) {
+                cheapest = new Candidate(capacity, victims.get(), costCpuS);
             }
         }
         return Optional.ofNullable(cheapest);
@@ -118,14 +119,16 @@
     }
 
     /**
-     * Returns the CPU-seconds lost if the task is stopped: the work since its last checkpoint, plus
-     * a penalty if its start would not yet count for the objectives.
+     * Returns the CPU-seconds lost if the task is stopped: the most that it may have worked since
+     * its last checkpoint, plus a penalty if its start would not yet count for the objectives.
      */
     private double lostCpuS(TaskAttempt attempt) {
         JobSpec spec = attempt.job().spec();
-        double ranS = attempt.hasRun() ? attempt.runningMs(now.monotonicMs()) / 1000.0 : 0;
+        double runningS = attempt.hasRun() ? attempt.runningMs(now.monotonicMs()) / 1000.0 : 0;
         double lostS =
-                spec.checkpointIntervalS() > 0 ? Math.min(ranS, spec.checkpointIntervalS()) : ranS;
+                spec.checkpointIntervalS() > 0
+                        ? Math.min(runningS, spec.checkpointIntervalS())
+                        : runningS;
         double uncountedStartS =
                 now.monotonicMs() - attempt.createdMs() < ScheduleConstants.MIN_COUNTED_RUN_MS
                         ? ScheduleConstants.MIN_COUNTED_RUN_MS / 1000.0
--- a/src/main/java/org/shoreusher/core/schedule/ScheduleConstants.java
+++ b/src/main/java/org/shoreusher/core/schedule/ScheduleConstants.java
@@ -11,87 +11,93 @@
     static final long QUOTA_SHARES_INTERVAL_MS = 500;
 
     /**
-     * Placement steps (pairs of machine and job) per ms since the last plan. A plan of 300 free
-     * machines and 30 jobs has 5,700 steps and takes 2.4 ms of a core, so the next one follows
-     * after 15 ms.
+     * Placement steps (mostly pairs of a machine and a job) per ms for which a plan is reused. A
+     * plan over 300 free machines and 30 jobs has 5,700 steps and takes 2.4 ms of CPU time, so it
+     * is reused for about 15 ms.
      */
     static final long PLACEMENT_STEPS_PER_MS = 400;
 
-    /** ms; interval between two direct stop orders for the same task. */
+    /** ms; minimum interval between two direct stop orders for the same task. */
     static final long STOP_ORDER_RETRY_MS = 2_000;
 
     /**
-     * Share of a shard's CPUs that may be reserved for large tasks until a machine has enough free
-     * capacity for them.
+     * Largest share of a shard's CPUs, counted by the tasks to run there, for which a placement
+     * plan reserves machines that do not have enough free capacity yet.
      */
     static final double MAX_RESERVED_CPU_SHARE = 0.1;
 
     /**
-     * Share of a shard's CPUs for which high-water marks are raised beyond the tasks that a
-     * placement plan has capacity for; covers the tasks that end between two plans.
+     * Share of a shard's CPUs by which high-water marks are raised beyond the tasks that a
+     * placement plan has placed, so that further tasks can start on capacity that becomes free
+     * before the next plan.
      */
     static final double HIGH_WATER_MARK_LOOKAHEAD_SHARE = 0.05;
 
-    /** s; total time assumed for a job that has no objective, or has missed all of them. */
+    /** s; assumed deadline, from acceptance, of a job without an attainable objective. */
     static final double DEFAULT_DEADLINE_S = 600;
 
     /**
-     * s; a job of which no task has started for this long goes before all others. Even the largest
-     * job must start within 240 s.
+     * s; a job of this age of which no task has started is scheduled before all others. Every job,
+     * even the largest, must start within 240 s.
      */
     static final double STARVATION_AGE_S = 150;
 
     /**
-     * s; time from the decision to start a task until it runs, without the image fetch: about one
-     * heartbeat and one order.
+     * s; assumed time from the decision to start a task until it runs, excluding the image fetch:
+     * about one heartbeat interval and the delivery of the order.
      */
     static final double TASK_START_LATENCY_S = 2;
 
-    /** GB/s; lowest assumed rate of an image fetch. */
+    /** GB/s; lower bound of the assumed rate of an image fetch. */
     static final double MIN_IMAGE_FETCH_GB_PER_S = 0.01;
 
-    /** ms; how often preemption is considered. */
+    /** ms; minimum interval between two rounds of preemption for higher priority. */
     static final long PREEMPTION_INTERVAL_MS = 1_000;
 
     /**
-     * ms; a start counts for the objectives only if the task is not stopped within 30 s (protocol).
-     * Includes a margin.
+     * ms; a task whose start was ordered less than this time ago is not preempted for higher
+     * priority and not migrated. By the protocol, a start counts for the objectives only if the
+     * task is not stopped within 30 s; the rest is a margin.
      */
     static final long MIN_COUNTED_RUN_MS = 32_000;
 
-    /** s; a job with more slack than this may have running tasks preempted. */
+    /** s; running tasks of a job with more slack than this may be preempted or migrated. */
     static final double PREEMPTIBLE_MIN_SLACK_S = 60;
 
-    /** s; with less slack than this, a job of normal priority may preempt tasks of low priority. */
+    /**
+     * s; with less slack than this, a job is sorted by slack instead of remaining work, and a job
+     * of normal priority that can still start in time may preempt tasks of low priority.
+     */
     static final double URGENT_MAX_SLACK_S = 20;
 
     /**
-     * Grace period of a stopped task, in multiples of its checkpoint duration; machines differ in
-     * speed.
+     * Grace period of a stopped task, in multiples of its checkpoint duration; more than 1 because
+     * machines differ in speed.
      */
     static final double CHECKPOINT_GRACE_FACTOR = 2;
 
     /**
-     * Added to the rank of expensive on-demand machines in bin packing. Larger than any share of a
-     * machine that can be free, so that spot machines are filled first.
+     * Added to the packing rank of on-demand machines of an expensive type. Larger than any free
+     * fraction of a machine, so that other machines, such as spot machines, are filled first.
      */
     static final double ON_DEMAND_RANK_PENALTY = 10;
 
     /**
-     * Added to the rank of machines on which tasks of the job have failed, so that they are tried
-     * last.
+     * Added to the packing rank of machines on which tasks of the job have failed, so that they are
+     * filled last.
      */
     static final double FAILED_MACHINE_RANK_PENALTY = 100;
 
     /**
-     * ms; how often task migrations are planned. A migration takes seconds, and a plan scans all
-     * jobs.
+     * ms; minimum interval between two rounds of planning migrations. A migration takes seconds,
+     * and a round scans all jobs.
      */
     static final long MIGRATION_PLAN_INTERVAL_MS = 1_000;
 
     /**
-     * Heartbeat intervals within which the target of a migration must report, or the task goes back
-     * to the queue.
+     * Heartbeat intervals, after the task has left its source, within which the target of a
+     * migration must send a heartbeat. Otherwise the migration is abandoned and the task is pending
+     * again.
      */
     static final long MIGRATION_START_HEARTBEAT_INTERVALS = 3;
 }
--- a/src/main/java/org/shoreusher/core/schedule/SchedulingOrder.java
+++ b/src/main/java/org/shoreusher/core/schedule/SchedulingOrder.java
@@ -12,26 +12,29 @@
 /**
  * The order in which jobs are considered for scheduling.
  *
- * <p>Jobs are sorted by priority band. Within a band, jobs that can still meet their service-level
- * objectives come first, and among these the job with the latest start time nearest in the future
- * (least slack first). Jobs with ample slack are sorted by remaining work instead, shortest first:
- * under overload, pure least-slack-first would start every job just too late. Jobs that have waited
- * so long that they risk starvation come before all others.
+ * <p>Jobs are sorted by priority band; jobs at risk of starvation come before all bands. Within a
+ * band, jobs come first that have missed fewer service-level objectives; an objective counts as
+ * missed once it can no longer be met. Jobs that have missed equally many are sorted by the time
+ * until their latest start time (least slack first), except that jobs of normal or low priority
+ * with ample slack come after the others, sorted by remaining work, least first. Under overload, a
+ * pure least-slack-first order would start every job just too late.
  */
 public final class SchedulingOrder {
     /**
-     * The sort key of one job at one moment, computed once per job and scheduling round.
+     * The sort key of one job at the time of a sort or a check.
      *
      * @param job the job
      * @param priorityBand priority band; lower values are scheduled first
      * @param missedObjectives number of service-level objectives that the job can no longer meet
-     * @param remainingCpuS remaining CPU-seconds; 0 if the slack decides
-     * @param slackS seconds until the latest start time that still meets the next objective
+     * @param remainingCpuS CPU-seconds of the pending tasks if the job has ample slack; 0 if it is
+     *     sorted by slack
+     * @param slackS seconds until the latest start time that still meets the next attainable
+     *     objective, or without one the default deadline; negative only in the latter case
      */
     private record JobRank(
             Job job, int priorityBand, int missedObjectives, double remainingCpuS, double slackS) {}
 
-    /** Comes before the bands of all priorities. */
+    /** The band of starving jobs, before the bands of all priorities. */
     private static final int STARVING_BAND = -1;
 
     private final Settings settings;
@@ -45,7 +48,7 @@
         this.estimates = estimates;
     }
 
-    /** Sorts the jobs in place, in the order in which they are to be scheduled. */
+    /** Sorts the jobs in place, the one to be scheduled first at the beginning. */
     void sort(List<Job> jobs, long wallMs) {
         List<JobRank> ranks = new ArrayList<>(jobs.size());
         for (Job job : jobs) {
@@ -63,8 +66,10 @@
     }
 
     /**
-     * Returns the seconds within which the job must finish to meet the nearest service-level
-     * objective that is still attainable; {@link Double#MAX_VALUE} if there is none.
+     * Returns the seconds left until the nearest time limit of a service-level objective that
+     * applies to the job, but at least the expected run time of a task; {@link Double#MAX_VALUE} if
+     * there is none. Objectives that a task started now would miss are ignored, except those on
+     * waiting time.
      */
     public double timeToNearestObjectiveS(Job job, long wallMs) {
         double ageS = (wallMs - job.acceptedAtMs()) / 1000.0;
@@ -80,15 +85,18 @@
     }
 
     /**
-     * Whether a task of the job can be preempted and restarted later without missing a
-     * service-level objective.
+     * Whether a task of the job may be preempted and restarted later: the job has ample slack, or
+     * its slack is negative, so that it has no attainable service-level objective left to miss.
      */
     boolean isPreemptible(Job job, long wallMs) {
         JobRank rank = rank(job, wallMs);
         return rank.slackS() < 0 || rank.slackS() > ScheduleConstants.PREEMPTIBLE_MIN_SLACK_S;
     }
 
-    /** Whether the latest start time that still meets an objective is near but not yet past. */
+    /**
+     * Whether the latest start time that still meets an objective, or without an attainable one the
+     * default deadline, is near but not past.
+     */
     boolean isNearLatestStart(Job job, long wallMs) {
         double slackS = rank(job, wallMs).slackS();
         return slackS >= 0 && slackS < ScheduleConstants.URGENT_MAX_SLACK_S;
@@ -97,7 +105,7 @@
     private JobRank rank(Job job, long wallMs) {
         double ageS = (wallMs - job.acceptedAtMs()) / 1000.0;
         double remainingS = estimatedRemainingS(job);
-        // Objectives that are already out of reach are counted; the slack is that of the next
+        // Objectives that can no longer be met are counted; the slack is that of the next
         // attainable one.
         int missedObjectives = 0;
         double slackS = Double.MAX_VALUE;
@@ -128,8 +136,9 @@
      * Returns the priority band; lower values are scheduled first.
      *
      * <p>Low and normal priority share a band: low-priority objectives allow more time, so ordering
-     * by slack serves both in time. A job that has not started for very long goes first; a constant
-     * stream of urgent work would otherwise starve it.
+     * by slack serves both in time. A job of which no task has started for {@link
+     * ScheduleConstants#STARVATION_AGE_S} comes first; a constant stream of urgent jobs would
+     * otherwise starve it.
      */
     private static int priorityBand(Job job, double ageS) {
         if (!job.hasStarted() && ageS >= ScheduleConstants.STARVATION_AGE_S) {
@@ -139,8 +148,9 @@
     }
 
     /**
-     * Whether the period is nearly over in which a job of a team with guaranteed capacity must be
-     * fully started. Whether the job fits into the guarantee is not known here.
+     * Whether the job is not fully started, its team has guaranteed capacity, and the time limit of
+     * a guarantee objective is near but not past. Whether the job fits into the guaranteed capacity
+     * is not checked.
      */
     private boolean isGuaranteeUrgent(Job job, double ageS) {
         Settings.Team team = settings.teams().get(job.spec().team());
@@ -161,7 +171,8 @@
      * can no longer be met, {@link Double#MAX_VALUE} if the objective does not apply to the job.
      *
      * @param ageS seconds since the job was accepted
-     * @param remainingS estimated seconds that the remaining tasks take
+     * @param remainingS estimated seconds from the start of the pending tasks to the job's
+     *     completion
      */
     private double slackS(Settings.Objective objective, Job job, double ageS, double remainingS) {
         if (!objective.jobClass().isEmpty()
@@ -176,6 +187,7 @@
                                     - ageS
                                     - remainingS;
             case FINISHED -> objective.withinS() - ageS - remainingS;
+            // Applies until as many tasks have started as the quota allows to run concurrently.
             case WAIT ->
                     job.startedCount() > 0 && job.startedCount() >= maxConcurrentTasks(job)
                             ? Double.MAX_VALUE
@@ -195,8 +207,8 @@
     }
 
     /**
-     * Returns the estimated seconds until all waiting tasks have run if the team's whole quota were
-     * available.
+     * Returns the estimated seconds until all pending tasks have run, if they start now and the
+     * team's whole quota is available to them.
      */
     private double estimatedRemainingS(Job job) {
         double rounds =
--- a/src/main/java/org/shoreusher/core/schedule/ShardScheduling.java
+++ b/src/main/java/org/shoreusher/core/schedule/ShardScheduling.java
@@ -4,9 +4,9 @@
  * The scheduling collaborators of a shard that other packages use.
  *
  * @param schedulingOrder the order in which jobs get resources
- * @param jobQueue the jobs that wait for resources
- * @param quotaHeadroom what the teams may still use of their quotas
- * @param binPackers creates bin packers over the machines
+ * @param jobQueue the jobs with pending tasks
+ * @param quotaHeadroom the part of each team's quota that is still free in the shard
+ * @param binPackers creates bin packers over the available machines
  * @param taskStopper sends orders to stop tasks
  * @param taskMigration migrates tasks between machines
  */
--- a/src/main/java/org/shoreusher/core/schedule/SpreadLimit.java
+++ b/src/main/java/org/shoreusher/core/schedule/SpreadLimit.java
@@ -3,7 +3,7 @@
 import org.shoreusher.core.cluster.Machine;
 import org.shoreusher.core.message.JobSpec;
 
-/** Limits how much of a team's load is placed on one machine while other machines have capacity. */
+/** Limits the load of a team on one machine while other machines have capacity for its tasks. */
 public interface SpreadLimit {
     /** No limit. */
     SpreadLimit NONE =
@@ -20,8 +20,8 @@
             };
 
     /**
-     * Returns the most CPUs that the job's team may use on the machine in this pass; infinite if
-     * not limited.
+     * Returns the most CPUs that the job's team may use on the machine in this pass; infinite
+     * without a limit.
      */
     double maxTeamCpus(Machine machine, JobSpec spec, SpreadPass pass);
 
--- a/src/main/java/org/shoreusher/core/schedule/TaskMigration.java
+++ b/src/main/java/org/shoreusher/core/schedule/TaskMigration.java
@@ -23,14 +23,14 @@
 import org.shoreusher.settings.SharedConstants;
 
 /**
- * Carries out the balancer's decisions for a shard: limits how much of a high-demand team's load is
- * placed on one machine, and migrates running tasks. Does nothing when the feature is disabled.
+ * Carries out the balancer's decisions for a shard: limits the load of a high-demand team that is
+ * placed on one machine, and migrates running tasks. Does nothing if the feature is disabled.
  *
  * <p>Invariant: a migrated task starts at its target only in a response to a heartbeat, under the
  * same checks as any other task, and only after the source has reported that the task is gone or
- * the source's lease has certainly expired. Until then the task is accounted at the source.
- * Afterwards, until its start, its resources at the target and its team's quota are reserved, so it
- * is never counted twice.
+ * the source's worker lease has certainly expired. Capacity at the target is reserved as long as
+ * the migration is in progress. The team's quota is charged for the attempt at the source until
+ * that is gone, and from then on for the reservation, so never twice.
  */
 public final class TaskMigration implements ResourceLedger.Listener {
     private final ShardState shard;
@@ -45,11 +45,14 @@
     private final Balancer balancer;
 
     private final SpreadLimit spreadLimit;
+
+    /** The migrations in progress, in the order of their beginning. */
     private final Map<TaskId, MigrationReservation> reservations = new LinkedHashMap<>();
+
     private long nextStepMs;
     private long nextLogMs;
 
-    /** Creates the migrations of one shard; disabled if the features have no balance section. */
+    /** Creates the migration of one shard; disabled if the features have no balance section. */
     public TaskMigration(
             ShardContext context,
             SchedulingOrder schedulingOrder,
@@ -66,12 +69,12 @@
                 new BalancerInput(context, schedulingOrder, runTimeEstimates, quotaHeadroom);
         BalanceSettings settings = context.node().features().balance();
         balancer = settings == null ? null : new Balancer(settings, timeouts(context));
-        spreadLimit = settings == null ? SpreadLimit.NONE : new MigrationSpreadLimit(balancer);
+        spreadLimit = settings == null ? SpreadLimit.NONE : new BalancerSpreadLimit(balancer);
     }
 
     private static Balancer.Timeouts timeouts(ShardContext context) {
-        // The source reports the exit before its lease expires, or the lease expires; the target
-        // reports soon after.
+        // Either the source reports the exit of the task or its worker lease expires; the target
+        // sends a heartbeat within a few intervals after that.
         long heartbeatMs = Math.round(context.settings().heartbeatIntervalS() * 1_000);
         return new Balancer.Timeouts(
                 LeaderLease.workerLeaseBoundMs(context.settings()) + 2 * heartbeatMs,
@@ -82,9 +85,7 @@
         return balancer == null;
     }
 
-    // ---- events of the shard -----------------------------------------------------------------
-
-    /** A machine has sent a heartbeat. */
+    /** Handles a heartbeat of a machine: adds the machine to the load model if it is new. */
     public void onMachineReported(Machine machine) {
         if (!isDisabled()) {
             balancer.load()
@@ -96,21 +97,21 @@
         }
     }
 
-    /** A machine no longer belongs to the shard. */
+    /** Handles the removal of a machine from the shard. */
     public void onMachineRemoved(String id) {
         if (!isDisabled()) {
             balancer.load().removeMachine(id);
         }
     }
 
-    /** A job was started under a previous leader. */
+    /** Handles a job, loaded from the store, that was started under a previous leader. */
     public void onJobBegunByPreviousLeader(Job job) {
         if (!isDisabled()) {
-            balancer.budget().markBegunByPreviousLeader(job.id());
+            balancer.budget().markStartedByPreviousLeader(job.id());
         }
     }
 
-    /** A job has reached a terminal state. */
+    /** Handles that a job has reached a terminal state. */
     public void onJobEnded(Job job) {
         if (!isDisabled()) {
             balancer.budget().removeJob(job.id());
@@ -141,13 +142,13 @@
         }
     }
 
-    /** The task of a migration is certainly no longer on its source. */
+    /** Handles that the task of a migration is certainly no longer on its source. */
     private void onLeftSource(MigrationReservation reservation) {
         TaskAttempt attempt = reservation.source();
         Job job = attempt.job();
         if (job.completedTasks().get(attempt.taskIndex())) {
             release(reservation);
-            balancer.markCompleted(reservation.migration(), outbox.now().monotonicMs());
+            balancer.markObsolete(reservation.migration(), outbox.now().monotonicMs());
             outbox.log(MigrationEvents.obsolete(reservation));
         } else if (job.isClosed()) {
             abandon(reservation, Migration.Reason.JOB_CLOSED);
@@ -160,12 +161,10 @@
         }
     }
 
-    // ---- placement ---------------------------------------------------------------------------
-
     /**
-     * Returns the limit on a team's load per machine for a plan that is made now. Demand is updated
-     * first: work that has just been submitted would otherwise be placed before its team counts as
-     * a high-demand one.
+     * Returns the limit on a team's load per machine for a plan that is made now. The teams' demand
+     * is updated first; otherwise a job that was just submitted would be placed before its team
+     * counts as a high-demand team.
      */
     public SpreadLimit spreadLimit() {
         if (!isDisabled()) {
@@ -174,7 +173,7 @@
         return spreadLimit;
     }
 
-    /** Whether a migrated task waits for this machine's heartbeat. */
+    /** Whether a migrated task has left its source and is to start on this machine. */
     public boolean hasReadyTasks(Machine machine) {
         return machine.resources().reservedTaskCount() > 0
                 && reservations.values().stream()
@@ -182,8 +181,8 @@
     }
 
     /**
-     * Returns the migrated tasks that are to start now on a machine that has sent a heartbeat.
-     * Their state becomes waiting, and their reserved capacity is free for them.
+     * Returns the migrated tasks that are to start now on a machine that has sent a heartbeat. The
+     * tasks become pending, and the capacity reserved for them becomes free.
      */
     public List<TaskId> takeReadyTasks(Machine machine) {
         List<TaskId> readyTasks = new ArrayList<>();
@@ -210,9 +209,10 @@
         return readyTasks;
     }
 
-    // ---- migration ---------------------------------------------------------------------------
-
-    /** Checks the migrations in progress and begins new ones. */
+    /**
+     * Checks the migrations in progress and begins new ones, at most once per {@link
+     * ScheduleConstants#MIGRATION_PLAN_INTERVAL_MS}.
+     */
     public void step() {
         long nowMs = outbox.now().monotonicMs();
         if (isDisabled() || nowMs < nextStepMs) {
@@ -220,8 +220,8 @@
         }
         nextStepMs = nowMs + ScheduleConstants.MIGRATION_PLAN_INTERVAL_MS;
         List.copyOf(reservations.values()).forEach(this::checkProgress);
-        // No migration begins before all machines have reported, after a lease expiry, or with a
-        // stale store cache: the known state of the machines may then be wrong.
+        // No migration begins during reconciliation, after an expiry of the leader's lease, or with
+        // a stale store cache: the recorded state of the machines may then be wrong.
         if (authority.isReconciled() && authority.canStartTasks()) {
             balancer.updateDemand(balancerInput.unmetDemandCpus());
             balancer.planMigrations(balancerInput, nowMs).forEach(this::begin);
@@ -259,7 +259,7 @@
                         reservation, balancer.load().skew(migration.task().team())));
     }
 
-    /** Abandons all migrations: the known state of the machines has turned out to be wrong. */
+    /** Abandons all migrations, because the recorded state of the machines is wrong. */
     public void abandonAll() {
         List.copyOf(reservations.values())
                 .forEach(reservation -> abandon(reservation, Migration.Reason.STATE_UNCERTAIN));
@@ -272,7 +272,8 @@
     }
 
     /**
-     * Releases what is reserved for a migration. The task waits again if it has left its source.
+     * Releases the capacity and quota reserved for a migration. If the task has left its source, it
+     * becomes pending, unless it has completed, is active again or its job is closed.
      */
     private void release(MigrationReservation reservation) {
         reservations.remove(reservation.taskId());
--- a/src/main/java/org/shoreusher/core/schedule/TaskStopper.java
+++ b/src/main/java/org/shoreusher/core/schedule/TaskStopper.java
@@ -45,14 +45,15 @@
 
     /**
      * Sends an order to stop a task directly to its worker. Responses to heartbeats repeat the
-     * order until the task is gone.
+     * order until the task is gone, so nothing is sent directly if the machine is unresponsive or
+     * not reconciled, or within {@link ScheduleConstants#STOP_ORDER_RETRY_MS} of the last order.
      *
      * @param gracePeriodS seconds until the task is killed
      */
     public void sendStop(TaskAttempt attempt, double gracePeriodS) {
         Machine machine = attempt.machine();
-        // An unresponsive machine most likely cannot be reached: its lease expires, or its next
-        // heartbeat is answered with the order.
+        // An unresponsive machine probably cannot be reached: its worker's lease expires, or the
+        // response to its next heartbeat contains the order.
         if (authority.isLeader()
                 && machine.worker().address() != null
                 && machine.worker().isReconciled()
--- a/src/main/java/org/shoreusher/core/schedule/ZoneConstraints.java
+++ b/src/main/java/org/shoreusher/core/schedule/ZoneConstraints.java
@@ -4,8 +4,8 @@
 import org.shoreusher.core.cluster.Job;
 
 /**
- * Zone constraints of a job (single zone, or replicas spread over zones), given the tasks that are
- * or may be on machines.
+ * The zone constraints of a job (all tasks in a single zone, or spread across zones), given its
+ * tasks that are or may be on machines and those that a plan has placed.
  */
 final class ZoneConstraints {
     private final Object2IntOpenHashMap<String> tasksPerZone = new Object2IntOpenHashMap<>();
@@ -14,7 +14,7 @@
     private final int maxInOtherZones;
     private final String largerHalfZone;
 
-    /** Counts the tasks of the job that are or may be on machines, by zone. */
+    /** Creates the constraints, given the tasks of the job that are or may be on machines. */
     ZoneConstraints(Job job) {
         singleZone = job.spec().singleZone();
         maxPerZone =
@@ -31,19 +31,19 @@
         }
     }
 
-    /** Returns how many more tasks of the job may go into the zone. */
+    /** Returns how many more tasks of the job may be placed in the zone. */
     int remainingTasks(String zone) {
-        // If tasks may be in two zones, no zone is safe until one of them is known to be empty.
+        // While tasks may be in more than one zone, none may be placed in any zone.
         if (singleZone
                 && !tasksPerZone.isEmpty()
                 && (tasksPerZone.size() > 1 || !tasksPerZone.containsKey(zone))) {
             return 0;
         }
-        boolean largerHalf = largerHalfZone == null || largerHalfZone.equals(zone);
-        return (largerHalf ? maxPerZone : maxInOtherZones) - tasksPerZone.getInt(zone);
+        boolean mayGetLargerHalf = largerHalfZone == null || largerHalfZone.equals(zone);
+        return (mayGetLargerHalf ? maxPerZone : maxInOtherZones) - tasksPerZone.getInt(zone);
     }
 
-    /** Records that so many tasks of the job were placed in the zone. */
+    /** Records tasks of the job that the current plan has placed in the zone. */
     void add(String zone, int taskCount) {
         tasksPerZone.addTo(zone, taskCount);
     }
--- a/src/test/java/org/shoreusher/balance/BalancerTest.java
+++ b/src/test/java/org/shoreusher/balance/BalancerTest.java
@@ -12,11 +12,21 @@
 import net.jqwik.api.Example;
 import org.shoreusher.balance.BalanceSettings.ClassBudget;
 
-/** When the balancer migrates tasks, and when it does not. */
+/** Tests when the balancer migrates tasks, and when it does not. */
 class BalancerTest {
-    private static BalanceSettings settings(int atOnce, double cooldownS, ClassBudget budget) {
+    private static BalanceSettings settings(
+            int maxMigrations, double cooldownS, ClassBudget budget) {
         return new BalanceSettings(
-                0.2, 0.05, 0.1, atOnce, atOnce, atOnce, cooldownS, 2, budget, Map.of());
+                0.2,
+                0.05,
+                0.1,
+                maxMigrations,
+                maxMigrations,
+                maxMigrations,
+                cooldownS,
+                2,
+                budget,
+                Map.of());
     }
 
     private static final ClassBudget AMPLE_BUDGET = new ClassBudget(5, 1);
@@ -32,19 +42,20 @@
     @Example
     void migratesFromAFullMachineUntilTheSkewIsWithinItsMargin() {
         FakeScheduler scheduler = schedulerWithOneFullMachine(settings(8, 0, AMPLE_BUDGET));
+        // On the full machine, the share beyond one task is 7/8; the mean share is 8/32.
         assertEquals(7.0 / 8 - 8.0 / 32, scheduler.balancer.load().skew(FakeScheduler.TEAM));
         for (int i = 0; i < 10; i++) {
             scheduler.planMigrations().forEach(scheduler::complete);
         }
-        // 7 of 8 CPUs less one task, and a mean of a quarter: within 0.25 with hysteresis.
+        // The margin is 0.2 and the hysteresis 0.05.
         assertTrue(scheduler.balancer.load().skew(FakeScheduler.TEAM) <= 0.25);
-        assertEquals(List.of(), scheduler.planMigrations(), "nothing is left to be done");
+        assertEquals(List.of(), scheduler.planMigrations(), "no further migration is needed");
     }
 
     @Example
     void migratesNothingWithinTheMarginAndItsHysteresis() {
         FakeScheduler scheduler = new FakeScheduler(settings(8, 0, AMPLE_BUDGET)).addMachines(4);
-        // Spread 3/8 - 4/32 = 0.25, just at margin and hysteresis.
+        // The skew is 3/8 - 4/32 = 0.25, exactly the margin plus the hysteresis.
         for (int i = 0; i < 4; i++) {
             scheduler.addTask(0, 1);
         }
@@ -68,28 +79,28 @@
 
     @Example
     void limitsConcurrentMigrationsPerZone() {
-        BalanceSettings one =
+        BalanceSettings onePerZone =
                 new BalanceSettings(0.2, 0.05, 0.1, 8, 8, 1, 0, 2, AMPLE_BUDGET, Map.of());
-        FakeScheduler scheduler = new FakeScheduler(one).addMachines(6);
+        FakeScheduler scheduler = new FakeScheduler(onePerZone).addMachines(6);
         for (int machine = 0; machine < 4; machine++) {
             for (int i = 0; i < (machine < 3 ? 8 : 0); i++) {
                 scheduler.addTask(machine, 1);
             }
         }
         List<Migration> migrations = scheduler.planMigrations();
-        long intoOne =
+        long intoZoneA =
                 migrations.stream()
                         .filter(
                                 migration ->
                                         Integer.parseInt(migration.target().substring(2)) % 2 == 0)
                         .count();
-        assertTrue(intoOne <= 1 && migrations.size() - intoOne <= 1, migrations::toString);
+        assertTrue(intoZoneA <= 1 && migrations.size() - intoZoneA <= 1, migrations::toString);
         assertFalse(migrations.isEmpty());
     }
 
     /**
-     * A machine that received a task keeps all its tasks for a while, and a machine that lost one
-     * receives none. An oscillating load must not make tasks oscillate.
+     * For the cooldown after a migration, no task leaves its target and none is migrated to its
+     * source. Otherwise an oscillating load would migrate tasks back and forth.
      */
     @Example
     void machinesCoolDownAfterAMigration() {
@@ -104,8 +115,12 @@
         for (Migration next = migration;
                 next != null;
                 next = firstOrNull(scheduler.planMigrations())) {
-            assertNotEquals(migration.target(), next.task().machine(), "received a task just now");
-            assertNotEquals("m-0", next.target(), "lost a task just now");
+            assertNotEquals(
+                    migration.target(),
+                    next.task().machine(),
+                    "the target of a recent migration must not be a source");
+            assertNotEquals(
+                    "m-0", next.target(), "the source of a recent migration must not be a target");
             if (next != migration) {
                 scheduler.complete(next);
             }
@@ -122,8 +137,8 @@
     void migratesOnlyWhenTheGainExceedsTheCost() {
         FakeScheduler scheduler = new FakeScheduler(settings(8, 0, AMPLE_BUDGET)).addMachines(4);
         for (int i = 0; i < 8; i++) {
-            // An image fetch of 2 s, a checkpoint of 1 s and a heartbeat delay of 2 s, times the
-            // gain factor of 2, make 10 s.
+            // An image fetch of 2 s, a checkpoint of 1 s and a start latency of 2 s, times the gain
+            // factor of 2, make 10 s.
             scheduler.addTask(0, 1, 9.9, 0);
         }
         assertEquals(List.of(), scheduler.planMigrations());
@@ -139,8 +154,8 @@
     }
 
     /**
-     * Unsaved work counts as repeated work until the checkpoint is known to have succeeded; work
-     * that was really repeated stays counted.
+     * The unsaved work of a migrated task counts as repeated work until the checkpoint is reported;
+     * work that must really be repeated stays counted.
      */
     @Example
     void boundsRepeatedWorkByTheWorkDone() {
@@ -150,8 +165,11 @@
             scheduler.addTask(0, 1, 300, 10);
             scheduler.addTask(1, 1, 300, 10);
         }
-        assertEquals(List.of(), scheduler.planMigrations(), "nothing has been done yet");
-        // Two tasks on machines for 50 s.
+        assertEquals(
+                List.of(),
+                scheduler.planMigrations(),
+                "without work done there is no budget for repeated work");
+        // Two tasks run for 50 s, so 10 s of work may be repeated.
         scheduler.balancer.budget().addTask("c", 0);
         scheduler.balancer.budget().addTask("c", 0);
         scheduler.nowMs = 50_000;
@@ -159,21 +177,25 @@
         assertEquals(1, one.size());
         scheduler.balancer.markLeftSource(one.get(0), false, 0);
         assertEquals(10, scheduler.balancer.budget().repeatedS("c"));
-        assertEquals(List.of(), scheduler.planMigrations(), "the save has failed");
+        assertEquals(
+                List.of(),
+                scheduler.planMigrations(),
+                "10 s must be repeated because no checkpoint was written");
         scheduler.balancer.budget().removeTask("c", 50_000);
         scheduler.nowMs = 149_000;
-        assertEquals(List.of(), scheduler.planMigrations(), "one more task for 99 s");
+        assertEquals(List.of(), scheduler.planMigrations(), "one task has run for only 99 s more");
         scheduler.nowMs = 150_000;
         assertEquals(1, scheduler.planMigrations().size());
     }
 
     /**
-     * A failover must not refill a budget: jobs that were started before it are not migrated again.
+     * A failover must not reset a budget: tasks of jobs that were started before it are not
+     * migrated.
      */
     @Example
     void doesNotMigrateJobsStartedUnderAPreviousLeader() {
         FakeScheduler scheduler = schedulerWithOneFullMachine(settings(8, 0, AMPLE_BUDGET));
-        scheduler.balancer.budget().markBegunByPreviousLeader("wk-1");
+        scheduler.balancer.budget().markStartedByPreviousLeader("wk-1");
         assertEquals(List.of(), scheduler.planMigrations());
     }
 
@@ -187,17 +209,17 @@
                 Double.isInfinite(scheduler.balancer.maxTeamCpus("m-0", FakeScheduler.TEAM, 1, 0)));
         scheduler.balancer.updateDemand(Map.of(FakeScheduler.TEAM, 159.0));
         assertTrue(scheduler.balancer.isHighDemand(FakeScheduler.TEAM));
-        // A fifth of all CPUs and a margin of a fifth.
+        // The team demands a fifth of all CPUs, and the margin is another fifth.
         assertEquals(3.2, scheduler.balancer.maxTeamCpus("m-0", FakeScheduler.TEAM, 1, 0), 1e-9);
         assertEquals(
                 5,
                 scheduler.balancer.maxTeamCpus("m-0", FakeScheduler.TEAM, 5, 0),
-                "one task always");
+                "one task is always allowed");
         assertEquals(4, scheduler.balancer.maxTeamCpus("m-0", FakeScheduler.TEAM, 1, 0.1), 1e-9);
         scheduler.balancer.updateDemand(Map.of(FakeScheduler.TEAM, 70.0));
         assertTrue(
                 scheduler.balancer.isHighDemand(FakeScheduler.TEAM),
-                "leaves the high demand only well below the bound");
+                "a team stops being a high-demand team only well below the threshold");
     }
 
     @Example
--- a/src/test/java/org/shoreusher/balance/FakeScheduler.java
+++ b/src/test/java/org/shoreusher/balance/FakeScheduler.java
@@ -3,12 +3,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A scheduler with a few machines and tasks of one team, all of which the balancer may migrate. */
+/** A scheduler with machines and tasks of one team, all of which the balancer may migrate. */
 final class FakeScheduler implements SchedulerView {
     static final String TEAM = "t";
     static final double MACHINE_CPUS = 8;
 
-    /** A task and the machine that it is on. */
+    /** A task and the machine on which it currently is. */
     private static final class PlacedTask {
         private final MigratableTask task;
         private String machine;
@@ -68,7 +68,7 @@
         return balancer.planMigrations(this, nowMs);
     }
 
-    /** Carries a migration out to its end. */
+    /** Completes a migration: the task leaves its source and starts at its target. */
     void complete(Migration migration) {
         PlacedTask placed = findTask(migration.task().id());
         balancer.load().removeTask(placed.machine, TEAM, placed.task.cpus());
@@ -85,7 +85,6 @@
                 .orElseThrow();
     }
 
-    /** CPUs that the tasks on a machine use. */
     private double usedCpus(String machine) {
         return tasks.stream()
                 .filter(placed -> placed.machine.equals(machine))
--- a/src/test/java/org/shoreusher/balance/LoadModelTest.java
+++ b/src/test/java/org/shoreusher/balance/LoadModelTest.java
@@ -12,15 +12,15 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 
-/** Compares the load model with sums that are computed from scratch. */
+/** Compares the load model with values computed from the list of all tasks. */
 class LoadModelTest {
     private static final double EPSILON = 1e-9;
 
-    /** A task that the test has added. */
+    /** A task that is on a machine. */
     private record PlacedTask(String machine, String team, double cpus) {}
 
     @Property(tries = 100, seed = "5", shrinking = ShrinkingMode.OFF)
-    void matchesSumsComputedFromScratch(@ForAll long seed) {
+    void skewMatchesItsDefinitionAfterEveryChange(@ForAll long seed) {
         Random random = new Random(seed);
         LoadModel load = new LoadModel();
         Map<String, Double> machines = new HashMap<>();
@@ -61,35 +61,34 @@
         }
     }
 
-    /** The formula of the load model's class comment, term by term. */
+    /** Computes the skew by the formula in the class comment of the load model. */
     private static double expectedSkew(
             Map<String, Double> machines, List<PlacedTask> tasks, String team) {
-        double all = 0;
-        double used = 0;
-        double most = 0;
+        double totalCpus = 0;
+        double usedCpus = 0;
+        double maxShare = 0;
         for (Map.Entry<String, Double> machine : machines.entrySet()) {
             double cpus = 0;
-            double largest = 0;
+            double largestTaskCpus = 0;
             for (PlacedTask task : tasks) {
                 if (task.machine.equals(machine.getKey()) && task.team.equals(team)) {
                     cpus += task.cpus;
-                    largest = Math.max(largest, task.cpus);
+                    largestTaskCpus = Math.max(largestTaskCpus, task.cpus);
                 }
             }
-            all += machine.getValue();
-            used += cpus;
-            most = Math.max(most, (cpus - largest) / machine.getValue());
+            totalCpus += machine.getValue();
+            usedCpus += cpus;
+            maxShare = Math.max(maxShare, (cpus - largestTaskCpus) / machine.getValue());
         }
-        return all == 0 ? 0 : Math.max(0, most - used / all);
+        return totalCpus == 0 ? 0 : Math.max(0, maxShare - usedCpus / totalCpus);
     }
 
-    /** Calls that name unknown machines or teams change nothing. */
     @Example
     void ignoresUnknownMachinesAndTeams() {
         LoadModel load = new LoadModel();
-        load.addTask("nowhere", "t", 4, "image");
-        load.removeTask("nowhere", "t", 4);
-        load.removeMachine("nowhere");
+        load.addTask("unknown", "t", 4, "image");
+        load.removeTask("unknown", "t", 4);
+        load.removeMachine("unknown");
         load.addMachine("m", "a", 8, 1);
         load.removeTask("m", "t", 4);
         assertEquals(0, load.teamCpus("t"));
--- a/src/test/java/org/shoreusher/balance/MigrationPlannerOptimalityTest.java
+++ b/src/test/java/org/shoreusher/balance/MigrationPlannerOptimalityTest.java
@@ -23,8 +23,8 @@
     private static final double MARGIN = 0.05;
 
     /**
-     * The highest use of a machine ends at most one task's size and the margin above the lowest
-     * that any assignment of the tasks has.
+     * After all migrations, the highest CPU usage of a machine exceeds the optimum over all
+     * assignments of the tasks by at most the largest task and the margin.
      */
     @Example
     void endsWithinOneTaskAndTheMarginOfTheOptimum() {
@@ -42,7 +42,7 @@
             int largest = tasks.stream().mapToInt(assigned -> assigned[1]).max().orElseThrow();
             assertTrue(
                     planned <= optimum + largest + MARGIN * FakeScheduler.MACHINE_CPUS,
-                    () -> "planned " + planned + ", optimum " + optimum);
+                    () -> "planned " + planned + " CPUs, optimum " + optimum + " CPUs");
         }
     }
 
@@ -50,7 +50,7 @@
         return tasks.stream().filter(task -> task[0] == machine).mapToInt(task -> task[1]).sum();
     }
 
-    /** The highest use of a machine, in CPUs, after the planner has nothing left to migrate. */
+    /** Returns the highest CPU usage of a machine after all migrations that the planner begins. */
     private static double plannedMaximum(List<int[]> tasks) {
         ClassBudget ample = new ClassBudget(100, 1);
         FakeScheduler scheduler =
@@ -66,11 +66,11 @@
                 migrations = scheduler.planMigrations()) {
             migrations.forEach(scheduler::complete);
         }
-        double most = 0;
+        double highest = 0;
         for (int machineIndex = 0; machineIndex < MACHINES; machineIndex++) {
-            most =
+            highest =
                     Math.max(
-                            most,
+                            highest,
                             scheduler
                                     .balancer
                                     .load()
@@ -78,34 +78,34 @@
                                             FakeScheduler.machineId(machineIndex),
                                             FakeScheduler.TEAM));
         }
-        return most;
+        return highest;
     }
 
     /**
-     * The lowest possible highest use, in CPUs: each task is on one machine, and the highest use is
-     * minimised.
+     * Returns the optimum: the lowest value that the highest CPU usage of a machine can have if
+     * each task is assigned to one machine.
      */
     private static double optimalMaximum(List<int[]> tasks) {
         ExpressionsBasedModel model = new ExpressionsBasedModel();
-        Variable largest = model.newVariable("largest").lower(0).weight(1);
+        Variable highest = model.newVariable("largest").lower(0).weight(1);
         Variable[][] assignment = new Variable[tasks.size()][MACHINES];
         for (int taskIndex = 0; taskIndex < tasks.size(); taskIndex++) {
-            Expression once = model.newExpression("task " + taskIndex).level(1);
+            Expression assignedOnce = model.newExpression("task " + taskIndex).level(1);
             for (int machineIndex = 0; machineIndex < MACHINES; machineIndex++) {
                 assignment[taskIndex][machineIndex] =
                         model.newVariable(taskIndex + " on " + machineIndex).binary();
-                once.set(assignment[taskIndex][machineIndex], 1);
+                assignedOnce.set(assignment[taskIndex][machineIndex], 1);
             }
         }
         for (int machineIndex = 0; machineIndex < MACHINES; machineIndex++) {
-            Expression use =
-                    model.newExpression("machine " + machineIndex).upper(0).set(largest, -1);
+            Expression usage =
+                    model.newExpression("machine " + machineIndex).upper(0).set(highest, -1);
             for (int taskIndex = 0; taskIndex < tasks.size(); taskIndex++) {
-                use.set(assignment[taskIndex][machineIndex], tasks.get(taskIndex)[1]);
+                usage.set(assignment[taskIndex][machineIndex], tasks.get(taskIndex)[1]);
             }
         }
         Optimisation.Result result = model.minimise();
-        assertTrue(result.getState().isOptimal(), () -> "no optimum: " + result);
+        assertTrue(result.getState().isOptimal(), () -> "the solver found no optimum: " + result);
         return result.getValue();
     }
 }
--- a/src/test/java/org/shoreusher/balance/MigrationTest.java
+++ b/src/test/java/org/shoreusher/balance/MigrationTest.java
@@ -9,13 +9,13 @@
 import net.jqwik.api.ShrinkingMode;
 import net.jqwik.api.constraints.Size;
 
-/** The state machine of a migration under every order of events. */
+/** Tests the state machine of a migration under random sequences of events. */
 class MigrationTest {
-    /** The events that can happen to a migration. */
+    /** Events of a migration, each of which calls one of its methods. */
     enum Event {
         LEFT_SOURCE,
         STARTED,
-        COMPLETED,
+        OBSOLETE,
         ABANDONED
     }
 
@@ -24,21 +24,22 @@
         MigratableTask task =
                 new MigratableTask(new TaskId("j", 0), "c", "t", 1, "i", 1, "source", 100, 0, 1);
         Migration migration = new Migration(task, "target", 10, 0, 1_000);
-        boolean left = false;
+        boolean hasLeftSource = false;
         for (Event event : events) {
             Migration.State before = migration.state();
             boolean allowed =
                     switch (event) {
-                        case LEFT_SOURCE, COMPLETED -> before == Migration.State.STOPPING;
-                        case STARTED -> left && before == Migration.State.STARTING;
+                        case LEFT_SOURCE, OBSOLETE -> before == Migration.State.STOPPING;
+                        case STARTED -> hasLeftSource && before == Migration.State.STARTING;
                         case ABANDONED -> !before.isTerminal();
                     };
             if (allowed) {
                 applyEvent(migration, event);
-                left |= event == Event.LEFT_SOURCE;
+                hasLeftSource |= event == Event.LEFT_SOURCE;
             } else {
                 assertThrows(IllegalStateException.class, () -> applyEvent(migration, event));
-                assertEquals(before, migration.state(), "nothing has changed");
+                assertEquals(
+                        before, migration.state(), "a rejected event must not change the state");
             }
         }
     }
@@ -47,7 +48,7 @@
         switch (event) {
             case LEFT_SOURCE -> migration.markLeftSource(2_000);
             case STARTED -> migration.markStarted();
-            case COMPLETED -> migration.markCompleted();
+            case OBSOLETE -> migration.markObsolete();
             default -> migration.abandon(Migration.Reason.TARGET_LOST);
         }
     }
--- a/src/test/java/org/shoreusher/core/schedule/BinPackerTest.java
+++ b/src/test/java/org/shoreusher/core/schedule/BinPackerTest.java
@@ -20,7 +20,7 @@
 import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.core.message.MachineType;
 
-/** Where tasks are placed, and what placements respect. */
+/** Tests on which machines the bin packer places tasks, and that it respects all limits. */
 class BinPackerTest {
     private static final MachineType TYPE =
             new MachineType("t", 8, 2, 16, 10, 1, 1, 0.4, 10, List.of("a", "b"));
@@ -73,7 +73,7 @@
         return new Job("j" + number, spec, 0);
     }
 
-    /** Plans respect the capacity of machines, the quota of teams, zones and machine types. */
+    /** Placements respect machine capacity, quota, zone constraints and allowed machines. */
     @Property(tries = 400, seed = "11")
     void plansRespectMachineQuotaAndZoneLimits(@ForAll @LongRange(min = 0) long seed) {
         Random random = new Random(seed);
@@ -149,9 +149,9 @@
     }
 
     /**
-     * A job that needs a whole machine waits behind smaller tasks that fill each half that becomes
-     * free. The emptiest machine is reserved for it, and no other job of the plan uses that
-     * machine. A machine that is too small for the job is never reserved.
+     * Without a reservation, a task that needs a whole machine might never start, because smaller
+     * tasks take any capacity that becomes free. The emptiest machine is reserved for it, and no
+     * other job is placed there. A machine that is too small for the task is never reserved.
      */
     @Example
     void reservesAMachineForALargerTask() {
@@ -182,10 +182,10 @@
         assertEquals(
                 List.of(),
                 packer.reserveMachines(spec("wk-3", 1, 9, null, false, false, true), 1),
-                "no machine of this type ever has 9 CPUs");
+                "a machine with 8 CPUs must not be reserved for a task of 9 CPUs");
     }
 
-    /** Puts a task on a machine that takes so many CPUs and nothing else. */
+    /** Adds a task to a machine that uses the given CPUs and no other resources. */
     private static void occupy(Machine machine, int cpus) {
         JobSpec spec =
                 new JobSpecBuilder("wk-occupying")
--- a/src/test/java/org/shoreusher/core/schedule/QuotaSharesTest.java
+++ b/src/test/java/org/shoreusher/core/schedule/QuotaTargetsTest.java
@@ -9,11 +9,12 @@
 import net.jqwik.api.constraints.LongRange;
 import org.shoreusher.core.message.GossipMessage.TeamDemand;
 
-/** How a quota is divided between shards. */
-class QuotaSharesTest {
-    /** A shard without a demand report keeps its share, and urgent demand is served first. */
+/** Tests the target shares of shards in a team's quota. */
+class QuotaTargetsTest {
+    /** A shard without recent gossip keeps its share, and high-priority demand is granted first. */
     @Property(tries = 300, seed = "22")
-    void quotaTargetsKeepSilentShardsAndPreferUrgentDemand(@ForAll @LongRange(min = 0) long seed) {
+    void keepsSharesWithoutGossipAndPrefersHighPriorityDemand(
+            @ForAll @LongRange(min = 0) long seed) {
         Random random = new Random(seed);
         int shardCount = 2 + random.nextInt(2);
         double[] shares = new double[shardCount];
@@ -25,25 +26,26 @@
                             ? null
                             : new TeamDemand(random.nextInt(30), random.nextInt(60));
         }
-        double max = Arrays.stream(shares).sum();
-        double[] targets = QuotaTargets.targetShares(max, demands, shares, 1);
-        double urgent =
+        double quotaCpus = Arrays.stream(shares).sum();
+        double[] targets = QuotaTargets.targetShares(quotaCpus, demands, shares, 1);
+        double highPriorityCpus =
                 Arrays.stream(demands)
                         .filter(demand -> demand != null)
                         .mapToDouble(TeamDemand::highPriorityCpus)
                         .sum();
-        double withoutReport = 0;
+        double sharesWithoutGossip = 0;
         for (int shardNumber = 0; shardNumber < shardCount; shardNumber++) {
-            withoutReport += demands[shardNumber] == null ? shares[shardNumber] : 0;
+            sharesWithoutGossip += demands[shardNumber] == null ? shares[shardNumber] : 0;
         }
         for (int shardNumber = 0; shardNumber < shardCount; shardNumber++) {
             assertTrue(demands[shardNumber] != null || targets[shardNumber] == shares[shardNumber]);
             assertTrue(
                     demands[shardNumber] == null
-                            || urgent > max - withoutReport
+                            || highPriorityCpus > quotaCpus - sharesWithoutGossip
                             || targets[shardNumber]
                                     >= demands[shardNumber].highPriorityCpus() - 0.5);
         }
-        assertTrue(Arrays.stream(targets).sum() <= max + shardCount);
+        // Each target may be rounded up by at most half a CPU.
+        assertTrue(Arrays.stream(targets).sum() <= quotaCpus + shardCount);
     }
 }
--- a/src/test/java/org/shoreusher/core/schedule/SchedulingOrderTest.java
+++ b/src/test/java/org/shoreusher/core/schedule/SchedulingOrderTest.java
@@ -14,7 +14,7 @@
 import org.shoreusher.settings.ObjectiveKind;
 import org.shoreusher.settings.Settings;
 
-/** The order in which jobs are scheduled. */
+/** Tests the order in which jobs are scheduled. */
 class SchedulingOrderTest {
     @Example
     void jobsThatCanMeetTheirObjectiveComeBeforeThoseThatCannot() {
@@ -38,9 +38,9 @@
     }
 
     /**
-     * With more work than machines, jobs that were each scheduled just in time were all a little
-     * late. Among jobs with slack the one with the least remaining work goes first; a job that is
-     * near its latest start time does not wait.
+     * Under overload, ordering all jobs by slack alone starts each of them slightly too late. Among
+     * jobs with ample slack, the one with the least remaining work comes first; a job near its
+     * latest start time comes before them.
      */
     @Example
     void leastRemainingWorkComesFirstAmongJobsWithSlack() {
@@ -49,28 +49,28 @@
                         CoreTestData.settings(
                                 List.of(
                                         new Settings.Objective(
-                                                ObjectiveKind.FINISHED, "rolls", 200, 0.8, 1))),
+                                                ObjectiveKind.FINISHED, "batch", 200, 0.8, 1))),
                         new RunTimeEstimates());
         Job large =
-                CoreTestData.job("wk-1", "rolls", JobSpec.Priority.NORMAL, 500, 40, Double.NaN, 0);
+                CoreTestData.job("wk-1", "batch", JobSpec.Priority.NORMAL, 500, 40, Double.NaN, 0);
         Job small =
                 CoreTestData.job(
-                        "wk-2", "rolls", JobSpec.Priority.NORMAL, 20, 40, Double.NaN, 30_000);
+                        "wk-2", "batch", JobSpec.Priority.NORMAL, 20, 40, Double.NaN, 30_000);
         List<Job> jobs = new ArrayList<>(List.of(large, small));
         schedulingOrder.sort(jobs, 40_000);
         assertEquals("wk-2", jobs.get(0).id());
-        // Without a quota all its tasks may run at once: 40 s, so the latest start time is at 158
-        // s.
+        // Without a quota all its tasks can run concurrently. They take 40 s and a start of 2 s, so
+        // the latest start time is at 158 s.
         Job unlimited =
-                CoreTestData.job("wk-3", "rolls", JobSpec.Priority.NORMAL, 8, 40, Double.NaN, 0);
+                CoreTestData.job("wk-3", "batch", JobSpec.Priority.NORMAL, 8, 40, Double.NaN, 0);
         jobs = new ArrayList<>(List.of(small, unlimited));
         schedulingOrder.sort(jobs, 145_000);
         assertEquals("wk-3", jobs.get(0).id());
     }
 
     /**
-     * A job that should have started by now according to its team's guarantee does not wait behind
-     * smaller jobs. Once the guarantee is missed, it waits again.
+     * Shortly before the time limit of its team's guarantee, a job that is not fully started comes
+     * before smaller jobs. Once the limit has passed, it comes after them again.
      */
     @Example
     void guaranteeAboutToBeMissedComesBeforeSmallerJobs() {
@@ -81,13 +81,13 @@
                                         new Settings.Objective(
                                                 ObjectiveKind.GUARANTEE, "", 90, 0.9, 1),
                                         new Settings.Objective(
-                                                ObjectiveKind.FINISHED, "rolls", 400, 0.8, 1))),
+                                                ObjectiveKind.FINISHED, "batch", 400, 0.8, 1))),
                         new RunTimeEstimates());
         Job large =
-                CoreTestData.job("wk-1", "rolls", JobSpec.Priority.NORMAL, 500, 1, Double.NaN, 0);
+                CoreTestData.job("wk-1", "batch", JobSpec.Priority.NORMAL, 500, 1, Double.NaN, 0);
         Job small =
                 CoreTestData.job(
-                        "wk-2", "rolls", JobSpec.Priority.NORMAL, 5, 1, Double.NaN, 60_000);
+                        "wk-2", "batch", JobSpec.Priority.NORMAL, 5, 1, Double.NaN, 60_000);
         for (long now : new long[] {65_000, 80_000, 100_000}) {
             List<Job> jobs = new ArrayList<>(List.of(small, large));
             schedulingOrder.sort(jobs, now);
@@ -95,7 +95,7 @@
         }
     }
 
-    /** Only a job that is shortly before its latest start time justifies preemption. */
+    /** A job of normal priority may preempt others only shortly before its latest start time. */
     @Example
     void jobIsUrgentShortlyBeforeItsLatestStartTime() {
         SchedulingOrder schedulingOrder =
@@ -110,7 +110,7 @@
                                                 1))),
                         new RunTimeEstimates());
         Job job = CoreTestData.job("wk-1", "rush", JobSpec.Priority.NORMAL, 1, 30, 100, 0);
-        // It takes 30 s and a start of 2 s, so the latest start time is at 68 s.
+        // The task takes 30 s and a start of 2 s, so the latest start time is at 68 s.
         assertFalse(schedulingOrder.isNearLatestStart(job, 40_000));
         assertTrue(schedulingOrder.isNearLatestStart(job, 50_000));
         assertTrue(schedulingOrder.isNearLatestStart(job, 67_000));
@@ -118,8 +118,8 @@
     }
 
     /**
-     * Urgent work that keeps coming must not delay the start of any job, however large or low in
-     * priority, by more than four minutes.
+     * A constant stream of urgent jobs must not delay the first start of any other job, however
+     * large or low in priority, by more than four minutes.
      */
     @Example
     void starvedJobsComeFirst() {
--- a/src/test/java/org/shoreusher/core/schedule/ZoneConstraintsTest.java
+++ b/src/test/java/org/shoreusher/core/schedule/ZoneConstraintsTest.java
@@ -7,12 +7,12 @@
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.message.JobSpec;
 
-/** At most half of a job's tasks, rounded up, are in one zone. */
+/** Tests that at most half of the replicas of a spread service, rounded up, are in one zone. */
 class ZoneConstraintsTest {
     private static Job spreadService(int replicas) {
         JobSpec spec =
                 new JobSpecBuilder("wk-1")
-                        .jobClass("gate")
+                        .jobClass("web")
                         .team("team")
                         .workloadType(JobSpec.WorkloadType.SERVICE)
                         .priority(JobSpec.Priority.PRODUCTION)
@@ -32,9 +32,12 @@
         return new ZoneConstraints(job).remainingTasks(zone);
     }
 
-    /** A zone with little capacity keeps it for replicas that cannot run anywhere else. */
+    /**
+     * A zone with little capacity gets only the smaller half, so that its capacity is left for
+     * replicas that cannot run anywhere else.
+     */
     @Example
-    void largerHalfOfAnOddCountGoesToTheZoneWithCapacity() {
+    void placesLargerHalfOfAnOddCountInTheChosenZone() {
         assertEquals(2, remainingTasks(3, null, "a"));
         assertEquals(2, remainingTasks(3, null, "b"));
         assertEquals(1, remainingTasks(3, "b", "a"));
