--- a/src/main/java/org/shoreusher/core/store/CompletionRecord.java
+++ b/src/main/java/org/shoreusher/core/store/CompletionRecord.java
@@ -5,24 +5,28 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * A completion record: completed tasks that would make the shard's own record exceed the size limit
- * of values.
+ * A completion record: completed tasks of a shard that do not fit into the shard's own record
+ * within the size limit of values. The records of a shard are numbered: 0 is the shard's own
+ * record, the completion records follow from 1.
  *
- * @param completedRanges completed tasks as ranges by job
+ * @param completedRanges completed tasks as ranges, by job id
  */
 public record CompletionRecord(Map<String, Object> completedRanges) {
-    /** Returns the largest size of a record of completed tasks, as JSON in bytes. */
+    /**
+     * Returns the largest size in bytes, as JSON, at which a record with completed tasks is
+     * written.
+     */
     public static int maxBytes(Settings settings) {
         return (int) (settings.maxValueBytes() * StoreConstants.RECORD_FILL_SHARE);
     }
 
-    /** Returns the bytes that a job takes in a record besides its ranges. */
+    /** Returns the bytes that a job takes in a record in addition to its ranges. */
     public static int overheadBytes(String jobId) {
         return StoreConstants.RECORD_ENTRY_OVERHEAD_BYTES + jobId.length();
     }
 
     /**
-     * Returns how many consecutive tasks of a job fit into a record in whatever order they are
+     * Returns how many consecutive tasks of a job fit into a record, whichever of them are
      * completed; at least 1.
      */
     public static int tasksThatFit(String jobId, int maxRecordBytes) {
@@ -30,9 +34,15 @@
                 1, (maxRecordBytes - overheadBytes(jobId)) / StoreConstants.RECORD_BYTES_PER_TASK);
     }
 
-    /** Returns an overflow record as the store cache shows it, or null if there is none. */
-    public static CompletionRecord in(StoreCache storeCache, int shardNumber, int chunk) {
-        StoreCache.Entry entry = storeCache.get(StoreSchema.completionKey(shardNumber, chunk));
+    /**
+     * Returns a completion record from the store cache, or null if there is none.
+     *
+     * @param shardNumber the shard of the record
+     * @param recordIndex the number of the record; at least 1
+     */
+    public static CompletionRecord in(StoreCache storeCache, int shardNumber, int recordIndex) {
+        StoreCache.Entry entry =
+                storeCache.get(StoreSchema.completionKey(shardNumber, recordIndex));
         return entry == null ? null : fromMap(entry.value());
     }
 
--- a/src/main/java/org/shoreusher/core/store/CompletionRecordSplitter.java
+++ b/src/main/java/org/shoreusher/core/store/CompletionRecordSplitter.java
@@ -9,8 +9,8 @@
 import org.shoreusher.settings.Settings;
 
 /**
- * Splits completed tasks into records below the size limit. A record of a previous version, or of
- * one with a higher limit, may be larger than this version may write.
+ * Splits the completed tasks of a record into records within the size limit. A record may be larger
+ * than this process may write if it was written by a previous version or under a higher limit.
  */
 public final class CompletionRecordSplitter {
     private final int maxRecordBytes;
@@ -25,9 +25,10 @@
     /**
      * Splits a record.
      *
-     * @param rangesByJob the record's ranges, by job id
-     * @param storedElsewhere the completed tasks of a job that other records hold already; they are
-     *     left out
+     * @param rangesByJob the record's ranges of completed tasks, by job id
+     * @param settings the deployment's settings, which give the size limit
+     * @param storedElsewhere returns the completed tasks of a job that other records already
+     *     contain; they are left out
      * @return the ranges of each new record, by job id
      */
     public static List<Map<String, Object>> split(
--- a/src/main/java/org/shoreusher/core/store/CorruptRecordException.java
+++ b/src/main/java/org/shoreusher/core/store/CorruptRecordException.java
@@ -3,8 +3,8 @@
 import java.util.Map;
 
 /**
- * A record in the key-value store does not have the form in which this service writes it. Only this
- * service writes its keys, so the fault is in the program or in what an operator has changed.
+ * A record in the key-value store does not have the format in which this service writes it. Only
+ * this service writes its keys, so the cause is a bug or a manual change by an operator.
  */
 final class CorruptRecordException extends IllegalStateException {
     private static final long serialVersionUID = 1;
@@ -19,7 +19,7 @@
     CorruptRecordException(String recordKind, Map<String, Object> value, Exception cause) {
         super(
                 recordKind
-                        + " in the key-value store can't be read: "
+                        + " in the key-value store cannot be parsed: "
                         + cause.getMessage()
                         + "; its fields are "
                         + value.keySet(),
--- a/src/main/java/org/shoreusher/core/store/FencingRecord.java
+++ b/src/main/java/org/shoreusher/core/store/FencingRecord.java
@@ -13,7 +13,10 @@
     private static final String LEADER_FIELD = "owner";
     private static final String TERM_FIELD = "term";
 
-    /** Returns a shard's fencing record as the store cache shows it, or null if there is none. */
+    /**
+     * Returns a shard's fencing record from the store cache; null if there is none, or if one of
+     * its fields is missing or of the wrong type.
+     */
     public static FencingRecord in(StoreCache storeCache, int shardNumber) {
         StoreCache.Entry entry = storeCache.get(StoreSchema.fencingKey(shardNumber));
         return entry == null ? null : fromMap(entry.value());
--- a/src/main/java/org/shoreusher/core/store/HighWaterMarkRecord.java
+++ b/src/main/java/org/shoreusher/core/store/HighWaterMarkRecord.java
@@ -5,9 +5,10 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * High-water marks of a shard's jobs.
+ * High-water marks of some of a shard's jobs.
  *
- * @param highWaterMarks by job, the task number from which on no task has ever been started
+ * @param highWaterMarks by job id, the mark: no task of the job with this index or a higher one has
+ *     ever been started
  */
 public record HighWaterMarkRecord(Map<String, Integer> highWaterMarks) {
     /** Reads the record from its stored fields. */
@@ -24,7 +25,7 @@
         return new HighWaterMarkRecord(highWaterMarks);
     }
 
-    /** Returns the stored fields of a record of these marks. */
+    /** Returns the stored fields of a record with these marks, by job id. */
     public static Map<String, Object> toMap(Map<String, Integer> highWaterMarks) {
         Map<String, Object> fields = new LinkedHashMap<>();
         highWaterMarks.forEach((jobId, highWaterMark) -> fields.put(jobId, (long) highWaterMark));
--- a/src/main/java/org/shoreusher/core/store/JobRecord.java
+++ b/src/main/java/org/shoreusher/core/store/JobRecord.java
@@ -8,16 +8,16 @@
 
 /**
  * A job's record. The description of a completed job is dropped. That of a cancelled job is kept,
- * because its tasks count against their team's quota until they have stopped, also under the next
- * leader.
+ * because its tasks count against their team's quota until they have stopped, even after a
+ * failover.
  *
  * @param shardNumber the shard of the job
- * @param status the durable status
+ * @param status the job's status
  * @param taskCount the number of tasks
  * @param acceptedWallMs when the job was accepted, in wall-clock ms
- * @param highWaterMark 0 for a job whose high-water mark is in the shard's records of marks, see
- *     {@code HighWaterMarks}. In records from before there were such, no task from this number on
- *     had ever been started
+ * @param highWaterMark 0 for a job whose high-water mark is in a {@link HighWaterMarkRecord}. In
+ *     records from before those existed, this is the mark: no task with this index or a higher one
+ *     had ever been started when the record was written
  * @param specFields the fields of the job's description; null for a completed job
  */
 public record JobRecord(
@@ -32,8 +32,8 @@
         try {
             FieldMap fields = new FieldMap(value);
             int taskCount = (int) fields.integer("tasks");
-            // A record from before there were high-water marks: any of its tasks may have been
-            // started.
+            // A record without the field is from before high-water marks, so any task of the job
+            // may have been started.
             int highWaterMark = fields.has("begun") ? (int) fields.integer("begun") : taskCount;
             return new JobRecord(
                     (int) fields.integer("part"),
@@ -47,7 +47,13 @@
         }
     }
 
-    /** Returns the record of a newly accepted job; the time is in wall-clock ms. */
+    /**
+     * Returns the record of a newly accepted job.
+     *
+     * @param shardNumber the shard of the job
+     * @param spec the description of the job
+     * @param acceptedWallMs when the job was accepted, in wall-clock ms
+     */
     public static JobRecord open(int shardNumber, JobSpec spec, long acceptedWallMs) {
         return new JobRecord(
                 shardNumber,
@@ -58,17 +64,17 @@
                 UserFormat.writeDescription(spec));
     }
 
-    /** Returns the record of the job once it is completed. */
+    /** Returns the record of the job after its completion, without the description. */
     public JobRecord asDone() {
         return new JobRecord(
                 shardNumber, JobStatus.DONE, taskCount, acceptedWallMs, highWaterMark, null);
     }
 
     /**
-     * Returns the record of the job once it is cancelled, within the size limit of values. A job
-     * that was accepted under a larger limit loses the fields of its description that are needed to
-     * start tasks: otherwise the store would refuse the write each time, and the job could never be
-     * cancelled.
+     * Returns the record of the job after its cancellation. If it would exceed the size limit of
+     * values, because the job was accepted under a higher limit, only the resources of the
+     * description are kept: otherwise the store would reject the write on every retry, and the job
+     * could never be cancelled.
      *
      * @param maxValueBytes the size limit of a value in bytes
      */
@@ -94,7 +100,7 @@
                 resources);
     }
 
-    /** Parses the job's description; the record must have one. */
+    /** Parses the job's description. The record must contain one. */
     public JobSpec parseSpec() {
         try {
             return UserFormat.readDescription(new FieldMap(specFields));
--- a/src/main/java/org/shoreusher/core/store/JobStatus.java
+++ b/src/main/java/org/shoreusher/core/store/JobStatus.java
@@ -1,6 +1,6 @@
 package org.shoreusher.core.store;
 
-/** The durable status of a job. */
+/** The status of a job in its stored record. */
 public enum JobStatus {
     OPEN,
     DONE,
--- a/src/main/java/org/shoreusher/core/store/LinearizableReads.java
+++ b/src/main/java/org/shoreusher/core/store/LinearizableReads.java
@@ -17,10 +17,10 @@
 import org.shoreusher.wire.StoreFormat;
 
 /**
- * Linearizable reads of jobs for users. A read is answered only after the key-value store has
- * confirmed this node's cached version of the job, in a call issued after the user's request. Many
- * reads share one such call: it checks the cached versions as the preconditions of an empty
- * compare-and-swap.
+ * Linearizable reads of jobs for users. A read of a job that is not in a terminal state is answered
+ * only after the key-value store has confirmed or returned the job's version, in a call that was
+ * sent after the user's request. Many reads share one such call: a compare-and-swap without writes,
+ * whose preconditions are the versions of the jobs in this node's store cache.
  */
 public final class LinearizableReads {
     /**
@@ -30,18 +30,18 @@
     private record PendingRead(long requestId, String jobId, Consumer<JobRecord> callback) {}
 
     /**
-     * A read of a job that has no record of its own. It is answered once the store cache shows all
-     * submission batches up to a revision.
+     * A read of a job that has no record of its own. It is answered once the store cache contains
+     * all submission batches up to a revision.
      */
     private record ReadAwaitingRevision(PendingRead read, long revision, long sinceMs) {}
 
     private final Settings settings;
     private final Outbox outbox;
     private final StoreCache storeCache;
-    private final Function<String, JobRecord> batchedRecords;
+    private final Function<String, JobRecord> cachedRecords;
     private final Function<String, JobRecord> terminalRecords;
 
-    /** Rejects a request if this node is overloaded; returns whether it did. */
+    /** Rejects a request if this node is overloaded, and returns whether it did. */
     private final LongPredicate rejectIfOverloaded;
 
     private final List<PendingRead> pendingReads = new ArrayList<>();
@@ -50,12 +50,13 @@
     private int singleReadsInFlight;
 
     /**
-     * Creates the reads without any pending one.
+     * Creates an instance without pending reads.
      *
      * @param settings the deployment's settings
      * @param outbox sends the calls to the store
      * @param storeCache the store cache
-     * @param batchedRecords returns the record of a job in a submission batch, or null
+     * @param cachedRecords returns the record of a job in the store cache: its own, or else that in
+     *     its submission batch; null if there is neither
      * @param terminalRecords returns the record of a recently terminated job, or null
      * @param rejectIfOverloaded rejects a request if this node is overloaded, and returns whether
      *     it did
@@ -64,13 +65,13 @@
             Settings settings,
             Outbox outbox,
             StoreCache storeCache,
-            Function<String, JobRecord> batchedRecords,
+            Function<String, JobRecord> cachedRecords,
             Function<String, JobRecord> terminalRecords,
             LongPredicate rejectIfOverloaded) {
         this.settings = settings;
         this.outbox = outbox;
         this.storeCache = storeCache;
-        this.batchedRecords = batchedRecords;
+        this.cachedRecords = cachedRecords;
         this.terminalRecords = terminalRecords;
         this.rejectIfOverloaded = rejectIfOverloaded;
     }
@@ -81,21 +82,22 @@
     }
 
     /**
-     * Reads the current record of a job. A terminal state is answered from memory, since it never
-     * changes; anything else is confirmed by a shared call that {@link #sendBatch} issues later.
+     * Reads the current record of a job. A cached terminal state is answered from memory, since it
+     * never changes; anything else is confirmed by a shared call that the next {@link #sendBatch}
+     * may send.
      *
      * @param requestId the request, which is rejected if this node is overloaded or the store does
-     *     not answer
+     *     not reply
      * @param jobId the id of the job
      * @param callback receives the record, or null if there is no such job
      */
     public void readBatched(long requestId, String jobId, Consumer<JobRecord> callback) {
         JobRecord terminalRecord = terminalRecords.apply(jobId);
-        JobRecord batchedRecord = batchedRecords.apply(jobId);
+        JobRecord cachedRecord = cachedRecords.apply(jobId);
         if (terminalRecord == null
-                && batchedRecord != null
-                && batchedRecord.status() != JobStatus.OPEN) {
-            terminalRecord = batchedRecord;
+                && cachedRecord != null
+                && cachedRecord.status() != JobStatus.OPEN) {
+            terminalRecord = cachedRecord;
         }
         if (terminalRecord != null) {
             callback.accept(terminalRecord);
@@ -105,8 +107,8 @@
     }
 
     /**
-     * Sends the reads collected so far in one call. While enough calls are in flight, reads are
-     * collected further.
+     * Sends the pending reads in one call, as many as fit. While the maximum number of such calls
+     * is in flight, nothing is sent and reads keep accumulating.
      */
     public void sendBatch() {
         if (pendingReads.isEmpty()
@@ -157,10 +159,10 @@
             String jobKey = StoreSchema.jobKey(read.jobId());
             boolean wasEvicted =
                     preconditions.get(jobKey) != StoreCache.ABSENT
-                            && cachedRecord(read.jobId()) == null;
+                            && recordInMemory(read.jobId()) == null;
             if (changedKeys.contains(jobKey) || wasEvicted) {
-                // The job has been completed meanwhile and its terminal state evicted from memory.
-                // Its record exists all the same.
+                // The cached version is outdated, or the record was evicted during the call because
+                // the job reached a terminal state. In both cases the store has the current record.
                 readIndividually(read);
             } else {
                 answerOrAwaitRevision(read, reply);
@@ -168,17 +170,19 @@
         }
     }
 
-    private JobRecord cachedRecord(String jobId) {
+    private JobRecord recordInMemory(String jobId) {
         JobRecord terminalRecord = terminalRecords.apply(jobId);
-        return terminalRecord != null ? terminalRecord : batchedRecords.apply(jobId);
+        return terminalRecord != null ? terminalRecord : cachedRecords.apply(jobId);
     }
 
     /**
-     * Continues a read after the store has confirmed that the job has no record of its own. There
-     * is no such job, unless a submission batch contains it at the revision of this answer.
+     * Answers a read from memory, after the store has confirmed the cached version of the job or
+     * that the job has no record of its own. Without a record in memory there is no such job,
+     * unless a submission batch contains it at the revision of the reply, which the store cache may
+     * not have reached yet.
      */
     private void answerOrAwaitRevision(PendingRead read, StoreReply reply) {
-        JobRecord cached = cachedRecord(read.jobId());
+        JobRecord cached = recordInMemory(read.jobId());
         if (cached != null) {
             read.callback().accept(cached);
             return;
@@ -202,7 +206,7 @@
         for (ReadAwaitingRevision awaiting : List.copyOf(awaitingRevision)) {
             if (storeCache.revision() >= awaiting.revision()) {
                 awaitingRevision.remove(awaiting);
-                awaiting.read().callback().accept(cachedRecord(awaiting.read().jobId()));
+                awaiting.read().callback().accept(recordInMemory(awaiting.read().jobId()));
             } else if (outbox.now().monotonicMs() - awaiting.sinceMs()
                     > StoreConstants.READ_CATCH_UP_TIMEOUT_MS) {
                 awaitingRevision.remove(awaiting);
@@ -212,10 +216,11 @@
     }
 
     /**
-     * Like {@link #readBatched}, by a read of this job alone that is issued at once.
+     * Reads the current record of a job like {@link #readBatched}, but always by a separate call
+     * that is sent at once.
      *
      * @param requestId the request, which is rejected if this node is overloaded or the store does
-     *     not answer
+     *     not reply
      * @param jobId the id of the job
      * @param callback receives the record, or null if there is no such job
      */
--- a/src/main/java/org/shoreusher/core/store/MachineGroupRecord.java
+++ b/src/main/java/org/shoreusher/core/store/MachineGroupRecord.java
@@ -8,9 +8,11 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * The records of machines with neighbouring names in one value. Machines that are provisioned
- * together are named consecutively, so that hundreds of them cost only a few writes. Machine types
- * and zones are stored once and referred to by index.
+ * The records of machines whose ids differ only in the last characters, stored under one key.
+ * Machines that are provisioned together have consecutive ids, so hundreds of them take only a few
+ * writes. The names of machine types and zones are stored once and referred to by index. The fields
+ * of each machine are stored as a list, in the order of the components of {@link MachineRecord},
+ * with 1 for true and 0 for false.
  *
  * @param machines the records by machine id
  */
@@ -18,7 +20,7 @@
     /**
      * Reads the group from its stored fields.
      *
-     * @param key the key of the group, from which the machine ids are completed
+     * @param key the key of the group, which ends with the common prefix of the machine ids
      * @param value the stored fields
      */
     public static MachineGroupRecord fromMap(String key, Map<String, Object> value) {
@@ -55,7 +57,7 @@
      *
      * @param key the key of the group
      * @param machines the records by machine id
-     * @return the fields; null, which removes the key, if there are no machines
+     * @return the fields, or null if there are no machines; writing null removes the key
      */
     public static Map<String, Object> toMap(String key, Map<String, MachineRecord> machines) {
         if (machines.isEmpty()) {
--- a/src/main/java/org/shoreusher/core/store/MachineRecord.java
+++ b/src/main/java/org/shoreusher/core/store/MachineRecord.java
@@ -17,7 +17,9 @@
         boolean spot,
         long provisionedWallMs,
         boolean mayHaveRunTasks) {
-    /** Returns the record with the mark that tasks may have been started on the machine. */
+    /**
+     * Returns a copy of the record which states that tasks may have been started on the machine.
+     */
     public MachineRecord withRunTasks() {
         return new MachineRecord(shardNumber, type, zone, spot, provisionedWallMs, true);
     }
--- a/src/main/java/org/shoreusher/core/store/Outbox.java
+++ b/src/main/java/org/shoreusher/core/store/Outbox.java
@@ -15,9 +15,9 @@
 import org.shoreusher.settings.Settings;
 
 /**
- * The way out of the core: answers, messages, log events, and calls to the key-value store and the
- * cloud. A call is sent only within the rate limits, and its reply goes to the callback that was
- * given with it.
+ * Collects the output of the core: responses, messages, log events, and calls to the key-value
+ * store and the cloud. A call is sent only within the rate limits; its reply is passed to the
+ * callback that was given with the call.
  */
 public final class Outbox {
     private final EffectBuffer effects = new EffectBuffer();
@@ -38,17 +38,19 @@
         rateLimits = new RateLimits(settings, shardCount);
     }
 
-    /** Returns the writes per second that a shard's leader plans to make at most. */
+    /**
+     * Returns the background writes per second that a node may make for all shards that it leads.
+     */
     public static double leaderWritesPerS(Settings settings, int shardCount) {
         return RateLimits.leaderWritesPerS(settings, shardCount);
     }
 
-    /** The clocks at the start of the present batch. */
+    /** The reading of the clocks at the start of the current batch of commands. */
     public ClockReading now() {
         return now;
     }
 
-    /** Sets the clocks at the start of a batch. */
+    /** Sets the reading of the clocks at the start of a batch of commands. */
     public void setNow(ClockReading reading) {
         now = reading;
     }
@@ -63,18 +65,18 @@
         effects.add(effect);
     }
 
-    /** Adds an event to the operators' log. */
+    /** Adds a log event. */
     public void log(LogEvent event) {
         effects.add(new Effect.Log(event));
     }
 
-    /** Answers a request. */
+    /** Responds to a request. */
     public void respond(long requestId, Response response) {
         effects.add(new Effect.Respond(requestId, response));
     }
 
     /**
-     * Answers at once that a request can't be served now. The suggested retry delay depends on the
+     * Rejects a request because it cannot be served now. The suggested retry delay depends on the
      * request, so that not all senders retry at the same time.
      */
     public void respondUnavailable(long requestId) {
@@ -85,7 +87,7 @@
      * Calls the key-value store for background work.
      *
      * @param operation the operation
-     * @param callback called with the answer, or with {@link ReplyStatus#NO_REPLY} if there is none
+     * @param callback called with the reply, or with {@link ReplyStatus#NO_REPLY} if there is none
      * @return false if the rate limit leaves no token; then nothing is sent
      */
     public boolean callStore(StoreOperation operation, Consumer<StoreReply> callback) {
@@ -97,8 +99,8 @@
     }
 
     /**
-     * Calls the key-value store for a user's request. Such calls draw on a write budget of their
-     * own; otherwise like {@link #callStore}.
+     * Calls the key-value store for a user's request, like {@link #callStore}, but charges writes
+     * to a separate budget.
      *
      * @return false if the rate limit leaves no token; then nothing is sent
      */
@@ -111,9 +113,9 @@
     }
 
     /**
-     * Calls the key-value store to renew or acquire a leader's lease. Such calls have a call budget
-     * of their own, and their writes are charged to the leader's write budget without waiting for
-     * it, so that other writes wait instead.
+     * Calls the key-value store to acquire, renew, check or give up a leader's lease. Such calls
+     * have a separate budget of calls. Their writes are charged to the leader's write budget
+     * without waiting for tokens, so that other writes wait instead.
      *
      * @return false if the rate limit leaves no token; then nothing is sent
      */
@@ -137,7 +139,7 @@
      * Calls the cloud.
      *
      * @param operation the operation
-     * @param callback called with the answer, or with {@link ReplyStatus#NO_REPLY} if there is none
+     * @param callback called with the reply, or with {@link ReplyStatus#NO_REPLY} if there is none
      * @return false if the rate limit leaves no token; then nothing is sent
      */
     public boolean callCloud(CloudOperation operation, Consumer<CloudReply> callback) {
@@ -161,14 +163,18 @@
         cloudCalls.complete(reply.callId(), reply);
     }
 
-    /** Returns the ms since the key-value store last answered. */
+    /**
+     * Returns the ms since the last reply of the key-value store other than 503; very large if
+     * there was none.
+     */
     public long sinceStoreReplyMs() {
         return storeHealth.sinceReplyMs(now.monotonicMs());
     }
 
     /**
-     * Returns whether the key-value store is unavailable: the latest call failed, and no call has
-     * succeeded for longer than the call timeout.
+     * Returns whether the key-value store is unavailable: the latest call failed, and the last
+     * successful one is longer ago than the call timeout. A call fails if it gets a 503 or no
+     * reply. Also true before the first reply.
      */
     public boolean isStoreUnavailable() {
         return storeHealth.isUnavailable(now.monotonicMs());
--- a/src/main/java/org/shoreusher/core/store/PageLoad.java
+++ b/src/main/java/org/shoreusher/core/store/PageLoad.java
@@ -6,39 +6,39 @@
 import org.shoreusher.wire.StoreFormat;
 
 /**
- * One load of the whole store, page by page. The pages are read at different revisions: changes
- * after the first page's revision may be missing, and are read by watching from there on.
+ * One load of the whole store, page by page. The pages are read at different revisions, so changes
+ * after the revision of the first page may be missing. They are read by a watch that starts at that
+ * revision.
  */
 final class PageLoad {
     private final TreeMap<String, StoreCache.Entry> entries = new TreeMap<>();
 
-    /** The last key of the last page; null before the first page. */
     private String lastKey;
 
     private long firstRevision;
     private long lastRevision;
 
-    /** The last key of the last page, after which the next one starts; null before the first. */
+    /**
+     * Returns the last key of the last page, after which the next one starts; null before the
+     * first.
+     */
     String lastKey() {
         return lastKey;
     }
 
-    /** The revision of the first page. */
     long firstRevision() {
         return firstRevision;
     }
 
-    /** The revision of the last page. */
     long lastRevision() {
         return lastRevision;
     }
 
-    /** The entries of all pages, by key. */
     SortedMap<String, StoreCache.Entry> entries() {
         return entries;
     }
 
-    /** Adds a page; returns whether it was the last one. */
+    /** Adds a page, and returns whether it was the last one. */
     boolean add(FieldMap page) throws FieldMap.InvalidFieldException {
         lastRevision = StoreFormat.readRevision(page);
         if (lastKey == null) {
--- a/src/main/java/org/shoreusher/core/store/QuotaRecord.java
+++ b/src/main/java/org/shoreusher/core/store/QuotaRecord.java
@@ -8,13 +8,14 @@
 /**
  * Each shard's share of a team's quota.
  *
- * @param cpus the CPUs of each shard
- * @param gpus the GPUs of each shard
+ * @param cpus the CPUs of each shard, by shard number
+ * @param gpus the GPUs of each shard, by shard number
  */
-@SuppressWarnings("ArrayRecordComponent") // read in the hot path of quotas, never compared
+@SuppressWarnings("ArrayRecordComponent") // read on the hot path of quota checks, never compared
 public record QuotaRecord(double[] cpus, double[] gpus) {
     /**
-     * Reads the record from its stored fields.
+     * Reads the record from its stored fields. Shares for another number of shards are read as
+     * zeros.
      *
      * @param value the stored fields
      * @param shardCount the number of shards
@@ -26,12 +27,12 @@
     }
 
     /**
-     * Reads the shares of one resource. Shares for another number of shards are read as zeros,
-     * which is safe.
+     * Reads the shares of one resource. Shares for another number of shards are read as zeros, so
+     * that the shares never add up to more than the team's quota.
      */
-    private static double[] sharesFrom(Object list, int shardCount) {
+    private static double[] sharesFrom(Object storedShares, int shardCount) {
         double[] shares = new double[shardCount];
-        if (list instanceof List<?> numbers && numbers.size() == shardCount) {
+        if (storedShares instanceof List<?> numbers && numbers.size() == shardCount) {
             for (int i = 0; i < shardCount; i++) {
                 shares[i] = ((Number) numbers.get(i)).doubleValue();
             }
@@ -39,7 +40,9 @@
         return shares;
     }
 
-    /** Returns equal shares in whole units; the first shard also gets the remainder. */
+    /**
+     * Returns equal shares, rounded down to whole units; the first shard also gets the remainder.
+     */
     public static QuotaRecord splitEvenly(double cpus, double gpus, int shardCount) {
         return new QuotaRecord(splitEvenly(cpus, shardCount), splitEvenly(gpus, shardCount));
     }
--- a/src/main/java/org/shoreusher/core/store/RateLimits.java
+++ b/src/main/java/org/shoreusher/core/store/RateLimits.java
@@ -7,9 +7,9 @@
 /**
  * This node's share of the rate limits of the key-value store and the cloud, as token buckets.
  *
- * <p>The shares of leaders' and users' writes add up to a little more than the rate limit, because
- * they rarely coincide. If they do, the store answers 429, and the write is tried again later like
- * after any other failure.
+ * <p>The shares of leaders' and users' writes add up to more than the rate limit, because both are
+ * rarely used up at the same time. If they are, the store replies 429, and the write is retried
+ * later as after any other failure.
  */
 final class RateLimits {
     private final TokenBucket storeCalls;
@@ -46,7 +46,9 @@
                         settings.cloudRequestsPerS() / leaders);
     }
 
-    /** Returns the writes per second that a shard's leader plans to make at most. */
+    /**
+     * Returns the background writes per second that a node may make for all shards that it leads.
+     */
     static double leaderWritesPerS(Settings settings, int shardCount) {
         return usable(settings.storeWritesPerS())
                 * StoreConstants.LEADER_WRITE_SHARE
@@ -61,12 +63,12 @@
         return Math.min(settings.nodeCount(), shardCount);
     }
 
-    /** Takes the tokens of a leader's background call; returns whether there were any. */
+    /** Takes the tokens of a leader's background call, and returns whether they were available. */
     boolean tryAcquireForLeader(StoreOperation operation, long nowMs) {
         return tryAcquire(operation, leaderWrites, nowMs);
     }
 
-    /** Takes the tokens of a call for a user's request; returns whether there were any. */
+    /** Takes the tokens of a call for a user's request, and returns whether they were available. */
     boolean tryAcquireForUser(StoreOperation operation, long nowMs) {
         return tryAcquire(operation, userWrites, nowMs);
     }
@@ -81,8 +83,9 @@
     }
 
     /**
-     * Takes the tokens of a write of a leader's lease; returns whether there were any. Its writes
-     * are charged without waiting for tokens, so that other writes wait instead.
+     * Takes the tokens of a call for a leader's lease, and returns whether the call is allowed. Its
+     * writes are charged to the leader's writes without waiting for tokens, so that other writes
+     * wait instead.
      */
     boolean tryAcquireForLease(CompareAndSwap operation, long nowMs) {
         if (!renewals.tryAcquire(1, nowMs)) {
@@ -92,7 +95,7 @@
         return true;
     }
 
-    /** Takes the token of a call of the cloud; returns whether there was one. */
+    /** Takes the token of a call to the cloud, and returns whether one was available. */
     boolean tryAcquireForCloud(long nowMs) {
         return cloudCalls.tryAcquire(1, nowMs);
     }
--- a/src/main/java/org/shoreusher/core/store/ShardRecord.java
+++ b/src/main/java/org/shoreusher/core/store/ShardRecord.java
@@ -5,15 +5,16 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * A shard's own record.
+ * A shard's own record. It names the shard's leader and contains the leader's lease.
  *
  * @param leader the name of the leading process, HOST/SUFFIX
  * @param leaseExpiryWallMs when the leader's lease expires, in wall-clock ms
  * @param term the leader's term
- * @param completedRanges completed tasks of the first chunk of jobs, as ranges by job
- * @param standby the name of the process that knows every attempt that may be on a machine; null:
- *     none. Versions from before the standby replication drop this field when they acquire the
- *     shard
+ * @param completedRanges completed tasks as ranges, by job id; those that do not fit are in the
+ *     {@link CompletionRecord}s of the shard
+ * @param standby the name of the standby process, which has a record of every attempt that may be
+ *     on a machine; null if there is none. Versions without standby replication drop this field
+ *     when they acquire the shard
  */
 public record ShardRecord(
         String leader,
@@ -21,7 +22,7 @@
         long term,
         Map<String, Object> completedRanges,
         String standby) {
-    /** Returns a shard's record as the store cache shows it, or null if there is none. */
+    /** Returns a shard's record from the store cache, or null if there is none. */
     public static ShardRecord in(StoreCache storeCache, int shardNumber) {
         StoreCache.Entry entry = storeCache.get(StoreSchema.shardKey(shardNumber));
         return entry == null ? null : fromMap(entry.value());
--- a/src/main/java/org/shoreusher/core/store/StoreCache.java
+++ b/src/main/java/org/shoreusher/core/store/StoreCache.java
@@ -15,8 +15,9 @@
 
 /**
  * This node's cached copy of the key-value store. It is loaded page by page, then kept current by a
- * single watch, and loaded again when the watch has fallen too far behind (status 410). Changes are
- * applied by version, so pages, watch results and this node's own writes may arrive in any order.
+ * single watch, and loaded again when the watch has fallen too far behind (status 410) or keeps
+ * failing. A change of a key is applied only if its version is higher than the cached one, so
+ * pages, watch replies and own writes may arrive in any order.
  */
 public final class StoreCache {
     /** The version of a key that has no value. */
@@ -33,14 +34,14 @@
      */
     public record Entry(Map<String, Object> value, long version) {}
 
-    /** Receives every change of the cache. */
+    /** Receives every change of the cache, except evictions. */
     public interface Listener {
         /**
          * Called after an entry was added, changed or removed.
          *
          * @param key the key
-         * @param before the previous entry; null: there was none
-         * @param after the new entry; null: the key was removed
+         * @param before the previous entry; null if there was none
+         * @param after the new entry; null if the key was removed
          */
         void onChange(String key, Entry before, Entry after);
     }
@@ -50,7 +51,7 @@
     private final long watchIntervalMs;
     private final TreeMap<String, Entry> entries = new TreeMap<>();
 
-    /** Versions at which keys were removed, kept until the watch has passed them. */
+    /** Versions of removed and evicted keys, kept until {@link #revision} reaches them. */
     private final Object2LongOpenHashMap<String> removalVersions = new Object2LongOpenHashMap<>();
 
     private boolean loading = true;
@@ -58,7 +59,10 @@
     private boolean requestInFlight;
     private PageLoad pageLoad = new PageLoad();
     private long revision;
+
+    /** The revision of the last loaded page, from which on the cache is complete. */
     private long requiredRevision;
+
     private long completeAtMs = StoreHealth.NEVER_MS;
     private long nextRequestMs;
 
@@ -70,8 +74,8 @@
      * @param listener receives every change
      */
     public StoreCache(Outbox outbox, Settings settings, Listener listener) {
-        // A change wakes the watches of all nodes. Under a low rate limit they would use up all
-        // calls.
+        // Every change completes the pending watches of all nodes. Without a minimum interval, the
+        // watches that follow would use up a low rate limit.
         double callsPerS =
                 settings.storeRequestsPerS()
                         * StoreConstants.RATE_LIMIT_USE_SHARE
@@ -84,20 +88,20 @@
         this.listener = listener;
     }
 
-    /** Returns whether the cache has been complete once. */
+    /** Returns whether the cache has been complete at least once. */
     public boolean isLoaded() {
         return loaded;
     }
 
     /**
-     * Returns the revision up to which the cache contains every change; -1 while it is being
+     * Returns the revision up to which the cache contains every change, or -1 while it is being
      * loaded.
      */
     public long revision() {
         return loading ? NO_REVISION : revision;
     }
 
-    /** Returns the ms since the last moment at which the cache was known to be complete. */
+    /** Returns the ms since the time up to which the cache is known to contain every change. */
     public long ageMs() {
         return outbox.now().monotonicMs() - completeAtMs;
     }
@@ -107,23 +111,21 @@
         return entries.get(key);
     }
 
-    /**
-     * Returns the version of a key; 0 if it is absent. This is the form that preconditions have.
-     */
+    /** Returns the version of a key as preconditions use it: {@link #ABSENT} without an entry. */
     public long version(String key) {
         Entry entry = entries.get(key);
         return entry == null ? ABSENT : entry.version();
     }
 
     /**
-     * Returns whether the cache contains the key, or contained it at a revision that the watch has
-     * not passed yet.
+     * Returns whether the cache contains the key, or the key was removed or evicted at a version
+     * that {@link #revision} has not reached yet.
      */
     public boolean containsOrRecentlyRemoved(String key) {
         return entries.containsKey(key) || removalVersions.containsKey(key);
     }
 
-    /** Returns the number of keys in memory. */
+    /** Returns the number of entries. */
     public int size() {
         return entries.size();
     }
@@ -134,10 +136,11 @@
     }
 
     /**
-     * Applies an entry as read or written. An older version than the known one is dropped.
+     * Applies a change that was read or written. It is ignored unless its version is higher than
+     * that of the cached entry or removal.
      *
      * @param key the key
-     * @param value the stored fields; null: the key was removed
+     * @param value the stored fields; null if the key was removed
      * @param version the revision of the change
      */
     public void apply(String key, Map<String, Object> value, long version) {
@@ -163,9 +166,10 @@
     /**
      * Applies this node's own successful write.
      *
-     * @param reply the store's answer to the write
-     * @param writes the values that were written
+     * @param reply the store's reply to the write
+     * @param writes the written values by key; a null value removes the key
      * @return the revision at which the store applied the write
+     * @throws IllegalStateException if the reply contains no valid revision
      */
     public long applyOwnWrites(StoreReply reply, Map<String, Map<String, Object>> writes) {
         long appliedRevision;
@@ -173,15 +177,16 @@
             appliedRevision = StoreFormat.readRevision(new FieldMap(reply.body()));
         } catch (FieldMap.InvalidFieldException invalid) {
             throw new IllegalStateException(
-                    "the key-value store confirmed a write without its revision", invalid);
+                    "the reply of the key-value store to a write has no valid revision", invalid);
         }
         writes.forEach((key, value) -> apply(key, value, appliedRevision));
         return appliedRevision;
     }
 
     /**
-     * Removes a key from memory only. A watch may yet deliver changes from before the key's last
-     * version; they must not restore the key, or a completed job would count as open.
+     * Removes a key from the cache only, not from the store. Changes of the key up to its cached
+     * version that a watch still delivers are ignored: an older one could restore a completed job
+     * as open.
      */
     public void evict(String key) {
         Entry entry = entries.remove(key);
@@ -234,7 +239,8 @@
     }
 
     private void onFailure() {
-        // An answer that exceeds the size limit fails like a lost one, and would fail each time.
+        // A reply that exceeds the size limit counts as missing, and so would the reply to every
+        // retry. The size of a watch reply is unbounded, that of a page is not.
         if (loaded && !loading && ageMs() > StoreConstants.STORE_CACHE_RELOAD_AGE_MS) {
             reload();
         }
@@ -250,8 +256,8 @@
                 .object2LongEntrySet()
                 .removeIf(removal -> removal.getLongValue() <= revision);
         if (revision >= requiredRevision) {
-            // The answer contains all changes up to the moment of the request, so the cache was
-            // complete then.
+            // The reply contains every change up to the time of the request, so the cache is
+            // complete up to that time.
             completeAtMs = sentAt;
             loaded = true;
         }
@@ -271,7 +277,7 @@
         load.entries().forEach((key, entry) -> apply(key, entry.value(), entry.version()));
     }
 
-    /** Removes entries that had vanished from the store when the first page was read. */
+    /** Removes entries that the pages do not contain, unless newer than the first page. */
     private void removeMissingEntries(PageLoad load) {
         for (String key : entries.keySet().toArray(new String[0])) {
             if (!load.entries().containsKey(key)
--- a/src/main/java/org/shoreusher/core/store/StoreConstants.java
+++ b/src/main/java/org/shoreusher/core/store/StoreConstants.java
@@ -7,14 +7,14 @@
     private StoreConstants() {}
 
     /**
-     * Share of the value size limit that one record of completed tasks may fill; the rest is
-     * reserve.
+     * Share of the value size limit that one record of completed tasks may fill; the rest is a
+     * safety margin.
      */
     public static final double RECORD_FILL_SHARE = 0.75;
 
     /**
-     * ms; how long a watch blocks (long poll). The age of the store cache is known to about this
-     * precision.
+     * ms; how long a watch blocks if nothing changes (long poll). The age of the store cache is
+     * overestimated by up to about this time.
      */
     public static final long WATCH_LONG_POLL_MS = 2_000;
 
@@ -22,53 +22,60 @@
     static final long MIN_WATCH_INTERVAL_MS = 40;
 
     /**
-     * Share of a node's request rate that its watch may take. At 22 requests a second that is one
-     * every 130 ms.
+     * Share of a node's store request rate that its watch may use. At 22 requests a second that is
+     * one every 130 ms.
      */
     static final double WATCH_REQUEST_SHARE = 0.35;
 
     /**
-     * ms; a store cache that is older than this when its watch fails is read again in pages: the
-     * answer of a watch has no bound on its size.
+     * ms; a store cache that is older than this when its watch fails is loaded again page by page.
+     * The size of a watch reply is unbounded, so it may exceed the limit of a reply on every retry.
      */
     static final long STORE_CACHE_RELOAD_AGE_MS = 20_000;
 
-    /** ms; pause after a failed store call of the store cache. */
+    /**
+     * ms; delay before a failed call of the store cache, or a failed write of the version record,
+     * is retried.
+     */
     static final long STORE_RETRY_MS = 300;
 
-    /** Share of the rate limits of store and cloud that all nodes together plan to use. */
+    /** Share of the rate limits of the store and the cloud that all nodes together may use. */
     public static final double RATE_LIMIT_USE_SHARE = 0.9;
 
     /** Share of a node's store request rate that is reserved for lease renewals. */
     static final double LEASE_RENEWAL_REQUEST_SHARE = 0.1;
 
-    /** Lease renewals per second that a node may always send, however low its request rate is. */
+    /**
+     * Lease renewals per second that a node may always send, however low its store request rate is.
+     */
     static final double MIN_LEASE_RENEWALS_PER_S = 2;
 
-    /** Lease renewals that a node may always send at once, however low its rate is. */
+    /** Lease renewals that a node may always send in one burst, however low that rate is. */
     static final double MIN_LEASE_RENEWAL_BURST = 4;
 
     /**
      * Share of the store's write rate for the leaders' background writes. Each node also has a
-     * share for user requests, which seldom need all of it.
+     * share for user requests, which rarely use all of it.
      */
     static final double LEADER_WRITE_SHARE = 0.8;
 
     /**
-     * Bytes; with a lower value size limit, ten machines share a record, else a hundred, which take
-     * up to 4,000 bytes.
+     * Bytes; lowest value size limit at which up to a hundred machines share a record, which take
+     * up to 4,000 bytes. With a lower limit, up to ten machines do.
      */
     public static final int WIDE_GROUP_MIN_VALUE_BYTES = 6_000;
 
     /** Bytes that framing adds to each job in a record, besides the job's id. */
     public static final int RECORD_ENTRY_OVERHEAD_BYTES = 24;
 
-    /** Linearizable reads for user requests in flight; further requests are batched meanwhile. */
+    /**
+     * Shared calls for linearizable reads in flight; further reads are collected for the next call.
+     */
     static final int MAX_LINEARIZABLE_READS_IN_FLIGHT = 2;
 
     /**
-     * ms; a read of an unknown job is given up when the store cache takes longer to catch up with
-     * all submissions. Users wait 2 s.
+     * ms; a read of a job without a record is rejected if the store cache takes longer than this to
+     * catch up with all submissions. Users wait 2 s for a response.
      */
     static final long READ_CATCH_UP_TIMEOUT_MS = 1_000;
 
--- a/src/main/java/org/shoreusher/core/store/StoreHealth.java
+++ b/src/main/java/org/shoreusher/core/store/StoreHealth.java
@@ -3,15 +3,15 @@
 import org.shoreusher.core.message.ReplyStatus;
 import org.shoreusher.settings.SharedConstants;
 
-/** Tells from the replies of the key-value store whether it is available to this node. */
+/** Derives from the replies of the key-value store whether it is available to this node. */
 final class StoreHealth {
-    /** A time longer ago than any timeout; no overflow when it is subtracted. */
+    /** A time longer ago than any timeout, which does not overflow when it is subtracted. */
     static final long NEVER_MS = Long.MIN_VALUE / 2;
 
     private long answeredAtMs = NEVER_MS;
     private long failedAtMs = NEVER_MS;
 
-    /** Notes a reply, or that there was none. */
+    /** Records the status of a reply, or {@link ReplyStatus#NO_REPLY} if there was none. */
     void onReply(int status, long nowMs) {
         // A 429 shows that the store is available; only a missing reply and a 503 count as
         // failures.
@@ -22,14 +22,14 @@
         }
     }
 
-    /** Returns the ms since the store last answered. */
+    /** Returns the ms since the last reply other than 503; very large if there was none. */
     long sinceReplyMs(long nowMs) {
         return nowMs - answeredAtMs;
     }
 
     /**
-     * Returns whether the store is unavailable: the latest call failed, and no call has succeeded
-     * for longer than the call timeout.
+     * Returns whether the store is unavailable: the latest call failed, and the last successful one
+     * is longer ago than the call timeout. Also true before the first reply.
      */
     boolean isUnavailable(long nowMs) {
         return failedAtMs >= answeredAtMs && sinceReplyMs(nowMs) > SharedConstants.STORE_TIMEOUT_MS;
--- a/src/main/java/org/shoreusher/core/store/SubmissionBatchRecord.java
+++ b/src/main/java/org/shoreusher/core/store/SubmissionBatchRecord.java
@@ -5,7 +5,8 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * Jobs that were accepted together; see {@code SubmissionBatches}.
+ * A submission batch: the records of jobs that were accepted together, until each job has a record
+ * of its own.
  *
  * @param jobs the records of the jobs, by id
  */
@@ -25,7 +26,11 @@
         return new SubmissionBatchRecord(jobs);
     }
 
-    /** Returns the stored fields of a record of these jobs, which are already in stored form. */
+    /**
+     * Returns the stored fields of a batch.
+     *
+     * @param jobs the stored fields of the jobs' records, by job id
+     */
     public static Map<String, Object> toMap(Map<String, Map<String, Object>> jobs) {
         return Map.of("jobs", jobs);
     }
--- a/src/main/java/org/shoreusher/core/store/TaskRanges.java
+++ b/src/main/java/org/shoreusher/core/store/TaskRanges.java
@@ -2,11 +2,11 @@
 
 import java.util.BitSet;
 
-/** The compact text form of a set of task indexes: ranges such as {@code 0-4,7}. */
+/** The compact text format of a set of task indexes: ranges such as {@code 0-4,7}. */
 public final class TaskRanges {
     private TaskRanges() {}
 
-    /** Formats a set as ranges in ascending order; the empty set gives an empty text. */
+    /** Formats a set as ranges in ascending order; an empty set gives an empty text. */
     public static String format(BitSet taskIndexes) {
         StringBuilder text = new StringBuilder();
         for (int from = taskIndexes.nextSetBit(0); from >= 0; ) {
@@ -24,9 +24,9 @@
     }
 
     /**
-     * Parses a text that {@link #format} has made.
+     * Parses a text that {@link #format} has returned.
      *
-     * @throws NumberFormatException if the text has another form
+     * @throws NumberFormatException if the text has another format
      */
     public static BitSet parse(String text) {
         BitSet taskIndexes = new BitSet();
--- a/src/main/java/org/shoreusher/core/store/TokenBucket.java
+++ b/src/main/java/org/shoreusher/core/store/TokenBucket.java
@@ -1,6 +1,6 @@
 package org.shoreusher.core.store;
 
-/** A token bucket: limits a rate of calls and allows bursts. */
+/** A token bucket: limits the rate of calls and allows bursts. */
 public final class TokenBucket {
     private final double tokensPerMs;
     private final double burst;
@@ -10,8 +10,8 @@
     /**
      * Creates a full bucket.
      *
-     * @param tokensPerS tokens gained per second
-     * @param burst the capacity; at least 1
+     * @param tokensPerS tokens that are added per second
+     * @param burst the capacity in tokens; a lower value than 1 is raised to 1
      */
     public TokenBucket(double tokensPerS, double burst) {
         this.tokensPerMs = tokensPerS / 1000;
@@ -20,7 +20,8 @@
     }
 
     /**
-     * Takes tokens if they are available. A request above the capacity is granted by a full bucket.
+     * Takes tokens if they are available. A request above the capacity is granted by a full bucket,
+     * whose balance then becomes negative.
      *
      * @param count how many tokens are taken
      * @param nowMs the monotonic clock in ms
--- a/src/main/java/org/shoreusher/core/store/VersionNegotiation.java
+++ b/src/main/java/org/shoreusher/core/store/VersionNegotiation.java
@@ -15,26 +15,31 @@
 
 /**
  * Determines which stored formats every member supports, so that a rolling upgrade is safe. Each
- * process of this version writes a version record under a key of its host: the formats that it
- * supports, and its process name. Versions from before version records write none. During an
- * upgrade both kinds of version serve, and a process that crashes before its turn is restarted in
- * the old version.
+ * process of this version writes a version record under a key of its host, with the formats that it
+ * supports and its process name. Versions from before version records write none. During an upgrade
+ * both versions run side by side, and a process that crashes before it was upgraded restarts in the
+ * old version.
  *
- * <p>The version record alone does not show that a member has been downgraded after writing it. The
- * downgrade is detected when the member becomes the leader of a shard: the fencing key then names a
- * process on that host that has written no version record.
+ * <p>The version record alone does not show that a member was downgraded after writing it. The
+ * downgrade is detected when the member becomes the leader of a shard: the shard's fencing key is
+ * then newer than the version record, and names another process on that host.
  */
 public final class VersionNegotiation {
     /**
-     * The first format with services, with narrow machine groups, and with completion records of a
-     * job in several overflow records.
+     * The first format with services, with narrow machine groups, and with the completed tasks of
+     * one job spread over several completion records.
      */
     static final long FORMAT_WITH_SERVICES = 2;
 
+    /** The format of versions that write no version record. */
+    private static final long FORMAT_WITHOUT_VERSION_RECORD = 1;
+
     private static final String FORMAT_FIELD = "formats";
     private static final String PROCESS_NAME_FIELD = "process";
 
-    /** The format of the attempt log that the process supports as a standby; absent: none. */
+    /**
+     * The attempt log format that the process supports as a standby; absent if it supports none.
+     */
     private static final String STANDBY_LOG_FIELD = "standby";
 
     private static final long STANDBY_LOG_FORMAT = 1;
@@ -49,12 +54,12 @@
     private long nextWriteMs;
 
     /**
-     * The members that are not known to support services, including this one; null if the store
-     * cache has changed since they were determined.
+     * The hosts of the members, possibly of this node too, that are not known to support services;
+     * null if a version record or a fencing key has changed since they were determined.
      */
     private List<String> membersWithoutServices;
 
-    /** The members without services as last logged; null before the first line. */
+    /** The members without services as last logged; null before the first log event. */
     private List<String> loggedMembersWithoutServices;
 
     /**
@@ -82,7 +87,7 @@
         this.shardCount = shardCount;
     }
 
-    /** Called for each change of a key in the store cache. */
+    /** Must be called for each change of a key in the store cache. */
     public void onStoreChange(String key) {
         if (key.startsWith(StoreSchema.NODE_PREFIX) || StoreSchema.isFencingKey(key)) {
             membersWithoutServices = null;
@@ -134,7 +139,8 @@
     }
 
     /**
-     * Returns the processes of other members that support the attempt log format of this version.
+     * Returns the processes of other members that support the attempt log format of this version
+     * and are responsive.
      *
      * @param isResponsive whether gossip from the controller of a host has arrived recently
      */
@@ -155,8 +161,8 @@
     }
 
     /**
-     * Returns whether every member is known to support services. Only stored records count, not
-     * gossip.
+     * Returns whether every member is known to support services. Only the records in the store
+     * cache count, not gossip.
      */
     public boolean areServicesSupported() {
         return membersWithoutServices().isEmpty();
@@ -177,15 +183,17 @@
         StoreCache.Entry versionRecord = storeCache.get(StoreSchema.nodeKey(host));
         if (versionRecord == null
                 || !(versionRecord.value().get(FORMAT_FIELD) instanceof Number format)) {
-            return 1;
+            return FORMAT_WITHOUT_VERSION_RECORD;
         }
-        return isDowngraded(host, versionRecord) ? 1 : format.longValue();
+        return isDowngraded(host, versionRecord)
+                ? FORMAT_WITHOUT_VERSION_RECORD
+                : format.longValue();
     }
 
     /**
-     * Returns whether a process of the host became a leader after the version record was written,
-     * without having written one itself. Each process of this version writes its record at its
-     * start, so a later leader without one runs an old version.
+     * Returns whether a process of the host acquired a shard after the version record was written,
+     * and the record is not its own. Each process of this version writes its record when it starts,
+     * so such a leader runs an older version.
      */
     private boolean isDowngraded(String host, StoreCache.Entry versionRecord) {
         Object recordedProcess = versionRecord.value().get(PROCESS_NAME_FIELD);
@@ -205,8 +213,8 @@
     }
 
     /**
-     * Logs which members do not support services, each time that changes, once the version record
-     * of this process is written.
+     * Logs which members do not support services whenever that changes. Logs nothing before the
+     * version record of this process is written.
      */
     private void logServicesSupport() {
         if (!hasCurrentVersionRecord()) {
--- a/src/main/java/org/shoreusher/core/store/package-info.java
+++ b/src/main/java/org/shoreusher/core/store/package-info.java
@@ -3,10 +3,11 @@
  * linearizable reads, the version negotiation for rolling upgrades, and the outbox through which
  * all effects leave the core.
  *
- * <p>Promise: calls stay within the deployment's rate limits, and changes reach the cache in the
- * order of their versions, whichever way they arrive. Stored names and forms are those of previous
- * versions, which serve beside this one during an upgrade.
+ * <p>Guarantees: calls stay within this node's share of the deployment's rate limits, and the
+ * cached version of a key never decreases, in whatever order its changes arrive. The stored keys,
+ * fields and formats are compatible with previous versions, which run alongside this one during a
+ * rolling upgrade.
  *
- * <p>Uses {@code core.message} and {@code wire}, and nothing else of the core.
+ * <p>Of the core it uses only {@code core.message}.
  */
 package org.shoreusher.core.store;
--- a/src/test/java/org/shoreusher/core/store/QuotaRecordTest.java
+++ b/src/test/java/org/shoreusher/core/store/QuotaRecordTest.java
@@ -8,7 +8,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** The record of the shards' shares of a quota. */
+/** Splitting a team's quota into shares, and reading them back. */
 class QuotaRecordTest {
     @Property(tries = 300, seed = "21")
     void quotaSharesSumToTheLimit(
@@ -19,7 +19,7 @@
         assertTrue(Arrays.stream(record.cpus()).allMatch(share -> share >= 0));
         QuotaRecord read = QuotaRecord.fromMap(record.toMap(), shardCount);
         assertTrue(Arrays.equals(record.cpus(), read.cpus()));
-        // Shares for another number of shards are ignored.
+        // Shares for another number of shards are read as zeros.
         assertEquals(
                 0, Arrays.stream(QuotaRecord.fromMap(record.toMap(), shardCount + 1).cpus()).sum());
     }
--- a/src/test/java/org/shoreusher/core/store/StoreCacheTest.java
+++ b/src/test/java/org/shoreusher/core/store/StoreCacheTest.java
@@ -14,9 +14,12 @@
 import org.shoreusher.core.message.Effect;
 import org.shoreusher.core.message.Effect.StoreOperation;
 
-/** How the store cache follows the changes in the store. */
+/** Keeping the store cache current with the store. */
 class StoreCacheTest {
-    /** Returns the first operation that was sent to the store, or null. */
+    /**
+     * Drains the effects; returns the first operation among them that is sent to the store, or
+     * null.
+     */
     private static StoreOperation nextStoreOperation(Outbox outbox) {
         return outbox.drainEffects().stream()
                 .filter(effect -> effect instanceof Effect.StoreCall)
@@ -26,18 +29,18 @@
     }
 
     /**
-     * This node's own write of a terminal state removes the job from the cache. A watch response
-     * from before that write must not bring the job back as open, or its tasks would start again.
+     * A job is evicted from the cache after this node has written its terminal state. A watch reply
+     * from before that write must not restore the job as open, or its tasks would start again.
      */
     @Example
-    void staleWatchResponseDoesNotReviveACompletedJob() {
+    void staleWatchReplyDoesNotRestoreACompletedJob() {
         Outbox outbox = new Outbox(CoreTestData.settings(List.of()), 1);
-        List<String> seen = new ArrayList<>();
+        List<String> changedKeys = new ArrayList<>();
         StoreCache storeCache =
                 new StoreCache(
                         outbox,
                         CoreTestData.settings(List.of()),
-                        (key, before, after) -> seen.add(key));
+                        (key, before, after) -> changedKeys.add(key));
         outbox.setNow(new ClockReading(1_000, 1_000));
         storeCache.step();
         assertTrue(nextStoreOperation(outbox) instanceof StoreOperation.Page);
@@ -64,13 +67,13 @@
                                                 "stamp",
                                                 6L)))));
         assertNull(storeCache.get("job/wk-1"));
-        assertEquals(List.of("job/wk-1"), seen);
+        assertEquals(List.of("job/wk-1"), changedKeys);
         assertTrue(storeCache.isLoaded());
     }
 
     /**
-     * A watch response that is too long fails each time it is requested. A cache that stays
-     * outdated is read in pages instead.
+     * A watch reply above the size limit fails on every retry, so the cache would stay outdated. It
+     * must be loaded page by page instead.
      */
     @Example
     void rereadsTheStoreInPagesWhenTheWatchKeepsFailing() {
@@ -86,19 +89,21 @@
         storeCache.step();
         nextStoreOperation(outbox);
         outbox.onReply(new StoreReply(2, 200, Map.of("ledger", 5L, "log", List.of())));
-        StoreOperation last = null;
-        for (int call = 3; call < 100 && !(last instanceof StoreOperation.Page); call++) {
+        StoreOperation lastOperation = null;
+        for (int call = 3; call < 100 && !(lastOperation instanceof StoreOperation.Page); call++) {
             outbox.setNow(
                     new ClockReading(
                             outbox.now().monotonicMs() + 500, outbox.now().wallMs() + 500));
             storeCache.step();
-            last = nextStoreOperation(outbox);
+            lastOperation = nextStoreOperation(outbox);
+            // The cache was last complete at 1,000 ms and is loaded again at an age above 20,000
+            // ms, in the step after the failure that detects it.
             assertTrue(
-                    last instanceof StoreOperation.Page
+                    lastOperation instanceof StoreOperation.Page
                             == outbox.now().monotonicMs() > 21_000 + 500,
-                    "at " + outbox.now().monotonicMs() + " asked for " + last);
+                    "operation sent at " + outbox.now().monotonicMs() + " ms: " + lastOperation);
             outbox.onReply(new StoreReply(call, 0, null));
         }
-        assertTrue(last instanceof StoreOperation.Page);
+        assertTrue(lastOperation instanceof StoreOperation.Page);
     }
 }
--- a/src/test/java/org/shoreusher/core/store/TaskRangesTest.java
+++ b/src/test/java/org/shoreusher/core/store/TaskRangesTest.java
@@ -8,12 +8,12 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** Sets of task numbers as text. */
+/** Formatting sets of task indexes as ranges. */
 class TaskRangesTest {
     @Property(tries = 300, seed = "7")
-    void taskRangesSurviveARoundTrip(@ForAll Set<@IntRange(max = 700) Integer> numbers) {
+    void formattedSetParsesToTheSameSet(@ForAll Set<@IntRange(max = 700) Integer> taskIndexes) {
         BitSet set = new BitSet();
-        numbers.forEach(set::set);
+        taskIndexes.forEach(set::set);
         assertEquals(set, TaskRanges.parse(TaskRanges.format(set)));
     }
 }
