--- a/src/main/java/org/shoreusher/core/leadership/CompletionOverflow.java
+++ b/src/main/java/org/shoreusher/core/leadership/CompletionOverflow.java
@@ -15,9 +15,9 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * Makes a shard's record short enough to be written. A leader of another version, or under a higher
- * size limit, may have stored more completed tasks in the record than this version may write. Its
- * successor first copies them into overflow records.
+ * Makes a shard's own record short enough to be written. A leader of another version, or with a
+ * higher size limit, may have stored more completed tasks in the record than this process may
+ * write. Before it acquires the shard, this process copies them into completion records.
  */
 final class CompletionOverflow {
     private final Settings settings;
@@ -28,64 +28,64 @@
         this.storeCache = storeCache;
     }
 
-    /** Returns whether a record is longer than this version may write. */
+    /** Returns whether a record is longer than this process may write; false for null. */
     boolean exceedsSizeLimit(ShardRecord record) {
         return record != null
                 && FieldMap.jsonLength(record.toMap()) > CompletionRecord.maxBytes(settings);
     }
 
     /**
-     * Returns the completed tasks in the shard's own record that are in none of its overflow
-     * records, split into records of a size that may be written.
+     * Returns the completed tasks in the shard's own record that are in none of its completion
+     * records, split into records of a size that may be written. The ranges of each record are by
+     * job id.
      */
     List<Map<String, Object>> completionsToCopy(int shardNumber, ShardRecord record) {
         return CompletionRecordSplitter.split(
                 record.completedRanges(),
                 settings,
-                jobId -> completionsInOverflowRecords(shardNumber, jobId));
+                jobId -> tasksInCompletionRecords(shardNumber, jobId));
     }
 
-    /**
-     * Returns a job's completed tasks that are in overflow records rather than in the shard's own
-     * record.
-     */
-    private BitSet completionsInOverflowRecords(int shardNumber, String jobId) {
+    /** Returns the completed tasks of a job in all completion records of the shard. */
+    private BitSet tasksInCompletionRecords(int shardNumber, String jobId) {
         BitSet completed = new BitSet();
-        int chunk = 1;
-        CompletionRecord overflowRecord = CompletionRecord.in(storeCache, shardNumber, chunk);
-        while (overflowRecord != null) {
-            if (overflowRecord.completedRanges().get(jobId) instanceof String ranges) {
+        int recordIndex = 1;
+        CompletionRecord completionRecord =
+                CompletionRecord.in(storeCache, shardNumber, recordIndex);
+        while (completionRecord != null) {
+            if (completionRecord.completedRanges().get(jobId) instanceof String ranges) {
                 completed.or(TaskRanges.parse(ranges));
             }
-            chunk++;
-            overflowRecord = CompletionRecord.in(storeCache, shardNumber, chunk);
+            recordIndex++;
+            completionRecord = CompletionRecord.in(storeCache, shardNumber, recordIndex);
         }
         return completed;
     }
 
     /**
-     * Returns the write that copies completed tasks into new overflow records. The copies are made
-     * from one version of the shard's record, and remain true whichever node becomes the leader.
+     * Returns the write that copies completed tasks into new completion records. The version of the
+     * shard's record from which they are copied is a precondition. The write needs no fencing
+     * precondition, because the copies remain correct whichever node becomes the leader.
      *
      * @param shardNumber the shard's number
-     * @param copies the ranges of each new record; those beyond the size of a transaction are left
-     *     for a further write
+     * @param copies the ranges of each new record, by job id; records beyond the size of a
+     *     transaction are left for a later write
      */
     CompareAndSwap copy(int shardNumber, List<Map<String, Object>> copies) {
         Map<String, Long> preconditions = new LinkedHashMap<>();
         String shardKey = StoreSchema.shardKey(shardNumber);
         preconditions.put(shardKey, storeCache.version(shardKey));
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
-        int chunk = 1;
-        while (storeCache.get(StoreSchema.completionKey(shardNumber, chunk)) != null) {
-            chunk++;
+        int recordIndex = 1;
+        while (storeCache.get(StoreSchema.completionKey(shardNumber, recordIndex)) != null) {
+            recordIndex++;
         }
         int writeCount = Math.min(copies.size(), settings.maxTransactionWrites());
         for (Map<String, Object> completedRanges : copies.subList(0, writeCount)) {
-            String key = StoreSchema.completionKey(shardNumber, chunk);
+            String key = StoreSchema.completionKey(shardNumber, recordIndex);
             preconditions.put(key, StoreCache.ABSENT);
             writes.put(key, new CompletionRecord(completedRanges).toMap());
-            chunk++;
+            recordIndex++;
         }
         return new CompareAndSwap(preconditions, writes);
     }
--- a/src/main/java/org/shoreusher/core/leadership/CompletionSnapshot.java
+++ b/src/main/java/org/shoreusher/core/leadership/CompletionSnapshot.java
@@ -2,14 +2,17 @@
 
 import java.util.Map;
 
-/** The completed tasks of a shard at one moment, laid out in records for the store. */
+/** The completed tasks of a shard at one moment, distributed over the records that store them. */
 public interface CompletionSnapshot {
-    /** Returns the number of records; record 0 belongs to the shard's own record. */
+    /** Returns the number of records; record 0 is the shard's own record. */
     int recordCount();
 
     /** Returns the ranges of completed tasks in a record, by job id. */
     Map<String, Object> recordValue(int recordIndex);
 
-    /** Notes that all records that were written are durable. */
+    /**
+     * Must be called after the store has confirmed a write of these records: marks those completed
+     * tasks of the snapshot as durable that the stored records contain.
+     */
     void markDurable();
 }
--- a/src/main/java/org/shoreusher/core/leadership/LeaderLease.java
+++ b/src/main/java/org/shoreusher/core/leadership/LeaderLease.java
@@ -5,10 +5,10 @@
 import org.shoreusher.settings.SharedConstants;
 
 /**
- * The lease arithmetic of a shard's leader. A leader stops before the stored expiry and a successor
- * waits beyond it, each by the bound on the clock difference and a margin, so that two leaderships
- * never overlap. Elapsed time is also measured by the monotonic clock, so a wall clock that is set
- * back extends nothing.
+ * The lease of a shard's leader, and the computation of its times. A leader stops before the stored
+ * expiry and a successor waits beyond it, each by the bound on the clock offset plus a margin, so
+ * that two leaderships never overlap. The leader also measures elapsed time by the monotonic clock,
+ * so setting the wall clock back does not extend its lease.
  */
 public final class LeaderLease {
     private final long safetyMarginMs;
@@ -27,11 +27,13 @@
     }
 
     /**
-     * Returns for how many ms after its lease's expiry a leader may still answer heartbeats,
-     * without orders, so that an outage of the key-value store does not end the workers' leases as
-     * well. A cancellation that the leader can't see must still take effect in time: the leader's
-     * lease, the grace period and the worker's lease together stay below the time limit of a
-     * cancellation.
+     * Returns for how many ms after the expiry of its lease a leader may still answer heartbeats,
+     * without orders, so that the workers' leases do not expire as well during an outage of the
+     * key-value store. A cancellation that has not reached the leader must still take effect in
+     * time, so the grace period is what the time limit of a cancellation leaves after the leader's
+     * lease, a third of the maximum age of the store cache, the bound on the worker's lease, and
+     * twice the clock offset bound. It is 0 if nothing is left, and at most {@link
+     * LeadershipConstants#MAX_GRACE_PERIOD_MS}.
      */
     static long gracePeriodMs(Settings settings) {
         double gracePeriodMs =
@@ -44,15 +46,15 @@
     }
 
     /**
-     * Returns the age in ms of the store cache up to which heartbeats may be answered at all,
-     * independently of the leader's lease.
+     * Returns the age in ms that the store cache must not reach if heartbeats are to be answered,
+     * whatever the state of the leader's lease.
      *
-     * <p>A cancellation that is missing from the cache was confirmed to its user after the moment
-     * at which the cache was last complete. The time from that moment until the task has stopped is
-     * the sum of: the age of the cache, the worker's whole lease after the last answer (a machine
-     * that hangs runs on at most that long, and a task that saves a checkpoint ends with the
-     * lease), the drift of both clocks, and a margin for the confirmation's way to the user. A
-     * lease renewal shows no cancellations, so it is irrelevant here.
+     * <p>A cancellation that is missing from the cache was confirmed to its user after the time at
+     * which the cache was last complete. The time from then until the task has stopped is at most
+     * the sum of: the age of the cache, the worker's whole lease after the last response (tasks on
+     * a machine that hangs run no longer than that, and a task that saves a checkpoint ends with
+     * the lease), the drift of both clocks, and a margin for the delivery of the confirmation to
+     * the user. A lease renewal does not transfer cancellations, so it is irrelevant here.
      */
     static long maxStoreCacheAgeMs(Settings settings) {
         return (long)
@@ -66,8 +68,9 @@
     /**
      * Returns the ms that a leader's lease lasts without renewal: a fixed time, but limited to a
      * share of the workers' leases, so that a successor can answer the workers before their leases
-     * expire. (With worker leases of 10 s, a leader's lease of 9 s made every crash of a leader
-     * kill its tasks.)
+     * expire. With worker leases of 10 s, a leader's lease of 9 s made every crash of a leader stop
+     * its tasks. The lease is at least a multiple of the margin that the leader and a successor
+     * keep at its end, unless that exceeds the fixed time.
      */
     public static long durationMs(Settings settings) {
         double workerLeaseShareMs =
@@ -92,8 +95,8 @@
     }
 
     /**
-     * Returns the ms after the last valid answer at which a worker's lease has certainly expired,
-     * whatever the clock drift.
+     * Returns the ms after the last valid response to a worker at which the worker's lease has
+     * certainly expired, for any clock drift within its bound.
      */
     public static long workerLeaseBoundMs(Settings settings) {
         return (long)
@@ -105,10 +108,10 @@
     }
 
     /**
-     * Records that the store has confirmed an expiry.
+     * Records an expiry that the store has confirmed.
      *
      * @param confirmedExpiryWallMs the expiry that was written, in wall-clock ms
-     * @param sentAt the clocks when the write was sent
+     * @param sentAt the reading of the clocks when the write was sent, or a later one
      */
     void onConfirmed(long confirmedExpiryWallMs, ClockReading sentAt) {
         expiryWallMs = confirmedExpiryWallMs;
@@ -119,17 +122,20 @@
                                         * (1 - LeadershipConstants.MAX_CLOCK_DRIFT));
     }
 
-    /** The last confirmed expiry in wall-clock ms. */
+    /** Returns the last confirmed expiry in wall-clock ms. */
     long expiryWallMs() {
         return expiryWallMs;
     }
 
-    /** Returns whether the leader may give orders. */
+    /** Returns whether the lease is valid, so that the leader may give orders. */
     boolean isValid(ClockReading now) {
         return remainingMs(now) > 0;
     }
 
-    /** Returns whether the leader may still extend its workers' leases. */
+    /**
+     * Returns whether the leader may extend its workers' leases: while its lease is valid, and in
+     * the grace period after that.
+     */
     boolean isWithinGracePeriod(ClockReading now) {
         return remainingMs(now) + gracePeriodMs > 0;
     }
@@ -141,11 +147,11 @@
     }
 
     /**
-     * Returns whether another node may acquire a shard.
+     * Returns whether a node other than the leader may acquire a shard.
      *
      * @param settings the deployment's settings
      * @param recordedExpiryWallMs the expiry in the shard's record, in wall-clock ms
-     * @param now the clocks
+     * @param now the reading of the clocks
      */
     static boolean isAcquirable(Settings settings, long recordedExpiryWallMs, ClockReading now) {
         return now.wallMs()
--- a/src/main/java/org/shoreusher/core/leadership/LeadershipAcquisition.java
+++ b/src/main/java/org/shoreusher/core/leadership/LeadershipAcquisition.java
@@ -21,9 +21,9 @@
 
 /**
  * Acquires the leadership of shards that have no leader, one at a time. An acquisition is a
- * compare-and-swap on the shard's record and the term counter, so of several nodes that try at once
- * one succeeds. It also writes the fencing key, which invalidates all later writes of the previous
- * leader.
+ * compare-and-swap with the versions of the shard's record and of the term counter as
+ * preconditions, so at most one of several concurrent ones succeeds. It also writes the fencing
+ * key, so the store rejects all writes of the previous leader for the shard from then on.
  */
 public final class LeadershipAcquisition {
     /** The shards that this node leads already. */
@@ -46,15 +46,15 @@
     private final Consumer<AcquiredLeadership> onAcquired;
     private final int firstCandidate;
     private boolean requestInFlight;
-    private long nextAttemptMs;
+    private long nextTryMs;
 
     /**
-     * Creates the acquisition; {@link #step} tries for leaderships.
+     * Creates the acquisition; {@link #step} tries to acquire shards.
      *
      * @param context the node's shared collaborators
      * @param processName the name of this process, HOST/SUFFIX
      * @param shardCount the number of shards
-     * @param peerView what gossip tells about other nodes
+     * @param peerView information from gossip about other nodes
      * @param ledShards the shards that this node leads already
      * @param onAcquired receives each leadership that this node has acquired
      */
@@ -78,8 +78,8 @@
     }
 
     /**
-     * Returns the shard with which this node begins. Each node begins with a different one, so that
-     * nodes that start together do not compete for the same shard.
+     * Returns the shard that this node tries to acquire first. It differs between nodes as far as
+     * there are enough shards, so that nodes that start together do not compete for the same shard.
      */
     private static int firstCandidate(Settings settings, int shardCount) {
         long membersBefore =
@@ -89,17 +89,20 @@
         return (int) membersBefore % shardCount;
     }
 
-    /** Leaves shards without a leader to other nodes for some ms. */
+    /**
+     * Makes no acquisition for some ms, so that other nodes can acquire shards without a leader.
+     * Replaces an earlier pause.
+     */
     public void pause(long durationMs) {
-        nextAttemptMs = outbox.now().monotonicMs() + durationMs;
+        nextTryMs = outbox.now().monotonicMs() + durationMs;
     }
 
-    /** Tries for the leadership of at most one shard that has no leader. */
+    /** Tries to acquire at most one shard that has no leader. */
     public void step() {
         if (!storeCache.isLoaded()
                 || requestInFlight
                 || storeCache.ageMs() > LeadershipConstants.MAX_STORE_CACHE_AGE_MS
-                || outbox.now().monotonicMs() < nextAttemptMs) {
+                || outbox.now().monotonicMs() < nextTryMs) {
             return;
         }
         for (int offset = 0; offset < shardCount && !requestInFlight; offset++) {
@@ -123,7 +126,8 @@
                 return;
             }
         }
-        // From here on, whatever a record above the limit contains is in overflow records as well.
+        // All completed tasks in a record above the size limit are in completion records too at
+        // this point, so they are omitted from the new record.
         acquire(
                 shardNumber,
                 previousRecord,
@@ -210,12 +214,12 @@
 
     private void onFailure(StoreReply reply, int shardNumber, ShardRecord previousRecord) {
         if (reply.status() == ReplyStatus.CONFLICT) {
-            // Another node acquired this shard, or incremented the term counter for a different
-            // one.
+            // Another node has acquired this shard, or has raised the term counter for another
+            // shard.
             pause(LeadershipConstants.ACQUISITION_CONFLICT_RETRY_MS);
         } else if (previousRecord != null && previousRecord.standby() != null) {
-            // During an outage of the store the standby had no chance either, so its head start
-            // begins again.
+            // During an outage of the store the standby could not acquire the shard either, so its
+            // head start is restarted.
             vacancies.restartDelay(shardNumber);
         }
     }
--- a/src/main/java/org/shoreusher/core/leadership/LeadershipConstants.java
+++ b/src/main/java/org/shoreusher/core/leadership/LeadershipConstants.java
@@ -7,7 +7,7 @@
     private LeadershipConstants() {}
 
     /**
-     * Largest share of the workers' lease that a leader's lease may take. What is left is for the
+     * Largest share of the workers' lease that a leader's lease may take. The rest is left for the
      * failover and one round of heartbeats.
      */
     static final double LEADER_LEASE_WORKER_LEASE_SHARE = 0.65;
@@ -18,55 +18,61 @@
      */
     static final int LEADER_LEASE_MIN_MARGINS = 6;
 
-    /** ms; delay before a lease renewal without an answer is tried again, well within the lease. */
+    /** ms; delay before a failed lease renewal is retried, well within the lease. */
     static final long LEASE_RENEWAL_RETRY_MS = 400;
 
     /**
-     * ms; on top of the clock offset bound, a leader stops this early, and a successor waits this
-     * long, at the end of a lease.
+     * ms; in addition to the clock offset bound, a leader stops this long before the expiry of its
+     * lease, and a successor waits this long after it.
      */
     public static final long LEASE_EXPIRY_MARGIN_MS = 250;
 
     /**
-     * ms; longest time after its lease has expired for which a leader still renews its workers'
-     * leases. Successors wait as much longer for unresponsive machines.
+     * ms; longest time after the expiry of its lease for which a leader still extends its workers'
+     * leases. A successor may have to wait for unresponsive machines longer by up to this time.
      */
     static final long MAX_GRACE_PERIOD_MS = SharedConstants.LEADER_LEASE_MS;
 
     /**
-     * Share; monotonic clocks drift apart by at most 0.05% (protocol). Twice that, for two clocks.
+     * Share; a monotonic clock drifts by at most 0.05% (protocol). Doubled, because two clocks are
+     * compared.
      */
     static final double MAX_CLOCK_DRIFT = 0.001;
 
-    /** ms; a leader whose store cache is older than this acts as if its lease had expired. */
+    /**
+     * ms; a node whose store cache is older than this starts no tasks as a leader, and acquires no
+     * shards.
+     */
     static final long MAX_STORE_CACHE_AGE_MS = 9_000;
 
     /**
-     * ms; age of the store cache plus a worker's lease must stay this far below the time limit for
-     * cancellations. Covers a batch of commands, the way of an answer and a tick.
+     * ms; the age of the store cache plus a worker's lease must stay this far below the time limit
+     * of a cancellation. Covers the processing of a batch of commands, the transit of a response,
+     * and a tick.
      */
     static final long CANCELLATION_MARGIN_MS = 1_500;
 
     /**
-     * ms; margin on top of the computed bound after which an unresponsive worker's lease has
+     * ms; margin added to the computed time after which an unresponsive worker's lease has
      * certainly expired.
      */
     static final long WORKER_LEASE_MARGIN_MS = 500;
 
     /**
-     * Completion records in one write, which keeps it below the limit of 64 KiB for a transaction.
+     * Records with completed tasks in one write, the shard's own included, which keeps the write
+     * below the limit of 64 KiB for a transaction.
      */
     static final int MAX_COMPLETION_RECORDS_PER_WRITE = 8;
 
     /**
-     * ms; wait between two attempts to acquire a shard, and for each shard that the node already
-     * leads.
+     * ms; delay between two tries of a node to acquire a shard, and delay for each peer that should
+     * try before it.
      */
     static final long ACQUISITION_INTERVAL_MS = 700;
 
     /**
-     * ms; wait after an acquisition that lost to a concurrent one. The store cache needs about this
-     * long to show it.
+     * ms; delay after an acquisition that lost to a concurrent one. The store cache needs about
+     * this long to receive the other one.
      */
     static final long ACQUISITION_CONFLICT_RETRY_MS = 100;
 }
--- a/src/main/java/org/shoreusher/core/leadership/LeadershipPeerView.java
+++ b/src/main/java/org/shoreusher/core/leadership/LeadershipPeerView.java
@@ -1,10 +1,11 @@
 package org.shoreusher.core.leadership;
 
-/** What gossip tells about other nodes as candidates for leadership. */
+/** Information from gossip about other nodes as candidates for leadership. */
 public interface LeadershipPeerView extends PeerView {
     /**
-     * Returns how many peers should be the first to try for a shard without a leader: those that
-     * lead fewer shards than this node, or as many and have been up for a shorter time.
+     * Returns how many peers should try to acquire a shard without a leader before this node: those
+     * that lead fewer shards, or as many and have been up for a shorter time. If this node leads
+     * any shard, members without recent gossip count as well.
      *
      * @param ledShardCount how many shards this node leads
      */
--- a/src/main/java/org/shoreusher/core/leadership/LeadershipState.java
+++ b/src/main/java/org/shoreusher/core/leadership/LeadershipState.java
@@ -9,11 +9,11 @@
 import org.shoreusher.settings.Settings;
 
 /**
- * Whether this node is the leader of a shard at present, and under which term: the lease, its
- * expiry and recovery, and the end of the leadership.
+ * Whether this node is currently the leader of a shard, and under which term: the lease, its expiry
+ * and recovery, and the end of the leadership.
  */
 final class LeadershipState {
-    /** No write has to be seen before tasks may be started. */
+    /** The store cache need not reach any revision before tasks may be started. */
     private static final long NO_REVISION_REQUIRED = 0;
 
     private final int shardNumber;
@@ -26,14 +26,17 @@
     private boolean lost;
     private boolean expiryLogged;
 
-    /** The revision that the store cache must reach after the last lease expiry. */
+    /**
+     * The revision that the store cache must reach before tasks may be started after a lease
+     * expiry.
+     */
     private long requiredRevision = NO_REVISION_REQUIRED;
 
     /**
      * Creates the state after the store has confirmed the acquisition.
      *
      * @param record the shard's record as written by the acquisition
-     * @param sentAt the clocks when the acquisition was sent
+     * @param sentAt the reading of the clocks when the acquisition was sent
      */
     LeadershipState(
             int shardNumber,
@@ -56,7 +59,7 @@
         return shardNumber;
     }
 
-    /** The name of the leading process, HOST/SUFFIX. */
+    /** The name of this process, HOST/SUFFIX. */
     String processName() {
         return processName;
     }
@@ -77,7 +80,7 @@
         return term;
     }
 
-    /** Sets a term that the store has confirmed; a term never decreases. */
+    /** Raises the term to one that the store has confirmed; a lower one is ignored. */
     void raiseTermTo(long confirmedTerm) {
         term = Math.max(term, confirmedTerm);
     }
@@ -86,16 +89,16 @@
         return leaderSinceMs;
     }
 
-    /** The last confirmed expiry of the lease in wall-clock ms. */
+    /** Returns the last confirmed expiry of the lease in wall-clock ms. */
     long leaseExpiryWallMs() {
         return lease.expiryWallMs();
     }
 
     /**
-     * Extends the lease after the store has confirmed a write of the shard's record.
+     * Sets the expiry of the lease after the store has confirmed a write of the shard's record.
      *
      * @param expiryWallMs the expiry that was written, in wall-clock ms
-     * @param sentAt the clocks when the write was sent
+     * @param sentAt the reading of the clocks when the write was sent, or a later one
      * @param revision the revision at which the store applied the write
      */
     void onLeaseConfirmed(long expiryWallMs, ClockReading sentAt, long revision) {
@@ -106,8 +109,8 @@
     }
 
     /**
-     * Returns whether the store cache shows everything that was written before the renewal that
-     * ended the last lease expiry.
+     * Returns whether the store cache contains every write up to the renewal with which the lease
+     * became valid again after its last expiry.
      */
     boolean isStoreCacheCaughtUp() {
         if (requiredRevision > NO_REVISION_REQUIRED && storeCache.revision() >= requiredRevision) {
@@ -116,7 +119,7 @@
         return requiredRevision == NO_REVISION_REQUIRED;
     }
 
-    /** Logs an expiry of the lease, once. */
+    /** Logs that the lease has expired, once per expiry. */
     void logLeaseExpiry() {
         if (!isLeader() && !lost && !expiryLogged) {
             expiryLogged = true;
@@ -124,8 +127,8 @@
         }
     }
 
-    /** Notes and logs that the lease is valid again after an expiry. */
-    void noteLeaseRecovery() {
+    /** Records and logs that the lease is valid again after an expiry. */
+    void recordLeaseRecovery() {
         if (expiryLogged && isLeader()) {
             expiryLogged = false;
             leaderSinceMs = outbox.now().monotonicMs();
@@ -141,12 +144,12 @@
         return LogEvent.of(type).with("shard", shardNumber).with("term", term);
     }
 
-    /** Logs that the term was raised above a fencing token that a worker has seen. */
+    /** Logs that the term was raised above a fencing token that a worker has reported. */
     void logTermRaised(long observedToken) {
         outbox.log(event(LogEventType.TERM_RAISED).with("observed_token", observedToken));
     }
 
-    /** Ends the leadership for good. */
+    /** Ends the leadership permanently. */
     void loseLeadership(String reason) {
         if (!lost) {
             lost = true;
--- a/src/main/java/org/shoreusher/core/leadership/LeaseRenewal.java
+++ b/src/main/java/org/shoreusher/core/leadership/LeaseRenewal.java
@@ -18,8 +18,8 @@
 
 /**
  * Renews the lease of a shard's leader: three times within its duration, and sooner if the shard's
- * record is to name another standby. After a conflict it finds out whether another node has become
- * the leader.
+ * record is to name another standby. After a conflict it checks whether another node has become the
+ * leader.
  */
 final class LeaseRenewal {
     private final Settings settings;
@@ -32,7 +32,7 @@
     /**
      * Creates the renewal after the store has confirmed the acquisition.
      *
-     * @param acquisitionSentAt the clocks when the acquisition was sent
+     * @param acquisitionSentAt the reading of the clocks when the acquisition was sent
      */
     LeaseRenewal(
             Settings settings,
@@ -55,11 +55,11 @@
     }
 
     /**
-     * Renews the lease when that is due. The same write stores completed tasks and the name of the
-     * standby.
+     * Renews the lease if a renewal is due and no write of the shard's record is in flight. The
+     * same write stores completed tasks and the name of the standby.
      *
-     * @param completionSupplier supplies the completion records to write; supplies null as long as
-     *     they are not loaded
+     * @param completionSupplier supplies the completed tasks to write, or null while they are not
+     *     loaded; they are then left as they are stored
      */
     void renewIfDue(Supplier<CompletionSnapshot> completionSupplier) {
         if (recordWriter.isWriteInFlight() || outbox.now().monotonicMs() < nextRenewalMs) {
@@ -76,11 +76,11 @@
                         expiryWallMs,
                         state.term(),
                         completions == null
-                                ? storedCompletions.chunk(0)
+                                ? storedCompletions.completedRanges(0)
                                 : completions.recordValue(0));
         Map<String, Map<String, Object>> writes = recordWriter.writes(record);
         if (completions != null) {
-            storedCompletions.addChangedChunks(completions, writes);
+            storedCompletions.addChangedRecords(completions, writes);
         }
         recordWriter.write(
                 record,
@@ -102,8 +102,8 @@
         }
         nextRenewalMs = outbox.now().monotonicMs() + LeadershipConstants.LEASE_RENEWAL_RETRY_MS;
         if (reply.status() == ReplyStatus.CONFLICT) {
-            // Either another node has become the leader, or an earlier renewal that got no answer
-            // was applied.
+            // Either another node has become the leader, or an earlier write of the record that got
+            // no reply was applied.
             recordWriter.checkFencingKey();
             outbox.callStore(
                     new StoreOperation.Get(StoreSchema.shardKey(state.shardNumber())),
@@ -118,7 +118,7 @@
                 recordWriter.standby().isDesiredStored()
                         ? sentAt.monotonicMs() + LeaderLease.renewalIntervalMs(settings)
                         : outbox.now().monotonicMs();
-        state.noteLeaseRecovery();
+        state.recordLeaseRecovery();
         if (completions != null) {
             completions.markDurable();
         }
--- a/src/main/java/org/shoreusher/core/leadership/NamedStandby.java
+++ b/src/main/java/org/shoreusher/core/leadership/NamedStandby.java
@@ -5,29 +5,30 @@
 import java.util.Set;
 
 /**
- * Tracks which standby a shard's record names, should name, or may yet come to name.
+ * Tracks the standby that a shard's record names, the one that it should name, and those that it
+ * may still come to name.
  *
- * <p>Every write of the record has the record's version as a precondition. A write without an
- * answer may therefore still be applied until a later version of the record is known, and never
- * afterwards. So a name is possible from just before the write that contains it is sent, until a
- * later version of the record is known.
+ * <p>Every write of the record has the record's version as a precondition. A write without a reply
+ * may therefore still be applied, until the store has confirmed a later version of the record;
+ * after that it always fails. So a name is possible from just before a write that contains it is
+ * sent, until a later version of the record is confirmed.
  */
 final class NamedStandby {
     private String desired;
     private String stored;
     private final Set<String> possible = new HashSet<>();
 
-    /** The name that the next write of the record contains; null: none. */
+    /** Returns the name that the next write of the record contains; null if none. */
     String desired() {
         return desired;
     }
 
-    /** Sets the name that the next write of the record contains; null: none. */
+    /** Sets the name that the next write of the record contains; null for none. */
     void setDesired(String standbyProcess) {
         desired = standbyProcess;
     }
 
-    /** Records that a write of the record with this name is about to be sent; null: none. */
+    /** Must be called before a write of the record with this name is sent; null for none. */
     void onWriteSent(String standbyProcess) {
         if (standbyProcess != null) {
             possible.add(standbyProcess);
@@ -35,8 +36,8 @@
     }
 
     /**
-     * Records that the record contains this name at a version that no earlier write can change;
-     * null: none.
+     * Must be called when the store has confirmed a version of the record that contains this name
+     * and is later than that in the precondition of every earlier write; null for none.
      */
     void onRecordConfirmed(String standbyProcess) {
         stored = standbyProcess;
@@ -44,12 +45,17 @@
         onWriteSent(standbyProcess);
     }
 
-    /** Returns whether the record is known to contain the desired name. */
+    /**
+     * Returns whether the last confirmed version of the record contains the desired name, and at
+     * most one name is possible.
+     */
     boolean isDesiredStored() {
         return Objects.equals(desired, stored) && possible.size() <= 1;
     }
 
-    /** Returns whether the record names no standby and no write in flight can still name one. */
+    /**
+     * Returns whether the record names no standby, and no write without a reply can still name one.
+     */
     boolean isDefinitelyNone() {
         return possible.isEmpty();
     }
--- a/src/main/java/org/shoreusher/core/leadership/ReconciliationProgress.java
+++ b/src/main/java/org/shoreusher/core/leadership/ReconciliationProgress.java
@@ -1,8 +1,8 @@
 package org.shoreusher.core.leadership;
 
 /**
- * How far the reconciliation of a shard has come after its leadership was acquired. Written by the
- * reconciliation alone; everything else reads it.
+ * The progress of a shard's reconciliation after its leadership was acquired. Only the
+ * reconciliation changes it.
  */
 public final class ReconciliationProgress {
     private boolean loaded;
@@ -16,39 +16,46 @@
     }
 
     /**
-     * Returns whether all attempts on machines are known: from the replicated log, or because every
+     * Returns whether all attempts on machines are known: from the attempt log, or because every
      * machine has sent a heartbeat or its worker lease has certainly expired.
      */
     public boolean isComplete() {
         return complete;
     }
 
-    /** Returns the CPUs of machines whose tasks are unknown; tasks of any team may use them. */
+    /**
+     * Returns the CPUs of machines whose tasks are unknown; tasks of any team may be using them.
+     */
     public double unreconciledCpus() {
         return unreconciledCpus;
     }
 
-    /** Returns the GPUs of machines whose tasks are unknown; tasks of any team may use them. */
+    /**
+     * Returns the GPUs of machines whose tasks are unknown; tasks of any team may be using them.
+     */
     public double unreconciledGpus() {
         return unreconciledGpus;
     }
 
-    /** The stored state has been loaded; this is never undone. */
+    /** Records that the stored state has been loaded; this is never undone. */
     public void markLoaded() {
         loaded = true;
     }
 
-    /** All attempts on machines are known. */
+    /** Records that all attempts on machines are known. */
     public void markComplete() {
         complete = true;
     }
 
-    /** The replicated log has turned out to be wrong, so the attempts are unknown after all. */
+    /**
+     * Records that the attempt log was found to be wrong, so the attempts on machines are not known
+     * after all.
+     */
     public void markIncomplete() {
         complete = false;
     }
 
-    /** Sets what machines whose tasks are unknown may be using. */
+    /** Sets the CPUs and GPUs that tasks may be using on machines whose tasks are unknown. */
     public void setUnreconciled(double cpus, double gpus) {
         unreconciledCpus = cpus;
         unreconciledGpus = gpus;
--- a/src/main/java/org/shoreusher/core/leadership/ShardAuthority.java
+++ b/src/main/java/org/shoreusher/core/leadership/ShardAuthority.java
@@ -5,8 +5,8 @@
 import org.shoreusher.settings.Settings;
 
 /**
- * What the leader of a shard may do at present, by its lease, the age of its store cache, and the
- * progress of reconciliation.
+ * What the leader of a shard may currently do, according to its lease, the age of its store cache,
+ * and the progress of reconciliation.
  */
 public final class ShardAuthority {
     private final Settings settings;
@@ -19,9 +19,9 @@
      * Creates the authority of a shard whose leadership was acquired.
      *
      * @param context the node's shared collaborators
-     * @param peerView what gossip tells about other nodes
+     * @param peerView information from gossip about other nodes
      * @param leadership the acquired leadership
-     * @param progress how far reconciliation has come
+     * @param progress the progress of reconciliation
      */
     public ShardAuthority(
             NodeContext context,
@@ -40,26 +40,24 @@
         return leadership.isLeader();
     }
 
-    /** Returns whether the leadership has ended for good. */
+    /** Returns whether the leadership has ended permanently. */
     public boolean isLeadershipLost() {
         return leadership.isLost();
     }
 
-    /** The leader's current term, which workers receive as the fencing token. */
+    /** Returns the leader's current term, which workers receive as the fencing token. */
     public long term() {
         return leadership.term();
     }
 
-    /**
-     * The term under which the leadership was acquired; {@link #term} may have been raised since.
-     */
+    /** Returns the term of the acquisition; {@link #term} may have been raised since. */
     public long acquisitionTerm() {
         return leadership.acquisitionTerm();
     }
 
-    /** Raises the term above a fencing token that a worker has seen from another leader. */
-    public void raiseTerm(long seenFencingToken) {
-        leadership.raiseTerm(seenFencingToken);
+    /** Raises the term above a fencing token that a worker has received from another leader. */
+    public void raiseTerm(long observedToken) {
+        leadership.raiseTerm(observedToken);
     }
 
     /** Returns whether the shard's stored state has been loaded. */
@@ -68,7 +66,7 @@
     }
 
     /**
-     * Returns whether reconciliation is complete: it is known of every task whether it runs, and
+     * Returns whether reconciliation is complete: for every task it is known whether it runs, and
      * where.
      */
     public boolean isReconciled() {
@@ -76,9 +74,9 @@
     }
 
     /**
-     * Returns the monotonic time in ms until which the previous leader may have renewed leases of
-     * workers. During an outage of the store it may have done so in its grace period, as long as
-     * gossip told it that this node could not reach the store either.
+     * Returns the monotonic time in ms until which the previous leader may have extended leases of
+     * workers. During an outage of the store it may have done so in its grace period, while it
+     * could rely on gossip from this node that the store was unavailable to this node too.
      */
     public long previousLeaderRenewalBoundMs() {
         long acquiredAtMs = leadership.acquiredAtMs();
@@ -87,17 +85,20 @@
     }
 
     /**
-     * Returns whether heartbeats may be answered, which extends the leases of the workers.
+     * Returns whether heartbeats may be answered, which extends the leases of the workers. Requires
+     * that the leadership is not lost, that the shard's stored state is loaded, and the following.
      *
-     * <p>Not with a store cache so old that a cancellation missing from it would take effect too
-     * late: a leader may be able to renew its lease again and again while no write of another node
-     * reaches it.
+     * <p>The store cache must not be so old that a cancellation missing from it would take effect
+     * too late: a leader may be able to renew its lease repeatedly while its store cache receives
+     * no write of other nodes.
      *
-     * <p>After the expiry of the leader's lease, heartbeats may be answered for a grace period,
-     * provided that the store is unavailable to all nodes. If the store answers another node, that
-     * node will take over, and every answer given here would only delay the worker's move to it.
-     * The next leader relies on this: it does not wait for a grace period that it has not itself
-     * confirmed by gossip.
+     * <p>While the leader's lease is valid, nothing else is required. After its expiry, heartbeats
+     * may be answered for a grace period, provided that recent gossip from every other member
+     * reports that the store is unavailable to that member too. If the store is available to
+     * another node, that node will acquire the shard, and every response from this one would only
+     * delay the worker's move to it. The successor relies on this condition: it waits for the grace
+     * period only as long as its own gossip, in which it reported the outage, may still be relied
+     * on.
      */
     public boolean canAnswerHeartbeats() {
         return !leadership.isLost()
@@ -110,9 +111,9 @@
 
     /**
      * Returns whether orders that start a task may be given now. During reconciliation the only
-     * waiting tasks are those that are certainly on no machine, and each team is charged with
+     * pending tasks are those that are certainly on no machine, and each team is charged with
      * everything that unresponsive machines may be running. After an expiry of the lease, the store
-     * cache must first have caught up with what others wrote meanwhile, which may include a
+     * cache must first contain what other nodes wrote in the meantime, which may include a
      * cancellation that was confirmed to a user.
      */
     public boolean canStartTasks() {
--- a/src/main/java/org/shoreusher/core/leadership/ShardLeadership.java
+++ b/src/main/java/org/shoreusher/core/leadership/ShardLeadership.java
@@ -14,14 +14,15 @@
 
 /**
  * The leadership of one shard: its lease, its term, and the fencing precondition of every write for
- * the shard. A leadership that is lost never returns; a node that acquires the shard again gets a
- * new instance.
+ * the shard. A leadership that was lost is never regained; a node that acquires the shard again
+ * gets a new instance.
  *
- * <p>The fencing key of a shard is written only when its leader changes. Each write has the key's
- * version as a precondition, so the writes of a previous leader fail, however late they arrive.
+ * <p>The fencing key of a shard is written only by an acquisition. Each write that the leader makes
+ * for the shard has the key's version as a precondition, so the store rejects writes of a previous
+ * leader that arrive after its successor's acquisition, however late.
  */
 public final class ShardLeadership {
-    /** An expiry in the past: any node may acquire the shard. */
+    /** An expiry in the past, with which any node may acquire the shard at once. */
     private static final long EXPIRED_WALL_MS = 0;
 
     private final StoreCache storeCache;
@@ -41,8 +42,8 @@
      * @param outbox sends the calls to the store
      * @param storeCache the store cache
      * @param record the shard's record as written by the acquisition
-     * @param sentAt the clocks when the acquisition was sent
-     * @param acquisitionRevision the revision at which the store applied it
+     * @param sentAt the reading of the clocks when the acquisition was sent
+     * @param acquisitionRevision the revision at which the store applied the acquisition
      */
     public ShardLeadership(
             int shardNumber,
@@ -68,27 +69,29 @@
         return state.shardNumber();
     }
 
-    /** The name of the leading process, HOST/SUFFIX. */
+    /** The name of this process, HOST/SUFFIX. */
     public String processName() {
         return state.processName();
     }
 
-    /** Returns whether the leadership has ended for good. */
+    /** Returns whether the leadership has ended permanently. */
     public boolean isLost() {
         return state.isLost();
     }
 
     /**
-     * Has the shard's record name a standby as soon as possible.
+     * Sets the standby that the shard's record names, and makes a renewal that writes it due now.
      *
-     * @param standbyProcess the standby's process name; null: none
+     * @param standbyProcess the standby's process name; null for none
      */
     public void nameStandby(String standbyProcess) {
         recordWriter.standby().setDesired(standbyProcess);
         renewal.renewSoon();
     }
 
-    /** Returns whether the record names no standby and no write in flight can still name one. */
+    /**
+     * Returns whether the record names no standby, and no write without a reply can still name one.
+     */
     public boolean hasDefinitelyNoStandby() {
         return recordWriter.standby().isDefinitelyNone();
     }
@@ -102,91 +105,94 @@
     }
 
     /**
-     * Returns whether heartbeats may be answered without orders, which extends the leases of the
-     * workers: while the lease is valid and for a grace period after its expiry.
+     * Returns whether the lease allows responses to heartbeats, which extend the leases of the
+     * workers: while the lease is valid and, without orders, for a grace period after its expiry.
      */
     boolean mayExtendWorkerLeases() {
         return state.mayExtendWorkerLeases();
     }
 
     /**
-     * The leader's current term, which workers receive as the fencing token. It starts at the
-     * acquisition's term and can be raised.
+     * Returns the leader's current term, which workers receive as the fencing token. It starts at
+     * the acquisition's term and can be raised, never lowered.
      */
     long term() {
         return state.term();
     }
 
     /**
-     * The term of the acquisition. A worker that has seen it, or a higher one, has been answered by
-     * this leader.
+     * Returns the term of the acquisition. A worker that reports this fencing token or a higher one
+     * has received a response from this leader.
      */
     public long acquisitionTerm() {
         return acquisitionTerm;
     }
 
     /**
-     * The revision of the acquisition. A store cache that has reached it shows all writes of
-     * previous leaders.
+     * Returns the revision of the acquisition. A store cache that has reached it contains all
+     * writes that previous leaders made for the shard.
      */
     public long acquisitionRevision() {
         return acquisitionRevision;
     }
 
-    /** The monotonic time in ms since which the lease has been valid without interruption. */
+    /**
+     * Returns the monotonic time in ms since which the lease has been valid: that of the
+     * acquisition, or of the recovery from the last expiry.
+     */
     public long leaderSinceMs() {
         return state.leaderSinceMs();
     }
 
-    /** The monotonic time in ms at which the acquisition was confirmed. */
+    /** Returns the monotonic time in ms at which the acquisition was confirmed. */
     public long acquiredAtMs() {
         return acquiredAtMs;
     }
 
-    /** Returns the precondition that fails after a later leadership change. */
+    /** Returns the precondition that fails after a later acquisition of the shard. */
     public Map<String, Long> fencingPrecondition() {
         return recordWriter.fencingPrecondition();
     }
 
     /**
-     * Returns whether the store cache shows everything that was written before the renewal that
-     * ended the last lease expiry.
+     * Returns whether the store cache contains every write up to the renewal with which the lease
+     * became valid again after its last expiry.
      */
     boolean isStoreCacheCaughtUp() {
         return state.isStoreCacheCaughtUp();
     }
 
-    /** Logs an expiry of the lease, once. */
+    /** Logs that the lease has expired, once per expiry. */
     public void logLeaseExpiry() {
         state.logLeaseExpiry();
     }
 
     /**
-     * Renews the lease when that is due. The same write stores completed tasks and the name of the
-     * standby.
+     * Renews the lease if a renewal is due. The same write stores completed tasks and the name of
+     * the standby.
      *
-     * @param completionSupplier supplies the completion records to write; supplies null as long as
-     *     they are not loaded
+     * @param completionSupplier supplies the completed tasks to write, or null while they are not
+     *     loaded; they are then left as they are stored
      */
     public void renewLease(Supplier<CompletionSnapshot> completionSupplier) {
         renewal.renewIfDue(completionSupplier);
     }
 
     /**
-     * Returns the completed tasks in one of the shard's records as the store cache has it; empty if
-     * there is no such record.
+     * Returns the completed tasks in one of the shard's records in the store cache, as ranges by
+     * job id; empty if there is no completion record with this number.
      *
-     * @param chunk 0 for the shard's own record, a higher number for an overflow record
+     * @param recordIndex 0 for the shard's own record, a higher number for a completion record
      */
-    public Map<String, Object> storedCompletions(int chunk) {
-        return storedCompletions.chunk(chunk);
+    public Map<String, Object> storedCompletions(int recordIndex) {
+        return storedCompletions.completedRanges(recordIndex);
     }
 
     /**
      * Returns the preconditions of a write to one key.
      *
      * @param key the key
-     * @param version the version that the key must have; 0: the key must be absent
+     * @param version the version that the key must have; 0 if the key must be absent
      * @return that precondition and the fencing precondition
      */
     public Map<String, Long> preconditions(String key, long version) {
@@ -194,10 +200,12 @@
     }
 
     /**
-     * Raises the term above a fencing token that a worker has seen: the worker would reject answers
-     * with a lower token. Does nothing while a renewal is in flight.
+     * Raises the term above a fencing token that a worker has reported, because the worker would
+     * reject responses with a lower token. The new term applies once the store has confirmed it.
+     * Does nothing without a valid lease, or while a write of the shard's record or a check of the
+     * fencing key is in flight.
      *
-     * @param observedToken the token that the worker has seen
+     * @param observedToken the token that the worker has reported
      */
     void raiseTerm(long observedToken) {
         if (recordWriter.isWriteInFlight() || !isLeader()) {
@@ -206,7 +214,9 @@
         long raisedTerm = Math.max(TermRecord.in(storeCache).term(), observedToken) + 1;
         ShardRecord record =
                 recordWriter.newRecord(
-                        state.leaseExpiryWallMs(), raisedTerm, storedCompletions.chunk(0));
+                        state.leaseExpiryWallMs(),
+                        raisedTerm,
+                        storedCompletions.completedRanges(0));
         Map<String, Long> preconditions = recordWriter.recordPreconditions();
         preconditions.put(StoreSchema.TERM_KEY, storeCache.version(StoreSchema.TERM_KEY));
         Map<String, Map<String, Object>> writes = recordWriter.writes(record);
@@ -225,9 +235,9 @@
     }
 
     /**
-     * Ends the leadership if the shard's new record names another leader.
+     * Ends the leadership if the shard's new record names another process as the leader.
      *
-     * @param record the record that the store cache now shows
+     * @param record the new record in the store cache
      */
     public void onShardRecordChange(ShardRecord record) {
         if (!record.leader().equals(state.processName())) {
@@ -236,10 +246,10 @@
     }
 
     /**
-     * Gives up the leadership so that another node can take over at once. From before the write is
-     * sent, this node no longer acts as the leader; if the write is lost, the lease expires as
-     * after a crash. Does nothing while a renewal is in flight, because the write would then fail
-     * for the version of the record.
+     * Steps down, so that another node can acquire the shard at once. This node stops acting as the
+     * leader before the write is sent; if the write is lost, the lease expires as after a crash.
+     * Does nothing if the rate limit forbids the write, or while another write of the shard's
+     * record is in flight, because the precondition on the record's version would then fail.
      *
      * @param reason the reason, for the log
      * @param completions the completed tasks to store with the record
@@ -248,7 +258,8 @@
         if (recordWriter.isWriteInFlight()) {
             return;
         }
-        // The standby takes over at once, and it knows every order that left this leader.
+        // The record still names the standby, which can acquire the shard at once: its attempt log
+        // contains every start order that this leader has sent.
         ShardRecord record =
                 recordWriter.newRecord(EXPIRED_WALL_MS, state.term(), completions.recordValue(0));
         if (recordWriter.writeLast(record)) {
--- a/src/main/java/org/shoreusher/core/leadership/ShardRecordWriter.java
+++ b/src/main/java/org/shoreusher/core/leadership/ShardRecordWriter.java
@@ -12,9 +12,9 @@
 import org.shoreusher.core.store.StoreSchema;
 
 /**
- * Writes the record of a shard for its leader. Each write has the fencing key and the version of
- * the record as preconditions, so writes are sent one at a time: a second one would fail for the
- * version.
+ * Writes the record of a shard for its leader. The versions of the fencing key and of the record
+ * are preconditions of each write, so writes are sent one at a time: after the first had been
+ * applied, the precondition of a second one on the record's version would fail.
  */
 final class ShardRecordWriter {
     private final String shardKey;
@@ -42,22 +42,25 @@
         recordVersion = acquisitionRevision;
     }
 
-    /** Which standby the record names, or may come to name. */
+    /** Returns the standby that the record names, or may still come to name. */
     NamedStandby standby() {
         return standby;
     }
 
-    /** The precondition that fails after a later leadership change. */
+    /** Returns the precondition that fails after a later acquisition of the shard. */
     Map<String, Long> fencingPrecondition() {
         return fencingPrecondition;
     }
 
-    /** The last known version of the record. */
+    /** Returns the last confirmed version of the record. */
     long recordVersion() {
         return recordVersion;
     }
 
-    /** Returns whether a write, or a check of the fencing key, has no reply yet. */
+    /**
+     * Returns whether a write of the record, or a check of the fencing key, has no reply yet.
+     * {@link #writeLast} does not count.
+     */
     boolean isWriteInFlight() {
         return writeInFlight;
     }
@@ -74,14 +77,14 @@
      *
      * @param expiryWallMs when the lease expires, in wall-clock ms
      * @param term the leader's term
-     * @param completedRanges the completed tasks of chunk 0
+     * @param completedRanges the completed tasks of record 0, as ranges by job id
      */
     ShardRecord newRecord(long expiryWallMs, long term, Map<String, Object> completedRanges) {
         return new ShardRecord(
                 state.processName(), expiryWallMs, term, completedRanges, standby.desired());
     }
 
-    /** Returns the writes of a record; the caller may add more. */
+    /** Returns the writes that store a record; the caller may add more. */
     Map<String, Map<String, Object>> writes(ShardRecord record) {
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
         writes.put(shardKey, record.toMap());
@@ -94,7 +97,8 @@
     }
 
     /**
-     * Sends a write of the record, unless the rate limit forbids it.
+     * Sends a write of the record. If the rate limit forbids it, nothing is sent and {@code
+     * onReply} is not called.
      *
      * @param record the record that the writes contain
      * @param write the write, with the preconditions of the record
@@ -117,8 +121,8 @@
     }
 
     /**
-     * Sends the last write of the record. No reply is awaited, because this node does not act as
-     * the leader any more.
+     * Sends the last write of the record. Its reply is ignored, because this node no longer acts as
+     * the leader.
      *
      * @return false if the rate limit forbids it
      */
@@ -127,7 +131,10 @@
                 new CompareAndSwap(recordPreconditions(), writes(record)), reply -> {});
     }
 
-    /** Checks whether another node has become the leader, and ends the leadership if so. */
+    /**
+     * Checks whether there has been a later acquisition of the shard, and ends the leadership if
+     * so.
+     */
     void checkFencingKey() {
         writeInFlight =
                 outbox.callStoreForLease(
@@ -140,7 +147,10 @@
                         });
     }
 
-    /** Notes a version of the record that was read, if it is newer than the known one. */
+    /**
+     * Adopts a version of the record that was read if it is later than the last confirmed one;
+     * returns whether it is.
+     */
     boolean adopt(ShardRecord record, long version) {
         if (version <= recordVersion) {
             return false;
--- a/src/main/java/org/shoreusher/core/leadership/ShardVacancies.java
+++ b/src/main/java/org/shoreusher/core/leadership/ShardVacancies.java
@@ -8,11 +8,11 @@
 import org.shoreusher.standby.StandbySettings;
 
 /**
- * Tracks since when shards have had no leader, and decides how long this node leaves them to
- * others.
+ * Tracks since when shards have had no leader, and determines how long this node waits before it
+ * tries to acquire them, so that other nodes can go first.
  */
 final class ShardVacancies {
-    /** Stands for a shard that has a leader. */
+    /** Marks a shard that has a leader. */
     private static final long NOT_VACANT = 0;
 
     private final Settings settings;
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Notes whether a shard has a leader now.
+     * Updates since when a shard has had no leader.
      *
      * @param shardNumber the shard's number
      * @param record the shard's record; null if there is none
@@ -48,16 +48,16 @@
     }
 
     private boolean hasLeader(ShardRecord record) {
-        // An acquisition by this process that got no answer may have been applied; no node acts on
-        // that leadership.
+        // The record may name this process although it does not lead the shard, for example if an
+        // acquisition without a reply was applied. No node acts on that leadership.
         return record != null
                 && !record.leader().equals(processName)
                 && !LeaderLease.isAcquirable(settings, record.leaseExpiryWallMs(), outbox.now());
     }
 
     /**
-     * Returns whether this node should try for a shard now: the shard has no leader, and has been
-     * left to other nodes for long enough.
+     * Returns whether this node should try to acquire a shard now: the shard has had no leader for
+     * longer than this node's delay.
      *
      * @param shardNumber the shard's number
      * @param record the shard's record; null if there is none
@@ -71,13 +71,14 @@
     }
 
     /**
-     * Returns for how many ms this node leaves a shard without a leader to others. The standby that
-     * the shard's record names tries first. The other nodes grant it a head start as long as gossip
-     * from it arrives; if it has failed unnoticed, no more than the head start is lost.
+     * Returns how many ms this node waits before it tries to acquire a shard without a leader. The
+     * standby that the shard's record names does not wait. The other nodes give it a head start
+     * while gossip from its host arrives; if the standby has failed but this has not been detected
+     * yet, the failover is delayed by no more than the head start.
      *
-     * <p>Among the others, nodes that lead fewer shards come first, which spreads the shards
-     * evenly. Among equals the node that started last comes first: a rolling restart will return to
-     * it last.
+     * <p>Among the other nodes, those that lead fewer shards go first, which spreads the shards
+     * evenly. Among nodes that lead equally many, the one that started last goes first, because a
+     * rolling restart returns to it last.
      */
     private long acquisitionDelayMs(ShardRecord record, int ledShardCount) {
         String namedStandby = record == null ? null : record.standby();
@@ -93,7 +94,7 @@
                 + (grantsHeadStart ? standbySettings.headStartMs() : 0);
     }
 
-    /** Starts the delay of a shard without a leader again. */
+    /** Restarts the delay for a shard without a leader. */
     void restartDelay(int shardNumber) {
         vacantSinceMs[shardNumber] = NOT_VACANT;
     }
--- a/src/main/java/org/shoreusher/core/leadership/StoredCompletions.java
+++ b/src/main/java/org/shoreusher/core/leadership/StoredCompletions.java
@@ -8,16 +8,16 @@
 import org.shoreusher.settings.Settings;
 
 /**
- * The completed tasks in a shard's records: chunk 0 belongs to the shard's own record, the others
- * are overflow records.
+ * The completed tasks in a shard's records: record 0 is the shard's own record, the others are
+ * completion records.
  */
 final class StoredCompletions {
     private final int shardNumber;
     private final StoreCache storeCache;
     private final int maxRecordsPerWrite;
 
-    /** The last overflow chunk that was written. */
-    private int lastWrittenChunk;
+    /** The number of the completion record that was last added to a write; 0 if none was. */
+    private int lastWrittenIndex;
 
     StoredCompletions(int shardNumber, Settings settings, StoreCache storeCache) {
         this.shardNumber = shardNumber;
@@ -29,33 +29,37 @@
     }
 
     /**
-     * Returns the ranges of a chunk as the store cache has it; empty if there is no such record.
+     * Returns the completed tasks of a record from the store cache, as ranges by job id; empty if
+     * there is no completion record with this number.
      */
-    Map<String, Object> chunk(int chunk) {
-        if (chunk == 0) {
+    Map<String, Object> completedRanges(int recordIndex) {
+        if (recordIndex == 0) {
             return ShardRecord.in(storeCache, shardNumber).completedRanges();
         }
-        CompletionRecord overflowRecord = CompletionRecord.in(storeCache, shardNumber, chunk);
-        return overflowRecord == null ? Map.of() : overflowRecord.completedRanges();
+        CompletionRecord completionRecord =
+                CompletionRecord.in(storeCache, shardNumber, recordIndex);
+        return completionRecord == null ? Map.of() : completionRecord.completedRanges();
     }
 
     /**
-     * Adds overflow records that have changed to a write of the shard's record, as many as fit. The
-     * chunks take turns: with many jobs every chunk changes between renewals, and the last ones
-     * must become durable as well.
+     * Adds completion records that have changed to a write of the shard's record, as many as fit.
+     * The search starts after the record that was added last: with many jobs every record changes
+     * between renewals, and always starting with the first would never make the last ones durable.
      */
-    void addChangedChunks(CompletionSnapshot completions, Map<String, Map<String, Object>> writes) {
-        int overflowChunks = completions.recordCount() - 1;
-        int previousChunk = lastWrittenChunk;
+    void addChangedRecords(
+            CompletionSnapshot completions, Map<String, Map<String, Object>> writes) {
+        int completionRecordCount = completions.recordCount() - 1;
+        int previousIndex = lastWrittenIndex;
         for (int offset = 1;
-                offset <= overflowChunks && writes.size() < maxRecordsPerWrite;
+                offset <= completionRecordCount && writes.size() < maxRecordsPerWrite;
                 offset++) {
-            int chunk = 1 + (previousChunk + offset - 1) % overflowChunks;
-            String key = StoreSchema.completionKey(shardNumber, chunk);
-            Map<String, Object> completedRanges = completions.recordValue(chunk);
-            if (!completedRanges.equals(chunk(chunk)) || storeCache.get(key) == null) {
+            int recordIndex = 1 + (previousIndex + offset - 1) % completionRecordCount;
+            String key = StoreSchema.completionKey(shardNumber, recordIndex);
+            Map<String, Object> completedRanges = completions.recordValue(recordIndex);
+            if (!completedRanges.equals(completedRanges(recordIndex))
+                    || storeCache.get(key) == null) {
                 writes.put(key, new CompletionRecord(completedRanges).toMap());
-                lastWrittenChunk = chunk;
+                lastWrittenIndex = recordIndex;
             }
         }
     }
--- a/src/test/java/org/shoreusher/core/leadership/LeaderLeaseTest.java
+++ b/src/test/java/org/shoreusher/core/leadership/LeaderLeaseTest.java
@@ -13,65 +13,73 @@
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.SettingsBuilder;
 
-/** The times of a shard's lease, with clocks that differ. */
+/** The times of a shard's lease with deviating clocks. */
 class LeaderLeaseTest {
-    private static Settings settings(double clockOffsetMs, double workerLease, double cancel) {
+    private static Settings settings(
+            double clockOffsetMs, double workerLeaseS, double cancellationLimitS) {
         return new SettingsBuilder(CoreTestData.settings(List.of()))
                 .teams()
-                .workers(1, workerLease, cancel)
+                .workers(1, workerLeaseS, cancellationLimitS)
                 .storeRequestsPerS(100)
                 .storeLimits(100, 1024, 12)
                 .maxClockOffsetMs((long) clockOffsetMs)
                 .build();
     }
 
-    /** At no real time may a leader act for a shard that a successor may already acquire. */
+    /**
+     * At no time may a leader act for a shard that a successor may already acquire, whatever the
+     * clocks of both show within their bounds.
+     */
     @Property(tries = 500, seed = "9")
     void leaderStopsBeforeSuccessorsMayStart(
             @ForAll @IntRange(max = 500) int clockOffsetMs, @ForAll long seed) {
         Random random = new Random(seed);
         Settings settings = settings(clockOffsetMs, 10, 40);
         LeaderLease lease = new LeaderLease(settings);
-        long written = 1_000_000;
+        long writtenMs = 1_000_000;
         long leaderOffsetMs = random.nextInt(2 * clockOffsetMs + 1) - clockOffsetMs;
         lease.onConfirmed(
-                written + leaderOffsetMs + LeaderLease.durationMs(settings),
-                new ClockReading(0, written + leaderOffsetMs));
+                writtenMs + leaderOffsetMs + LeaderLease.durationMs(settings),
+                new ClockReading(0, writtenMs + leaderOffsetMs));
         for (long elapsedMs = 0;
                 elapsedMs < LeaderLease.durationMs(settings) + 4_000;
                 elapsedMs += 13) {
-            // The wall clock deviates within its bound; the monotonic clock may run up to 0.05%
+            // The wall clocks deviate within their bound. A monotonic clock may run up to 0.05%
             // fast.
             long leaderWallMs =
-                    written + elapsedMs + random.nextInt(2 * clockOffsetMs + 1) - clockOffsetMs;
+                    writtenMs + elapsedMs + random.nextInt(2 * clockOffsetMs + 1) - clockOffsetMs;
             long successorWallMs =
-                    written + elapsedMs + random.nextInt(2 * clockOffsetMs + 1) - clockOffsetMs;
-            boolean acts =
+                    writtenMs + elapsedMs + random.nextInt(2 * clockOffsetMs + 1) - clockOffsetMs;
+            boolean leaderActs =
                     lease.isValid(new ClockReading((long) (elapsedMs * 1.0005), leaderWallMs));
-            boolean taken =
+            boolean successorMayAcquire =
                     LeaderLease.isAcquirable(
                             settings,
-                            written + leaderOffsetMs + LeaderLease.durationMs(settings),
+                            writtenMs + leaderOffsetMs + LeaderLease.durationMs(settings),
                             new ClockReading(0, successorWallMs));
-            assertFalse(acts && taken, "both at " + elapsedMs);
+            assertFalse(
+                    leaderActs && successorMayAcquire,
+                    "leader acts and successor may acquire after " + elapsedMs + " ms");
         }
     }
 
-    /** A cancellation that the leader cannot see takes effect within its limit all the same. */
+    /**
+     * A cancellation that does not reach the leader must still take effect within its time limit.
+     */
     @Property(tries = 200, seed = "10")
     void gracePeriodLeavesTimeForCancellations(
-            @ForAll @IntRange(min = 2, max = 60) int workerLease,
-            @ForAll @IntRange(min = 1, max = 120) int cancel,
+            @ForAll @IntRange(min = 2, max = 60) int workerLeaseS,
+            @ForAll @IntRange(min = 1, max = 120) int cancellationLimitS,
             @ForAll @IntRange(max = 500) int clockOffsetMs) {
-        Settings settings = settings(clockOffsetMs, workerLease, cancel);
-        long grace = LeaderLease.gracePeriodMs(settings);
-        assertTrue(grace >= 0);
+        Settings settings = settings(clockOffsetMs, workerLeaseS, cancellationLimitS);
+        long gracePeriodMs = LeaderLease.gracePeriodMs(settings);
+        assertTrue(gracePeriodMs >= 0);
         assertTrue(
-                grace == 0
+                gracePeriodMs == 0
                         || LeaderLease.durationMs(settings)
-                                        + grace
+                                        + gracePeriodMs
                                         + LeaderLease.workerLeaseBoundMs(settings)
                                         + 2L * clockOffsetMs
-                                <= cancel * 1000L);
+                                <= cancellationLimitS * 1000L);
     }
 }
--- a/src/test/java/org/shoreusher/core/leadership/NamedStandbyTest.java
+++ b/src/test/java/org/shoreusher/core/leadership/NamedStandbyTest.java
@@ -18,7 +18,7 @@
         assertTrue(standby.isDefinitelyNone());
         standby.onWriteSent(NAME);
         assertFalse(standby.isDefinitelyNone());
-        // The response is lost. The next write removes the name, and its response is lost as
+        // The reply is lost. The next write removes the name, and its reply is lost as
         // well.
         standby.setDesired(null);
         standby.onWriteSent(null);
