--- a/src/main/java/org/shoreusher/core/leadership/ShardVacancies.java
+++ b/src/main/java/org/shoreusher/core/leadership/ShardVacancies.java
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Updates since when a shard has had no leader.
+     * Records whether a shard has a leader now.
      *
      * @param shardNumber the shard's number
      * @param record the shard's record; null if there is none
@@ -57,7 +57,7 @@
 
     /**
      * Returns whether this node should try to acquire a shard now: the shard has had no leader for
-     * longer than this node's delay.
+     * at least this node's delay.
      *
      * @param shardNumber the shard's number
      * @param record the shard's record; null if there is none
--- a/src/main/java/org/shoreusher/core/store/ShardRecord.java
+++ b/src/main/java/org/shoreusher/core/store/ShardRecord.java
@@ -12,8 +12,8 @@
  * @param term the leader's term
  * @param completedRanges completed tasks as ranges, by job id; those that do not fit are in the
  *     {@link CompletionRecord}s of the shard
- * @param standby the name of the standby process, which has a record of every attempt that may be
- *     on a machine; null if there is none. Versions without standby replication drop this field
+ * @param standby the name of the standby process, whose attempt log contains every attempt that may
+ *     be on a machine; null if there is none. Versions without standby replication drop this field
  *     when they acquire the shard
  */
 public record ShardRecord(
