--- a/src/test/java/org/shoreusher/simulation/AutoscalerTest.java
+++ b/src/test/java/org/shoreusher/simulation/AutoscalerTest.java
@@ -25,7 +25,7 @@
     void machineWithRefusedTerminationTakesWork() {
         for (int status : new int[] {503, 0}) {
             SingleNodeSimulation node = new SingleNodeSimulation();
-            node.previousLeaderLeft("host-1");
+            node.storeShardOfPreviousLeader("host-1");
             boolean[] asked = {false};
             node.cloud =
                     operation -> {
@@ -80,7 +80,7 @@
                     return new Command.CloudReply(
                             0, 200, Map.of("boxes", List.of("host-" + asked.size())));
                 };
-        node.previousLeaderLeft();
+        node.storeShardOfPreviousLeader();
         node.runSteps(20);
         // A twelfth of its tasks at once needs two machines, in two zones.
         node.addOpenJob("wk-1", 24, 8);
@@ -144,7 +144,7 @@
                             0, operation instanceof CloudOperation.Terminate ? 200 : 0, Map.of());
                 };
         node.nowMs += 600_000;
-        node.previousLeaderLeft("host-1");
+        node.storeShardOfPreviousLeader("host-1");
         long from = node.nowMs;
         node.nowMs += 600_000;
         for (int i = 0; terminated.isEmpty() && i < 3_000; i++) {
@@ -178,7 +178,7 @@
                     pages.add(String.valueOf(listing.afterMachineId()));
                     return machinePage(listing.afterMachineId(), 4_200);
                 };
-        node.previousLeaderLeft("host-9");
+        node.storeShardOfPreviousLeader("host-9");
         for (int i = 0; i < 600 && !isGone(node, "host-9"); i++) {
             node.runSteps(1);
         }
--- a/src/test/java/org/shoreusher/simulation/CancellationTest.java
+++ b/src/test/java/org/shoreusher/simulation/CancellationTest.java
@@ -28,7 +28,7 @@
     void firstHeartbeatResponseAfterFailoverStopsCancelledTasks() {
         node.cancelAtOtherNode("wk-1", 1);
         node.addOpenJob("wk-2", 1);
-        node.previousLeaderLeft("host-1");
+        node.storeShardOfPreviousLeader("host-1");
         node.runSteps(20);
         TaskStatus other = new TaskStatus("wk-2", 0, 2, TaskState.RUNNING, ExitCause.NONE);
         assertEquals(List.of("halt"), node.heartbeat("host-1", 1, 5, RUNNING, other));
@@ -41,7 +41,7 @@
     @Example
     void stopsCancelledTasksDuringTheGracePeriod() {
         node.addOpenJob("wk-1", 1);
-        node.previousLeaderLeft("host-1");
+        node.storeShardOfPreviousLeader("host-1");
         node.runSteps(20);
         node.heartbeat("host-1", 1, 5, RUNNING);
         node.runSteps(3);
@@ -60,13 +60,13 @@
      */
     @Example
     void startsNothingAfterLeaseExpiryUntilTheCacheCaughtUp() {
-        node.previousLeaderLeft("host-1");
+        node.storeShardOfPreviousLeader("host-1");
         node.runSteps(20);
         node.addOpenJob("wk-1", 1);
         node.addOpenJob("wk-2", 1);
         node.heartbeat("host-1", 1, 5);
         node.runSteps(3);
-        node.store().refuseHost("node-0", 5_600);
+        node.store().rejectHost("node-0", 5_600);
         node.runSteps(40);
         node.cancelAtOtherNode("wk-1", 1);
         node.runSteps(52);
@@ -94,7 +94,7 @@
      */
     @Example
     void evictsCancelledJobsFromMemory() {
-        node.previousLeaderLeft();
+        node.storeShardOfPreviousLeader();
         node.runSteps(20);
         for (int i = 1; i <= 50; i++) {
             node.cancelAtOtherNode("wk-" + i, 1);
--- a/src/test/java/org/shoreusher/simulation/ClusterSimulation.java
+++ b/src/test/java/org/shoreusher/simulation/ClusterSimulation.java
@@ -19,12 +19,12 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * A small deterministic simulation of a cluster: several cores, a store, a cloud, workers and
- * users, connected by a network that delays, holds and loses messages. Time is simulated, nothing
- * sleeps, and one seed decides everything.
+ * A deterministic simulation of a cluster: several controllers, a store, a cloud, workers and
+ * users, connected by a network that delays, holds and duplicates messages. Time is simulated, so
+ * no thread sleeps, and the seed alone determines the run.
  */
 final class ClusterSimulation {
-    /** A defect that a test injects to see whether the checks detect it. */
+    /** A defect that a test injects to verify that the invariants detect it. */
     enum InjectedDefect {
         NONE,
         PRECONDITIONS_IGNORED,
@@ -32,12 +32,14 @@
         LATE_RESPONSES_EXECUTED
     }
 
-    /** A fault and the time at which it occurs, in ms. */
+    /** A fault and the simulated time at which it is injected. */
     record Fault(long atMs, Consumer<ClusterSimulation> injection) {}
 
-    /** Something that happens at a time; events of the same time keep their order. */
+    /** An action at a simulated time; events of the same time run in the order of scheduling. */
     private record Event(long atMs, long sequence, Runnable action) {}
 
+    private static final int DEFAULT_CAPACITY = 8;
+
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(
                     Comparator.comparingLong(Event::atMs).thenComparingLong(Event::sequence));
@@ -45,8 +47,8 @@
     final Settings settings;
 
     /**
-     * The limits under which processes start until their upgrade; null if all run the current
-     * version from the start.
+     * The settings, with other limits of the store, under which controllers run until their
+     * upgrade; null if all run the current version from the start.
      */
     final Settings previousSettings;
 
@@ -63,47 +65,53 @@
     private long nextSequence;
     long nowMs;
 
-    /** Late duplicates of heartbeats that were delivered. */
+    /** Heartbeats that were delivered a second time. */
     int duplicateHeartbeats;
 
-    /** Whether heartbeats are retained until a failover, and then delivered to every node. */
+    /**
+     * Whether some heartbeats are retained, and delivered again to every node at the next failover.
+     */
     boolean retainHeartbeats;
 
     final List<WorkerHeartbeat> retainedHeartbeats = new ArrayList<>();
 
-    /** From this time on there are no faults, and every request must get its response; in ms. */
+    /**
+     * When the last fault has ended; from then on the limits on waiting and response times apply.
+     */
     long faultFreeFromMs = Long.MAX_VALUE;
 
-    /** Called for every event that a process logs. */
+    /** Called for every event that a controller logs. */
     Consumer<EventLog.Entry> onLog = entry -> {};
 
-    /** Called for every effect that is executed, with the host whose core returned it. */
+    /** Called for every effect that is executed, with the host of the controller. */
     BiConsumer<String, Effect> onEffect = (host, effect) -> {};
 
-    /** Called for every simulation that this thread creates, with its seed, before it starts. */
-    static final ThreadLocal<ObjLongConsumer<ClusterSimulation>> ON_NEW =
+    /** Called for every simulation that this thread creates, with its seed, before it runs. */
+    static final ThreadLocal<ObjLongConsumer<ClusterSimulation>> ON_CREATED =
             ThreadLocal.withInitial(() -> (simulation, seed) -> {});
 
-    /** The features of the processes that use any. */
+    /** The features of the controllers that use features. */
     Features features = Features.NONE;
 
-    /** Which processes, by number, use features. */
-    IntPredicate hasFeatures = process -> true;
+    /** Whether a controller, by its number, uses features. */
+    IntPredicate usesFeatures = number -> true;
 
-    /** Processes that crashed between two effects, and what happens then. */
+    /** Crashes of controllers between two effects. */
     int crashes;
 
+    /** Called for every crash of a controller between two effects. */
     Runnable onCrash = () -> {};
 
-    /** Called for every failover, with the process that acquired the shard. */
+    /** Called for every failover, with the controller that acquired the shard. */
     Consumer<SimulatedController> onFailover = controller -> {};
 
     ClusterSimulation(long seed, Settings settings, int shardCount, InjectedDefect injectedDefect) {
-        this(seed, settings, shardCount, injectedDefect, 8);
+        this(seed, settings, shardCount, injectedDefect, DEFAULT_CAPACITY);
     }
 
     /**
-     * @param capacity machines of each kind that the cloud has, of which there are four
+     * @param capacity how many machines the cloud has of the small type, in each zone, on demand
+     *     and as spot machines
      */
     ClusterSimulation(
             long seed,
@@ -115,8 +123,8 @@
     }
 
     /**
-     * A simulation in which processes start with the limits of a previous version, and restart with
-     * the current ones when they are upgraded.
+     * Creates a simulation in which controllers start with the limits of the previous version, and
+     * restart with the current limits when they are upgraded.
      */
     ClusterSimulation(
             long seed,
@@ -137,9 +145,10 @@
         for (int i = 0; i < settings.nodeCount(); i++) {
             controllers.add(new SimulatedController(this, "node-" + i, i));
         }
-        ON_NEW.get().accept(this, seed);
+        ON_CREATED.get().accept(this, seed);
     }
 
+    /** Starts the controllers and runs until this time. */
     void run(long untilMs, List<Fault> faults) {
         faults.forEach(fault -> scheduleAt(fault.atMs(), () -> fault.injection().accept(this)));
         controllers.stream()
@@ -153,7 +162,7 @@
         nowMs = untilMs;
     }
 
-    /** Whether a host runs the previous version. */
+    /** Whether the controller of a host runs with the limits of the previous version. */
     boolean runsPreviousVersion(String host) {
         return controllers.stream()
                 .anyMatch(
@@ -161,15 +170,19 @@
                                 controller.host.equals(host) && controller.runsPreviousVersion());
     }
 
-    void scheduleAt(long time, Runnable action) {
-        events.add(new Event(Math.max(nowMs, time), nextSequence++, action));
+    /** Schedules an action, at once if the time has passed. */
+    void scheduleAt(long atMs, Runnable action) {
+        events.add(new Event(Math.max(nowMs, atMs), nextSequence++, action));
     }
 
     void scheduleAfter(long delayMs, Runnable action) {
         scheduleAt(nowMs + delayMs, action);
     }
 
-    /** Delivers duplicates of heartbeats to every node just as a new leader starts. */
+    /**
+     * Delivers the retained heartbeats again to every node within 300 ms, while a new leader
+     * starts.
+     */
     void deliverRetainedHeartbeats() {
         for (WorkerHeartbeat heartbeat : List.copyOf(retainedHeartbeats)) {
             duplicateHeartbeats++;
@@ -187,6 +200,7 @@
         retainedHeartbeats.clear();
     }
 
+    /** Copies a value by encoding and decoding it; null stays null. */
     static Map<String, Object> deepCopy(Map<String, Object> value) {
         try {
             return value == null ? null : FieldMap.parseCbor(FieldMap.toCbor(value)).asMap();
--- a/src/test/java/org/shoreusher/simulation/ClusterSimulationTest.java
+++ b/src/test/java/org/shoreusher/simulation/ClusterSimulationTest.java
@@ -35,7 +35,7 @@
                         SimulationSettings.manyNodesFewWrites(seed),
                         1 + (int) (seed % 3),
                         InjectedDefect.NONE);
-        simulation.users.concurrentRetriesOfTen = 3;
+        simulation.users.concurrentRetriesPerTen = 3;
         for (int i = 0; i < 80; i++) {
             simulation.users.submit(
                     i,
--- a/src/test/java/org/shoreusher/simulation/CompoundFailuresTest.java
+++ b/src/test/java/org/shoreusher/simulation/CompoundFailuresTest.java
@@ -59,8 +59,8 @@
     private static Consumer<ClusterSimulation> fault(int kind, long length, int node) {
         String host = "node-" + node;
         return switch (kind) {
-            case 0 -> cluster -> cluster.store.loseResponses(5, true, length);
-            case 1 -> cluster -> cluster.store.loseResponses(4, false, length);
+            case 0 -> cluster -> cluster.store.loseReplies(5, true, length);
+            case 1 -> cluster -> cluster.store.loseReplies(4, false, length);
             case 2 ->
                     cluster -> {
                         cluster.retainHeartbeats = true;
@@ -75,7 +75,7 @@
                             FaultInjection.currentLeaders(cluster)
                                     .forEach(
                                             controller ->
-                                                    cluster.store.refuseHost(
+                                                    cluster.store.rejectHost(
                                                             controller.host, length));
             case 5 -> cluster -> cluster.store.outage(length);
             case 6 -> cluster -> forSomeMachines(cluster, machine -> machine.blockInbound(length));
@@ -142,9 +142,9 @@
     private static ClusterSimulation simulate(long seed, List<Fault> faults) {
         ClusterSimulation simulation =
                 new ClusterSimulation(seed, SimulationSettings.standard(), 1, InjectedDefect.NONE);
-        simulation.users.concurrentRetriesOfTen = 3;
+        simulation.users.concurrentRetriesPerTen = 3;
         simulation.users.probeAfterEachChange = true;
-        simulation.users.cancelAtCompletionOfTen = seed % 2 == 0 ? 3 : 0;
+        simulation.users.cancelAtCompletionPerTen = seed % 2 == 0 ? 3 : 0;
         for (int i = 0; i < 36; i++) {
             simulation.users.submit(i, 1_000 + simulation.random.nextInt(130_000));
         }
@@ -195,10 +195,10 @@
         ClusterSimulation simulation = simulate(1, List.of());
         assertEquals(List.of(), simulation.invariants.violations);
         assertTrue(
-                simulation.users.invalidRefused > 6,
+                simulation.users.invalidRejected > 6,
                 () ->
                         "refused "
-                                + simulation.users.invalidRefused
+                                + simulation.users.invalidRejected
                                 + " of "
                                 + simulation.users.invalidSubmitted);
     }
--- a/src/test/java/org/shoreusher/simulation/CrashInjector.java
+++ b/src/test/java/org/shoreusher/simulation/CrashInjector.java
@@ -3,27 +3,25 @@
 import java.util.function.Predicate;
 import org.shoreusher.core.message.Effect;
 
-/** Crashes a process in the middle of a batch, just before an effect is executed. */
+/** Crashes a controller in the middle of a batch, just before an effect is executed. */
 final class CrashInjector {
     private Predicate<Effect> condition;
     private long restartAfterMs;
 
-    /**
-     * Crashes the process before the first effect that matches; it restarts after this time, in ms.
-     */
-    void arm(Predicate<Effect> effect, long afterMs) {
-        condition = effect;
-        restartAfterMs = afterMs;
+    /** Crashes the controller before the first effect that matches; it restarts after this time. */
+    void arm(Predicate<Effect> condition, long restartAfterMs) {
+        this.condition = condition;
+        this.restartAfterMs = restartAfterMs;
     }
 
-    /** Crashes the process after this number of effects. */
+    /** Crashes the controller after this number of effects. */
     void armAfterEffects(int effects, long restartAfterMs) {
-        int[] left = {effects};
-        arm(effect -> left[0]-- <= 0, restartAfterMs);
+        int[] remaining = {effects};
+        arm(effect -> remaining[0]-- <= 0, restartAfterMs);
     }
 
-    /** Whether the process crashes before this effect; the injector is then disarmed. */
-    boolean isDueBefore(Effect effect) {
+    /** Whether the controller crashes before this effect; if so, the injector is disarmed. */
+    boolean shouldCrashBefore(Effect effect) {
         boolean due = condition != null && condition.test(effect);
         condition = due ? null : condition;
         return due;
--- a/src/test/java/org/shoreusher/simulation/CrashPoint.java
+++ b/src/test/java/org/shoreusher/simulation/CrashPoint.java
@@ -11,19 +11,19 @@
 
 /** The effect before or after which a leader crashes. */
 enum CrashPoint {
-    /** A start is decided, and its frame is not yet sent. */
+    /** The start of a task is decided, but the log frame with it is not sent. */
     BEFORE_REPLICATION(CrashPoint::replicatesStart, false),
-    /** The frame is sent, and nothing after it. */
+    /** The log frame with the start is sent, but nothing after it. */
     AFTER_REPLICATION(CrashPoint::replicatesStart, true),
-    /** The standby has acknowledged, and the response to the worker is not yet sent. */
+    /** The standby has acknowledged the start, but the response to the worker is not sent. */
     BEFORE_RESPONSE(CrashPoint::respondsWithStart, false),
-    /** The response to the worker is sent, and nothing after it. */
+    /** The response to the worker is sent, but nothing after it. */
     AFTER_RESPONSE(CrashPoint::respondsWithStart, true),
-    /** The write that names the standby is not yet sent. */
+    /** The write of the shard record that names the standby is not sent. */
     BEFORE_NAMING(CrashPoint::namesStandby, false),
-    /** The write that names the standby is sent. */
+    /** The write of the shard record that names the standby is sent. */
     AFTER_NAMING(CrashPoint::namesStandby, true),
-    /** A lease renewal is sent. */
+    /** A write of the shard record, such as a lease renewal, is sent. */
     AFTER_RENEWAL(effect -> shardRecord(effect) != null, true);
 
     @SuppressWarnings("ImmutableEnumChecker") // the predicates have no state
@@ -36,13 +36,16 @@
         this.crashesAfterTrigger = crashesAfterTrigger;
     }
 
-    /** Matches the effect before which the leader crashes. */
+    /**
+     * Matches the effect before which the leader crashes. Each predicate is for one crash, since it
+     * remembers whether it has matched the trigger.
+     */
     Predicate<Effect> matcher() {
-        boolean[] seen = {false};
+        boolean[] triggered = {false};
         return effect -> {
-            boolean due = seen[0];
-            seen[0] |= trigger.test(effect);
-            return crashesAfterTrigger ? due : seen[0];
+            boolean triggeredBefore = triggered[0];
+            triggered[0] |= trigger.test(effect);
+            return crashesAfterTrigger ? triggeredBefore : triggered[0];
         };
     }
 
@@ -55,16 +58,16 @@
 
     private static boolean respondsWithStart(Effect effect) {
         return effect instanceof Effect.Respond response
-                && response.response() instanceof Response.HeartbeatAccepted orders
-                && orders.orders().stream()
+                && response.response() instanceof Response.HeartbeatAccepted accepted
+                && accepted.orders().stream()
                         .anyMatch(order -> order.kind() == WorkerOrder.Kind.START);
     }
 
-    /** The shard's record that a store call writes; null if it writes none. */
+    /** The record of shard 0 that a store call writes; null if it does not write it. */
     static Map<String, Object> shardRecord(Effect effect) {
         return effect instanceof Effect.StoreCall call
-                        && call.operation() instanceof StoreOperation.CompareAndSwap multi
-                ? multi.writes().get("part/0")
+                        && call.operation() instanceof StoreOperation.CompareAndSwap swap
+                ? swap.writes().get("part/0")
                 : null;
     }
 
--- a/src/test/java/org/shoreusher/simulation/DecisionDigests.java
+++ b/src/test/java/org/shoreusher/simulation/DecisionDigests.java
@@ -19,112 +19,121 @@
 import org.shoreusher.core.message.JobSpec;
 
 /**
- * A digest of what the core decides in generated worlds of every kind: one line {@code kind seed
- * hash effects} for each world. {@code print} writes the lines; {@code check} compares them with
- * the recorded ones and ends with 1 after printing those that differ. A change that is meant to
- * leave all decisions as they are leaves every line as it is.
+ * Digests of what the core decides in generated simulations of every kind: one line {@code kind
+ * seed hash effects} for each simulation. {@code print} writes the lines; {@code check} compares
+ * them with the recorded ones, prints those that differ, and exits with 1 if there are any. A
+ * change that must not alter any decision must not alter any line.
  */
 public final class DecisionDigests {
-    private static final String RECORDED = "/decision-digests.txt";
+    private static final String RECORDED_DIGESTS = "/decision-digests.txt";
     private static final long[] SEEDS = {1, 2, 3, 6};
     private static final int THREADS = 5;
 
-    /** Worlds that are played one after the other; each of them gets a line. */
-    private record Play(String kind, Runnable worlds) {}
+    /** Simulations that run one after the other; each gets a line. */
+    private record Run(String kind, Runnable simulations) {}
 
-    /** A test that plays one world of a seed. */
-    private interface Seeded {
-        void play(long seed);
+    /** A test that runs simulations with a given seed. */
+    private interface SeededTest {
+        void run(long seed);
     }
 
     private DecisionDigests() {}
 
-    /** Prints the digests or checks them, as the one argument says. */
+    /** Prints the digests or checks them; the only argument is {@code print} or {@code check}. */
     public static void main(String[] args) throws Exception {
         String mode = args.length == 1 ? args[0] : "";
         if (!mode.equals("print") && !mode.equals("check")) {
             System.err.println("usage: DecisionDigests print|check");
             System.exit(2);
         }
-        List<String> lines = digests(plays());
+        List<String> lines = digests(runs());
         if (mode.equals("print")) {
             lines.forEach(System.out::println);
         } else {
-            System.exit(differences(recorded(), lines) == 0 ? 0 : 1);
+            System.exit(printDifferences(recorded(), lines) == 0 ? 0 : 1);
         }
     }
 
-    private static List<Play> plays() {
-        List<Play> plays = new ArrayList<>();
-        // The longest first, so that no thread is left with it at the end.
-        plays.add(
-                new Play(
-                        "upgrade-of-long-records",
+    private static List<Run> runs() {
+        List<Run> runs = new ArrayList<>();
+        // The longest run first, since it would otherwise delay the end.
+        runs.add(
+                new Run(
+                        "upgrade-with-oversized-records",
                         new ServicesTest()::successorSplitsOversizedRecords));
-        seeded(plays, "troubles", new ClusterSimulationTest()::keepsInvariantsUnderRandomFaults);
-        seeded(
-                plays,
-                "spread",
+        addRuns(
+                runs,
+                "random-faults",
+                new ClusterSimulationTest()::keepsInvariantsUnderRandomFaults);
+        addRuns(
+                runs,
+                "many-nodes-few-writes",
                 new ClusterSimulationTest()::keepsInvariantsWithFewWritesAndManyNodes);
-        seeded(plays, "meetings", new CompoundFailuresTest()::keepsInvariantsUnderCompoundFaults);
-        seeded(plays, "services", new ServicesTest()::servicesKeepInvariantsAndRecoverFromFaults);
-        seeded(
-                plays,
-                "upgrades",
+        addRuns(
+                runs,
+                "compound-faults",
+                new CompoundFailuresTest()::keepsInvariantsUnderCompoundFaults);
+        addRuns(runs, "services", new ServicesTest()::servicesKeepInvariantsAndRecoverFromFaults);
+        addRuns(
+                runs,
+                "rolling-upgrades",
                 new ServicesTest()::rollingUpgradeToSmallerStoreLimitsKeepsInvariants);
-        seeded(plays, "limits", new ServicesTest()::storeLimitsDroppingAtAnyStepBlockNoShard);
-        seeded(plays, "moves", new MigrationsTest()::keepsInvariantsUnderRandomFaults);
-        seeded(plays, "moves-of-some", new MigrationsTest()::onlySomeNodesHaveTheFeature);
-        seeded(plays, "standby-kills", DecisionDigests::standbyKills);
-        seeded(plays, "preemption", DecisionDigests::preemption);
-        seeded(plays, "standby-meetings", DecisionDigests::standbyMeetings);
-        seeded(
-                plays,
-                "former",
+        addRuns(runs, "store-limits", new ServicesTest()::storeLimitsDroppingAtAnyStepBlockNoShard);
+        addRuns(runs, "migrations", new MigrationsTest()::keepsInvariantsUnderRandomFaults);
+        addRuns(
+                runs,
+                "migrations-on-some-nodes",
+                new MigrationsTest()::onlySomeNodesHaveTheFeature);
+        addRuns(runs, "standby-crashes", DecisionDigests::standbyCrashes);
+        addRuns(runs, "preemption", DecisionDigests::preemption);
+        addRuns(runs, "standby-compound-faults", DecisionDigests::standbyCompoundFaults);
+        addRuns(
+                runs,
+                "previous-version",
                 new PreviousVersionInteropTest()::bothVersionsContinueFromEachOthersRecords);
-        seeded(
-                plays,
-                "former-standby",
+        addRuns(
+                runs,
+                "previous-version-standby",
                 new PreviousVersionInteropTest()::previousVersionTakesOverFromLeadersWithAStandby);
         ServiceFaultsTest services = new ServiceFaultsTest();
-        plays.add(
-                new Play(
-                        "services-zone-lost",
+        runs.add(
+                new Run(
+                        "service-zone-loss",
                         services::servicesWithZoneConstraintsRecoverFromAZoneLoss));
-        plays.add(new Play("services-notice", services::movesAllReplicasOnInterruptionNotices));
-        plays.add(new Play("moves-target-gone", new MigrationsTest()::targetIsTerminated));
-        plays.add(new Play("moves-owner-ends", new MigrationsTest()::leaderCrashesAtAnyStep));
-        plays.add(
-                new Play(
+        runs.add(new Run("service-interruptions", services::movesAllReplicasOnInterruptionNotices));
+        runs.add(new Run("migration-target-terminated", new MigrationsTest()::targetIsTerminated));
+        runs.add(new Run("migration-leader-crashes", new MigrationsTest()::leaderCrashesAtAnyStep));
+        runs.add(
+                new Run(
                         "small-jobs",
                         new CompoundFailuresTest()::manySmallJobsWithAQuarterCancelled));
-        plays.add(
-                new Play(
-                        "former-formats",
+        runs.add(
+                new Run(
+                        "previous-version-formats",
                         new PreviousVersionFormatsTest()
                                 ::continuesFromRecordsOfThePreviousVersion));
-        return plays;
+        return runs;
     }
 
-    private static void seeded(List<Play> plays, String kind, Seeded test) {
+    private static void addRuns(List<Run> runs, String kind, SeededTest test) {
         for (long seed : SEEDS) {
-            plays.add(new Play(kind, () -> test.play(seed)));
+            runs.add(new Run(kind, () -> test.run(seed)));
         }
     }
 
-    private static void standbyKills(long seed) {
+    private static void standbyCrashes(long seed) {
         StandbySimulations.simulate(
                 seed, SimulationSettings.standard(), StandbySimulations.randomCrashes(seed));
     }
 
-    private static void standbyMeetings(long seed) {
+    private static void standbyCompoundFaults(long seed) {
         StandbySimulations.simulate(
                 seed, SimulationSettings.standard(), CompoundFailuresTest.compoundFaults(seed));
     }
 
-    /** Urgent jobs come while tasks that keep checkpoints fill their team's limit. */
+    /** Urgent jobs are submitted while tasks with checkpoints use all of their team's quota. */
     private static void preemption(long seed) {
-        ClusterSimulation w =
+        ClusterSimulation simulation =
                 new ClusterSimulation(
                         seed,
                         SimulationSettings.standard(),
@@ -139,19 +148,19 @@
                             .cpus(1 + i % 2)
                             .checkpointIntervalS(10)
                             .estimatedRunS(90);
-            w.users.submit(
+            simulation.users.submit(
                     new SimulatedUsers.SimulatedJob(spec.build(), false, 90_000),
-                    i < 6 ? 1_000 + w.random.nextInt(9_000) : 60_000 + i * 3_000L);
+                    i < 6 ? 1_000 + simulation.random.nextInt(9_000) : 60_000 + i * 3_000L);
         }
-        w.run(200_000, List.of());
+        simulation.run(200_000, List.of());
     }
 
-    private static List<String> digests(List<Play> plays)
+    private static List<String> digests(List<Run> runs)
             throws InterruptedException, ExecutionException {
         ExecutorService threads = Executors.newFixedThreadPool(THREADS);
         try {
             List<Callable<List<String>>> tasks = new ArrayList<>();
-            plays.forEach(play -> tasks.add(() -> lines(play)));
+            runs.forEach(run -> tasks.add(() -> lines(run)));
             List<String> lines = new ArrayList<>();
             for (Future<List<String>> future : threads.invokeAll(tasks)) {
                 lines.addAll(future.get());
@@ -162,38 +171,41 @@
         }
     }
 
-    /** A line for each world; one whose test fails has its line too, which shows what changed. */
-    private static List<String> lines(Play play) {
-        List<String> heads = new ArrayList<>();
+    /** The line of each simulation, also of those whose test fails, so that the change shows. */
+    private static List<String> lines(Run run) {
+        List<String> labels = new ArrayList<>();
         List<EffectHash> hashes = new ArrayList<>();
-        ClusterSimulation.ON_NEW.set(
-                (world, seed) -> {
+        ClusterSimulation.ON_CREATED.set(
+                (simulation, seed) -> {
                     EffectHash hash = new EffectHash();
-                    world.onEffect = hash::take;
-                    heads.add(head(play.kind(), seed, heads));
+                    simulation.onEffect = hash::add;
+                    labels.add(label(run.kind(), seed, labels));
                     hashes.add(hash);
                 });
         try {
-            play.worlds().run();
+            run.simulations().run();
         } catch (AssertionError e) {
-            System.err.println("the test of " + heads + " fails: " + firstLine(e));
+            System.err.println("the test that runs " + labels + " failed: " + firstLine(e));
         } finally {
-            ClusterSimulation.ON_NEW.remove();
+            ClusterSimulation.ON_CREATED.remove();
         }
         List<String> lines = new ArrayList<>();
-        for (int i = 0; i < heads.size(); i++) {
-            lines.add(heads.get(i) + hashes.get(i).text());
+        for (int i = 0; i < labels.size(); i++) {
+            lines.add(labels.get(i) + hashes.get(i).text());
         }
         return lines;
     }
 
-    /** Kind and seed; a kind that plays a seed several times has its kind numbered. */
-    private static String head(String kind, long seed, List<String> before) {
-        String head = kind + " " + seed + " ";
-        for (int time = 2; before.contains(head); time++) {
-            head = kind + "-" + time + " " + seed + " ";
+    /**
+     * The kind and the seed of a simulation; further simulations of the same kind and seed are
+     * numbered.
+     */
+    private static String label(String kind, long seed, List<String> existing) {
+        String label = kind + " " + seed + " ";
+        for (int number = 2; existing.contains(label); number++) {
+            label = kind + "-" + number + " " + seed + " ";
         }
-        return head;
+        return label;
     }
 
     private static String firstLine(AssertionError e) {
@@ -201,32 +213,33 @@
     }
 
     private static List<String> recorded() throws IOException {
-        try (InputStream in = DecisionDigests.class.getResourceAsStream(RECORDED)) {
+        try (InputStream in = DecisionDigests.class.getResourceAsStream(RECORDED_DIGESTS)) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8).lines().toList();
         }
     }
 
-    /** Prints the lines that differ, and returns how many worlds do. */
-    private static int differences(List<String> recorded, List<String> now) {
-        Map<String, String> before = byWorld(recorded);
-        Map<String, String> after = byWorld(now);
-        Set<String> worlds = new LinkedHashSet<>(before.keySet());
-        worlds.addAll(after.keySet());
-        worlds.removeIf(world -> Objects.equals(before.get(world), after.get(world)));
-        for (String world : worlds) {
-            System.out.println("- " + before.getOrDefault(world, world + " is not recorded"));
-            System.out.println("+ " + after.getOrDefault(world, world + " was not played"));
+    /** Prints the lines that differ, and returns the number of simulations that differ. */
+    private static int printDifferences(List<String> recorded, List<String> now) {
+        Map<String, String> before = linesBySimulation(recorded);
+        Map<String, String> after = linesBySimulation(now);
+        Set<String> differing = new LinkedHashSet<>(before.keySet());
+        differing.addAll(after.keySet());
+        differing.removeIf(label -> Objects.equals(before.get(label), after.get(label)));
+        for (String label : differing) {
+            System.out.println("- " + before.getOrDefault(label, label + " is not recorded"));
+            System.out.println("+ " + after.getOrDefault(label, label + " was not run"));
         }
-        System.out.println(worlds.size() + " of " + before.size() + " recorded worlds differ");
-        return worlds.size();
+        System.out.println(
+                differing.size() + " of " + before.size() + " recorded simulations differ");
+        return differing.size();
     }
 
-    private static Map<String, String> byWorld(List<String> lines) {
-        Map<String, String> worlds = new LinkedHashMap<>();
+    private static Map<String, String> linesBySimulation(List<String> lines) {
+        Map<String, String> linesByLabel = new LinkedHashMap<>();
         for (String line : lines) {
             String[] words = line.split(" ", -1);
-            worlds.put(words[0] + " " + words[1], line);
+            linesByLabel.put(words[0] + " " + words[1], line);
         }
-        return worlds;
+        return linesByLabel;
     }
 }
--- a/src/test/java/org/shoreusher/simulation/EffectHash.java
+++ b/src/test/java/org/shoreusher/simulation/EffectHash.java
@@ -17,88 +17,92 @@
 import org.shoreusher.wire.WorkerFormat;
 
 /**
- * One hash over effects in their order, as they leave the process: paths, statuses and bytes of
- * bodies and messages. Log lines and names of Java classes, fields and enum constants do not count.
+ * A hash over effects in their order, as they leave the process: paths, statuses, and the bytes of
+ * bodies and messages. Log events and the names of Java classes, fields and enum constants do not
+ * enter it.
  *
- * <p>The fields of a body are hashed by name, because bodies are made with {@link Map#of} too,
- * whose order differs from one virtual machine to the next. Lists keep their order.
+ * <p>The fields of a body are hashed in the order of their names, because some bodies are made with
+ * {@link Map#of}, whose order differs between runs of the virtual machine. Lists keep their order.
  */
 final class EffectHash {
-    private static final int ANSWER = 1;
-    private static final int STATE = 2;
-    private static final int CLOUD = 3;
-    private static final int ORDERS = 4;
-    private static final int HINT = 5;
-    private static final int STANDBY = 6;
+    private static final int RESPONSE = 1;
+    private static final int STORE_CALL = 2;
+    private static final int CLOUD_CALL = 3;
+    private static final int DIRECT_ORDERS = 4;
+    private static final int GOSSIP = 5;
+    private static final int STANDBY_MESSAGE = 6;
 
     private final HashStream64 stream = Hashing.xxh3_64().hashStream();
-    private final GossipCodec hints = new GossipCodec();
+    private final GossipCodec gossipCodec = new GossipCodec();
     private long effects;
 
-    void take(String host, Effect effect) {
-        if (effect instanceof Effect.Respond a) {
-            begin(ANSWER, host).putLong(a.requestId());
-            stream.putInt(ResponseFormat.statusCode(a.response()));
-            stream.putInt(ResponseFormat.retryAfterS(a.response()));
-            body(ResponseFormat.body(a.response()));
-        } else if (effect instanceof Effect.StoreCall c) {
-            begin(STATE, host).putLong(c.callId()).putBoolean(c.urgent());
-            request(StoreFormat.request(c.operation()));
-        } else if (effect instanceof Effect.CloudCall c) {
-            begin(CLOUD, host).putLong(c.callId());
-            request(CloudFormat.request(c.operation()));
-        } else if (effect instanceof Effect.SendOrders o) {
-            begin(ORDERS, host).putString(o.workerAddress());
-            body(WorkerFormat.directOrders(o.fencingToken(), o.workerIncarnation(), o.orders()));
-        } else if (effect instanceof Effect.SendGossip t) {
-            begin(HINT, host);
-            bytes(hints.encode(t.message()));
-        } else if (effect instanceof Effect.SendStandbyMessage s) {
-            begin(STANDBY, host).putString(s.host());
-            bytes(MessageBytes.of(s.message()));
+    /** Adds an effect of the controller of a host; a log event is ignored. */
+    void add(String host, Effect effect) {
+        if (effect instanceof Effect.Respond response) {
+            beginEffect(RESPONSE, host).putLong(response.requestId());
+            stream.putInt(ResponseFormat.statusCode(response.response()));
+            stream.putInt(ResponseFormat.retryAfterS(response.response()));
+            addBody(ResponseFormat.body(response.response()));
+        } else if (effect instanceof Effect.StoreCall call) {
+            beginEffect(STORE_CALL, host).putLong(call.callId()).putBoolean(call.urgent());
+            addRequest(StoreFormat.request(call.operation()));
+        } else if (effect instanceof Effect.CloudCall call) {
+            beginEffect(CLOUD_CALL, host).putLong(call.callId());
+            addRequest(CloudFormat.request(call.operation()));
+        } else if (effect instanceof Effect.SendOrders orders) {
+            beginEffect(DIRECT_ORDERS, host).putString(orders.workerAddress());
+            addBody(
+                    WorkerFormat.directOrders(
+                            orders.fencingToken(), orders.workerIncarnation(), orders.orders()));
+        } else if (effect instanceof Effect.SendGossip gossip) {
+            beginEffect(GOSSIP, host);
+            addBytes(gossipCodec.encode(gossip.message()));
+        } else if (effect instanceof Effect.SendStandbyMessage standby) {
+            beginEffect(STANDBY_MESSAGE, host).putString(standby.host());
+            addBytes(MessageBytes.of(standby.message()));
         }
     }
 
-    /** The hash, and how many effects it covers. */
+    /** The hash and the number of effects that it covers. */
     String text() {
         return String.format("%016x %d", stream.getAsLong(), effects);
     }
 
-    private HashStream64 begin(int kind, String host) {
+    private HashStream64 beginEffect(int kind, String host) {
         effects++;
         return stream.putByte((byte) kind).putString(host);
     }
 
-    private void request(WireRequest request) {
+    private void addRequest(WireRequest request) {
         stream.putString(request.body() == null ? "GET" : "POST").putString(request.path());
         if (request.body() != null) {
-            body(request.body());
+            addBody(request.body());
         }
     }
 
-    private void body(Map<String, Object> body) {
-        bytes(FieldMap.toCbor(byName(body)));
+    private void addBody(Map<String, Object> body) {
+        addBytes(FieldMap.toCbor(sortFields(body)));
     }
 
-    private void bytes(byte[] bytes) {
+    private void addBytes(byte[] bytes) {
         stream.putByteArray(bytes);
     }
 
-    /** The map with the fields of all maps in it by name. */
-    static Map<String, Object> byName(Map<?, ?> map) {
+    /** Copies a map with its fields, and those of all maps in it, sorted by name. */
+    static Map<String, Object> sortFields(Map<?, ?> map) {
         Map<String, Object> sorted = new TreeMap<>();
-        map.forEach((key, value) -> sorted.put((String) key, inOrder(value)));
+        map.forEach((key, value) -> sorted.put((String) key, sortFieldsWithin(value)));
         return sorted;
     }
 
-    private static Object inOrder(Object value) {
+    private static Object sortFieldsWithin(Object value) {
         if (value instanceof Map<?, ?> map) {
-            return byName(map);
+            return sortFields(map);
         }
         if (value instanceof List<?> list) {
-            List<Object> out = new ArrayList<>(list.size());
-            list.forEach(entry -> out.add(inOrder(entry)));
-            return out;
+            List<Object> sorted = new ArrayList<>(list.size());
+            list.forEach(entry -> sorted.add(sortFieldsWithin(entry)));
+            return sorted;
         }
         return value;
     }
--- a/src/test/java/org/shoreusher/simulation/EventLog.java
+++ b/src/test/java/org/shoreusher/simulation/EventLog.java
@@ -7,21 +7,21 @@
 import org.shoreusher.log.LogEvent;
 import org.shoreusher.log.LogEventType;
 
-/** The events that the processes of a simulation have logged, in their order. */
+/** The events that the controllers of a simulation have logged, in the order of logging. */
 final class EventLog {
     /**
      * One event.
      *
      * @param atMs the simulated time, in ms
-     * @param host the host of the process that logged it
-     * @param line the event as its process wrote it
+     * @param host the host of the controller that logged it
+     * @param line the event as it appears in the log
      */
     record Entry(long atMs, String host, LogEvent event, String line) {
         boolean is(LogEventType type) {
             return event.type() == type;
         }
 
-        /** Returns the text of a field, or an empty text without it. */
+        /** Returns the text of a field; empty if the event has no such field. */
         String text(String field) {
             String text = event.text(field);
             return text == null ? "" : text;
@@ -45,11 +45,12 @@
         return entries.stream();
     }
 
-    /** Returns the events of a type, in their order. */
+    /** Returns the events of a type, in the order of logging. */
     Stream<Entry> entries(LogEventType type) {
         return entries().filter(entry -> entry.is(type));
     }
 
+    /** Returns the last event; there must be one. */
     Entry last() {
         return entries.get(entries.size() - 1);
     }
@@ -62,7 +63,7 @@
         return entries(type).count();
     }
 
-    /** Returns all events, one a line. */
+    /** Returns all events, one per line. */
     @Override
     public String toString() {
         return entries.stream().map(Entry::toString).collect(Collectors.joining("\n"));
--- a/src/test/java/org/shoreusher/simulation/FaultInjection.java
+++ b/src/test/java/org/shoreusher/simulation/FaultInjection.java
@@ -10,142 +10,170 @@
 import org.shoreusher.log.LogEventType;
 import org.shoreusher.simulation.ClusterSimulation.Fault;
 
-/** Random faults of simulations, one at a time, and the processes and machines that they hit. */
+/** Faults of simulations: random ones, and parts of which tests compose their own. */
 final class FaultInjection {
-    private static final int FAULT_KINDS = 18;
-
-    /** Kinds from here on are partitions, or end nodes one after the other. */
-    private static final int FIRST_PARTITION_KIND = 9;
+    /** The kinds of random faults. Their order determines which kind a seed chooses. */
+    private enum FaultKind {
+        NODE_CRASH,
+        ALL_NODES_CRASH,
+        STORE_OUTAGE,
+        STORE_REJECTS_NODE,
+        NODE_WITHOUT_STORE,
+        NODE_PAUSE,
+        NODE_WITHOUT_WORKERS,
+        WORKERS_HANG,
+        MACHINES_TERMINATED,
+        CLOUD_OUTAGE,
+        NODE_WITHOUT_PEERS,
+        ROLLING_RESTART,
+        REPEATED_CRASH,
+        WORKERS_INBOUND_BLOCKED,
+        NODE_WITHOUT_STORE_AND_PEERS,
+        NODE_AND_SUCCESSOR_CRASH,
+        ZONE_ISOLATED,
+        WORKERS_WITHOUT_NODES
+    }
 
     private FaultInjection() {}
 
-    static List<Fault> randomFaults(long seed, int nodes) {
+    /** Three to ten faults of random kinds, which start between 10 and 140 s. */
+    static List<Fault> randomFaults(long seed, int nodeCount) {
         Random random = new Random(seed * 31 + 7);
+        FaultKind[] kinds = FaultKind.values();
         List<Fault> faults = new ArrayList<>();
         int count = 3 + random.nextInt(8);
         for (int i = 0; i < count; i++) {
             long atMs = 10_000 + random.nextInt(130_000);
-            int node = random.nextInt(nodes);
-            long length = 500 + random.nextInt(30_000);
-            int kind = random.nextInt(FAULT_KINDS);
-            faults.add(new Fault(atMs, fault(kind, node, nodes, length)));
+            int node = random.nextInt(nodeCount);
+            long durationMs = 500 + random.nextInt(30_000);
+            FaultKind kind = kinds[random.nextInt(kinds.length)];
+            faults.add(new Fault(atMs, fault(kind, node, nodeCount, durationMs)));
         }
         return faults;
     }
 
-    /** One fault of some kind, which hits a node or some machines, and its duration in ms. */
-    private static Consumer<ClusterSimulation> fault(int kind, int node, int nodes, long length) {
-        return kind < FIRST_PARTITION_KIND
-                ? simpleFault(kind, node, length)
-                : partitionFault(kind, node, nodes, length);
-    }
-
-    private static Consumer<ClusterSimulation> simpleFault(int kind, int node, long length) {
+    /**
+     * A fault of this kind. Those that hit one node hit the given one; those that hit some machines
+     * hit about a third of them.
+     */
+    private static Consumer<ClusterSimulation> fault(
+            FaultKind kind, int node, int nodeCount, long durationMs) {
         String host = "node-" + node;
         return switch (kind) {
-            case 0 -> cluster -> cluster.controllers.get(node).crash(200 + length / 4);
-            case 1 ->
-                    cluster ->
-                            cluster.controllers.forEach(
+            case NODE_CRASH ->
+                    simulation -> simulation.controllers.get(node).crash(200 + durationMs / 4);
+            case ALL_NODES_CRASH ->
+                    simulation ->
+                            simulation.controllers.forEach(
                                     controller ->
-                                            controller.crash(200 + cluster.random.nextInt(4_000)));
-            case 2 -> cluster -> cluster.store.outage(length);
-            case 3 -> cluster -> cluster.store.refuseHost(host, length);
-            case 4 -> cluster -> cluster.network.partition(host, "state", length);
-            case 5 -> cluster -> cluster.controllers.get(node).pause(length / 2);
-            case 6 ->
-                    cluster -> {
-                        for (SimulatedWorker machine : cluster.cloud.machines()) {
-                            cluster.network.partition(host, machine.id, length);
+                                            controller.crash(
+                                                    200 + simulation.random.nextInt(4_000)));
+            case STORE_OUTAGE -> simulation -> simulation.store.outage(durationMs);
+            case STORE_REJECTS_NODE -> simulation -> simulation.store.rejectHost(host, durationMs);
+            case NODE_WITHOUT_STORE ->
+                    simulation ->
+                            simulation.network.partition(host, SimulatedStore.HOST, durationMs);
+            case NODE_PAUSE -> simulation -> simulation.controllers.get(node).pause(durationMs / 2);
+            case NODE_WITHOUT_WORKERS ->
+                    simulation -> {
+                        for (SimulatedWorker machine : simulation.cloud.machines()) {
+                            simulation.network.partition(host, machine.id, durationMs);
                         }
                     };
-            case 7 ->
-                    cluster -> {
-                        for (SimulatedWorker machine : cluster.cloud.machines()) {
-                            if (cluster.random.nextInt(3) == 0) {
-                                machine.hang(length);
+            case WORKERS_HANG ->
+                    simulation -> {
+                        for (SimulatedWorker machine : simulation.cloud.machines()) {
+                            if (simulation.random.nextInt(3) == 0) {
+                                machine.hang(durationMs);
                             }
                         }
                     };
-            case 8 ->
-                    cluster -> {
-                        for (SimulatedWorker machine : cluster.cloud.machines()) {
-                            if (cluster.random.nextInt(3) == 0) {
-                                cluster.cloud.terminate(machine);
+            case MACHINES_TERMINATED ->
+                    simulation -> {
+                        for (SimulatedWorker machine : simulation.cloud.machines()) {
+                            if (simulation.random.nextInt(3) == 0) {
+                                simulation.cloud.terminate(machine);
                             }
                         }
                     };
-            default -> throw new IllegalArgumentException("kind " + kind);
+            case CLOUD_OUTAGE -> simulation -> simulation.cloud.outage(durationMs);
+            case WORKERS_INBOUND_BLOCKED ->
+                    simulation -> {
+                        for (SimulatedWorker machine : simulation.cloud.machines()) {
+                            if (simulation.random.nextInt(3) == 0) {
+                                machine.blockInbound(durationMs * 2);
+                            }
+                        }
+                    };
+            default -> partitionOrCrashFault(kind, node, nodeCount, durationMs);
         };
     }
 
-    private static Consumer<ClusterSimulation> partitionFault(
-            int kind, int node, int nodes, long length) {
+    /** The rest of {@link #fault}: partitions of nodes, and crashes of several nodes or times. */
+    private static Consumer<ClusterSimulation> partitionOrCrashFault(
+            FaultKind kind, int node, int nodeCount, long durationMs) {
         String host = "node-" + node;
         return switch (kind) {
-            case 9 -> cluster -> cluster.cloud.outage(length);
-            case 10 ->
-                    cluster ->
-                            cluster.controllers.forEach(
+            case NODE_WITHOUT_PEERS ->
+                    simulation ->
+                            simulation.controllers.forEach(
                                     controller ->
-                                            cluster.network.partition(
-                                                    host, controller.host, length));
-            case 11 ->
-                    cluster -> {
-                        for (int offset = 0; offset < nodes; offset++) {
-                            SimulatedController next =
-                                    cluster.controllers.get((node + offset) % nodes);
-                            cluster.scheduleAfter(offset * 8_000L, () -> next.crash(1_500));
+                                            simulation.network.partition(
+                                                    host, controller.host, durationMs));
+            case ROLLING_RESTART ->
+                    simulation -> {
+                        for (int offset = 0; offset < nodeCount; offset++) {
+                            SimulatedController restarted =
+                                    simulation.controllers.get((node + offset) % nodeCount);
+                            simulation.scheduleAfter(offset * 8_000L, () -> restarted.crash(1_500));
                         }
                     };
-            case 12 ->
-                    cluster -> {
-                        // Restarts within a fraction of a second, and crashes again.
-                        cluster.controllers.get(node).crash(100);
-                        cluster.scheduleAfter(600, () -> cluster.controllers.get(node).crash(50));
-                    };
-            case 13 ->
-                    cluster -> {
-                        for (SimulatedWorker machine : cluster.cloud.machines()) {
-                            if (cluster.random.nextInt(3) == 0) {
-                                machine.blockInbound(length * 2);
-                            }
-                        }
+            case REPEATED_CRASH ->
+                    simulation -> {
+                        // The node crashes again half a second after its restart.
+                        simulation.controllers.get(node).crash(100);
+                        simulation.scheduleAfter(
+                                600, () -> simulation.controllers.get(node).crash(50));
                     };
-            case 14 ->
-                    cluster -> {
-                        // Without store and peers, but with its workers.
-                        cluster.network.partition(host, "state", length);
-                        cluster.controllers.forEach(
+            case NODE_WITHOUT_STORE_AND_PEERS ->
+                    simulation -> {
+                        // The node still reaches its workers.
+                        simulation.network.partition(host, SimulatedStore.HOST, durationMs);
+                        simulation.controllers.forEach(
                                 controller ->
-                                        cluster.network.partition(host, controller.host, length));
+                                        simulation.network.partition(
+                                                host, controller.host, durationMs));
                     };
-            case 15 ->
-                    cluster -> {
-                        crashNextSuccessors(cluster, 1);
-                        cluster.controllers.get(node).crash(100 + length / 4);
+            case NODE_AND_SUCCESSOR_CRASH ->
+                    simulation -> {
+                        crashNextSuccessors(simulation, 1);
+                        simulation.controllers.get(node).crash(100 + durationMs / 4);
                     };
-            case 16 -> cluster -> cluster.network.isolateZone("b", host, length);
-            default ->
-                    cluster -> {
-                        for (SimulatedWorker machine : cluster.cloud.machines()) {
-                            if (cluster.random.nextInt(3) == 0) {
-                                cluster.controllers.forEach(
+            case ZONE_ISOLATED ->
+                    simulation -> simulation.network.isolateZone("b", host, durationMs);
+            case WORKERS_WITHOUT_NODES ->
+                    simulation -> {
+                        for (SimulatedWorker machine : simulation.cloud.machines()) {
+                            if (simulation.random.nextInt(3) == 0) {
+                                simulation.controllers.forEach(
                                         controller ->
-                                                cluster.network.partition(
-                                                        controller.host, machine.id, length));
+                                                simulation.network.partition(
+                                                        controller.host, machine.id, durationMs));
                             }
                         }
                     };
+            default -> throw new IllegalArgumentException("no fault of kind " + kind);
         };
     }
 
-    /** The next successors each crash while they take over, and restart at once. */
+    /**
+     * Crashes each of the next successors within 40 ms of its failover; it restarts within 330 ms.
+     */
     static void crashNextSuccessors(ClusterSimulation simulation, int successorCount) {
-        int[] left = {successorCount};
+        int[] remaining = {successorCount};
         simulation.onFailover =
                 successor -> {
-                    if (left[0]-- > 0) {
+                    if (remaining[0]-- > 0) {
                         simulation.scheduleAfter(
                                 simulation.random.nextInt(40),
                                 () -> successor.crash(30 + simulation.random.nextInt(300)));
@@ -154,37 +182,39 @@
     }
 
     static void isolateFromStoreAndPeers(
-            ClusterSimulation simulation, SimulatedController process, long durationMs) {
-        simulation.network.partition(process.host, "state", durationMs);
+            ClusterSimulation simulation, SimulatedController controller, long durationMs) {
+        simulation.network.partition(controller.host, SimulatedStore.HOST, durationMs);
         simulation.controllers.forEach(
-                other -> simulation.network.partition(process.host, other.host, durationMs));
+                other -> simulation.network.partition(controller.host, other.host, durationMs));
     }
 
     static void isolateFromWorkers(
-            ClusterSimulation simulation, SimulatedController process, long durationMs) {
+            ClusterSimulation simulation, SimulatedController controller, long durationMs) {
         simulation
                 .cloud
                 .machines()
                 .forEach(
                         machine ->
-                                simulation.network.partition(process.host, machine.id, durationMs));
+                                simulation.network.partition(
+                                        controller.host, machine.id, durationMs));
     }
 
-    /** A fault that hits every current leader. */
+    /** A fault that hits the current leader of each shard. */
     static Consumer<ClusterSimulation> onCurrentLeaders(
             BiConsumer<ClusterSimulation, SimulatedController> fault) {
-        return cluster -> currentLeaders(cluster).forEach(leader -> fault.accept(cluster, leader));
+        return simulation ->
+                currentLeaders(simulation).forEach(leader -> fault.accept(simulation, leader));
     }
 
-    /** For each shard, the process that acquired it last. */
+    /** For each shard, the controller that acquired it last, whether or not it still runs. */
     static List<SimulatedController> currentLeaders(ClusterSimulation simulation) {
-        Map<String, String> last = new HashMap<>();
+        Map<String, String> hostByShard = new HashMap<>();
         simulation
                 .log
                 .entries(LogEventType.SHARD_ACQUIRED)
-                .forEach(entry -> last.put(entry.text("shard"), entry.host()));
+                .forEach(entry -> hostByShard.put(entry.text("shard"), entry.host()));
         return simulation.controllers.stream()
-                .filter(controller -> last.containsValue(controller.host))
+                .filter(controller -> hostByShard.containsValue(controller.host))
                 .toList();
     }
 }
--- a/src/test/java/org/shoreusher/simulation/HeartbeatsTest.java
+++ b/src/test/java/org/shoreusher/simulation/HeartbeatsTest.java
@@ -34,7 +34,7 @@
     @Example
     void heartbeatFromBeforeTheFailoverIsNotTakenAsCurrent() {
         node.addOpenJob("wk-1", 1);
-        node.previousLeaderLeft("host-2", "host-1");
+        node.storeShardOfPreviousLeader("host-2", "host-1");
         node.runSteps(20);
         assertEquals(
                 List.of(),
@@ -79,7 +79,7 @@
      */
     @Example
     void lateDuplicateHeartbeatsReviveNoMachine() {
-        node.previousLeaderLeft();
+        node.storeShardOfPreviousLeader();
         node.runSteps(20);
         assertNull(
                 node.heartbeat("host-7", 10, 6),
@@ -118,7 +118,7 @@
     @Example
     void neverStartedTasksDoNotWaitForUnresponsiveMachines() {
         node.addPartlyStartedJob("wk-1", false);
-        node.previousLeaderLeft("host-1", "host-2");
+        node.storeShardOfPreviousLeader("host-1", "host-2");
         node.runSteps(20);
         assertEquals(
                 List.of(),
@@ -139,7 +139,7 @@
     @Example
     void singleZoneJobWaitsForUnresponsiveMachines() {
         node.addPartlyStartedJob("wk-1", true);
-        node.previousLeaderLeft("host-1", "host-2");
+        node.storeShardOfPreviousLeader("host-1", "host-2");
         node.runSteps(20);
         for (int sequenceNumber = 1; sequenceNumber < 8; sequenceNumber++) {
             assertEquals(
@@ -160,7 +160,7 @@
     void unresponsiveMachinesReserveNoMoreThanTheRemainingQuota() {
         node.addPartlyStartedJob("wk-1", false);
         node.addOpenJob("wk-2", 2, 8);
-        node.previousLeaderLeft("host-1", "host-2", "host-3", "host-4", "host-5");
+        node.storeShardOfPreviousLeader("host-1", "host-2", "host-3", "host-4", "host-5");
         node.runSteps(20);
         TaskStatus first = new TaskStatus("wk-2", 0, 1, TaskState.RUNNING, ExitCause.NONE);
         TaskStatus second = new TaskStatus("wk-2", 1, 2, TaskState.RUNNING, ExitCause.NONE);
@@ -196,7 +196,7 @@
         for (boolean newer : new boolean[] {true, false}) {
             SingleNodeSimulation node = new SingleNodeSimulation();
             node.addOpenJob("wk-1", 1);
-            node.previousLeaderLeft("host-1", "host-2");
+            node.storeShardOfPreviousLeader("host-1", "host-2");
             node.runSteps(20);
             long from = node.nowMs;
             node.heartbeat("host-1", 1, 5);
@@ -239,12 +239,12 @@
     void newMachineGetsNoTaskBeforeItsRecordIsDurable() {
         for (boolean lost : new boolean[] {false, true}) {
             SingleNodeSimulation node = new SingleNodeSimulation();
-            node.previousLeaderLeft();
+            node.storeShardOfPreviousLeader();
             node.runSteps(20);
             node.addOpenJob("wk-1", 1);
             node.runSteps(3);
             if (lost) {
-                node.store().loseResponses(10, false, 60_000);
+                node.store().loseReplies(10, false, 60_000);
             }
             List<String> started = new ArrayList<>();
             for (int sequenceNumber = 1; sequenceNumber < 12; sequenceNumber++) {
@@ -261,7 +261,7 @@
     @Example
     void duplicateHeartbeatsOfAnEarlierIncarnationChangeNothing() {
         node.addOpenJob("wk-1", 1);
-        node.previousLeaderLeft("host-1", "host-2");
+        node.storeShardOfPreviousLeader("host-1", "host-2");
         node.runSteps(20);
         TaskStatus running = new TaskStatus("wk-1", 0, 1, TaskState.RUNNING, ExitCause.NONE);
         node.heartbeat("host-2", 1, 5);
@@ -297,7 +297,7 @@
     @Example
     void limitsOrdersPerHeartbeat() {
         node.addOpenJob("wk-1", MessageConstants.MAX_TASKS_PER_JOB, 0.001);
-        node.previousLeaderLeft("host-1");
+        node.storeShardOfPreviousLeader("host-1");
         node.runSteps(20);
         node.heartbeat("host-1", 1, 5);
         int started = 0;
@@ -317,7 +317,7 @@
     void successorWaitsForTheGracePeriodItMayHaveGranted() {
         long startedAt = node.nowMs;
         node.addOpenJob("wk-1", 1);
-        node.previousLeaderLeft("host-1", "host-2");
+        node.storeShardOfPreviousLeader("host-1", "host-2");
         node.runSteps(20);
         assertEquals(List.of(), node.heartbeat("host-1", 1, 5));
         long ranAtMs = 0;
--- a/src/test/java/org/shoreusher/simulation/Invariants.java
+++ b/src/test/java/org/shoreusher/simulation/Invariants.java
@@ -8,26 +8,33 @@
 import java.util.Set;
 import org.shoreusher.core.message.JobSpec;
 
-/** Checks the protocol's invariants on what really happens in the simulation. */
+/**
+ * Checks the protocol's invariants against what workers run and users are told in the simulation.
+ */
 final class Invariants {
-    private static final long MAX_UNANSWERED_MS = 75_000;
+    private static final long MAX_WITHOUT_RESPONSE_MS = 75_000;
     private static final long MAX_WAITING_MS = 90_000;
 
     private final ClusterSimulation simulation;
-    private final Map<String, SimulatedWorker> on = new HashMap<>();
+
+    /** The machine of each running task, by task name. */
+    private final Map<String, SimulatedWorker> machineOfTask = new HashMap<>();
+
     private final ResourceUsage resourceUsage = new ResourceUsage();
-    private final Set<String> completed = new HashSet<>();
+    private final Set<String> completedTasks = new HashSet<>();
+
+    /** The violations so far: time in ms, invariant, and details. */
     final List<String> violations = new ArrayList<>();
 
-    /** When the first task of a job started to run, in ms. */
+    /** When the first task of a job started to run, in ms, by job id. */
     final Map<String, Long> firstStartMs = new HashMap<>();
 
     int taskStarts;
 
-    /** Tasks that ran once more after they had completed. */
+    /** Task starts after an earlier attempt of the task had completed. */
     int startsAfterCompletion;
 
-    /** Tasks that started after the cancellation of their job was confirmed to the user. */
+    /** Task starts after the cancellation of the job was confirmed to the user. */
     int startsAfterCancellation;
 
     private final Map<String, Long> waitingSinceMs = new HashMap<>();
@@ -36,24 +43,26 @@
         this.simulation = simulation;
     }
 
-    void recordViolation(String rule, String details) {
-        violations.add(simulation.nowMs + " " + rule + ": " + details);
+    void recordViolation(String invariant, String details) {
+        violations.add(simulation.nowMs + " " + invariant + ": " + details);
     }
 
-    /** A task runs on its machine from now on. */
+    /** Called when a task starts to run on a machine. */
     void taskStarted(SimulatedWorker machine, String taskName) {
         taskStarts++;
-        startsAfterCompletion += completed.contains(taskName) ? 1 : 0;
+        startsAfterCompletion += completedTasks.contains(taskName) ? 1 : 0;
         String jobId = taskName.substring(0, taskName.indexOf('/'));
         SimulatedUsers.SimulatedJob job = simulation.users.jobs.get(jobId);
         if (job == null) {
-            recordViolation("ran_unknown", taskName);
+            recordViolation("unknown_job", taskName + " runs, but its job was never submitted");
             return;
         }
         firstStartMs.putIfAbsent(jobId, simulation.nowMs);
-        SimulatedWorker other = on.put(taskName, machine);
+        SimulatedWorker other = machineOfTask.put(taskName, machine);
         if (other != null) {
-            recordViolation("ran_twice", taskName + " on " + machine.id + " while on " + other.id);
+            recordViolation(
+                    "runs_twice",
+                    taskName + " starts on " + machine.id + " and runs on " + other.id);
             resourceUsage.add(job.spec, other, -1);
         }
         JobSpec spec = job.spec;
@@ -70,32 +79,37 @@
         }
         if (resourceUsage.cpusOnMachine(machine) > SimulatedCloud.cpusOfType(machine.type)) {
             recordViolation(
-                    "no_room",
+                    "machine_overcommitted",
                     taskName
-                            + " makes "
+                            + " raises the use of "
+                            + machine.id
+                            + " to "
                             + resourceUsage.cpusOnMachine(machine)
-                            + " on "
-                            + machine.id);
+                            + " CPUs");
         }
         if (!spec.allowsMachine(machine.type, machine.zone, machine.spot)
                 || (spec.singleZone() && inZone != ofJob)
                 || (spec.spreadAcrossZones() && inZone > (spec.taskCount() + 1) / 2)) {
-            recordViolation("wrong_place", taskName + " in " + machine.zone);
+            recordViolation(
+                    "placement_constraint",
+                    taskName + " in " + machine.zone + " on " + machine.type);
         }
         checkCancelled(taskName, job);
     }
 
+    /** No task runs longer than the limit after its cancellation was confirmed. */
     private void checkCancelled(String taskName, SimulatedUsers.SimulatedJob job) {
         if (job.cancelConfirmed
                 && simulation.nowMs - job.cancelConfirmedAtMs
                         > simulation.settings.cancellationLimitS() * 1000) {
-            recordViolation("ran_cancelled", taskName);
+            recordViolation("runs_after_cancellation", taskName);
         }
     }
 
+    /** Called when a task no longer runs on a machine, for whatever reason. */
     void taskStopped(SimulatedWorker machine, String taskName) {
-        if (on.get(taskName) == machine) {
-            on.remove(taskName);
+        if (machineOfTask.get(taskName) == machine) {
+            machineOfTask.remove(taskName);
             JobSpec spec =
                     simulation.users.jobs.get(taskName.substring(0, taskName.indexOf('/'))).spec;
             resourceUsage.add(spec, machine, -1);
@@ -106,20 +120,21 @@
     }
 
     boolean isRunning(String taskName) {
-        return on.containsKey(taskName);
+        return machineOfTask.containsKey(taskName);
     }
 
+    /** Called when an attempt of a task completes. */
     void taskCompleted(String taskName) {
         String jobId = taskName.substring(0, taskName.indexOf('/'));
         SimulatedUsers.SimulatedJob job = simulation.users.jobs.get(jobId);
-        if (completed.add(taskName) && job != null && isFinished(job)) {
+        if (completedTasks.add(taskName) && job != null && isFinished(job)) {
             simulation.users.lastTaskCompleted(jobId);
         }
     }
 
     private boolean isFinished(SimulatedUsers.SimulatedJob job) {
         for (int i = 0; i < job.spec.taskCount(); i++) {
-            if (!completed.contains(job.spec.id() + "/" + i)) {
+            if (!completedTasks.contains(job.spec.id() + "/" + i)) {
                 return false;
             }
         }
@@ -127,8 +142,8 @@
     }
 
     /**
-     * Once all faults are over, no job waits for 90 s while a suitable machine has capacity and the
-     * job's team is below its quota.
+     * Once all faults have ended, no job waits for 90 s while a suitable machine has capacity and
+     * the job's team is below its quota. Schedules its next check.
      */
     void checkWaitingJobs() {
         for (SimulatedUsers.SimulatedJob job : simulation.users.jobs.values()) {
@@ -142,9 +157,9 @@
                     recordViolation(
                             "waiting",
                             job.spec.id()
-                                    + " waits since "
+                                    + " has waited since "
                                     + sinceMs
-                                    + " beside a machine with capacity");
+                                    + " although a machine has capacity");
                     waitingSinceMs.put(job.spec.id(), simulation.nowMs);
                 }
             } else {
@@ -154,32 +169,35 @@
         simulation.scheduleAfter(5_000, this::checkWaitingJobs);
     }
 
+    /** Whether no task of the job runs, and one of them could start on a machine now. */
     private boolean canMakeProgress(SimulatedUsers.SimulatedJob job) {
         JobSpec spec = job.spec;
-        boolean waits = false;
+        boolean hasUnfinishedTask = false;
         for (int i = 0; i < spec.taskCount(); i++) {
-            if (on.containsKey(spec.id() + "/" + i)) {
+            if (machineOfTask.containsKey(spec.id() + "/" + i)) {
                 return false;
             }
-            waits |= !completed.contains(spec.id() + "/" + i);
+            hasUnfinishedTask |= !completedTasks.contains(spec.id() + "/" + i);
         }
-        Map<SimulatedWorker, Double> used = new HashMap<>();
-        double team = 0;
-        for (Map.Entry<String, SimulatedWorker> entry : on.entrySet()) {
+        Map<SimulatedWorker, Double> cpusByMachine = new HashMap<>();
+        double teamCpus = 0;
+        for (Map.Entry<String, SimulatedWorker> entry : machineOfTask.entrySet()) {
             JobSpec otherSpec =
                     simulation.users.jobs.get(
                                     entry.getKey().substring(0, entry.getKey().indexOf('/')))
                             .spec;
-            used.merge(entry.getValue(), otherSpec.cpus(), Double::sum);
-            team += otherSpec.team().equals(spec.team()) ? otherSpec.cpus() : 0;
+            cpusByMachine.merge(entry.getValue(), otherSpec.cpus(), Double::sum);
+            teamCpus += otherSpec.team().equals(spec.team()) ? otherSpec.cpus() : 0;
         }
-        if (!waits || team + spec.cpus() > simulation.settings.teams().get(spec.team()).maxCpus()) {
+        if (!hasUnfinishedTask
+                || teamCpus + spec.cpus()
+                        > simulation.settings.teams().get(spec.team()).maxCpus()) {
             return false;
         }
         for (SimulatedWorker machine : simulation.cloud.machines()) {
             if (machine.isHealthy()
                     && spec.allowsMachine(machine.type, machine.zone, machine.spot)
-                    && used.getOrDefault(machine, 0.0) + spec.cpus()
+                    && cpusByMachine.getOrDefault(machine, 0.0) + spec.cpus()
                             <= SimulatedCloud.cpusOfType(machine.type)) {
                 return true;
             }
@@ -188,29 +206,29 @@
     }
 
     /**
-     * Once all faults are over, no job goes without a response for 75 s, whatever happens to
-     * others.
+     * Once all faults have ended, the user of a job gets a response every 75 s, whatever happens to
+     * other jobs.
      */
-    private void checkRecentlyAnswered(SimulatedUsers.SimulatedJob job) {
-        long sinceMs = Math.max(job.answeredAtMs, simulation.faultFreeFromMs);
+    private void checkRecentResponse(SimulatedUsers.SimulatedJob job) {
+        long sinceMs = Math.max(job.lastResponseAtMs, simulation.faultFreeFromMs);
         if (job.accepted
                 && !job.doneConfirmed
                 && !job.cancelConfirmed
-                && simulation.nowMs - sinceMs > MAX_UNANSWERED_MS) {
-            recordViolation("forgotten", job.spec.id() + " unanswered since " + sinceMs);
+                && simulation.nowMs - sinceMs > MAX_WITHOUT_RESPONSE_MS) {
+            recordViolation("no_response", job.spec.id() + " has had no response since " + sinceMs);
         }
     }
 
     /**
-     * What a user is told about a job. A response must be consistent with everything that was told
-     * before the request was sent.
+     * Called when a user receives the status of a job. It must be consistent with every status that
+     * the user had received before the request was sent.
      */
     void statusReported(SimulatedUsers.SimulatedJob job, WireResponse response, long sentAtMs) {
         String id = job.spec.id();
-        checkRecentlyAnswered(job);
-        job.answeredAtMs = simulation.nowMs;
+        checkRecentResponse(job);
+        job.lastResponseAtMs = simulation.nowMs;
         if (response.status() == 404) {
-            recordViolation("forgotten", id);
+            recordViolation("accepted_job_unknown", id + " got 404");
             return;
         }
         String status = (String) response.body().get("status");
@@ -218,15 +236,15 @@
         boolean done = status.equals("done");
         if (done) {
             for (int i = 0; i < job.spec.taskCount(); i++) {
-                if (!completed.contains(id + "/" + i)) {
-                    recordViolation("not_done", id + "/" + i);
+                if (!completedTasks.contains(id + "/" + i)) {
+                    recordViolation("done_too_early", id + "/" + i);
                 }
             }
         }
         if ((job.doneConfirmed && job.doneConfirmedAtMs < sentAtMs && !done)
                 || (job.cancelConfirmed && job.cancelConfirmedAtMs < sentAtMs && !cancelled)
                 || (cancelled && !job.cancelRequested)) {
-            recordViolation("went_back", id + " is now " + status);
+            recordViolation("status_regressed", id + " is now " + status);
         }
         if (cancelled && !job.cancelConfirmed) {
             job.cancelConfirmed = true;
@@ -238,7 +256,10 @@
         }
     }
 
-    /** At the end: at least half of each team's jobs, and of its largest jobs, must be done. */
+    /**
+     * At the end of a run, at least half of each team's jobs, and of its largest jobs, must be
+     * done.
+     */
     void checkHalfOfJobsServed() {
         Map<String, List<SimulatedUsers.SimulatedJob>> teams = new HashMap<>();
         simulation.users.jobs.values().stream()
@@ -265,16 +286,18 @@
     private void checkHalfServed(String description, List<SimulatedUsers.SimulatedJob> jobs) {
         long done = jobs.stream().filter(job -> job.doneConfirmed).count();
         if (2 * done < jobs.size()) {
-            recordViolation("served", done + " of " + jobs.size() + " jobs of " + description);
+            recordViolation(
+                    "too_few_done", done + " of " + jobs.size() + " jobs of " + description);
         }
     }
 
     /**
-     * At the end: tasks of cancelled jobs that still run, and users that still wait for a response.
+     * At the end of a run, checks for tasks of cancelled jobs that still run, and for users that
+     * still wait for a response.
      */
     void checkAtEnd() {
-        simulation.users.jobs.values().forEach(this::checkRecentlyAnswered);
-        on.forEach(
+        simulation.users.jobs.values().forEach(this::checkRecentResponse);
+        machineOfTask.forEach(
                 (taskName, machine) ->
                         checkCancelled(
                                 taskName,
--- a/src/test/java/org/shoreusher/simulation/LeaderFailureTest.java
+++ b/src/test/java/org/shoreusher/simulation/LeaderFailureTest.java
@@ -60,7 +60,7 @@
                         InjectedDefect.NONE,
                         faultOnLeaders(
                                 (cluster, controller) ->
-                                        cluster.store.refuseHost(controller.host, 40_000)));
+                                        cluster.store.rejectHost(controller.host, 40_000)));
         assertEquals(List.of(), simulation.invariants.violations);
         // The lease of 9 s, at most a renewal just before, the successor's delay, and a round of
         // heartbeats from redirected workers.
--- a/src/test/java/org/shoreusher/simulation/MigrationStepsTest.java
+++ b/src/test/java/org/shoreusher/simulation/MigrationStepsTest.java
@@ -60,7 +60,7 @@
      *     heartbeat
      */
     private void placeAllTasksOnFirstMachine(String... unresponsiveMachines) {
-        node.previousLeaderLeft(unresponsiveMachines);
+        node.storeShardOfPreviousLeader(unresponsiveMachines);
         node.runSteps(20);
         workers.add(new ScriptedWorker(node, "host-1"));
         for (int i = 0; i < 3; i++) {
@@ -93,9 +93,9 @@
     private String awaitStopOrder(int reports) {
         for (int i = 0; i < reports; i++) {
             heartbeatAll();
-            if (!firstWorker().tasksToldToStop.isEmpty()) {
-                assertEquals(1, firstWorker().tasksToldToStop.size(), "one migration at a time");
-                return firstWorker().tasksToldToStop.get(0);
+            if (!firstWorker().tasksOrderedToStop.isEmpty()) {
+                assertEquals(1, firstWorker().tasksOrderedToStop.size(), "one migration at a time");
+                return firstWorker().tasksOrderedToStop.get(0);
             }
         }
         return null;
@@ -113,7 +113,7 @@
             heartbeatAll();
             assertEquals(
                     List.of(taskName),
-                    firstWorker().tasksToldToStop,
+                    firstWorker().tasksOrderedToStop,
                     "ordered again until it is gone");
             assertEquals(List.of(), startedElsewhere(), "still on its source");
         }
@@ -209,7 +209,7 @@
                         .orElseThrow();
         other.addRunningTask(taskName, 3);
         heartbeatAll();
-        assertEquals(List.of(taskName), other.tasksToldToStop, "nobody wants it there");
+        assertEquals(List.of(taskName), other.tasksOrderedToStop, "nobody wants it there");
         other.exitTask(taskName, ExitCause.STOPPED, false);
         for (int i = 0; i < 3; i++) {
             heartbeatAll();
@@ -222,7 +222,7 @@
      */
     @Example
     void spreadsTasksOfAHighDemandTeamOnPlacement() {
-        node.previousLeaderLeft();
+        node.storeShardOfPreviousLeader();
         node.runSteps(20);
         for (int i = 1; i <= MACHINES; i++) {
             workers.add(new ScriptedWorker(node, "host-" + i));
@@ -260,7 +260,7 @@
         for (int i = 0; i < 4; i++) {
             heartbeatAll();
         }
-        assertEquals(List.of("wk-999999/0"), workers.get(1).tasksToldToStop);
+        assertEquals(List.of("wk-999999/0"), workers.get(1).tasksOrderedToStop);
         assertTrue(
                 node.log
                         .entries(LogEventType.MIGRATION_STARTED)
@@ -273,7 +273,7 @@
      */
     @Example
     void doesNotMigrateJobsStartedByAPreviousLeader() {
-        node.previousLeaderLeft("host-1");
+        node.storeShardOfPreviousLeader("host-1");
         node.addOpenJob(job());
         node.runSteps(20);
         workers.add(new ScriptedWorker(node, "host-1"));
@@ -284,7 +284,7 @@
         addIdleMachines();
         assertNull(awaitStopOrder(20));
         assertEquals(
-                List.of(), firstWorker().tasksToldToStop, "the tasks are wanted where they are");
+                List.of(), firstWorker().tasksOrderedToStop, "the tasks are wanted where they are");
     }
 
     /**
--- a/src/test/java/org/shoreusher/simulation/MigrationsTest.java
+++ b/src/test/java/org/shoreusher/simulation/MigrationsTest.java
@@ -305,7 +305,7 @@
                 new ClusterSimulation(
                         seed, SimulationSettings.ampleQuota(), 1, InjectedDefect.NONE);
         simulation.features = FEATURES;
-        simulation.hasFeatures = process -> process != 1;
+        simulation.usesFeatures = process -> process != 1;
         for (int i = 0; i < 8; i++) {
             simulation.users.submit(job(i, "team-" + i % 2, 10, 40_000), 1_000 + i * 4_000L);
         }
--- a/src/test/java/org/shoreusher/simulation/OversizedRecordsTest.java
+++ b/src/test/java/org/shoreusher/simulation/OversizedRecordsTest.java
@@ -49,11 +49,12 @@
     }
 
     /**
-     * A 400 would tell the user that the job does not exist, and violate the invariant "forgotten".
+     * A 400 would mean to the user that the job does not exist, and violate the invariant
+     * "submission_rejected".
      */
     @Example
     void laggingNodeAnswersARepeatedSubmissionWithTheJobState() {
-        node.previousLeaderLeft();
+        node.storeShardOfPreviousLeader();
         node.runSteps(40);
         node.store().stallCacheUpdates("node-0", 1_000_000);
         storeOversizedJob();
@@ -62,7 +63,7 @@
 
     @Example
     void rejectsAnOversizedSubmissionOnlyIfTheJobIsUnknown() {
-        node.previousLeaderLeft();
+        node.storeShardOfPreviousLeader();
         node.runSteps(40);
         assertEquals(400, node.submit(oversizedJob()));
         storeOversizedJob();
@@ -73,7 +74,7 @@
     /** The complete record of the cancelled job would be rejected each time. */
     @Example
     void cancelsAnOversizedJob() throws FieldMap.InvalidFieldException {
-        node.previousLeaderLeft();
+        node.storeShardOfPreviousLeader();
         storeOversizedJob();
         node.runSteps(40);
         assertEquals("pending", node.pollStatus(ID));
--- a/src/test/java/org/shoreusher/simulation/PreviousVersionFormatsTest.java
+++ b/src/test/java/org/shoreusher/simulation/PreviousVersionFormatsTest.java
@@ -255,7 +255,7 @@
     @Example
     void restartsAReplicaThatThePreviousVersionMarkedFinished() {
         SingleNodeSimulation node = new SingleNodeSimulation(settingsWithLimits(8_192, 12));
-        node.previousLeaderLeft("host-1");
+        node.storeShardOfPreviousLeader("host-1");
         node.writeToStore(
                 "job/wk-000020",
                 Map.of(
--- a/src/test/java/org/shoreusher/simulation/PreviousVersionInteropTest.java
+++ b/src/test/java/org/shoreusher/simulation/PreviousVersionInteropTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.ShrinkingMode;
 import net.jqwik.api.constraints.LongRange;
 import org.shoreusher.simulation.ClusterSimulation.InjectedDefect;
-import org.shoreusher.simulation.PreviousVersionStore.KnownJob;
+import org.shoreusher.simulation.PreviousVersionStore.StoredJob;
 
 /**
  * A node of this version and one of the version before services acquire the shard from each other,
@@ -69,7 +69,7 @@
             if (simulation.store.value("part/0") == null) {
                 return;
             }
-            Map<String, KnownJob> jobs = store.jobs();
+            Map<String, StoredJob> jobs = store.jobs();
             Map<String, BitSet> finishedNow = store.completedTasks();
             Map<String, Integer> marksNow = store.highWaterMarks();
             jobs.forEach(
@@ -207,7 +207,7 @@
     private static void scheduleFaults(ClusterSimulation simulation, long seed, boolean standby) {
         if (seed % 5 == 0) {
             simulation.scheduleAt(
-                    20_000, () -> simulation.store.loseResponses(4, seed % 2 == 0, 60_000));
+                    20_000, () -> simulation.store.loseReplies(4, seed % 2 == 0, 60_000));
         }
         simulation.scheduleAt(
                 30_000 + simulation.random.nextInt(110_000), simulation.store::applyCurrentLimits);
--- a/src/test/java/org/shoreusher/simulation/PreviousVersionJobs.java
+++ b/src/test/java/org/shoreusher/simulation/PreviousVersionJobs.java
@@ -13,25 +13,28 @@
 import org.shoreusher.wire.UserFormat;
 
 /**
- * The job records that a node of the version before services writes: it accepts, completes and
- * cancels jobs.
+ * Writes job records as a node of the previous version does, which has no services: it accepts,
+ * completes and cancels jobs.
  */
 final class PreviousVersionJobs {
     private final ClusterSimulation simulation;
-    private final int valueBytes;
+    private final int maxValueBytes;
     private final PreviousVersionLeader leader;
     private final PreviousVersionStore store;
     private int nextJobNumber;
 
     PreviousVersionJobs(
-            ClusterSimulation simulation, int valueBytes, PreviousVersionLeader leader) {
+            ClusterSimulation simulation, int maxValueBytes, PreviousVersionLeader leader) {
         this.simulation = simulation;
-        this.valueBytes = valueBytes;
+        this.maxValueBytes = maxValueBytes;
         this.leader = leader;
         store = new PreviousVersionStore(simulation.store);
     }
 
-    /** One job gets a record of its own; several jobs of one batch share a record. */
+    /**
+     * Accepts jobs in one transaction: a single job gets a record of its own, several share a
+     * record.
+     */
     void accept(int count) {
         Map<String, Long> preconditions = new LinkedHashMap<>();
         Map<String, Object> records = new LinkedHashMap<>();
@@ -49,7 +52,7 @@
             preconditions.put("job/" + spec.id(), 0L);
             records.put(spec.id(), record);
             jobs.add(new SimulatedUsers.SimulatedJob(spec, false, 2_000));
-            // The response may be lost: then the job exists, and its user does not know.
+            // If the reply is lost, the job exists, but was never confirmed to its user.
             simulation.users.jobs.put(spec.id(), jobs.get(i));
         }
         leader.send(
@@ -57,7 +60,7 @@
                 Map.of(recordKey(count, records), recordValue(count, records)),
                 status -> {
                     if (status == 200) {
-                        jobs.forEach(simulation.users::acceptedByTestNode);
+                        jobs.forEach(simulation.users::markAccepted);
                     }
                 });
     }
@@ -75,27 +78,29 @@
                 : Map.of("jobs", records);
     }
 
-    /** Some jobs have descriptions that are longer than a value may be after the limits drop. */
-    private JobSpec randomJob(String id, boolean alone) {
-        int types = alone && simulation.random.nextInt(3) == 0 ? 400 : 1;
+    /**
+     * Some jobs have a description that exceeds the maximum value length of the current version.
+     */
+    private JobSpec randomJob(String id, boolean ownRecord) {
+        int types = ownRecord && simulation.random.nextInt(3) == 0 ? 400 : 1;
         return new JobSpecBuilder(id)
                 .team("team-" + simulation.random.nextInt(2))
                 .priority(JobSpec.Priority.values()[1 + simulation.random.nextInt(3)])
-                .taskCount(1 + simulation.random.nextInt(alone && types == 1 ? 120 : 6))
+                .taskCount(1 + simulation.random.nextInt(ownRecord && types == 1 ? 120 : 6))
                 .machineTypes(Collections.nCopies(types, SimulatedCloud.SMALL_TYPE))
                 .spreadAcrossZones(simulation.random.nextInt(4) == 0)
                 .build();
     }
 
-    /** Jobs with all tasks completed get their terminal state. */
+    /** Writes the terminal state of jobs whose tasks have all completed. */
     void completeFinishedJobs(long fencingVersion) {
-        Map<String, BitSet> finished = store.completedTasks();
+        Map<String, BitSet> completedTasks = store.completedTasks();
         store.jobs()
                 .forEach(
                         (id, job) -> {
                             if (job.isOpen()
-                                    && finished.containsKey(id)
-                                    && finished.get(id).cardinality() == job.taskCount()) {
+                                    && completedTasks.containsKey(id)
+                                    && completedTasks.get(id).cardinality() == job.taskCount()) {
                                 writeTerminalState(
                                         fencingVersion,
                                         id,
@@ -107,7 +112,10 @@
                         });
     }
 
-    /** A user cancels a job that this node accepted. */
+    /**
+     * Cancels an accepted job in half of the calls; jobs whose own user cancels are skipped. A null
+     * id is ignored.
+     */
     void cancel(String id) {
         SimulatedUsers.SimulatedJob job = id == null ? null : simulation.users.jobs.get(id);
         if (job == null || !job.accepted || job.userCancels || simulation.random.nextBoolean()) {
@@ -150,7 +158,7 @@
         if (status.equals("DONE")) {
             preconditions.put("part/0/fence", fencingVersion);
         }
-        if (FieldMap.jsonLength(record) <= valueBytes) {
+        if (FieldMap.jsonLength(record) <= maxValueBytes) {
             leader.send(preconditions, Map.of(key, record), onStatus);
         }
     }
--- a/src/test/java/org/shoreusher/simulation/PreviousVersionLeader.java
+++ b/src/test/java/org/shoreusher/simulation/PreviousVersionLeader.java
@@ -8,14 +8,14 @@
 import java.util.Map;
 import java.util.function.IntConsumer;
 import org.shoreusher.core.message.Effect.StoreOperation;
-import org.shoreusher.simulation.PreviousVersionStore.KnownJob;
+import org.shoreusher.simulation.PreviousVersionStore.StoredJob;
 
 /**
- * The store traffic of one node of the version before services. It acquires the shard, renews the
- * lease, records completed and started tasks and machines, accepts, cancels and completes jobs, and
- * may stop between any two writes. The layout, fill level and keys of its records follow that
- * version's rules and are implemented here independently, from its formats. It answers no worker
- * and no user.
+ * The store traffic of a node of the previous version, which has no services. It acquires the
+ * shard, renews the lease, records completed and started tasks and machines, accepts, cancels and
+ * completes jobs, and may stop between any two writes. The keys, layout and fill factor of its
+ * records are those of that version, implemented here independently of the current code. It
+ * responds to no worker and no user.
  */
 final class PreviousVersionLeader {
     private static final double FILL_FACTOR = 0.75;
@@ -24,34 +24,39 @@
     private static final int MARK_OVERHEAD_BYTES = 10;
     private static final long LEASE_MS = 5_000;
     private static final long FAILOVER_WAIT_MS = 250;
+    private static final int MAX_RENEWAL_WRITES = 8;
     static final long WALL_CLOCK_START_MS = 1_700_000_000_000L;
 
     private final ClusterSimulation simulation;
     private final String host;
-    private final int valueBytes;
-    private final int txnOps;
+    private final int maxValueBytes;
+    private final int maxTransactionWrites;
     private final PreviousVersionStore store;
     private String incarnation;
     private long fencingVersion;
     private long leadershipEndsMs;
     private final PreviousVersionJobs jobs;
-    private final Map<String, BitSet> done = new LinkedHashMap<>();
+    private final Map<String, BitSet> completedTasks = new LinkedHashMap<>();
     private final Map<String, Integer> completionRecordOfJob = new HashMap<>();
     private final Map<String, Integer> markRecordOfJob = new HashMap<>();
 
-    /** Failovers to this node whose response arrived. */
+    /** Failovers to this node whose reply arrived. */
     int failovers;
 
-    PreviousVersionLeader(ClusterSimulation simulation, String host, int valueBytes, int txnOps) {
+    PreviousVersionLeader(
+            ClusterSimulation simulation,
+            String host,
+            int maxValueBytes,
+            int maxTransactionWrites) {
         this.simulation = simulation;
         this.host = host;
-        this.valueBytes = valueBytes;
-        this.txnOps = txnOps;
+        this.maxValueBytes = maxValueBytes;
+        this.maxTransactionWrites = maxTransactionWrites;
         store = new PreviousVersionStore(simulation.store);
-        jobs = new PreviousVersionJobs(simulation, valueBytes, this);
+        jobs = new PreviousVersionJobs(simulation, maxValueBytes, this);
     }
 
-    /** Tries to acquire the shard for a while, and acts as its leader as long as it is. */
+    /** For a while, tries to acquire the shard, and acts as its leader while it holds the shard. */
     void lead(long durationMs) {
         leadershipEndsMs = simulation.nowMs + durationMs;
         fencingVersion = 0;
@@ -72,8 +77,8 @@
         simulation.scheduleAfter(150 + simulation.random.nextInt(500), this::step);
     }
 
-    private void performAction(int kind) {
-        switch (kind) {
+    private void performAction(int action) {
+        switch (action) {
             case 0, 1 -> renewLease();
             case 2 -> writeHighWaterMark();
             case 3 -> recordMachines();
@@ -84,30 +89,30 @@
         }
     }
 
-    /** Sends a transaction over the network; the end of the leadership does not stop it. */
+    /** Sends a transaction, which may be executed after the leadership has ended. */
     void send(
             Map<String, Long> preconditions,
             Map<String, Map<String, Object>> writes,
             IntConsumer onStatus) {
         StoreOperation.CompareAndSwap operation =
                 new StoreOperation.CompareAndSwap(preconditions, writes);
-        boolean[] answered = {false};
+        boolean[] replied = {false};
         simulation.network.send(
                 host,
-                "state",
+                SimulatedStore.HOST,
                 () ->
                         simulation.store.handle(
                                 host,
                                 operation,
                                 (status, body) -> {
-                                    if (!answered[0]) {
-                                        answered[0] = true;
+                                    if (!replied[0]) {
+                                        replied[0] = true;
                                         onStatus.accept(status);
                                     }
                                 }));
     }
 
-    /** The incarnation that acts. */
+    /** The current incarnation of this node. */
     String incarnation() {
         return incarnation;
     }
@@ -121,12 +126,12 @@
         return preconditions;
     }
 
-    private Map<String, Object> shardRecord(long term, Map<String, Object> finished) {
+    private Map<String, Object> shardRecord(long term, Map<String, Object> completedRanges) {
         Map<String, Object> record = new LinkedHashMap<>();
         record.put("owner", incarnation);
         record.put("expiry", WALL_CLOCK_START_MS + simulation.nowMs + LEASE_MS);
         record.put("term", term);
-        record.put("done", finished);
+        record.put("done", completedRanges);
         return record;
     }
 
@@ -136,10 +141,10 @@
     }
 
     private void acquireIfExpired() {
-        Map<String, Object> before = simulation.store.value("part/0");
-        if (before != null
+        Map<String, Object> record = simulation.store.value("part/0");
+        if (record != null
                 && WALL_CLOCK_START_MS + simulation.nowMs
-                        <= ((Number) before.get("expiry")).longValue()
+                        <= ((Number) record.get("expiry")).longValue()
                                 + simulation.settings.maxClockOffsetMs()
                                 + FAILOVER_WAIT_MS) {
             return;
@@ -149,7 +154,8 @@
         preconditions.put("part/0", simulation.store.version("part/0"));
         preconditions.put("term", simulation.store.version("term"));
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
-        writes.put("part/0", shardRecord(term, before == null ? Map.of() : finishedRanges(before)));
+        writes.put(
+                "part/0", shardRecord(term, record == null ? Map.of() : completedRanges(record)));
         writes.put("part/0/fence", Map.of("owner", incarnation, "term", term));
         writes.put("term", Map.of("term", term));
         String requester = incarnation;
@@ -165,28 +171,28 @@
     }
 
     @SuppressWarnings("unchecked")
-    private static Map<String, Object> finishedRanges(Map<String, Object> record) {
+    private static Map<String, Object> completedRanges(Map<String, Object> record) {
         return (Map<String, Object>) record.get("done");
     }
 
     private void loadRecords() {
         fencingVersion = simulation.store.version("part/0/fence");
-        done.clear();
+        completedTasks.clear();
         completionRecordOfJob.clear();
         markRecordOfJob.clear();
-        Map<String, KnownJob> jobs = store.jobs();
+        Map<String, StoredJob> jobs = store.jobs();
         store.completedTasks()
                 .forEach(
                         (id, set) -> {
                             if (jobs.containsKey(id) && jobs.get(id).isOpen()) {
-                                done.put(id, set);
+                                completedTasks.put(id, set);
                             }
                         });
         for (int index = 0;
                 index == 0 || simulation.store.value("part/0/done/" + index) != null;
                 index++) {
             int recordNumber = index;
-            finishedRanges(simulation.store.value(index == 0 ? "part/0" : "part/0/done/" + index))
+            completedRanges(simulation.store.value(index == 0 ? "part/0" : "part/0/done/" + index))
                     .keySet()
                     .forEach(id -> completionRecordOfJob.put(id, recordNumber));
         }
@@ -222,77 +228,79 @@
         return open.isEmpty() ? null : open.get(simulation.random.nextInt(open.size()));
     }
 
-    /**
-     * Renews the lease with the completed tasks; some more have completed since the last renewal.
-     */
+    /** Renews the lease, and completes some tasks of a random job. */
     private void renewLease() {
         String jobId = randomOpenJob();
-        Map<String, KnownJob> jobs = store.jobs();
+        Map<String, StoredJob> jobs = store.jobs();
         if (jobId != null) {
-            BitSet set = done.computeIfAbsent(jobId, id -> new BitSet());
+            BitSet tasks = completedTasks.computeIfAbsent(jobId, id -> new BitSet());
             for (int i = 0; i < jobs.get(jobId).taskCount(); i++) {
                 if (simulation.random.nextInt(3) == 0
                         && !simulation.invariants.isRunning(jobId + "/" + i)) {
-                    set.set(i);
+                    tasks.set(i);
                     simulation.invariants.taskCompleted(jobId + "/" + i);
                 }
             }
         }
-        List<Map<String, Object>> chunks = completionRecords(jobs);
+        List<Map<String, Object>> records = completionRecords(jobs);
         Map<String, Long> preconditions = preconditions("part/0");
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
-        writes.put("part/0", shardRecord(term(), chunks.get(0)));
-        for (int index = 1; index < chunks.size() && writes.size() < Math.min(txnOps, 8); index++) {
+        writes.put("part/0", shardRecord(term(), records.get(0)));
+        for (int index = 1;
+                index < records.size()
+                        && writes.size() < Math.min(maxTransactionWrites, MAX_RENEWAL_WRITES);
+                index++) {
             Map<String, Object> stored = simulation.store.value("part/0/done/" + index);
-            if (stored == null || !chunks.get(index).equals(stored.get("done"))) {
-                writes.put("part/0/done/" + index, Map.of("done", chunks.get(index)));
+            if (stored == null || !records.get(index).equals(stored.get("done"))) {
+                writes.put("part/0/done/" + index, Map.of("done", records.get(index)));
             }
         }
         send(preconditions, writes, status -> {});
     }
 
     /**
-     * A job stays in its record; a new one goes to the first record with space for its longest
-     * text.
+     * The completed tasks by record. A job stays in its record; a new one goes to the first record
+     * with space for the longest text of its tasks.
      */
-    private List<Map<String, Object>> completionRecords(Map<String, KnownJob> jobs) {
-        int limit = (int) (valueBytes * FILL_FACTOR);
-        done.keySet().removeIf(id -> !jobs.containsKey(id) || !jobs.get(id).isOpen());
-        Map<Integer, Integer> load = new HashMap<>();
-        done.keySet()
+    private List<Map<String, Object>> completionRecords(Map<String, StoredJob> jobs) {
+        int limit = (int) (maxValueBytes * FILL_FACTOR);
+        completedTasks.keySet().removeIf(id -> !jobs.containsKey(id) || !jobs.get(id).isOpen());
+        Map<Integer, Integer> reservedBytes = new HashMap<>();
+        completedTasks
+                .keySet()
                 .forEach(
                         id -> {
                             if (completionRecordOfJob.containsKey(id)) {
-                                load.merge(
+                                reservedBytes.merge(
                                         completionRecordOfJob.get(id),
                                         worstCaseBytes(jobs, id),
                                         Integer::sum);
                             }
                         });
-        List<Map<String, Object>> chunks = new ArrayList<>(List.of(new LinkedHashMap<>()));
-        done.forEach(
+        List<Map<String, Object>> records = new ArrayList<>(List.of(new LinkedHashMap<>()));
+        completedTasks.forEach(
                 (id, set) -> {
                     int index = completionRecordOfJob.getOrDefault(id, 0);
                     while (!completionRecordOfJob.containsKey(id)
-                            && load.getOrDefault(index, 0) > 0
-                            && load.get(index) + worstCaseBytes(jobs, id) > limit) {
+                            && reservedBytes.getOrDefault(index, 0) > 0
+                            && reservedBytes.get(index) + worstCaseBytes(jobs, id) > limit) {
                         index++;
                     }
                     if (!completionRecordOfJob.containsKey(id)) {
-                        load.merge(index, worstCaseBytes(jobs, id), Integer::sum);
+                        reservedBytes.merge(index, worstCaseBytes(jobs, id), Integer::sum);
                         completionRecordOfJob.put(id, index);
                     }
-                    while (chunks.size() <= index) {
-                        chunks.add(new LinkedHashMap<>());
+                    while (records.size() <= index) {
+                        records.add(new LinkedHashMap<>());
                     }
                     if (!set.isEmpty()) {
-                        chunks.get(index).put(id, formatRanges(set));
+                        records.get(index).put(id, formatRanges(set));
                     }
                 });
-        return chunks;
+        return records;
     }
 
-    private static int worstCaseBytes(Map<String, KnownJob> jobs, String id) {
+    private static int worstCaseBytes(Map<String, StoredJob> jobs, String id) {
         return JOB_OVERHEAD_BYTES + jobs.get(id).taskCount() * BYTES_PER_TASK;
     }
 
@@ -307,8 +315,8 @@
     }
 
     /**
-     * A mark goes to the record that the job is in, else to the first with space; ended jobs are
-     * removed.
+     * Raises the high-water mark of a random job, in the record that has the job's mark, or else in
+     * the first record with space. Marks of ended jobs are removed from that record.
      */
     private void writeHighWaterMark() {
         String jobId = randomOpenJob();
@@ -320,8 +328,8 @@
         Map<String, Object> marks = marksInRecord(recordNumber);
         marks.keySet().retainAll(open);
         while (!markRecordOfJob.containsKey(jobId)
-                && marksLengthBytes(marks) + jobId.length() + MARK_OVERHEAD_BYTES
-                        > valueBytes * FILL_FACTOR) {
+                && maxMarksBytes(marks) + jobId.length() + MARK_OVERHEAD_BYTES
+                        > maxValueBytes * FILL_FACTOR) {
             marks = marksInRecord(++recordNumber);
             marks.keySet().retainAll(open);
         }
@@ -341,20 +349,17 @@
                 });
     }
 
-    private static int marksLengthBytes(Map<String, Object> marks) {
+    private static int maxMarksBytes(Map<String, Object> marks) {
         return marks.keySet().stream().mapToInt(id -> id.length() + MARK_OVERHEAD_BYTES).sum();
     }
 
-    /**
-     * Running machines are recorded in groups of a hundred, as used, whatever smaller groups
-     * contain.
-     */
+    /** Records running machines as used in groups of 100, whatever smaller groups contain them. */
     private void recordMachines() {
         Map<String, Map<String, Object>> groups = new LinkedHashMap<>();
         for (SimulatedWorker machine : simulation.cloud.machines()) {
             if (machine.isUp() && simulation.random.nextBoolean()) {
                 String key = "machine/" + machine.id.substring(0, machine.id.length() - 2);
-                if (groups.size() < txnOps / 2 || groups.containsKey(key)) {
+                if (groups.size() < maxTransactionWrites / 2 || groups.containsKey(key)) {
                     putMachine(groups.computeIfAbsent(key, this::machineGroup), machine);
                 }
             }
--- a/src/test/java/org/shoreusher/simulation/PreviousVersionStore.java
+++ b/src/test/java/org/shoreusher/simulation/PreviousVersionStore.java
@@ -9,9 +9,9 @@
 import java.util.TreeSet;
 
 /**
- * Reads the store as the version before services does. It is written from the formats of that
- * version alone: it skips keys and fields that the version does not know, and uses no code of the
- * current version.
+ * Reads the store as the previous version does, which has no services. It implements the formats of
+ * that version independently of the current code, and ignores keys and fields that the version does
+ * not have.
  */
 final class PreviousVersionStore {
     private final SimulatedStore store;
@@ -20,7 +20,7 @@
         this.store = store;
     }
 
-    /** The task numbers of a text such as 0-4,7. */
+    /** Parses task numbers from a text such as {@code 0-4,7}. */
     static BitSet parseRanges(Object text) {
         BitSet set = new BitSet();
         for (String range : ((String) text).split(",", -1)) {
@@ -35,8 +35,8 @@
     }
 
     /**
-     * Completed tasks by job: those of the shard's own record and of the overflow records up to the
-     * first gap.
+     * Completed tasks by job, from the shard record and from the completion records up to the first
+     * missing number.
      */
     Map<String, BitSet> completedTasks() {
         Map<String, BitSet> all = new HashMap<>();
@@ -55,8 +55,8 @@
     }
 
     /**
-     * High-water marks by job: no task from this number on was ever started. The larger of two
-     * marks counts.
+     * High-water marks by job: no task from this number on was ever started. If two records have a
+     * mark of a job, the larger one applies.
      */
     Map<String, Integer> highWaterMarks() {
         Map<String, Integer> marks = new HashMap<>();
@@ -73,8 +73,9 @@
     }
 
     /**
-     * Machines in any group, and whether all of its records say that it may have run tasks. Which
-     * of two records that version uses depends on the order in which it sees them.
+     * All recorded machines, and whether every record of a machine marks it as used, that is, as
+     * one that may have run tasks. Which of two records the previous version uses depends on the
+     * order in which it reads them.
      */
     Map<String, Boolean> machineUsage() {
         Map<String, Boolean> machines = new HashMap<>();
@@ -83,52 +84,49 @@
                         (key, group) ->
                                 mapField(group, "machines")
                                         .forEach(
-                                                (sign, fields) ->
+                                                (suffix, fields) ->
                                                         machines.merge(
                                                                 key.substring("machine/".length())
-                                                                        + sign,
+                                                                        + suffix,
                                                                 isUsed(fields),
                                                                 Boolean::logicalAnd)));
         return machines;
     }
 
-    /**
-     * Machines of which one record says that they may have run tasks, and another says that they
-     * have not.
-     */
+    /** Machines that one record marks as used and another as unused. */
     Set<String> contradictoryMachines() {
         Map<String, Boolean> all = machineUsage();
-        Set<String> contradicted = new TreeSet<>();
+        Set<String> contradictory = new TreeSet<>();
         store.valuesWithPrefix("machine/")
                 .forEach(
                         (key, group) ->
                                 mapField(group, "machines")
                                         .forEach(
-                                                (sign, fields) -> {
+                                                (suffix, fields) -> {
                                                     String id =
                                                             key.substring("machine/".length())
-                                                                    + sign;
+                                                                    + suffix;
                                                     if (isUsed(fields) && !all.get(id)) {
-                                                        contradicted.add(id);
+                                                        contradictory.add(id);
                                                     }
                                                 }));
-        return contradicted;
+        return contradictory;
     }
 
     private static boolean isUsed(Object fields) {
         return ((Number) ((List<?>) fields).get(5)).longValue() == 1;
     }
 
-    /** A job as that version knows it. */
-    record KnownJob(String status, int taskCount) {
+    /** A job as the previous version reads it. */
+    record StoredJob(String status, int taskCount) {
         boolean isOpen() {
             return status.equals("OPEN");
         }
     }
 
-    /** All jobs: a job's own record takes precedence over a batch record. */
-    Map<String, KnownJob> jobs() {
-        Map<String, KnownJob> jobs = new TreeMap<>();
+    /** All jobs by id. A job's own record takes precedence over a batch record. */
+    Map<String, StoredJob> jobs() {
+        Map<String, StoredJob> jobs = new TreeMap<>();
         store.valuesWithPrefix("arrived/")
                 .forEach(
                         (key, value) ->
@@ -143,14 +141,18 @@
         return jobs;
     }
 
-    private static KnownJob readJob(Map<?, ?> record) {
+    private static StoredJob readJob(Map<?, ?> record) {
         int tasks = ((Number) record.get("tasks")).intValue();
-        KnownJob job = new KnownJob((String) record.get("status"), tasks);
+        StoredJob job = new StoredJob((String) record.get("status"), tasks);
         if (job.isOpen()) {
-            // Any other workload type would crash a process of that version.
+            // Any other workload type would crash a controller of the previous version.
             Object shape = ((Map<?, ?>) record.get("spec")).get("shape");
             if (!"sweep".equals(shape)) {
-                throw new AssertionError("shape " + shape + " in " + record);
+                throw new AssertionError(
+                        "workload type "
+                                + shape
+                                + " is unknown to the previous version: "
+                                + record);
             }
         }
         return job;
--- a/src/test/java/org/shoreusher/simulation/RecordedFormats.java
+++ b/src/test/java/org/shoreusher/simulation/RecordedFormats.java
@@ -27,56 +27,64 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * Stored values and messages of every kind as this version writes them; the resource holds them as
- * they were recorded. {@code main} prints its content anew, for a kind that is added: what is
- * recorded already never changes.
+ * Stored values and messages of every kind as the current version writes them. {@code main} prints
+ * them in the form of the resource {@code recorded-formats.json}. Recorded values never change;
+ * only those of a new kind are copied into the resource.
  */
 public final class RecordedFormats {
     private static final LogStream STREAM = new LogStream(1, 9, "node-0/a1", "node-1/b2", 3);
 
     private RecordedFormats() {}
 
-    /** Prints the content of the resource. */
+    /** Prints the values and messages in the form of the resource. */
     public static void main(String[] args) {
         Map<String, Object> sections = new LinkedHashMap<>();
         sections.put("records", StoredRecords.samples());
         sections.put("node", writtenByNode(Map.of()));
         sections.put("messages", messages());
         StringBuilder text = new StringBuilder("{\n");
-        String section = "";
+        String separator = "";
         for (Map.Entry<String, Object> entry : sections.entrySet()) {
-            text.append(section).append(json(entry.getKey())).append(":{\n");
+            text.append(separator).append(json(entry.getKey())).append(":{\n");
             text.append(
                     ((Map<?, ?>) entry.getValue())
                             .entrySet().stream()
-                                    .map(e -> json(e.getKey()) + ":" + json(e.getValue()))
+                                    .map(
+                                            field ->
+                                                    json(field.getKey())
+                                                            + ":"
+                                                            + json(field.getValue()))
                                     .collect(Collectors.joining(",\n")));
             text.append("\n}");
-            section = ",\n";
+            separator = ",\n";
         }
         System.out.println(text.append("\n}"));
     }
 
+    /** Reads the resource. */
     static FieldMap recorded() throws IOException {
         try (InputStream in = RecordedFormats.class.getResourceAsStream("/recorded-formats.json")) {
             return FieldMap.parseJson(in.readAllBytes());
         }
     }
 
-    /** What a node writes by itself into a store with such values: term, fence, note and types. */
-    static Map<String, Object> writtenByNode(Map<String, Object> before) {
-        Settings usual = SimulationSettings.standard();
-        Settings ofTwo =
-                new SettingsBuilder(usual)
+    /**
+     * What a node writes without any request into a store with these values: the term, the fence of
+     * the shard, its own node record, and the machine types.
+     */
+    static Map<String, Object> writtenByNode(Map<String, Object> stored) {
+        Settings standard = SimulationSettings.standard();
+        Settings twoNodes =
+                new SettingsBuilder(standard)
                         .host(
                                 "node-0",
-                                List.of(new Settings.Member("node-1", usual.peerAddress(), "b")))
+                                List.of(new Settings.Member("node-1", standard.peerAddress(), "b")))
                         .nodeCount(2)
                         .build();
-        SingleNodeSimulation node = new SingleNodeSimulation(ofTwo, StandbySimulations.FEATURES);
-        before.forEach((key, value) -> node.store().putDirectly(key, map(value)));
-        if (before.isEmpty()) {
-            node.cloud = RecordedFormats::types;
+        SingleNodeSimulation node = new SingleNodeSimulation(twoNodes, StandbySimulations.FEATURES);
+        stored.forEach((key, value) -> node.store().putDirectly(key, asMap(value)));
+        if (stored.isEmpty()) {
+            node.cloud = RecordedFormats::replyToListTypes;
         }
         node.runSteps(200);
         Map<String, Object> written = new LinkedHashMap<>();
@@ -86,49 +94,47 @@
         return written;
     }
 
-    private static Command.CloudReply types(CloudOperation op) {
+    private static Command.CloudReply replyToListTypes(CloudOperation operation) {
         Map<String, Object> type = new LinkedHashMap<>();
         type.put("sku", SimulatedCloud.SMALL_TYPE);
         type.put("cpus", 8.0);
         type.put("mem_gb", 32.0);
         type.put("yards", List.of("a", "b"));
-        return op instanceof CloudOperation.ListTypes
+        return operation instanceof CloudOperation.ListTypes
                 ? new Command.CloudReply(0, 200, Map.of("presses", List.of(type)))
                 : new Command.CloudReply(0, 0, null);
     }
 
     @SuppressWarnings("unchecked")
-    static Map<String, Object> map(Object value) {
+    static Map<String, Object> asMap(Object value) {
         return (Map<String, Object>) value;
     }
 
-    // ---- messages ----------------------------------------------------------------------------
-
-    static Map<String, GossipMessage> hints() {
-        Map<Integer, GossipMessage.ShardSummary> parts = new HashMap<>();
-        parts.put(
+    static Map<String, GossipMessage> gossipMessages() {
+        Map<Integer, GossipMessage.ShardSummary> shards = new HashMap<>();
+        shards.put(
                 0,
                 new GossipMessage.ShardSummary(
                         12.5, 3, 4, Map.of("team-0", new GossipMessage.TeamDemand(8, 16.25))));
-        parts.put(1, new GossipMessage.ShardSummary(-1, 0, 0, Map.of()));
+        shards.put(1, new GossipMessage.ShardSummary(-1, 0, 0, Map.of()));
         Map<String, Integer> running = Map.of("wk-000001", 5);
         Map<String, Integer> done = Map.of("wk-000002", 700);
-        Map<String, GossipMessage> hints = new LinkedHashMap<>();
-        hints.put(
+        Map<String, GossipMessage> messages = new LinkedHashMap<>();
+        messages.put(
                 "hint-empty",
                 new GossipMessage("node-0", 5, false, 0, Map.of(), Map.of(), Map.of(), Map.of()));
-        hints.put(
+        messages.put(
                 "hint-full",
                 new GossipMessage(
                         "node-1",
                         1_700_000_000_000L,
                         true,
                         77.5,
-                        parts,
+                        shards,
                         Map.of(1, 300),
                         running,
                         done));
-        return hints;
+        return messages;
     }
 
     static Map<String, StandbyMessage> standbyMessages() {
@@ -149,24 +155,27 @@
         return messages;
     }
 
+    /** All messages as hexadecimal text, by name. */
     static Map<String, Object> messages() {
-        Map<String, Object> hex = new LinkedHashMap<>();
-        hints().forEach((name, hint) -> hex.put(name, hex(new GossipCodec().encode(hint))));
-        standbyMessages().forEach((name, message) -> hex.put(name, hex(MessageBytes.of(message))));
-        return hex;
+        Map<String, Object> hexByName = new LinkedHashMap<>();
+        gossipMessages()
+                .forEach(
+                        (name, message) ->
+                                hexByName.put(name, hex(new GossipCodec().encode(message))));
+        standbyMessages()
+                .forEach((name, message) -> hexByName.put(name, hex(MessageBytes.of(message))));
+        return hexByName;
     }
 
     static String hex(byte[] bytes) {
         return HexFormat.of().formatHex(bytes);
     }
 
-    // ---- text --------------------------------------------------------------------------------
-
-    /** JSON text of values whose texts need no escapes. */
+    /** Formats a value as JSON; its strings must need no escapes. */
     private static String json(Object value) {
         if (value instanceof Map<?, ?> map) {
             return map.entrySet().stream()
-                    .map(e -> json(e.getKey()) + ":" + json(e.getValue()))
+                    .map(field -> json(field.getKey()) + ":" + json(field.getValue()))
                     .collect(Collectors.joining(",", "{", "}"));
         }
         if (value instanceof List<?> list) {
--- a/src/test/java/org/shoreusher/simulation/RecordedFormatsTest.java
+++ b/src/test/java/org/shoreusher/simulation/RecordedFormatsTest.java
@@ -24,13 +24,13 @@
     private static final List<String> WITHOUT_ORDER = List.of("machine/", "part/0/fence");
 
     private static Map<String, Object> section(String name) throws IOException {
-        return RecordedFormats.map(RecordedFormats.recorded().asMap().get(name));
+        return RecordedFormats.asMap(RecordedFormats.recorded().asMap().get(name));
     }
 
     private static String bytes(String key, Object value) {
-        Map<String, Object> map = RecordedFormats.map(value);
+        Map<String, Object> map = RecordedFormats.asMap(value);
         boolean ordered = WITHOUT_ORDER.stream().noneMatch(key::startsWith);
-        return RecordedFormats.hex(FieldMap.toCbor(ordered ? map : EffectHash.byName(map)));
+        return RecordedFormats.hex(FieldMap.toCbor(ordered ? map : EffectHash.sortFields(map)));
     }
 
     @Example
@@ -51,7 +51,7 @@
                                         bytes(
                                                 key,
                                                 StoredRecords.again(
-                                                        key, RecordedFormats.map(value)))));
+                                                        key, RecordedFormats.asMap(value)))));
     }
 
     /** The fields of descriptions, which a record of a job carries unread. */
@@ -62,7 +62,7 @@
         for (String key : now.keySet().stream().filter(k -> k.startsWith("job/")).toList()) {
             assertEquals(
                     StoredRecords.description(now.get(key)),
-                    StoredRecords.description(RecordedFormats.map(recorded.get(key))),
+                    StoredRecords.description(RecordedFormats.asMap(recorded.get(key))),
                     key);
         }
     }
@@ -90,7 +90,7 @@
     @Example
     void recordedMessagesAreReadAndWrittenAgain() throws IOException {
         Map<String, Object> recorded = section("messages");
-        for (Map.Entry<String, GossipMessage> entry : RecordedFormats.hints().entrySet()) {
+        for (Map.Entry<String, GossipMessage> entry : RecordedFormats.gossipMessages().entrySet()) {
             String hex = (String) recorded.get(entry.getKey());
             GossipMessage read = new GossipCodec().decode(HexFormat.of().parseHex(hex));
             assertEquals(entry.getValue(), read);
--- a/src/test/java/org/shoreusher/simulation/ReplyHandler.java
+++ b/src/test/java/org/shoreusher/simulation/ReplyHandler.java
@@ -2,13 +2,13 @@
 
 import java.util.Map;
 
-/** Receives the response to a call of the store or the cloud. */
+/** Receives the reply to a call of the store or the cloud. */
 interface ReplyHandler {
     /**
-     * Takes a response.
+     * Called with the reply, or once the call has timed out.
      *
-     * @param status the HTTP status; 0 if there was no response in time
-     * @param body the fields; null without a body
+     * @param status the HTTP status; 0 if there was no reply in time
+     * @param body the fields of the body; null without a body
      */
-    void respond(int status, Map<String, Object> body);
+    void accept(int status, Map<String, Object> body);
 }
--- a/src/test/java/org/shoreusher/simulation/ResourceUsage.java
+++ b/src/test/java/org/shoreusher/simulation/ResourceUsage.java
@@ -5,8 +5,8 @@
 import org.shoreusher.core.message.JobSpec;
 
 /**
- * The resources that running tasks use, summed by team and by job and zone, so that a simulation of
- * thousands of machines need not count every task at every start.
+ * Running totals of the resources that running tasks use, by machine, by team, and by job and zone.
+ * They spare a simulation of thousands of machines a scan of all tasks at every start.
  */
 final class ResourceUsage {
     private final Map<String, Double> cpusOfTeam = new HashMap<>();
--- a/src/test/java/org/shoreusher/simulation/SaturatedCluster.java
+++ b/src/test/java/org/shoreusher/simulation/SaturatedCluster.java
@@ -9,21 +9,25 @@
 import org.shoreusher.simulation.ClusterSimulation.Fault;
 import org.shoreusher.simulation.ClusterSimulation.InjectedDefect;
 
-/** Three controllers with a warm standby, teams at their quota, and jobs of short tasks. */
+/** A simulation of three controllers with a warm standby, with both teams at their quota. */
 final class SaturatedCluster {
     static final long FAULT_MS = 40_000;
     static final long FAULT_FREE_FROM_MS = 110_000;
     static final long END_MS = 220_000;
 
-    /** Shorter than the workers' lease of 8 s, and longer than a failover, which takes 4 to 6 s. */
+    /**
+     * How long workers are unresponsive: less than their lease of 8 s, and longer than a failover,
+     * which takes 4 to 6 s.
+     */
     static final long UNRESPONSIVE_MS = 6_700;
 
     /**
-     * For this time, in ms, no worker loses a lease that was renewed before: 8 s less the longest
-     * interval between heartbeats.
+     * Once heartbeats are blocked, no worker's lease expires within this time: the lease of 8 s
+     * less the longest interval between heartbeats.
      */
     static final long LEASES_VALID_MS = 6_000;
 
+    /** How long a crashed controller stays down. */
     static final long DOWNTIME_MS = 25_000;
 
     /** Runs a simulation with jobs of short tasks that keep both teams at their quota. */
@@ -50,7 +54,7 @@
         return simulation;
     }
 
-    /** The same with one fault that hits the leader. */
+    /** Runs the same simulation with one fault, which hits the leader. */
     static ClusterSimulation simulate(
             long seed, BiConsumer<ClusterSimulation, SimulatedController> fault) {
         return simulate(seed, List.of(faultOnLeader(FAULT_MS, fault)));
@@ -61,12 +65,15 @@
             long atMs, BiConsumer<ClusterSimulation, SimulatedController> fault) {
         return new Fault(
                 atMs,
-                cluster ->
-                        List.copyOf(FaultInjection.currentLeaders(cluster))
-                                .forEach(controller -> fault.accept(cluster, controller)));
+                simulation ->
+                        List.copyOf(FaultInjection.currentLeaders(simulation))
+                                .forEach(controller -> fault.accept(simulation, controller)));
     }
 
-    /** No invariant was violated, every job has ended, and no heartbeat contradicted a log. */
+    /**
+     * Asserts that no invariant was violated, every job has ended, and no heartbeat contradicted an
+     * attempt log that was promoted.
+     */
     static void assertInvariants(ClusterSimulation simulation) {
         assertEquals(List.of(), simulation.invariants.violations, simulation.log::toString);
         assertEquals(List.of(), simulation.users.unfinishedJobs(), simulation.log::toString);
@@ -77,12 +84,12 @@
                 simulation.log::toString);
     }
 
-    /** How many failovers continued from the replicated log. */
+    /** How many failovers promoted the replicated attempt log. */
     static int promotionsInSync(ClusterSimulation simulation) {
         return StandbySimulations.promotionOutcomes(simulation).getOrDefault("in_sync", 0);
     }
 
-    /** The controller that the shard's record names as the standby; null if it names none. */
+    /** The controller that the shard record names as the standby; null if it names none. */
     static SimulatedController namedStandby(ClusterSimulation simulation) {
         Map<String, Object> record = simulation.store.value("part/0");
         Object standby = record == null ? null : record.get("standby");
@@ -95,7 +102,9 @@
                 .orElse(null);
     }
 
-    /** How many failovers found that the record names another incarnation, or none. */
+    /**
+     * How many failovers found that the shard record names another incarnation as standby, or none.
+     */
     static int promotionsWithoutName(ClusterSimulation simulation) {
         return StandbySimulations.promotionOutcomes(simulation).getOrDefault("not_named", 0);
     }
--- a/src/test/java/org/shoreusher/simulation/ScriptedWorker.java
+++ b/src/test/java/org/shoreusher/simulation/ScriptedWorker.java
@@ -9,8 +9,8 @@
 import org.shoreusher.core.message.WorkerHeartbeat.TaskStatus;
 
 /**
- * A worker that sends heartbeats when a test says so and records its orders; it does nothing by
- * itself.
+ * A worker that a test controls: it sends a heartbeat only when the test calls for one, records its
+ * orders, and changes the state of a task only on an order or a call.
  */
 final class ScriptedWorker {
     /** A task that was started here, with its attempt number. */
@@ -21,13 +21,14 @@
     private final Map<String, TaskStatus> tasks = new LinkedHashMap<>();
     private long sequenceNumber;
 
-    /** The fencing token in its heartbeats. */
+    /** The fencing token that its heartbeats carry. */
     long fencingToken;
 
-    /** What the response to the last heartbeat started, and which tasks it ordered to stop. */
+    /** The tasks that the response to the last heartbeat started. */
     List<StartedTask> startedTasks = List.of();
 
-    List<String> tasksToldToStop = List.of();
+    /** The tasks that the response to the last heartbeat ordered to stop. */
+    List<String> tasksOrderedToStop = List.of();
 
     ScriptedWorker(SingleNodeSimulation node, String id) {
         this.node = node;
@@ -39,14 +40,14 @@
     }
 
     /**
-     * Sends a heartbeat, and executes the start and forget orders of the response; stop orders are
-     * only recorded.
+     * Sends a heartbeat, and executes the {@code run} and {@code forget} orders of the response;
+     * {@code halt} orders are only recorded.
      */
     void sendHeartbeat() {
         node.heartbeat(
                 id, ++sequenceNumber, fencingToken, tasks.values().toArray(new TaskStatus[0]));
         startedTasks = new ArrayList<>();
-        tasksToldToStop = new ArrayList<>();
+        tasksOrderedToStop = new ArrayList<>();
         List<Map<?, ?>> orders = node.lastOrders();
         if (orders != null) {
             orders.forEach(this::execute);
@@ -61,22 +62,22 @@
                 startedTasks.add(new StartedTask(name, attemptNumber));
                 putTask(name, attemptNumber, TaskState.RUNNING, ExitCause.NONE, false);
             }
-            case "halt" -> tasksToldToStop.add(name);
+            case "halt" -> tasksOrderedToStop.add(name);
             default -> tasks.remove(name);
         }
     }
 
-    /** The task has exited here. */
+    /** Marks a running task as exited, for the next heartbeat. */
     void exitTask(String name, ExitCause exitCause, boolean saved) {
         putTask(name, tasks.get(name).attemptNumber(), TaskState.EXITED, exitCause, saved);
     }
 
-    /** The task runs here under an attempt of a previous leader. */
+    /** Adds a running task, as if a previous leader had started it with this attempt number. */
     void addRunningTask(String name, long attemptNumber) {
         putTask(name, attemptNumber, TaskState.RUNNING, ExitCause.NONE, false);
     }
 
-    /** The number of tasks in its heartbeats. */
+    /** The number of tasks that its heartbeats report. */
     int taskCount() {
         return tasks.size();
     }
--- a/src/test/java/org/shoreusher/simulation/ServiceFaultsTest.java
+++ b/src/test/java/org/shoreusher/simulation/ServiceFaultsTest.java
@@ -233,7 +233,7 @@
                         FaultInjection.currentLeaders(cluster)
                                 .forEach(
                                         controller ->
-                                                cluster.store.refuseHost(controller.host, 50_000));
+                                                cluster.store.rejectHost(controller.host, 50_000));
                         cancelAll(cluster, 500);
                         cluster.scheduleAfter(6_000, () -> cluster.store.outage(40_000));
                     });
--- a/src/test/java/org/shoreusher/simulation/ServiceReplicaTest.java
+++ b/src/test/java/org/shoreusher/simulation/ServiceReplicaTest.java
@@ -32,7 +32,7 @@
     }
 
     private void startWithOneMachine() {
-        node.previousLeaderLeft("host-1");
+        node.storeShardOfPreviousLeader("host-1");
         node.runSteps(40);
         node.heartbeat("host-1", nextSequenceNumber++, 5);
         node.runSteps(3);
@@ -119,7 +119,7 @@
     @Example
     void doesNotBlameMachinesForAReplicaThatFailsEverywhere() {
         List<String> machines = List.of("host-1", "host-2", "host-3");
-        node.previousLeaderLeft(machines.toArray(new String[0]));
+        node.storeShardOfPreviousLeader(machines.toArray(new String[0]));
         node.runSteps(40);
         machines.forEach(machine -> node.heartbeat(machine, nextSequenceNumber++, 5));
         node.runSteps(3);
--- a/src/test/java/org/shoreusher/simulation/ServiceSupportTest.java
+++ b/src/test/java/org/shoreusher/simulation/ServiceSupportTest.java
@@ -22,7 +22,7 @@
                         .nodeCount(2)
                         .build();
         SingleNodeSimulation node = new SingleNodeSimulation(ofTwoNodes);
-        node.previousLeaderLeft();
+        node.storeShardOfPreviousLeader();
         node.runSteps(40);
         return node;
     }
--- a/src/test/java/org/shoreusher/simulation/ServicesTest.java
+++ b/src/test/java/org/shoreusher/simulation/ServicesTest.java
@@ -165,7 +165,7 @@
         long drop = from + simulation.random.nextInt(60_000);
         simulation.scheduleAt(drop, simulation.store::applyCurrentLimits);
         simulation.scheduleAt(
-                drop - 2_000, () -> simulation.store.loseResponses(3, seed % 2 == 0, 6_000));
+                drop - 2_000, () -> simulation.store.loseReplies(3, seed % 2 == 0, 6_000));
         if (seed % 4 < 2) {
             simulation.scheduleAt(
                     drop - simulation.random.nextInt(1_000),
--- a/src/test/java/org/shoreusher/simulation/SimulatedCloud.java
+++ b/src/test/java/org/shoreusher/simulation/SimulatedCloud.java
@@ -10,20 +10,23 @@
 import org.shoreusher.core.message.ReplyStatus;
 
 /**
- * A simulated cloud with inventories that lag and machines that never boot. It has one machine
- * type. With more than two zones it also has a large type, which is cheaper per CPU, has little
- * capacity, and is the only type in the last zone.
+ * A simulated cloud whose inventory lags and of whose machines one in twelve never boots. It has
+ * one machine type. With more than two zones it also has a large type, which is cheaper per CPU,
+ * has little capacity, and is the only type in the last zone.
  */
 final class SimulatedCloud {
+    /** The host name of the cloud in the simulated network. */
+    static final String HOST = "cloud";
+
     static final String SMALL_TYPE = "box";
     static final double SMALL_CPUS = 8;
     static final String LARGE_TYPE = "large";
     static final double LARGE_CPUS = 32;
 
-    /** Machines in a page of an inventory. */
+    /** Machines in a page of the inventory. */
     private static final int PAGE_SIZE = 500;
 
-    /** Interval between two inventories, in ms. */
+    /** Interval between two snapshots of the inventory. */
     private static final long SNAPSHOT_INTERVAL_MS = 500;
 
     private final ClusterSimulation simulation;
@@ -31,12 +34,12 @@
     private final TreeMap<String, SimulatedWorker> machines = new TreeMap<>();
     private final Map<String, SimulatedWorker> machineByAddress = new HashMap<>();
     private final TreeMap<Long, List<Object>> snapshots = new TreeMap<>();
-    private final Map<String, Map<String, Object>> responsesByRequestName = new HashMap<>();
+    private final Map<String, Map<String, Object>> repliesByRequestName = new HashMap<>();
     private long outageUntilMs;
-    private int machinesNamed;
+    private int machinesProvisioned;
     private int peakMachines;
 
-    /** Whether machines boot within two seconds. */
+    /** Whether machines boot within 2 s rather than 8.5 s. */
     boolean fastBoots;
 
     SimulatedCloud(ClusterSimulation simulation, int capacity) {
@@ -49,6 +52,7 @@
         return type.equals(LARGE_TYPE) ? LARGE_CPUS : SMALL_CPUS;
     }
 
+    /** Replies with status 503 to every request for a while. */
     void outage(long durationMs) {
         outageUntilMs = simulation.nowMs + durationMs;
     }
@@ -62,15 +66,17 @@
         return peakMachines;
     }
 
-    /** The machine of that name; null if it does not exist. */
+    /** The machine with this id; null if it does not exist. */
     SimulatedWorker machine(String id) {
         return machines.get(id);
     }
 
+    /** The machine with this address; null if it does not exist. */
     SimulatedWorker machineByAddress(String address) {
         return machineByAddress.get(address);
     }
 
+    /** Terminates a machine; its tasks stop. */
     void terminate(SimulatedWorker machine) {
         machines.remove(machine.id);
         machineByAddress.remove(machine.address());
@@ -90,41 +96,39 @@
             list.add(fields);
         }
         snapshots.put(simulation.nowMs, list);
-        snapshots.headMap(simulation.nowMs - 2 * listLagMs() - SNAPSHOT_INTERVAL_MS).clear();
+        snapshots.headMap(simulation.nowMs - 2 * inventoryLagMs() - SNAPSHOT_INTERVAL_MS).clear();
         simulation.scheduleAfter(SNAPSHOT_INTERVAL_MS, this::takeSnapshot);
     }
 
-    private long listLagMs() {
+    private long inventoryLagMs() {
         return (long) (simulation.settings.inventoryLagS() * 1000);
     }
 
-    /**
-     * A page of an inventory, which may be older than the one that the page before was taken from.
-     */
-    private Map<String, Object> page(String after) {
-        long lag = (long) (listLagMs() * 2 * simulation.random.nextDouble());
-        List<Object> list = snapshots.floorEntry(Math.max(0, simulation.nowMs - lag)).getValue();
+    /** A page of the inventory. Its snapshot may be older than that of the previous page. */
+    private Map<String, Object> page(String afterMachineId) {
+        long lagMs = (long) (inventoryLagMs() * 2 * simulation.random.nextDouble());
+        List<Object> list = snapshots.floorEntry(Math.max(0, simulation.nowMs - lagMs)).getValue();
         int first = 0;
-        while (after != null
+        while (afterMachineId != null
                 && first < list.size()
-                && machineName(list.get(first)).compareTo(after) <= 0) {
+                && machineId(list.get(first)).compareTo(afterMachineId) <= 0) {
             first++;
         }
         int last = Math.min(list.size(), first + PAGE_SIZE);
         return Map.of("boxes", list.subList(first, last), "more", last < list.size());
     }
 
-    private static String machineName(Object listed) {
+    private static String machineId(Object listed) {
         return (String) ((Map<?, ?>) listed).get("name_id");
     }
 
-    void handle(CloudOperation operation, ReplyHandler reply) {
+    void handle(CloudOperation operation, ReplyHandler onReply) {
         if (simulation.nowMs < outageUntilMs) {
-            reply.respond(ReplyStatus.SERVICE_UNAVAILABLE, Map.of("error", "trouble"));
+            onReply.accept(ReplyStatus.SERVICE_UNAVAILABLE, Map.of("error", "cloud outage"));
         } else if (operation instanceof CloudOperation.ListTypes) {
-            reply.respond(ReplyStatus.OK, Map.of("presses", machineTypes()));
+            onReply.accept(ReplyStatus.OK, Map.of("presses", machineTypes()));
         } else if (operation instanceof CloudOperation.ListMachines listing) {
-            reply.respond(ReplyStatus.OK, page(listing.afterMachineId()));
+            onReply.accept(ReplyStatus.OK, page(listing.afterMachineId()));
         } else if (operation instanceof CloudOperation.Terminate termination) {
             for (String id : termination.machineIds()) {
                 SimulatedWorker machine = machines.get(id);
@@ -132,9 +136,9 @@
                     terminate(machine);
                 }
             }
-            reply.respond(ReplyStatus.OK, Map.of());
+            onReply.accept(ReplyStatus.OK, Map.of());
         } else {
-            provision((CloudOperation.Provision) operation, reply);
+            provision((CloudOperation.Provision) operation, onReply);
         }
     }
 
@@ -178,10 +182,10 @@
         return types;
     }
 
-    private void provision(CloudOperation.Provision provision, ReplyHandler reply) {
-        Map<String, Object> before = responsesByRequestName.get(provision.name());
-        if (before != null) {
-            reply.respond(ReplyStatus.OK, before);
+    private void provision(CloudOperation.Provision provision, ReplyHandler onReply) {
+        Map<String, Object> previousReply = repliesByRequestName.get(provision.name());
+        if (previousReply != null) {
+            onReply.accept(ReplyStatus.OK, previousReply);
             return;
         }
         long used =
@@ -199,12 +203,12 @@
                                 (provision.type().equals(LARGE_TYPE) ? 1 + capacity / 8 : capacity)
                                         - used);
         if (count <= 0) {
-            reply.respond(ReplyStatus.SERVICE_UNAVAILABLE, Map.of("error", "no capacity"));
+            onReply.accept(ReplyStatus.SERVICE_UNAVAILABLE, Map.of("error", "no capacity"));
             return;
         }
-        List<Object> names = new ArrayList<>();
+        List<Object> ids = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            String id = String.format("host-%06d", machinesNamed++);
+            String id = String.format("host-%06d", machinesProvisioned++);
             SimulatedWorker machine =
                     new SimulatedWorker(
                             simulation,
@@ -212,10 +216,10 @@
                             provision.type(),
                             provision.zone(),
                             provision.spot(),
-                            machinesNamed);
+                            machinesProvisioned);
             machines.put(id, machine);
             machineByAddress.put(machine.address(), machine);
-            names.add(id);
+            ids.add(id);
             if (simulation.random.nextInt(12) > 0) {
                 simulation.scheduleAfter(
                         fastBoots
@@ -225,8 +229,8 @@
             }
         }
         peakMachines = Math.max(peakMachines, machines.size());
-        Map<String, Object> answer = Map.of("boxes", names);
-        responsesByRequestName.put(provision.name(), answer);
-        reply.respond(ReplyStatus.OK, answer);
+        Map<String, Object> reply = Map.of("boxes", ids);
+        repliesByRequestName.put(provision.name(), reply);
+        onReply.accept(ReplyStatus.OK, reply);
     }
 }
--- a/src/test/java/org/shoreusher/simulation/SimulatedController.java
+++ b/src/test/java/org/shoreusher/simulation/SimulatedController.java
@@ -19,7 +19,7 @@
 import org.shoreusher.settings.SettingsBuilder;
 import org.shoreusher.settings.SharedConstants;
 
-/** One controller: a core with clocks, which can crash and restart. */
+/** A controller: a core with drifting clocks, which can crash, pause and restart. */
 final class SimulatedController {
     private final ClusterSimulation simulation;
     final String host;
@@ -36,7 +36,10 @@
     private boolean upgraded;
     final CrashInjector crashInjector = new CrashInjector();
 
-    /** Not started with the others, but by its upgrade only; a test acts for it until then. */
+    /**
+     * Whether it first starts when it is upgraded; until then a {@link PreviousVersionLeader} of
+     * the test stands in for it.
+     */
     boolean startsOnUpgradeOnly;
 
     SimulatedController(ClusterSimulation simulation, String host, int index) {
@@ -64,7 +67,7 @@
     }
 
     private Features enabledFeatures() {
-        return simulation.hasFeatures.test(index) ? simulation.features : Features.NONE;
+        return simulation.usesFeatures.test(index) ? simulation.features : Features.NONE;
     }
 
     private Settings localSettings() {
@@ -89,26 +92,26 @@
         simulation.scheduleAfter(restartAfterMs, this::start);
     }
 
-    /** Whether it runs the previous version, with that version's limits. */
+    /** Whether it runs with the limits of the previous version. */
     boolean runsPreviousVersion() {
         return simulation.previousSettings != null && !upgraded;
     }
 
-    /** Runs the current version from its first start on. */
+    /** Makes it run the current version from its first start. */
     void startUpgraded() {
         upgraded = true;
     }
 
     /**
-     * Restarts with the current limits; a process that crashes before its upgrade restarts as it
-     * was.
+     * Restarts with the current limits. A process that crashes before its upgrade restarts with the
+     * limits of the previous version.
      */
     void upgrade(long restartAfterMs) {
         upgraded = true;
         crash(restartAfterMs);
     }
 
-    /** Gives it no processor for a while. */
+    /** The process executes nothing for a while; its input is queued. */
     void pause(long durationMs) {
         pausedUntilMs = simulation.nowMs + durationMs;
     }
@@ -117,10 +120,11 @@
         return node != null;
     }
 
-    private void tick(int ofIncarnation) {
-        if (incarnation == ofIncarnation) {
+    private void tick(int expectedIncarnation) {
+        if (incarnation == expectedIncarnation) {
             enqueue(new Command.Tick());
-            simulation.scheduleAfter(ServiceConstants.TICK_INTERVAL_MS, () -> tick(ofIncarnation));
+            simulation.scheduleAfter(
+                    ServiceConstants.TICK_INTERVAL_MS, () -> tick(expectedIncarnation));
         }
     }
 
@@ -150,14 +154,14 @@
                 new ClockReading(
                         1_000_000L * (index + 1) + (long) (simulation.nowMs * (1 + clockDrift)),
                         1_700_000_000_000L + simulation.nowMs + wallClockOffsetMs);
-        int ofIncarnation = incarnation;
+        int expectedIncarnation = incarnation;
         for (Effect effect : node.step(reading, batch)) {
-            if (incarnation == ofIncarnation && crashInjector.isDueBefore(effect)) {
+            if (incarnation == expectedIncarnation && crashInjector.shouldCrashBefore(effect)) {
                 crash(crashInjector.restartAfterMs());
                 simulation.crashes++;
                 simulation.onCrash.run();
             }
-            if (incarnation != ofIncarnation) {
+            if (incarnation != expectedIncarnation) {
                 return;
             }
             execute(effect);
@@ -168,23 +172,23 @@
         return simulation.settings.zones().get(index % simulation.settings.zones().size());
     }
 
-    /** A request arrives; the consumer gets the response, unless the process crashes first. */
-    void request(LongFunction<Command> command, Consumer<WireResponse> response) {
+    /** Receives a request. The consumer gets the response, unless the process crashes first. */
+    void request(LongFunction<Command> command, Consumer<WireResponse> onResponse) {
         if (node == null) {
             return;
         }
         long id = nextRequestId++;
-        pendingRequests.put(id, response);
+        pendingRequests.put(id, onResponse);
         enqueue(command.apply(id));
     }
 
     private void execute(Effect effect) {
-        int ofIncarnation = incarnation;
+        int expectedIncarnation = incarnation;
         simulation.onEffect.accept(host, effect);
         if (effect instanceof Effect.Respond response) {
-            Consumer<WireResponse> destination = pendingRequests.remove(response.requestId());
-            if (destination != null) {
-                destination.accept(WireResponse.of(response));
+            Consumer<WireResponse> onResponse = pendingRequests.remove(response.requestId());
+            if (onResponse != null) {
+                onResponse.accept(WireResponse.of(response));
             }
         } else if (effect instanceof Effect.StoreCall call) {
             long timeoutMs =
@@ -193,18 +197,18 @@
                                     ? watch.blockMs()
                                     : 0);
             call(
-                    ofIncarnation,
-                    "state",
+                    expectedIncarnation,
+                    SimulatedStore.HOST,
                     timeoutMs,
                     (status, body) -> enqueue(new Command.StoreReply(call.callId(), status, body)),
-                    reply -> simulation.store.handle(host, call.operation(), reply));
+                    onReply -> simulation.store.handle(host, call.operation(), onReply));
         } else if (effect instanceof Effect.CloudCall call) {
             call(
-                    ofIncarnation,
-                    "cloud",
+                    expectedIncarnation,
+                    SimulatedCloud.HOST,
                     CloudConstants.CLOUD_TIMEOUT_MS,
                     (status, body) -> enqueue(new Command.CloudReply(call.callId(), status, body)),
-                    reply -> simulation.cloud.handle(call.operation(), reply));
+                    onReply -> simulation.cloud.handle(call.operation(), onReply));
         } else if (effect instanceof Effect.SendOrders orders) {
             SimulatedWorker worker = simulation.cloud.machineByAddress(orders.workerAddress());
             if (worker != null) {
@@ -219,8 +223,8 @@
                             () -> controller.enqueue(new Command.Gossip(gossip.message())));
                 }
             }
-        } else if (effect instanceof Effect.SendStandbyMessage send) {
-            sendStandbyMessage(send);
+        } else if (effect instanceof Effect.SendStandbyMessage message) {
+            sendStandbyMessage(message);
         } else if (effect instanceof Effect.Log logLine) {
             EventLog.Entry entry = simulation.log.add(simulation.nowMs, host, logLine.event());
             simulation.onLog.accept(entry);
@@ -242,9 +246,12 @@
         }
     }
 
-    /** A call may be executed after its caller has given up, and its response may be lost. */
+    /**
+     * Calls the store or the cloud. The call may be executed after its timeout, and a reply that
+     * arrives later than the timeout is dropped.
+     */
     private void call(
-            int ofIncarnation,
+            int expectedIncarnation,
             String destination,
             long timeoutMs,
             ReplyHandler onReply,
@@ -253,9 +260,9 @@
         simulation.scheduleAfter(
                 timeoutMs,
                 () -> {
-                    if (!ended[0] && incarnation == ofIncarnation) {
+                    if (!ended[0] && incarnation == expectedIncarnation) {
                         ended[0] = true;
-                        onReply.respond(ReplyStatus.NO_REPLY, null);
+                        onReply.accept(ReplyStatus.NO_REPLY, null);
                     }
                 });
         simulation.network.send(
@@ -269,9 +276,10 @@
                                             destination,
                                             host,
                                             () -> {
-                                                if (!ended[0] && incarnation == ofIncarnation) {
+                                                if (!ended[0]
+                                                        && incarnation == expectedIncarnation) {
                                                     ended[0] = true;
-                                                    onReply.respond(status, copied);
+                                                    onReply.accept(status, copied);
                                                 }
                                             });
                                 }));
--- a/src/test/java/org/shoreusher/simulation/SimulatedNetwork.java
+++ b/src/test/java/org/shoreusher/simulation/SimulatedNetwork.java
@@ -3,11 +3,11 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The simulated network: it delays, duplicates and holds messages. */
+/** The simulated network, which delays and duplicates messages and holds them during partitions. */
 final class SimulatedNetwork {
     private final ClusterSimulation simulation;
 
-    /** Pairs of partitioned hosts, with the end of the partition in ms. */
+    /** The end of the partition of a pair of hosts, by {@link #linkKey}; in ms. */
     private final Map<String, Long> partitionedUntilMs = new HashMap<>();
 
     /** Messages of any kind that were delivered twice. */
@@ -17,7 +17,7 @@
         this.simulation = simulation;
     }
 
-    /** Partitions two hosts from each other: their messages are held until the end. */
+    /** Partitions two hosts: messages between them are held until the partition ends. */
     void partition(String firstHost, String secondHost, long durationMs) {
         partitionedUntilMs.put(linkKey(firstHost, secondHost), simulation.nowMs + durationMs);
     }
@@ -29,14 +29,14 @@
     }
 
     /**
-     * Delivers a message after some ms, or after the end of a partition. One in 500 is later than a
-     * timeout, and one in 80 arrives once more, up to 40 s later. This covers submissions,
-     * cancellations, transactions, provision and termination requests, direct orders, gossip, and
-     * all their responses.
+     * Delivers a message after 1 to 8 ms, or after the end of a partition. One in 500 is delayed by
+     * 2 to 6 s, so that calls time out, and one in 80 is delivered again up to 40 s later. This
+     * covers submissions, cancellations, transactions, provision and termination requests, direct
+     * orders, gossip, and all their responses and replies.
      */
-    void send(String source, String destination, Runnable arrive) {
+    void send(String source, String destination, Runnable deliver) {
         long delayMs = 1 + simulation.random.nextInt(8);
-        // More of them where late responses are to do harm.
+        // More late messages with the defect that only late responses expose.
         if (simulation.random.nextInt(
                         simulation.injectedDefect
                                         == ClusterSimulation.InjectedDefect.LATE_RESPONSES_EXECUTED
@@ -46,7 +46,7 @@
             delayMs += 2_000 + simulation.random.nextInt(4_000);
         }
         long untilMs = partitionedUntilMs.getOrDefault(linkKey(source, destination), 0L);
-        simulation.scheduleAt(Math.max(simulation.nowMs, untilMs) + delayMs, arrive);
+        simulation.scheduleAt(Math.max(simulation.nowMs, untilMs) + delayMs, deliver);
         if (simulation.random.nextInt(80) == 0) {
             simulation.scheduleAt(
                     Math.max(simulation.nowMs, untilMs)
@@ -56,16 +56,18 @@
                                     simulation.random.nextBoolean() ? 200 : 40_000),
                     () -> {
                         duplicatedMessages++;
-                        arrive.run();
+                        deliver.run();
                     });
         }
     }
 
-    /** Isolates a zone from everything else: its machines and its node still reach each other. */
+    /**
+     * Partitions the machines and the node of a zone from everything else, but not from each other.
+     */
     void isolateZone(String zone, String nodeInIt, long durationMs) {
-        partition(nodeInIt, "state", durationMs);
-        partition(nodeInIt, "cloud", durationMs);
-        partition(nodeInIt, "user", durationMs);
+        partition(nodeInIt, SimulatedStore.HOST, durationMs);
+        partition(nodeInIt, SimulatedCloud.HOST, durationMs);
+        partition(nodeInIt, SimulatedUsers.HOST, durationMs);
         for (SimulatedController controller : simulation.controllers) {
             if (!controller.host.equals(nodeInIt)) {
                 partition(nodeInIt, controller.host, durationMs);
--- a/src/test/java/org/shoreusher/simulation/SimulatedStore.java
+++ b/src/test/java/org/shoreusher/simulation/SimulatedStore.java
@@ -15,33 +15,39 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * A simulated key-value store that follows the protocol. It keeps few changes, so that 410
- * responses occur.
+ * A simulated key-value store that implements the protocol. Its change log is short, so that
+ * watches are also rejected with status 410 (GONE).
  */
 final class SimulatedStore {
+    /** The host name of the store in the simulated network. */
+    static final String HOST = "store";
+
     private static final int CHANGE_LOG_SIZE = 300;
 
+    /** Keys in a page: few, so that a scan takes several pages and writes come between them. */
+    private static final int PAGE_SIZE = 20;
+
     /** A stored value with its version. */
     private record StoredValue(Map<String, Object> value, long version) {}
 
-    /** A change in the log; a null value means that the key was removed. */
+    /** A change in the change log; a null value means that the key was removed. */
     private record Change(long revision, String key, Map<String, Object> value) {}
 
-    /** An open watch. */
+    /** A watch without a reply so far; it gets an empty one at {@code untilMs}. */
     private record PendingWatch(
-            StoreOperation.Watch watch, String host, long untilMs, ReplyHandler reply) {}
+            StoreOperation.Watch watch, String host, long untilMs, ReplyHandler onReply) {}
 
     private final ClusterSimulation simulation;
     private final TreeMap<String, StoredValue> values = new TreeMap<>();
     private final List<Change> changeLog = new ArrayList<>();
     private final List<PendingWatch> pendingWatches = new ArrayList<>();
-    private final Map<String, Long> refusedUntilMs = new HashMap<>();
+    private final Map<String, Long> rejectedUntilMs = new HashMap<>();
     private long revision;
     private long compactedRevision;
     private final Map<String, Long> cacheUpdatesStalledUntilMs = new HashMap<>();
     private long outageUntilMs;
-    private long responsesLostUntilMs;
-    private int responsesLostOfTen;
+    private long repliesLostUntilMs;
+    private int repliesLostPerTen;
     private boolean lostWritesApplyAtOnce;
     private long slowUntilMs;
     private int maxSlowdownMs;
@@ -49,8 +55,8 @@
     /** Called for every transaction that has changed something, with the host that sent it. */
     Consumer<String> onWrite = host -> {};
 
-    /** Transactions that got no response: executed at once, or late. */
-    int responsesLost;
+    /** Transactions that got no reply; they were executed at once or late. */
+    int repliesLost;
 
     private Settings limitsInForce;
     private final TokenBucket requestTokens;
@@ -59,10 +65,10 @@
     /** Requests of any kind. */
     int requestsHandled;
 
-    /** Requests that were refused because of the rate limits. */
+    /** Requests that were rejected because of the rate limits. */
     int requestsThrottled;
 
-    /** Batch records written, which hold jobs that were accepted together. */
+    /** Batch records written; each holds jobs that were accepted in one transaction. */
     int batchedSubmissions;
 
     SimulatedStore(ClusterSimulation simulation) {
@@ -82,7 +88,7 @@
         outageUntilMs = simulation.nowMs + durationMs;
     }
 
-    /** The current version's limits come into force. */
+    /** Replaces the limits of the previous version by those of the current version. */
     void applyCurrentLimits() {
         limitsInForce = simulation.settings;
         writeTokens =
@@ -90,13 +96,15 @@
     }
 
     /**
-     * Whether a transaction respects the limits. The current version respects its limits from its
-     * first write, whatever is in force.
+     * Whether a transaction is within the limits in force.
+     *
+     * @throws AssertionError if a node of the current version exceeds its own limits, which it must
+     *     respect from its first write on, even while the larger previous limits are in force
      */
     private boolean isWithinLimits(String host, StoreOperation.CompareAndSwap operation) {
         Settings settings =
                 simulation.runsPreviousVersion(host) ? limitsInForce : simulation.settings;
-        boolean accepted =
+        boolean withinLimits =
                 operation.writes().size() <= settings.maxTransactionWrites()
                         && operation.preconditions().size() <= 4 * settings.maxTransactionWrites()
                         && operation.writes().values().stream()
@@ -105,35 +113,37 @@
                                                 value == null
                                                         || FieldMap.jsonLength(value)
                                                                 <= settings.maxValueBytes());
-        if (!accepted && !simulation.runsPreviousVersion(host)) {
-            throw new AssertionError("transaction of " + host + " above its limits: " + operation);
+        if (!withinLimits && !simulation.runsPreviousVersion(host)) {
+            throw new AssertionError(
+                    "transaction of " + host + " exceeds the limits of its version: " + operation);
         }
-        return accepted;
+        return withinLimits;
     }
 
-    /** Refuses one node alone. */
-    void refuseHost(String host, long durationMs) {
-        refusedUntilMs.put(host, simulation.nowMs + durationMs);
+    /** Replies with status 503 to one node only. */
+    void rejectHost(String host, long durationMs) {
+        rejectedUntilMs.put(host, simulation.nowMs + durationMs);
     }
 
     /**
-     * This number of transactions in ten gets no response for a while. They are executed at once,
-     * or 2 to 12 s later, after newer ones.
+     * Loses the replies of this number of transactions in ten for a while. The transactions are
+     * executed at once, or 2 to 12 s later and so after newer ones.
      */
-    void loseResponses(int ofTen, boolean atOnce, long durationMs) {
-        responsesLostOfTen = ofTen;
+    void loseReplies(int perTen, boolean atOnce, long durationMs) {
+        repliesLostPerTen = perTen;
         lostWritesApplyAtOnce = atOnce;
-        responsesLostUntilMs = simulation.nowMs + durationMs;
+        repliesLostUntilMs = simulation.nowMs + durationMs;
     }
 
-    /** Responses are delayed for a while, each by up to this number of ms. */
-    void slowDown(int byMs, long durationMs) {
-        maxSlowdownMs = byMs;
+    /** Delays every reply for a while, each by a random time below this maximum. */
+    void slowDown(int maxDelayMs, long durationMs) {
+        maxSlowdownMs = maxDelayMs;
         slowUntilMs = simulation.nowMs + durationMs;
     }
 
     /**
-     * A node's watch and page requests get no response for a while, though all other requests do.
+     * Leaves a node's watch and page requests without a reply for a while, so that its store cache
+     * lags; all other requests get their replies.
      */
     void stallCacheUpdates(String host, long durationMs) {
         cacheUpdatesStalledUntilMs.put(host, simulation.nowMs + durationMs);
@@ -141,29 +151,29 @@
 
     private boolean isUnavailable(String host) {
         return simulation.nowMs < outageUntilMs
-                || simulation.nowMs < refusedUntilMs.getOrDefault(host, 0L);
+                || simulation.nowMs < rejectedUntilMs.getOrDefault(host, 0L);
     }
 
     private boolean areCacheUpdatesStalled(String host) {
         return simulation.nowMs < cacheUpdatesStalledUntilMs.getOrDefault(host, 0L);
     }
 
-    /** Stores a value that was there before, whatever the current limits. */
+    /** Stores a value as if it had been written earlier, without a check of the limits. */
     void putDirectly(String key, Map<String, Object> value) {
         revision++;
         values.put(key, new StoredValue(ClusterSimulation.deepCopy(value), revision));
         changeLog.add(new Change(revision, key, value));
     }
 
-    /** All keys with this prefix, with their values. */
+    /** All keys with this prefix and their values. */
     Map<String, Map<String, Object>> valuesWithPrefix(String prefix) {
         Map<String, Map<String, Object>> all = new TreeMap<>();
         values.subMap(prefix, prefix + Character.MAX_VALUE)
-                .forEach((key, item) -> all.put(key, item.value));
+                .forEach((key, stored) -> all.put(key, stored.value));
         return all;
     }
 
-    /** The length of the longest value in bytes. */
+    /** The length of the longest value as JSON, in bytes. */
     int longestValueBytes() {
         return values.values().stream()
                 .mapToInt(stored -> FieldMap.jsonLength(stored.value))
@@ -176,44 +186,45 @@
         return values.subMap(prefix, prefix + Character.MAX_VALUE).size();
     }
 
-    /** The version of a key; 0 if there is none. */
+    /** The version of a key; 0 if the key does not exist. */
     long version(String key) {
         StoredValue stored = values.get(key);
         return stored == null ? 0 : stored.version;
     }
 
+    /** The value of a key; null if the key does not exist. */
     Map<String, Object> value(String key) {
         StoredValue stored = values.get(key);
         return stored == null ? null : stored.value;
     }
 
-    void handle(String host, StoreOperation operation, ReplyHandler reply) {
+    void handle(String host, StoreOperation operation, ReplyHandler onReply) {
         requestsHandled++;
         if (simulation.nowMs < slowUntilMs) {
-            ReplyHandler quick = reply;
-            reply =
+            ReplyHandler undelayed = onReply;
+            onReply =
                     (status, body) ->
                             simulation.scheduleAfter(
                                     simulation.random.nextInt(maxSlowdownMs),
-                                    () -> quick.respond(status, body));
+                                    () -> undelayed.accept(status, body));
         }
-        respond(host, operation, reply);
+        execute(host, operation, onReply);
     }
 
-    private void respond(String host, StoreOperation operation, ReplyHandler reply) {
+    private void execute(String host, StoreOperation operation, ReplyHandler onReply) {
         if (isUnavailable(host)) {
-            reply.respond(ReplyStatus.SERVICE_UNAVAILABLE, null);
+            onReply.accept(ReplyStatus.SERVICE_UNAVAILABLE, null);
         } else if (operation instanceof StoreOperation.CompareAndSwap swap
                 && !isWithinLimits(host, swap)) {
-            reply.respond(400, null);
+            onReply.accept(ReplyStatus.BAD_REQUEST, null);
         } else if (operation instanceof StoreOperation.Page && areCacheUpdatesStalled(host)) {
             return;
         } else if (operation instanceof StoreOperation.CompareAndSwap swap
                 && !swap.writes().isEmpty()
-                && simulation.nowMs < responsesLostUntilMs
-                && simulation.random.nextInt(10) < responsesLostOfTen) {
-            responsesLost++;
-            // Regardless of the rate limits: only an execution may do harm.
+                && simulation.nowMs < repliesLostUntilMs
+                && simulation.random.nextInt(10) < repliesLostPerTen) {
+            repliesLost++;
+            // No rate limit applies: only transactions that are executed can cause a violation.
             simulation.scheduleAfter(
                     lostWritesApplyAtOnce ? 0 : 2_000 + simulation.random.nextInt(10_000),
                     () -> compareAndSwap(host, swap, (status, body) -> {}));
@@ -221,29 +232,31 @@
                 || (operation instanceof StoreOperation.CompareAndSwap swap
                         && !hasWriteTokens(swap.writes().size()))) {
             requestsThrottled++;
-            reply.respond(ReplyStatus.TOO_MANY_REQUESTS, null);
+            onReply.accept(ReplyStatus.TOO_MANY_REQUESTS, null);
         } else if (operation instanceof StoreOperation.Get get) {
             StoredValue stored = values.get(get.key());
             if (stored == null) {
-                reply.respond(ReplyStatus.NOT_FOUND, Map.of("ledger", revision));
+                onReply.accept(ReplyStatus.NOT_FOUND, Map.of("ledger", revision));
             } else {
-                reply.respond(ReplyStatus.OK, entry(get.key(), stored));
+                onReply.accept(ReplyStatus.OK, entry(get.key(), stored));
             }
         } else if (operation instanceof StoreOperation.Page page) {
-            page(page, reply);
+            page(page, onReply);
         } else if (operation instanceof StoreOperation.Watch watch) {
             PendingWatch pending =
-                    new PendingWatch(watch, host, simulation.nowMs + watch.blockMs(), reply);
-            if (areCacheUpdatesStalled(host) || !respond(pending)) {
+                    new PendingWatch(watch, host, simulation.nowMs + watch.blockMs(), onReply);
+            if (areCacheUpdatesStalled(host) || !replyToWatch(pending)) {
                 pendingWatches.add(pending);
                 simulation.scheduleAfter(watch.blockMs(), () -> expireWatch(pending));
             }
         } else {
-            compareAndSwap(host, (StoreOperation.CompareAndSwap) operation, reply);
+            compareAndSwap(host, (StoreOperation.CompareAndSwap) operation, onReply);
         }
     }
 
-    /** A burst is worth one second, so a transaction of more changes never succeeds. */
+    /**
+     * The bucket holds the tokens of one second, so a transaction of more changes never succeeds.
+     */
     private boolean hasWriteTokens(int changes) {
         return changes <= Math.max(1, limitsInForce.storeWritesPerS())
                 && writeTokens.tryAcquire(changes, simulation.nowMs);
@@ -257,25 +270,25 @@
         return fields;
     }
 
-    private void page(StoreOperation.Page page, ReplyHandler reply) {
+    private void page(StoreOperation.Page page, ReplyHandler onReply) {
         List<Object> entries = new ArrayList<>();
         boolean more = false;
-        // Pages of 20 keys, so that every reading takes several and other writes come between.
         for (Map.Entry<String, StoredValue> entry :
                 page.afterKey() == null
                         ? values.entrySet()
                         : values.tailMap(page.afterKey(), false).entrySet()) {
-            if (entries.size() == 20) {
+            if (entries.size() == PAGE_SIZE) {
                 more = true;
                 break;
             }
             entries.add(entry(entry.getKey(), entry.getValue()));
         }
-        reply.respond(ReplyStatus.OK, Map.of("entries", entries, "more", more, "ledger", revision));
+        onReply.accept(
+                ReplyStatus.OK, Map.of("entries", entries, "more", more, "ledger", revision));
     }
 
     private void compareAndSwap(
-            String host, StoreOperation.CompareAndSwap operation, ReplyHandler reply) {
+            String host, StoreOperation.CompareAndSwap operation, ReplyHandler onReply) {
         List<Object> failed = new ArrayList<>();
         operation
                 .preconditions()
@@ -289,7 +302,7 @@
         if (!failed.isEmpty()
                 && simulation.injectedDefect
                         != ClusterSimulation.InjectedDefect.PRECONDITIONS_IGNORED) {
-            reply.respond(ReplyStatus.CONFLICT, Map.of("failed", failed, "ledger", revision));
+            onReply.accept(ReplyStatus.CONFLICT, Map.of("failed", failed, "ledger", revision));
             return;
         }
         if (!operation.writes().isEmpty()) {
@@ -315,20 +328,24 @@
             for (PendingWatch pending : new ArrayList<>(pendingWatches)) {
                 if (!isUnavailable(pending.host)
                         && !areCacheUpdatesStalled(pending.host)
-                        && respond(pending)) {
+                        && replyToWatch(pending)) {
                     pendingWatches.remove(pending);
                 }
             }
         }
-        reply.respond(ReplyStatus.OK, Map.of("ledger", revision));
+        onReply.accept(ReplyStatus.OK, Map.of("ledger", revision));
     }
 
-    private boolean respond(PendingWatch pending) {
+    /**
+     * Replies if there are changes, the time is over, or the changes after the requested revision
+     * are no longer in the log; returns whether it replied.
+     */
+    private boolean replyToWatch(PendingWatch pending) {
         if (pending.watch.afterRevision() < compactedRevision) {
-            pending.reply.respond(ReplyStatus.GONE, null);
+            pending.onReply.accept(ReplyStatus.GONE, null);
             return true;
         }
-        List<Object> log = new ArrayList<>();
+        List<Object> changes = new ArrayList<>();
         for (Change change : changeLog) {
             if (change.revision > pending.watch.afterRevision()) {
                 Map<String, Object> fields = new LinkedHashMap<>();
@@ -337,25 +354,25 @@
                     fields.put("value", change.value);
                 }
                 fields.put("stamp", change.revision);
-                log.add(fields);
+                changes.add(fields);
             }
         }
-        if (log.isEmpty() && simulation.nowMs < pending.untilMs) {
+        if (changes.isEmpty() && simulation.nowMs < pending.untilMs) {
             return false;
         }
-        pending.reply.respond(ReplyStatus.OK, Map.of("ledger", revision, "log", log));
+        pending.onReply.accept(ReplyStatus.OK, Map.of("ledger", revision, "log", changes));
         return true;
     }
 
     private void expireWatch(PendingWatch pending) {
         if (pendingWatches.contains(pending)) {
             if (isUnavailable(pending.host) || areCacheUpdatesStalled(pending.host)) {
-                // Open watches stay open during an outage; the caller's timeout comes first.
+                // Watches stay open during an outage; the caller's timeout ends them.
                 simulation.scheduleAfter(
                         StoreConstants.WATCH_LONG_POLL_MS, () -> expireWatch(pending));
             } else {
                 pendingWatches.remove(pending);
-                respond(pending);
+                replyToWatch(pending);
             }
         }
     }
--- a/src/test/java/org/shoreusher/simulation/SimulatedTask.java
+++ b/src/test/java/org/shoreusher/simulation/SimulatedTask.java
@@ -19,7 +19,7 @@
         this.attemptNumber = attemptNumber;
     }
 
-    /** Its status in a heartbeat. */
+    /** Its status for a heartbeat. */
     TaskStatus status() {
         return new TaskStatus(jobId, taskIndex, attemptNumber, state, exitCause, progressSaved);
     }
--- a/src/test/java/org/shoreusher/simulation/SimulatedTasks.java
+++ b/src/test/java/org/shoreusher/simulation/SimulatedTasks.java
@@ -10,17 +10,19 @@
 import org.shoreusher.core.message.WorkerHeartbeat.TaskState;
 import org.shoreusher.core.message.WorkerHeartbeat.TaskStatus;
 
-/** The tasks on a simulated worker, from their start to the order to forget them. */
+/**
+ * The tasks on a simulated worker, from the order that starts them to their {@code forget} order.
+ */
 final class SimulatedTasks {
-    /** One checkpoint in this number fails. */
-    private static final int ONE_SAVE_FAILS_IN = 4;
+    /** One in this number of checkpoints fails. */
+    private static final int ONE_CHECKPOINT_FAILS_IN = 4;
 
     private final ClusterSimulation simulation;
     private final SimulatedWorker worker;
     private final Map<String, SimulatedTask> tasks = new LinkedHashMap<>();
 
-    /** Names of completed tasks, which complete at once when they are started again. */
-    private final Set<String> results = new HashSet<>();
+    /** Tasks that have completed here; a repeated attempt completes at once. */
+    private final Set<String> completedTasks = new HashSet<>();
 
     SimulatedTasks(ClusterSimulation simulation, SimulatedWorker worker) {
         this.simulation = simulation;
@@ -38,13 +40,13 @@
         return statuses;
     }
 
-    /** Ends all tasks with their machine. */
+    /** Removes all tasks because their machine is terminated. */
     void removeAtTermination() {
         tasks.keySet().forEach(name -> simulation.invariants.taskStopped(worker, name));
         tasks.clear();
     }
 
-    /** Ends all tasks because the worker's lease has expired. */
+    /** Removes all tasks because the worker's lease has expired. */
     void removeAtLeaseExpiry() {
         tasks.forEach(
                 (name, task) -> {
@@ -55,7 +57,7 @@
         tasks.clear();
     }
 
-    /** Executes the orders in the body of a response or a direct command. */
+    /** Executes the orders in the body of a heartbeat response or of direct orders. */
     void executeOrders(Map<String, Object> body) {
         for (Object order : (List<?>) body.get("orders")) {
             Map<?, ?> fields = (Map<?, ?>) order;
@@ -86,7 +88,12 @@
         if (existing != null) {
             if (existing.attemptNumber != attemptNumber
                     && simulation.injectedDefect == ClusterSimulation.InjectedDefect.NONE) {
-                throw new AssertionError("started " + name + " where it is already");
+                throw new AssertionError(
+                        "start order for "
+                                + name
+                                + ", which has attempt "
+                                + existing.attemptNumber
+                                + " on this worker");
             }
             return;
         }
@@ -102,7 +109,10 @@
                 () -> continueTask(name, task, () -> runTask(name, task)));
     }
 
-    /** Continues with a task unless it is gone; not while the machine hangs. */
+    /**
+     * Runs the next step of a task, once the machine no longer hangs, unless the task is gone by
+     * then.
+     */
     private void continueTask(String name, SimulatedTask task, Runnable step) {
         if (worker.isTerminated() || tasks.get(name) != task || task.state == TaskState.EXITED) {
             return;
@@ -123,7 +133,7 @@
         simulation.invariants.taskStarted(worker, name);
         worker.requestPromptHeartbeat();
         if (!simulation.users.isBatch(task.jobId)) {
-            // A replica; a few exit all the same, with or without an error.
+            // A replica of a service; one in six exits nevertheless, with an error or without.
             if (simulation.random.nextInt(6) == 0) {
                 simulation.scheduleAfter(
                         simulation.random.nextInt(40_000),
@@ -141,29 +151,34 @@
             }
             return;
         }
-        long duration = results.contains(name) ? 1 : simulation.users.randomRunMs(task.jobId);
+        long durationMs =
+                completedTasks.contains(name) ? 1 : simulation.users.randomRunMs(task.jobId);
         simulation.scheduleAfter(
-                duration,
+                durationMs,
                 () ->
                         continueTask(
                                 name,
                                 task,
                                 () -> {
                                     if (task.state == TaskState.CHECKPOINTING) {
-                                        // It was stopped, and exits after its checkpoint.
+                                        // A stop order came first; the task exits after its
+                                        // checkpoint.
                                         return;
                                     }
                                     if (simulation.random.nextInt(60) == 0) {
                                         exitTask(name, task, ExitCause.ERROR);
                                     } else {
-                                        results.add(name);
+                                        completedTasks.add(name);
                                         simulation.invariants.taskCompleted(name);
                                         exitTask(name, task, ExitCause.COMPLETED);
                                     }
                                 }));
     }
 
-    /** A running task writes a checkpoint if it can; one in some fails. */
+    /**
+     * Stops a task. A running task first writes a checkpoint if its job supports checkpoints and
+     * the wind-down time suffices.
+     */
     private void stopTask(String name, SimulatedTask task, double windDownS) {
         SimulatedUsers.SimulatedJob job = simulation.users.jobs.get(task.jobId);
         if (job == null
@@ -182,7 +197,8 @@
                                     task,
                                     () -> {
                                         task.progressSaved =
-                                                simulation.random.nextInt(ONE_SAVE_FAILS_IN) > 0;
+                                                simulation.random.nextInt(ONE_CHECKPOINT_FAILS_IN)
+                                                        > 0;
                                         exitTask(name, task, ExitCause.STOPPED);
                                     }));
         } else if (task.state == TaskState.FETCHING) {
--- a/src/test/java/org/shoreusher/simulation/SimulatedUsers.java
+++ b/src/test/java/org/shoreusher/simulation/SimulatedUsers.java
@@ -9,12 +9,14 @@
 import org.shoreusher.core.JobSpecBuilder;
 import org.shoreusher.core.message.Command;
 import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.core.message.ReplyStatus;
 
-/**
- * Users submit, poll and cancel at any node, and retry when they are refused or get no response.
- */
+/** Users who submit, poll and cancel jobs at random nodes, and retry after a 503 or a timeout. */
 final class SimulatedUsers {
-    /** A job as its user knows it. */
+    /** The host name of all users in the simulated network. */
+    static final String HOST = "user";
+
+    /** A job, and what its user was told about it. */
     static final class SimulatedJob {
         final JobSpec spec;
         final boolean userCancels;
@@ -25,7 +27,7 @@
         boolean cancelRequested;
         boolean doneConfirmed;
         long doneConfirmedAtMs;
-        long answeredAtMs;
+        long lastResponseAtMs;
 
         SimulatedJob(JobSpec spec, boolean userCancels, long runMs) {
             this.spec = spec;
@@ -37,39 +39,39 @@
     private final ClusterSimulation simulation;
 
     /**
-     * How many submissions in ten are sent to two nodes at the same time, like a retry whose first
-     * attempt is still in flight.
+     * How many submissions in ten are sent twice at the same time, like a retry while the first
+     * request is still in flight.
      */
-    int concurrentRetriesOfTen;
+    int concurrentRetriesPerTen;
 
     /**
-     * Whether users poll all nodes at once, and submit again, right after a job was accepted, has
-     * ended or was confirmed as cancelled; some cancel at once.
+     * Whether users poll all nodes, and repeat the submission, as soon as a job was accepted, has
+     * ended or was confirmed as cancelled. Half of the users who cancel then do so immediately.
      */
     boolean probeAfterEachChange;
 
     /** How many batch jobs in ten are cancelled when their last task completes. */
-    int cancelAtCompletionOfTen;
+    int cancelAtCompletionPerTen;
 
-    /**
-     * Submissions that cannot run or lack a field, and how many of them were rejected permanently.
-     */
+    /** Submissions that no cluster can run or that lack a field. */
     int invalidSubmitted;
 
-    int invalidRefused;
+    /** Invalid submissions that got a response; any but the expected rejection is a violation. */
+    int invalidRejected;
+
     final Map<String, SimulatedJob> jobs = new LinkedHashMap<>();
 
     SimulatedUsers(ClusterSimulation simulation) {
         this.simulation = simulation;
     }
 
-    /** Whether the job's tasks end by themselves. */
+    /** Whether the job's tasks run to completion; true for an unknown job. */
     boolean isBatch(String jobId) {
         SimulatedJob job = jobs.get(jobId);
         return job == null || job.spec.workloadType().runsToCompletion();
     }
 
-    /** Submits a service with some replicas, which its user may cancel after a while. */
+    /** Submits a service, which its user cancels after up to 15 s if {@code cancels}. */
     void submitService(int number, long atMs, int replicas, boolean cancels) {
         JobSpec spec =
                 new JobSpecBuilder(String.format("wk-%06d", number))
@@ -85,23 +87,23 @@
         submit(new SimulatedJob(spec, cancels, 1_000), atMs);
     }
 
-    /** Replicas that do not run, of services that nobody cancelled. */
+    /** The replicas that are not running, of services that were not cancelled. */
     List<String> missingReplicas() {
-        List<String> down = new ArrayList<>();
+        List<String> missing = new ArrayList<>();
         for (SimulatedJob job : jobs.values()) {
             if (!job.spec.workloadType().runsToCompletion() && !job.cancelRequested) {
                 for (int i = 0; i < job.spec.taskCount(); i++) {
                     if (!job.accepted
                             || !simulation.invariants.isRunning(job.spec.id() + "/" + i)) {
-                        down.add(job.spec.id() + "/" + i);
+                        missing.add(job.spec.id() + "/" + i);
                     }
                 }
             }
         }
-        return down;
+        return missing;
     }
 
-    /** Jobs that the user knows neither as done nor as cancelled. */
+    /** Jobs that were confirmed to their user neither as done nor as cancelled. */
     List<String> unfinishedJobs() {
         return jobs.values().stream()
                 .filter(job -> !job.doneConfirmed && !job.cancelConfirmed)
@@ -109,6 +111,7 @@
                 .toList();
     }
 
+    /** A random run time of 50 to 150 % of the job's mean run time. */
     long randomRunMs(String jobId) {
         SimulatedJob job = jobs.get(jobId);
         return job == null ? 1_000 : job.runMs / 2 + simulation.random.nextInt((int) job.runMs);
@@ -142,18 +145,19 @@
                 () -> {
                     jobs.put(job.spec.id(), job);
                     sendSubmission(job);
-                    if (simulation.random.nextInt(10) < concurrentRetriesOfTen) {
+                    if (simulation.random.nextInt(10) < concurrentRetriesPerTen) {
                         sendSubmission(job);
                     }
                 });
     }
 
-    /** The user of a job that was accepted by a node that a test acts for. */
-    void acceptedByTestNode(SimulatedJob job) {
+    /** Records that a {@link PreviousVersionLeader} accepted the job; its user starts to poll. */
+    void markAccepted(SimulatedJob job) {
         job.accepted = true;
         simulation.scheduleAfter(3_000, () -> poll(job));
     }
 
+    /** Sends a request to a random node. */
     private void send(
             LongFunction<Command> command,
             BiConsumer<WireResponse, Long> onResponse,
@@ -166,6 +170,7 @@
                 retry);
     }
 
+    /** Sends a request to a node, and retries after a 503 or a timeout of 5 s. */
     private void send(
             SimulatedController node,
             LongFunction<Command> command,
@@ -182,7 +187,7 @@
                     }
                 });
         simulation.network.send(
-                "user",
+                HOST,
                 node.host,
                 () ->
                         node.request(
@@ -190,17 +195,18 @@
                                 response ->
                                         simulation.network.send(
                                                 node.host,
-                                                "user",
+                                                HOST,
                                                 () -> {
                                                     if (ended[0]) {
                                                         return;
                                                     }
                                                     ended[0] = true;
-                                                    if (response.status() == 503) {
+                                                    if (response.status()
+                                                            == ReplyStatus.SERVICE_UNAVAILABLE) {
                                                         if (response.retryAfterS() <= 0) {
                                                             simulation.invariants.recordViolation(
-                                                                    "refused",
-                                                                    "without Retry-After");
+                                                                    "no_retry_after",
+                                                                    "503 without Retry-After");
                                                         }
                                                         simulation.scheduleAfter(
                                                                 1_000L * response.retryAfterS(),
@@ -217,7 +223,7 @@
                 (response, sentAtMs) -> {
                     if (response.status() != 200 && response.status() != 201) {
                         simulation.invariants.recordViolation(
-                                "forgotten",
+                                "submission_rejected",
                                 "submission of " + job.spec.id() + " got " + response.status());
                     }
                     statusReported(job, response, sentAtMs);
@@ -266,7 +272,7 @@
         }
     }
 
-    /** Polls all nodes within a few ms, and repeats the submission. */
+    /** Polls all nodes within a few ms, and repeats the submission at each. */
     private void probeAllNodes(SimulatedJob job) {
         if (!probeAfterEachChange) {
             return;
@@ -290,7 +296,7 @@
                                 (response, sentAtMs) -> {
                                     if (response.status() != 200 && response.status() != 201) {
                                         simulation.invariants.recordViolation(
-                                                "forgotten",
+                                                "submission_rejected",
                                                 "repeated submission of "
                                                         + job.spec.id()
                                                         + " got "
@@ -299,7 +305,8 @@
                                     simulation.invariants.statusReported(job, response, sentAtMs);
                                 },
                                 () -> {});
-                        // An invalid body makes no difference to a job that is known.
+                        // A repeated submission returns the job's status even if its body is
+                        // invalid.
                         send(
                                 node,
                                 requestId ->
@@ -311,7 +318,7 @@
                                 (response, sentAtMs) -> {
                                     if (response.status() != 200) {
                                         simulation.invariants.recordViolation(
-                                                "forgotten",
+                                                "submission_rejected",
                                                 "repeated submission of "
                                                         + job.spec.id()
                                                         + " got "
@@ -323,17 +330,17 @@
         }
     }
 
-    /** The last task of the job has just completed. */
+    /** Called when the last task of a job completes; its user may cancel it. */
     void lastTaskCompleted(String jobId) {
         SimulatedJob job = jobs.get(jobId);
-        if (job != null && simulation.random.nextInt(10) < cancelAtCompletionOfTen) {
+        if (job != null && simulation.random.nextInt(10) < cancelAtCompletionPerTen) {
             cancel(job);
         }
     }
 
     /**
-     * Sends a submission that fits no machine, of an unknown team, above its team's quota, or
-     * without a field; it must be rejected permanently.
+     * Sends a submission that fits no machine, is of an unknown team, names an unknown zone, or
+     * lacks a field. It must be rejected with status 422, or 400 for the missing field.
      */
     void submitInvalid(int number) {
         invalidSubmitted++;
@@ -351,10 +358,10 @@
                         new Command.Submit(
                                 requestId, id, spec, spec == null ? "sheets is missing" : null),
                 (response, sentAtMs) -> {
-                    invalidRefused++;
+                    invalidRejected++;
                     if (response.status() != expected) {
                         simulation.invariants.recordViolation(
-                                "accepted_bad",
+                                "invalid_submission",
                                 id + " got " + response.status() + " instead of " + expected);
                     }
                 },
@@ -370,14 +377,14 @@
                 .build();
     }
 
-    /** Polls a job that nobody submitted. */
+    /** Polls a job that was never submitted; the response must be a 404. */
     void pollUnknownJob() {
         send(
                 requestId -> new Command.Poll(requestId, "wk-999999"),
                 (response, sentAtMs) -> {
                     if (response.status() != 404) {
                         simulation.invariants.recordViolation(
-                                "invented", "got " + response.status());
+                                "unknown_job", "poll got " + response.status() + " instead of 404");
                     }
                 },
                 () -> {});
