--- a/src/test/java/org/shoreusher/simulation/SimulatedWorker.java
+++ b/src/test/java/org/shoreusher/simulation/SimulatedWorker.java
@@ -6,14 +6,17 @@
 import org.shoreusher.core.message.WorkerHeartbeat;
 import org.shoreusher.wire.WorkerFormat;
 
-/** A simulated worker with incarnations, leases and fencing tokens. */
+/** A simulated worker, which follows the protocol of incarnations, leases and fencing tokens. */
 final class SimulatedWorker {
-    /** The HTTP status by which a node names the leader. */
+    /** The HTTP status of a response that names the leader. */
     private static final int MISDIRECTED_REQUEST = 421;
 
     private static final long RESPONSE_TIMEOUT_MS = 4_000;
+    private static final long MIN_HEARTBEAT_INTERVAL_MS = 500;
+    private static final long HEARTBEAT_CHECK_INTERVAL_MS = 50;
+    private static final long RETRY_DELAY_MS = 1_000;
 
-    /** One heartbeat in this number has a late duplicate. */
+    /** One in this number of heartbeats is delivered again later. */
     private static final int ONE_HEARTBEAT_DUPLICATED_IN = 12;
 
     final String id;
@@ -30,14 +33,17 @@
     private long inboundBlockedUntilMs;
     private long outboundBlockedUntilMs;
 
-    /** When the cloud reclaims the machine, in ms; 0 without a notice. */
+    /** When the cloud reclaims the machine, in ms; 0 without an interruption notice. */
     private long reclaimedAtMs;
 
     private long incarnation = 1;
     private long sequenceNumber;
     private long fencingToken;
     private long leaseRenewedAtMs;
+
+    /** The number of the node that gets the next heartbeat. */
     private int targetNode;
+
     private long requestNumber;
     private boolean requestInFlight;
     private long nextHeartbeatAtMs;
@@ -82,22 +88,22 @@
         tasks.removeAtTermination();
     }
 
-    /** The machine executes nothing and sends nothing for a while. */
+    /** The machine neither executes nor sends anything for a while. */
     void hang(long durationMs) {
         hangingUntilMs = simulation.nowMs + durationMs;
     }
 
-    /** A one-way partition: nothing sent to the machine arrives for a while. */
+    /** A one-way partition: no message reaches the machine for a while. */
     void blockInbound(long durationMs) {
         inboundBlockedUntilMs = simulation.nowMs + durationMs;
     }
 
-    /** A one-way partition: heartbeats reach no controller for a while. */
+    /** A one-way partition: the machine's heartbeats reach no controller for a while. */
     void blockOutbound(long durationMs) {
         outboundBlockedUntilMs = simulation.nowMs + durationMs;
     }
 
-    /** The cloud gives an interruption notice, and reclaims the machine at its end. */
+    /** Gives an interruption notice, after which the cloud terminates the machine. */
     void announceInterruption(long noticeMs) {
         reclaimedAtMs = simulation.nowMs + noticeMs;
         requestPromptHeartbeat();
@@ -133,25 +139,25 @@
         if (terminated) {
             return;
         }
-        // Also while it hangs: tasks on a machine whose lease has expired count as stopped.
+        // Also while the machine hangs: its tasks count as stopped once its lease has expired.
         expireLeaseIfDue();
         if (simulation.nowMs >= hangingUntilMs) {
             if (!requestInFlight
                     && simulation.nowMs >= nextHeartbeatAtMs
-                    && simulation.nowMs - lastHeartbeatAtMs >= 500) {
+                    && simulation.nowMs - lastHeartbeatAtMs >= MIN_HEARTBEAT_INTERVAL_MS) {
                 sendHeartbeat();
             }
         }
-        simulation.scheduleAfter(50, this::heartbeatLoop);
+        simulation.scheduleAfter(HEARTBEAT_CHECK_INTERVAL_MS, this::heartbeatLoop);
     }
 
     void expireLeaseIfDue() {
-        double extra =
+        double leaseFactor =
                 simulation.injectedDefect == ClusterSimulation.InjectedDefect.WORKERS_OUTLIVE_LEASES
                         ? 3
                         : 1;
         if (simulation.nowMs - leaseRenewedAtMs
-                > simulation.settings.workerLeaseS() * 1000 * extra) {
+                > simulation.settings.workerLeaseS() * 1000 * leaseFactor) {
             tasks.removeAtLeaseExpiry();
             incarnation++;
             leaseRenewedAtMs = simulation.nowMs;
@@ -159,7 +165,7 @@
         }
     }
 
-    /** Lets the next heartbeat be sent as soon as the shortest interval allows. */
+    /** Sends the next heartbeat as soon as the minimum interval between heartbeats allows. */
     void requestPromptHeartbeat() {
         nextHeartbeatAtMs = 0;
     }
@@ -180,9 +186,9 @@
                 tasks.statuses());
     }
 
-    /** A response arrives at the machine. */
+    /** Receives a response; it is handled once the machine no longer hangs. */
     private void receiveResponse(
-            WireResponse response, long sentAtMs, long ofIncarnation, long ofRequest) {
+            WireResponse response, long sentAtMs, long sentIncarnation, long sentRequestNumber) {
         if (simulation.nowMs < inboundBlockedUntilMs) {
             return;
         }
@@ -190,14 +196,18 @@
                 && !terminated
                 && response.status() == ReplyStatus.OK) {
             tasks.executeOrders(response.body());
-        } else if (requestNumber == ofRequest && requestInFlight && !terminated) {
-            long wait = Math.max(0, hangingUntilMs - simulation.nowMs);
+        } else if (requestNumber == sentRequestNumber && requestInFlight && !terminated) {
+            long delayMs = Math.max(0, hangingUntilMs - simulation.nowMs);
             simulation.scheduleAfter(
-                    wait, () -> handleResponse(response, sentAtMs, ofIncarnation, ofRequest));
+                    delayMs,
+                    () -> handleResponse(response, sentAtMs, sentIncarnation, sentRequestNumber));
         }
     }
 
-    /** A duplicate may come late, even after the machine's end; its response is dropped. */
+    /**
+     * Delivers some heartbeats again up to 41 s later, possibly after the machine was terminated.
+     * The response to the duplicate is dropped.
+     */
     private void maybeDuplicateLater(WorkerHeartbeat heartbeat) {
         if (simulation.random.nextInt(ONE_HEARTBEAT_DUPLICATED_IN) > 0) {
             return;
@@ -225,16 +235,16 @@
                                         * 1000
                                         * (0.75 + simulation.random.nextDouble() / 2));
         long sentAtMs = simulation.nowMs;
-        long ofIncarnation = incarnation;
-        long ofRequest = ++requestNumber;
+        long sentIncarnation = incarnation;
+        long sentRequestNumber = ++requestNumber;
         WorkerHeartbeat heartbeat = createHeartbeat();
         SimulatedController node = simulation.controllers.get(targetNode);
         simulation.scheduleAfter(
                 RESPONSE_TIMEOUT_MS,
                 () -> {
-                    if (requestNumber == ofRequest && requestInFlight) {
+                    if (requestNumber == sentRequestNumber && requestInFlight) {
                         requestInFlight = false;
-                        tryNextNode(1_000);
+                        tryNextNode();
                     }
                 });
         maybeDuplicateLater(heartbeat);
@@ -259,15 +269,15 @@
                                                         receiveResponse(
                                                                 response,
                                                                 sentAtMs,
-                                                                ofIncarnation,
-                                                                ofRequest)));
+                                                                sentIncarnation,
+                                                                sentRequestNumber)));
                     }
                 });
     }
 
     private void handleResponse(
-            WireResponse response, long sentAtMs, long ofIncarnation, long ofRequest) {
-        if (requestNumber != ofRequest
+            WireResponse response, long sentAtMs, long sentIncarnation, long sentRequestNumber) {
+        if (requestNumber != sentRequestNumber
                 || !requestInFlight
                 || terminated
                 || simulation.nowMs - sentAtMs > RESPONSE_TIMEOUT_MS) {
@@ -277,7 +287,7 @@
         requestInFlight = false;
         if (response.status() == ReplyStatus.OK) {
             long responseToken = ((Number) response.body().get("baton")).longValue();
-            if (ofIncarnation == incarnation && responseToken >= fencingToken) {
+            if (sentIncarnation == incarnation && responseToken >= fencingToken) {
                 leaseRenewedAtMs = Math.max(leaseRenewedAtMs, sentAtMs);
                 if (responseToken > fencingToken) {
                     fencingToken = responseToken;
@@ -287,25 +297,27 @@
             }
         } else if (response.status() == MISDIRECTED_REQUEST
                 && response.body().get("foreman") instanceof String host) {
-            int named = Integer.parseInt(host.substring(host.indexOf('-') + 1));
-            if (named == targetNode) {
-                tryNextNode(1_000);
+            int leader = Integer.parseInt(host.substring(host.indexOf('-') + 1));
+            if (leader == targetNode) {
+                tryNextNode();
             } else {
-                targetNode = named;
+                targetNode = leader;
                 nextHeartbeatAtMs = simulation.nowMs + simulation.random.nextInt(500);
                 lastHeartbeatAtMs = 0;
             }
         } else {
-            tryNextNode(1_000);
+            tryNextNode();
         }
     }
 
-    private void tryNextNode(long pauseMs) {
+    private void tryNextNode() {
         targetNode = (targetNode + 1) % simulation.controllers.size();
-        nextHeartbeatAtMs = simulation.nowMs + pauseMs;
+        nextHeartbeatAtMs = simulation.nowMs + RETRY_DELAY_MS;
     }
 
-    /** Direct orders arrive, perhaps late. */
+    /**
+     * Receives direct orders, possibly late; they are executed once the machine no longer hangs.
+     */
     void receiveDirectOrders(Effect.SendOrders orders) {
         if (terminated || !isUp || simulation.nowMs < inboundBlockedUntilMs) {
             return;
--- a/src/test/java/org/shoreusher/simulation/SimulationSettings.java
+++ b/src/test/java/org/shoreusher/simulation/SimulationSettings.java
@@ -10,53 +10,60 @@
 final class SimulationSettings {
     private SimulationSettings() {}
 
-    /** Three nodes in two zones, two teams, and limits that allow a busy cluster. */
+    /**
+     * Three nodes in two zones, two teams with guarantees and quotas, and ample limits of the
+     * store.
+     */
     static Settings standard() {
-        // In this order in every run, since the core goes through the teams.
+        // An ordered map: the core iterates over the teams, and runs must be reproducible.
         Map<String, Settings.Team> teams = new LinkedHashMap<>();
         teams.put("team-0", new Settings.Team("team-0", 16, 24, 0, 0));
         teams.put("team-1", new Settings.Team("team-1", 8, 16, 0, 0));
         Settings.Address nowhere = new Settings.Address("127.0.0.1", 1);
         return new Settings(
-                "node",
-                "a",
-                nowhere,
-                nowhere,
-                List.of(),
-                nowhere,
-                nowhere,
-                3,
-                List.of("a", "b"),
-                teams,
-                List.of(),
-                1.5,
-                8,
-                30,
-                400,
-                100,
-                4096,
-                12,
-                10,
-                3,
-                1000,
-                80);
+                /* host= */ "node",
+                /* zone= */ "a",
+                /* frontAddress= */ nowhere,
+                /* peerAddress= */ nowhere,
+                /* members= */ List.of(),
+                /* cloudAddress= */ nowhere,
+                /* storeAddress= */ nowhere,
+                /* nodeCount= */ 3,
+                /* zones= */ List.of("a", "b"),
+                /* teams= */ teams,
+                /* objectives= */ List.of(),
+                /* heartbeatIntervalS= */ 1.5,
+                /* workerLeaseS= */ 8,
+                /* cancellationLimitS= */ 30,
+                /* storeRequestsPerS= */ 400,
+                /* storeWritesPerS= */ 100,
+                /* maxValueBytes= */ 4096,
+                /* maxTransactionWrites= */ 12,
+                /* cloudRequestsPerS= */ 10,
+                /* inventoryLagS= */ 3,
+                /* maxSockets= */ 1000,
+                /* maxClockOffsetMs= */ 80);
     }
 
-    /** The same under other limits of the store. */
-    static Settings withStoreLimits(double writeRps, int valueBytes, int txnOps) {
-        return new SettingsBuilder(standard()).storeLimits(writeRps, valueBytes, txnOps).build();
+    /** The standard settings with other limits of the store. */
+    static Settings withStoreLimits(
+            double writesPerS, int maxValueBytes, int maxTransactionWrites) {
+        return new SettingsBuilder(standard())
+                .storeLimits(writesPerS, maxValueBytes, maxTransactionWrites)
+                .build();
     }
 
     /**
-     * Five nodes in four zones, a store that allows few requests and changes, with the shortest
-     * transactions allowed or twice those, a team without quota, and machines of two sizes.
+     * Five nodes in four zones, a store that allows few requests and writes, with the lowest limit
+     * on writes per transaction that is supported or twice that, a team without quota, and machines
+     * of two types.
      */
     static Settings manyNodesFewWrites(long seed) {
-        double none = Double.POSITIVE_INFINITY;
+        double unlimited = Double.POSITIVE_INFINITY;
         return new SettingsBuilder(standard())
                 .nodeCount(5)
                 .zones("a", "b", "c", "d")
-                .teams(new Settings.Team("team-0", 0, none, 0, none))
+                .teams(new Settings.Team("team-0", 0, unlimited, 0, unlimited))
                 .storeRequestsPerS(120)
                 .storeLimits(20, 4096, seed % 2 == 0 ? 4 : 8)
                 .cloudRequestsPerS(8)
@@ -65,7 +72,7 @@
                 .build();
     }
 
-    /** Teams with a quota for more than the machines that a few jobs need. */
+    /** Teams whose quotas exceed what a few jobs need. */
     static Settings ampleQuota() {
         return new SettingsBuilder(standard())
                 .teams(
@@ -74,7 +81,7 @@
                 .build();
     }
 
-    /** Two large teams, and workers with a heartbeat every 5 s. */
+    /** Two large teams, and workers with a heartbeat every 5 s and a lease of 26 s. */
     static Settings large() {
         return new SettingsBuilder(standard())
                 .teams(
@@ -87,7 +94,7 @@
                 .build();
     }
 
-    /** Teams that fill 4,000 machines of 8 CPUs between them. */
+    /** Two teams whose quotas together exceed 4,000 machines of 8 CPUs. */
     static Settings largest() {
         return new SettingsBuilder(large())
                 .teams(
--- a/src/test/java/org/shoreusher/simulation/SingleNodeSimulation.java
+++ b/src/test/java/org/shoreusher/simulation/SingleNodeSimulation.java
@@ -22,9 +22,9 @@
 import org.shoreusher.simulation.ClusterSimulation.InjectedDefect;
 import org.shoreusher.wire.UserFormat;
 
-/** One core with a store, driven message by message. */
+/** A single core with a store, which a test drives command by command. */
 final class SingleNodeSimulation {
-    /** The cloud's response to an operation; by default status 0, which means none. */
+    /** The cloud's reply to an operation; by default status 0, which means no reply. */
     Function<CloudOperation, Command.CloudReply> cloud =
             operation -> new Command.CloudReply(0, 0, null);
 
@@ -32,6 +32,10 @@
     private final Node node;
     private final List<Command> commands = new ArrayList<>();
     private final Map<Long, WireResponse> responses = new LinkedHashMap<>();
+
+    /** Simulated time from one step of the core to the next. */
+    private static final long STEP_MS = 60;
+
     long nowMs = 1_000_000;
     private long lastRequestId;
 
@@ -48,9 +52,10 @@
         node = new Node(settings, features, "node-0/1", 1);
     }
 
+    /** Runs this number of steps; the first gets the commands that are pending. */
     void runSteps(int count) {
         for (int i = 0; i < count; i++) {
-            nowMs += 60;
+            nowMs += STEP_MS;
             simulation.nowMs = nowMs;
             List<Command> batch = new ArrayList<>(commands);
             commands.clear();
@@ -102,7 +107,7 @@
         return heartbeatInIncarnation(machine, 1, sequenceNumber, fencingToken, tasks);
     }
 
-    /** The same for any incarnation. */
+    /** Sends a heartbeat of any incarnation; otherwise like {@link #heartbeat}. */
     List<String> heartbeatInIncarnation(
             String machine,
             long incarnation,
@@ -142,6 +147,7 @@
         return orders;
     }
 
+    /** Writes a value, without preconditions, as another node. */
     void writeToStore(String key, Map<String, Object> value) {
         simulation.store.handle(
                 "node-9",
@@ -150,17 +156,22 @@
     }
 
     /**
-     * Stores a shard that a previous leader with term 5 has left, with machines that may have run
-     * tasks.
+     * Stores a shard as a previous leader with term 5 would leave it, with an expired lease and
+     * with machines that may have run tasks.
      */
-    void previousLeaderLeft(String... machines) {
-        Map<String, Object> lines = new LinkedHashMap<>();
+    void storeShardOfPreviousLeader(String... machines) {
+        Map<String, Object> machineFields = new LinkedHashMap<>();
         for (String machine : machines) {
-            lines.put(machine.substring("host-".length()), List.of(0L, 0L, 1L, 1L, nowMs, 1L));
+            machineFields.put(
+                    machine.substring("host-".length()), List.of(0L, 0L, 1L, 1L, nowMs, 1L));
         }
         writeToStore(
                 "machine/host-",
-                Map.of("names", List.of(SimulatedCloud.SMALL_TYPE, "a"), "machines", lines));
+                Map.of(
+                        "names",
+                        List.of(SimulatedCloud.SMALL_TYPE, "a"),
+                        "machines",
+                        machineFields));
         writeToStore(
                 "types",
                 Map.of(
@@ -184,10 +195,10 @@
         return simulation.store;
     }
 
-    /** What the node has logged. */
+    /** The events that the node has logged. */
     final EventLog log = new EventLog();
 
-    /** A user cancels a job through another node. */
+    /** Stores the cancellation of a job, as another node does for its user. */
     void cancelAtOtherNode(String id, int tasks) {
         writeToStore(
                 "job/" + id,
@@ -203,11 +214,12 @@
                         "begun",
                         0L,
                         "spec",
-                        UserFormat.writeSubmission(spec(id, tasks, 2, false))));
+                        UserFormat.writeSubmission(batchSpec(id, tasks, 2, false))));
     }
 
     /**
-     * A user polls a job; returns the state in the response, or its status code if it is not 200.
+     * Polls a job. Returns the job status in the response, its HTTP status if it is not 200, or
+     * null without a response.
      */
     Object pollStatus(String id) {
         WireResponse response = poll(id);
@@ -216,6 +228,7 @@
                 : response.status() == 200 ? response.body().get("status") : response.status();
     }
 
+    /** Polls a job. Returns the response, or null without a response. */
     WireResponse poll(String id) {
         long request = ++lastRequestId;
         commands.add(new Command.Poll(request, id));
@@ -223,9 +236,7 @@
         return responses.get(request);
     }
 
-    /**
-     * A user submits a job; returns the status code of the response, or null without a response.
-     */
+    /** Submits a job. Returns the HTTP status of the response, or null without a response. */
     Integer submit(JobSpec spec) {
         long request = ++lastRequestId;
         commands.add(new Command.Submit(request, spec.id(), spec, null));
@@ -233,9 +244,7 @@
         return responses.containsKey(request) ? responses.get(request).status() : null;
     }
 
-    /**
-     * A user cancels a job; returns the status code of the response, or null without a response.
-     */
+    /** Cancels a job. Returns the HTTP status of the response, or null without a response. */
     Integer cancel(String id) {
         long request = ++lastRequestId;
         commands.add(new Command.Cancel(request, id));
@@ -259,7 +268,7 @@
                         "begun",
                         1L,
                         "spec",
-                        UserFormat.writeSubmission(spec(id, 2, 2, singleZone))));
+                        UserFormat.writeSubmission(batchSpec(id, 2, 2, singleZone))));
     }
 
     /** Stores an open job with this number of tasks, any of which may have been started. */
@@ -268,7 +277,7 @@
     }
 
     void addOpenJob(String id, int tasks, double cpus) {
-        addOpenJob(spec(id, tasks, cpus, false));
+        addOpenJob(batchSpec(id, tasks, cpus, false));
     }
 
     void addOpenJob(JobSpec spec) {
@@ -287,7 +296,7 @@
                         UserFormat.writeSubmission(spec)));
     }
 
-    private static JobSpec spec(String id, int tasks, double cpus, boolean singleZone) {
+    private static JobSpec batchSpec(String id, int tasks, double cpus, boolean singleZone) {
         return new JobSpecBuilder(id)
                 .taskCount(tasks)
                 .cpus(cpus)
--- a/src/test/java/org/shoreusher/simulation/StandbyFaultsTest.java
+++ b/src/test/java/org/shoreusher/simulation/StandbyFaultsTest.java
@@ -79,7 +79,7 @@
                             ClusterSimulation.InjectedDefect.NONE);
             simulation.features = StandbySimulations.FEATURES;
             long without = seed % 3;
-            simulation.hasFeatures = process -> process != without;
+            simulation.usesFeatures = process -> process != without;
             StandbySimulations.submitAndRun(simulation, StandbySimulations.randomCrashes(seed));
             assertInvariantsAndCount(simulation, seed);
         }
--- a/src/test/java/org/shoreusher/simulation/StandbyPartitionsTest.java
+++ b/src/test/java/org/shoreusher/simulation/StandbyPartitionsTest.java
@@ -116,7 +116,8 @@
                         simulateFaultOnLeader(
                                 6,
                                 (cluster, leader) ->
-                                        cluster.network.partition(leader.host, "state", 20_000))));
+                                        cluster.network.partition(
+                                                leader.host, SimulatedStore.HOST, 20_000))));
     }
 
     /** It reaches its workers only: it can neither remove the name nor start anything. */
@@ -167,7 +168,7 @@
             simulateFaultOnLeader(
                     5,
                     (cluster, leader) -> {
-                        cluster.store.loseResponses(6, atOnce, 8_000);
+                        cluster.store.loseReplies(6, atOnce, 8_000);
                         cluster.network.partition(leader.host, namedStandby(cluster).host, 1_500);
                         cluster.scheduleAfter(
                                 3_000 + cluster.random.nextInt(4_000),
--- a/src/test/java/org/shoreusher/simulation/StandbySimulations.java
+++ b/src/test/java/org/shoreusher/simulation/StandbySimulations.java
@@ -13,20 +13,21 @@
 import org.shoreusher.simulation.ClusterSimulation.InjectedDefect;
 import org.shoreusher.standby.StandbySettings;
 
-/** Simulations whose controllers keep a warm standby, and the outcomes of their failovers. */
+/** Simulations of controllers with a warm standby, and the outcomes of their failovers. */
 final class StandbySimulations {
-    /** Small frames, so that snapshots take several. */
+    /** A small maximum frame size, so that snapshots take several frames. */
     static final Features FEATURES =
             new Features(null, new StandbySettings(1_000, 1_000, 8, 10_000));
 
-    static final String IN_SYNC = "goes on from its log";
-
     private static final long FAULT_FREE_FROM_MS = 200_000;
     private static final long END_MS = 400_000;
     private static final long FIRST_CRASH_MS = 25_000;
     private static final long LAST_CRASH_MS = 140_000;
 
-    /** Effects of a leader within some seconds: responses, store calls, frames, log lines. */
+    /**
+     * A leader returns about this many effects (responses, store calls, frames, log lines) in a few
+     * seconds.
+     */
     private static final int MAX_EFFECTS = 600;
 
     private StandbySimulations() {}
@@ -39,7 +40,7 @@
         return simulation;
     }
 
-    /** Submits jobs as in the other simulations, and runs to the end. */
+    /** Submits 50 random jobs, and runs to the end. */
     static void submitAndRun(ClusterSimulation simulation, List<Fault> faults) {
         simulation.users.probeAfterEachChange = true;
         for (int i = 0; i < 50; i++) {
@@ -53,8 +54,8 @@
     }
 
     /**
-     * Leaders crash after a random number of effects, in half of the simulations while machines are
-     * unresponsive.
+     * Crashes of the leaders, each after a random number of effects; for even seeds a third of the
+     * machines are unresponsive meanwhile.
      */
     static List<Fault> randomCrashes(long seed) {
         Random random = new Random(seed * 7919 + 3);
@@ -67,8 +68,8 @@
             faults.add(
                     new Fault(
                             atMs,
-                            cluster ->
-                                    FaultInjection.currentLeaders(cluster)
+                            simulation ->
+                                    FaultInjection.currentLeaders(simulation)
                                             .forEach(
                                                     controller ->
                                                             controller.crashInjector
@@ -76,16 +77,19 @@
                                                                             effects,
                                                                             restartAfterMs))));
             if (seed % 2 == 0) {
-                long length = 4_000 + random.nextInt(16_000);
+                long durationMs = 4_000 + random.nextInt(16_000);
                 faults.add(
-                        new Fault(atMs, cluster -> blockOutboundOfSomeMachines(cluster, length)));
+                        new Fault(
+                                atMs,
+                                simulation ->
+                                        blockOutboundOfAThirdOfMachines(simulation, durationMs)));
             }
         }
         return faults;
     }
 
-    /** The heartbeats of a third of the machines reach no controller for a while. */
-    static void blockOutboundOfSomeMachines(ClusterSimulation simulation, long durationMs) {
+    /** Blocks the heartbeats of about a third of the machines for a while. */
+    static void blockOutboundOfAThirdOfMachines(ClusterSimulation simulation, long durationMs) {
         for (SimulatedWorker machine : simulation.cloud.machines()) {
             if (simulation.random.nextInt(3) == 0) {
                 machine.blockOutbound(durationMs);
@@ -93,7 +97,7 @@
         }
     }
 
-    /** The number of failovers by outcome, as their log lines name it. */
+    /** The number of failovers by outcome, as logged. */
     static Map<String, Integer> promotionOutcomes(ClusterSimulation simulation) {
         Map<String, Integer> counts = new HashMap<>();
         promotions(simulation)
@@ -111,7 +115,7 @@
                                         || entry.is(LogEventType.ATTEMPT_LOG_REJECTED));
     }
 
-    /** The outcome of the first failover from another leader. */
+    /** The outcome of the first failover from another leader; there must be one. */
     static String firstPromotionOutcome(ClusterSimulation simulation) {
         return promotions(simulation).findFirst().orElseThrow().text("outcome");
     }
--- a/src/test/java/org/shoreusher/simulation/UnseenCancellationsTest.java
+++ b/src/test/java/org/shoreusher/simulation/UnseenCancellationsTest.java
@@ -90,7 +90,7 @@
                                 FaultInjection.currentLeaders(simulation)
                                         .forEach(
                                                 controller ->
-                                                        simulation.store.refuseHost(
+                                                        simulation.store.rejectHost(
                                                                 controller.host,
                                                                 before + 14_000))));
         faults.add(cancelMostJobs(FAULT_MS + random.nextInt(2_000)));
