--- a/src/test/java/org/shoreusher/simulation/PreviousVersionLeader.java
+++ b/src/test/java/org/shoreusher/simulation/PreviousVersionLeader.java
@@ -228,7 +228,7 @@
         return open.isEmpty() ? null : open.get(simulation.random.nextInt(open.size()));
     }
 
-    /** Renews the lease, and completes some tasks of a random job. */
+    /** Completes some tasks of a random job, and renews the lease with all completed tasks. */
     private void renewLease() {
         String jobId = randomOpenJob();
         Map<String, StoredJob> jobs = store.jobs();
--- a/src/test/java/org/shoreusher/simulation/SimulatedUsers.java
+++ b/src/test/java/org/shoreusher/simulation/SimulatedUsers.java
@@ -339,8 +339,9 @@
     }
 
     /**
-     * Sends a submission that fits no machine, is of an unknown team, names an unknown zone, or
-     * lacks a field. It must be rejected with status 422, or 400 for the missing field.
+     * Sends a submission that fits no machine and exceeds its team's quota, is of an unknown team,
+     * names an unknown zone, or lacks a field. It must be rejected with status 422, or 400 for the
+     * missing field.
      */
     void submitInvalid(int number) {
         invalidSubmitted++;
