--- a/src/main/java/org/shoreusher/core/machine/Autoscaler.java
+++ b/src/main/java/org/shoreusher/core/machine/Autoscaler.java
@@ -19,8 +19,8 @@
 import org.shoreusher.core.store.Outbox;
 
 /**
- * Scales the machines of one shard out and in: plans once a second what to provision, drain and
- * hand over to other shards, and runs the calls to the cloud that follow from it.
+ * Scales the machines of one shard out and in: plans once a second which machines to provision,
+ * cordon, drain and hand over to other shards, and makes the resulting calls to the cloud.
  */
 public final class Autoscaler {
     private final ShardState shard;
@@ -68,8 +68,10 @@
     }
 
     /**
-     * Runs what is due, as long as this node holds the shard's lease and knows the machine types.
-     * While reconciliation is incomplete, machines are only added.
+     * Does the work that is due. Does nothing unless this node holds the shard's lease and the
+     * machine types are loaded. Until reconciliation is complete, no machine is cordoned, drained
+     * as idle or handed over; machines that the cloud no longer lists are removed, and failed ones
+     * drained, even then.
      */
     public void step() {
         if (!authority.isLeader() || !typeCatalog.isLoaded()) {
@@ -90,19 +92,23 @@
         inventory.step();
     }
 
-    /** Whether the last plan had no tasks for this machine. */
+    /**
+     * Whether the machine was available, idle and not needed by the last plan, and has not been
+     * handed over since.
+     */
     public boolean isSurplus(Machine machine) {
         return handover.isSurplus(machine);
     }
 
-    /** How many more machines the shard could fill at once. */
+    /** Number of further machines that the shard could fill at once, as of the last plan. */
     public int machineShortfall() {
         return shortfall.machines();
     }
 
     /**
-     * Has the next plan made in the next step. Called when all requests of the last one are
-     * answered, because the next one may want more machines.
+     * Makes the next plan due at once. Called when all pending requests have their final replies: a
+     * plan is limited to the requests that may be pending at once, so the next one may need more
+     * machines.
      */
     private void replanNow() {
         nextPlanMs = outbox.now().monotonicMs();
@@ -144,14 +150,15 @@
     }
 
     /**
-     * Surplus machines of other shards are handed over, which is faster and cheaper than a boot.
+     * Shortens the plan by the number of machines that other shards have idle: their handover is
+     * faster and cheaper than booting new machines.
      */
     private void removeMachinesAvailableElsewhere(List<MachineCapacity> toProvision) {
         int needed = Math.max(0, toProvision.size() - shardDemand.idleMachinesElsewhere());
         toProvision.subList(needed, toProvision.size()).clear();
     }
 
-    /** The shard's machines in each zone, requested ones included. */
+    /** The number of the shard's machines in each zone, including requested ones. */
     private Object2IntOpenHashMap<String> countMachinesPerZone() {
         Object2IntOpenHashMap<String> counts = new Object2IntOpenHashMap<>();
         shard.machines().values().forEach(machine -> counts.addTo(machine.zone(), 1));
--- a/src/main/java/org/shoreusher/core/machine/CapacityShortfall.java
+++ b/src/main/java/org/shoreusher/core/machine/CapacityShortfall.java
@@ -12,8 +12,9 @@
 import org.shoreusher.core.schedule.QuotaHeadroom;
 
 /**
- * The machines and CPUs that a shard needs beyond the existing ones to run every pending task at
- * once, as last measured.
+ * The machines and CPUs that a shard needs beyond its existing machines to run at once all pending
+ * tasks within the quotas that apply to scale-out, as last measured. Requested machines do not
+ * count as existing, and tasks that fit no machine type do not count.
  */
 final class CapacityShortfall {
     private final ShardState shard;
@@ -22,24 +23,24 @@
     private int machines;
     private double cpus;
 
-    /** Creates a shortfall of nothing. */
+    /** Creates the shortfall of a shard, which is 0 until it is measured. */
     CapacityShortfall(ShardState shard, QuotaHeadroom quotaHeadroom, MachinePricing pricing) {
         this.shard = shard;
         this.quotaHeadroom = quotaHeadroom;
         this.pricing = pricing;
     }
 
-    /** Machines that the shard could fill at once beyond the existing ones. */
+    /** Number of further machines that the shard could fill at once; never negative. */
     int machines() {
         return machines;
     }
 
-    /** CPUs that the shard could use at once beyond the existing ones. */
+    /** Number of further CPUs that the shard could use at once. */
     double cpus() {
         return cpus;
     }
 
-    /** Measures the shortfall. */
+    /** Measures the shortfall for these open jobs of the shard. */
     void measure(List<Job> jobsInSchedulingOrder) {
         BinPacker binPacker = binPacker(existingCapacity());
         double missingMachines = 0;
@@ -56,7 +57,10 @@
         machines = (int) Math.ceil(missingMachines);
     }
 
-    /** The free capacity of machines that can start tasks or are booting. */
+    /**
+     * The free capacity of each machine that is available for new tasks or will be once it has
+     * booted.
+     */
     List<MachineCapacity> existingCapacity() {
         List<MachineCapacity> capacities = new ArrayList<>();
         for (Machine machine : shard.machines().values()) {
@@ -67,7 +71,7 @@
         return capacities;
     }
 
-    /** A bin packer that places tasks up to the quotas that apply to scale-out. */
+    /** Creates a bin packer for these machines with the quotas that apply to scale-out. */
     BinPacker binPacker(List<MachineCapacity> capacities) {
         return new BinPacker(
                 capacities, quotaHeadroom::cpuHeadroomForScaleOut, quotaHeadroom::gpuHeadroom);
--- a/src/main/java/org/shoreusher/core/machine/CloudInventory.java
+++ b/src/main/java/org/shoreusher/core/machine/CloudInventory.java
@@ -24,11 +24,12 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * Polls the cloud's machine list, which lags behind, for one shard. From it the shard learns which
- * of its machines have been terminated, and which machines have no record and need to be adopted.
+ * Polls the cloud's machine list for one shard. The list lags behind. Machines of the shard that
+ * are missing from it long after they were provisioned have been terminated and are removed,
+ * machines that it reports as failed are drained, and listed machines without a record are adopted.
  */
 public final class CloudInventory {
-    /** State of a machine in the list that has stopped by itself (protocol). */
+    /** State in the list of a machine that stopped without being terminated (protocol). */
     private static final String FAILED_STATE = "failed";
 
     private final ShardState shard;
@@ -39,10 +40,13 @@
     private final MachineLifecycle lifecycle;
     private final TerminatedMachines terminatedMachines;
 
-    /** Listed machines without a record, with the monotonic ms at which they were first seen. */
+    /**
+     * Listed machines without a record that this shard would adopt, with the monotonic ms at which
+     * each of them was first listed.
+     */
     private final Object2LongOpenHashMap<String> unrecordedSinceMs = new Object2LongOpenHashMap<>();
 
-    /** Names of the machines in the newest complete list. */
+    /** Ids of the machines in the newest complete list. */
     private Set<String> listedIds = Set.of();
 
     private long nextListMs;
@@ -58,7 +62,7 @@
      * @param requestedAt when the first page was requested
      */
     private record PartialList(ClockReading requestedAt, List<ListedMachine> machines) {
-        /** The last machine so far, after which the next page begins; null for the first page. */
+        /** The last machine read so far, after which the next page begins; null if none. */
         String lastMachineId() {
             return machines.isEmpty() ? null : machines.get(machines.size() - 1).machineId();
         }
@@ -79,15 +83,16 @@
         this.terminatedMachines = terminatedMachines;
     }
 
-    /** Whether the newest complete list has the machine. */
+    /** Whether the newest complete list contains the machine; false before the first list. */
     public boolean isListed(String id) {
         return listedIds.contains(id);
     }
 
     /**
-     * Requests the next page when it is due. A page that the rate limit holds back is requested in
-     * the next step, and the pages so far are kept: at 4,000 machines a list has more pages than
-     * the limit's burst, and one that started over each time would never be complete.
+     * Requests the next page when it is due. If the rate limit leaves no token, the page is
+     * requested in the next step, and the pages read so far are kept: at 4,000 machines a list has
+     * more pages than the limit allows in a burst, so a list that started over each time would
+     * never be complete.
      */
     void step() {
         if (awaitingReply) {
@@ -108,7 +113,8 @@
     private void handlePage(CloudReply reply) {
         awaitingReply = false;
         PartialList current = partialList;
-        // Reconciliation waits for machines until a list shows that they are terminated.
+        // Reconciliation waits for a terminated machine until a list shows that it no longer
+        // exists, so lists are read more often until then.
         nextListMs =
                 outbox.now().monotonicMs()
                         + (authority.isReconciled()
@@ -154,15 +160,15 @@
         if (machine == null && lifecycle.shouldAdopt(listedMachine.machineId())) {
             adoptIfStillListed(listedMachine);
         } else {
-            // Otherwise a machine that is terminated later, and that a lagging list still has,
-            // would count as seen before.
+            // Without this, a machine that is terminated later and still in a lagging list would
+            // count as listed since this time, and could be adopted at once.
             unrecordedSinceMs.removeLong(listedMachine.machineId());
         }
     }
 
     private void removeUnlistedMachines(ClockReading requestedAt) {
-        // Lists are at most twice their lag old, and a machine once listed stays in them until it
-        // is terminated.
+        // A list is at most twice the inventory's lag old, and a machine stays listed from its
+        // first listing until its termination.
         long maxListDelayMs =
                 (long) (2 * settings.inventoryLagS() * 1000)
                         + MachineConstants.INVENTORY_LAG_MARGIN_MS;
@@ -175,8 +181,9 @@
     }
 
     /**
-     * Adopts a listed machine without a record once it has been listed for long enough that no
-     * reply to a provisioning request can still be on its way.
+     * Adopts a listed machine without a record once it has been listed for so long that no reply to
+     * a provision request for it can still arrive. A machine considered terminated must have been
+     * listed for far longer than the inventory's lag.
      */
     private void adoptIfStillListed(ListedMachine listedMachine) {
         String id = listedMachine.machineId();
--- a/src/main/java/org/shoreusher/core/machine/MachineConstants.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineConstants.java
@@ -8,8 +8,8 @@
     private MachineConstants() {}
 
     /**
-     * CPUs, in machines, that must stay free when a machine is drained to be handed over to another
-     * shard.
+     * CPUs, as a share of the CPUs of the shard's largest available machine, that must stay free on
+     * the other machines when a machine is evacuated in order to be handed over to another shard.
      */
     static final double HANDOVER_MIN_FREE_MACHINES = 0.5;
 
@@ -17,62 +17,65 @@
     static final long HANDOVER_MIN_IDLE_MS = 1_000;
 
     /**
-     * ms; interval between writes of machine records; changes are batched meanwhile. At most 7
-     * writes of groups a second for each shard.
+     * ms; interval between writes of machine records; changes are batched meanwhile. It limits each
+     * shard to 7 of these writes per second; one write may change several groups of machines.
      */
     static final long MACHINE_RECORD_WRITE_INTERVAL_MS = 150;
 
     /**
-     * Share of a shard's machines that may be behind a one-way partition; if there are more, the
-     * fault is in this node's network and not in the machines.
+     * Largest share of a shard's machines behind a one-way partition at which these machines are
+     * cordoned. If there are more, the fault is more likely in this node's network than in the
+     * machines.
      */
     static final double MAX_ONE_WAY_PARTITIONED_SHARE = 0.25;
 
     /**
-     * Terminated machines that a leader remembers, so that late copies of their heartbeats do not
-     * add them again. Enough for 6,000 machines replaced three times within minutes; some 2 MB.
+     * Ids of terminated machines that a leader keeps, so that delayed copies of their heartbeats do
+     * not add them again. Enough for replacing 6,000 machines three times within minutes; about 2
+     * MB.
      */
     static final int MAX_REMEMBERED_TERMINATED_MACHINES = 20_000;
 
     /**
-     * ms; a machine taken for terminated that the inventory still lists after this time, far beyond
-     * the inventory's lag, still exists.
+     * ms; a machine considered terminated that the inventory has listed for longer than this, far
+     * longer than the inventory's lag, still exists.
      */
     static final long TERMINATED_STILL_LISTED_MS = 60_000;
 
-    /** Consecutive failed tasks, of different jobs, after which a machine is cordoned as faulty. */
+    /**
+     * Jobs of which a task failed on a machine, with no task succeeding there in between, from
+     * which the machine is cordoned as faulty.
+     */
     static final int FAULTY_MACHINE_FAILURES = 3;
 
-    /** ms; how often the autoscaler runs. */
+    /** ms; interval between plans of the autoscaler. */
     static final long AUTOSCALER_INTERVAL_MS = 1_000;
 
-    /** ms; how often the cloud's inventory is read. */
+    /** ms; interval between reads of the cloud's inventory. */
     static final long INVENTORY_INTERVAL_MS = 5_000;
 
-    /** ms; how often the cloud's inventory is read during reconciliation. */
+    /** ms; interval between reads of the cloud's inventory until reconciliation is complete. */
     static final long RECONCILIATION_INVENTORY_INTERVAL_MS = 1_000;
 
-    /** ms; how often machine types and prices are read. */
+    /** ms; interval between reads of machine types and prices. */
     static final long MACHINE_TYPES_INTERVAL_MS = 60_000;
 
     /** ms; pause after a rejected or failed cloud call. */
     static final long CLOUD_RETRY_MS = 1_000;
 
     /**
-     * ms; a kind of machine for which the cloud has no capacity is not requested again for this
-     * long.
+     * ms; time for which a kind of machine is not requested again after the cloud had no capacity
+     * for it.
      */
     static final long NO_CAPACITY_BACKOFF_MS = 8_000;
 
-    /**
-     * A machine that has not started within this many times its nominal boot time is terminated.
-     */
+    /** Multiple of its nominal boot time after which a machine that has not booted is cordoned. */
     static final double BOOT_TIMEOUT_FACTOR = 4.0;
 
-    /** Machines in one provision request at most (protocol). */
+    /** Largest number of machines in one provision request (protocol). */
     static final int MAX_MACHINES_PER_PROVISION = 50;
 
-    /** Machines in one terminate request at most (protocol). */
+    /** Largest number of machines in one terminate request (protocol). */
     static final int MAX_MACHINES_PER_TERMINATE = 100;
 
     /** ms; an idle spot machine is kept this long before scale-in. */
@@ -84,40 +87,41 @@
     static final long ON_DEMAND_IDLE_TIMEOUT_MS = 5_000;
 
     /**
-     * On-demand capacity reserved in each zone, in halves of the largest service: as many services
-     * may be submitted in the time that a machine boots.
+     * On-demand capacity reserved in each zone, in halves of the largest service: the number of
+     * services that may be submitted while a machine boots.
      */
     static final int RESERVED_CAPACITY_HALF_SERVICES = 3;
 
     /**
-     * CPUs reserved before the first service, whose size is not known yet: two of eight replicas.
+     * CPUs reserved in each zone while there is no service, and so no service size: enough for two
+     * services of eight replicas.
      */
     static final double RESERVED_CAPACITY_INITIAL_CPUS = 16;
 
     /**
-     * Missing CPUs, as a share of the existing ones, above which expensive on-demand machines are
-     * provisioned too.
+     * Shortfall of CPUs, as a share of the CPUs of running machines, above which expensive
+     * on-demand machines are also provisioned for tasks that may run on spot machines.
      */
     static final double ON_DEMAND_MIN_SHORTAGE_SHARE = 0.5;
 
-    /** ms; the cloud charges at least this long for a machine (protocol). */
+    /** ms; shortest time for which the cloud charges for a machine (protocol). */
     static final long MIN_BILLED_MS = 60_000;
 
     /**
-     * s; the autoscaler provisions enough for work without an attainable objective to take about
-     * this long.
+     * s; approximate time in which the pending tasks of a job without an attainable objective
+     * should finish on the provisioned machines.
      */
     static final double SCALE_OUT_HORIZON_S = 60;
 
     /**
-     * Share of a job's remaining time that its work should take; the rest covers booting and
-     * estimation errors.
+     * Share of the time left until a job's objective in which its pending tasks should finish; the
+     * rest covers booting and estimation errors.
      */
     static final double SCALE_OUT_DEADLINE_SHARE = 0.5;
 
     /**
-     * ms; margin on twice the inventory's lag, after which a machine that is not listed has been
-     * terminated.
+     * ms; margin added to twice the inventory's lag. A machine that was provisioned longer ago than
+     * that and is not listed has been terminated.
      */
     static final long INVENTORY_LAG_MARGIN_MS = 3_000;
 }
--- a/src/main/java/org/shoreusher/core/machine/MachineCordon.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineCordon.java
@@ -13,9 +13,10 @@
 import org.shoreusher.settings.Settings;
 
 /**
- * Cordons machines that must get no more tasks: faulty or slow ones, those with an interruption
- * notice or behind a one-way partition, unresponsive ones, and those that failed to boot. They are
- * drained and then terminated.
+ * Cordons machines that must get no more tasks: machines that are faulty, slow or failed to boot,
+ * and, once they have no tasks, machines that have an interruption notice, are behind a one-way
+ * partition or have been unresponsive for long. A cordoned machine is drained, and {@link ScaleIn}
+ * terminates it when it is empty.
  */
 final class MachineCordon {
     private final ShardState shard;
@@ -31,7 +32,10 @@
         this.taskStopper = taskStopper;
     }
 
-    /** Checks all machines of the shard and sets those to be cordoned to draining. */
+    /**
+     * Cordons the machines of the shard for which there is a reason, and evicts service replicas
+     * from draining machines.
+     */
     void step() {
         boolean partitionedMachinesAreFaulty = arePartitionedMachinesFaulty();
         for (Machine machine : shard.machines().values()) {
@@ -54,8 +58,9 @@
     }
 
     /**
-     * Whether machines behind a one-way partition are themselves at fault. If many are, the fault
-     * is more likely in this node's network.
+     * Whether machines behind a one-way partition count as faulty themselves. If there are more
+     * than one and more than a share of the shard's machines, the fault is more likely in this
+     * node's network.
      */
     private boolean arePartitionedMachinesFaulty() {
         long partitionedCount =
@@ -68,7 +73,7 @@
                         shard.machines().size() * MachineConstants.MAX_ONE_WAY_PARTITIONED_SHARE);
     }
 
-    /** The reason to cordon a machine, for the log; empty if there is none. */
+    /** The reason for cordoning a machine, for the log; empty if there is none. */
     private Optional<String> findFault(Machine machine, boolean partitionedMachinesAreFaulty) {
         return switch (machine.state()) {
             case BOOTING -> findBootFault(machine);
@@ -87,10 +92,10 @@
             Machine machine, boolean partitionedMachinesAreFaulty) {
         int failedJobCount = machine.failedJobIds().size();
         if (failedJobCount >= MachineConstants.FAULTY_MACHINE_FAILURES) {
-            return Optional.of("tasks of " + failedJobCount + " jobs failed on it");
+            return Optional.of("tasks of " + failedJobCount + " jobs failed on this machine");
         }
         if (machine.isSlow()) {
-            return Optional.of("its tasks take far longer than others of their jobs");
+            return Optional.of("its tasks run far longer than the mean of their jobs");
         }
         if (machine.worker().hasOneWayPartition()
                 && machine.tasks().isEmpty()
@@ -113,9 +118,10 @@
     }
 
     /**
-     * Whether a machine is far beyond its boot time. One that a previous leader used did boot:
-     * without that check, a successor terminated all machines behind a network partition, and their
-     * replacements had empty image caches.
+     * Whether a machine has not booted within a multiple of its nominal boot time. A machine that
+     * may have run tasks under a previous leader has booted: without that check, a successor
+     * terminated all machines behind a network partition, and their replacements had empty image
+     * caches.
      */
     private boolean hasFailedToBoot(Machine machine) {
         return !machine.mayHaveRunTasks()
@@ -128,7 +134,8 @@
     }
 
     /**
-     * Whether an empty machine's lease expired long enough ago that it has cost its minimum charge.
+     * Whether a machine has no tasks and its worker's lease expired longer ago than the shortest
+     * time that the cloud charges for.
      */
     private boolean isUnresponsive(Machine machine) {
         return machine.mayHaveRunTasks()
@@ -138,8 +145,8 @@
     }
 
     /**
-     * Evicts service replicas from a draining machine, since they never end by themselves; they are
-     * started again elsewhere.
+     * Evicts the service replicas of a draining machine, because they never complete; they are then
+     * started on other machines.
      */
     private void evictReplicas(Machine machine) {
         for (TaskAttempt attempt : machine.tasks().values()) {
--- a/src/main/java/org/shoreusher/core/machine/MachineHandover.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineHandover.java
@@ -10,17 +10,17 @@
 import org.shoreusher.core.gossip.ShardDemand;
 import org.shoreusher.core.store.Outbox;
 
-/** Hands machines that a shard does not need over to shards that have too few. */
+/** Hands idle machines that a shard does not need over to the shard that lacks the most. */
 final class MachineHandover {
     private final ShardState shard;
     private final Outbox outbox;
     private final MachineRecords machineRecords;
     private final ShardDemand shardDemand;
 
-    /** Available machines that the last plan had no tasks for. */
+    /** Machines that were available, idle and not needed by the last plan. */
     private final Set<Machine> surplusMachines = new HashSet<>();
 
-    /** Creates the handover of a shard; no machine is surplus yet. */
+    /** Creates the handover of a shard without surplus machines. */
     MachineHandover(ShardContext context, MachineRecords machineRecords, ShardDemand shardDemand) {
         shard = context.state();
         outbox = context.outbox();
@@ -28,15 +28,18 @@
         this.shardDemand = shardDemand;
     }
 
-    /** Whether the last plan had no tasks for this machine. */
+    /**
+     * Whether the machine was available, idle and not needed by the last plan, and has not been
+     * handed over since.
+     */
     boolean isSurplus(Machine machine) {
         return surplusMachines.contains(machine);
     }
 
     /**
-     * Determines the surplus machines anew.
+     * Replaces the surplus machines by those that are available, idle and not needed.
      *
-     * @param neededMachines the machines that the plan has tasks for
+     * @param neededMachines the machines on which the plan places tasks
      */
     void updateSurplus(Set<Machine> neededMachines) {
         surplusMachines.clear();
@@ -50,21 +53,22 @@
     }
 
     /**
-     * Hands surplus machines over to the shard with the largest shortfall.
+     * Hands surplus and evacuated machines over to the shard with the largest shortfall, at most as
+     * many as it lacks.
      *
-     * @param ownShortfall machines that this shard could fill itself
+     * @param ownShortfall number of further machines that this shard could fill itself
      */
     void handOverSurplus(int ownShortfall) {
         OptionalInt targetShard = shardDemand.shardWithLargestShortfall();
-        int remaining =
+        int remainingShortfall =
                 targetShard.isPresent()
                         ? shardDemand.machineShortfallOf(targetShard.getAsInt())
                         : 0;
-        updateEvacuation(remaining, ownShortfall);
+        updateEvacuation(remainingShortfall, ownShortfall);
         for (Machine machine : new ArrayList<>(shard.machines().values())) {
-            if (remaining > 0 && canBeHandedOver(machine)) {
+            if (remainingShortfall > 0 && canBeHandedOver(machine)) {
                 machineRecords.handOver(machine, targetShard.getAsInt());
-                remaining--;
+                remainingShortfall--;
                 surplusMachines.remove(machine);
             }
         }
@@ -80,11 +84,14 @@
     }
 
     /**
-     * Chooses a machine that gets no more tasks when other shards have a shortfall and this one
-     * could run its tasks on fewer machines. A handover needs an empty machine, and without this a
-     * shard keeps many half-full ones.
+     * Starts the evacuation of the least used machine, which then gets no more tasks, if the target
+     * shard lacks more machines than are being evacuated, this shard lacks none, and enough CPUs
+     * stay free without the machine. Ends all evacuations if there is no target shard. A handover
+     * needs an empty machine; without evacuation a shard keeps many half-full ones.
+     *
+     * @param targetShortfall number of machines that the target shard lacks; 0 if there is none
      */
-    private void updateEvacuation(int shortfallElsewhere, int ownShortfall) {
+    private void updateEvacuation(int targetShortfall, int ownShortfall) {
         double freeCpus = 0;
         double largestMachineCpus = 0;
         Machine leastUsed = null;
@@ -92,7 +99,7 @@
         for (Machine machine : shard.machines().values()) {
             if (machine.isEvacuating()) {
                 evacuatingCount++;
-                machine.setEvacuating(shortfallElsewhere > 0);
+                machine.setEvacuating(targetShortfall > 0);
             } else if (shard.isAvailable(machine)) {
                 freeCpus += machine.resources().cpusFree();
                 largestMachineCpus = Math.max(largestMachineCpus, machine.type().cpus());
@@ -100,7 +107,7 @@
                         leastUsed == null || isLessUsed(machine, leastUsed) ? machine : leastUsed;
             }
         }
-        if (shortfallElsewhere > evacuatingCount
+        if (targetShortfall > evacuatingCount
                 && ownShortfall == 0
                 && leastUsed != null
                 && freeCpus - leastUsed.resources().cpusFree()
@@ -109,7 +116,7 @@
         }
     }
 
-    /** Whether fewer CPUs of a machine are used than of another; the name decides among equals. */
+    /** Whether fewer CPUs are used on a machine than on another; the lower id wins a tie. */
     private static boolean isLessUsed(Machine machine, Machine other) {
         return machine.resources().cpusUsed() < other.resources().cpusUsed()
                 || (machine.resources().cpusUsed() == other.resources().cpusUsed()
--- a/src/main/java/org/shoreusher/core/machine/MachineIndex.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineIndex.java
@@ -11,10 +11,10 @@
 import org.shoreusher.core.store.StoreSchema;
 
 /**
- * The records of all machines by machine name, from this node's cache of the store. The store keeps
- * machines in groups, one key each. A machine may be in two of them: a narrow group, and a wide one
- * that a leader with a larger value limit wrote. The narrow one has precedence, but the machine
- * counts as used if either says so.
+ * The records of all machines by machine id, from the store cache. The store keeps the records in
+ * groups, one key each. A machine may be in two groups: a narrow one, and a wide one that a leader
+ * with a larger limit on the size of values wrote. The record in the narrow group has precedence,
+ * but the machine may have run tasks if either record states it.
  */
 public final class MachineIndex {
     private final Object2ObjectOpenHashMap<String, MachineRecord> recordsById =
@@ -22,18 +22,18 @@
     private final Object2ObjectOpenHashMap<String, Map<String, MachineRecord>> groupsByKey =
             new Object2ObjectOpenHashMap<>();
 
-    /** Returns the machine's record, or null. */
+    /** Returns the machine's record; null if no group contains the machine. */
     public MachineRecord get(String id) {
         return recordsById.get(id);
     }
 
-    /** The records of all machines by machine name; not to be changed. */
+    /** The records of all machines by machine id; a live view that callers must not change. */
     public Map<String, MachineRecord> recordsById() {
         return recordsById;
     }
 
     /**
-     * The records in the group under a store key, by machine name; empty if there is no such group.
+     * The records in the group under a store key, by machine id; empty if there is no such group.
      */
     Map<String, MachineRecord> group(String key) {
         return groupsByKey.getOrDefault(key, Map.of());
@@ -42,8 +42,10 @@
     /**
      * Applies the new value of a group.
      *
-     * @param entry the group's new entry in the store; null if it was removed
-     * @param onRecordChange called with each machine whose record is new or different now
+     * @param key the group's key in the store
+     * @param entry the group's new entry in the store; null if the key was removed
+     * @param onRecordChange called with the id and the record of each machine whose record is new
+     *     or has changed, but not of one whose record was removed
      * @throws IllegalStateException if the value can't be parsed
      */
     public void updateGroup(
--- a/src/main/java/org/shoreusher/core/machine/MachineKind.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineKind.java
@@ -1,10 +1,10 @@
 package org.shoreusher.core.machine;
 
 /**
- * What the cloud's capacity is counted by.
+ * A kind of machine. The cloud's capacity is limited for each kind separately.
  *
  * @param type name of the machine type
- * @param zone the zone
- * @param spot whether a spot machine, else an on-demand one
+ * @param zone name of the zone
+ * @param spot true for spot machines, false for on-demand ones
  */
 record MachineKind(String type, String zone, boolean spot) {}
--- a/src/main/java/org/shoreusher/core/machine/MachineKindSelector.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineKindSelector.java
@@ -26,10 +26,12 @@
     }
 
     /**
-     * The kind of machine to provision for a job: spot before on-demand, then the cheapest
-     * available type, then the zone with fewer machines; empty if none is available. When only the
-     * cheapest type was considered, tasks waited in a deployment with few large machines although
-     * hundreds of small ones were available.
+     * Returns the kind of machine to provision for a job: spot before on-demand, then the available
+     * type with the lowest price per task, then the zone with the fewest machines; empty if no kind
+     * is eligible and available. When only the cheapest type was considered, tasks waited in a
+     * deployment with few large machines although hundreds of small ones were available.
+     *
+     * @param machinesPerZone number of existing, requested and planned machines by zone
      */
     Optional<MachineKind> select(JobSpec spec, Object2IntOpenHashMap<String> machinesPerZone) {
         Optional<MachineKind> spotKind = select(spec, true, machinesPerZone);
@@ -68,8 +70,9 @@
     }
 
     /**
-     * Whether tasks that may run on spot machines should get on-demand ones of this type. They cost
-     * a multiple, which only a long queue justifies.
+     * Whether on-demand machines of this type may be provisioned for tasks that may run on spot
+     * machines. If they cost a multiple of the spot price, only a large shortfall of CPUs justifies
+     * it.
      */
     private boolean isOnDemandWorthwhile(MachineType type) {
         return !type.isOnDemandExpensive()
--- a/src/main/java/org/shoreusher/core/machine/MachineLifecycle.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineLifecycle.java
@@ -13,8 +13,8 @@
 import org.shoreusher.log.LogEventType;
 
 /**
- * Adds machines to a shard and removes them, with the tasks that are or may be on them. One for
- * each shard that this node leads.
+ * Adds machines to a shard and removes them, with the tasks that are or may be on them. There is
+ * one instance for each shard that this node leads.
  */
 public final class MachineLifecycle {
     private final ShardState shard;
@@ -41,9 +41,10 @@
     }
 
     /**
-     * Adds a machine whose record assigns it to this shard. It may hold tasks of a previous leader.
+     * Adds a machine whose record assigns it to this shard. Tasks that a previous leader started
+     * may be running on it.
      *
-     * @return the machine; null if its type is unknown
+     * @return the machine; null if its type is not in the catalog
      */
     public Machine addRecordedMachine(String id, MachineRecord record) {
         MachineType type = typeCatalog.get(record.type());
@@ -59,10 +60,11 @@
     }
 
     /**
-     * Adds a machine that has no record, hence has never been given a task, and has its record
-     * written.
+     * Adds a machine that has no record, which means that no leader has started a task on it, and
+     * schedules the write of its record.
      *
-     * @param provisionedWallMs wall-clock ms at which it was requested
+     * @param type null if the machine's type is not in the catalog; then nothing is added
+     * @param provisionedWallMs wall-clock ms at which it was requested, as far as that is known
      * @return the machine; null if {@code type} is null
      */
     public Machine addNewMachine(
@@ -78,7 +80,8 @@
     }
 
     /**
-     * Adds a machine that the cloud has provisioned, unless it is known or terminated already.
+     * Adds a machine that the cloud has provisioned, unless the shard already has it, it has been
+     * terminated, or this node's leadership is lost.
      *
      * @param requestedWallMs wall-clock ms at which the request was sent
      */
@@ -96,8 +99,8 @@
     }
 
     /**
-     * Puts the tasks of machines whose worker leases have expired back into the queue. The worker
-     * has killed them by then.
+     * Returns the tasks of machines whose worker leases have certainly expired to the queue. The
+     * workers have killed these tasks by then.
      */
     public void expireWorkerLeases() {
         for (Machine machine : shard.machines().values()) {
@@ -115,9 +118,9 @@
 
     /** Why a machine was removed, for the log. */
     enum RemovalReason {
-        /** The cloud's list no longer has it. */
+        /** The cloud's list does not contain it. */
         NOT_LISTED("no longer in the cloud's list"),
-        /** The cloud confirmed that it terminated it. */
+        /** The cloud confirmed its termination. */
         TERMINATED("terminated by this node");
 
         private final String description;
@@ -127,7 +130,10 @@
         }
     }
 
-    /** Removes a machine that no longer exists, with its tasks and its record. */
+    /**
+     * Removes a machine that no longer exists: returns its tasks to the queue and schedules the
+     * removal of its record.
+     */
     void removeTerminated(Machine machine, RemovalReason reason) {
         outbox.log(
                 LogEvent.of(LogEventType.MACHINE_REMOVED)
@@ -141,7 +147,8 @@
     }
 
     /**
-     * Handles a machine that the cloud reports as failed: nothing runs on it, and it is drained.
+     * Handles a machine that the cloud reports as failed. Nothing runs on it any more: its tasks
+     * return to the queue, and it is drained if it is booting or up.
      */
     void handleMachineFailure(Machine machine) {
         machine.snapshotTasks().forEach(ledger::remove);
@@ -151,7 +158,8 @@
     }
 
     /**
-     * Whether this shard, by the hash of the name, is the one to adopt a machine without a record.
+     * Whether a machine has no record and this shard is the one, selected by the hash of the
+     * machine's id, that adopts it.
      */
     boolean shouldAdopt(String id) {
         return !machineRecords.isRecorded(id)
@@ -159,12 +167,12 @@
     }
 
     /**
-     * Applies a changed machine record: adds a machine that was handed over to this shard, and
-     * removes an empty one that belongs to another shard now.
+     * Applies a new or changed machine record: adds the machine if the record assigns it to this
+     * shard, and removes it if the record assigns it to another shard and it has no tasks.
      */
     public void applyRecord(String id, MachineRecord record) {
         Machine machine = shard.machines().get(id);
-        // A write made before the machine was terminated may reach the cache after that.
+        // A write made before the machine was terminated may reach the store cache afterwards.
         if (authority.isLoaded()
                 && machine == null
                 && record.shardNumber() == shard.shardNumber()
--- a/src/main/java/org/shoreusher/core/machine/MachinePricing.java
+++ b/src/main/java/org/shoreusher/core/machine/MachinePricing.java
@@ -6,16 +6,16 @@
 import org.shoreusher.core.message.MachineType;
 import org.shoreusher.core.schedule.MachineCapacity;
 
-/** Compares machine types by what a task costs on them. */
+/** Compares machine types by their price per task. */
 final class MachinePricing {
     private final MachineTypeCatalog typeCatalog;
 
-    /** Creates the pricing of the types that the cloud offers. */
+    /** Creates the pricing of the machine types in a catalog. */
     MachinePricing(MachineTypeCatalog typeCatalog) {
         this.typeCatalog = typeCatalog;
     }
 
-    /** The type with the lowest spot price per task of a job; empty if none can run it. */
+    /** Returns the type with the lowest spot price per task of a job; empty if no type fits it. */
     Optional<MachineType> cheapestType(JobSpec spec) {
         return typeCatalog.all().stream()
                 .filter(type -> type.canFit(spec))
@@ -23,15 +23,15 @@
     }
 
     /**
-     * Price per hour of one task on an empty machine; the capacity that the task size leaves unused
-     * is paid for as well.
+     * Returns the price per hour of one task when an empty machine is filled with tasks of the job.
+     * It includes the capacity that is left unused because no further task fits.
      */
     static double pricePerTask(MachineType type, boolean spot, JobSpec spec) {
         return (spot ? type.spotPricePerHour() : type.onDemandPricePerHour())
                 / tasksPerMachine(type, spec);
     }
 
-    /** Tasks of a job that fit on an empty machine; 1 if none does. */
+    /** Returns how many tasks of a job fit on an empty machine, at least 1. */
     static int tasksPerMachine(MachineType type, JobSpec spec) {
         return Math.max(1, new MachineCapacity(type, "", true).fittingTaskCount(spec));
     }
--- a/src/main/java/org/shoreusher/core/machine/MachineRecords.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineRecords.java
@@ -25,9 +25,9 @@
 
 /**
  * Keeps the store's records of a shard's machines up to date, and hands machines over to other
- * shards. Each write is a compare-and-swap on the version of every group of machines that it
- * changes, and on the leader's fencing token: shards that share a group can't undo each other's
- * writes, and a previous leader can't write at all.
+ * shards. Each write is a compare-and-swap whose preconditions are the versions of the shard's
+ * fencing key and of every group of machines that it changes: shards that share a group can't undo
+ * each other's writes, and a previous leader can't write at all.
  */
 public final class MachineRecords {
     private final ShardState shard;
@@ -38,7 +38,10 @@
     private final VersionNegotiation versionNegotiation;
     private final ShardLeadership leadership;
 
-    /** Machines whose records may differ from {@link #desiredRecord}, oldest first. */
+    /**
+     * Ids of the machines whose records may differ from {@link #desiredRecord}, in the order in
+     * which they were added.
+     */
     private final ObjectLinkedOpenHashSet<String> dirtyIds = new ObjectLinkedOpenHashSet<>();
 
     private final WideGroupMigration wideGroupMigration;
@@ -62,19 +65,23 @@
         wideGroupMigration = new WideGroupMigration(shard, settings, machineIndex);
     }
 
-    /** Returns whether the store has a record of the machine, whichever shard it belongs to. */
+    /** Returns whether the store cache has a record of the machine, of this shard or another. */
     boolean isRecorded(String machineId) {
         return machineIndex.get(machineId) != null;
     }
 
-    /** Has the record of a machine that is new, used or terminated written or removed. */
+    /**
+     * Schedules the write of a machine's record, or its removal if the shard no longer has the
+     * machine. To be called when a machine is new, may have tasks from now on, or is removed.
+     */
     public void markDirty(String id) {
         dirtyIds.add(id);
     }
 
     /**
-     * Hands an idle machine over to another shard. From now on no task starts on it. The write is
-     * repeated until it succeeds or the machine's record has been changed by another leader.
+     * Hands an idle machine over to another shard. From now on this shard starts no task on it. The
+     * write is repeated until the machine's record in the store cache assigns it to another shard;
+     * then this shard removes the machine.
      *
      * @param targetShard number of the other shard
      */
@@ -83,15 +90,16 @@
         dirtyIds.add(machine.id());
     }
 
-    /** The record that a machine should have; null if none. */
+    /** The record that a machine should have; null if the shard does not have the machine. */
     private MachineRecord desiredRecord(String id) {
         Machine machine = shard.machines().get(id);
         if (machine == null) {
             return null;
         }
         boolean handingOver = machine.state() == Machine.State.HANDING_OVER;
-        // A node of the previous version would write a wide group beside the narrow one, and later
-        // read "not used" in the narrow one.
+        // While members of the previous version may lead, narrow groups record every machine as
+        // used: such a leader would record the use of a machine in a wide group and later read in
+        // the narrow one that the machine has not been used.
         boolean mixedVersions =
                 wideGroupMigration.isNeeded() && !versionNegotiation.areServicesSupported();
         return new MachineRecord(
@@ -104,9 +112,10 @@
     }
 
     /**
-     * Writes the records of machines before tasks start on them, and removes those of terminated
-     * machines, in batches: a few hundred machines that boot within seconds would otherwise use up
-     * the store's rate limit. At most one write is in flight.
+     * Writes a batch of scheduled changes of records if a write is due. Tasks start on a machine
+     * only after its record has been written. The changes are batched because a few hundred
+     * machines that boot within seconds would otherwise use up the store's rate limit. At most one
+     * write is in flight.
      */
     public void write() {
         if (writeInFlight
@@ -180,10 +189,11 @@
     }
 
     /**
-     * Applies the changed machines to copies of their groups, as many as fit into a transaction.
+     * Applies the scheduled changes to copies of the machines' groups: at most half as many groups
+     * as a transaction may write, but at least one.
      *
      * @param groups receives the new groups by key
-     * @return the machines whose groups are among them
+     * @return ids of the machines whose groups are among the copies
      */
     private List<String> collectBatch(Map<String, Map<String, MachineRecord>> groups) {
         List<String> batch = new ArrayList<>();
@@ -198,7 +208,7 @@
                 groups.put(key, group);
             }
             batch.add(id);
-            // A record that assigns the machine to another shard is that shard's to change.
+            // Only the shard to which a record assigns the machine may change the record.
             MachineRecord current = group.get(id);
             if (current == null || current.shardNumber() == shard.shardNumber()) {
                 MachineRecord desired = desiredRecord(id);
@@ -213,8 +223,10 @@
     }
 
     /**
-     * Compares the machines of a write with what the cache shows after it: notes which are durable
-     * or handed over, and marks those still different as changed, so that they are written again.
+     * Compares the desired records of a batch with the store cache after the write, whether or not
+     * it succeeded: removes machines whose record assigns them to another shard, schedules another
+     * write for records that differ, and sets on the other machines whether their record states
+     * that they may have run tasks.
      */
     private void applyWriteResult(List<String> batch) {
         for (String id : batch) {
@@ -234,11 +246,11 @@
     }
 
     /**
-     * Whether a machine is terminated and only its wide group, which is about to be removed, still
-     * has it.
+     * Whether a machine has been removed from the shard and its record remains only in a group that
+     * this node does not write: a wide group that is going to be removed.
      */
     private boolean isOnlyInWideGroup(String id, Machine machine, MachineRecord record) {
-        return machine == null && record != null && !isInPresentGroup(id);
+        return machine == null && record != null && !isInCurrentGroup(id);
     }
 
     private void removeHandedOver(Machine machine, MachineRecord record) {
@@ -252,7 +264,8 @@
         shard.removeMachine(machine.id());
     }
 
-    private boolean isInPresentGroup(String id) {
+    /** Whether the group that this node writes for a machine contains it. */
+    private boolean isInCurrentGroup(String id) {
         String key = StoreSchema.machineGroupKey(id, settings.maxValueBytes());
         return machineIndex.group(key).containsKey(id);
     }
--- a/src/main/java/org/shoreusher/core/machine/MachineTypeCatalog.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineTypeCatalog.java
@@ -19,9 +19,9 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * The machine types that the cloud offers. The first node that reads them from the cloud also
- * writes them to the key-value store, so that a node that restarts during an outage of the cloud's
- * API has them.
+ * The machine types that the cloud offers. A node that reads them from the cloud also writes them
+ * to the key-value store if the store has none, so that a node that restarts during an outage of
+ * the cloud's API has them.
  */
 public final class MachineTypeCatalog {
     private final Settings settings;
@@ -40,34 +40,34 @@
     }
 
     /**
-     * Whether the types are known, from the cloud or the store. Without them no machine can be
+     * Whether types have been loaded, from the cloud or the store. Without them no machine can be
      * used.
      */
     public boolean isLoaded() {
         return !typesByName.isEmpty();
     }
 
-    /** Returns the type of this name, or null. */
+    /** Returns the type of this name; null if there is none. */
     public MachineType get(String name) {
         return typesByName.get(name);
     }
 
-    /** All types, in no particular order. */
+    /** All types, in no particular order; a live view. */
     public Collection<MachineType> all() {
         return typesByName.values();
     }
 
     /**
-     * Reads the types from the cloud if that is due: while they are unknown, and regularly on a
-     * node that provisions machines, because prices change.
+     * Reads the types from the cloud if that is due: until they are loaded, and then at a regular
+     * interval on a node that provisions machines, because prices change.
      *
-     * @param provisioning whether this node leads a shard, and so provisions machines
+     * @param provisionsMachines whether this node leads a shard, and so provisions machines
      */
-    public void step(boolean provisioning) {
+    public void step(boolean provisionsMachines) {
         if (!storeCache.isLoaded()
                 || requestInFlight
                 || outbox.now().monotonicMs() < nextRequestMs
-                || (isLoaded() && !provisioning)) {
+                || (isLoaded() && !provisionsMachines)) {
             return;
         }
         requestInFlight = outbox.callCloud(new CloudOperation.ListTypes(), this::handleReply);
@@ -88,11 +88,15 @@
                     new StoreOperation.CompareAndSwap(
                             Map.of(StoreSchema.MACHINE_TYPES_KEY, 0L),
                             Map.of(StoreSchema.MACHINE_TYPES_KEY, reply.body())),
-                    stored -> {});
+                    storeReply -> {});
         }
     }
 
-    /** Takes the types from the store unless they are known already. */
+    /**
+     * Loads the types from the store unless types are loaded already.
+     *
+     * @param value the stored value, a reply of the cloud to the request for its types
+     */
     public void loadFromStore(Map<String, Object> value) {
         if (!isLoaded()) {
             parse(value);
--- a/src/main/java/org/shoreusher/core/machine/ProvisionPlan.java
+++ b/src/main/java/org/shoreusher/core/machine/ProvisionPlan.java
@@ -12,7 +12,10 @@
 import org.shoreusher.core.schedule.BinPacker;
 import org.shoreusher.core.schedule.MachineCapacity;
 
-/** One plan of which machines to provision: places jobs one by one and adds what they lack. */
+/**
+ * A plan of the machines to provision: places the tasks of one job after the other, and adds
+ * machines for the tasks that fit on none.
+ */
 final class ProvisionPlan {
     private final BinPacker binPacker;
     private final MachineTypeCatalog typeCatalog;
@@ -24,9 +27,9 @@
     /**
      * Creates a plan without new machines.
      *
-     * @param binPacker places tasks on the existing and the requested machines
-     * @param maxNewMachines how many machines may be requested now
-     * @param machinesPerZone the existing and the requested machines by zone; changed by the plan
+     * @param binPacker places tasks on existing and requested machines
+     * @param maxNewMachines largest number of machines that the plan may add
+     * @param machinesPerZone number of existing and requested machines by zone; changed by the plan
      */
     ProvisionPlan(
             BinPacker binPacker,
@@ -41,24 +44,30 @@
         this.machinesPerZone = machinesPerZone;
     }
 
-    /** The machines to provision, in the order in which they were added; a live view. */
+    /** The machines to provision, in the order in which they were added; a live list. */
     List<MachineCapacity> toProvision() {
         return toProvision;
     }
 
-    /** The upper bound on the machines to provision. */
+    /** The largest number of machines that the plan may add. */
     int maxNewMachines() {
         return maxNewMachines;
     }
 
-    /** The existing machines that tasks were placed on; null is among them for new machines. */
+    /**
+     * The existing machines on which tasks were placed; contains null if tasks were placed on
+     * machines that are not provisioned yet.
+     */
     Set<Machine> neededMachines() {
         Set<Machine> neededMachines = new HashSet<>();
         binPacker.placedTasks().forEach(placed -> neededMachines.add(placed.capacity().machine()));
         return neededMachines;
     }
 
-    /** Places tasks of a job, and adds machines until all are placed or none can be had. */
+    /**
+     * Places tasks of a job, and adds machines until all tasks within the quota are placed, the
+     * plan may add no more machines, or no kind of machine is available for the job.
+     */
     void addJob(Job job, int taskCount) {
         int unplaced = binPacker.place(job, taskCount);
         while (unplaced > 0 && toProvision.size() < maxNewMachines) {
@@ -71,7 +80,10 @@
         }
     }
 
-    /** Adds machines in rounds over the zones, so that no zone gets all of them. */
+    /**
+     * Adds machines of one kind for a zone's share of the unplaced tasks. The next round selects
+     * the zone that has the fewest machines by then, so that no zone gets all of them.
+     */
     private void addRound(MachineKind kind, Job job, int unplaced) {
         MachineType type = typeCatalog.get(kind.type());
         int machinesPerRound =
--- a/src/main/java/org/shoreusher/core/machine/ReservedReplicaCapacity.java
+++ b/src/main/java/org/shoreusher/core/machine/ReservedReplicaCapacity.java
@@ -18,16 +18,19 @@
 
 /**
  * Reserves on-demand machines for replicas of services in every zone: a new service must start, and
- * a replica that lost its machine must restart, sooner than a machine boots. Batch tasks may use
- * these machines meanwhile and are preempted.
+ * a replica that lost its machine must restart, in less time than a machine takes to boot. Batch
+ * tasks may use these machines until a replica needs them, and are then preempted.
  */
 final class ReservedReplicaCapacity {
     private final ShardState shard;
     private final Settings settings;
-    private final MachineTypeCatalog machineTypes;
+    private final MachineTypeCatalog typeCatalog;
     private final ScaleOut scaleOut;
 
-    /** CPUs on on-demand machines that no replica uses, by zone. */
+    /**
+     * CPUs on on-demand machines that no replica uses, by zone; requested and planned ones
+     * included.
+     */
     private final Object2DoubleOpenHashMap<String> freeCpusByZone =
             new Object2DoubleOpenHashMap<>();
 
@@ -35,26 +38,26 @@
     private double targetCpusPerZone;
 
     /**
-     * The zone with the most capacity while another zone has too little; null if every zone has
+     * The zone with the most free capacity while some zone has too little; null if every zone has
      * enough.
      */
     private String zoneWithMostCapacity;
 
     /** Creates the reservation of one shard. */
     ReservedReplicaCapacity(
-            ShardContext context, MachineTypeCatalog machineTypes, ScaleOut scaleOut) {
+            ShardContext context, MachineTypeCatalog typeCatalog, ScaleOut scaleOut) {
         shard = context.state();
         settings = context.settings();
-        this.machineTypes = machineTypes;
+        this.typeCatalog = typeCatalog;
         this.scaleOut = scaleOut;
     }
 
-    /** Adds the machines to a plan that the reservation lacks. */
+    /** Adds to a plan the machines that the reservation lacks. */
     void addTo(ProvisionPlan plan) {
         freeCpusByZone.clear();
         zoneWithMostCapacity = null;
         Optional<MachineType> cheapestType = cheapestTypePerCpu();
-        targetCpusPerZone = cheapestType.map(this::targetCpusPerZone).orElse(0.0);
+        targetCpusPerZone = cheapestType.map(this::computeTargetCpusPerZone).orElse(0.0);
         if (targetCpusPerZone <= 0) {
             return;
         }
@@ -69,9 +72,9 @@
         }
     }
 
-    /** The type whose on-demand machines have the lowest price per CPU. */
+    /** The type with the lowest on-demand price per CPU; empty if no types are loaded. */
     private Optional<MachineType> cheapestTypePerCpu() {
-        return machineTypes.all().stream()
+        return typeCatalog.all().stream()
                 .min(
                         Comparator.comparingDouble(
                                 type ->
@@ -117,8 +120,8 @@
 
     /**
      * Returns the zone for the larger half of the replicas of a service that may run in any zone,
-     * while another zone has too little capacity: that capacity is left to services that may run
-     * only there. Null while every zone has enough.
+     * if some zone has too little capacity: that zone's capacity is left to services that may run
+     * only there. Null if every zone has enough, and for other jobs.
      */
     String zoneForLargerHalf(JobSpec spec) {
         return spec.workloadType().runsToCompletion() || spec.zone() != null
@@ -133,9 +136,10 @@
     }
 
     /**
-     * Releases an empty machine from the reservation if the rest is enough without it.
+     * Releases an idle machine from the reservation if enough capacity is left in its zone without
+     * it.
      *
-     * @return whether the machine may be terminated
+     * @return whether the reservation does not need the machine, so that it may be terminated
      */
     boolean tryRelease(Machine machine) {
         if (machine.isSpot() || targetCpusPerZone <= 0) {
@@ -150,10 +154,11 @@
     }
 
     /**
-     * Returns the CPUs to reserve in each zone: half of the largest service times the number of
-     * services that may arrive while a machine boots, plus one machine that may fail.
+     * Returns the CPUs to reserve in each zone: the larger half of the largest service times the
+     * number of services that may be submitted while a machine boots, plus one machine that may
+     * fail.
      */
-    private double targetCpusPerZone(MachineType type) {
+    private double computeTargetCpusPerZone(MachineType type) {
         double largestHalfCpus = 0;
         for (Job job : shard.jobs().values()) {
             if (!job.spec().workloadType().runsToCompletion()) {
@@ -161,8 +166,8 @@
                 largestHalfCpus = Math.max(largestHalfCpus, largerHalf * job.spec().cpus());
             }
         }
-        // Before the first service arrives, an objective tells whether work is expected that must
-        // start sooner than a machine boots.
+        // While there is no service, replicas are expected if an objective limits the wait of tasks
+        // to less than the boot time of a machine.
         boolean replicasExpected =
                 settings.objectives().stream()
                         .anyMatch(
--- a/src/main/java/org/shoreusher/core/machine/ScaleIn.java
+++ b/src/main/java/org/shoreusher/core/machine/ScaleIn.java
@@ -33,7 +33,7 @@
     /**
      * Drains machines that have been idle for too long, except those reserved for replicas.
      *
-     * @param neededMachines the machines that the plan has tasks for
+     * @param neededMachines the machines on which the plan places tasks
      */
     void drainIdle(Set<Machine> neededMachines, ReservedReplicaCapacity reservedReplicaCapacity) {
         for (Machine machine : shard.machines().values()) {
@@ -54,7 +54,7 @@
                 : MachineConstants.ON_DEMAND_IDLE_TIMEOUT_MS;
     }
 
-    /** Requests the next termination when it is due. */
+    /** Sends the next terminate request when it is due and no other is in flight. */
     void step() {
         if (terminationInFlight || outbox.now().monotonicMs() < nextTerminationMs) {
             return;
@@ -77,7 +77,8 @@
             if (mayBeTerminated
                     && machine.tasks().isEmpty()
                     && ids.size() < MachineConstants.MAX_MACHINES_PER_TERMINATE) {
-                // From now on no task may start on it, whatever the outcome of the call.
+                // From now on no task starts on it, whatever the outcome of the call, unless the
+                // cloud certainly refuses to terminate a machine that was drained as idle.
                 machine.beginTermination();
                 ids.add(machine.id());
             }
@@ -91,7 +92,7 @@
         if (!isConfirmed) {
             nextTerminationMs = outbox.now().monotonicMs() + MachineConstants.CLOUD_RETRY_MS;
         }
-        // Without an answer the termination may still take effect.
+        // After any other failure, such as a missing reply, it may still take effect.
         boolean isCertainlyRefused =
                 reply.status() == ReplyStatus.SERVICE_UNAVAILABLE
                         || reply.status() == ReplyStatus.TOO_MANY_REQUESTS;
--- a/src/main/java/org/shoreusher/core/machine/ScaleOut.java
+++ b/src/main/java/org/shoreusher/core/machine/ScaleOut.java
@@ -20,27 +20,27 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * Provisions machines. Sends as many requests at once as the cloud's rate limit allows in a second:
+ * Provisions machines. Sends as many requests at once as the cloud's rate limit allows per second:
  * one at a time took ten seconds for a thousand machines.
  *
- * <p>Guarantee: requests are idempotent. A request without an answer is repeated under the same
- * name until it has one, and no name is ever used for another request, by this leader or a later
- * one.
+ * <p>Guarantee: requests are idempotent. A request without a final reply is repeated under the same
+ * name until it has one, for as long as this node leads the shard, and no leader ever uses its name
+ * for another request.
  */
 final class ScaleOut {
-    /** The error of a reply by which the cloud has no machine of a kind (protocol). */
+    /** Error in a reply of the cloud when it has no capacity for a kind of machine (protocol). */
     private static final String NO_CAPACITY_ERROR = "no capacity";
 
-    /** A request that has no final answer yet. */
+    /** A request that has no final reply yet. */
     private static final class PendingRequest {
         final CloudOperation.Provision request;
-        final MachineCapacity emptyCapacity;
+        final MachineCapacity capacityPerMachine;
         boolean inFlight;
         long requestedWallMs;
 
-        PendingRequest(CloudOperation.Provision request, MachineCapacity emptyCapacity) {
+        PendingRequest(CloudOperation.Provision request, MachineCapacity capacityPerMachine) {
             this.request = request;
-            this.emptyCapacity = emptyCapacity;
+            this.capacityPerMachine = capacityPerMachine;
         }
     }
 
@@ -48,10 +48,10 @@
     private final ShardAuthority authority;
     private final Outbox outbox;
     private final MachineLifecycle lifecycle;
-    private final Runnable onAllAnswered;
+    private final Runnable onAllCompleted;
     private final int maxPendingRequests;
 
-    /** Monotonic ms until which a kind that had no capacity is not requested again. */
+    /** Monotonic ms until which a kind of machine is not requested, after a lack of capacity. */
     private final Object2LongOpenHashMap<MachineKind> unavailableUntilMs =
             new Object2LongOpenHashMap<>();
 
@@ -59,24 +59,25 @@
     private long nextRequestNumber = 1;
 
     /**
-     * Whether the last call failed. Then requests are sent one at a time until one succeeds, since
-     * all of them together would use up the rate limit during an outage.
+     * Whether the newest reply was missing or a failure that is not final. Then requests are sent
+     * one at a time until one gets a final reply, since sending all of them would use up the rate
+     * limit during an outage.
      */
     private boolean cloudFailing;
 
     private long nextAttemptMs;
 
     /**
-     * Creates the scale-out of a shard; nothing is requested yet.
+     * Creates the scale-out of a shard without pending requests.
      *
-     * @param onAllAnswered called when the last pending request is answered
+     * @param onAllCompleted called when the last pending request gets its final reply
      */
-    ScaleOut(ShardContext context, MachineLifecycle lifecycle, Runnable onAllAnswered) {
+    ScaleOut(ShardContext context, MachineLifecycle lifecycle, Runnable onAllCompleted) {
         shard = context.state();
         authority = context.authority();
         outbox = context.outbox();
         this.lifecycle = lifecycle;
-        this.onAllAnswered = onAllAnswered;
+        this.onAllCompleted = onAllCompleted;
         double requestsPerS =
                 context.settings().cloudRequestsPerS() * StoreConstants.RATE_LIMIT_USE_SHARE;
         maxPendingRequests = Math.max(1, (int) requestsPerS);
@@ -87,28 +88,30 @@
         return unavailableUntilMs.getLong(kind) > outbox.now().monotonicMs();
     }
 
-    /** How many more machines can be requested now. */
+    /** Number of further machines that can be requested now. */
     int maxNewMachines() {
         return (maxPendingRequests - pendingRequests.size())
                 * MachineConstants.MAX_MACHINES_PER_PROVISION;
     }
 
-    /** The capacity of the machines that have been requested and not been provisioned yet. */
+    /** The capacity of each machine in the pending requests. */
     List<MachineCapacity> pendingCapacity() {
         List<MachineCapacity> capacities = new ArrayList<>();
         for (PendingRequest pendingRequest : pendingRequests) {
             for (int i = 0; i < pendingRequest.request.count(); i++) {
                 capacities.add(
                         new MachineCapacity(
-                                pendingRequest.emptyCapacity.type(),
-                                pendingRequest.emptyCapacity.zone(),
-                                pendingRequest.emptyCapacity.isSpot()));
+                                pendingRequest.capacityPerMachine.type(),
+                                pendingRequest.capacityPerMachine.zone(),
+                                pendingRequest.capacityPerMachine.isSpot()));
             }
         }
         return capacities;
     }
 
-    /** Requests machines like these, at most {@link #maxNewMachines} of them. */
+    /**
+     * Requests machines of the same kinds as these, as far as the limit on pending requests allows.
+     */
     void requestMachines(List<MachineCapacity> toProvision) {
         Map<MachineKind, Integer> countByKind = new LinkedHashMap<>();
         Map<MachineKind, MachineCapacity> capacityByKind = new LinkedHashMap<>();
@@ -132,8 +135,8 @@
     }
 
     private CloudOperation.Provision newRequest(MachineKind kind, int machineCount) {
-        // The name contains the term, so that no other leader uses it, nor this node after a
-        // restart.
+        // The name contains the term, so that neither another leader of the shard nor this node
+        // after a restart uses it again.
         String name =
                 "part-" + shard.shardNumber() + "-" + authority.term() + "-" + nextRequestNumber++;
         return new CloudOperation.Provision(
@@ -144,7 +147,7 @@
                 Math.min(machineCount, MachineConstants.MAX_MACHINES_PER_PROVISION));
     }
 
-    /** Sends the pending requests that are due, new ones and those to be repeated. */
+    /** Sends the pending requests that are not in flight, new and repeated ones, if that is due. */
     void step() {
         if (outbox.now().monotonicMs() < nextAttemptMs
                 || (cloudFailing
@@ -181,13 +184,13 @@
                         && reply.status() != ReplyStatus.BAD_REQUEST
                         && !outOfCapacity;
         if (cloudFailing) {
-            // A request without an answer may have taken effect: it is repeated under its name.
+            // A request without a reply may have taken effect, so it is repeated under its name.
             nextAttemptMs = outbox.now().monotonicMs() + MachineConstants.CLOUD_RETRY_MS;
             return;
         }
         pendingRequests.remove(pendingRequest);
         if (pendingRequests.isEmpty()) {
-            onAllAnswered.run();
+            onAllCompleted.run();
         }
         if (reply.status() == ReplyStatus.OK) {
             handleProvisioned(request, kind, reply, pendingRequest.requestedWallMs);
--- a/src/main/java/org/shoreusher/core/machine/ShardMachines.java
+++ b/src/main/java/org/shoreusher/core/machine/ShardMachines.java
@@ -1,14 +1,14 @@
 package org.shoreusher.core.machine;
 
 /**
- * The machine collaborators of a shard that other packages use.
+ * The objects of this package that other packages use for one shard.
  *
  * @param typeCatalog the machine types that the cloud offers
  * @param machineIndex the machine records of all shards
  * @param machineRecords the stored records of the shard's machines
  * @param lifecycle adds machines and removes them
  * @param inventory the cloud's machine list
- * @param terminatedMachines machines that are known to be terminated
+ * @param terminatedMachines machines that have been terminated
  */
 public record ShardMachines(
         MachineTypeCatalog typeCatalog,
--- a/src/main/java/org/shoreusher/core/machine/TargetParallelism.java
+++ b/src/main/java/org/shoreusher/core/machine/TargetParallelism.java
@@ -6,7 +6,7 @@
 import org.shoreusher.core.schedule.SchedulingOrder;
 import org.shoreusher.core.store.Outbox;
 
-/** Tells how many tasks of a job are worth machines of their own at the same time. */
+/** Calculates for how many tasks of a job machines should be provisioned at the same time. */
 final class TargetParallelism {
     private final Outbox outbox;
     private final RunTimeEstimates runTimeEstimates;
@@ -21,10 +21,10 @@
     }
 
     /**
-     * How many of a job's pending tasks should run in parallel, so that the job needs only a share
-     * of its slack.
+     * Returns how many of a job's pending tasks should run in parallel for the job to use only a
+     * share of its slack, the time left until its nearest objective. All of them for a service.
      *
-     * @param type the type whose boot time a new machine takes
+     * @param type the type of new machines, for its boot time
      */
     int of(Job job, MachineType type) {
         if (!job.spec().workloadType().runsToCompletion()) {
@@ -32,7 +32,7 @@
         }
         double runTimeS = runTimeEstimates.expectedRunS(job);
         double slackS = schedulingOrder.timeToNearestObjectiveS(job, outbox.now().wallMs());
-        // A job that can't meet its deadline on a machine that has yet to boot gains nothing from
+        // A job that can't meet its objective on a machine that has yet to boot gains nothing from
         // more parallelism.
         boolean isTooLate = slackS < type.bootS() + runTimeS;
         double horizonS =
--- a/src/main/java/org/shoreusher/core/machine/TerminatedMachines.java
+++ b/src/main/java/org/shoreusher/core/machine/TerminatedMachines.java
@@ -3,14 +3,14 @@
 import it.unimi.dsi.fastutil.objects.ObjectLinkedOpenHashSet;
 
 /**
- * The machines of a shard that are known to be terminated, so that late messages do not add them
- * again. The cloud never uses a name twice. A bounded number is remembered.
+ * The ids of machines of a shard that have been terminated, so that late messages do not add them
+ * again. The cloud never reuses an id. Only a bounded number of ids, the last added, is kept.
  */
 public final class TerminatedMachines {
     /** Oldest first. */
     private final ObjectLinkedOpenHashSet<String> machineIds = new ObjectLinkedOpenHashSet<>();
 
-    /** Adds a machine that has been terminated. */
+    /** Adds a machine that has been terminated; removes the oldest id if there are too many. */
     void add(String machineId) {
         machineIds.add(machineId);
         if (machineIds.size() > MachineConstants.MAX_REMEMBERED_TERMINATED_MACHINES) {
@@ -18,12 +18,12 @@
         }
     }
 
-    /** Returns whether the machine is known to have been terminated. */
+    /** Returns whether the id of the machine is kept as terminated. */
     public boolean contains(String machineId) {
         return machineIds.contains(machineId);
     }
 
-    /** Forgets a machine that turned out to exist. */
+    /** Removes a machine that turned out to exist. */
     void remove(String machineId) {
         machineIds.remove(machineId);
     }
--- a/src/main/java/org/shoreusher/core/machine/WideGroupMigration.java
+++ b/src/main/java/org/shoreusher/core/machine/WideGroupMigration.java
@@ -11,39 +11,42 @@
 import org.shoreusher.settings.Settings;
 
 /**
- * Moves machines from wide groups, written under a larger value limit, to narrow ones. A wide group
- * may be larger than this node's value limit, so it can't be rewritten: when one of its machines
- * changes, all are written to narrow groups, a few of them a write, and then it is removed.
+ * Moves machine records from wide groups, written under a larger limit on the size of values, to
+ * narrow ones. A wide group may exceed this node's limit, so it can't be rewritten: when the record
+ * of one of its machines changes, the records of all its machines in this shard are written to
+ * narrow groups, a few groups per write. The wide group is removed when no machine needs it.
  */
 final class WideGroupMigration {
     private final ShardState shard;
     private final Settings settings;
     private final MachineIndex machineIndex;
 
-    /** Keys of the wide groups that are being moved. */
+    /** Keys of the wide groups whose machines are being moved. */
     private final ObjectLinkedOpenHashSet<String> groupKeys = new ObjectLinkedOpenHashSet<>();
 
-    /** Creates a migration of no groups. */
+    /** Creates a migration without groups. */
     WideGroupMigration(ShardState shard, Settings settings, MachineIndex machineIndex) {
         this.shard = shard;
         this.settings = settings;
         this.machineIndex = machineIndex;
     }
 
-    /** Whether this node writes narrow groups, so that wide ones have to be moved. */
+    /** Whether this node writes narrow groups, so that machines in wide groups have to be moved. */
     boolean isNeeded() {
         return settings.maxValueBytes() < StoreConstants.WIDE_GROUP_MIN_VALUE_BYTES;
     }
 
-    /** The keys of the wide groups that are being moved. */
+    /** The keys of the wide groups whose machines are being moved; a live view. */
     Set<String> groupKeys() {
         return groupKeys;
     }
 
     /**
-     * Begins to move the wide groups of changed machines.
+     * Begins to move the machines in the wide groups of changed machines, and ends the migration of
+     * wide groups that no longer exist.
      *
-     * @return this shard's machines in these groups, which have to be written as well
+     * @return ids of this shard's machines in the newly added groups, whose records have to be
+     *     written as well
      */
     List<String> begin(Collection<String> changedIds) {
         if (!isNeeded()) {
@@ -72,12 +75,12 @@
                         });
     }
 
-    /** Whether a wide group is no longer needed, because none of its machines needs its entry. */
+    /** Whether a wide group can be removed, because none of its machines needs its record there. */
     boolean isComplete(String wideKey) {
         return machineIndex.group(wideKey).keySet().stream().allMatch(this::isMoved);
     }
 
-    /** Whether a machine's narrow group has it, or it has been terminated. */
+    /** Whether a narrow group contains the machine, or this shard has removed it. */
     private boolean isMoved(String id) {
         return machineIndex.group(StoreSchema.machineGroupKey(id, false)).containsKey(id)
                 || (machineIndex.group(StoreSchema.machineGroupKey(id, true)).get(id).shardNumber()
