--- a/src/main/java/org/shoreusher/wire/CloudFormat.java
+++ b/src/main/java/org/shoreusher/wire/CloudFormat.java
@@ -10,7 +10,7 @@
 import org.shoreusher.core.message.MachineType;
 
 /**
- * Encodes requests to the cloud and decodes its responses. The protocol calls machine types
+ * Encodes requests to the cloud and decodes its replies. In the protocol, machine types are called
  * "presses", zones "yards", machines "boxes" and spot machines "loaners".
  */
 public final class CloudFormat {
@@ -42,11 +42,11 @@
         return new WireRequest("/rentals", body);
     }
 
-    /** Decodes the machine types of a response. */
-    public static List<MachineType> readTypes(FieldMap response)
+    /** Decodes the machine types from the reply to {@link CloudOperation.ListTypes}. */
+    public static List<MachineType> readTypes(FieldMap reply)
             throws FieldMap.InvalidFieldException {
         List<MachineType> types = new ArrayList<>();
-        for (FieldMap type : response.maps("presses")) {
+        for (FieldMap type : reply.maps("presses")) {
             double price = type.numberOr("rate", 1);
             types.add(
                     new MachineType(
@@ -64,17 +64,17 @@
         return types;
     }
 
-    /** Decodes the names of the machines that a provision request has created. */
-    public static List<String> readMachineNames(FieldMap response)
+    /** Decodes the names of the machines that a provision request created. */
+    public static List<String> readMachineNames(FieldMap reply)
             throws FieldMap.InvalidFieldException {
-        return response.texts("boxes");
+        return reply.texts("boxes");
     }
 
-    /** Decodes a page of the inventory. */
-    public static MachineListPage readMachinePage(FieldMap response)
+    /** Decodes one page of the list of machines. */
+    public static MachineListPage readMachinePage(FieldMap reply)
             throws FieldMap.InvalidFieldException {
         List<ListedMachine> machines = new ArrayList<>();
-        for (FieldMap machine : response.maps("boxes")) {
+        for (FieldMap machine : reply.maps("boxes")) {
             machines.add(
                     new ListedMachine(
                             machine.text("name_id"),
@@ -84,6 +84,6 @@
                             machine.text("status"),
                             machine.numberOr("age_s", 0)));
         }
-        return new MachineListPage(machines, response.flagOr("more", false));
+        return new MachineListPage(machines, reply.flagOr("more", false));
     }
 }
--- a/src/main/java/org/shoreusher/wire/FieldMap.java
+++ b/src/main/java/org/shoreusher/wire/FieldMap.java
@@ -6,14 +6,15 @@
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
 import com.fasterxml.jackson.dataformat.toml.TomlFactory;
 import java.io.IOException;
+import java.math.BigInteger;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 
 /**
- * A map in a message, with typed access to its fields. Messages consist of maps, lists, text,
- * numbers and booleans. Only Jackson's streaming API is used, since data binding costs a small
- * machine a second at start-up.
+ * A map of field names to values, with typed access to the fields. Messages consist of maps, lists,
+ * text, numbers, booleans and null. A null value counts as absent. Only Jackson's streaming API is
+ * used, because data binding delays the start by a second on a small machine.
  */
 public final class FieldMap {
     private static final CBORFactory CBOR =
@@ -38,22 +39,30 @@
         private final String problem;
 
         /**
-         * An exception without a stack trace, since invalid input may be frequent.
+         * Creates an exception without a stack trace, because invalid input may be frequent.
          *
-         * @param message names the field and what it must be
+         * @param message names the field and the allowed values
          */
         public InvalidFieldException(String message) {
             super(message, null, false, false);
             problem = message;
         }
 
-        /** An exception whose message is the field and the problem with it. */
-        InvalidFieldException(String field, String problem) {
-            super(field + " " + problem, null, false, false);
+        /**
+         * Creates an exception without a stack trace.
+         *
+         * @param problem what the field must be, for example "must be text"
+         * @param found what was found instead, for example "it is a list"
+         */
+        InvalidFieldException(String field, String problem, String found) {
+            super(field + " " + problem + ", but " + found, null, false, false);
             this.problem = problem;
         }
 
-        /** What is wrong; without the field's name where {@link FieldMap} has thrown this. */
+        /**
+         * The violated requirement, for callers that add their own path to the field. Contains the
+         * name of the field only if the exception was created with a whole message.
+         */
         public String problem() {
             return problem;
         }
@@ -61,7 +70,7 @@
 
     private final Map<String, Object> map;
 
-    /** A view of a map, which is not copied. */
+    /** Wraps a map without copying it. */
     public FieldMap(Map<String, Object> map) {
         this.map = map;
     }
@@ -69,7 +78,7 @@
     /**
      * Decodes CBOR.
      *
-     * @throws IOException if the bytes are not exactly one map
+     * @throws IOException if the bytes are not exactly one valid map
      */
     public static FieldMap parseCbor(byte[] body) throws IOException {
         try (JsonParser parser = CBOR.createParser(body)) {
@@ -80,7 +89,7 @@
     /**
      * Decodes JSON.
      *
-     * @throws IOException if the bytes are not exactly one map
+     * @throws IOException if the bytes are not exactly one valid map
      */
     public static FieldMap parseJson(byte[] body) throws IOException {
         try (JsonParser parser = JSON.createParser(body)) {
@@ -94,7 +103,7 @@
      * @throws IOException if the text is not valid TOML
      */
     public static FieldMap parseToml(byte[] text) throws IOException {
-        // Not a constant: a controller reads TOML once, at its start.
+        // Not a constant: a controller parses TOML only once, when it starts.
         try (JsonParser parser = new TomlFactory().createParser(text)) {
             return MapDecoder.decode(parser);
         }
@@ -103,13 +112,13 @@
     /**
      * Encodes a map as CBOR.
      *
-     * @throws IllegalStateException if a value has a type that messages do not have
+     * @throws IllegalStateException if a value has a type that messages cannot contain
      */
     public static byte[] toCbor(Map<String, ?> map) {
         return MapEncoder.encode(CBOR, map);
     }
 
-    /** Length of a map as JSON in bytes, which is how the protocol measures stored values. */
+    /** The length of a map in bytes of JSON. The store's limit on values is in this unit. */
     public static int jsonLength(Map<String, ?> map) {
         return MapEncoder.encode(JSON, map).length;
     }
@@ -119,18 +128,18 @@
         return map;
     }
 
-    /** Whether a field is present and not null. */
+    /** Whether the field is present and not null. */
     public boolean has(String field) {
         return map.get(field) != null;
     }
 
-    /** A required map. */
+    /** The value of a required map field. */
     public FieldMap map(String field) throws InvalidFieldException {
         @SuppressWarnings("unchecked")
         Map<String, Object> nested =
                 map.get(field) instanceof Map<?, ?> value ? (Map<String, Object>) value : null;
         if (nested == null) {
-            throw new InvalidFieldException(field, "must be a map");
+            throw invalid(field, "must be a map");
         }
         return new FieldMap(nested);
     }
@@ -138,9 +147,9 @@
     /** A list of maps; empty if the field is absent. */
     public List<FieldMap> maps(String field) throws InvalidFieldException {
         List<FieldMap> maps = new ArrayList<>();
-        for (Object item : rawList(field)) {
+        for (Object item : listOrEmpty(field)) {
             if (!(item instanceof Map<?, ?>)) {
-                throw new InvalidFieldException(field, "must hold maps");
+                throw invalidElement(field, "must be a list of maps", item);
             }
             @SuppressWarnings("unchecked")
             Map<String, Object> element = (Map<String, Object>) item;
@@ -152,16 +161,16 @@
     /** A list of text; empty if the field is absent. */
     public List<String> texts(String field) throws InvalidFieldException {
         List<String> texts = new ArrayList<>();
-        for (Object item : rawList(field)) {
-            if (!(item instanceof String s)) {
-                throw new InvalidFieldException(field, "must hold text");
+        for (Object item : listOrEmpty(field)) {
+            if (!(item instanceof String text)) {
+                throw invalidElement(field, "must be a list of text", item);
             }
-            texts.add(s);
+            texts.add(text);
         }
         return List.copyOf(texts);
     }
 
-    private List<?> rawList(String field) throws InvalidFieldException {
+    private List<?> listOrEmpty(String field) throws InvalidFieldException {
         Object value = map.get(field);
         if (value == null) {
             return List.of();
@@ -169,59 +178,86 @@
         if (value instanceof List<?> list) {
             return list;
         }
-        throw new InvalidFieldException(field, "must be a list");
+        throw invalid(field, "must be a list");
     }
 
-    /** A required text. */
+    /** The value of a required text field. */
     public String text(String field) throws InvalidFieldException {
-        if (map.get(field) instanceof String s) {
-            return s;
+        if (map.get(field) instanceof String text) {
+            return text;
         }
-        throw new InvalidFieldException(field, "must be text");
+        throw invalid(field, "must be text");
     }
 
-    /** An optional text with a default value. */
+    /** The value of an optional text field, or the default value if it is absent. */
     public String textOr(String field, String defaultValue) throws InvalidFieldException {
         return has(field) ? text(field) : defaultValue;
     }
 
-    /** A required finite number. */
+    /** The value of a required number, which must be finite. */
     public double number(String field) throws InvalidFieldException {
-        if (map.get(field) instanceof Number n && Double.isFinite(n.doubleValue())) {
-            return n.doubleValue();
+        if (map.get(field) instanceof Number number && Double.isFinite(number.doubleValue())) {
+            return number.doubleValue();
         }
-        throw new InvalidFieldException(field, "must be a number");
+        throw invalid(field, "must be a number");
     }
 
-    /** An optional finite number with a default value. */
+    /** The value of an optional finite number, or the default value if it is absent. */
     public double numberOr(String field, double defaultValue) throws InvalidFieldException {
         return has(field) ? number(field) : defaultValue;
     }
 
-    /** A required integer. */
+    /** The value of a required integer of at most 64 bits. */
     public long integer(String field) throws InvalidFieldException {
         Object value = map.get(field);
         if (value instanceof Long || value instanceof Integer) {
             return ((Number) value).longValue();
         }
-        throw new InvalidFieldException(field, "must be a whole number");
+        throw invalid(field, "must be a whole number");
     }
 
-    /** An optional integer with a default value. */
+    /** The value of an optional integer, or the default value if it is absent. */
     public long integerOr(String field, long defaultValue) throws InvalidFieldException {
         return has(field) ? integer(field) : defaultValue;
     }
 
-    /** A required boolean. */
+    /** The value of a required boolean. */
     public boolean flag(String field) throws InvalidFieldException {
-        if (map.get(field) instanceof Boolean b) {
-            return b;
+        if (map.get(field) instanceof Boolean flag) {
+            return flag;
         }
-        throw new InvalidFieldException(field, "must be true or false");
+        throw invalid(field, "must be true or false");
     }
 
-    /** An optional boolean with a default value. */
+    /** The value of an optional boolean, or the default value if it is absent. */
     public boolean flagOr(String field, boolean defaultValue) throws InvalidFieldException {
         return has(field) ? flag(field) : defaultValue;
     }
+
+    private InvalidFieldException invalid(String field, String problem) {
+        String found = has(field) ? describe(map.get(field)) : "missing";
+        return new InvalidFieldException(field, problem, "it is " + found);
+    }
+
+    private static InvalidFieldException invalidElement(
+            String field, String problem, Object element) {
+        return new InvalidFieldException(field, problem, "an element is " + describe(element));
+    }
+
+    /**
+     * Describes a value in an error message. Text is not quoted, since it may be long and may not
+     * be valid Unicode.
+     */
+    private static String describe(Object value) {
+        if (value instanceof Map<?, ?>) {
+            return "a map";
+        } else if (value instanceof List<?>) {
+            return "a list";
+        } else if (value instanceof String) {
+            return "text";
+        } else if (value instanceof BigInteger) {
+            return "an integer of more than 64 bits";
+        }
+        return String.valueOf(value);
+    }
 }
--- a/src/main/java/org/shoreusher/wire/MapDecoder.java
+++ b/src/main/java/org/shoreusher/wire/MapDecoder.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Builds maps and lists from a stream of tokens, whatever the format. */
+/** Builds maps and lists from the tokens of a CBOR, JSON or TOML parser. */
 final class MapDecoder {
     private MapDecoder() {}
 
@@ -19,11 +19,11 @@
      */
     static FieldMap decode(JsonParser parser) throws IOException {
         if (parser.nextToken() != JsonToken.START_OBJECT) {
-            throw new IOException("not a map");
+            throw unexpected("a map", parser.currentToken());
         }
         Map<String, Object> map = readMap(parser);
         if (parser.nextToken() != null) {
-            throw new IOException("more than one value");
+            throw unexpected("the end of the input after the map", parser.currentToken());
         }
         return new FieldMap(map);
     }
@@ -38,7 +38,10 @@
             case VALUE_TRUE -> true;
             case VALUE_FALSE -> false;
             case VALUE_NULL -> null;
-            default -> throw new IOException("binary or unknown value");
+            default ->
+                    throw new IOException(
+                            "a value is binary or of an unknown type; allowed are maps, lists,"
+                                    + " text, numbers, booleans and null");
         };
     }
 
@@ -50,7 +53,7 @@
             map.put(name, readValue(parser));
         }
         if (parser.currentToken() != JsonToken.END_OBJECT) {
-            throw new IOException("unfinished map");
+            throw unexpected("a field name or the end of the map", parser.currentToken());
         }
         return map;
     }
@@ -59,7 +62,7 @@
         List<Object> list = new ArrayList<>();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             if (parser.currentToken() == null) {
-                throw new IOException("unfinished list");
+                throw unexpected("an element or the end of the list", null);
             }
             list.add(readValue(parser));
         }
@@ -72,4 +75,24 @@
         }
         return parser.getLongValue();
     }
+
+    private static IOException unexpected(String expected, JsonToken found) {
+        return new IOException("expected " + expected + ", but found " + describe(found));
+    }
+
+    /** Describes a token in an error message; null is the end of the input. */
+    private static String describe(JsonToken token) {
+        if (token == null) {
+            return "the end of the input";
+        }
+        return switch (token) {
+            case START_OBJECT, END_OBJECT, FIELD_NAME -> "a map";
+            case START_ARRAY, END_ARRAY -> "a list";
+            case VALUE_STRING -> "text";
+            case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> "a number";
+            case VALUE_TRUE, VALUE_FALSE -> "a boolean";
+            case VALUE_NULL -> "null";
+            default -> "a binary or unknown value";
+        };
+    }
 }
--- a/src/main/java/org/shoreusher/wire/MapEncoder.java
+++ b/src/main/java/org/shoreusher/wire/MapEncoder.java
@@ -7,7 +7,7 @@
 import java.math.BigInteger;
 import java.util.Map;
 
-/** Writes maps and lists as a stream of tokens, whatever the format. */
+/** Encodes maps and lists with a CBOR or JSON generator. */
 final class MapEncoder {
     private static final int INITIAL_BUFFER_BYTES = 256;
 
@@ -16,14 +16,15 @@
     /**
      * Encodes a map.
      *
-     * @throws IllegalStateException if a value has a type that messages do not have
+     * @throws IllegalStateException if a value has a type that messages cannot contain
      */
     static byte[] encode(JsonFactory format, Map<String, ?> map) {
         ByteArrayOutputStream output = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
         try (JsonGenerator generator = format.createGenerator(output)) {
             writeValue(generator, map);
         } catch (IOException e) {
-            throw new IllegalStateException("a message of this program can't be encoded", e);
+            throw new IllegalStateException(
+                    "cannot encode a message as " + format.getFormatName(), e);
         }
         return output.toByteArray();
     }
@@ -46,7 +47,9 @@
         } else if (value == null) {
             generator.writeNull();
         } else {
-            throw new IOException("no wire form for " + value.getClass());
+            throw new IOException(
+                    "a value must be a map, list, text, number, boolean or null, but is a "
+                            + value.getClass().getName());
         }
     }
 
--- a/src/main/java/org/shoreusher/wire/ResponseFormat.java
+++ b/src/main/java/org/shoreusher/wire/ResponseFormat.java
@@ -34,28 +34,32 @@
         return OK;
     }
 
-    /** Value of the Retry-After header in s; 0 if there is none. */
+    /** The value of the Retry-After header in seconds; 0 if the response has no such header. */
     public static int retryAfterS(Response response) {
         return response instanceof Response.Unavailable unavailable ? unavailable.retryAfterS() : 0;
     }
 
-    /** The body of a response, to be encoded as CBOR. */
+    /** The body of a response, to be encoded as CBOR; empty if there is nothing but the status. */
     public static Map<String, Object> body(Response response) {
         if (response instanceof Response.JobState state) {
             return jobState(state);
-        } else if (response instanceof Response.HeartbeatAccepted orders) {
-            return WorkerFormat.heartbeatResponse(orders.fencingToken(), orders.orders());
+        } else if (response instanceof Response.HeartbeatAccepted accepted) {
+            return WorkerFormat.heartbeatResponse(accepted.fencingToken(), accepted.orders());
         } else if (response instanceof Response.Redirect redirect) {
             return Map.of("foreman", redirect.host());
         } else if (response instanceof Response.Malformed malformed) {
             return errorBody(malformed.reason());
-        } else if (response instanceof Response.CannotRun cannot) {
-            return errorBody(cannot.reason());
+        } else if (response instanceof Response.CannotRun cannotRun) {
+            return errorBody(cannotRun.reason());
         }
         return Map.of();
     }
 
-    /** The body of an error response. */
+    /**
+     * The body of an error response.
+     *
+     * @param problem a sentence for the sender of the request
+     */
     public static Map<String, Object> errorBody(String problem) {
         return Map.of("error", problem);
     }
--- a/src/main/java/org/shoreusher/wire/StoreFormat.java
+++ b/src/main/java/org/shoreusher/wire/StoreFormat.java
@@ -7,13 +7,18 @@
 import org.shoreusher.core.message.Effect.StoreOperation;
 
 /**
- * Encodes requests to the key-value store and decodes its responses. The protocol calls an entry's
- * version "stamp", the store's revision "ledger", and preconditions "guards".
+ * Encodes requests to the key-value store and decodes its replies. In the protocol, the version of
+ * a key is called "stamp", the revision of the store "ledger", and preconditions "guards".
  */
 public final class StoreFormat {
     private StoreFormat() {}
 
-    /** One key as read or as changed; the value is null if the key was removed. */
+    /**
+     * A key with its value, from a read or a change.
+     *
+     * @param value null if the key was removed
+     * @param version the store's version of the key
+     */
     public record Entry(String key, Map<String, Object> value, long version) {}
 
     /** The HTTP request of a store operation. */
@@ -33,14 +38,16 @@
                             + "&block_ms="
                             + watch.blockMs());
         }
-        return new WireRequest("/multi", body((StoreOperation.CompareAndSwap) operation));
+        return new WireRequest(
+                "/multi", compareAndSwapBody((StoreOperation.CompareAndSwap) operation));
     }
 
-    private static Map<String, Object> body(StoreOperation.CompareAndSwap compareAndSwap) {
+    private static Map<String, Object> compareAndSwapBody(
+            StoreOperation.CompareAndSwap compareAndSwap) {
         List<Object> guards = new ArrayList<>();
         compareAndSwap
                 .preconditions()
-                .forEach((key, version) -> guards.add(map("k", key, "stamp", version)));
+                .forEach((key, version) -> guards.add(fields("k", key, "stamp", version)));
         List<Object> writes = new ArrayList<>();
         compareAndSwap
                 .writes()
@@ -48,8 +55,8 @@
                         (key, value) ->
                                 writes.add(
                                         value == null
-                                                ? map("remove", key)
-                                                : map("write", key, "value", value)));
+                                                ? fields("remove", key)
+                                                : fields("write", key, "value", value)));
         Map<String, Object> body = new LinkedHashMap<>();
         body.put("guards", guards);
         if (!writes.isEmpty()) {
@@ -58,42 +65,42 @@
         return body;
     }
 
-    private static Map<String, Object> map(Object... pairs) {
+    private static Map<String, Object> fields(Object... namesAndValues) {
         Map<String, Object> fields = new LinkedHashMap<>();
-        for (int i = 0; i < pairs.length; i += 2) {
-            fields.put((String) pairs[i], pairs[i + 1]);
+        for (int i = 0; i < namesAndValues.length; i += 2) {
+            fields.put((String) namesAndValues[i], namesAndValues[i + 1]);
         }
         return fields;
     }
 
-    /** Decodes the entry of a single read. */
+    /** Decodes the reply to {@link StoreOperation.Get}, or one entry of a page. */
     public static Entry readEntry(FieldMap fields) throws FieldMap.InvalidFieldException {
         return new Entry(fields.text("k"), fields.map("value").asMap(), fields.integer("stamp"));
     }
 
-    /** Decodes the entries of a page. */
-    public static List<Entry> readPage(FieldMap response) throws FieldMap.InvalidFieldException {
+    /** Decodes the entries of the reply to {@link StoreOperation.Page}. */
+    public static List<Entry> readPage(FieldMap reply) throws FieldMap.InvalidFieldException {
         List<Entry> entries = new ArrayList<>();
-        for (FieldMap entryFields : response.maps("entries")) {
+        for (FieldMap entryFields : reply.maps("entries")) {
             entries.add(readEntry(entryFields));
         }
         return entries;
     }
 
-    /** Whether more pages follow this one. */
-    public static boolean hasMorePages(FieldMap response) throws FieldMap.InvalidFieldException {
-        return response.flagOr("more", false);
+    /** Whether there are further pages after this one. */
+    public static boolean hasMorePages(FieldMap reply) throws FieldMap.InvalidFieldException {
+        return reply.flagOr("more", false);
     }
 
-    /** The store's revision at the time of the response. */
-    public static long readRevision(FieldMap response) throws FieldMap.InvalidFieldException {
-        return response.integer("ledger");
+    /** The revision of the store when it replied. */
+    public static long readRevision(FieldMap reply) throws FieldMap.InvalidFieldException {
+        return reply.integer("ledger");
     }
 
-    /** Decodes the changes that a watch returned, in order of revision. */
-    public static List<Entry> readChanges(FieldMap response) throws FieldMap.InvalidFieldException {
+    /** Decodes the changes in the reply to a watch, in order of revision. */
+    public static List<Entry> readChanges(FieldMap reply) throws FieldMap.InvalidFieldException {
         List<Entry> changes = new ArrayList<>();
-        for (FieldMap change : response.maps("log")) {
+        for (FieldMap change : reply.maps("log")) {
             changes.add(
                     change.has("remove")
                             ? new Entry(change.text("remove"), null, change.integer("stamp"))
@@ -105,9 +112,9 @@
         return changes;
     }
 
-    /** The keys whose preconditions failed. */
-    public static List<String> readFailedKeys(FieldMap response)
+    /** The keys whose preconditions were not met; empty if the reply names none. */
+    public static List<String> readFailedKeys(FieldMap reply)
             throws FieldMap.InvalidFieldException {
-        return response.texts("failed");
+        return reply.texts("failed");
     }
 }
--- a/src/main/java/org/shoreusher/wire/UserFormat.java
+++ b/src/main/java/org/shoreusher/wire/UserFormat.java
@@ -10,28 +10,32 @@
 import org.shoreusher.core.message.MessageConstants;
 
 /**
- * Encodes and decodes job specifications, both as users submit them and as the store keeps them,
- * which is nearly the same. The protocol calls a job's class "queue", its team "crew", its tasks
- * "sheets", its image "plate", and a checkpoint "proof".
+ * Encodes and decodes job specifications, as submitted by users and as stored. The two formats
+ * differ only in how they mark a service. In the protocol, the class of a job is called "queue",
+ * its team "crew", its tasks "sheets", its image "plate", its priority "urgency", its zone "yard",
+ * its machine types "presses", spot machines "loaners", and a checkpoint "proof".
  */
 public final class UserFormat {
-    private static final String SWEEP = "sweep";
-    private static final String SERVICE = "service";
+    private static final String BATCH_SHAPE = "sweep";
+    private static final String SERVICE_SHAPE = "service";
 
     /**
-     * In the store only: a service is stored as a sweep with this field, since versions that
-     * predate services cannot read any other shape.
+     * Only in the store: a service is stored with the shape of a batch job and this field, because
+     * versions that predate services cannot decode any other shape.
      */
-    private static final String SERVICE_MARK = "kept_up";
+    private static final String STORED_SERVICE_FIELD = "kept_up";
 
-    /** The fields without which a stored specification cannot be decoded. */
+    /**
+     * The fields that {@link #readDescription} requires, and the one that tells services from batch
+     * jobs.
+     */
     private static final Set<String> REQUIRED_FIELDS =
             Set.of(
                     "name_id",
                     "queue",
                     "crew",
                     "shape",
-                    SERVICE_MARK,
+                    STORED_SERVICE_FIELD,
                     "urgency",
                     "sheets",
                     "cpus",
@@ -48,72 +52,80 @@
 
     private UserFormat() {}
 
-    /** Decodes the job id alone of a submission; null if it is absent. */
+    /** Decodes only the job id of a submission; null if it is absent. */
     public static String readJobIdOrNull(FieldMap fields) throws FieldMap.InvalidFieldException {
         return fields.textOr("name_id", null);
     }
 
     /**
-     * Decodes the job of a submission.
+     * Decodes a submitted job.
      *
-     * @throws FieldMap.InvalidFieldException with the first error in the job
+     * @throws FieldMap.InvalidFieldException names the first invalid field
      */
     public static JobSpec readSubmission(FieldMap fields) throws FieldMap.InvalidFieldException {
         String shape = fields.text("shape");
-        // Gang scheduling and other shapes would be decoded here; the protocol has none today.
-        require(shape.equals(SWEEP) || shape.equals(SERVICE), "shape must be sweep or service");
-        return readSpec(fields, shape.equals(SWEEP) ? WorkloadType.BATCH : WorkloadType.SERVICE);
+        // Further shapes, such as gang scheduling, would be decoded here; the protocol has none.
+        require(
+                shape.equals(BATCH_SHAPE) || shape.equals(SERVICE_SHAPE),
+                "shape must be sweep or service");
+        return readSpec(
+                fields, shape.equals(BATCH_SHAPE) ? WorkloadType.BATCH : WorkloadType.SERVICE);
     }
 
-    /** Decodes a specification from the store, as {@link #writeDescription} encodes it. */
+    /** Decodes a stored specification, which {@link #writeDescription} has encoded. */
     public static JobSpec readDescription(FieldMap fields) throws FieldMap.InvalidFieldException {
         return readSpec(
                 fields,
-                fields.flagOr(SERVICE_MARK, false) ? WorkloadType.SERVICE : WorkloadType.BATCH);
+                fields.flagOr(STORED_SERVICE_FIELD, false)
+                        ? WorkloadType.SERVICE
+                        : WorkloadType.BATCH);
     }
 
-    private static JobSpec readSpec(FieldMap fields, WorkloadType shape)
+    private static JobSpec readSpec(FieldMap fields, WorkloadType workloadType)
             throws FieldMap.InvalidFieldException {
         String id = fields.text("name_id");
-        require(JobSpec.isValidId(id), "name_id must look like wk-000412");
+        require(JobSpec.isValidId(id), "name_id must be wk- and 1 to 37 digits, like wk-000412");
         long tasks = fields.integer("sheets");
         require(
                 tasks >= 1 && tasks <= MessageConstants.MAX_TASKS_PER_JOB,
-                "sheets must be between 1 and " + MessageConstants.MAX_TASKS_PER_JOB);
-        double cpus = amount(fields, "cpus");
-        double gpus = amount(fields, "gpus");
-        double memGb = amount(fields, "mem_gb");
+                "sheets must be a whole number from 1 to "
+                        + MessageConstants.MAX_TASKS_PER_JOB
+                        + ", but it is "
+                        + tasks);
+        double cpus = nonNegativeNumber(fields, "cpus");
+        double gpus = nonNegativeNumber(fields, "gpus");
+        double memGb = nonNegativeNumber(fields, "mem_gb");
         List<String> types = fields.has("presses") ? fields.texts("presses") : null;
-        double deadlineS = fields.has("due_s") ? amount(fields, "due_s") : Double.NaN;
+        double deadlineS = fields.has("due_s") ? nonNegativeNumber(fields, "due_s") : Double.NaN;
         return new JobSpec(
                 id,
                 fields.text("queue"),
                 fields.text("crew"),
-                shape,
-                priority(fields.text("urgency")),
+                workloadType,
+                parsePriority(fields.text("urgency")),
                 (int) tasks,
                 cpus,
                 gpus,
                 memGb,
                 fields.text("plate"),
-                amount(fields, "size_gb"),
+                nonNegativeNumber(fields, "size_gb"),
                 types,
                 fields.textOr("yard", null),
                 fields.flag("one_zone"),
                 fields.flag("scatter"),
                 fields.flag("loaners"),
-                amount(fields, "runtime_s"),
-                amount(fields, "proof_interval_s"),
-                amount(fields, "proof_s"),
+                nonNegativeNumber(fields, "runtime_s"),
+                nonNegativeNumber(fields, "proof_interval_s"),
+                nonNegativeNumber(fields, "proof_s"),
                 deadlineS);
     }
 
-    private static double amount(FieldMap fields, String field)
+    private static double nonNegativeNumber(FieldMap fields, String field)
             throws FieldMap.InvalidFieldException {
         double value = fields.number(field);
         require(
                 value >= 0 && value < Double.POSITIVE_INFINITY,
-                field + " must be a number that is not negative");
+                field + " must be a number of at least 0, but it is " + value);
         return value;
     }
 
@@ -124,8 +136,8 @@
         }
     }
 
-    private static Priority priority(String text) throws FieldMap.InvalidFieldException {
-        return switch (text) {
+    private static Priority parsePriority(String urgency) throws FieldMap.InvalidFieldException {
+        return switch (urgency) {
             case "prod" -> Priority.PRODUCTION;
             case "high" -> Priority.HIGH;
             case "standard" -> Priority.NORMAL;
@@ -136,7 +148,7 @@
         };
     }
 
-    private static String text(Priority priority) {
+    private static String urgency(Priority priority) {
         return switch (priority) {
             case PRODUCTION -> "prod";
             case HIGH -> "high";
@@ -145,26 +157,26 @@
         };
     }
 
-    /** Encodes a job as users submit it, such that {@link #readSubmission} decodes it. */
+    /** Encodes a job for submission; {@link #readSubmission} decodes it. */
     public static Map<String, Object> writeSubmission(JobSpec job) {
         Map<String, Object> fields = writeDescription(job);
-        if (fields.remove(SERVICE_MARK) != null) {
-            fields.put("shape", SERVICE);
+        if (fields.remove(STORED_SERVICE_FIELD) != null) {
+            fields.put("shape", SERVICE_SHAPE);
         }
         return fields;
     }
 
-    /** Encodes a job as the store keeps it, such that {@link #readDescription} decodes it. */
+    /** Encodes a job for the store; {@link #readDescription} decodes it. */
     public static Map<String, Object> writeDescription(JobSpec job) {
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("name_id", job.id());
         fields.put("queue", job.jobClass());
         fields.put("crew", job.team());
-        fields.put("shape", SWEEP);
+        fields.put("shape", BATCH_SHAPE);
         if (!job.workloadType().runsToCompletion()) {
-            fields.put(SERVICE_MARK, true);
+            fields.put(STORED_SERVICE_FIELD, true);
         }
-        fields.put("urgency", text(job.priority()));
+        fields.put("urgency", urgency(job.priority()));
         fields.put("sheets", (long) job.taskCount());
         fields.put("cpus", job.cpus());
         fields.put("gpus", job.gpus());
@@ -190,8 +202,9 @@
     }
 
     /**
-     * A stored specification without the fields that only starting tasks needs. {@link
-     * #readDescription} still decodes it, with the job's team and its tasks' resources.
+     * A copy of a stored specification without the fields that are needed only to start tasks.
+     * {@link #readDescription} can decode it; team, priority and resources are unchanged, while
+     * class and image are empty.
      */
     public static Map<String, Object> resourcesOnly(Map<String, Object> description) {
         Map<String, Object> reduced = new LinkedHashMap<>(description);
--- a/src/main/java/org/shoreusher/wire/WireConstants.java
+++ b/src/main/java/org/shoreusher/wire/WireConstants.java
@@ -5,11 +5,11 @@
     private WireConstants() {}
 
     /**
-     * Entries per page when the store or the cloud's inventory is read. The protocol's limits are
-     * 1,000 and 500.
+     * Entries per page of the store's keys or the cloud's machines. The protocol allows at most
+     * 1,000 keys and 500 machines.
      */
     public static final int PAGE_ENTRIES = 500;
 
-    /** Levels of nesting; deeper messages are rejected. The protocol's messages have 5 at most. */
+    /** Levels of nesting; deeper messages are rejected. Messages of the protocol have at most 5. */
     public static final int MAX_NESTING_DEPTH = 32;
 }
--- a/src/main/java/org/shoreusher/wire/WorkerFormat.java
+++ b/src/main/java/org/shoreusher/wire/WorkerFormat.java
@@ -11,8 +11,9 @@
 import org.shoreusher.core.message.WorkerOrder;
 
 /**
- * Decodes heartbeats of workers and encodes orders to them. The protocol calls a task "sheet", a
- * worker's incarnation "shift", the fencing token "baton", and the sequence number "tally".
+ * Decodes heartbeats of workers and encodes orders to them. In the protocol, a machine is called
+ * "box", a task "sheet", an attempt number "try", a worker's incarnation "shift", the sequence
+ * number of a heartbeat "tally", and the fencing token "baton".
  */
 public final class WorkerFormat {
     private WorkerFormat() {}
@@ -20,13 +21,13 @@
     /**
      * Decodes a heartbeat.
      *
-     * @throws FieldMap.InvalidFieldException with the first error in it
+     * @throws FieldMap.InvalidFieldException names the first invalid field
      */
     public static WorkerHeartbeat readHeartbeat(FieldMap heartbeat)
             throws FieldMap.InvalidFieldException {
         List<TaskStatus> tasks = new ArrayList<>();
         for (FieldMap taskFields : heartbeat.maps("sheets")) {
-            tasks.add(readTask(taskFields));
+            tasks.add(readTaskStatus(taskFields));
         }
         return new WorkerHeartbeat(
                 heartbeat.text("box"),
@@ -41,7 +42,8 @@
                 tasks);
     }
 
-    private static TaskStatus readTask(FieldMap fields) throws FieldMap.InvalidFieldException {
+    private static TaskStatus readTaskStatus(FieldMap fields)
+            throws FieldMap.InvalidFieldException {
         String name = fields.text("sheet");
         int slash = name.lastIndexOf('/');
         if (slash < 1) {
@@ -53,32 +55,35 @@
         } catch (NumberFormatException e) {
             throw invalidTaskName();
         }
-        TaskState state = state(fields.text("status"));
+        TaskState state = parseTaskState(fields.text("status"));
         return new TaskStatus(
                 name.substring(0, slash),
                 taskIndex,
                 fields.integer("try"),
                 state,
-                state == TaskState.EXITED ? cause(fields.textOr("cause", "")) : ExitCause.NONE,
+                state == TaskState.EXITED
+                        ? parseExitCause(fields.textOr("cause", ""))
+                        : ExitCause.NONE,
                 fields.flagOr("stored", false));
     }
 
     private static FieldMap.InvalidFieldException invalidTaskName() {
-        return new FieldMap.InvalidFieldException("sheet must look like wk-000412/3");
+        return new FieldMap.InvalidFieldException(
+                "sheet must be a job id, a slash and a task index, like wk-000412/3");
     }
 
-    private static TaskState state(String text) {
-        return switch (text) {
+    private static TaskState parseTaskState(String status) {
+        return switch (status) {
             case "pulling", "gathering" -> TaskState.FETCHING;
             case "flushing" -> TaskState.CHECKPOINTING;
             case "exited" -> TaskState.EXITED;
-            // An unknown state uses the machine's resources, like a running task.
+            // A task in an unknown state counts as running: it uses resources of the machine.
             default -> TaskState.RUNNING;
         };
     }
 
-    private static ExitCause cause(String text) {
-        return switch (text) {
+    private static ExitCause parseExitCause(String cause) {
+        return switch (cause) {
             case "done" -> ExitCause.COMPLETED;
             case "halted" -> ExitCause.STOPPED;
             case "no_room" -> ExitCause.INSUFFICIENT_RESOURCES;
@@ -88,7 +93,6 @@
         };
     }
 
-    /** Encodes orders as a list of maps. */
     private static List<Object> writeOrders(List<WorkerOrder> orders) {
         List<Object> encoded = new ArrayList<>(orders.size());
         for (WorkerOrder order : orders) {
@@ -118,7 +122,11 @@
         return body;
     }
 
-    /** The body of a direct call with orders; {@code incarnation} is the worker's. */
+    /**
+     * The body of a request that sends orders directly to a worker.
+     *
+     * @param incarnation the incarnation of the worker that the orders are for
+     */
     public static Map<String, Object> directOrders(
             long fencingToken, long incarnation, List<WorkerOrder> orders) {
         Map<String, Object> body = heartbeatResponse(fencingToken, orders);
--- a/src/main/java/org/shoreusher/wire/package-info.java
+++ b/src/main/java/org/shoreusher/wire/package-info.java
@@ -1,6 +1,10 @@
 /**
- * Formats of the messages to and from other systems. This package alone knows the field names of
- * the protocol; callers see typed messages or {@link org.shoreusher.wire.FieldMap}. Formats never
- * change: names and forms on the wire are kept for all versions. Uses {@code core.message} only.
+ * Formats of the messages to and from users, workers, the store and the cloud, and of stored job
+ * specifications. Translates between field names of the protocol and typed messages.
+ *
+ * <p>Guarantees: formats never change; all versions use the same names and encodings. Input that is
+ * not a valid message is rejected with an exception.
+ *
+ * <p>Uses {@code core.message} only.
  */
 package org.shoreusher.wire;
--- a/src/test/java/org/shoreusher/wire/FormatsTest.java
+++ b/src/test/java/org/shoreusher/wire/FormatsTest.java
@@ -23,7 +23,7 @@
 import org.shoreusher.core.message.WorkerHeartbeat;
 import org.shoreusher.core.message.WorkerOrder;
 
-/** The formats of users, workers, cloud and store. */
+/** The encodings of messages, and the formats of users and workers. */
 class FormatsTest {
     @Provide
     Arbitrary<Map<String, Object>> maps() {
@@ -49,21 +49,26 @@
         assertEquals(map, FieldMap.parseCbor(FieldMap.toCbor(map)).asMap());
     }
 
-    /** Whatever the bytes, reading ends in a map or in the one exception that means 400. */
+    /**
+     * An {@link IOException} is mapped to status 400. Any other exception would close the
+     * connection without a response.
+     */
     @Property(tries = 500, seed = "2")
-    void arbitraryBytesAreReadAsAMapOrRejected(@ForAll byte[] bytes) {
-        Map<String, Object> read;
+    void arbitraryBytesAreDecodedAsAMapOrRejected(@ForAll byte[] bytes) {
+        Map<String, Object> decoded;
         try {
-            read = FieldMap.parseCbor(bytes).asMap();
+            decoded = FieldMap.parseCbor(bytes).asMap();
         } catch (IOException rejected) {
             return;
         }
-        assertNotNull(read);
+        assertNotNull(decoded);
     }
 
-    /** A message with one changed byte is read or rejected, and never crashes the reader. */
+    /**
+     * A submission with one corrupted byte is decoded or rejected; no other exception is thrown.
+     */
     @Property(tries = 500, seed = "3")
-    void corruptedJobIsReadOrRejected(
+    void corruptedSubmissionIsDecodedOrRejected(
             @ForAll("jobs") JobSpec job, @ForAll int position, @ForAll byte value) {
         byte[] bytes = FieldMap.toCbor(UserFormat.writeSubmission(job));
         bytes[Math.floorMod(position, bytes.length)] = value;
@@ -77,42 +82,42 @@
 
     @Provide
     Arbitrary<JobSpec> jobs() {
-        Arbitrary<Double> amount = Arbitraries.doubles().between(0, 1000);
+        Arbitrary<Double> amounts = Arbitraries.doubles().between(0, 1000);
         return Combinators.combine(
                         Arbitraries.integers().between(1, 999_999),
                         Arbitraries.integers().between(1, 100_000),
-                        amount,
+                        amounts,
                         Arbitraries.of(JobSpec.Priority.values()),
                         Arbitraries.of("a", "b").list().ofMaxSize(2).injectNull(0.5),
                         Arbitraries.of("a", "b").injectNull(0.5),
                         Arbitraries.of(true, false),
-                        amount.injectNull(0.5)
+                        amounts.injectNull(0.5)
                                 .map(seconds -> seconds == null ? Double.NaN : seconds))
                 .as(
-                        (id, tasks, a, priority, types, zone, flag, deadline) ->
+                        (id, tasks, amount, priority, types, zone, flag, deadline) ->
                                 new JobSpecBuilder("wk-" + id)
                                         .team("team")
                                         .priority(priority)
                                         .taskCount(tasks)
-                                        .cpus(a)
-                                        .gpus(a / 2)
-                                        .memGb(a / 3)
+                                        .cpus(amount)
+                                        .gpus(amount / 2)
+                                        .memGb(amount / 3)
                                         .image("image")
-                                        .imageGb(a)
+                                        .imageGb(amount)
                                         .machineTypes(types)
                                         .zone(zone)
                                         .singleZone(flag)
                                         .spreadAcrossZones(!flag)
                                         .spotAllowed(flag)
-                                        .estimatedRunS(a)
-                                        .checkpointIntervalS(a)
-                                        .checkpointDurationS(a)
+                                        .estimatedRunS(amount)
+                                        .checkpointIntervalS(amount)
+                                        .checkpointDurationS(amount)
                                         .deadlineS(deadline)
                                         .build());
     }
 
     @Property(tries = 300, seed = "4")
-    void jobsSurviveARoundTrip(@ForAll("jobs") JobSpec job)
+    void submissionRoundTripPreservesTheJob(@ForAll("jobs") JobSpec job)
             throws IOException, FieldMap.InvalidFieldException {
         assertEquals(
                 job,
@@ -121,9 +126,9 @@
     }
 
     @Example
-    void namesInvalidFields() {
+    void errorNamesTheInvalidField() {
         JobSpec job = jobs().sample();
-        Map<String, Object> wrong =
+        Map<String, Object> invalidValues =
                 Map.of(
                         "sheets",
                         0L,
@@ -139,7 +144,7 @@
                         1L,
                         "due_s",
                         -1.0);
-        wrong.forEach(
+        invalidValues.forEach(
                 (field, value) -> {
                     Map<String, Object> map = new LinkedHashMap<>(UserFormat.writeSubmission(job));
                     map.put(field, value);
@@ -152,12 +157,12 @@
     }
 
     /**
-     * Only nullable fields may be left out; a job that lacks any other field, or has no number
-     * where one belongs, is rejected.
+     * Only nullable fields may be absent. A submission without one of the others, or with a value
+     * of the wrong type or range, is rejected.
      */
     @Example
     void requiresEveryNonNullableField() {
-        Map<String, Object> whole =
+        Map<String, Object> complete =
                 UserFormat.writeSubmission(
                         new JobSpecBuilder("wk-1")
                                 .team("team")
@@ -171,12 +176,12 @@
                                 .checkpointDurationS(4)
                                 .deadlineS(60)
                                 .build());
-        for (String field : whole.keySet()) {
+        for (String field : complete.keySet()) {
             for (Object value :
                     new Object[] {
                         null, Double.NaN, Double.POSITIVE_INFINITY, -1.0, List.of(Map.of())
                     }) {
-                Map<String, Object> map = new LinkedHashMap<>(whole);
+                Map<String, Object> map = new LinkedHashMap<>(complete);
                 map.put(field, value);
                 if (value == null && List.of("presses", "yard", "due_s").contains(field)) {
                     assertDoesNotThrow(() -> UserFormat.readSubmission(new FieldMap(map)), field);
@@ -191,7 +196,7 @@
     }
 
     @Example
-    void readsAHeartbeatWithUnknownFields() throws FieldMap.InvalidFieldException {
+    void decodesAHeartbeatWithUnknownFields() throws FieldMap.InvalidFieldException {
         Map<String, Object> heartbeat =
                 new LinkedHashMap<>(
                         Map.of(
@@ -250,7 +255,7 @@
     }
 
     @Example
-    void writesOrdersInTheWorkerFormat() {
+    void encodesOrdersInTheWorkerFormat() {
         List<WorkerOrder> orders =
                 new ArrayList<>(
                         List.of(
