--- a/src/main/java/org/shoreusher/cloud/CloudConstants.java
+++ b/src/main/java/org/shoreusher/cloud/CloudConstants.java
@@ -4,6 +4,6 @@
 public final class CloudConstants {
     private CloudConstants() {}
 
-    /** ms; timeout of a cloud call. Answers take 150 ms. */
+    /** ms; timeout of a cloud call. Replies take 150 ms. */
     public static final long CLOUD_TIMEOUT_MS = 4_000;
 }
--- a/src/main/java/org/shoreusher/net/ClientBootstrap.java
+++ b/src/main/java/org/shoreusher/net/ClientBootstrap.java
@@ -9,12 +9,12 @@
 import io.netty.channel.socket.nio.NioSocketChannel;
 import java.util.function.Consumer;
 
-/** Options that all outgoing connections share. */
+/** Creates bootstraps with the options of all outgoing connections. */
 public final class ClientBootstrap {
     private ClientBootstrap() {}
 
     /**
-     * A bootstrap for outgoing connections.
+     * Creates a bootstrap for outgoing connections.
      *
      * @param initializer adds the handlers to the pipeline of a new connection
      */
--- a/src/main/java/org/shoreusher/net/HttpCaller.java
+++ b/src/main/java/org/shoreusher/net/HttpCaller.java
@@ -28,19 +28,20 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * HTTP client of one target with a pool of persistent connections and one request at a time on
- * each. Every call completes exactly once: with the response, or without a reply on failure or
- * timeout, after which its connection is closed. Not thread-safe: all methods run on the event
- * loop.
+ * HTTP client for one target, with a pool of persistent connections and one request at a time on
+ * each. Every call completes exactly once: with the response, or with {@link ReplyStatus#NO_REPLY}
+ * after a failure or timeout, which also closes the connection. Not thread-safe: all methods must
+ * run on the event loop.
  */
 public final class HttpCaller {
     /** Receives the result of a call. */
     public interface ResponseHandler {
         /**
-         * Called once for each call.
+         * Called exactly once for each call.
          *
          * @param status the HTTP status, or {@link ReplyStatus#NO_REPLY}
-         * @param body the decoded body; null if it is not a map
+         * @param body the decoded body, which is empty if a response with status 200 has none; null
+         *     if there is no valid body
          */
         void onResponse(int status, Map<String, Object> body);
     }
@@ -48,22 +49,22 @@
     private final Address target;
     private final Bootstrap bootstrap;
     private final EventLoop loop;
-    private final int maxIdle;
+    private final int maxIdleConnections;
     private final ArrayDeque<Connection> idleConnections = new ArrayDeque<>();
     private int callsInFlight;
 
-    /** A client that keeps the default number of idle connections. */
+    /** Creates a client that keeps the default number of idle connections. */
     public HttpCaller(EventLoop loop, Address target) {
         this(loop, target, NetConstants.MAX_IDLE_CONNECTIONS_PER_TARGET);
     }
 
     /**
-     * A client with a pool of its own.
+     * Creates a client.
      *
-     * @param maxIdle idle connections to keep at most
+     * @param maxIdleConnections maximum number of idle connections to keep
      */
-    public HttpCaller(EventLoop loop, Address target, int maxIdle) {
-        this.maxIdle = maxIdle;
+    public HttpCaller(EventLoop loop, Address target, int maxIdleConnections) {
+        this.maxIdleConnections = maxIdleConnections;
         this.target = target;
         this.loop = loop;
         bootstrap =
@@ -79,8 +80,12 @@
     }
 
     /**
-     * Sends a request: a GET if the body is null, else a POST. Fails at once if too many calls are
-     * in flight.
+     * Sends a request: a GET if the body is null, else a POST. The call completes immediately with
+     * {@link ReplyStatus#NO_REPLY} if too many calls are in flight.
+     *
+     * @param path path and query
+     * @param body the body, to be encoded as CBOR
+     * @param timeoutMs time for the response once a connection is open, in ms
      */
     public void call(
             String path, Map<String, Object> body, long timeoutMs, ResponseHandler handler) {
@@ -141,13 +146,13 @@
                 });
     }
 
-    /** Closes the connections that no call is using. */
+    /** Closes all idle connections. */
     public void closeIdleConnections() {
-        // A connection removes itself from the list when it closes.
+        // Iterates over a copy, since a closed connection removes itself from the queue.
         List.copyOf(idleConnections).forEach(connection -> connection.channel.close());
     }
 
-    /** A call in flight, completed once: by its response, a failure or its timeout. */
+    /** A call in flight, which is completed once: by a response, a failure or a timeout. */
     private final class PendingCall {
         private final ResponseHandler handler;
         private boolean completed;
@@ -216,7 +221,7 @@
             }
             if (status != ReplyStatus.NO_REPLY
                     && HttpUtil.isKeepAlive(response)
-                    && idleConnections.size() < maxIdle) {
+                    && idleConnections.size() < maxIdleConnections) {
                 idleConnections.addLast(this);
             } else {
                 channel.close();
--- a/src/main/java/org/shoreusher/net/NetConstants.java
+++ b/src/main/java/org/shoreusher/net/NetConstants.java
@@ -5,20 +5,20 @@
     private NetConstants() {}
 
     /**
-     * Bytes; longest body of a response. The protocol sets no bound for watches; a longer response
-     * is treated as broken.
+     * Bytes; longest body of a response. A longer one counts as a failure. The protocol does not
+     * limit the replies to watches.
      */
     public static final int MAX_RESPONSE_BODY_BYTES = 8 * 1024 * 1024;
 
-    /** s; a connection on which nothing is received for this long is closed. */
+    /** s; a connection on which nothing has been received for this long is closed. */
     public static final int IDLE_CONNECTION_TIMEOUT_S = 120;
 
     /** ms; timeout of a connection attempt. */
     public static final int CONNECT_TIMEOUT_MS = 1_000;
 
-    /** Idle connections kept per target. */
+    /** Idle connections that are kept per target. */
     public static final int MAX_IDLE_CONNECTIONS_PER_TARGET = 6;
 
-    /** Calls in flight per target; further calls fail at once. */
+    /** Calls in flight per target; further calls fail immediately. */
     public static final int MAX_CALLS_PER_TARGET = 64;
 }
--- a/src/main/java/org/shoreusher/peer/GossipCodec.java
+++ b/src/main/java/org/shoreusher/peer/GossipCodec.java
@@ -12,30 +12,30 @@
 import org.shoreusher.core.message.GossipMessage.TeamDemand;
 
 /**
- * Encodes and decodes gossip with Kryo. Only registered classes are decoded, so foreign bytes
- * cannot create other objects. Not thread-safe.
+ * Encodes and decodes gossip with Kryo. Only {@link GossipMessage} is registered, so that untrusted
+ * bytes cannot create objects of other classes. Not thread-safe.
  */
 public final class GossipCodec {
     private final Kryo kryo = new Kryo();
 
-    /** A codec with only the gossip message registered. */
+    /** Creates a codec for gossip messages only. */
     public GossipCodec() {
         kryo.setRegistrationRequired(true);
         kryo.setReferences(false);
         kryo.register(GossipMessage.class, new GossipSerializer());
     }
 
-    /** Encodes a message. */
+    /** Encodes a message of at most {@link PeerConstants#MAX_PEER_MESSAGE_BYTES}. */
     public byte[] encode(GossipMessage message) {
-        Output out =
+        Output output =
                 new Output(
                         PeerConstants.PEER_MESSAGE_BUFFER_BYTES,
                         PeerConstants.MAX_PEER_MESSAGE_BYTES);
-        kryo.writeObject(out, message);
-        return out.toBytes();
+        kryo.writeObject(output, message);
+        return output.toBytes();
     }
 
-    /** Decodes a message; null if the bytes are not a valid one. */
+    /** Decodes a message; null if the bytes are not a valid message. */
     public GossipMessage decode(byte[] bytes) {
         try {
             return kryo.readObject(new Input(bytes), GossipMessage.class);
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Encodes the fields in a fixed order, which all versions share. */
+    /** Encodes the fields in a fixed order, which is the same in all versions. */
     private static final class GossipSerializer extends Serializer<GossipMessage> {
         @Override
         public void write(Kryo kryo, Output output, GossipMessage message) {
@@ -76,28 +76,28 @@
                                 output.writeVarInt(shardNumber, true);
                                 output.writeVarInt(workers, true);
                             });
-            counts(output, message.runningTasks());
-            counts(output, message.completedTasks());
+            writeTaskCounts(output, message.runningTasks());
+            writeTaskCounts(output, message.completedTasks());
         }
 
-        private static void counts(Output output, Map<String, Integer> counts) {
+        private static void writeTaskCounts(Output output, Map<String, Integer> counts) {
             output.writeVarInt(counts.size(), true);
             counts.forEach(
-                    (job, count) -> {
-                        output.writeString(job);
+                    (jobId, count) -> {
+                        output.writeString(jobId);
                         output.writeVarInt(count, true);
                     });
         }
 
         @Override
         public GossipMessage read(Kryo kryo, Input input, Class<? extends GossipMessage> type) {
-            String from = input.readString();
-            if (from == null) {
-                throw new KryoException("gossip without a sender");
+            String senderHost = input.readString();
+            if (senderHost == null) {
+                throw new KryoException("the sender's host of a gossip message must not be null");
             }
             long sentWallMs = input.readLong();
-            boolean stateOk = input.readBoolean();
-            double upS = input.readDouble();
+            boolean storeReachable = input.readBoolean();
+            double uptimeS = input.readDouble();
             Map<Integer, ShardSummary> shards = new HashMap<>();
             for (int i = readEntryCount(input); i > 0; i--) {
                 shards.put(
@@ -113,14 +113,14 @@
                 redirectedWorkers.put(input.readVarInt(true), input.readVarInt(true));
             }
             return new GossipMessage(
-                    from,
+                    senderHost,
                     sentWallMs,
-                    stateOk,
-                    upS,
+                    storeReachable,
+                    uptimeS,
                     shards,
                     redirectedWorkers,
-                    counts(input),
-                    counts(input));
+                    readTaskCounts(input),
+                    readTaskCounts(input));
         }
 
         private static Map<String, TeamDemand> readDemands(Input input) {
@@ -132,7 +132,7 @@
             return demands;
         }
 
-        private static Map<String, Integer> counts(Input input) {
+        private static Map<String, Integer> readTaskCounts(Input input) {
             Map<String, Integer> counts = new HashMap<>();
             for (int i = readEntryCount(input); i > 0; i--) {
                 counts.put(input.readString(), input.readVarInt(true));
@@ -143,7 +143,11 @@
         private static int readEntryCount(Input input) {
             int count = input.readVarInt(true);
             if (count < 0 || count > PeerConstants.MAX_PEER_MESSAGE_ENTRIES) {
-                throw new KryoException("too many entries");
+                throw new KryoException(
+                        "a list or map of a gossip message must have 0 to "
+                                + PeerConstants.MAX_PEER_MESSAGE_ENTRIES
+                                + " entries, but has "
+                                + count);
             }
             return count;
         }
--- a/src/main/java/org/shoreusher/peer/GossipTransport.java
+++ b/src/main/java/org/shoreusher/peer/GossipTransport.java
@@ -26,7 +26,8 @@
 
 /**
  * Sends gossip to the other controllers, and receives their gossip and standby messages. Gossip
- * that cannot be sent at once is dropped. Frames have a length prefix of 4 bytes.
+ * that cannot be sent immediately is dropped. Each message is a frame with a length prefix of 4
+ * bytes.
  */
 public final class GossipTransport {
     private static final Logger LOG = LoggerFactory.getLogger("shoreusher");
@@ -37,7 +38,7 @@
     private final GossipCodec codec = new GossipCodec();
     private final PeerConnections connections;
 
-    /** A transport that passes received messages to the core as commands. */
+    /** Creates a transport that passes received messages to the core as commands. */
     public GossipTransport(EventLoopGroup loop, Settings settings, Consumer<Command> core) {
         this.loop = loop;
         this.settings = settings;
@@ -45,7 +46,11 @@
         connections = new PeerConnections(loop, false);
     }
 
-    /** Binds to the peer address and accepts connections. */
+    /**
+     * Binds to the peer address of the settings and accepts connections.
+     *
+     * @throws InterruptedException if the thread is interrupted while it waits for the binding
+     */
     public void listen() throws InterruptedException {
         new ServerBootstrap()
                 .group(loop)
@@ -72,7 +77,7 @@
                 .sync();
     }
 
-    /** Sends a message to each connected peer, and starts connecting to the others. */
+    /** Sends a message to each connected peer, and opens connections to the others. */
     public void broadcast(GossipMessage message) {
         byte[] encoded = codec.encode(message);
         for (Settings.Member member : settings.members()) {
@@ -80,11 +85,11 @@
         }
     }
 
-    /** Decodes the frames of a connection, and closes it on an invalid one. */
+    /** Decodes the frames of a connection, which is closed if a frame is invalid. */
     private final class FrameHandler extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) {
-            Command command = command(ByteBufUtil.getBytes(frame));
+            Command command = decodeOrNull(ByteBufUtil.getBytes(frame));
             if (command == null) {
                 EventLogger.log(LOG, LogEvent.of(LogEventType.PEER_MESSAGE_INVALID));
                 context.close();
@@ -93,7 +98,7 @@
             }
         }
 
-        private Command command(byte[] bytes) {
+        private Command decodeOrNull(byte[] bytes) {
             if (bytes.length > 0 && StandbyCodec.startsStandbyMessage(bytes[0])) {
                 StandbyMessage message = StandbyCodec.decode(bytes);
                 return message == null ? null : new Command.Standby(message);
--- a/src/main/java/org/shoreusher/peer/PeerConnections.java
+++ b/src/main/java/org/shoreusher/peer/PeerConnections.java
@@ -15,22 +15,25 @@
 import org.shoreusher.settings.Settings;
 
 /**
- * Outgoing connections to other controllers, one to each host, which are opened when there is
- * something to send. Messages are sent as frames with a length prefix. Not thread-safe.
+ * Outgoing connections to other controllers, one for each host, which are opened when a message is
+ * to be sent. Messages are sent as frames with a length prefix. Not thread-safe.
  */
 final class PeerConnections {
     private final Bootstrap bootstrap;
     private final boolean sendsOnConnect;
     private final Map<String, Channel> connections = new HashMap<>();
 
-    /** The last message for each host that is being connected, if it is to be sent then. */
-    private final Map<String, Optional<byte[]>> connecting = new HashMap<>();
+    /**
+     * The hosts to which a connection is being opened, each with the message to be sent on it
+     * first; empty if there is none.
+     */
+    private final Map<String, Optional<byte[]>> firstMessages = new HashMap<>();
 
     /**
-     * No connections yet.
+     * Creates an object without connections.
      *
-     * @param sendsOnConnect whether the last message that is sent while a connection is being
-     *     opened goes out first; otherwise such messages are dropped
+     * @param sendsOnConnect whether the latest message passed to {@link #send} while a connection
+     *     is being opened is sent on it first; otherwise all such messages are dropped
      */
     PeerConnections(EventLoopGroup loop, boolean sendsOnConnect) {
         this.sendsOnConnect = sendsOnConnect;
@@ -45,7 +48,10 @@
                                                 new ClosingHandler()));
     }
 
-    /** Sends a message if the host is connected and reachable; connects to it otherwise. */
+    /**
+     * Sends a message if there is a connection to the host, and opens one otherwise. If the send
+     * buffer of the connection is full, the message is dropped and the connection closed.
+     */
     void send(String host, Settings.Address address, byte[] message) {
         Channel connection = connections.get(host);
         if (connection == null || !connection.isActive()) {
@@ -53,23 +59,24 @@
         } else if (connection.isWritable()) {
             connection.writeAndFlush(Unpooled.wrappedBuffer(message));
         } else {
-            // The peer is unreachable: what is queued would arrive minutes late and be useless.
+            // The peer is unreachable: the queued messages would arrive minutes late and be
+            // useless.
             connection.close();
         }
     }
 
     private void connect(String host, Settings.Address address, byte[] message) {
-        Optional<byte[]> first = sendsOnConnect ? Optional.of(message) : Optional.empty();
-        if (connecting.put(host, first) != null) {
+        Optional<byte[]> firstMessage = sendsOnConnect ? Optional.of(message) : Optional.empty();
+        if (firstMessages.put(host, firstMessage) != null) {
             return;
         }
         ChannelFuture connection = bootstrap.connect(address.ip(), address.port());
         connection.addListener(
                 future -> {
-                    Optional<byte[]> last = connecting.remove(host);
+                    Optional<byte[]> latestMessage = firstMessages.remove(host);
                     if (connection.isSuccess()) {
                         connections.put(host, connection.channel());
-                        last.ifPresent(
+                        latestMessage.ifPresent(
                                 bytes ->
                                         connection
                                                 .channel()
@@ -78,7 +85,9 @@
                 });
     }
 
-    /** Peers send nothing on connections that this node opened, so any input closes them. */
+    /**
+     * Closes the connection on any input: peers send nothing on connections that this node opened.
+     */
     private static final class ClosingHandler extends SimpleChannelInboundHandler<Object> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, Object unexpected) {
--- a/src/main/java/org/shoreusher/peer/PeerConstants.java
+++ b/src/main/java/org/shoreusher/peer/PeerConstants.java
@@ -4,15 +4,15 @@
 final class PeerConstants {
     private PeerConstants() {}
 
-    /** Bytes; longer gossip and standby messages of peers are rejected. */
+    /** Bytes; longer gossip and standby messages are rejected. */
     public static final int MAX_PEER_MESSAGE_BYTES = 256 * 1024;
 
     /** Bytes; initial size of the buffer for a message to a peer. */
     public static final int PEER_MESSAGE_BUFFER_BYTES = 512;
 
     /**
-     * Entries; a map or list in a peer's message with a higher count is rejected before it is
-     * built.
+     * Entries; a list or map in a peer's message with a higher count is rejected before its entries
+     * are decoded.
      */
     public static final int MAX_PEER_MESSAGE_ENTRIES = 10_000;
 
--- a/src/main/java/org/shoreusher/peer/StandbyCodec.java
+++ b/src/main/java/org/shoreusher/peer/StandbyCodec.java
@@ -21,25 +21,25 @@
 import org.shoreusher.standby.StandbyMessage;
 
 /**
- * Encodes and decodes standby messages. They begin with a marker byte that no gossip message begins
- * with: gossip has its sender's name there, and the marker is Kryo's encoding of a null string. A
- * version without the standby feature closes the connection on it.
+ * Encodes and decodes standby messages. They begin with a marker byte that distinguishes them from
+ * gossip: a gossip message begins with the name of its sender, and the marker is Kryo's encoding of
+ * a null string. A version without the standby feature closes the connection on this byte.
  */
 final class StandbyCodec {
-    /** Kryo's encoding of a null string, and the first byte of no other string. */
+    /** Kryo's encoding of a null string. No other string begins with this byte. */
     private static final byte STANDBY_MARKER = (byte) 0x80;
 
-    /** Version of the format that follows; messages of any other version are rejected. */
+    /** The version of the format, sent after the marker; other versions are rejected. */
     private static final int FORMAT_VERSION = 1;
 
-    private static final int FRAME = 1;
-    private static final int ACKNOWLEDGEMENT = 2;
+    private static final int LOG_FRAME = 1;
+    private static final int LOG_ACKNOWLEDGEMENT = 2;
 
     private static final int SNAPSHOT_BEGIN = 1;
-    private static final int STARTED = 2;
-    private static final int ENDED = 3;
+    private static final int ATTEMPT_STARTED = 2;
+    private static final int ATTEMPT_ENDED = 3;
     private static final int SNAPSHOT_END = 4;
-    private static final int CHECKED = 5;
+    private static final int VERIFY_CHECKSUM = 5;
 
     private StandbyCodec() {}
 
@@ -48,7 +48,7 @@
         return first == STANDBY_MARKER;
     }
 
-    /** Encodes a message. */
+    /** Encodes a message of at most {@link PeerConstants#MAX_PEER_MESSAGE_BYTES}. */
     static byte[] encode(StandbyMessage message) {
         Output output =
                 new Output(
@@ -57,12 +57,12 @@
         output.writeByte(STANDBY_MARKER);
         output.writeByte(FORMAT_VERSION);
         if (message instanceof LogFrame frame) {
-            output.writeByte(FRAME);
+            output.writeByte(LOG_FRAME);
             writeStream(output, frame.stream());
             output.writeVarLong(frame.firstSequenceNumber(), true);
             writeRecords(output, frame.records());
         } else if (message instanceof LogAcknowledgement acknowledgement) {
-            output.writeByte(ACKNOWLEDGEMENT);
+            output.writeByte(LOG_ACKNOWLEDGEMENT);
             writeStream(output, acknowledgement.stream());
             output.writeVarLong(acknowledgement.lastAppliedSequenceNumber(), true);
             output.writeBoolean(acknowledgement.accepted());
@@ -70,7 +70,7 @@
         return output.toBytes();
     }
 
-    /** Decodes a message; null if the bytes are not a valid one of this version. */
+    /** Decodes a message; null if the bytes are not a valid message of this format version. */
     static StandbyMessage decode(byte[] bytes) {
         try {
             Input input = new Input(bytes);
@@ -79,13 +79,16 @@
             }
             int kind = input.readByte();
             LogStream stream = readStream(input);
-            long sequence = input.readVarLong(true);
+            long sequenceNumber = input.readVarLong(true);
             StandbyMessage message =
                     switch (kind) {
-                        case FRAME -> new LogFrame(stream, sequence, readRecords(input));
-                        case ACKNOWLEDGEMENT ->
-                                new LogAcknowledgement(stream, sequence, input.readBoolean());
-                        default -> throw new KryoException("unknown kind of message " + kind);
+                        case LOG_FRAME -> new LogFrame(stream, sequenceNumber, readRecords(input));
+                        case LOG_ACKNOWLEDGEMENT ->
+                                new LogAcknowledgement(stream, sequenceNumber, input.readBoolean());
+                        default ->
+                                throw new KryoException(
+                                        "the kind of a standby message must be 1 or 2, but is "
+                                                + kind);
                     };
             return input.end() ? message : null;
         } catch (KryoException | IndexOutOfBoundsException e) {
@@ -113,14 +116,12 @@
     private static String readText(Input input) {
         String text = input.readString();
         if (text == null) {
-            throw new KryoException("a text is missing");
+            throw new KryoException("a text of a standby message must not be null");
         }
         return text;
     }
 
-    // ---- records -----------------------------------------------------------------------------
-
-    /** Encodes names of jobs, machines and teams once in a frame; records refer to their index. */
+    /** Encodes each job, machine and team name once per frame; records contain their indexes. */
     private static void writeRecords(Output output, List<LogRecord> records) {
         Object2IntOpenHashMap<String> nameIndexes = new Object2IntOpenHashMap<>();
         List<String> names = new ArrayList<>();
@@ -153,7 +154,7 @@
             output.writeByte(SNAPSHOT_BEGIN);
         } else if (record instanceof AttemptStarted started) {
             Attempt attempt = started.attempt();
-            output.writeByte(STARTED);
+            output.writeByte(ATTEMPT_STARTED);
             writeId(output, nameIndexes, attempt.id());
             output.writeVarInt(nameIndexes.getInt(attempt.machineId()), true);
             output.writeVarInt(nameIndexes.getInt(attempt.team()), true);
@@ -161,14 +162,14 @@
             output.writeDouble(attempt.gpus());
             output.writeDouble(attempt.memGb());
         } else if (record instanceof AttemptEnded ended) {
-            output.writeByte(ENDED);
+            output.writeByte(ATTEMPT_ENDED);
             writeId(output, nameIndexes, ended.id());
         } else if (record instanceof SnapshotEnd end) {
             output.writeByte(SNAPSHOT_END);
-            writeCheckpoint(output, end.checksum());
-        } else if (record instanceof VerifyChecksum checked) {
-            output.writeByte(CHECKED);
-            writeCheckpoint(output, checked.checksum());
+            writeChecksum(output, end.checksum());
+        } else if (record instanceof VerifyChecksum verification) {
+            output.writeByte(VERIFY_CHECKSUM);
+            writeChecksum(output, verification.checksum());
         }
     }
 
@@ -179,9 +180,9 @@
         output.writeVarLong(id.attemptNumber(), true);
     }
 
-    private static void writeCheckpoint(Output output, Checksum checkpoint) {
-        output.writeLong(checkpoint.digest());
-        output.writeVarInt(checkpoint.size(), true);
+    private static void writeChecksum(Output output, Checksum checksum) {
+        output.writeLong(checksum.digest());
+        output.writeVarInt(checksum.size(), true);
     }
 
     private static List<LogRecord> readRecords(Input input) {
@@ -200,11 +201,13 @@
         int kind = input.readByte();
         return switch (kind) {
             case SNAPSHOT_BEGIN -> new SnapshotBegin();
-            case STARTED -> new AttemptStarted(readAttempt(input, names));
-            case ENDED -> new AttemptEnded(readId(input, names));
-            case SNAPSHOT_END -> new SnapshotEnd(readCheckpoint(input));
-            case CHECKED -> new VerifyChecksum(readCheckpoint(input));
-            default -> throw new KryoException("unknown kind of record " + kind);
+            case ATTEMPT_STARTED -> new AttemptStarted(readAttempt(input, names));
+            case ATTEMPT_ENDED -> new AttemptEnded(readId(input, names));
+            case SNAPSHOT_END -> new SnapshotEnd(readChecksum(input));
+            case VERIFY_CHECKSUM -> new VerifyChecksum(readChecksum(input));
+            default ->
+                    throw new KryoException(
+                            "the kind of a log record must be 1 to 5, but is " + kind);
         };
     }
 
@@ -223,14 +226,18 @@
                 names.get(input.readVarInt(true)), input.readVarInt(true), input.readVarLong(true));
     }
 
-    private static Checksum readCheckpoint(Input input) {
+    private static Checksum readChecksum(Input input) {
         return new Checksum(input.readLong(), input.readVarInt(true));
     }
 
     private static int readEntryCount(Input input) {
         int count = input.readVarInt(true);
         if (count < 0 || count > PeerConstants.MAX_PEER_MESSAGE_ENTRIES) {
-            throw new KryoException("too many entries");
+            throw new KryoException(
+                    "a list of a standby message must have 0 to "
+                            + PeerConstants.MAX_PEER_MESSAGE_ENTRIES
+                            + " entries, but has "
+                            + count);
         }
         return count;
     }
--- a/src/main/java/org/shoreusher/peer/StandbyTransport.java
+++ b/src/main/java/org/shoreusher/peer/StandbyTransport.java
@@ -9,9 +9,10 @@
 import org.shoreusher.standby.StandbyMessage;
 
 /**
- * Sends standby messages to other controllers. They have their own connections: a controller
- * without the feature closes the connection on them, which must not lose gossip. Messages that
- * cannot be sent at once are dropped; the leader sends them again, or gives up its standby.
+ * Sends standby messages to other controllers, on connections separate from those of gossip: a
+ * controller without the standby feature closes the connection on such a message, which must not
+ * lose gossip. Messages that cannot be sent immediately are dropped; the leader then sends them
+ * again or abandons its standby.
  */
 public final class StandbyTransport {
     private final Map<String, Settings.Address> addresses = new HashMap<>();
@@ -19,13 +20,13 @@
     private long messagesSent;
     private long bytesSent;
 
-    /** A transport to the members in the settings. */
+    /** Creates a transport to the members in the settings. */
     public StandbyTransport(EventLoopGroup loop, Settings settings) {
         settings.members().forEach(member -> addresses.put(member.host(), member.address()));
         connections = new PeerConnections(loop, true);
     }
 
-    /** Sends a message to the controller of a host. Ignored if the host is not a member. */
+    /** Sends a message to the controller of a host; does nothing if the host is not a member. */
     public void send(String host, StandbyMessage message) {
         Settings.Address address = addresses.get(host);
         if (address == null) {
@@ -37,7 +38,7 @@
         connections.send(host, address, encoded);
     }
 
-    /** The traffic since the last call, which resets it; null if nothing was sent. */
+    /** Returns the traffic since the last call and resets it; null if nothing was sent. */
     public LogEvent drainTrafficSummary() {
         if (messagesSent == 0) {
             return null;
--- a/src/main/java/org/shoreusher/peer/package-info.java
+++ b/src/main/java/org/shoreusher/peer/package-info.java
@@ -1,7 +1,10 @@
 /**
- * Adapter to the other controllers: gossip and standby messages over TCP. Messages may be lost or
- * late; invalid ones close their connection. Encodings are shared with all versions that run at the
- * same time. Uses {@code net}, {@code settings}, {@code log}, {@code standby} and {@code
- * core.message}.
+ * Adapter to the other controllers: sends and receives gossip and standby messages over TCP.
+ * Delivery is not guaranteed: messages may be lost or delayed.
+ *
+ * <p>Guarantees: an invalid message closes its connection and is not passed to the core. Encodings
+ * are compatible with all versions that run at the same time.
+ *
+ * <p>Uses {@code net}, {@code settings}, {@code log}, {@code standby} and {@code core.message}.
  */
 package org.shoreusher.peer;
--- a/src/main/java/org/shoreusher/store/StoreClient.java
+++ b/src/main/java/org/shoreusher/store/StoreClient.java
@@ -15,21 +15,24 @@
     private final HttpCaller caller;
 
     /**
-     * Lease renewals have their own connections, so that slow calls on the others do not delay
-     * them.
+     * The client for lease renewals. They have their own connections, so that other slow calls do
+     * not delay them.
      */
     private final HttpCaller leaseRenewalCaller;
 
     private final Consumer<Command> core;
 
-    /** A client that passes the replies to the core as commands. */
+    /** Creates a client that passes the replies to the core as commands. */
     public StoreClient(EventLoop loop, Settings settings, Consumer<Command> core) {
         caller = new HttpCaller(loop, settings.storeAddress());
         leaseRenewalCaller = new HttpCaller(loop, settings.storeAddress());
         this.core = core;
     }
 
-    /** Sends a call. The core gets exactly one reply; without a status on failure or timeout. */
+    /**
+     * Sends a call. The core gets exactly one reply, with status {@code ReplyStatus.NO_REPLY} after
+     * a failure or timeout.
+     */
     public void call(Effect.StoreCall call) {
         WireRequest request = StoreFormat.request(call.operation());
         long blockMs =
--- a/src/main/java/org/shoreusher/user/BodyAggregator.java
+++ b/src/main/java/org/shoreusher/user/BodyAggregator.java
@@ -6,8 +6,8 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 
 /**
- * Aggregates a request and its body. A body above the limit is answered with 400 before it has
- * arrived completely.
+ * Combines a request with its body. A body above the limit is rejected with status 400 before it
+ * has arrived completely.
  */
 final class BodyAggregator extends HttpObjectAggregator {
     BodyAggregator() {
@@ -20,6 +20,8 @@
                 context,
                 false,
                 HttpResponseStatus.BAD_REQUEST,
-                "the body is longer than " + FrontendConstants.MAX_REQUEST_BODY_BYTES + " bytes");
+                "the request body is longer than the limit of "
+                        + FrontendConstants.MAX_REQUEST_BODY_BYTES
+                        + " bytes");
     }
 }
--- a/src/main/java/org/shoreusher/user/ConnectionTimeouts.java
+++ b/src/main/java/org/shoreusher/user/ConnectionTimeouts.java
@@ -15,9 +15,9 @@
     private boolean inRequest;
 
     /**
-     * Timeouts of one connection.
+     * Creates the timeouts of one connection.
      *
-     * @param workerIdleTimeoutS idle timeout in s after a heartbeat
+     * @param workerIdleTimeoutS idle timeout after a heartbeat, in seconds
      */
     ConnectionTimeouts(OpenConnections connections, int workerIdleTimeoutS) {
         this.connections = connections;
@@ -25,8 +25,8 @@
     }
 
     /**
-     * Idle timeout in s of a worker's connection. A worker without a heartbeat for this long uses
-     * another connection by now, or is gone.
+     * The idle timeout of a worker's connection, in seconds. A worker that has sent no heartbeat on
+     * it for this long has stopped or uses another connection.
      */
     static int workerIdleTimeoutS(Settings settings) {
         return (int)
--- a/src/main/java/org/shoreusher/user/HttpFrontend.java
+++ b/src/main/java/org/shoreusher/user/HttpFrontend.java
@@ -24,12 +24,12 @@
 import org.shoreusher.wire.ResponseFormat;
 
 /**
- * The node's HTTP server for users, workers and the load balancer's readiness checks. Passes their
- * requests to the core as commands, and writes its responses. Not thread-safe: all methods but
- * {@link #listen} run on the event loop.
+ * The HTTP server of a node for users, workers and the load balancer's readiness checks. Passes
+ * requests to the core as commands, and writes the core's responses. Not thread-safe: all methods
+ * except {@link #listen} must run on the event loop.
  */
 public final class HttpFrontend {
-    private static final int LATENCY_DIGITS = 2;
+    private static final int LATENCY_SIGNIFICANT_DIGITS = 2;
     private static final double US_PER_MS = 1_000;
 
     private final EventLoopGroup loop;
@@ -42,14 +42,14 @@
     private final Histogram userLatencyUs =
             new Histogram(
                     TimeUnit.SECONDS.toMicros(SharedConstants.LATENCY_LOG_INTERVAL_S),
-                    LATENCY_DIGITS);
+                    LATENCY_SIGNIFICANT_DIGITS);
     private long lastRequestId;
 
     /**
-     * A server that is not listening yet.
+     * Creates a server that does not listen yet.
      *
      * @param core accepts a command, or returns false if its queue is full
-     * @param lagMs how far this node lags behind its work, in ms
+     * @param lagMs how far the processing of commands lags, in ms
      */
     public HttpFrontend(
             EventLoopGroup loop, Settings settings, Predicate<Command> core, LongSupplier lagMs) {
@@ -60,7 +60,11 @@
         connections = new OpenConnections(settings.maxSockets() - SharedConstants.RESERVED_SOCKETS);
     }
 
-    /** Binds to the front address and accepts connections. */
+    /**
+     * Binds to the front address of the settings and accepts connections.
+     *
+     * @throws InterruptedException if the thread is interrupted while it waits for the binding
+     */
     public void listen() throws InterruptedException {
         int workerIdleTimeoutS = ConnectionTimeouts.workerIdleTimeoutS(settings);
         new ServerBootstrap()
@@ -87,7 +91,7 @@
                 .sync();
     }
 
-    /** Writes the core's response, unless the connection has been closed meanwhile. */
+    /** Writes the core's response; does nothing if the connection has been closed. */
     public void respond(Effect.Respond effect) {
         PendingRequest request = pendingRequests.remove(effect.requestId());
         if (request == null) {
@@ -110,7 +114,7 @@
         userLatencyUs.recordValue(Math.min(userLatencyUs.getHighestTrackableValue(), latencyUs));
     }
 
-    /** The latencies of user requests since the last call, which are then reset. */
+    /** Returns the latencies of user requests since the last call and resets them. */
     public LogEvent drainLatencySummary() {
         LogEvent event =
                 LogEvent.of(LogEventType.REQUEST_LATENCY)
@@ -128,12 +132,12 @@
         return connections.count();
     }
 
-    /** How far this node lags behind its work, in ms. */
+    /** How far the processing of commands lags, in ms. */
     long lagMs() {
         return lagMs.getAsLong();
     }
 
-    /** A new number that leads the core's response back to its request. */
+    /** Returns a new id, by which the core's response is matched to its request. */
     long nextRequestId() {
         return ++lastRequestId;
     }
@@ -141,7 +145,7 @@
     /** Passes a request to the core, or rejects it if the core's queue is full. */
     void submit(long requestId, Command command, PendingRequest request) {
         pendingRequests.put(requestId, request);
-        // One request at a time: reading resumes with the response.
+        // One request at a time: reading resumes when the response is written.
         request.context().channel().config().setAutoRead(false);
         if (!core.test(command)) {
             pendingRequests.remove(requestId);
@@ -152,8 +156,8 @@
         }
     }
 
-    /** Drops a request whose connection has been closed. */
-    void forget(long requestId) {
+    /** Discards a request whose connection has been closed. */
+    void discard(long requestId) {
         pendingRequests.remove(requestId);
     }
 }
--- a/src/main/java/org/shoreusher/user/OpenConnections.java
+++ b/src/main/java/org/shoreusher/user/OpenConnections.java
@@ -5,9 +5,9 @@
 
 /**
  * The open connections of clients, ordered by their last request. When all sockets are in use, the
- * least recently used connection is closed: after a network partition, up to half of the machines
- * leave connections behind that still look open, and rejecting new ones would lock out all
- * reachable clients.
+ * least recently used connection is closed. After a network partition, up to half of the machines
+ * may have left dead connections that still look open; if new connections were rejected instead, no
+ * reachable client could connect.
  */
 final class OpenConnections {
     private final ObjectLinkedOpenHashSet<Channel> leastRecentFirst =
--- a/src/main/java/org/shoreusher/user/PendingRequest.java
+++ b/src/main/java/org/shoreusher/user/PendingRequest.java
@@ -5,10 +5,10 @@
 /**
  * A request to which the core has not responded yet.
  *
- * @param context where the response is written
+ * @param context the channel to which the response is written
  * @param keepAlive whether the connection stays open after the response
- * @param receivedAtNs when it arrived, as {@link System#nanoTime}
- * @param fromUser whether a user has sent it, and not a worker or the load balancer
+ * @param receivedAtNs when it arrived, from {@link System#nanoTime}
+ * @param fromUser whether a user sent it, rather than a worker or the load balancer
  */
 record PendingRequest(
         ChannelHandlerContext context, boolean keepAlive, long receivedAtNs, boolean fromUser) {}
--- a/src/main/java/org/shoreusher/user/RequestDecoder.java
+++ b/src/main/java/org/shoreusher/user/RequestDecoder.java
@@ -20,20 +20,26 @@
     private static final String HEARTBEAT_PATH = "/hello";
     private static final String READINESS_PATH = "/ready";
 
+    private static final String ENDPOINTS =
+            String.format(
+                    "POST %2$s, GET %2$s/ID, POST %2$s/ID%3$s, POST %1$s and GET %4$s",
+                    HEARTBEAT_PATH, JOBS_PATH, CANCEL_SUFFIX, READINESS_PATH);
+
     private RequestDecoder() {}
 
-    /** Whether a path is one for users. */
+    /** Whether only users request this path. */
     static boolean isForUsers(String path) {
         return path.startsWith(JOBS_PATH);
     }
 
-    /** Whether a path is the one for workers' heartbeats. */
+    /** Whether workers send their heartbeats to this path. */
     static boolean isHeartbeat(String path) {
         return path.equals(HEARTBEAT_PATH);
     }
 
     /**
-     * Decodes a request. Errors in submissions go to the core with the command, others end here.
+     * Decodes a request. An invalid submission is passed to the core as a command with the error;
+     * any other invalid request is rejected here.
      *
      * @throws RejectedRequestException for an unknown path or method, or a malformed heartbeat
      */
@@ -64,7 +70,7 @@
                 isKnownPath(path)
                         ? HttpResponseStatus.METHOD_NOT_ALLOWED
                         : HttpResponseStatus.NOT_FOUND,
-                "no such path or method");
+                request.method() + " " + path + " is not supported; allowed are " + ENDPOINTS);
     }
 
     private static boolean isKnownPath(String path) {
@@ -77,7 +83,7 @@
                     requestId, WorkerFormat.readHeartbeat(FieldMap.parseCbor(bytes(body))));
         } catch (IOException | FieldMap.InvalidFieldException e) {
             throw new RejectedRequestException(
-                    HttpResponseStatus.BAD_REQUEST, String.valueOf(e.getMessage()));
+                    HttpResponseStatus.BAD_REQUEST, "invalid heartbeat: " + e.getMessage());
         }
     }
 
@@ -89,7 +95,8 @@
             JobSpec spec = UserFormat.readSubmission(fields);
             return new Command.Submit(requestId, jobId, spec, null);
         } catch (IOException e) {
-            return new Command.Submit(requestId, null, null, "the body is not one CBOR map");
+            return new Command.Submit(
+                    requestId, null, null, "the request body must be exactly one CBOR map");
         } catch (FieldMap.InvalidFieldException e) {
             return new Command.Submit(requestId, jobId, null, e.getMessage());
         }
--- a/src/main/java/org/shoreusher/user/RequestHandler.java
+++ b/src/main/java/org/shoreusher/user/RequestHandler.java
@@ -10,7 +10,7 @@
 
 /**
  * Handles the requests of one connection, one at a time: decodes each into a command for the core,
- * or rejects it at once.
+ * or rejects it.
  */
 final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     private final HttpFrontend frontend;
@@ -27,7 +27,10 @@
         if (!request.decoderResult().isSuccess()) {
             timeouts.onRequestComplete(context, false);
             ResponseWriter.writeError(
-                    context, false, HttpResponseStatus.BAD_REQUEST, "malformed HTTP");
+                    context,
+                    false,
+                    HttpResponseStatus.BAD_REQUEST,
+                    "the request is not valid HTTP, or its request line or headers are too long");
             return;
         }
         boolean keepAlive = HttpUtil.isKeepAlive(request);
@@ -50,8 +53,9 @@
     }
 
     /**
-     * Load shedding when the node lags: workers are always served, since their leases would expire,
-     * then submissions and cancellations, then polls.
+     * Whether a user's request is rejected because the node lags. Polls are rejected first, then
+     * submissions and cancellations. Heartbeats are not rejected for this reason, since workers
+     * without responses lose their leases.
      */
     private boolean mustShed(HttpMethod method) {
         return frontend.lagMs()
@@ -62,7 +66,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        frontend.forget(currentRequestId);
+        frontend.discard(currentRequestId);
     }
 
     @Override
--- a/src/main/java/org/shoreusher/user/ResponseWriter.java
+++ b/src/main/java/org/shoreusher/user/ResponseWriter.java
@@ -14,13 +14,17 @@
 import org.shoreusher.wire.FieldMap;
 import org.shoreusher.wire.ResponseFormat;
 
-/** Writes HTTP responses with CBOR bodies, and resumes reading from the connection. */
+/** Writes HTTP responses with CBOR bodies, and resumes reading requests from the connection. */
 final class ResponseWriter {
     static final int NO_RETRY_AFTER = 0;
 
     private ResponseWriter() {}
 
-    /** Writes an error response that tells the client what was wrong with its request. */
+    /**
+     * Writes an error response.
+     *
+     * @param problem a sentence for the client about the error in its request
+     */
     static void writeError(
             ChannelHandlerContext context,
             boolean keepAlive,
@@ -29,7 +33,7 @@
         write(context, keepAlive, status, ResponseFormat.errorBody(problem), NO_RETRY_AFTER);
     }
 
-    /** Writes a response that asks the client to try again later. */
+    /** Writes a response with status 503 and a Retry-After header. */
     static void writeUnavailable(
             ChannelHandlerContext context, boolean keepAlive, int retryAfterS) {
         write(context, keepAlive, HttpResponseStatus.SERVICE_UNAVAILABLE, Map.of(), retryAfterS);
@@ -39,7 +43,7 @@
      * Writes a response.
      *
      * @param keepAlive whether the connection stays open
-     * @param retryAfterS value of the Retry-After header in s; 0 for none
+     * @param retryAfterS value of the Retry-After header in seconds; 0 for no header
      */
     static void write(
             ChannelHandlerContext context,
--- a/src/main/java/org/shoreusher/wire/MapDecoder.java
+++ b/src/main/java/org/shoreusher/wire/MapDecoder.java
@@ -40,8 +40,8 @@
             case VALUE_NULL -> null;
             default ->
                     throw new IOException(
-                            "a value is binary or of an unknown type; allowed are maps, lists,"
-                                    + " text, numbers, booleans and null");
+                            "a value has an unsupported type, such as binary or a date; allowed"
+                                    + " are maps, lists, text, numbers, booleans and null");
         };
     }
 
@@ -92,7 +92,7 @@
             case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> "a number";
             case VALUE_TRUE, VALUE_FALSE -> "a boolean";
             case VALUE_NULL -> "null";
-            default -> "a binary or unknown value";
+            default -> "a value of an unsupported type";
         };
     }
 }
--- a/src/main/java/org/shoreusher/worker/WorkerClient.java
+++ b/src/main/java/org/shoreusher/worker/WorkerClient.java
@@ -8,22 +8,22 @@
 import org.shoreusher.wire.WorkerFormat;
 
 /**
- * Sends orders directly to workers. Responses are ignored, since the workers' next heartbeats show
- * the effect. Direct orders are rare and machines many, so no connection is kept: pooled
- * connections to hundreds of workers once used up all sockets of a node.
+ * Sends orders directly to workers. Responses are ignored, since the effect shows in the workers'
+ * next heartbeats. Connections are not kept, because direct orders are rare and machines many:
+ * pooled connections to hundreds of workers have exhausted the sockets of a node.
  */
 public final class WorkerClient {
     private final EventLoop loop;
     private int callsInFlight;
 
-    /** A client that runs on an event loop. */
+    /** Creates a client whose methods and connections run on an event loop. */
     public WorkerClient(EventLoop loop) {
         this.loop = loop;
     }
 
     /**
-     * Sends orders without waiting for a response. Dropped if the address is invalid or too many
-     * calls are in flight; the worker then gets them with the response to its next heartbeat.
+     * Sends orders without waiting for the response. They are dropped if the address is invalid or
+     * too many calls are in flight; the response to the worker's next heartbeat contains them too.
      */
     public void sendOrders(Effect.SendOrders orders) {
         Optional<Settings.Address> address = Settings.Address.parse(orders.workerAddress());
--- a/src/main/java/org/shoreusher/worker/WorkerConstants.java
+++ b/src/main/java/org/shoreusher/worker/WorkerConstants.java
@@ -4,12 +4,12 @@
 final class WorkerConstants {
     private WorkerConstants() {}
 
-    /** ms; timeout of a direct call to a worker. */
+    /** ms; timeout of a request with direct orders. */
     public static final long DIRECT_ORDERS_TIMEOUT_MS = 3_000;
 
     /**
-     * Direct orders to workers in flight, each on a connection of its own; part of the reserved
-     * sockets.
+     * Requests with direct orders in flight, each on its own connection; part of {@code
+     * SharedConstants.RESERVED_SOCKETS}.
      */
     public static final int MAX_DIRECT_ORDERS_IN_FLIGHT = 50;
 }
--- a/src/main/java/org/shoreusher/worker/package-info.java
+++ b/src/main/java/org/shoreusher/worker/package-info.java
@@ -1,6 +1,10 @@
 /**
- * Adapter for direct orders to workers, which are best effort: workers get all orders with the
- * responses to their heartbeats too. Uses {@code net}, {@code wire}, {@code settings} and {@code
- * core.message}.
+ * Adapter for direct orders to workers. Delivery is best effort: the responses to heartbeats
+ * contain all orders too.
+ *
+ * <p>Guarantees: at most a fixed number of direct orders are in flight, and no connection is kept
+ * after one.
+ *
+ * <p>Uses {@code net}, {@code wire}, {@code settings} and {@code core.message}.
  */
 package org.shoreusher.worker;
--- a/src/test/java/org/shoreusher/net/ConnectionsTest.java
+++ b/src/test/java/org/shoreusher/net/ConnectionsTest.java
@@ -21,14 +21,15 @@
 import org.shoreusher.user.HttpFrontend;
 import org.shoreusher.worker.WorkerClient;
 
-/**
- * Connections on loopback, with a simulated peer that answers and waits for the other side to close
- * the connection.
- */
+/** Closing of connections and rejection of requests, on real sockets of the loopback interface. */
 class ConnectionsTest {
+    private static final String UNKNOWN_PATH_MESSAGE =
+            "GET /nothing is not supported; allowed are POST /v2/runs, GET /v2/runs/ID,"
+                    + " POST /v2/runs/ID/cancel, POST /hello and GET /ready";
+
     /**
-     * Open connections to hundreds of workers once took every socket of a node, and users were
-     * refused.
+     * Connections to hundreds of workers that stayed open after direct orders exhausted the sockets
+     * of a node, so that users could not connect.
      */
     @Example
     void closesConnectionsAfterDirectOrders() throws Exception {
@@ -53,17 +54,17 @@
                                                                     0)))));
             try (Socket socket = server.accept()) {
                 socket.setSoTimeout(20_000);
-                InputStream in = socket.getInputStream();
-                assertTrue(in.read(new byte[4_096]) > 0);
+                InputStream input = socket.getInputStream();
+                assertTrue(input.read(new byte[4_096]) > 0);
                 socket.getOutputStream()
                         .write(
                                 "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n"
                                         .getBytes(StandardCharsets.US_ASCII));
                 int read = 0;
                 while (read >= 0) {
-                    // The rest of the request, then the end of the stream: the caller has closed
-                    // the connection, though the response would keep it open.
-                    read = in.read(new byte[4_096]);
+                    // Reads the rest of the request up to the end of the stream: the client closes
+                    // the connection, although the response allows it to stay open.
+                    read = input.read(new byte[4_096]);
                 }
                 assertEquals(-1, read);
             }
@@ -73,21 +74,21 @@
     }
 
     /**
-     * Behind a partition half of the machines leave connections that look open. The longest idle
-     * one is closed when all sockets are in use. New connections were once refused instead, so that
-     * nobody could be served.
+     * After a network partition, half of the machines leave dead connections that look open. When
+     * all sockets are in use, the least recently used connection is closed. Rejecting new
+     * connections instead left no client that could be served.
      */
     @Example
-    void closesTheLongestIdleConnectionAtTheSocketLimit() throws Exception {
+    void closesTheLeastRecentlyUsedConnectionAtTheSocketLimit() throws Exception {
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         int port = freePort();
-        HttpFrontend front =
+        HttpFrontend frontend =
                 new HttpFrontend(
                         group,
                         settings(port, SharedConstants.RESERVED_SOCKETS + 2),
                         command -> true,
                         () -> 0L);
-        front.listen();
+        frontend.listen();
         try (Socket first = new Socket(InetAddress.getLoopbackAddress(), port);
                 Socket second = new Socket(InetAddress.getLoopbackAddress(), port)) {
             assertEquals(404, requestUnknownPath(first));
@@ -104,9 +105,9 @@
         }
     }
 
-    /** A body above the protocol's limit is malformed, so that users do not retry. */
+    /** A body above the protocol's limit gets status 400, so that users do not retry. */
     @Example
-    void rejectsATooLongBodyAsMalformed() throws Exception {
+    void rejectsAnOversizedBodyWithStatus400() throws Exception {
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         int port = freePort();
         new HttpFrontend(
@@ -146,14 +147,14 @@
                         "GET /nothing HTTP/1.1\r\nhost: x\r\n\r\n"
                                 .getBytes(StandardCharsets.US_ASCII));
         byte[] bytes = new byte[4_096];
-        StringBuilder answer = new StringBuilder();
-        // The body ends with this message, so that nothing of it is left for the next response.
-        while (!answer.toString().endsWith("no such path or method")) {
+        StringBuilder response = new StringBuilder();
+        // The body ends with this message: no part of it is left for the next response.
+        while (!response.toString().endsWith(UNKNOWN_PATH_MESSAGE)) {
             int read = socket.getInputStream().read(bytes);
-            assertTrue(read > 0, "hung up after: " + answer);
-            answer.append(new String(bytes, 0, read, StandardCharsets.ISO_8859_1));
+            assertTrue(read > 0, "connection closed after: " + response);
+            response.append(new String(bytes, 0, read, StandardCharsets.ISO_8859_1));
         }
-        return Integer.parseInt(answer.substring("HTTP/1.1 ".length(), "HTTP/1.1 ".length() + 3));
+        return Integer.parseInt(response.substring("HTTP/1.1 ".length(), "HTTP/1.1 ".length() + 3));
     }
 
     private static Settings settings(int port, int sockets) {
--- a/src/test/java/org/shoreusher/peer/GossipCodecTest.java
+++ b/src/test/java/org/shoreusher/peer/GossipCodecTest.java
@@ -15,17 +15,17 @@
     private final GossipCodec codec = new GossipCodec();
 
     @Property(tries = 200, seed = "5")
-    void gossipSurvivesARoundTrip(
-            @ForAll String from,
-            @ForAll boolean accepted,
+    void roundTripPreservesTheMessage(
+            @ForAll String senderHost,
+            @ForAll boolean storeReachable,
             @ForAll @IntRange(max = 100) int shardNumber,
             @ForAll double headroom,
             @ForAll @Size(max = 5) Map<String, @IntRange(max = 100_000) Integer> counts) {
         GossipMessage gossip =
                 new GossipMessage(
-                        from,
+                        senderHost,
                         7_000_000_000L,
-                        accepted,
+                        storeReachable,
                         1.5,
                         Map.of(
                                 shardNumber,
@@ -41,11 +41,11 @@
     }
 
     /**
-     * Arbitrary bytes are read as a gossip message or null, and cost no memory beyond their own
-     * size.
+     * Arbitrary bytes are rejected or decoded as a complete message, whatever counts of entries
+     * they contain.
      */
     @Property(tries = 500, seed = "6")
-    void rejectsArbitraryBytes(@ForAll byte[] bytes) {
+    void arbitraryBytesAreRejectedOrDecodedAsAMessage(@ForAll byte[] bytes) {
         GossipMessage gossip = codec.decode(bytes);
         assertTrue(gossip == null || gossip.senderHost() != null);
     }
--- a/src/test/java/org/shoreusher/peer/MessageBytes.java
+++ b/src/test/java/org/shoreusher/peer/MessageBytes.java
@@ -2,16 +2,16 @@
 
 import org.shoreusher.standby.StandbyMessage;
 
-/** The bytes of messages of the warm standby, for tests of other packages. */
+/** Gives tests of other packages access to the encoding of standby messages. */
 public final class MessageBytes {
     private MessageBytes() {}
 
-    /** The message as it is sent to another controller. */
+    /** Encodes a message as it is sent to another controller. */
     public static byte[] of(StandbyMessage message) {
         return StandbyCodec.encode(message);
     }
 
-    /** The message in bytes that came from another controller; null if there is none. */
+    /** Decodes a message; null if the bytes are not a valid message. */
     public static StandbyMessage read(byte[] bytes) {
         return StandbyCodec.decode(bytes);
     }
--- a/src/test/java/org/shoreusher/peer/StandbyCodecTest.java
+++ b/src/test/java/org/shoreusher/peer/StandbyCodecTest.java
@@ -28,7 +28,7 @@
 import org.shoreusher.standby.LogRecord.VerifyChecksum;
 import org.shoreusher.standby.LogStream;
 
-/** The encoding of the warm standby's messages. */
+/** The encoding of standby messages. */
 class StandbyCodecTest {
     private static final LogStream STREAM = new LogStream(0, 9, "node-0/a", "node-1/b", 3);
 
@@ -48,15 +48,17 @@
     }
 
     @Example
-    void everyMessageSurvivesARoundTrip() {
-        LogAcknowledgement refused = new LogAcknowledgement(STREAM, 0, false);
+    void roundTripPreservesEveryMessage() {
+        LogAcknowledgement rejected = new LogAcknowledgement(STREAM, 0, false);
         LogAcknowledgement accepted = new LogAcknowledgement(STREAM, 1L << 40, true);
         assertEquals(frame(20, ""), StandbyCodec.decode(StandbyCodec.encode(frame(20, ""))));
-        assertEquals(refused, StandbyCodec.decode(StandbyCodec.encode(refused)));
+        assertEquals(rejected, StandbyCodec.decode(StandbyCodec.encode(rejected)));
         assertEquals(accepted, StandbyCodec.decode(StandbyCodec.encode(accepted)));
     }
 
-    /** The longest frame that settings allow, with names of 100 bytes. */
+    /**
+     * A frame of the maximum number of records that the settings allow, with names of 100 bytes.
+     */
     @Example
     void longestFrameIsBelowTheMessageLimit() {
         byte[] bytes = StandbyCodec.encode(frame(500, "x".repeat(100)));
@@ -65,42 +67,45 @@
     }
 
     /**
-     * A version that knows gossip only reads no standby message as gossip, and this version reads
-     * no gossip as a standby message.
+     * A version without the standby feature does not decode a standby message as gossip, and this
+     * version does not decode gossip as a standby message.
      */
     @Example
     void gossipAndStandbyMessagesAreDistinguished() {
         GossipMessage gossip =
                 new GossipMessage("node-0", 5, true, 1, Map.of(), Map.of(), Map.of(), Map.of());
-        byte[] hintBytes = new GossipCodec().encode(gossip);
+        byte[] gossipBytes = new GossipCodec().encode(gossip);
         byte[] frameBytes = StandbyCodec.encode(frame(3, ""));
-        assertFalse(StandbyCodec.startsStandbyMessage(hintBytes[0]));
+        assertFalse(StandbyCodec.startsStandbyMessage(gossipBytes[0]));
         assertTrue(StandbyCodec.startsStandbyMessage(frameBytes[0]));
-        assertNull(StandbyCodec.decode(hintBytes));
+        assertNull(StandbyCodec.decode(gossipBytes));
         assertNull(new GossipCodec().decode(frameBytes));
     }
 
     @Example
-    void rejectsOtherFormatVersionsAndTruncatedMessages() {
-        byte[] good = StandbyCodec.encode(frame(3, ""));
-        byte[] otherForm = good.clone();
-        otherForm[1]++;
-        assertNull(StandbyCodec.decode(otherForm));
-        assertNull(StandbyCodec.decode(Arrays.copyOf(good, good.length + 1)));
-        for (int length = 0; length < good.length; length++) {
-            assertNull(StandbyCodec.decode(Arrays.copyOf(good, length)));
+    void rejectsOtherFormatVersionsAndWrongLengths() {
+        byte[] valid = StandbyCodec.encode(frame(3, ""));
+        byte[] otherVersion = valid.clone();
+        otherVersion[1]++;
+        assertNull(StandbyCodec.decode(otherVersion));
+        assertNull(StandbyCodec.decode(Arrays.copyOf(valid, valid.length + 1)));
+        for (int length = 0; length < valid.length; length++) {
+            assertNull(StandbyCodec.decode(Arrays.copyOf(valid, length)));
         }
     }
 
-    /** Corrupted bytes are rejected or read as some message; they have no other effect. */
+    /** Corrupted bytes are rejected or decoded as some message; no exception is thrown. */
     @Property(tries = 2_000, seed = "17", shrinking = ShrinkingMode.OFF)
-    void corruptedBytesAreRejectedOrReadAsSomeMessage(@ForAll long seed) {
+    void corruptedBytesAreRejectedOrDecodedAsAMessage(@ForAll long seed) {
         Random random = new Random(seed);
         byte[] bytes = StandbyCodec.encode(frame(5, ""));
         for (int i = 1 + random.nextInt(4); i > 0; i--) {
             bytes[2 + random.nextInt(bytes.length - 2)] = (byte) random.nextInt();
         }
-        Object read = StandbyCodec.decode(bytes);
-        assertTrue(read == null || read instanceof LogFrame || read instanceof LogAcknowledgement);
+        Object decoded = StandbyCodec.decode(bytes);
+        assertTrue(
+                decoded == null
+                        || decoded instanceof LogFrame
+                        || decoded instanceof LogAcknowledgement);
     }
 }
