--- a/src/main/java/org/shoreusher/wire/UserFormat.java
+++ b/src/main/java/org/shoreusher/wire/UserFormat.java
@@ -26,8 +26,8 @@
     private static final String STORED_SERVICE_FIELD = "kept_up";
 
     /**
-     * The fields that {@link #readDescription} requires, and the one that tells services from batch
-     * jobs.
+     * The fields that {@link #readDescription} requires, and the one that distinguishes services
+     * from batch jobs.
      */
     private static final Set<String> REQUIRED_FIELDS =
             Set.of(
