--- a/src/main/java/org/shoreusher/cli/ClassArchiveRun.java
+++ b/src/main/java/org/shoreusher/cli/ClassArchiveRun.java
@@ -9,37 +9,39 @@
 import java.util.jar.JarFile;
 
 /**
- * Run by the build only: loads all classes of the program, starts a controller on loopback and runs
- * {@link ServiceSmokeCheck} against it, so that the JVM archives the classes that start-up and the
- * first requests need. Exits with 1 if a step of the scenario fails.
+ * Used by the build only: loads all classes of the program, starts a controller on loopback and
+ * runs {@link ServiceSmokeCheck} against it, so that the JVM archives the classes that start-up and
+ * the first requests need. Exits with 0, or with 1 if a step of the check fails.
  */
 final class ClassArchiveRun {
     private ClassArchiveRun() {}
 
-    /** Runs the scenario and exits. */
+    /** Loads the classes, runs the check and exits; {@code args} are ignored. */
     public static void main(String[] args) throws Exception {
         loadOwnClasses();
-        int code = 0;
-        try (ServiceSmokeCheck scenario = new ServiceSmokeCheck()) {
-            Path file = Files.createTempFile("class-archive-run", ".json");
-            Files.writeString(file, scenario.settingsJson(), StandardCharsets.UTF_8);
-            String[] flags = {"--features", "deploy/features.toml", "--config", file.toString()};
-            Thread program = new Thread(() -> Main.main(flags));
-            program.setDaemon(true);
-            program.start();
-            scenario.run();
-            Files.delete(file);
+        int exitCode = 0;
+        try (ServiceSmokeCheck check = new ServiceSmokeCheck()) {
+            Path settingsFile = Files.createTempFile("class-archive-run", ".json");
+            Files.writeString(settingsFile, check.settingsJson(), StandardCharsets.UTF_8);
+            String[] arguments = {
+                "--features", "deploy/features.toml", "--config", settingsFile.toString()
+            };
+            Thread controller = new Thread(() -> Main.main(arguments));
+            controller.setDaemon(true);
+            controller.start();
+            check.run();
+            Files.delete(settingsFile);
         } catch (IllegalStateException e) {
             System.err.println("smoke check failed: " + e.getMessage());
-            code = 1;
+            exitCode = 1;
         }
-        System.exit(code);
+        System.exit(exitCode);
     }
 
     private static void loadOwnClasses() throws IOException, ClassNotFoundException {
         String jar = System.getProperty("java.class.path").split(File.pathSeparator, -1)[0];
-        try (JarFile file = new JarFile(jar)) {
-            for (JarEntry entry : (Iterable<JarEntry>) file.stream()::iterator) {
+        try (JarFile jarFile = new JarFile(jar)) {
+            for (JarEntry entry : (Iterable<JarEntry>) jarFile.stream()::iterator) {
                 if (entry.getName().endsWith(".class")) {
                     Class.forName(className(entry), false, ClassArchiveRun.class.getClassLoader());
                 }
--- a/src/main/java/org/shoreusher/cli/Main.java
+++ b/src/main/java/org/shoreusher/cli/Main.java
@@ -21,20 +21,23 @@
 import org.shoreusher.settings.Settings;
 
 /**
- * Entry point: parses options, settings and features, then runs the service or a measurement.
- * Commons CLI is used since picocli's classes are compiled for Java 5, which the class archive
- * cannot contain; loading them from the jar took a third of the start-up time on a small machine.
+ * Entry point: parses options, settings and features, then runs the service or a measurement. It
+ * uses Commons CLI, since picocli's classes are compiled for Java 5 and the class archive cannot
+ * contain them; loading them from the jar took a third of the start-up time on a small machine.
  */
 public final class Main {
     private static final String MEASURE = "measure";
-    private static final int USAGE = 2;
-    private static final int UNUSABLE = 1;
+    private static final int EXIT_USAGE_ERROR = 2;
+    private static final int EXIT_FAILURE = 1;
     private static final int INCARNATION_BYTES = 6;
     private static final Set<String> LOG_LEVELS = Set.of("error", "info", "debug");
 
     private Main() {}
 
-    /** Runs the program and exits with its exit code. */
+    /**
+     * Runs the program and exits: with 0 after success, with 1 if a file is invalid or the program
+     * fails, with 2 if the command line or an environment variable is invalid.
+     */
     public static void main(String[] args) {
         System.exit(run(args));
     }
@@ -46,14 +49,14 @@
                         .longOpt("config")
                         .hasArg()
                         .argName("FILE")
-                        .desc("The settings file (JSON) that the platform hands over.")
+                        .desc("Settings file of the platform (JSON); required.")
                         .build());
         options.addOption(
                 Option.builder()
                         .longOpt("features")
                         .hasArg()
                         .argName("FILE")
-                        .desc("The features file (TOML); without it all features are off.")
+                        .desc("Features file (TOML); all features are off without it.")
                         .build());
         options.addOption(
                 Option.builder()
@@ -74,34 +77,36 @@
         try {
             return run(parse(args));
         } catch (UsageException e) {
-            return complain(e.getMessage(), USAGE);
+            return reportError(e.getMessage(), EXIT_USAGE_ERROR);
         } catch (InvalidSettingsException e) {
-            return complain(e.getMessage(), UNUSABLE);
+            return reportError(e.getMessage(), EXIT_FAILURE);
         }
     }
 
-    private static int run(CommandLine line) throws UsageException, InvalidSettingsException {
-        if (line.hasOption("help")) {
-            help();
+    private static int run(CommandLine commandLine)
+            throws UsageException, InvalidSettingsException {
+        if (commandLine.hasOption("help")) {
+            printHelp();
             return 0;
         }
-        if (line.hasOption("version")) {
+        if (commandLine.hasOption("version")) {
             String version = Main.class.getPackage().getImplementationVersion();
             System.out.println("shoreusher " + (version == null ? "(not packaged)" : version));
             return 0;
         }
-        requireConfigOnly(line);
-        String level = logLevel();
-        Settings settings = Settings.load(Path.of(line.getOptionValue("config")));
+        validateArguments(commandLine);
+        String logLevel = logLevel();
+        Settings settings = Settings.load(Path.of(commandLine.getOptionValue("config")));
         Features features =
-                line.hasOption("features")
-                        ? FeaturesFile.load(Path.of(line.getOptionValue("features")), settings)
+                commandLine.hasOption("features")
+                        ? FeaturesFile.load(
+                                Path.of(commandLine.getOptionValue("features")), settings)
                         : Features.NONE;
-        if (line.hasOption("check")) {
+        if (commandLine.hasOption("check")) {
             System.out.println("settings are valid: " + settings.host() + " in " + settings.zone());
             return 0;
         }
-        return serve(settings, features, level);
+        return serve(settings, features, logLevel);
     }
 
     private static CommandLine parse(String[] args) throws UsageException {
@@ -112,24 +117,29 @@
         }
     }
 
-    private static void requireConfigOnly(CommandLine line) throws UsageException {
-        if (!line.getArgList().isEmpty()) {
-            throw new UsageException("unexpected: " + line.getArgList().get(0) + "; see --help");
+    private static void validateArguments(CommandLine commandLine) throws UsageException {
+        if (!commandLine.getArgList().isEmpty()) {
+            throw new UsageException(
+                    "unexpected argument '" + commandLine.getArgList().get(0) + "'; see --help");
         }
-        if (!line.hasOption("config")) {
-            throw new UsageException("--config FILE is missing; see --help");
+        if (!commandLine.hasOption("config")) {
+            throw new UsageException("option --config FILE is required; see --help");
         }
     }
 
     private static String logLevel() throws UsageException {
-        String level = System.getenv().getOrDefault("LOG_LEVEL", "info").toLowerCase(Locale.ROOT);
-        if (!LOG_LEVELS.contains(level)) {
-            throw new UsageException("LOG_LEVEL must be error, info or debug, not '" + level + "'");
+        String logLevel =
+                System.getenv().getOrDefault("LOG_LEVEL", "info").toLowerCase(Locale.ROOT);
+        if (!LOG_LEVELS.contains(logLevel)) {
+            throw new UsageException(
+                    "environment variable LOG_LEVEL must be error, info or debug; found '"
+                            + logLevel
+                            + "'");
         }
-        return level;
+        return logLevel;
     }
 
-    /** Thrown for a command line or environment that cannot be used. */
+    /** Thrown for an invalid command line or environment variable. */
     private static final class UsageException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -138,20 +148,20 @@
         }
     }
 
-    private static int measure(String[] words) {
+    private static int measure(String[] args) {
         try {
-            return Measurements.run(words);
+            return Measurements.run(args);
         } catch (Exception e) {
-            return complain("cannot measure: " + e.getMessage(), UNUSABLE);
+            return reportError("measurement stopped by an error: " + e, EXIT_FAILURE);
         }
     }
 
-    private static int serve(Settings settings, Features features, String level) {
-        System.setProperty("org.slf4j.simpleLogger.log.shoreusher", level);
+    private static int serve(Settings settings, Features features, String logLevel) {
+        System.setProperty("org.slf4j.simpleLogger.log.shoreusher", logLevel);
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "error");
         System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
-        // The machines are small: one arena with chunks of 64 KiB is enough for hundreds of
-        // connections.
+        // One arena with chunks of 64 KiB is enough for hundreds of connections, and saves memory
+        // on small machines.
         System.setProperty("io.netty.allocator.numHeapArenas", "1");
         System.setProperty("io.netty.allocator.numDirectArenas", "1");
         System.setProperty("io.netty.allocator.maxOrder", "3");
@@ -162,22 +172,23 @@
         try {
             new Service(settings, features, processName).run();
         } catch (InterruptedException e) {
-            return complain("interrupted", UNUSABLE);
+            return reportError("controller was interrupted and has stopped", EXIT_FAILURE);
         } catch (Exception e) {
             // Netty rethrows the checked exception of a failed bind without declaring it.
-            return complain(
+            return reportError(
                     "cannot serve on "
                             + settings.frontAddress()
-                            + " and "
+                            + " (front) and "
                             + settings.peerAddress()
-                            + ": "
-                            + e.getMessage(),
-                    UNUSABLE);
+                            + " (back): "
+                            + e.getMessage()
+                            + "; check that both are free addresses of this host",
+                    EXIT_FAILURE);
         }
         return 0;
     }
 
-    private static void help() {
+    private static void printHelp() {
         PrintWriter out = new PrintWriter(System.out, true, StandardCharsets.UTF_8);
         HelpFormatter formatter = new HelpFormatter();
         formatter.printHelp(
@@ -188,13 +199,14 @@
                 options(),
                 HelpFormatter.DEFAULT_LEFT_PAD,
                 HelpFormatter.DEFAULT_DESC_PAD,
-                "LOG_LEVEL=error|info|debug sets how much is logged to standard error (info).\n\n"
+                "The environment variable LOG_LEVEL sets the log level: error, info (the default)"
+                        + " or debug. The log is written to standard error.\n\n"
                         + Measurements.HELP);
         out.flush();
     }
 
-    private static int complain(String message, int code) {
+    private static int reportError(String message, int exitCode) {
         System.err.println("shoreusher: " + message);
-        return code;
+        return exitCode;
     }
 }
--- a/src/main/java/org/shoreusher/cli/ProcessStatus.java
+++ b/src/main/java/org/shoreusher/cli/ProcessStatus.java
@@ -3,20 +3,20 @@
 import org.shoreusher.log.LogEvent;
 import org.shoreusher.log.LogEventType;
 
-/** Status of the process for the log. */
+/** Builds the log event on the connections and memory of the process. */
 final class ProcessStatus {
-    private static final double MB = 1024.0 * 1024.0;
+    private static final double BYTES_PER_MB = 1024.0 * 1024.0;
 
     private ProcessStatus() {}
 
-    /** Returns the event with the connections and the use of the heap. */
+    /** Returns the event with the number of open connections and the heap sizes in MB. */
     static LogEvent statusEvent(int connections) {
         Runtime runtime = Runtime.getRuntime();
-        long used = runtime.totalMemory() - runtime.freeMemory();
+        long usedBytes = runtime.totalMemory() - runtime.freeMemory();
         return LogEvent.of(LogEventType.PROCESS_STATUS)
                 .with("connections", connections)
-                .with("heap_used_mb", Math.round(used / MB))
-                .with("heap_reserved_mb", Math.round(runtime.totalMemory() / MB))
-                .with("heap_max_mb", Math.round(runtime.maxMemory() / MB));
+                .with("heap_used_mb", Math.round(usedBytes / BYTES_PER_MB))
+                .with("heap_reserved_mb", Math.round(runtime.totalMemory() / BYTES_PER_MB))
+                .with("heap_max_mb", Math.round(runtime.maxMemory() / BYTES_PER_MB));
     }
 }
--- a/src/main/java/org/shoreusher/cli/Service.java
+++ b/src/main/java/org/shoreusher/cli/Service.java
@@ -36,7 +36,7 @@
     private final Node node;
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final EventLoop loop = group.next();
-    private final ManyToOneConcurrentArrayQueue<Command> queue;
+    private final ManyToOneConcurrentArrayQueue<Command> commandQueue;
     private final List<Command> batch = new ArrayList<>(ServiceConstants.MAX_COMMANDS_PER_BATCH);
     private final StoreClient store;
     private final CloudClient cloud;
@@ -55,21 +55,25 @@
      */
     Service(Settings settings, Features features, String processName) {
         this.settings = settings;
-        queue =
+        commandQueue =
                 new ManyToOneConcurrentArrayQueue<>(
                         Math.max(
                                 ServiceConstants.MIN_COMMAND_QUEUE_CAPACITY,
                                 settings.maxSockets()));
         node = new Node(settings, features, processName, ServiceConstants.SHARD_COUNT);
-        store = new StoreClient(loop, settings, this::enqueue);
-        cloud = new CloudClient(loop, settings, this::enqueue);
+        store = new StoreClient(loop, settings, this::enqueueReply);
+        cloud = new CloudClient(loop, settings, this::enqueueReply);
         workers = new WorkerClient(loop);
         gossip = new GossipTransport(group, settings, this::offer);
         standby = new StandbyTransport(group, settings);
         frontend = new HttpFrontend(group, settings, this::offer, this::lagMs);
     }
 
-    /** Accepts connections and processes commands until {@link #stop} or the end of the process. */
+    /**
+     * Accepts connections and processes commands until {@link #stop} is called.
+     *
+     * <p>A listener that cannot bind its address throws the checked exception of the bind.
+     */
     void run() throws InterruptedException {
         frontend.listen();
         gossip.listen();
@@ -119,7 +123,7 @@
     }
 
     /**
-     * ms by which this node lags behind its work: the delay of the last tick, or of the next one.
+     * Delay of the event loop in ms: that of the last tick, or of the next one if that is larger.
      */
     private long lagMs() {
         return Math.max(
@@ -130,8 +134,9 @@
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     }
 
+    /** Enqueues a command; returns false if the queue is full. */
     private boolean offer(Command command) {
-        if (!queue.offer(command)) {
+        if (!commandQueue.offer(command)) {
             return false;
         }
         scheduleBatch();
@@ -139,10 +144,11 @@
     }
 
     /**
-     * Enqueues a reply to a call of the core, which waits for each: a full queue is drained first.
+     * Enqueues a reply to a call of the core. The core waits for every reply, so commands of a full
+     * queue are processed first, and the reply is never rejected.
      */
-    private void enqueue(Command command) {
-        while (!queue.offer(command)) {
+    private void enqueueReply(Command command) {
+        while (!commandQueue.offer(command)) {
             runBatch();
         }
         scheduleBatch();
@@ -157,14 +163,14 @@
 
     private void runBatch() {
         batchScheduled = false;
-        queue.drainTo(batch, ServiceConstants.MAX_COMMANDS_PER_BATCH);
+        commandQueue.drainTo(batch, ServiceConstants.MAX_COMMANDS_PER_BATCH);
         List<Effect> effects =
                 node.step(new ClockReading(monotonicMs(), System.currentTimeMillis()), batch);
         batch.clear();
         for (Effect effect : effects) {
             perform(effect);
         }
-        if (!queue.isEmpty()) {
+        if (!commandQueue.isEmpty()) {
             scheduleBatch();
         }
     }
--- a/src/main/java/org/shoreusher/cli/ServiceConstants.java
+++ b/src/main/java/org/shoreusher/cli/ServiceConstants.java
@@ -4,15 +4,13 @@
 public final class ServiceConstants {
     private ServiceConstants() {}
 
-    /**
-     * Number of shards. The code works with any number; docs/design.md has the figures behind 1.
-     */
+    /** Number of shards. The code supports any number; docs/design.md has the figures behind 1. */
     public static final int SHARD_COUNT = 1;
 
     /**
-     * Smallest capacity of the core's command queue; when it is full, requests are rejected. With
-     * more sockets than this, the capacity is their number, since each connection has at most one
-     * open request.
+     * Minimum capacity of the core's command queue; when it is full, requests are rejected. If the
+     * socket limit is larger, it is the capacity, since each connection has at most one open
+     * request.
      */
     public static final int MIN_COMMAND_QUEUE_CAPACITY = 4_096;
 
--- a/src/main/java/org/shoreusher/cli/ServiceSmokeCheck.java
+++ b/src/main/java/org/shoreusher/cli/ServiceSmokeCheck.java
@@ -19,10 +19,9 @@
 import org.shoreusher.standin.WorkerStandIn;
 
 /**
- * End-to-end check against a controller on loopback, with stand-ins of store, cloud and workers:
- * batch jobs run to completion, a service is submitted, its machine fails, its replica is restarted
- * on another one, and the service is cancelled. Throws IllegalStateException at the first step that
- * does not happen in time.
+ * End-to-end check of a controller on loopback, with stand-ins of store, cloud and workers: batch
+ * jobs run to completion, a service is submitted, its machine fails, its replica is restarted on
+ * another one, and the service is cancelled.
  */
 final class ServiceSmokeCheck implements AutoCloseable {
     /** The job id of the service. */
@@ -30,7 +29,7 @@
 
     private static final String REPLICA = SERVICE_ID + "/0";
     private static final long STEP_TIMEOUT_MS = 20_000;
-    private static final long POLL_MS = 50;
+    private static final long POLL_INTERVAL_MS = 50;
     private static final int BATCH_JOBS = 5;
     private static final int MACHINES = 50;
     private static final long HEARTBEAT_INTERVAL_MS = 300;
@@ -73,7 +72,7 @@
 
     ServiceSmokeCheck() throws IOException {}
 
-    /** The settings of the controller to be checked, as JSON. */
+    /** The settings of the controller that is checked, as JSON. */
     String settingsJson() {
         return SETTINGS.formatted(frontPort, peerPort, cloudServer.port(), storeServer.port());
     }
@@ -84,7 +83,11 @@
         }
     }
 
-    /** Runs the scenario; the controller must have been started or be about to. */
+    /**
+     * Runs all steps. The controller may still be starting.
+     *
+     * @throws IllegalStateException at the first step that is not observed in time
+     */
     void run() throws InterruptedException {
         await("the controller is ready", () -> call("/ready", null).isOk());
         for (int i = 1; i <= BATCH_JOBS; i++) {
@@ -92,18 +95,18 @@
         }
         for (int i = 1; i <= BATCH_JOBS; i++) {
             String id = "wk-00000" + i;
-            await(id + " is done", () -> "done".equals(displayState(id)));
+            await(id + " is done", () -> "done".equals(statusOf(id)));
         }
         submit(job(SERVICE_ID, "service", 0));
         await("the replica runs", () -> cloud.machineOf(REPLICA) != null);
-        await("the service is shown as running", () -> "running".equals(displayState(SERVICE_ID)));
-        String lost = cloud.machineOf(REPLICA);
-        cloud.removeMachine(lost);
-        System.out.println("machine removed: " + lost);
+        await("the service has the status running", () -> "running".equals(statusOf(SERVICE_ID)));
+        String failedMachine = cloud.machineOf(REPLICA);
+        cloud.removeMachine(failedMachine);
+        System.out.println("machine removed: " + failedMachine);
         await("the replica runs on another machine", () -> cloud.machineOf(REPLICA) != null);
         cancel();
-        await("the replica is gone", () -> cloud.machineOf(REPLICA) == null);
-        require("the service is shown as cancelled", "aborted".equals(displayState(SERVICE_ID)));
+        await("the replica has ended", () -> cloud.machineOf(REPLICA) == null);
+        require("the service has the status aborted", "aborted".equals(statusOf(SERVICE_ID)));
     }
 
     private void submit(Map<String, Object> job) throws InterruptedException {
@@ -116,17 +119,17 @@
         await("the cancellation is confirmed", () -> call(path, Map.of()).isOk());
     }
 
-    private String displayState(String id) {
+    private String statusOf(String id) {
         Map<String, Object> body = call("/v2/runs/" + id, null).body();
         return body == null ? null : (String) body.get("status");
     }
 
-    private ControllerClient.Reply call(String path, Map<String, Object> body) {
+    private ControllerClient.Response call(String path, Map<String, Object> body) {
         try {
             return controller.call(path, body);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            return ControllerClient.Reply.NONE;
+            return ControllerClient.Response.NONE;
         }
     }
 
@@ -134,14 +137,15 @@
         long endNs = System.nanoTime() + STEP_TIMEOUT_MS * 1_000_000;
         while (!condition.getAsBoolean()) {
             require(step, System.nanoTime() < endNs);
-            Thread.sleep(POLL_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
-        System.out.println("seen: " + step);
+        System.out.println("observed: " + step);
     }
 
-    private static void require(String step, boolean seen) {
-        if (!seen) {
-            throw new IllegalStateException("not seen within " + STEP_TIMEOUT_MS + " ms: " + step);
+    private static void require(String step, boolean observed) {
+        if (!observed) {
+            throw new IllegalStateException(
+                    "not observed within " + STEP_TIMEOUT_MS + " ms: " + step);
         }
     }
 
--- a/src/main/java/org/shoreusher/log/LogEvent.java
+++ b/src/main/java/org/shoreusher/log/LogEvent.java
@@ -4,16 +4,21 @@
 import java.util.Collections;
 import java.util.List;
 
-/** One event for the operators' log, with fields in a fixed order. Built once, then only read. */
+/**
+ * One event for the operators' log, with its fields in the order in which they were added. No field
+ * is added after the event has been passed on.
+ */
 public final class LogEvent {
     /**
      * A field of an event.
      *
      * @param name the name, in lower case with underscores
-     * @param value a number, a boolean, or a text; one with spaces is quoted in the log
+     * @param value a number, a boolean, or a text; a text with spaces is quoted in the log
      */
     public record Field(String name, Object value) {
-        /** Returns the value as the log shows it. */
+        /**
+         * Returns the value as it is written to the log, in quotes if it has spaces or is empty.
+         */
         public String text() {
             String text = String.valueOf(value);
             return text.isEmpty() || text.indexOf(' ') >= 0 ? '"' + text + '"' : text;
@@ -38,17 +43,17 @@
         return this;
     }
 
-    /** What has happened. */
+    /** The type of the event, which determines its name and level. */
     public LogEventType type() {
         return type;
     }
 
-    /** The fields in their order; a view that can't be changed. */
+    /** The fields in their order, as an unmodifiable view. */
     public List<Field> fields() {
         return Collections.unmodifiableList(fields);
     }
 
-    /** Returns the text form of a field's value, or null if there is no such field. */
+    /** Returns the unquoted text of a field's value, or null if there is no such field. */
     public String text(String name) {
         for (Field field : fields) {
             if (field.name().equals(name)) {
--- a/src/main/java/org/shoreusher/log/LogEventType.java
+++ b/src/main/java/org/shoreusher/log/LogEventType.java
@@ -2,13 +2,13 @@
 
 import java.util.Locale;
 
-/** What can be logged. {@code docs/operations.md} explains every event to operators. */
+/** The types of log events. {@code docs/operations.md} explains each of them to operators. */
 public enum LogEventType {
     /** The node accepts connections. */
     NODE_LISTENING,
     /** This node has become the leader of a shard. */
     SHARD_ACQUIRED,
-    /** It is known of every task of a shard whether it runs, and where. */
+    /** The leader has determined for every task of a shard whether and where it runs. */
     SHARD_RECONCILED,
     /** A leader's lease has expired because it was not renewed in time. */
     LEASE_EXPIRED,
@@ -18,59 +18,59 @@
     LEADERSHIP_LOST,
     /** A leader has raised its term because a worker had seen a higher fencing token. */
     TERM_RAISED,
-    /** The key-value store sent something that is not understood. */
+    /** The key-value store sent a reply that is not valid. */
     STORE_REPLY_INVALID,
-    /** The cloud sent something that is not understood. */
+    /** The cloud sent a reply that is not valid. */
     CLOUD_REPLY_INVALID,
     /** An idle machine has been handed over to another shard. */
     MACHINE_HANDED_OVER,
-    /** A worker's lease has certainly expired; its tasks wait again. */
+    /** A worker's lease has certainly expired; its tasks are pending again. */
     WORKER_LEASE_EXPIRED,
     /** A machine no longer exists. */
     MACHINE_REMOVED,
-    /** A machine gets no more tasks and is drained. */
+    /** A machine receives no more tasks and is drained. */
     MACHINE_CORDONED,
-    /** A machine that the cloud lists and no record names belongs to a shard now. */
+    /** A shard has adopted a machine that the cloud lists and no record names. */
     MACHINE_ADOPTED,
     /** The cloud has provisioned machines. */
     MACHINES_PROVISIONED,
     /** The cloud has rejected a request for machines as malformed. */
     PROVISION_REJECTED,
-    /** All members understand services, which are accepted from now on. */
+    /** All members support services, which are accepted from now on. */
     SERVICES_ENABLED,
     /** Services are rejected until the named members run this version. */
     SERVICES_DISABLED,
     /** A running task is to be migrated, and is being stopped. */
     MIGRATION_STARTED,
-    /** A migrated task is started on its target. */
+    /** A migrated task is being started on its target. */
     MIGRATION_COMPLETED,
     /** A migration has ended without a start on the target. */
     MIGRATION_ABANDONED,
     /** A task that was to be migrated completed before it was stopped. */
     MIGRATION_OBSOLETE,
-    /** A standby has every attempt that may be on a machine. */
+    /** A standby's attempt log has every attempt that may be on a machine. */
     STANDBY_IN_SYNC,
     /** A leader no longer replicates to a standby. */
     STANDBY_ABANDONED,
-    /** A new leader goes on from the attempt log that was replicated to it. */
+    /** A new leader continues from the attempt log that was replicated to it. */
     ATTEMPT_LOG_PROMOTED,
     /** A new leader has no usable attempt log and reconciles from heartbeats. */
     ATTEMPT_LOG_REJECTED,
-    /** A worker shows an attempt that the promoted attempt log lacks; this must never happen. */
+    /** A worker reports an attempt that the promoted attempt log lacks; this must never happen. */
     ATTEMPT_LOG_CONTRADICTED,
-    /** A connection was closed because another node sent a message that is not understood. */
+    /** A connection was closed because another node sent a message that is not valid. */
     PEER_MESSAGE_INVALID,
     /** Machines, CPUs and waiting tasks of a shard. */
     SHARD_STATUS(true),
     /** Connections and memory of the process. */
     PROCESS_STATUS(true),
-    /** How long users waited for answers. */
+    /** How long users waited for responses. */
     REQUEST_LATENCY(true),
-    /** What the balancer has done. */
+    /** Migrations of the balancer, their cost, and the skew of the teams. */
     MIGRATION_STATISTICS(true),
     /** How long starts waited for the standby's acknowledgement. */
     STANDBY_STATISTICS(true),
-    /** Messages sent to and as standby. */
+    /** Messages that this node has sent to its standby, and as a standby. */
     STANDBY_TRAFFIC(true);
 
     private final boolean debugOnly;
--- a/src/main/java/org/shoreusher/measure/BalanceMeasurement.java
+++ b/src/main/java/org/shoreusher/measure/BalanceMeasurement.java
@@ -72,8 +72,8 @@
 
     private void measure() throws Exception {
         BalanceSettings settings = BalanceSettings.DEFAULTS;
-        LoadSpreadSampler spread =
-                new LoadSpreadSampler(
+        LoadSkewSampler spread =
+                new LoadSkewSampler(
                         DoubledTeamLoad.DOUBLED_TEAM,
                         settings.spreadMargin(),
                         settings.spreadMargin() + settings.hysteresis());
@@ -100,7 +100,7 @@
     }
 
     /** Submits all jobs of the load at their times, and samples the spread meanwhile. */
-    private void submitAll(Cluster cluster, LoadSpreadSampler spread) throws InterruptedException {
+    private void submitAll(Cluster cluster, LoadSkewSampler spread) throws InterruptedException {
         long beganMs = ControllerProcess.nowMs();
         long nextSampleMs = beganMs;
         List<DoubledTeamLoad.Arrival> arrivals =
@@ -116,7 +116,7 @@
     }
 
     /** Samples the spread until a point in time; returns when the next sample is due. */
-    private long sampleUntil(long untilMs, long firstMs, Cluster cluster, LoadSpreadSampler spread)
+    private long sampleUntil(long untilMs, long firstMs, Cluster cluster, LoadSkewSampler spread)
             throws InterruptedException {
         long nextMs = firstMs;
         while (ControllerProcess.nowMs() < untilMs) {
@@ -131,7 +131,7 @@
     }
 
     /** Records when the spread is back within its bound, and prints every tenth sample. */
-    private void printSample(Cluster cluster, LoadSpreadSampler spread) {
+    private void printSample(Cluster cluster, LoadSkewSampler spread) {
         samples++;
         long atMs = samples * SAMPLE_INTERVAL_MS;
         if (returnedMs < 0 && atMs > doublesMs && spread.latest() <= spread.bound()) {
@@ -147,7 +147,7 @@
         }
     }
 
-    private void printResults(Cluster cluster, LoadSpreadSampler spread) {
+    private void printResults(Cluster cluster, LoadSkewSampler spread) {
         print(
                 "balancer %s, seed %d, %d machines, %d s",
                 on ? "on" : "off", seed, machines, endMs / 1_000);
@@ -223,7 +223,7 @@
         return seconds;
     }
 
-    private void check(TaskHistory history, LoadSpreadSampler spread, BalanceSettings settings) {
+    private void check(TaskHistory history, LoadSkewSampler spread, BalanceSettings settings) {
         if (on && spread.longestAvoidableMs() > MAX_SPREAD_MS) {
             throw new IllegalStateException(
                     "the spread was above its margin, with free capacity elsewhere, for "
--- a/src/main/java/org/shoreusher/measure/Cluster.java
+++ b/src/main/java/org/shoreusher/measure/Cluster.java
@@ -112,13 +112,13 @@
         }
     }
 
-    private static ControllerClient.Reply call(
+    private static ControllerClient.Response call(
             ControllerClient client, String path, Map<String, Object> body) {
         try {
             return client.call(path, body);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            return ControllerClient.Reply.NONE;
+            return ControllerClient.Response.NONE;
         }
     }
 
@@ -141,7 +141,7 @@
     }
 
     private static boolean isDone(ControllerClient client, String job) {
-        ControllerClient.Reply reply = call(client, "/v2/runs/" + job, null);
+        ControllerClient.Response reply = call(client, "/v2/runs/" + job, null);
         return reply.isOk() && "done".equals(reply.body().get("status"));
     }
 
--- a/src/main/java/org/shoreusher/measure/ControllerProcess.java
+++ b/src/main/java/org/shoreusher/measure/ControllerProcess.java
@@ -17,7 +17,7 @@
     /** A line of the log; {@code atMs} is {@link System#nanoTime} in ms when it was read. */
     record Line(long atMs, String text) {
         /** Whether the line shows an event of this type. */
-        boolean shows(LogEventType type) {
+        boolean isEvent(LogEventType type) {
             return text.contains("event=" + type.eventName() + " ");
         }
     }
@@ -83,7 +83,7 @@
     synchronized Optional<Line> lastEvent(long afterMs, LogEventType... types) {
         for (int i = lines.size() - 1; i >= 0 && lines.get(i).atMs() > afterMs; i--) {
             Line line = lines.get(i);
-            if (Arrays.stream(types).anyMatch(line::shows)) {
+            if (Arrays.stream(types).anyMatch(line::isEvent)) {
                 return Optional.of(line);
             }
         }
@@ -92,7 +92,7 @@
 
     /** How many events of a type have been logged. */
     synchronized long eventCount(LogEventType type) {
-        return lines.stream().filter(line -> line.shows(type)).count();
+        return lines.stream().filter(line -> line.isEvent(type)).count();
     }
 
     /** The text of the last line of the log; "no line" if there is none. */
--- a/src/main/java/org/shoreusher/measure/DoubledTeamLoad.java
+++ b/src/main/java/org/shoreusher/measure/DoubledTeamLoad.java
@@ -31,7 +31,7 @@
     record Arrival(long atMs, JobRequest job) {}
 
     /** CPUs of a task. */
-    static final double CPUS = 1;
+    static final double TASK_CPUS = 1;
 
     private static final int IMAGES = 6;
     private static final double IMAGE_EXPONENT = 1.2;
@@ -76,7 +76,7 @@
 
     /** Arrival rate in jobs per s that keeps so many CPUs busy. */
     private static double perSecond(double cpus, double runS) {
-        return cpus / (TASKS_MEDIAN * CPUS * runS);
+        return cpus / (TASKS_MEDIAN * TASK_CPUS * runS);
     }
 
     private void add(
@@ -106,7 +106,7 @@
                 doubled ? DOUBLED_CLASS : OTHER_CLASS,
                 doubled ? DOUBLED_TEAM : OTHER_TEAM,
                 (int) Math.max(1, Math.round(tasks.sample())),
-                CPUS,
+                TASK_CPUS,
                 IMAGE_GB,
                 profile);
     }
--- a/src/main/java/org/shoreusher/measure/FailoverMeasurement.java
+++ b/src/main/java/org/shoreusher/measure/FailoverMeasurement.java
@@ -159,7 +159,7 @@
         }
         return leader.lastEvent(
                         sinceMs, LogEventType.STANDBY_IN_SYNC, LogEventType.STANDBY_ABANDONED)
-                .filter(last -> last.shows(LogEventType.STANDBY_IN_SYNC))
+                .filter(last -> last.isEvent(LogEventType.STANDBY_IN_SYNC))
                 .isPresent();
     }
 
--- a/src/main/java/org/shoreusher/measure/LoadSpreadSampler.java
+++ b/src/main/java/org/shoreusher/measure/LoadSkewSampler.java
@@ -8,7 +8,7 @@
 import org.shoreusher.standin.WorkerStandIn;
 
 /** Samples the spread of one team over time, as measured on the stand-ins. */
-final class LoadSpreadSampler {
+final class LoadSkewSampler {
     private static final double THOUSAND = 1_000;
     private static final int DIGITS = 2;
 
@@ -37,7 +37,7 @@
      * @param margin the margin of the spread
      * @param bound the spread above which tasks are migrated
      */
-    LoadSpreadSampler(String team, double margin, double bound) {
+    LoadSkewSampler(String team, double margin, double bound) {
         this.team = team;
         this.margin = margin;
         this.bound = bound;
@@ -61,7 +61,7 @@
         shares.recordValue(Math.round(Math.min(1, latest) * THOUSAND));
         long nowMs = ControllerProcess.nowMs();
         aboveBound.sample(latest > bound, nowMs);
-        double most = (load.meanShare(team) + margin) * machineCpus - DoubledTeamLoad.CPUS;
+        double most = (load.meanShare(team) + margin) * machineCpus - DoubledTeamLoad.TASK_CPUS;
         boolean hasFreeCapacity =
                 machines.workers().stream()
                         .map(worker -> worker.identity().id())
@@ -69,7 +69,7 @@
                                 id ->
                                         load.teamCpusOn(id, team) <= most
                                                 && used.getOrDefault(id, 0.0)
-                                                        <= machineCpus - DoubledTeamLoad.CPUS);
+                                                        <= machineCpus - DoubledTeamLoad.TASK_CPUS);
         avoidable.sample(latest > bound && hasFreeCapacity, nowMs);
     }
 
--- a/src/main/java/org/shoreusher/settings/FeatureSection.java
+++ b/src/main/java/org/shoreusher/settings/FeatureSection.java
@@ -6,13 +6,13 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * A section of the features file. Each key that is read becomes known; {@link #rejectUnknownKeys}
- * rejects the others. Values are checked for type and range when they are read.
+ * A section of the features file. Every key that is read counts as allowed; {@link
+ * #rejectUnknownKeys} rejects all others. Values are checked for type and range when they are read.
  */
 final class FeatureSection {
     private final String name;
     private final Map<String, Object> values;
-    private final Set<String> known = new LinkedHashSet<>();
+    private final Set<String> allowedKeys = new LinkedHashSet<>();
 
     FeatureSection(String name, Map<String, Object> values) {
         this.name = name;
@@ -21,7 +21,7 @@
 
     /** An optional boolean with a default value. */
     boolean flagOr(String key, boolean defaultValue) throws InvalidSettingsException {
-        Object value = value(key);
+        Object value = readValue(key);
         if (value == null) {
             return defaultValue;
         }
@@ -34,7 +34,7 @@
     /** An optional number with inclusive bounds and a default value. */
     double numberOr(String key, double minimum, double maximum, double defaultValue)
             throws InvalidSettingsException {
-        Object value = value(key);
+        Object value = readValue(key);
         if (value == null) {
             return defaultValue;
         }
@@ -43,13 +43,13 @@
                 && number.doubleValue() <= maximum) {
             return number.doubleValue();
         }
-        throw invalid(key, "a number from " + text(minimum) + " to " + text(maximum));
+        throw invalid(key, "a number from " + formatBound(minimum) + " to " + formatBound(maximum));
     }
 
     /** An optional integer with inclusive bounds and a default value. */
     int integerOr(String key, int minimum, int maximum, int defaultValue)
             throws InvalidSettingsException {
-        Object value = value(key);
+        Object value = readValue(key);
         if (value == null) {
             return defaultValue;
         }
@@ -61,7 +61,7 @@
 
     /** A nested section; null if it is absent. */
     FeatureSection sectionOrNull(String key) throws InvalidSettingsException {
-        if (value(key) == null) {
+        if (readValue(key) == null) {
             return null;
         }
         try {
@@ -71,38 +71,40 @@
         }
     }
 
-    /** All keys of this section. */
+    /** All keys in this section of the file, allowed or not. */
     Set<String> keys() {
         return values.keySet();
     }
 
-    /** Rejects keys that have not been read. */
+    /** Rejects keys that have not been read, so call it after reading all allowed keys. */
     void rejectUnknownKeys() throws InvalidSettingsException {
         for (String key : values.keySet()) {
-            if (!known.contains(key)) {
+            if (!allowedKeys.contains(key)) {
                 throw InvalidSettingsException.ofField(
                         InvalidSettingsException.Source.FEATURES,
                         path(key),
-                        "is unknown; allowed are " + known);
+                        "is not a known key; remove it or use one of " + allowedKeys);
             }
         }
     }
 
-    private Object value(String key) {
-        known.add(key);
+    private Object readValue(String key) {
+        allowedKeys.add(key);
         return values.get(key);
     }
 
     private InvalidSettingsException invalid(String key, String allowed) {
         return InvalidSettingsException.ofField(
-                InvalidSettingsException.Source.FEATURES, path(key), "must be " + allowed);
+                InvalidSettingsException.Source.FEATURES,
+                path(key),
+                "must be " + allowed + InvalidSettingsException.found(values.get(key)));
     }
 
     private String path(String key) {
         return name.isEmpty() ? key : name + "." + key;
     }
 
-    private static String text(double bound) {
+    private static String formatBound(double bound) {
         return bound == Math.rint(bound) ? String.valueOf((long) bound) : String.valueOf(bound);
     }
 }
--- a/src/main/java/org/shoreusher/settings/FeaturesFile.java
+++ b/src/main/java/org/shoreusher/settings/FeaturesFile.java
@@ -13,9 +13,9 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * Parses the operators' features file: one TOML section for each feature. A feature is off if its
- * section is absent or has {@code enabled = false}. Keys that are unknown, of the wrong type or out
- * of range are rejected.
+ * Parses the features file of the operators, which has one TOML section for each feature. A feature
+ * is off if its section is absent or has {@code enabled = false}. Keys that are unknown, of the
+ * wrong type or out of range are rejected.
  */
 public final class FeaturesFile {
     private static final int MAX_MIGRATIONS = 1_000;
@@ -24,17 +24,18 @@
     private static final double MAX_GAIN_FACTOR = 100;
 
     /**
-     * ms; with less than a few round trips and a retry, every standby would be given up at once.
+     * ms; a timeout shorter than a few round trips and a retry would abandon every standby
+     * immediately.
      */
     private static final int MIN_ACK_TIMEOUT_MS = 500;
 
-    /** ms; workers time out after 4 s, and the response still has to reach them. */
+    /** ms; workers wait 4 s for a response, which still has to be transmitted. */
     private static final int MAX_ACK_TIMEOUT_MS = 3_000;
 
     private static final int MAX_HEAD_START_MS = 5_000;
     private static final int MIN_FRAME_RECORDS = 2;
 
-    /** Records; with names of 100 bytes such a frame stays below the limit of a message. */
+    /** Records; with names of 100 bytes, such a frame is below the size limit of a message. */
     private static final int MAX_FRAME_RECORDS = 500;
 
     private static final int MAX_ATTEMPTS = 1_000_000;
@@ -44,7 +45,9 @@
     /**
      * Reads and validates a file.
      *
-     * @throws InvalidSettingsException with a sentence for the operator
+     * @param settings its objectives name the job classes that may have a budget
+     * @throws InvalidSettingsException if the file is unreadable or invalid; the message is one
+     *     sentence for the operator
      */
     public static Features load(Path file, Settings settings) throws InvalidSettingsException {
         return parse(OperatorFile.read(Source.FEATURES, file), settings);
@@ -53,8 +56,9 @@
     /**
      * Parses and validates the bytes of a file.
      *
-     * @param settings names the classes of jobs of the deployment
-     * @throws InvalidSettingsException with a sentence for the operator
+     * @param settings its objectives name the job classes that may have a budget
+     * @throws InvalidSettingsException if the file is invalid; the message is one sentence for the
+     *     operator
      */
     public static Features parse(byte[] toml, Settings settings) throws InvalidSettingsException {
         FieldMap fields;
@@ -151,18 +155,19 @@
         if (classes == null) {
             return budgets;
         }
-        TreeSet<String> known =
+        TreeSet<String> objectiveClasses =
                 settings.objectives().stream()
                         .map(Settings.Objective::jobClass)
                         .filter(name -> !name.isEmpty())
                         .collect(Collectors.toCollection(TreeSet::new));
         for (String name : classes.keys()) {
             FeatureSection section = classes.sectionOrNull(name);
-            if (!known.contains(name)) {
+            if (!objectiveClasses.contains(name)) {
                 throw InvalidSettingsException.ofField(
                         Source.FEATURES,
                         "balance.classes." + name,
-                        "is no class of this deployment; allowed are " + known);
+                        "is not a job class of an objective in the settings file; allowed are "
+                                + objectiveClasses);
             }
             budgets.put(name, budget(section, defaults));
             section.rejectUnknownKeys();
--- a/src/main/java/org/shoreusher/settings/InvalidSettingsException.java
+++ b/src/main/java/org/shoreusher/settings/InvalidSettingsException.java
@@ -1,8 +1,11 @@
 package org.shoreusher.settings;
 
+import java.util.List;
+import java.util.Map;
+
 /**
- * Thrown for a settings or features file that cannot be used. The message is one sentence for the
- * operator, which names the file, the field and what is wrong with it.
+ * Thrown for a settings or features file that is unreadable or invalid. The message is one sentence
+ * for the operator, which names the file, the field, what was found and what is allowed.
  */
 public final class InvalidSettingsException extends Exception {
     private static final long serialVersionUID = 1L;
@@ -20,7 +23,7 @@
             this.label = label;
         }
 
-        /** The name in messages. */
+        /** The name of the file in messages. */
         public String label() {
             return label;
         }
@@ -38,12 +41,32 @@
     /** An invalid field, named by its path from the root of the file. */
     static InvalidSettingsException ofField(Source source, String field, String problem) {
         return new InvalidSettingsException(
-                source, field, source.label() + ": " + field + " " + problem);
+                source, field, source.label() + " file: " + field + " " + problem);
     }
 
-    /** A file that is unreadable or malformed as a whole. */
+    /** A file that is unreadable or malformed; {@code problem} follows "settings file". */
     static InvalidSettingsException ofFile(Source source, String problem) {
-        return new InvalidSettingsException(source, "", source.label() + " " + problem);
+        return new InvalidSettingsException(source, "", source.label() + " file " + problem);
+    }
+
+    /**
+     * The part of a message that shows the value of an invalid field. Empty for a list, since the
+     * problem may be one of its elements.
+     */
+    static String found(Object value) {
+        if (value == null) {
+            return "; it is missing";
+        }
+        if (value instanceof List<?>) {
+            return "";
+        }
+        if (value instanceof Map<?, ?>) {
+            return "; found a section";
+        }
+        if (value instanceof String text) {
+            return "; found '" + text.lines().findFirst().orElse("") + "'";
+        }
+        return "; found " + value;
     }
 
     /** The kind of file that is invalid. */
@@ -51,7 +74,7 @@
         return source;
     }
 
-    /** The path of the invalid field; empty if the file as a whole is. */
+    /** The path of the invalid field; empty if the whole file is unreadable or malformed. */
     public String field() {
         return field;
     }
--- a/src/main/java/org/shoreusher/settings/ObjectiveKind.java
+++ b/src/main/java/org/shoreusher/settings/ObjectiveKind.java
@@ -1,16 +1,16 @@
 package org.shoreusher.settings;
 
-/** What a service-level objective is about. */
+/** What a service-level objective limits. */
 public enum ObjectiveKind {
-    /** Tasks start within a time after the submission. */
+    /** Tasks start within a time after the submission of their job. */
     WAIT("wait"),
-    /** Jobs are done within a time after the submission. */
+    /** Jobs complete within a time after their submission. */
     FINISHED("finished"),
-    /** Jobs are done within a factor of the deadline that their user gives. */
+    /** Jobs complete within the deadline that their user gives, times a factor. */
     DEADLINE("deadline"),
     /** Tasks within a team's guaranteed share start within a time. */
     GUARANTEE("guarantee"),
-    /** A kind that this version does not know, and which is ignored. */
+    /** A kind that this version does not support; objectives of this kind are ignored. */
     UNKNOWN("");
 
     private final String settingsName;
@@ -19,7 +19,7 @@
         this.settingsName = settingsName;
     }
 
-    /** The kind with this name in the settings file. */
+    /** The kind with this name in the settings file; {@link #UNKNOWN} for any other name. */
     static ObjectiveKind fromSettings(String name) {
         for (ObjectiveKind kind : values()) {
             if (kind.settingsName.equals(name)) {
--- a/src/main/java/org/shoreusher/settings/OperatorFile.java
+++ b/src/main/java/org/shoreusher/settings/OperatorFile.java
@@ -9,7 +9,7 @@
 import java.nio.file.Path;
 import org.shoreusher.settings.InvalidSettingsException.Source;
 
-/** Reads the files that operators provide, and words the errors of whole files. */
+/** Reads the files that operators provide, and creates the errors that concern a whole file. */
 final class OperatorFile {
     private OperatorFile() {}
 
@@ -18,17 +18,20 @@
         try {
             return Files.readAllBytes(file);
         } catch (NoSuchFileException e) {
-            throw InvalidSettingsException.ofFile(source, "file " + file + " does not exist");
+            throw InvalidSettingsException.ofFile(source, file + " does not exist; check the path");
         } catch (AccessDeniedException e) {
             throw InvalidSettingsException.ofFile(
-                    source, "file " + file + " cannot be read: permission denied");
+                    source,
+                    file
+                            + " cannot be read: permission denied; make it readable for the user"
+                            + " that runs the controller");
         } catch (IOException e) {
             throw InvalidSettingsException.ofFile(
-                    source, "file " + file + " cannot be read: " + e.getMessage());
+                    source, file + " cannot be read: " + e.getMessage());
         }
     }
 
-    /** The error for a file that does not follow its format, with the position if it is known. */
+    /** The error for a syntactically invalid file, with the position if the parser reports it. */
     static InvalidSettingsException malformed(Source source, String format, IOException cause) {
         String position = "";
         String problem = cause.getMessage();
@@ -45,7 +48,7 @@
         }
         return InvalidSettingsException.ofFile(
                 source,
-                "are not valid "
+                "is not valid "
                         + format
                         + position
                         + ": "
--- a/src/main/java/org/shoreusher/settings/Settings.java
+++ b/src/main/java/org/shoreusher/settings/Settings.java
@@ -8,32 +8,32 @@
 
 /**
  * The validated settings file, which the platform provides. Unknown fields are ignored. If the file
- * announces later limits of the store ({@code state.next}), the stricter of both applies from the
- * start: it is not known when the later ones take effect, and records written above them could then
- * not be written again.
+ * announces future limits of the store ({@code state.next}), the stricter of the current and the
+ * future limit applies from the start: the file does not state when the future limits take effect,
+ * and records above them could then no longer be rewritten.
  *
  * @param host name of this node
  * @param zone zone of this node
  * @param frontAddress address for users, workers and the load balancer
  * @param peerAddress address for the other controllers
  * @param members the other controllers
- * @param cloudAddress address of the cloud's interface
+ * @param cloudAddress address of the cloud's API
  * @param storeAddress address of the key-value store
  * @param nodeCount number of controllers
  * @param zones zones in which there are machines
  * @param teams the teams by name
- * @param objectives service-level objectives, as the users stated them
+ * @param objectives service-level objectives in the order of the file
  * @param heartbeatIntervalS heartbeat interval of the workers in s
  * @param workerLeaseS s after its last accepted heartbeat until a worker's lease expires
  * @param cancellationLimitS s within which a cancelled job's tasks must have ended
- * @param storeRequestsPerS requests per s that the store allows all nodes together
- * @param storeWritesPerS writes per s that the store allows all nodes together
- * @param maxValueBytes size of a stored value at most, in bytes
- * @param maxTransactionWrites writes in one transaction at most
- * @param cloudRequestsPerS requests per s that the cloud allows all nodes together
- * @param inventoryLagS s by which the cloud's inventory may lag
- * @param maxSockets open sockets of this process at most
- * @param maxClockOffsetMs ms by which a node's wall clock may be off
+ * @param storeRequestsPerS requests per s that the store accepts from all nodes together
+ * @param storeWritesPerS writes per s that the store accepts from all nodes together
+ * @param maxValueBytes largest size of a stored value in bytes
+ * @param maxTransactionWrites largest number of writes in one transaction
+ * @param cloudRequestsPerS requests per s that the cloud accepts from all nodes together
+ * @param inventoryLagS largest lag of the cloud's inventory in s
+ * @param maxSockets largest number of open sockets of this process
+ * @param maxClockOffsetMs largest offset of a node's wall clock in ms
  */
 public record Settings(
         String host,
@@ -86,8 +86,8 @@
     public record Member(String host, Address address, String zone) {}
 
     /**
-     * A team's guaranteed share and quota of CPUs and GPUs. A quota that the file omits or gives as
-     * 0 means no quota, which is infinity here.
+     * A team's guaranteed share and quota of CPUs and GPUs. The quota of a team without one, for
+     * which the file omits the field or states 0, is infinity.
      */
     public record Team(
             String name,
@@ -99,7 +99,7 @@
     /**
      * A service-level objective.
      *
-     * @param kind what it is about
+     * @param kind what it limits
      * @param jobClass the class of jobs that it applies to; empty for all classes
      * @param withinS time limit in s; NaN if it has none
      * @param share share of the jobs that must meet it; NaN if it has none
@@ -120,7 +120,8 @@
     /**
      * Reads and validates a settings file.
      *
-     * @throws InvalidSettingsException with a sentence for the operator
+     * @throws InvalidSettingsException if the file is unreadable or invalid; the message is one
+     *     sentence for the operator
      */
     public static Settings load(Path file) throws InvalidSettingsException {
         return parse(OperatorFile.read(InvalidSettingsException.Source.SETTINGS, file));
@@ -129,7 +130,8 @@
     /**
      * Parses and validates the bytes of a settings file.
      *
-     * @throws InvalidSettingsException with a sentence for the operator
+     * @throws InvalidSettingsException if the file is invalid; the message is one sentence for the
+     *     operator
      */
     public static Settings parse(byte[] json) throws InvalidSettingsException {
         return SettingsParser.parse(json);
--- a/src/main/java/org/shoreusher/settings/SettingsParser.java
+++ b/src/main/java/org/shoreusher/settings/SettingsParser.java
@@ -36,7 +36,7 @@
         SettingsSection deployment = root.section("deployment");
         SettingsSection workers = deployment.section("workers");
         SettingsSection store = deployment.section("state");
-        SettingsSection laterStore = store.sectionOrEmpty("next");
+        SettingsSection futureStore = store.sectionOrEmpty("next");
         SettingsSection cloud = deployment.section("cloud");
         return new Settings(
                 root.text("host_name"),
@@ -53,10 +53,10 @@
                 workers.number("report_s"),
                 workers.number("lease_s"),
                 workers.number("cancel_s"),
-                stricter(store, laterStore, "rps"),
-                stricter(store, laterStore, "write_rps"),
-                (int) (stricter(store, laterStore, "value_kb") * BYTES_PER_KB),
-                maxTransactionWrites(store, laterStore),
+                stricterLimit(store, futureStore, "rps"),
+                stricterLimit(store, futureStore, "write_rps"),
+                (int) (stricterLimit(store, futureStore, "value_kb") * BYTES_PER_KB),
+                maxTransactionWrites(store, futureStore),
                 cloud.number("rps"),
                 cloud.number("list_lag_s"),
                 (int) deployment.section("limits").numberOr("sockets", DEFAULT_MAX_SOCKETS),
@@ -87,15 +87,16 @@
                             fields.numberOr("gpus", 0),
                             quota(fields, "gpus_max"));
             if (teams.put(team.name(), team) != null) {
-                throw fields.invalid("name", "is the name of another team too: " + team.name());
+                throw fields.invalid(
+                        "name", "must be unique; another team is also named '" + team.name() + "'");
             }
         }
         return teams;
     }
 
     /**
-     * A quota, for which 0 means none (protocol). Taken as 0 CPUs, every job of the team would be
-     * rejected for good.
+     * A quota; the protocol defines 0 as no quota. If 0 were read as no CPUs, every job of the team
+     * would be rejected permanently.
      */
     private static double quota(SettingsSection team, String field)
             throws InvalidSettingsException {
@@ -118,28 +119,30 @@
         return List.copyOf(objectives);
     }
 
-    /** The lower of a limit of the store and the one that the file announces for later. */
-    private static double stricter(SettingsSection store, SettingsSection later, String field)
+    /** The lower of the store's current limit and its future limit, if one is announced. */
+    private static double stricterLimit(
+            SettingsSection store, SettingsSection futureStore, String field)
             throws InvalidSettingsException {
         double current = store.number(field);
-        double announced = later.numberOr(field, current);
-        if (announced <= 0 && later.has(field)) {
-            throw later.invalid(field, "must be above 0");
+        double announced = futureStore.numberOr(field, current);
+        if (announced <= 0 && futureStore.has(field)) {
+            throw futureStore.invalid(
+                    field, "must be above 0" + InvalidSettingsException.found(announced));
         }
         return Math.min(current, announced);
     }
 
     /**
-     * Writes in one transaction: not more than the store accepts in a burst of one second, since it
-     * would reject a larger transaction with 429 each time.
+     * The largest number of writes in one transaction. It is at most what the store accepts in a
+     * burst of one second, since the store would always reject a larger transaction with 429.
      */
-    private static int maxTransactionWrites(SettingsSection store, SettingsSection later)
+    private static int maxTransactionWrites(SettingsSection store, SettingsSection futureStore)
             throws InvalidSettingsException {
-        int limit = (int) stricter(store, later, "txn_ops");
+        int limit = (int) stricterLimit(store, futureStore, "txn_ops");
         int burst =
                 Math.max(
                         SharedConstants.MIN_TRANSACTION_WRITES,
-                        (int) stricter(store, later, "write_rps"));
+                        (int) stricterLimit(store, futureStore, "write_rps"));
         return Math.min(limit, burst);
     }
 }
--- a/src/main/java/org/shoreusher/settings/SettingsSection.java
+++ b/src/main/java/org/shoreusher/settings/SettingsSection.java
@@ -77,7 +77,7 @@
         return read(field, () -> fields.numberOr(field, defaultValue));
     }
 
-    /** A required address. */
+    /** A required address: an IP address and a port. */
     Settings.Address address(String field) throws InvalidSettingsException {
         String text = text(field);
         return Settings.Address.parse(text)
@@ -85,10 +85,11 @@
                         () ->
                                 invalid(
                                         field,
-                                        "is not an address like 10.0.0.1:8080: '" + text + "'"));
+                                        "must be an address like 10.0.0.1:8080"
+                                                + InvalidSettingsException.found(text)));
     }
 
-    /** The error for a field of this section. */
+    /** The error for a field of this section; {@code problem} follows the field's path. */
     InvalidSettingsException invalid(String field, String problem) {
         return InvalidSettingsException.ofField(Source.SETTINGS, path(field), problem);
     }
@@ -102,7 +103,8 @@
         try {
             return reader.read();
         } catch (FieldMap.InvalidFieldException e) {
-            throw invalid(field, e.problem());
+            throw invalid(
+                    field, e.problem() + InvalidSettingsException.found(fields.asMap().get(field)));
         }
     }
 }
--- a/src/main/java/org/shoreusher/settings/SettingsValidator.java
+++ b/src/main/java/org/shoreusher/settings/SettingsValidator.java
@@ -5,23 +5,29 @@
 /** Checks the values of {@link Settings} and their relations to each other. */
 final class SettingsValidator {
     private static final int MIN_VALUE_BYTES = 1024;
+    private static final double BYTES_PER_KB = 1024;
 
-    /** The clock offset must be below the leader's lease divided by this. */
+    /** The leader's lease divided by this is the exclusive upper bound of the clock offset. */
     private static final int MIN_LEASE_PER_CLOCK_OFFSET = 4;
 
     private SettingsValidator() {}
 
-    /** Throws for the first invalid field. */
+    /** Checks all values; throws an exception for the first invalid field. */
     static void validate(Settings settings) throws InvalidSettingsException {
-        require(!settings.host().isEmpty(), "host_name", "is empty");
-        require(settings.nodeCount() >= 1, "deployment.count", "must be at least 1");
+        require(!settings.host().isEmpty(), "host_name", "must not be empty", settings.host());
+        require(
+                settings.nodeCount() >= 1,
+                "deployment.count",
+                "must be at least 1",
+                settings.nodeCount());
         validateWorkers(settings);
         validateStore(settings);
         requirePositive(settings.cloudRequestsPerS(), "deployment.cloud.rps");
         require(
                 settings.inventoryLagS() >= 0,
                 "deployment.cloud.list_lag_s",
-                "must not be negative");
+                "must not be negative",
+                settings.inventoryLagS());
         validateLimits(settings);
         for (Settings.Team team : settings.teams().values()) {
             validateQuota(team.name(), "cpus", team.guaranteedCpus(), team.maxCpus());
@@ -34,7 +40,8 @@
         require(
                 settings.workerLeaseS() > settings.heartbeatIntervalS(),
                 "deployment.workers.lease_s",
-                "must be longer than report_s");
+                "must be longer than report_s, which is " + settings.heartbeatIntervalS(),
+                settings.workerLeaseS());
         requirePositive(settings.cancellationLimitS(), "deployment.workers.cancel_s");
     }
 
@@ -46,11 +53,13 @@
                 "deployment.state.txn_ops",
                 "must be at least "
                         + SharedConstants.MIN_TRANSACTION_WRITES
-                        + ", also in state.next: a leadership change writes three keys");
+                        + ", also in state.next, since a leadership change writes three keys",
+                settings.maxTransactionWrites());
         require(
                 settings.maxValueBytes() >= MIN_VALUE_BYTES,
                 "deployment.state.value_kb",
-                "must be at least 1, also in state.next");
+                "must be at least 1, also in state.next",
+                settings.maxValueBytes() / BYTES_PER_KB);
     }
 
     private static void validateLimits(Settings settings) throws InvalidSettingsException {
@@ -60,33 +69,39 @@
                 "deployment.clock_off_ms",
                 "must not be negative and must be below "
                         + offsetBoundMs
-                        + ", a quarter of the leader's lease in ms");
+                        + ", a quarter of the leader's lease in ms",
+                settings.maxClockOffsetMs());
         require(
                 settings.maxSockets() > 2 * SharedConstants.RESERVED_SOCKETS,
                 "deployment.limits.sockets",
-                "must be above " + 2 * SharedConstants.RESERVED_SOCKETS);
+                "must be above "
+                        + 2 * SharedConstants.RESERVED_SOCKETS
+                        + ", twice the sockets that are not available to clients",
+                settings.maxSockets());
     }
 
     private static void validateQuota(String team, String field, double guaranteed, double max)
             throws InvalidSettingsException {
-        String place = "deployment.teams: " + field;
-        require(guaranteed >= 0, place + " of team " + team, "must not be negative");
-        require(max >= 0, place + "_max of team " + team, "must not be negative");
+        String path = "deployment.teams: " + field;
+        require(guaranteed >= 0, path + " of team " + team, "must not be negative", guaranteed);
+        require(max >= 0, path + "_max of team " + team, "must not be negative", max);
         require(
                 guaranteed <= max,
-                place + " of team " + team,
-                "must not be above its " + field + "_max");
+                path + " of team " + team,
+                "must not be above " + field + "_max, which is " + max,
+                guaranteed);
     }
 
     private static void requirePositive(double value, String field)
             throws InvalidSettingsException {
-        require(value > 0, field, "must be above 0");
+        require(value > 0, field, "must be above 0", value);
     }
 
-    private static void require(boolean condition, String field, String problem)
+    private static void require(boolean condition, String field, String allowed, Object value)
             throws InvalidSettingsException {
         if (!condition) {
-            throw InvalidSettingsException.ofField(Source.SETTINGS, field, problem);
+            throw InvalidSettingsException.ofField(
+                    Source.SETTINGS, field, allowed + InvalidSettingsException.found(value));
         }
     }
 }
--- a/src/main/java/org/shoreusher/settings/SharedConstants.java
+++ b/src/main/java/org/shoreusher/settings/SharedConstants.java
@@ -9,25 +9,25 @@
 
     /**
      * ms; how long a leader's lease on a shard lasts without renewal, unless the workers' leases
-     * demand a shorter one. The design's value.
+     * require a shorter one.
      */
     public static final long LEADER_LEASE_MS = 9_000;
 
-    /** ms; timeout of a store call. Answers take 10 ms, now and then some hundred. */
+    /** ms; timeout of a store call. A reply takes 10 ms, occasionally several hundred ms. */
     public static final long STORE_TIMEOUT_MS = 1_500;
 
-    /** Writes that the store must allow in one transaction: a leadership change has three. */
+    /** Writes that the store must accept in one transaction; a leadership change has three. */
     public static final int MIN_TRANSACTION_WRITES = 4;
 
     /**
-     * Sockets not available to clients: 64 for store calls and 6 for lease renewals, 30 for the
-     * cloud, 50 for direct orders, 8 for peers, and the listeners.
+     * Sockets that are not available to clients: 64 for store calls, 6 for lease renewals, 30 for
+     * the cloud, 50 for direct orders, 8 for peers, and the listeners.
      */
     public static final int RESERVED_SOCKETS = 160;
 
-    /** s; how often the line on user latencies is logged, at debug level. */
+    /** s; interval between the log events with the latencies of users' requests, at debug level. */
     public static final int LATENCY_LOG_INTERVAL_S = 60;
 
-    /** ms; how often a leader logs the status of its shard, at debug level. */
+    /** ms; interval between the log events with the status of a shard, at debug level. */
     public static final long STATUS_LOG_INTERVAL_MS = 10_000;
 }
--- a/src/main/java/org/shoreusher/standin/ControllerClient.java
+++ b/src/main/java/org/shoreusher/standin/ControllerClient.java
@@ -16,9 +16,9 @@
     private static final int CREATED = 201;
 
     /** A response. */
-    public record Reply(int status, Map<String, Object> body) {
+    public record Response(int status, Map<String, Object> body) {
         /** There was no response. */
-        public static final Reply NONE = new Reply(ReplyStatus.NO_REPLY, null);
+        public static final Response NONE = new Response(ReplyStatus.NO_REPLY, null);
 
         /** Whether the request succeeded. */
         public boolean isOk() {
@@ -40,10 +40,10 @@
     }
 
     /** Sends a request and waits for the response: a GET if the body is null, else a POST. */
-    public Reply call(String path, Map<String, Object> body) throws InterruptedException {
-        CompletableFuture<Reply> reply = new CompletableFuture<>();
+    public Response call(String path, Map<String, Object> body) throws InterruptedException {
+        CompletableFuture<Response> reply = new CompletableFuture<>();
         if (group.isShuttingDown()) {
-            return Reply.NONE;
+            return Response.NONE;
         }
         group.next()
                 .execute(
@@ -53,11 +53,11 @@
                                         body,
                                         TIMEOUT_MS,
                                         (status, answer) ->
-                                                reply.complete(new Reply(status, answer))));
+                                                reply.complete(new Response(status, answer))));
         try {
             return reply.get(2 * TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (ExecutionException | TimeoutException e) {
-            return Reply.NONE;
+            return Response.NONE;
         }
     }
 
--- a/src/test/java/org/shoreusher/settings/FeaturesFileTest.java
+++ b/src/test/java/org/shoreusher/settings/FeaturesFileTest.java
@@ -11,7 +11,7 @@
 import org.shoreusher.balance.BalanceSettings.ClassBudget;
 import org.shoreusher.standby.StandbySettings;
 
-/** The features file. */
+/** Reading and validation of the features file. */
 class FeaturesFileTest {
     private static Features parse(String text) throws InvalidSettingsException {
         Settings settings =
@@ -83,65 +83,71 @@
 
     /** Files that are rejected, and the message for each. */
     private static final String[][] REJECTED = {
-        {"[balanse]", "features: balanse is unknown; allowed are [balance, standby]"},
-        {"balance = 3", "features: balance must be a section"},
-        {"[balance]\nenabled = 1", "features: balance.enabled must be true or false"},
+        {
+            "[balanse]",
+            "features file: balanse is not a known key;"
+                    + " remove it or use one of [balance, standby]"
+        },
+        {"balance = 3", "features file: balance must be a section; found 3"},
+        {"[balance]\nenabled = 1", "features file: balance.enabled must be true or false; found 1"},
         {
             "[balance]\nspread_margin = 0.01",
-            "features: balance.spread_margin must be a number from 0.05 to 1"
+            "features file: balance.spread_margin must be a number from 0.05 to 1; found 0.01"
         },
         {
             "[balance]\nspread_margin = \"wide\"",
-            "features: balance.spread_margin must be a number from 0.05 to 1"
+            "features file: balance.spread_margin must be a number from 0.05 to 1; found 'wide'"
         },
         {
             "[balance]\nspread_margin = nan",
-            "features: balance.spread_margin must be a number from 0.05 to 1"
+            "features file: balance.spread_margin must be a number from 0.05 to 1; found NaN"
         },
         {
             "[balance]\nmoves_at_once = 2.5",
-            "features: balance.moves_at_once must be a whole number from 0 to 1000"
+            "features file: balance.moves_at_once must be a whole number from 0 to 1000; found 2.5"
         },
         {
             "[balance]\nmoves_per_task = -1",
-            "features: balance.moves_per_task must be a whole number from 0 to 10"
+            "features file: balance.moves_per_task must be a whole number from 0 to 10; found -1"
         },
         {
             "[balance.classes.rush]\nrepeated_share = 1.5",
-            "features: balance.classes.rush.repeated_share must be a number from 0 to 1"
+            "features file: balance.classes.rush.repeated_share must be a number from 0 to 1; found"
+                    + " 1.5"
         },
         {
             "[balance.classes.other]",
-            "features: balance.classes.other is no class of this deployment;"
-                    + " allowed are [rush]"
+            "features file: balance.classes.other is not a job class of an objective in the"
+                    + " settings file; allowed are [rush]"
         },
         {
             "[balance.classes.rush]\nmoves = 1",
-            "features: balance.classes.rush.moves is unknown;"
-                    + " allowed are [moves_per_task, repeated_share]"
+            "features file: balance.classes.rush.moves is not a known key;"
+                    + " remove it or use one of [moves_per_task, repeated_share]"
         },
-        {"standby = 1", "features: standby must be a section"},
+        {"standby = 1", "features file: standby must be a section; found 1"},
         {
             "[standby]\nack_timeout_ms = 4000",
-            "features: standby.ack_timeout_ms must be a whole number from 500 to 3000"
+            "features file: standby.ack_timeout_ms must be a whole number from 500 to 3000; found"
+                    + " 4000"
         },
         {
             "[standby]\nhead_start_ms = 1.5",
-            "features: standby.head_start_ms must be a whole number from 0 to 5000"
+            "features file: standby.head_start_ms must be a whole number from 0 to 5000; found 1.5"
         },
         {
             "[standby]\nframe_records = 1",
-            "features: standby.frame_records must be a whole number from 2 to 500"
+            "features file: standby.frame_records must be a whole number from 2 to 500; found 1"
         },
         {
             "[standby]\nmost_attempts = \"many\"",
-            "features: standby.most_attempts must be a whole number from 0 to 1000000"
+            "features file: standby.most_attempts must be a whole number from 0 to 1000000; found"
+                    + " 'many'"
         },
         {
             "[standby]\nreplicas = 2",
-            "features: standby.replicas is unknown; allowed are"
-                    + " [enabled, ack_timeout_ms, head_start_ms, frame_records,"
-                    + " most_attempts]"
+            "features file: standby.replicas is not a known key; remove it or use one of [enabled,"
+                    + " ack_timeout_ms, head_start_ms, frame_records, most_attempts]"
         }
     };
 
--- a/src/test/java/org/shoreusher/settings/SettingsBuilder.java
+++ b/src/test/java/org/shoreusher/settings/SettingsBuilder.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Builds settings from given ones with some values changed. */
+/** Builds a copy of settings with some values changed. */
 public final class SettingsBuilder {
     private final Settings base;
     private String host;
@@ -45,7 +45,7 @@
         maxClockOffsetMs = base.maxClockOffsetMs();
     }
 
-    /** Sets the host and the other members. */
+    /** Sets the name of this node and the other members. */
     public SettingsBuilder host(String name, List<Settings.Member> others) {
         host = name;
         members = others;
@@ -65,59 +65,57 @@
     }
 
     /** Sets the teams. */
-    public SettingsBuilder teams(Settings.Team... list) {
+    public SettingsBuilder teams(Settings.Team... values) {
         teams = new LinkedHashMap<>();
-        for (Settings.Team team : list) {
+        for (Settings.Team team : values) {
             teams.put(team.name(), team);
         }
         return this;
     }
 
     /** Sets the heartbeat interval, the worker lease and the cancellation limit, all in s. */
-    public SettingsBuilder workers(double report, double lease, double cancel) {
-        heartbeatIntervalS = report;
-        workerLeaseS = lease;
-        cancellationLimitS = cancel;
+    public SettingsBuilder workers(double intervalS, double leaseS, double cancellationS) {
+        heartbeatIntervalS = intervalS;
+        workerLeaseS = leaseS;
+        cancellationLimitS = cancellationS;
         return this;
     }
 
     /** Sets the store's requests per second. */
-    public SettingsBuilder storeRequestsPerS(double requests) {
-        storeRequestsPerS = requests;
+    public SettingsBuilder storeRequestsPerS(double requestsPerS) {
+        storeRequestsPerS = requestsPerS;
         return this;
     }
 
-    /**
-     * Sets the store's limits: changes per second, bytes of a value and changes in a transaction.
-     */
-    public SettingsBuilder storeLimits(double writeRps, int bytes, int ops) {
-        storeWritesPerS = writeRps;
-        maxValueBytes = bytes;
-        maxTransactionWrites = ops;
+    /** Sets the store's limits: writes per second, bytes of a value and writes in a transaction. */
+    public SettingsBuilder storeLimits(double writesPerS, int valueBytes, int transactionWrites) {
+        storeWritesPerS = writesPerS;
+        maxValueBytes = valueBytes;
+        maxTransactionWrites = transactionWrites;
         return this;
     }
 
-    /** Sets the cloud's calls per second. */
-    public SettingsBuilder cloudRequestsPerS(double calls) {
-        cloudRequestsPerS = calls;
+    /** Sets the cloud's requests per second. */
+    public SettingsBuilder cloudRequestsPerS(double requestsPerS) {
+        cloudRequestsPerS = requestsPerS;
         return this;
     }
 
-    /** Sets the lag of machine inventories, in s. */
+    /** Sets the largest lag of the cloud's inventory, in s. */
     public SettingsBuilder inventoryLagS(double seconds) {
         inventoryLagS = seconds;
         return this;
     }
 
-    /** Sets the number of sockets. */
+    /** Sets the largest number of open sockets. */
     public SettingsBuilder maxSockets(int count) {
         maxSockets = count;
         return this;
     }
 
-    /** Sets the maximum clock offset, in ms. */
-    public SettingsBuilder maxClockOffsetMs(long afterMs) {
-        maxClockOffsetMs = afterMs;
+    /** Sets the largest clock offset, in ms. */
+    public SettingsBuilder maxClockOffsetMs(long offsetMs) {
+        maxClockOffsetMs = offsetMs;
         return this;
     }
 
--- a/src/test/java/org/shoreusher/settings/SettingsTest.java
+++ b/src/test/java/org/shoreusher/settings/SettingsTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** The settings file. */
+/** Reading and validation of the settings file. */
 class SettingsTest {
     static final String VALID =
             """
@@ -40,29 +40,29 @@
     }
 
     /**
-     * A deployment stated its only team with 0 throughout. When that was taken for no CPUs at all,
-     * every job was rejected permanently.
+     * Guards against reading a quota of 0 as no CPUs instead of no quota: a deployment stated 0 in
+     * every field of its only team, and every job was rejected permanently.
      */
     @Example
     void zeroOrMissingQuotaMeansNoLimit() throws InvalidSettingsException {
         String given = "\"cpus\":1.0,\"cpus_max\":2,\"gpus\":0.0,\"gpus_max\":0.0";
-        for (String none :
+        for (String noQuota :
                 new String[] {
                     "\"cpus\":0.0,\"cpus_max\":0.0,\"gpus\":0.0,\"gpus_max\":0.0",
                     "\"cpus\":null,\"cpus_max\":null,\"gpus\":null,\"gpus_max\":null",
                     "\"x\":1",
                     "\"cpus\":5,\"cpus_max\":0"
                 }) {
-            Settings.Team team = parse(VALID.replace(given, none)).teams().get("t");
-            assertEquals(Double.POSITIVE_INFINITY, team.maxCpus(), none);
-            assertEquals(Double.POSITIVE_INFINITY, team.maxGpus(), none);
+            Settings.Team team = parse(VALID.replace(given, noQuota)).teams().get("t");
+            assertEquals(Double.POSITIVE_INFINITY, team.maxCpus(), noQuota);
+            assertEquals(Double.POSITIVE_INFINITY, team.maxGpus(), noQuota);
         }
     }
 
     @Example
     void namesTheInvalidField() {
         String[][] cases = {
-            {"\"zone\":\"a\",", "\"zone\":1,", "zone"},
+            {"\"zone\":\"a\",", "\"zone\":1,", "zone must be text; found 1"},
             {"127.0.0.1:8080", "here", "front"},
             {"\"lease_s\":16.0", "\"lease_s\":1.0", "lease_s"},
             {"\"txn_ops\":20", "\"txn_ops\":2", "txn_ops"},
@@ -73,7 +73,7 @@
             {"\"cpus_max\":2", "\"cpus_max\":0.5", "cpus of team t"},
             {"\"cpus_max\":2", "\"cpus_max\":\"2\"", "cpus_max"},
             {"\"cpus\":1.0", "\"cpus\":-1.0", "cpus of team t"},
-            {"\"write_rps\":25.0,", "", "write_rps"},
+            {"\"write_rps\":25.0,", "", "write_rps must be a number; it is missing"},
             {"\"list_lag_s\":5.0", "\"list_lag_s\":-5.0", "list_lag_s"},
             {"\"count\":2", "\"count\":0", "count"}
         };
@@ -86,7 +86,7 @@
         }
     }
 
-    /** The store's burst is a second's worth: a larger transaction would never succeed. */
+    /** The store accepts one second's writes in a burst; a larger transaction never succeeds. */
     @Example
     void limitsTransactionsToTheStoresBurst() throws InvalidSettingsException {
         assertEquals(20, parse(VALID).maxTransactionWrites());
@@ -96,8 +96,8 @@
     }
 
     /**
-     * Future limits apply from the start where they are stricter, and only there; absent or null
-     * they change nothing.
+     * Each future limit applies from the start if it is stricter than the current one. Absent, null
+     * or wider future limits have no effect.
      */
     @Example
     void appliesStricterFutureLimitsFromTheStart() throws InvalidSettingsException {
@@ -124,7 +124,7 @@
                                         + "\"value_kb\":64,\"txn_ops\":60,\"new\":1}"));
         assertEquals(parse(VALID), wider);
         assertEquals(parse(VALID), parse(VALID.replace(ops, ops + ",\"next\":null")));
-        String[][] wrong = {
+        String[][] invalid = {
             {"{\"write_rps\":0}", "state.next.write_rps"},
             {"{\"value_kb\":-2}", "state.next.value_kb"},
             {"{\"value_kb\":0.5}", "state.next"},
@@ -132,7 +132,7 @@
             {"{\"txn_ops\":\"6\"}", "txn_ops"},
             {"7", "next"}
         };
-        for (String[] testCase : wrong) {
+        for (String[] testCase : invalid) {
             InvalidSettingsException exception =
                     assertThrows(
                             InvalidSettingsException.class,
@@ -142,30 +142,37 @@
     }
 
     @Example
-    void namesTheSourceThePathAndTheProblem() {
+    void namesTheFileThePathAndTheProblem() {
         InvalidSettingsException invalidField =
                 assertThrows(
                         InvalidSettingsException.class,
                         () -> parse(VALID.replace("\"rps\":5.0", "\"rps\":\"many\"")));
         assertEquals(InvalidSettingsException.Source.SETTINGS, invalidField.source());
         assertEquals("deployment.cloud.rps", invalidField.field());
-        assertEquals("settings: deployment.cloud.rps must be a number", invalidField.getMessage());
+        assertEquals(
+                "settings file: deployment.cloud.rps must be a number; found 'many'",
+                invalidField.getMessage());
         InvalidSettingsException invalidElement =
                 assertThrows(
                         InvalidSettingsException.class,
                         () -> parse(VALID.replace("127.0.0.2:8081", "here")));
         assertEquals(
-                "settings: members[0].peer_addr is not an address like 10.0.0.1:8080: 'here'",
+                "settings file: members[0].peer_addr must be an address like 10.0.0.1:8080; found"
+                        + " 'here'",
                 invalidElement.getMessage());
         InvalidSettingsException missingFile =
                 assertThrows(
                         InvalidSettingsException.class,
                         () -> Settings.load(Path.of("no-such-file.json")));
-        assertEquals("settings file no-such-file.json does not exist", missingFile.getMessage());
+        assertEquals(
+                "settings file no-such-file.json does not exist; check the path",
+                missingFile.getMessage());
         InvalidSettingsException malformed =
                 assertThrows(InvalidSettingsException.class, () -> parse("{\n\"zone\" 1}"));
         assertTrue(
-                malformed.getMessage().startsWith("settings are not valid JSON at line 2, column "),
+                malformed
+                        .getMessage()
+                        .startsWith("settings file is not valid JSON at line 2, column "),
                 malformed.getMessage());
     }
 }
