--- a/src/main/java/org/shoreusher/measure/Cluster.java
+++ b/src/main/java/org/shoreusher/measure/Cluster.java
@@ -29,17 +29,17 @@
  */
 final class Cluster implements AutoCloseable {
     private static final String LOOPBACK = "127.0.0.1";
-    private static final long POLL_MS = 50;
+    private static final long POLL_INTERVAL_MS = 50;
 
     /**
-     * Size and settings of a deployment.
+     * Size of a deployment, and the settings of its controllers and workers.
      *
      * @param controllerCount number of controllers
-     * @param machineCount machines that the cloud can provide
+     * @param machineCount largest number of machines that the cloud provisions
      * @param offer properties of a machine
-     * @param teamCpuLimits CPU quota by team
+     * @param teamCpuLimits quota of CPUs by team
      * @param heartbeatIntervalS heartbeat interval of the workers in s
-     * @param workerLeaseS lease of the workers in s
+     * @param workerLeaseS duration of the workers' leases in s
      * @param featuresFile features file of the controllers; null for none
      */
     record Topology(
@@ -94,7 +94,7 @@
         }
     }
 
-    /** Starts all controllers, and waits until each is ready. */
+    /** Starts all controllers and waits until each is ready. */
     void start() throws IOException, InterruptedException {
         for (String host : frontAddresses.keySet()) {
             Path settings = directory.resolve(host + ".json");
@@ -122,15 +122,15 @@
         }
     }
 
-    /** Submits a job to one controller after the other until it is accepted. */
+    /** Submits a job to the controllers in turn until one accepts it. */
     void submit(JobRequest job) throws InterruptedException {
         profiles.put(job.id(), job.profile());
-        int[] next = {0};
+        int[] nextClient = {0};
         await(
                 job.id() + " is accepted",
                 60,
                 () -> {
-                    ControllerClient client = clients.get(next[0]++ % clients.size());
+                    ControllerClient client = clients.get(nextClient[0]++ % clients.size());
                     return call(client, "/v2/runs", job.toBody()).isAccepted();
                 });
     }
@@ -146,18 +146,20 @@
     }
 
     /**
-     * Polls a condition.
+     * Polls a condition until it is true.
      *
-     * @throws IllegalStateException if it does not become true in time
+     * @param description describes the condition in the exception
+     * @throws IllegalStateException if the condition is not true within {@code timeoutS}
      */
-    static void await(String what, double withinS, BooleanSupplier condition)
+    static void await(String description, double timeoutS, BooleanSupplier condition)
             throws InterruptedException {
-        long endMs = ControllerProcess.nowMs() + Math.round(withinS * 1_000);
+        long endMs = ControllerProcess.nowMs() + Math.round(timeoutS * 1_000);
         while (!condition.getAsBoolean()) {
             if (ControllerProcess.nowMs() > endMs) {
-                throw new IllegalStateException("not within " + withinS + " s: " + what);
+                throw new IllegalStateException(
+                        "condition not met within " + timeoutS + " s: " + description);
             }
-            Thread.sleep(POLL_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
     }
 
@@ -170,7 +172,9 @@
         for (ControllerProcess controller : controllers) {
             if (!controller.isAlive()) {
                 throw new IllegalStateException(
-                        controller.host() + " has exited by itself: " + controller.lastLineText());
+                        controller.host()
+                                + " has exited unexpectedly; last log line: "
+                                + controller.lastLineText());
             }
         }
     }
@@ -186,7 +190,7 @@
         }
     }
 
-    /** The controller that last became leader of shard 0; null if none has yet. */
+    /** The controller that became leader last; null if none has become leader yet. */
     ControllerProcess leader() {
         ControllerProcess leader = null;
         long latestMs = Long.MIN_VALUE;
--- a/src/main/java/org/shoreusher/measure/ClusterSettings.java
+++ b/src/main/java/org/shoreusher/measure/ClusterSettings.java
@@ -6,7 +6,7 @@
 
 /** Generates the settings files of a cluster's controllers. */
 final class ClusterSettings {
-    private static final String FORM =
+    private static final String TEMPLATE =
             """
             {"host_name":"%s","zone":"%s","front":"%s","back":"%s","members":[%s],
              "endpoints":{"cloud":"127.0.0.1:%d","state":"127.0.0.1:%d"},
@@ -17,7 +17,7 @@
               "limits":{"sockets":%d},"clock_off_ms":25.0}}\
             """;
 
-    /** Sockets for each machine: a network partition may leave as many again behind. */
+    /** Sockets per machine: one for its worker, and one that a network partition may leave open. */
     private static final double SOCKETS_PER_MACHINE = 2;
 
     private static final int OTHER_SOCKETS = 500;
@@ -27,7 +27,7 @@
     /** The settings of one controller as JSON. */
     static String json(Cluster.Topology topology, String host, Cluster cluster) {
         List<String> zones = topology.offer().zones();
-        return FORM.formatted(
+        return TEMPLATE.formatted(
                 host,
                 zone(topology, host, cluster),
                 cluster.frontAddresses().get(host),
@@ -36,7 +36,7 @@
                 cluster.cloudPort(),
                 cluster.storePort(),
                 topology.controllerCount(),
-                zones.stream().map(z -> '"' + z + '"').collect(Collectors.joining(",")),
+                zones.stream().map(name -> '"' + name + '"').collect(Collectors.joining(",")),
                 teams(topology.teamCpuLimits()),
                 topology.heartbeatIntervalS(),
                 topology.workerLeaseS(),
@@ -51,24 +51,24 @@
 
     private static String members(Cluster.Topology topology, String host, Cluster cluster) {
         return cluster.peerAddresses().entrySet().stream()
-                .filter(e -> !e.getKey().equals(host))
+                .filter(entry -> !entry.getKey().equals(host))
                 .map(
-                        e ->
+                        entry ->
                                 "{\"host_name\":\"%s\",\"zone\":\"%s\",\"peer_addr\":\"%s\"}"
                                         .formatted(
-                                                e.getKey(),
-                                                zone(topology, e.getKey(), cluster),
-                                                e.getValue()))
+                                                entry.getKey(),
+                                                zone(topology, entry.getKey(), cluster),
+                                                entry.getValue()))
                 .collect(Collectors.joining(","));
     }
 
-    private static String teams(Map<String, Double> limits) {
-        return limits.entrySet().stream()
+    private static String teams(Map<String, Double> cpuLimits) {
+        return cpuLimits.entrySet().stream()
                 .map(
-                        e ->
+                        entry ->
                                 ("{\"name\":\"%s\",\"cpus\":0.0,\"cpus_max\":%s,\"gpus\":0.0,"
                                                 + "\"gpus_max\":0.0}")
-                                        .formatted(e.getKey(), e.getValue()))
+                                        .formatted(entry.getKey(), entry.getValue()))
                 .collect(Collectors.joining(","));
     }
 }
--- a/src/main/java/org/shoreusher/measure/ControllerProcess.java
+++ b/src/main/java/org/shoreusher/measure/ControllerProcess.java
@@ -16,12 +16,14 @@
 final class ControllerProcess {
     /** A line of the log; {@code atMs} is {@link System#nanoTime} in ms when it was read. */
     record Line(long atMs, String text) {
-        /** Whether the line shows an event of this type. */
+        /** Whether the line is the log line of an event of this type. */
         boolean isEvent(LogEventType type) {
             return text.contains("event=" + type.eventName() + " ");
         }
     }
 
+    private static final double KB_PER_MB = 1024.0;
+
     private final String host;
     private final List<String> command;
     private final List<Line> lines = new ArrayList<>();
@@ -48,15 +50,16 @@
         reader.start();
     }
 
-    private void read(Process source) {
+    private void read(Process controller) {
         try (BufferedReader reader =
                 new BufferedReader(
-                        new InputStreamReader(source.getInputStream(), StandardCharsets.UTF_8))) {
+                        new InputStreamReader(
+                                controller.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = reader.readLine(); line != null; line = reader.readLine()) {
                 add(new Line(nowMs(), line));
             }
         } catch (IOException e) {
-            add(new Line(nowMs(), "log ended: " + e.getMessage()));
+            add(new Line(nowMs(), "log of " + host + " cannot be read further: " + e.getMessage()));
         }
     }
 
@@ -74,12 +77,12 @@
         process.destroyForcibly();
     }
 
-    /** Whether the process has been started and not exited. */
+    /** Whether the process has been started and has not exited. */
     boolean isAlive() {
         return process != null && process.isAlive();
     }
 
-    /** The last event of one of some types after a point in time. */
+    /** The last event of one of the types after a point in time; empty if there is none. */
     synchronized Optional<Line> lastEvent(long afterMs, LogEventType... types) {
         for (int i = lines.size() - 1; i >= 0 && lines.get(i).atMs() > afterMs; i--) {
             Line line = lines.get(i);
@@ -90,12 +93,12 @@
         return Optional.empty();
     }
 
-    /** How many events of a type have been logged. */
+    /** Number of events of a type that have been logged. */
     synchronized long eventCount(LogEventType type) {
         return lines.stream().filter(line -> line.isEvent(type)).count();
     }
 
-    /** The text of the last line of the log; "no line" if there is none. */
+    /** The text of the last line of the log; "no line" if the log is empty. */
     synchronized String lastLineText() {
         return lines.isEmpty() ? "no line" : lines.get(lines.size() - 1).text();
     }
@@ -114,7 +117,7 @@
         try {
             for (String line : Files.readAllLines(Path.of("/proc/" + process.pid() + "/status"))) {
                 if (line.startsWith(field)) {
-                    return Long.parseLong(line.replaceAll("[^0-9]", "")) / 1024.0;
+                    return Long.parseLong(line.replaceAll("[^0-9]", "")) / KB_PER_MB;
                 }
             }
         } catch (IOException e) {
--- a/src/main/java/org/shoreusher/measure/DoubledTeamLoad.java
+++ b/src/main/java/org/shoreusher/measure/DoubledTeamLoad.java
@@ -11,9 +11,9 @@
 import org.shoreusher.standin.JobProfile;
 
 /**
- * Generates a load in which one team's work doubles: long tasks of that team, which share a few
+ * Generates a load in which one team's demand doubles: long tasks of that team, which share a few
  * images, and short tasks of another team. Inter-arrival times are exponential, job sizes and run
- * times log-normal, and images Zipf-distributed, all from one seed.
+ * times are log-normal, and images are Zipf-distributed, all from one seed.
  */
 final class DoubledTeamLoad {
     /** The team whose load doubles. */
@@ -22,7 +22,7 @@
     /** A team with constant load. */
     static final String OTHER_TEAM = "other";
 
-    /** The class of the jobs whose load doubles. */
+    /** The job class of {@link #DOUBLED_TEAM}. */
     static final String DOUBLED_CLASS = "imposition";
 
     private static final String OTHER_CLASS = "proofs";
@@ -30,10 +30,10 @@
     /** A job, submitted {@code atMs} ms after the start of the load. */
     record Arrival(long atMs, JobRequest job) {}
 
-    /** CPUs of a task. */
+    /** CPUs of a task of either team. */
     static final double TASK_CPUS = 1;
 
-    private static final int IMAGES = 6;
+    private static final int IMAGE_COUNT = 6;
     private static final double IMAGE_EXPONENT = 1.2;
     private static final double IMAGE_GB = 2;
     private static final double TASKS_MEDIAN = 12;
@@ -54,64 +54,68 @@
         random = new Well19937c(seed);
         this.fetchGbPerS = fetchGbPerS;
         tasks = new LogNormalDistribution(random, Math.log(TASKS_MEDIAN), TASKS_SIGMA);
-        images = new ZipfDistribution(random, IMAGES, IMAGE_EXPONENT);
+        images = new ZipfDistribution(random, IMAGE_COUNT, IMAGE_EXPONENT);
     }
 
     /**
-     * All arrivals, ordered by time.
+     * Generates all arrivals, ordered by time. Each call continues the same random sequence.
      *
-     * @param cpus CPUs of all machines; the first team demands a third of them, then two thirds,
+     * @param cpus CPUs of all machines; the doubled team demands a third of them, then two thirds,
      *     and the other team an eighth
-     * @param doublesMs ms after the start at which the first team's load doubles
+     * @param doublingMs ms after the start at which the load of the doubled team doubles
      * @param endMs ms after the start at which arrivals end
      */
-    List<Arrival> arrivals(double cpus, long doublesMs, long endMs) {
+    List<Arrival> arrivals(double cpus, long doublingMs, long endMs) {
         List<Arrival> all = new ArrayList<>();
-        add(all, 0, doublesMs, perSecond(cpus / 3, DOUBLED_RUN_MEDIAN_S), true);
-        add(all, doublesMs, endMs, perSecond(cpus * 2 / 3, DOUBLED_RUN_MEDIAN_S), true);
-        add(all, 0, endMs, perSecond(cpus / 8, OTHER_RUN_MEDIAN_S), false);
+        addArrivals(all, 0, doublingMs, arrivalsPerS(cpus / 3, DOUBLED_RUN_MEDIAN_S), true);
+        addArrivals(all, doublingMs, endMs, arrivalsPerS(cpus * 2 / 3, DOUBLED_RUN_MEDIAN_S), true);
+        addArrivals(all, 0, endMs, arrivalsPerS(cpus / 8, OTHER_RUN_MEDIAN_S), false);
         all.sort((a, b) -> Long.compare(a.atMs, b.atMs));
         return all;
     }
 
-    /** Arrival rate in jobs per s that keeps so many CPUs busy. */
-    private static double perSecond(double cpus, double runS) {
-        return cpus / (TASKS_MEDIAN * TASK_CPUS * runS);
+    /** Arrival rate in jobs per s that keeps the given CPUs busy with jobs of median size. */
+    private static double arrivalsPerS(double cpus, double runTimeS) {
+        return cpus / (TASKS_MEDIAN * TASK_CPUS * runTimeS);
     }
 
-    private void add(
-            List<Arrival> to, long fromMs, long untilMs, double perSecond, boolean doubled) {
-        ExponentialDistribution gapS = new ExponentialDistribution(random, 1 / perSecond);
-        double runMedianS = doubled ? DOUBLED_RUN_MEDIAN_S : OTHER_RUN_MEDIAN_S;
-        LogNormalDistribution runS =
-                new LogNormalDistribution(random, Math.log(runMedianS), RUN_SIGMA);
+    private void addArrivals(
+            List<Arrival> arrivals,
+            long fromMs,
+            long untilMs,
+            double jobsPerS,
+            boolean ofDoubledTeam) {
+        ExponentialDistribution interArrivalS = new ExponentialDistribution(random, 1 / jobsPerS);
+        double medianRunTimeS = ofDoubledTeam ? DOUBLED_RUN_MEDIAN_S : OTHER_RUN_MEDIAN_S;
+        LogNormalDistribution runTimeS =
+                new LogNormalDistribution(random, Math.log(medianRunTimeS), RUN_SIGMA);
         double atMs = fromMs;
         while (atMs < untilMs) {
-            to.add(new Arrival((long) atMs, job(doubled, runS.sample())));
-            atMs += gapS.sample() * 1_000;
+            arrivals.add(new Arrival((long) atMs, job(ofDoubledTeam, runTimeS.sample())));
+            atMs += interArrivalS.sample() * 1_000;
         }
     }
 
-    private JobRequest job(boolean doubled, double runS) {
-        String image = (doubled ? "library-" : "proof-") + images.sample();
+    private JobRequest job(boolean ofDoubledTeam, double runTimeS) {
+        String image = (ofDoubledTeam ? "library-" : "proof-") + images.sample();
         JobProfile profile =
                 new JobProfile(
                         image,
                         IMAGE_GB / fetchGbPerS,
-                        runS,
+                        runTimeS,
                         CHECKPOINT_INTERVAL_S,
                         CHECKPOINT_DURATION_S);
         return new JobRequest(
                 String.format("wk-%06d", nextId++),
-                doubled ? DOUBLED_CLASS : OTHER_CLASS,
-                doubled ? DOUBLED_TEAM : OTHER_TEAM,
+                ofDoubledTeam ? DOUBLED_CLASS : OTHER_CLASS,
+                ofDoubledTeam ? DOUBLED_TEAM : OTHER_TEAM,
                 (int) Math.max(1, Math.round(tasks.sample())),
                 TASK_CPUS,
                 IMAGE_GB,
                 profile);
     }
 
-    /** The CPU quota of each team: all machines. */
+    /** The quota of CPUs of each team: all CPUs, so that no quota limits the load. */
     static Map<String, Double> teamCpuLimits(double cpus) {
         return Map.of(DOUBLED_TEAM, cpus, OTHER_TEAM, cpus);
     }
--- a/src/main/java/org/shoreusher/measure/FailoverMeasurement.java
+++ b/src/main/java/org/shoreusher/measure/FailoverMeasurement.java
@@ -17,40 +17,43 @@
 import org.shoreusher.standin.WorkerStandIn;
 
 /**
- * Measures for how long no task starts when the leader is killed, with the warm standby off and on,
- * and with all machines reachable or a share of them partitioned. Fails if a task ran on two
- * machines at once, a job was not done at the end, a controller exited by itself, or no standby was
- * promoted.
+ * Measures for how long no task starts after the leader is killed, with the warm standby off and
+ * on, and with all machines reachable or a share of them partitioned. Fails if a task ran on two
+ * machines at once, a job did not complete, a controller exited unexpectedly, or no standby was
+ * promoted in sync.
  */
 final class FailoverMeasurement {
     static final Options OPTIONS =
             new Options()
-                    .addOption("m", "machines", true, "machines, default 400")
+                    .addOption("m", "machines", true, "number of machines, default 400")
                     .addOption("k", "kills", true, "kills in each configuration, default 5")
                     .addOption("q", "silent", true, "share of partitioned machines, default 0.1")
                     .addOption("j", "jobs", true, "jobs that run at once, default 20")
-                    .addOption("s", "seed", true, "seed of the random choices, default 1");
+                    .addOption("s", "seed", true, "random seed, default 1");
 
     private static final int CONTROLLERS = 3;
     private static final int MAX_MACHINES = 4_000;
     private static final int MAX_KILLS = 1_000;
     private static final int MAX_JOBS = 1_000;
     private static final double MAX_PARTITIONED_SHARE = 0.5;
-    private static final double CPUS = 4;
+    private static final double CPUS_PER_MACHINE = 4;
 
-    /** The team's quota as a share of all CPUs; its use is always at that limit. */
+    /** The team's quota as a share of all CPUs; the load always uses up the quota. */
     private static final double QUOTA_SHARE = 0.85;
 
     private static final double HEARTBEAT_INTERVAL_S = 5;
     private static final double WORKER_LEASE_S = 26.5;
 
-    /** Completed tasks are replaced with the next heartbeat, so a few are always missing. */
+    /**
+     * The share of the expected tasks that must run. A completed task is replaced only after the
+     * next heartbeat, so a few are always missing.
+     */
     private static final double PLACED_SHARE = 0.95;
 
-    /** ms; within the workers' leases, so that the partition alone loses no task. */
+    /** ms; shorter than the workers' leases, so that the partition alone ends no task. */
     private static final long PARTITION_MS = 20_000;
 
-    /** ms until workers have reconnected after a partition. */
+    /** ms after a partition until the workers have reconnected. */
     private static final long RECONNECT_MS = 2_000;
 
     private static final long WARM_UP_MS = 15_000;
@@ -59,12 +62,12 @@
     private static final String IN_SYNC = "in_sync";
 
     /**
-     * What a run of the program varies.
+     * The parameters of one cluster that is measured.
      *
      * @param machines machines of the cluster
-     * @param kills how often the leader is killed
+     * @param kills number of times that the leader is killed
      * @param concurrentJobs jobs that run at once
-     * @param seed seed of the random choices
+     * @param seed seed of all random choices
      * @param standby whether the warm standby is on
      * @param partitionedShare share of the machines that are partitioned at each kill
      */
@@ -76,14 +79,14 @@
             boolean standby,
             double partitionedShare) {
         double quotaCpus() {
-            return machines * CPUS * QUOTA_SHARE;
+            return machines * CPUS_PER_MACHINE * QUOTA_SHARE;
         }
 
         Cluster.Topology topology(Path featuresFile) {
             return new Cluster.Topology(
                     CONTROLLERS,
                     machines,
-                    new CloudStandIn.MachineOffer(CPUS, 8, 1, List.of("a", "b")),
+                    new CloudStandIn.MachineOffer(CPUS_PER_MACHINE, 8, 1, List.of("a", "b")),
                     Map.of("team", quotaCpus()),
                     HEARTBEAT_INTERVAL_S,
                     WORKER_LEASE_S,
@@ -106,7 +109,7 @@
                         cluster, random, configuration.quotaCpus(), configuration.concurrentJobs());
     }
 
-    /** Runs all configurations, one after the other. */
+    /** Measures all configurations one after the other, and prints the results of each. */
     static void run(CommandLine line) throws Exception {
         int machines = Measurements.integer(line, "machines", 4, MAX_MACHINES, 400);
         int kills = Measurements.integer(line, "kills", 1, MAX_KILLS, 5);
@@ -129,8 +132,8 @@
 
     private void measure() throws Exception {
         cluster.start();
-        settle(Long.MIN_VALUE);
-        // The first tasks all start together; later ones are spread over time.
+        awaitQuotaAndSync(Long.MIN_VALUE);
+        // The first tasks start at the same time; after the warm-up, starts are spread over time.
         load.sustain(WARM_UP_MS);
         printSteadyState();
         for (int i = 0; i < configuration.kills(); i++) {
@@ -142,8 +145,8 @@
         check();
     }
 
-    /** Waits until the team is at its quota and, with the feature on, the standby is in sync. */
-    private void settle(long sinceMs) throws InterruptedException {
+    /** Waits until the team is at its quota and, with the standby on, the standby is in sync. */
+    private void awaitQuotaAndSync(long sinceMs) throws InterruptedException {
         load.sustainUntil(
                 "the team is at its quota",
                 () ->
@@ -163,8 +166,6 @@
                 .isPresent();
     }
 
-    // ---- failovers ---------------------------------------------------------------------------
-
     private void killLeader() throws Exception {
         Thread.sleep(random.nextInt(MAX_DELAY_BEFORE_KILL_MS));
         load.refill();
@@ -189,10 +190,10 @@
                 placedMs - failoverMs,
                 outcome(successor, killedMs));
         killed.start();
-        settle(failoverMs);
+        awaitQuotaAndSync(failoverMs);
         long reconnectedMs = killedMs + PARTITION_MS + RECONNECT_MS;
         Thread.sleep(Math.max(0, reconnectedMs - ControllerProcess.nowMs()));
-        settle(failoverMs);
+        awaitQuotaAndSync(failoverMs);
     }
 
     /** Partitions a share of the machines from the controllers; returns their names. */
@@ -209,7 +210,7 @@
         return partitioned;
     }
 
-    /** Running tasks on reachable machines, which are the ones that a new leader can place. */
+    /** Number of running tasks on reachable machines; only these can be placed by a new leader. */
     private int runningOnReachable(Set<String> partitioned) {
         return cluster.history().runningCountOn(machine -> !partitioned.contains(machine));
     }
@@ -224,17 +225,15 @@
                 .orElse("off");
     }
 
-    // ---- costs and checks --------------------------------------------------------------------
-
     /** Prints memory and CPU use of the controllers while nothing fails. */
     private void printSteadyState() throws InterruptedException {
         List<ControllerProcess> controllers = cluster.controllers();
         List<Double> cpuTimesBeforeS =
                 controllers.stream().map(ControllerProcess::cpuTimeS).toList();
         int startsBefore = cluster.history().startCount();
-        long beganMs = ControllerProcess.nowMs();
+        long startMs = ControllerProcess.nowMs();
         load.sustain(STEADY_STATE_MS);
-        double seconds = (ControllerProcess.nowMs() - beganMs) / 1000.0;
+        double seconds = (ControllerProcess.nowMs() - startMs) / 1000.0;
         print(
                 "%d machines, %d tasks, standby %s: %.1f starts per s without failure",
                 configuration.machines(),
@@ -278,10 +277,16 @@
         int completed = cluster.history().completedCount();
         if (completed != load.submittedTasks()) {
             throw new IllegalStateException(
-                    completed + " tasks of " + load.submittedTasks() + " have completed");
+                    "only "
+                            + completed
+                            + " of "
+                            + load.submittedTasks()
+                            + " submitted tasks have completed");
         }
         if (configuration.standby() && figures.count(IN_SYNC) == 0) {
-            throw new IllegalStateException("no standby was promoted in sync");
+            throw new IllegalStateException(
+                    "no standby was in sync when it was promoted; the outcome must be in_sync at"
+                            + " least once");
         }
     }
 }
--- a/src/main/java/org/shoreusher/measure/FleetMeasurement.java
+++ b/src/main/java/org/shoreusher/measure/FleetMeasurement.java
@@ -18,14 +18,15 @@
 final class FleetMeasurement {
     static final Options OPTIONS =
             new Options()
-                    .addOption("m", "machines", true, "machines, default 4000")
+                    .addOption("m", "machines", true, "number of machines, default 4000")
                     .addOption("t", "tasks", true, "tasks on each machine, default 1");
 
+    private static final int CONTROLLERS = 3;
     private static final int MAX_MACHINES = 4_000;
     private static final int MAX_TASKS_PER_MACHINE = 100;
     private static final int TASKS_PER_JOB = 500;
     private static final int FAILOVERS = 2;
-    private static final double CPUS = 4;
+    private static final double CPUS_PER_MACHINE = 4;
     private static final double RUN_TIME_S = 3_600;
     private static final double HEARTBEAT_INTERVAL_S = 5;
     private static final double WORKER_LEASE_S = 26.5;
@@ -35,7 +36,7 @@
 
     private FleetMeasurement() {}
 
-    /** Runs the measurement. */
+    /** Runs the measurement with the options of a command line, and prints its results. */
     static void run(CommandLine line) throws Exception {
         measure(
                 Measurements.integer(line, "machines", 1, MAX_MACHINES, MAX_MACHINES),
@@ -46,21 +47,25 @@
         int tasks = machines * tasksPerMachine;
         Cluster.Topology topology =
                 new Cluster.Topology(
-                        3,
+                        CONTROLLERS,
                         machines,
-                        new CloudStandIn.MachineOffer(CPUS, 8, 1, List.of("a", "b")),
-                        Map.of("team", machines * CPUS),
+                        new CloudStandIn.MachineOffer(CPUS_PER_MACHINE, 8, 1, List.of("a", "b")),
+                        Map.of("team", machines * CPUS_PER_MACHINE),
                         HEARTBEAT_INTERVAL_S,
                         WORKER_LEASE_S,
                         null);
         try (Cluster cluster = new Cluster(topology)) {
             cluster.start();
-            long beganMs = ControllerProcess.nowMs();
-            for (int first = 0; first < tasks; first += TASKS_PER_JOB) {
-                cluster.submit(job(first, Math.min(TASKS_PER_JOB, tasks - first), tasksPerMachine));
+            long startMs = ControllerProcess.nowMs();
+            for (int firstTask = 0; firstTask < tasks; firstTask += TASKS_PER_JOB) {
+                cluster.submit(
+                        job(
+                                firstTask,
+                                Math.min(TASKS_PER_JOB, tasks - firstTask),
+                                tasksPerMachine));
             }
             awaitAll(cluster, tasks);
-            print("%d machines, %d tasks run after %.1f s", machines, tasks, sinceS(beganMs));
+            print("%d machines, %d tasks run after %.1f s", machines, tasks, sinceS(startMs));
             printSteadyState(cluster);
             for (int i = 0; i < FAILOVERS; i++) {
                 failOver(cluster, tasks);
@@ -71,24 +76,24 @@
         }
     }
 
-    private static JobRequest job(int first, int tasks, int tasksPerMachine) {
-        String id = String.format("wk-%06d", first + 1);
+    private static JobRequest job(int firstTask, int tasks, int tasksPerMachine) {
+        String id = String.format("wk-%06d", firstTask + 1);
         return new JobRequest(
                 id,
                 "c",
                 "team",
                 tasks,
-                CPUS / tasksPerMachine,
+                CPUS_PER_MACHINE / tasksPerMachine,
                 0.1,
                 new JobProfile("image", 0.1, RUN_TIME_S, 0, 0));
     }
 
-    /** Prints memory and CPU use of each controller while nothing changes. */
+    /** Prints memory use of each controller, and CPU use of the leader, while nothing changes. */
     private static void printSteadyState(Cluster cluster) throws InterruptedException {
         ControllerProcess leader = cluster.leader();
-        double before = leader.cpuTimeS();
+        double cpuTimeBeforeS = leader.cpuTimeS();
         Thread.sleep(STEADY_STATE_MS);
-        double share = (leader.cpuTimeS() - before) * 1_000 / STEADY_STATE_MS;
+        double cpuShare = (leader.cpuTimeS() - cpuTimeBeforeS) * 1_000 / STEADY_STATE_MS;
         for (ControllerProcess controller : cluster.controllers()) {
             print(
                     "%s%s: %.0f MB resident, %.0f MB at peak; %s",
@@ -101,7 +106,7 @@
                             .map(line -> line.text().replaceAll(".*event=process_status ", ""))
                             .orElse(""));
         }
-        print("CPU use of the leader: %.2f of a core", share);
+        print("CPU use of the leader: %.2f of a core", cpuShare);
     }
 
     /** Kills the leader, waits for failover and reconciliation, and restarts the killed process. */
@@ -140,7 +145,7 @@
                 "all tasks run", START_TIMEOUT_S, () -> cluster.history().runningCount() == tasks);
     }
 
-    private static double sinceS(long beganMs) {
-        return (ControllerProcess.nowMs() - beganMs) / 1000.0;
+    private static double sinceS(long startMs) {
+        return (ControllerProcess.nowMs() - startMs) / 1000.0;
     }
 }
--- a/src/main/java/org/shoreusher/measure/JobRequest.java
+++ b/src/main/java/org/shoreusher/measure/JobRequest.java
@@ -4,7 +4,14 @@
 import java.util.Map;
 import org.shoreusher.standin.JobProfile;
 
-/** A batch job that a measurement submits, and how its tasks behave. */
+/**
+ * A batch job that a measurement submits.
+ *
+ * @param taskCount number of its tasks
+ * @param cpus CPUs of a task
+ * @param imageGb size of the tasks' image
+ * @param profile how its tasks behave
+ */
 record JobRequest(
         String id,
         String jobClass,
--- a/src/main/java/org/shoreusher/measure/LoadSkewSampler.java
+++ b/src/main/java/org/shoreusher/measure/LoadSkewSampler.java
@@ -7,35 +7,37 @@
 import org.shoreusher.standin.CloudStandIn;
 import org.shoreusher.standin.WorkerStandIn;
 
-/** Samples the spread of one team over time, as measured on the stand-ins. */
+/** Samples the skew of one team over time, computed from the tasks on the stand-in workers. */
 final class LoadSkewSampler {
-    private static final double THOUSAND = 1_000;
-    private static final int DIGITS = 2;
+    private static final double SKEW_SCALE = 1_000;
+    private static final double MS_PER_S = 1_000;
+    private static final int SIGNIFICANT_DIGITS = 2;
 
     private final String team;
     private final double margin;
     private final double bound;
-    private final Histogram shares = new Histogram((long) THOUSAND, DIGITS);
-    private final Stretch aboveBound = new Stretch();
-    private final Stretch avoidable = new Stretch();
+    private final Histogram skews = new Histogram((long) SKEW_SCALE, SIGNIFICANT_DIGITS);
+    private final LongestPeriod aboveBound = new LongestPeriod();
+    private final LongestPeriod aboveBoundAvoidably = new LongestPeriod();
     private double latest;
 
     /** The longest uninterrupted time for which a condition has been true. */
-    private static final class Stretch {
+    private static final class LongestPeriod {
         private long sinceMs = -1;
         private long longestMs;
 
-        void sample(boolean so, long nowMs) {
-            sinceMs = !so ? -1 : sinceMs < 0 ? nowMs : sinceMs;
-            longestMs = so ? Math.max(longestMs, nowMs - sinceMs) : longestMs;
+        void sample(boolean holds, long nowMs) {
+            sinceMs = !holds ? -1 : sinceMs < 0 ? nowMs : sinceMs;
+            longestMs = holds ? Math.max(longestMs, nowMs - sinceMs) : longestMs;
         }
     }
 
     /**
      * A sampler without samples.
      *
-     * @param margin the margin of the spread
-     * @param bound the spread above which tasks are migrated
+     * @param team the team whose skew is sampled
+     * @param margin share of a machine's CPUs by which the team may exceed its mean share there
+     * @param bound the skew above which the balancer migrates tasks
      */
     LoadSkewSampler(String team, double margin, double bound) {
         this.team = team;
@@ -43,7 +45,7 @@
         this.bound = bound;
     }
 
-    /** Samples all machines; {@code jobs} are the jobs by id. */
+    /** Adds a sample of all machines; {@code jobs} are the jobs of all tasks, by id. */
     void sample(CloudStandIn machines, Map<String, JobRequest> jobs) {
         LoadModel load = new LoadModel();
         double machineCpus = machines.offer().cpus();
@@ -58,49 +60,50 @@
             }
         }
         latest = load.skew(team);
-        shares.recordValue(Math.round(Math.min(1, latest) * THOUSAND));
+        skews.recordValue(Math.round(Math.min(1, latest) * SKEW_SCALE));
         long nowMs = ControllerProcess.nowMs();
         aboveBound.sample(latest > bound, nowMs);
-        double most = (load.meanShare(team) + margin) * machineCpus - DoubledTeamLoad.TASK_CPUS;
+        double maxTeamCpus =
+                (load.meanShare(team) + margin) * machineCpus - DoubledTeamLoad.TASK_CPUS;
         boolean hasFreeCapacity =
                 machines.workers().stream()
                         .map(worker -> worker.identity().id())
                         .anyMatch(
                                 id ->
-                                        load.teamCpusOn(id, team) <= most
+                                        load.teamCpusOn(id, team) <= maxTeamCpus
                                                 && used.getOrDefault(id, 0.0)
                                                         <= machineCpus - DoubledTeamLoad.TASK_CPUS);
-        avoidable.sample(latest > bound && hasFreeCapacity, nowMs);
+        aboveBoundAvoidably.sample(latest > bound && hasFreeCapacity, nowMs);
     }
 
-    /** The spread of the latest sample. */
+    /** The skew in the latest sample; 0 before the first. */
     double latest() {
         return latest;
     }
 
-    /** The spread above which tasks are migrated. */
+    /** The skew above which the balancer migrates tasks. */
     double bound() {
         return bound;
     }
 
     /**
-     * The longest uninterrupted time in ms for which the spread was above its bound although some
+     * The longest uninterrupted time in ms for which the skew was above its bound although some
      * machine had free capacity for one more task within the margin.
      */
     long longestAvoidableMs() {
-        return avoidable.longestMs;
+        return aboveBoundAvoidably.longestMs;
     }
 
     @Override
     public String toString() {
-        return ("median %.2f, 90%% %.2f, most %.2f; above %.2f for %.0f s at a stretch at most,"
-                        + " with free capacity elsewhere for %.0f s")
+        return ("median %.2f, 90%% %.2f, max %.2f; longest time above %.2f: %.0f s, with free"
+                        + " capacity elsewhere: %.0f s")
                 .formatted(
-                        shares.getValueAtPercentile(50) / THOUSAND,
-                        shares.getValueAtPercentile(90) / THOUSAND,
-                        shares.getMaxValue() / THOUSAND,
+                        skews.getValueAtPercentile(50) / SKEW_SCALE,
+                        skews.getValueAtPercentile(90) / SKEW_SCALE,
+                        skews.getMaxValue() / SKEW_SCALE,
                         bound,
-                        aboveBound.longestMs / THOUSAND,
-                        avoidable.longestMs / THOUSAND);
+                        aboveBound.longestMs / MS_PER_S,
+                        aboveBoundAvoidably.longestMs / MS_PER_S);
     }
 }
--- a/src/main/java/org/shoreusher/measure/MeasurementOutput.java
+++ b/src/main/java/org/shoreusher/measure/MeasurementOutput.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** Prints the results of measurements. */
+/** Prints the results of measurements to standard output. */
 final class MeasurementOutput {
     private MeasurementOutput() {}
 
--- a/src/main/java/org/shoreusher/measure/Measurements.java
+++ b/src/main/java/org/shoreusher/measure/Measurements.java
@@ -7,66 +7,75 @@
 import org.apache.commons.cli.ParseException;
 
 /**
- * The subcommand {@code measure}. Each measurement runs complete controllers on loopback, with the
- * command line of the deploy file and from the repository's root, and takes minutes.
+ * The subcommand {@code measure}. Each measurement runs complete controllers on loopback with the
+ * command line of {@code deploy/service.toml}. It must be started in the root of the repository,
+ * and takes minutes.
  */
 public final class Measurements {
-    private static final int FAILED = 1;
-    private static final int USAGE = 2;
+    private static final int EXIT_FAILURE = 1;
+    private static final int EXIT_USAGE_ERROR = 2;
 
     /** The help text of the subcommand. */
     public static final String HELP =
             """
-            usage: shoreusher measure NAME [options], from the repository's root, after a build
+            usage: shoreusher measure NAME [options], in the root of the repository, after a build
               takeover  --machines N --kills K --silent SHARE --jobs N --seed S
-                        time without starts when leaders are killed, with and without standby
+                        time without task starts after a leader is killed,
+                        with and without standby
               fleet     --machines N --tasks N
-                        memory, CPU use and failovers with thousands of workers
+                        memory, CPU use and failover with thousands of workers
               balance   --machines N --seed S --seconds N --on
-                        the balancer while one team's load doubles
-            Exits with 1 when something that must not happen did.\
+                        skew, waits and repeated work while one team's load doubles;
+                        --on turns the balancer on
+            Exit codes: 0 success, 1 invalid value or failed measurement, 2 usage error.\
             """;
 
     private Measurements() {}
 
-    /** Runs the measurement that the first word names, and returns the exit code. */
-    public static int run(String[] words) throws Exception {
-        if (words.length == 0 || words[0].equals("--help") || words[0].equals("-h")) {
+    /**
+     * Runs the measurement that the first argument names.
+     *
+     * @return the exit code: 0 after success, 1 if an option has an invalid value or the
+     *     measurement failed, 2 if the measurement or an option is unknown
+     */
+    public static int run(String[] args) throws Exception {
+        if (args.length == 0 || args[0].equals("--help") || args[0].equals("-h")) {
             System.out.println(HELP);
-            return words.length == 0 ? USAGE : 0;
+            return args.length == 0 ? EXIT_USAGE_ERROR : 0;
         }
-        String[] rest = Arrays.copyOfRange(words, 1, words.length);
+        String[] options = Arrays.copyOfRange(args, 1, args.length);
         try {
-            switch (words[0]) {
+            switch (args[0]) {
                 case "takeover" ->
-                        FailoverMeasurement.run(parse(FailoverMeasurement.OPTIONS, rest));
-                case "fleet" -> FleetMeasurement.run(parse(FleetMeasurement.OPTIONS, rest));
-                case "balance" -> BalanceMeasurement.run(parse(BalanceMeasurement.OPTIONS, rest));
+                        FailoverMeasurement.run(parse(FailoverMeasurement.OPTIONS, options));
+                case "fleet" -> FleetMeasurement.run(parse(FleetMeasurement.OPTIONS, options));
+                case "balance" ->
+                        BalanceMeasurement.run(parse(BalanceMeasurement.OPTIONS, options));
                 default -> {
                     System.err.println(
-                            "shoreusher: no measurement "
-                                    + words[0]
-                                    + "; allowed are takeover, fleet, balance");
-                    return USAGE;
+                            "shoreusher: unknown measurement '"
+                                    + args[0]
+                                    + "'; allowed are takeover, fleet and balance");
+                    return EXIT_USAGE_ERROR;
                 }
             }
         } catch (ParseException e) {
-            System.err.println("shoreusher: " + e.getMessage() + "; see measure --help");
-            return USAGE;
+            System.err.println("shoreusher: " + e.getMessage() + "; see shoreusher measure --help");
+            return EXIT_USAGE_ERROR;
         } catch (InvalidOptionException e) {
             System.err.println("shoreusher: " + e.getMessage());
-            return FAILED;
+            return EXIT_FAILURE;
         } catch (IllegalStateException e) {
             System.err.println("measurement failed: " + e.getMessage());
-            return FAILED;
+            return EXIT_FAILURE;
         }
         return 0;
     }
 
-    private static CommandLine parse(Options options, String[] words) throws ParseException {
-        CommandLine line = new DefaultParser().parse(options, words);
+    private static CommandLine parse(Options options, String[] args) throws ParseException {
+        CommandLine line = new DefaultParser().parse(options, args);
         if (!line.getArgList().isEmpty()) {
-            throw new ParseException("unexpected: " + line.getArgList().get(0));
+            throw new ParseException("unexpected argument '" + line.getArgList().get(0) + "'");
         }
         return line;
     }
@@ -85,7 +94,16 @@
             throws InvalidOptionException {
         double value = number(line, option, minimum, maximum, defaultValue);
         if (value != Math.rint(value)) {
-            throw new InvalidOptionException("--" + option + " must be a whole number");
+            throw new InvalidOptionException(
+                    "--"
+                            + option
+                            + " must be a whole number from "
+                            + minimum
+                            + " to "
+                            + maximum
+                            + "; found '"
+                            + line.getOptionValue(option)
+                            + "'");
         }
         return (int) value;
     }
@@ -94,23 +112,31 @@
     static double number(
             CommandLine line, String option, double minimum, double maximum, double defaultValue)
             throws InvalidOptionException {
-        String text = line.getOptionValue(option);
-        if (text == null) {
+        String argument = line.getOptionValue(option);
+        if (argument == null) {
             return defaultValue;
         }
         try {
-            double value = Double.parseDouble(text);
+            double value = Double.parseDouble(argument);
             if (value >= minimum && value <= maximum) {
                 return value;
             }
         } catch (NumberFormatException e) {
-            // Reported below, like a number out of bounds.
+            // The exception below reports it, as it does a number out of bounds.
         }
         throw new InvalidOptionException(
-                "--" + option + " must be a number from " + text(minimum) + " to " + text(maximum));
+                "--"
+                        + option
+                        + " must be a number from "
+                        + formatBound(minimum)
+                        + " to "
+                        + formatBound(maximum)
+                        + "; found '"
+                        + argument
+                        + "'");
     }
 
-    private static String text(double bound) {
+    private static String formatBound(double bound) {
         return bound == Math.rint(bound) ? String.valueOf((long) bound) : String.valueOf(bound);
     }
 }
--- a/src/main/java/org/shoreusher/measure/RunCommand.java
+++ b/src/main/java/org/shoreusher/measure/RunCommand.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.shoreusher.wire.FieldMap;
 
-/** The command line of the controllers, from the deploy file. */
+/** The command line of the controllers, as the deploy file states it. */
 final class RunCommand {
     private static final Path DEPLOY_FILE = Path.of("deploy/service.toml");
     private static final String FEATURES_FLAG = "--features";
@@ -15,9 +15,10 @@
     private RunCommand() {}
 
     /**
-     * The words of the command line, without the settings file at the end.
+     * The words of the command line; the settings file has to be appended.
      *
-     * @param features features file instead of the deploy file's; null for none
+     * @param features features file that replaces the one of the deploy file; null for none
+     * @throws IOException if the deploy file is unreadable or has no command line
      */
     static List<String> readWords(Path features) throws IOException {
         String line;
@@ -27,10 +28,10 @@
             throw new IOException(DEPLOY_FILE + ": " + e.getMessage());
         }
         List<String> words = new ArrayList<>(List.of(line.split(" ")));
-        int flag = words.indexOf(FEATURES_FLAG);
-        if (flag >= 0) {
-            words.remove(flag + 1);
-            words.remove(flag);
+        int flagIndex = words.indexOf(FEATURES_FLAG);
+        if (flagIndex >= 0) {
+            words.remove(flagIndex + 1);
+            words.remove(flagIndex);
         }
         if (features != null) {
             words.add(words.size() - 1, FEATURES_FLAG);
--- a/src/main/java/org/shoreusher/measure/SustainedLoad.java
+++ b/src/main/java/org/shoreusher/measure/SustainedLoad.java
@@ -6,18 +6,18 @@
 import java.util.function.BooleanSupplier;
 import org.shoreusher.standin.JobProfile;
 
-/** Keeps a cluster at its quota, with a backlog of pending tasks, by submitting jobs. */
+/** Submits jobs so that a team is always at its quota and has a backlog of pending tasks. */
 final class SustainedLoad {
     private static final double TASK_CPUS = 2;
     private static final double RUN_TIME_S = 12;
     private static final double IMAGE_GB = 0.1;
     private static final double IMAGE_FETCH_S = 0.1;
 
-    /** Pending tasks, as a share of the running ones. */
+    /** Number of pending tasks, as a share of the running tasks at the quota. */
     private static final double BACKLOG_SHARE = 0.6;
 
     private static final double TIMEOUT_S = 180;
-    private static final long POLL_MS = 20;
+    private static final long POLL_INTERVAL_MS = 20;
 
     private final Cluster cluster;
     private final Random random;
@@ -30,8 +30,8 @@
      * A load without jobs.
      *
      * @param quotaCpus CPUs that tasks may use at once
-     * @param concurrentJobs jobs that run at once; with few, nearly all tasks are below a
-     *     high-water mark
+     * @param concurrentJobs number of jobs that run at once; if it is small, nearly all tasks are
+     *     below a high-water mark
      */
     SustainedLoad(Cluster cluster, Random random, double quotaCpus, int concurrentJobs) {
         this.cluster = cluster;
@@ -40,7 +40,7 @@
         tasksPerJob = Math.max(1, maxRunningTasks / concurrentJobs);
     }
 
-    /** Tasks that run at once at the quota. */
+    /** Number of tasks that run when the team is at its quota. */
     int maxRunningTasks() {
         return maxRunningTasks;
     }
@@ -53,7 +53,7 @@
         return submittedTasks;
     }
 
-    /** Submits jobs until there is a backlog. */
+    /** Submits jobs until the backlog is complete. */
     void refill() throws InterruptedException {
         while (submittedTasks - cluster.history().completedCount()
                 < maxRunningTasks * (1 + BACKLOG_SHARE)) {
@@ -76,32 +76,34 @@
                 new JobProfile("image", IMAGE_FETCH_S, runTimeS, 0, 0));
     }
 
-    /** Keeps up the backlog for a time. */
+    /** Maintains the backlog for a duration. */
     void sustain(long durationMs) throws InterruptedException {
         long endMs = ControllerProcess.nowMs() + durationMs;
         while (ControllerProcess.nowMs() < endMs) {
             refill();
-            Thread.sleep(POLL_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
     }
 
     /**
-     * Polls a condition and keeps up the backlog meanwhile.
+     * Polls a condition until it is true, and maintains the backlog meanwhile.
      *
-     * @throws IllegalStateException if it does not become true in time
+     * @param description describes the condition in the exception
+     * @throws IllegalStateException if the condition is not true in time
      */
-    void sustainUntil(String what, BooleanSupplier condition) throws InterruptedException {
+    void sustainUntil(String description, BooleanSupplier condition) throws InterruptedException {
         long endMs = ControllerProcess.nowMs() + Math.round(TIMEOUT_S * 1_000);
         while (!condition.getAsBoolean()) {
             refill();
             if (ControllerProcess.nowMs() > endMs) {
-                throw new IllegalStateException("not within " + TIMEOUT_S + " s: " + what);
+                throw new IllegalStateException(
+                        "condition not met within " + TIMEOUT_S + " s: " + description);
             }
-            Thread.sleep(POLL_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
     }
 
-    /** Waits until every job is done. */
+    /** Waits until every submitted job is done; submits no more. */
     void drain() throws InterruptedException {
         for (JobRequest job : jobs) {
             Cluster.await(job.id() + " is done", TIMEOUT_S, () -> cluster.isDone(job.id()));
--- a/src/main/java/org/shoreusher/measure/TemporaryFeaturesFile.java
+++ b/src/main/java/org/shoreusher/measure/TemporaryFeaturesFile.java
@@ -4,7 +4,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** A features file that enables one feature, until it is closed. */
+/** A features file that enables one feature; closing it deletes the file. */
 final class TemporaryFeaturesFile implements AutoCloseable {
     private final Path path;
 
@@ -12,10 +12,10 @@
         this.path = path;
     }
 
-    /** Writes a file that enables the feature with this section name, with its defaults. */
-    static TemporaryFeaturesFile enabling(String feature) throws IOException {
+    /** Writes a file that enables the feature of a section with its default settings. */
+    static TemporaryFeaturesFile enabling(String section) throws IOException {
         Path path = Files.createTempFile("features", ".toml");
-        Files.writeString(path, "[" + feature + "]\nenabled = true\n");
+        Files.writeString(path, "[" + section + "]\nenabled = true\n");
         return new TemporaryFeaturesFile(path);
     }
 
--- a/src/test/java/org/shoreusher/measure/MeasurementsTest.java
+++ b/src/test/java/org/shoreusher/measure/MeasurementsTest.java
@@ -8,31 +8,32 @@
 import org.apache.commons.cli.DefaultParser;
 import org.shoreusher.measure.Measurements.InvalidOptionException;
 
-/** The options of the measurements; the measurements themselves take minutes. */
+/** The options of the measurements. The measurements are not run here, since they take minutes. */
 class MeasurementsTest {
-    private static CommandLine parse(String... words) throws Exception {
-        return new DefaultParser().parse(FailoverMeasurement.OPTIONS, words);
+    private static CommandLine parse(String... args) throws Exception {
+        return new DefaultParser().parse(FailoverMeasurement.OPTIONS, args);
     }
 
     @Example
     void namesOptionsOutOfBoundsWithTheAllowedRange() throws Exception {
-        CommandLine line = parse("--machines", "5000", "--silent", "much", "--kills", "2.5");
+        CommandLine commandLine = parse("--machines", "5000", "--silent", "much", "--kills", "2.5");
         InvalidOptionException machines =
                 assertThrows(
                         InvalidOptionException.class,
-                        () -> Measurements.integer(line, "machines", 4, 4_000, 400));
-        assertEquals("--machines must be a number from 4 to 4000", machines.getMessage());
+                        () -> Measurements.integer(commandLine, "machines", 4, 4_000, 400));
+        assertEquals(
+                "--machines must be a number from 4 to 4000; found '5000'", machines.getMessage());
         InvalidOptionException silent =
                 assertThrows(
                         InvalidOptionException.class,
-                        () -> Measurements.number(line, "silent", 0, 0.5, 0.1));
-        assertEquals("--silent must be a number from 0 to 0.5", silent.getMessage());
+                        () -> Measurements.number(commandLine, "silent", 0, 0.5, 0.1));
+        assertEquals("--silent must be a number from 0 to 0.5; found 'much'", silent.getMessage());
         InvalidOptionException kills =
                 assertThrows(
                         InvalidOptionException.class,
-                        () -> Measurements.integer(line, "kills", 1, 9, 5));
-        assertEquals("--kills must be a whole number", kills.getMessage());
-        assertEquals(7, Measurements.integer(line, "seed", 0, 9, 7));
+                        () -> Measurements.integer(commandLine, "kills", 1, 9, 5));
+        assertEquals("--kills must be a whole number from 1 to 9; found '2.5'", kills.getMessage());
+        assertEquals(7, Measurements.integer(commandLine, "seed", 0, 9, 7));
     }
 
     @Example
