--- a/src/main/java/org/shoreusher/standin/CloudStandIn.java
+++ b/src/main/java/org/shoreusher/standin/CloudStandIn.java
@@ -11,48 +11,52 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * An in-memory cloud with one type of machine. A worker runs on each machine as soon as it is
- * provisioned. Thread-safe.
+ * An in-memory cloud with one machine type. A worker starts on each machine as soon as the machine
+ * is provisioned. Thread-safe.
  */
 public final class CloudStandIn {
     private static final String TYPE = "p";
-    private static final String FIRST_MACHINE = "";
+    private static final String BEFORE_FIRST_MACHINE = "";
 
-    /** Properties of the machine type and the zones in which it is available. */
+    /** Properties of a machine of the type, and the zones in which the type is available. */
     public record MachineOffer(
             double cpus, double memoryGb, double fetchGbPerS, List<String> zones) {}
 
     /** The workers by machine name. */
     private final TreeMap<String, WorkerStandIn> machines = new TreeMap<>();
 
-    private final TreeMap<String, List<Object>> provisions = new TreeMap<>();
+    private final TreeMap<String, List<Object>> machinesByRequest = new TreeMap<>();
     private final MachineOffer offer;
     private final int capacity;
-    private final Function<WorkerStandIn.Identity, WorkerStandIn> workers;
-    private int provisionedCount;
+    private final Function<WorkerStandIn.Identity, WorkerStandIn> workerFactory;
+    private int machinesProvisioned;
 
     /**
      * A cloud without machines.
      *
-     * @param offer properties of its machines
-     * @param capacity machines that exist at once at most
-     * @param workers starts the worker of a new machine
+     * @param offer properties of the machine type
+     * @param capacity largest number of machines that exist at once
+     * @param workerFactory starts the worker of a new machine
      */
     public CloudStandIn(
             MachineOffer offer,
             int capacity,
-            Function<WorkerStandIn.Identity, WorkerStandIn> workers) {
+            Function<WorkerStandIn.Identity, WorkerStandIn> workerFactory) {
         this.offer = offer;
         this.capacity = capacity;
-        this.workers = workers;
+        this.workerFactory = workerFactory;
     }
 
-    /** Properties of the machine type. */
+    /** Properties of the machine type, and its zones. */
     public MachineOffer offer() {
         return offer;
     }
 
-    /** Handles a request of a controller. */
+    /**
+     * Handles a request of a controller.
+     *
+     * @throws FieldMap.InvalidFieldException if a field of the request is missing or invalid
+     */
     public synchronized Response handle(Request request) throws FieldMap.InvalidFieldException {
         return switch (request.requestLine()) {
             case "GET /flavors" -> Response.ok(Map.of("presses", List.of(type())));
@@ -77,21 +81,21 @@
 
     private Response provision(FieldMap body) throws FieldMap.InvalidFieldException {
         String name = body.text("hire");
-        if (!provisions.containsKey(name)) {
+        if (!machinesByRequest.containsKey(name)) {
             long count = Math.min(body.integer("number"), capacity - machines.size());
             if (count <= 0) {
                 return new Response(503, Map.of("error", "no capacity"));
             }
-            provisions.put(name, start(count, body.text("yard"), body.flag("loaners")));
+            machinesByRequest.put(name, start(count, body.text("yard"), body.flag("loaners")));
         }
-        return Response.ok(Map.of("boxes", provisions.get(name)));
+        return Response.ok(Map.of("boxes", machinesByRequest.get(name)));
     }
 
     private List<Object> start(long count, String zone, boolean spot) {
         List<Object> names = new ArrayList<>();
         for (long i = 0; i < count; i++) {
-            String id = String.format("host-%06d", ++provisionedCount);
-            machines.put(id, workers.apply(new WorkerStandIn.Identity(id, TYPE, zone, spot)));
+            String id = String.format("host-%06d", ++machinesProvisioned);
+            machines.put(id, workerFactory.apply(new WorkerStandIn.Identity(id, TYPE, zone, spot)));
             names.add(id);
         }
         return names;
@@ -104,7 +108,7 @@
         return Response.ok(Map.of());
     }
 
-    /** Removes a machine at once, with all tasks on it. Ignored if it does not exist. */
+    /** Removes a machine immediately, with all tasks on it. Unknown machines are ignored. */
     public synchronized void removeMachine(String id) {
         WorkerStandIn worker = machines.remove(id);
         if (worker != null) {
@@ -132,26 +136,26 @@
     }
 
     private Map<String, Object> page(Map<String, String> query) {
-        String after = query.getOrDefault("after", FIRST_MACHINE);
+        String after = query.getOrDefault("after", BEFORE_FIRST_MACHINE);
         int limit = Integer.parseInt(query.getOrDefault("most", "500"));
         List<Object> list = new ArrayList<>();
         for (WorkerStandIn worker : machines.tailMap(after, false).values()) {
             if (list.size() == limit) {
                 return Map.of("boxes", list, "more", true);
             }
-            list.add(listed(worker.identity()));
+            list.add(listingFields(worker.identity()));
         }
         return Map.of("boxes", list, "more", false);
     }
 
-    private static Map<String, Object> listed(WorkerStandIn.Identity identity) {
-        Map<String, Object> listed = new LinkedHashMap<>();
-        listed.put("name_id", identity.id());
-        listed.put("press", identity.type());
-        listed.put("yard", identity.zone());
-        listed.put("loaners", identity.spot());
-        listed.put("status", "running");
-        listed.put("age_s", 1.0);
-        return listed;
+    private static Map<String, Object> listingFields(WorkerStandIn.Identity identity) {
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put("name_id", identity.id());
+        fields.put("press", identity.type());
+        fields.put("yard", identity.zone());
+        fields.put("loaners", identity.spot());
+        fields.put("status", "running");
+        fields.put("age_s", 1.0);
+        return fields;
     }
 }
--- a/src/main/java/org/shoreusher/standin/ControllerClient.java
+++ b/src/main/java/org/shoreusher/standin/ControllerClient.java
@@ -15,9 +15,9 @@
     private static final long TIMEOUT_MS = 2_000;
     private static final int CREATED = 201;
 
-    /** A response. */
+    /** A response; the body is null if there was none. */
     public record Response(int status, Map<String, Object> body) {
-        /** There was no response. */
+        /** Stands for a response that did not arrive in time. */
         public static final Response NONE = new Response(ReplyStatus.NO_REPLY, null);
 
         /** Whether the request succeeded. */
@@ -25,7 +25,7 @@
             return status == ReplyStatus.OK;
         }
 
-        /** Whether a submitted job has been accepted, now or by an earlier request. */
+        /** Whether a submitted job was accepted, by this request or by an earlier one. */
         public boolean isAccepted() {
             return status == ReplyStatus.OK || status == CREATED;
         }
@@ -39,9 +39,13 @@
         caller = new HttpCaller(group.next(), new Settings.Address("127.0.0.1", port));
     }
 
-    /** Sends a request and waits for the response: a GET if the body is null, else a POST. */
+    /**
+     * Sends a request and waits for the response: a GET if the body is null, else a POST.
+     *
+     * @return {@link Response#NONE} if there is no response in time or the client is closed
+     */
     public Response call(String path, Map<String, Object> body) throws InterruptedException {
-        CompletableFuture<Response> reply = new CompletableFuture<>();
+        CompletableFuture<Response> response = new CompletableFuture<>();
         if (group.isShuttingDown()) {
             return Response.NONE;
         }
@@ -52,10 +56,11 @@
                                         path,
                                         body,
                                         TIMEOUT_MS,
-                                        (status, answer) ->
-                                                reply.complete(new Response(status, answer))));
+                                        (status, responseBody) ->
+                                                response.complete(
+                                                        new Response(status, responseBody))));
         try {
-            return reply.get(2 * TIMEOUT_MS, TimeUnit.MILLISECONDS);
+            return response.get(2 * TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (ExecutionException | TimeoutException e) {
             return Response.NONE;
         }
--- a/src/main/java/org/shoreusher/standin/JobProfile.java
+++ b/src/main/java/org/shoreusher/standin/JobProfile.java
@@ -16,7 +16,7 @@
         double runTimeS,
         double checkpointIntervalS,
         double checkpointDurationS) {
-    /** Tasks that complete at once. */
+    /** Tasks that complete as soon as they have started. */
     public static final JobProfile INSTANT = new JobProfile("", 0, 0, 0, 0);
 
     /** Tasks that run until they are stopped. */
--- a/src/main/java/org/shoreusher/standin/StandInServer.java
+++ b/src/main/java/org/shoreusher/standin/StandInServer.java
@@ -13,7 +13,7 @@
 
 /** HTTP server of a stand-in on loopback, with a thread for each request. */
 public final class StandInServer implements AutoCloseable {
-    /** A request; its body is empty if it has none. */
+    /** A request; the body is an empty map if the request has none. */
     public record Request(String method, String path, Map<String, String> query, FieldMap body) {
         /** Method and path, such as "POST /multi". */
         String requestLine() {
@@ -29,9 +29,14 @@
         }
     }
 
-    /** Handles requests, on several threads at once. */
+    /** Handles requests; called by several threads concurrently. */
     public interface Handler {
-        /** Handles one request; an invalid field is answered with 400. */
+        /**
+         * Handles one request.
+         *
+         * @throws FieldMap.InvalidFieldException if a field is invalid; the server sends status 400
+         * @throws InterruptedException if the server is closing; it sends status 503
+         */
         Response handle(Request request)
                 throws FieldMap.InvalidFieldException, InterruptedException;
     }
@@ -39,20 +44,24 @@
     private final HttpServer server;
     private final ExecutorService threads = Executors.newCachedThreadPool();
 
-    /** Starts listening on a free port. */
+    /**
+     * Starts listening on a free port.
+     *
+     * @throws IOException if the server cannot listen
+     */
     public StandInServer(Handler handler) throws IOException {
         server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
-        server.createContext("/", exchange -> answer(handler, exchange));
+        server.createContext("/", exchange -> respond(handler, exchange));
         server.setExecutor(threads);
         server.start();
     }
 
-    /** The port it listens on. */
+    /** The port on which the server listens. */
     public int port() {
         return server.getAddress().getPort();
     }
 
-    private static void answer(Handler handler, HttpExchange exchange) throws IOException {
+    private static void respond(Handler handler, HttpExchange exchange) throws IOException {
         Response response;
         try {
             response = handler.handle(request(exchange));
@@ -72,8 +81,8 @@
         byte[] bytes = exchange.getRequestBody().readAllBytes();
         FieldMap body = bytes.length == 0 ? new FieldMap(Map.of()) : FieldMap.parseCbor(bytes);
         Map<String, String> query = new HashMap<>();
-        String text = exchange.getRequestURI().getRawQuery();
-        for (String pair : text == null ? new String[0] : text.split("&")) {
+        String rawQuery = exchange.getRequestURI().getRawQuery();
+        for (String pair : rawQuery == null ? new String[0] : rawQuery.split("&")) {
             int equals = pair.indexOf('=');
             query.put(pair.substring(0, equals), pair.substring(equals + 1));
         }
--- a/src/main/java/org/shoreusher/standin/StandInTask.java
+++ b/src/main/java/org/shoreusher/standin/StandInTask.java
@@ -31,7 +31,7 @@
         this.profile = profile;
     }
 
-    /** Whether the task uses resources of its machine. */
+    /** Whether the task uses resources of its machine: until it has exited. */
     boolean isActive() {
         return state != State.EXITED;
     }
--- a/src/main/java/org/shoreusher/standin/StandInTasks.java
+++ b/src/main/java/org/shoreusher/standin/StandInTasks.java
@@ -13,12 +13,12 @@
  * checkpoints. Not thread-safe; the worker calls it with its lock held.
  */
 final class StandInTasks {
-    /** What the tasks need of their worker. */
+    /** What the tasks require of their worker. */
     interface Host {
         /** Runs an action after a delay in ms, unless the worker has stopped by then. */
         void schedule(double delayMs, Runnable action);
 
-        /** A task has changed, which the worker reports soon. */
+        /** Called after a task has changed, so that the worker sends an early heartbeat. */
         void onTaskChange();
     }
 
@@ -35,7 +35,7 @@
         this.host = host;
     }
 
-    /** Names of the tasks that use resources: those that have not exited. */
+    /** Names of the tasks that use resources, which are those that have not exited. */
     List<String> activeTasks() {
         return tasks.values().stream()
                 .filter(StandInTask::isActive)
@@ -47,7 +47,7 @@
         return tasks.containsKey(name) && tasks.get(name).isActive();
     }
 
-    /** All tasks as a heartbeat shows them. */
+    /** All tasks in the format of a heartbeat. */
     List<Object> heartbeatFields() {
         List<Object> fields = new ArrayList<>();
         tasks.values().forEach(task -> fields.add(heartbeatFields(task)));
@@ -66,31 +66,34 @@
         return fields;
     }
 
-    /** Ends all tasks without a checkpoint, and forgets them. */
+    /** Ends all tasks without a checkpoint, and removes them. */
     void killAll() {
         tasks.values().forEach(this::recordInterruption);
         tasks.clear();
     }
 
-    /** Executes an order. */
+    /**
+     * Executes an order: {@code run} starts a task that is not present; {@code halt} stops and
+     * {@code forget} removes the attempt that the order names. In other cases an order is ignored.
+     */
     void execute(FieldMap order) throws FieldMap.InvalidFieldException {
         String name = order.text("sheet");
         long attempt = order.integer("try");
-        StandInTask present = tasks.get(name);
-        boolean isPresent = present != null && present.attempt == attempt;
+        StandInTask task = tasks.get(name);
+        boolean isCurrentAttempt = task != null && task.attempt == attempt;
         switch (order.text("verb")) {
             case "run" -> {
-                if (present == null) {
+                if (task == null) {
                     start(name, attempt);
                 }
             }
             case "halt" -> {
-                if (isPresent) {
-                    stop(present, order.numberOr("wind_down_s", 0));
+                if (isCurrentAttempt) {
+                    stop(task, order.numberOr("wind_down_s", 0));
                 }
             }
             default -> {
-                if (isPresent) {
+                if (isCurrentAttempt) {
                     tasks.remove(name);
                 }
             }
--- a/src/main/java/org/shoreusher/standin/StoreStandIn.java
+++ b/src/main/java/org/shoreusher/standin/StoreStandIn.java
@@ -9,7 +9,10 @@
 import org.shoreusher.standin.StandInServer.Response;
 import org.shoreusher.wire.FieldMap;
 
-/** An in-memory key-value store with versions, transactions and watches, and without limits. */
+/**
+ * An in-memory key-value store with versions, transactions and watches. It limits neither request
+ * rates nor sizes.
+ */
 public final class StoreStandIn {
     private static final String KEY_PATH = "/store/";
 
@@ -23,7 +26,12 @@
     private final List<Change> changes = new ArrayList<>();
     private long revision = 1;
 
-    /** Handles a request of a controller; a watch blocks until a change or its timeout. */
+    /**
+     * Handles a request of a controller; a watch blocks until a change or its timeout.
+     *
+     * @throws FieldMap.InvalidFieldException if a field of the request is missing or invalid
+     * @throws InterruptedException if the thread is interrupted while it blocks
+     */
     public synchronized Response handle(Request request)
             throws FieldMap.InvalidFieldException, InterruptedException {
         if (request.requestLine().equals("POST /multi")) {
@@ -84,13 +92,13 @@
                 wait(remainingMs);
             }
         }
-        List<Object> log = new ArrayList<>();
-        int first = changes.size();
-        while (first > 0 && changes.get(first - 1).revision() > after) {
-            first--;
+        List<Object> events = new ArrayList<>();
+        int firstChange = changes.size();
+        while (firstChange > 0 && changes.get(firstChange - 1).revision() > after) {
+            firstChange--;
         }
-        changes.subList(first, changes.size()).forEach(change -> log.add(event(change)));
-        return Response.ok(Map.of("ledger", revision, "log", log));
+        changes.subList(firstChange, changes.size()).forEach(change -> events.add(event(change)));
+        return Response.ok(Map.of("ledger", revision, "log", events));
     }
 
     private static Map<String, Object> event(Change change) {
--- a/src/main/java/org/shoreusher/standin/TaskHistory.java
+++ b/src/main/java/org/shoreusher/standin/TaskHistory.java
@@ -10,18 +10,18 @@
 import java.util.function.Predicate;
 
 /**
- * Ground truth about all tasks of a run on stand-ins: the machine of each running task, completed
- * tasks, checkpointed progress, and repeated work. Records a violation when a task runs on two
+ * What the tasks on all stand-in workers have done: the machine of each running task, completed
+ * tasks, checkpointed progress, and repeated work. Records a violation if a task runs on two
  * machines at once. Thread-safe.
  */
 public final class TaskHistory {
     private final Map<String, String> machines = new HashMap<>();
-    private final Map<String, Double> savedS = new HashMap<>();
+    private final Map<String, Double> checkpointedS = new HashMap<>();
     private final Map<String, Double> repeatedWorkSByJob = new HashMap<>();
     private final Map<String, Long> firstStartMsByTask = new HashMap<>();
-    private final Set<String> complete = new HashSet<>();
+    private final Set<String> completed = new HashSet<>();
     private final List<String> violations = new ArrayList<>();
-    private final TreeSet<Long> startedMs = new TreeSet<>();
+    private final TreeSet<Long> startTimesMs = new TreeSet<>();
     private int startCount;
     private int imageFetchCount;
 
@@ -29,27 +29,32 @@
     synchronized double recordStart(String task, String machine) {
         startCount++;
         long nowMs = System.nanoTime() / 1_000_000;
-        startedMs.add(nowMs);
+        startTimesMs.add(nowMs);
         firstStartMsByTask.putIfAbsent(task, nowMs);
-        String before = machines.put(task, machine);
-        if (before != null) {
-            violations.add(task + " began on " + machine + " while on " + before);
+        String previousMachine = machines.put(task, machine);
+        if (previousMachine != null) {
+            violations.add(
+                    task + " started on " + machine + " while running on " + previousMachine);
         }
-        return savedS.getOrDefault(task, 0.0);
+        return checkpointedS.getOrDefault(task, 0.0);
     }
 
-    /** Records that a task has stopped; progress in s beyond its checkpoint must be repeated. */
+    /**
+     * Records that a task has ended before its completion. The difference between its progress and
+     * its checkpointed progress, both in s, is work that must be repeated.
+     */
     synchronized void recordEnd(
-            String task, String machine, double progressS, double savedProgressS) {
+            String task, String machine, double progressS, double checkpointedProgressS) {
         machines.remove(task, machine);
-        savedS.merge(task, savedProgressS, Math::max);
-        repeatedWorkSByJob.merge(jobOf(task), Math.max(0, progressS - savedProgressS), Double::sum);
+        checkpointedS.merge(task, checkpointedProgressS, Math::max);
+        repeatedWorkSByJob.merge(
+                jobOf(task), Math.max(0, progressS - checkpointedProgressS), Double::sum);
     }
 
     /** Records that a task has completed. */
     synchronized void recordCompletion(String task, String machine) {
         machines.remove(task, machine);
-        complete.add(task);
+        completed.add(task);
     }
 
     /** Records that a machine has started to fetch an image. */
@@ -66,30 +71,30 @@
         return machines.size();
     }
 
-    /** Number of running tasks on matching machines. */
-    public synchronized int runningCountOn(Predicate<String> wanted) {
-        return (int) machines.values().stream().filter(wanted).count();
+    /** Number of running tasks on the machines that match. */
+    public synchronized int runningCountOn(Predicate<String> matches) {
+        return (int) machines.values().stream().filter(matches).count();
     }
 
-    /** When each task first started, as {@link System#nanoTime} in ms. */
+    /** Time of the first start of each task, as {@link System#nanoTime} in ms. */
     public synchronized Map<String, Long> firstStartMsByTask() {
         return new HashMap<>(firstStartMsByTask);
     }
 
-    /** Time of the first start after a point in time, as System.nanoTime in ms; -1 if none. */
+    /** Time of the first start of any task after a point in time, both as nanoTime in ms; or -1. */
     public synchronized long firstStartAfterMs(long afterMs) {
-        Long first = startedMs.higher(afterMs);
+        Long first = startTimesMs.higher(afterMs);
         return first == null ? -1 : first;
     }
 
     /** The completed tasks. */
     public synchronized Set<String> completedTasks() {
-        return new HashSet<>(complete);
+        return new HashSet<>(completed);
     }
 
     /** Number of completed tasks. */
     public synchronized int completedCount() {
-        return complete.size();
+        return completed.size();
     }
 
     /** Number of starts, including restarts. */
@@ -102,12 +107,12 @@
         return imageFetchCount;
     }
 
-    /** Repeated work in s, by job. */
+    /** Work in s that must be repeated because of interruptions, by job. */
     public synchronized Map<String, Double> repeatedWorkSByJob() {
         return new HashMap<>(repeatedWorkSByJob);
     }
 
-    /** Violations of the rule that a task runs on one machine at a time. */
+    /** Violations of the invariant that a task runs on at most one machine at a time. */
     public synchronized List<String> violations() {
         return new ArrayList<>(violations);
     }
--- a/src/main/java/org/shoreusher/standin/WorkerStandIn.java
+++ b/src/main/java/org/shoreusher/standin/WorkerStandIn.java
@@ -24,19 +24,20 @@
     private static final long MIN_HEARTBEAT_INTERVAL_MS = 500;
     private static final double INTERVAL_JITTER_SHARE = 0.25;
     private static final int MAX_IDLE_CONNECTIONS = 1;
-    private static final int MISDIRECTED = 421;
+    private static final int STATUS_MISDIRECTED = 421;
 
     /** A machine's name, type and zone, and whether it is a spot machine. */
     public record Identity(String id, String type, String zone, boolean spot) {}
 
     /**
-     * Settings that all workers of a run share.
+     * Settings that all workers of a cluster share.
      *
      * @param loop the event loop of the workers
      * @param controllers front addresses of the controllers by host name
      * @param heartbeatIntervalMs heartbeat interval in ms
-     * @param workerLeaseMs lease in ms; without an accepted heartbeat, tasks end after it
-     * @param profiles profile of a job by its id
+     * @param workerLeaseMs ms after the last accepted heartbeat until the lease expires and all
+     *     tasks end
+     * @param profiles returns the profile of a job by its id
      * @param history records what the tasks do
      */
     public record Environment(
@@ -53,15 +54,15 @@
     private final List<String> hosts;
     private final Map<String, HttpCaller> callers = new HashMap<>();
     private final StandInTasks tasks;
-    private int target;
+    private int controllerIndex;
     private long incarnation = 1;
     private long sequence;
     private long fencingToken;
     private long fencingTokenReportedNs = System.nanoTime();
     private long leaseStartNs = System.nanoTime();
     private long lastHeartbeatNs;
-    private boolean inFlight;
-    private boolean changed;
+    private boolean heartbeatInFlight;
+    private boolean hasUnreportedChange;
     private long partitionedUntilNs = System.nanoTime();
     private volatile boolean stopped;
 
@@ -72,7 +73,7 @@
         random = new Random(identity.id().hashCode());
         tasks = new StandInTasks(identity.id(), environment, new TaskHost());
         hosts = environment.controllers().keySet().stream().sorted().toList();
-        target = random.nextInt(hosts.size());
+        controllerIndex = random.nextInt(hosts.size());
         schedule(random.nextInt((int) MIN_HEARTBEAT_INTERVAL_MS), this::sendHeartbeat);
     }
 
@@ -81,18 +82,18 @@
         return identity;
     }
 
-    /** Stops the worker and ends all of its tasks, as when the machine fails. */
+    /** Stops the worker and ends all of its tasks, like a failure of the machine. */
     public synchronized void stop() {
         stopped = true;
         tasks.killAll();
     }
 
-    /** Partitions the worker from all controllers; its tasks go on until the lease expires. */
+    /** Partitions the worker from all controllers; its tasks run until its lease expires. */
     public synchronized void partition(long durationMs) {
         partitionedUntilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(durationMs);
     }
 
-    /** Names of the tasks that use resources: those that have not exited. */
+    /** Names of the tasks that use resources, which are those that have not exited. */
     public synchronized List<String> activeTasks() {
         return tasks.activeTasks();
     }
@@ -107,7 +108,7 @@
                 .schedule(() -> unlessStopped(action), Math.round(delayMs), TimeUnit.MILLISECONDS);
     }
 
-    /** What the tasks need of this worker. */
+    /** Connects the tasks to this worker. */
     private final class TaskHost implements StandInTasks.Host {
         @Override
         public void schedule(double delayMs, Runnable action) {
@@ -136,24 +137,22 @@
         }
     }
 
-    // ---- heartbeats --------------------------------------------------------------------------
-
     private void sendHeartbeat() {
-        if (inFlight) {
+        if (heartbeatInFlight) {
             return;
         }
         if (System.nanoTime() - partitionedUntilNs < 0) {
             schedule(RETRY_MS, this::sendHeartbeat);
             return;
         }
-        inFlight = true;
-        changed = false;
+        heartbeatInFlight = true;
+        hasUnreportedChange = false;
         lastHeartbeatNs = System.nanoTime();
         long sentNs = lastHeartbeatNs;
         long heartbeatIncarnation = incarnation;
         caller().call(
                         "/hello",
-                        body(),
+                        heartbeatBody(),
                         RESPONSE_TIMEOUT_MS,
                         (status, response) ->
                                 unlessStopped(
@@ -167,7 +166,7 @@
 
     private HttpCaller caller() {
         return callers.computeIfAbsent(
-                hosts.get(target),
+                hosts.get(controllerIndex),
                 host ->
                         new HttpCaller(
                                 environment.loop(),
@@ -177,7 +176,7 @@
 
     private void onResponse(
             int status, Map<String, Object> body, long sentNs, long heartbeatIncarnation) {
-        inFlight = false;
+        heartbeatInFlight = false;
         if (status == ReplyStatus.OK) {
             onAccepted(new FieldMap(body), sentNs, heartbeatIncarnation);
             scheduleHeartbeat();
@@ -185,12 +184,14 @@
         }
         caller().closeIdleConnections();
         int redirect =
-                status == MISDIRECTED && body != null ? hosts.indexOf(body.get("foreman")) : -1;
-        if (redirect >= 0 && redirect != target) {
-            target = redirect;
+                status == STATUS_MISDIRECTED && body != null
+                        ? hosts.indexOf(body.get("foreman"))
+                        : -1;
+        if (redirect >= 0 && redirect != controllerIndex) {
+            controllerIndex = redirect;
             schedule(random.nextInt((int) MIN_HEARTBEAT_INTERVAL_MS), this::sendHeartbeat);
         } else {
-            target = (target + 1) % hosts.size();
+            controllerIndex = (controllerIndex + 1) % hosts.size();
             schedule(RETRY_MS, this::sendHeartbeat);
         }
     }
@@ -198,13 +199,15 @@
     private void scheduleHeartbeat() {
         double jitter = 1 - INTERVAL_JITTER_SHARE + 2 * INTERVAL_JITTER_SHARE * random.nextDouble();
         scheduleUnlessSent(
-                changed ? MIN_HEARTBEAT_INTERVAL_MS : environment.heartbeatIntervalMs() * jitter);
+                hasUnreportedChange
+                        ? MIN_HEARTBEAT_INTERVAL_MS
+                        : environment.heartbeatIntervalMs() * jitter);
     }
 
     /** Schedules an early heartbeat, at the shortest interval that the protocol allows. */
     private void scheduleEarlyHeartbeat() {
-        changed = true;
-        if (!inFlight) {
+        hasUnreportedChange = true;
+        if (!heartbeatInFlight) {
             double sinceMs = (System.nanoTime() - lastHeartbeatNs) / 1e6;
             scheduleUnlessSent(Math.max(0, MIN_HEARTBEAT_INTERVAL_MS - sinceMs));
         }
@@ -222,10 +225,10 @@
                 });
     }
 
-    private Map<String, Object> body() {
+    private Map<String, Object> heartbeatBody() {
         Map<String, Object> heartbeat = new LinkedHashMap<>();
         heartbeat.put("box", identity.id());
-        // Nothing listens there: direct orders are lost, as behind a partition.
+        // No server listens on this address, so direct orders are lost, as in a one-way partition.
         heartbeat.put("addr", "127.0.0.1:1");
         heartbeat.put("press", identity.type());
         heartbeat.put("yard", identity.zone());
@@ -237,8 +240,6 @@
         return heartbeat;
     }
 
-    // ---- orders ------------------------------------------------------------------------------
-
     private void onAccepted(FieldMap response, long sentNs, long heartbeatIncarnation) {
         try {
             if (heartbeatIncarnation != incarnation || response.integer("baton") < fencingToken) {
@@ -250,18 +251,20 @@
                 tasks.execute(order);
             }
         } catch (FieldMap.InvalidFieldException e) {
-            throw new IllegalStateException("the response to a heartbeat: " + e.getMessage());
+            throw new IllegalStateException("invalid response to a heartbeat: " + e.getMessage());
         }
     }
 
-    /** A higher fencing token causes an early heartbeat, at most once per half of the lease. */
-    private void observeFencingToken(long seen) {
+    /**
+     * Records a fencing token. A higher one causes an early heartbeat, at most once per half lease.
+     */
+    private void observeFencingToken(long receivedToken) {
         long sinceMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - fencingTokenReportedNs);
-        if (seen > fencingToken
+        if (receivedToken > fencingToken
                 && (fencingToken == 0 || sinceMs >= environment.workerLeaseMs() / 2)) {
             fencingTokenReportedNs = System.nanoTime();
             scheduleEarlyHeartbeat();
         }
-        fencingToken = seen;
+        fencingToken = receivedToken;
     }
 }
