--- a/src/main/java/org/shoreusher/core/job/CompletionRecordAssignment.java
+++ b/src/main/java/org/shoreusher/core/job/CompletionRecordAssignment.java
@@ -6,16 +6,16 @@
 import org.shoreusher.core.cluster.Job;
 
 /**
- * Assigns a completion record to each slice of the open jobs. A slice keeps its record as long as
- * it fits, so that a completion changes one record only.
+ * Assigns a completion record to each slice of the open jobs. A slice keeps its record while it
+ * fits, so that a completion changes one record only.
  */
 final class CompletionRecordAssignment {
     private final CompletionSlices slices;
 
-    /** Whether the store has completed tasks in a record. */
+    /** Whether a record in the store contains completed tasks; by record index. */
     private final IntPredicate isStored;
 
-    /** The most bytes that the slices assigned to each record can take. */
+    /** The maximum number of bytes that the slices assigned to each record can take. */
     private final IntArrayList bytesByRecord = new IntArrayList();
 
     private CompletionRecordAssignment(CompletionSlices slices, IntPredicate isStored) {
@@ -26,9 +26,9 @@
     /**
      * Assigns records to all slices of the jobs.
      *
-     * @param isStored whether the store has completed tasks in a record
+     * @param isStored whether a record in the store contains completed tasks; by record index
      * @return the number of records, at least 1: those with slices, and those of a previous leader
-     *     without any slice, which are to be emptied
+     *     that no longer have a slice and are to be emptied
      */
     static int assign(Collection<Job> jobs, CompletionSlices slices, IntPredicate isStored) {
         CompletionRecordAssignment assignment = new CompletionRecordAssignment(slices, isStored);
@@ -38,7 +38,10 @@
         return assignment.recordCount();
     }
 
-    /** Keeps the records of the job's slices as far as they fit; others become unassigned. */
+    /**
+     * Keeps the record of each slice of the job that fits into it; the other slices become
+     * unassigned.
+     */
     private void keepRecords(Job job) {
         if (!job.spec().workloadType().runsToCompletion()) {
             return;
@@ -72,8 +75,8 @@
             if (recordBySlice[slice] != CompletionSlices.UNASSIGNED) {
                 continue;
             }
-            // A slice that moves goes to a new record: two full records whose slices change places
-            // would each wait until the other one is written.
+            // A slice that moves goes to an unused record: if slices of two full records swapped
+            // places, each record would have to wait until the other one is written.
             boolean isMoving = !slices.tasksIn(job, slice, job.durablyCompletedTasks()).isEmpty();
             int recordIndex = isMoving ? firstUnusedRecord : 0;
             int maxBytes = slices.maxBytes(job, slice);
@@ -93,7 +96,7 @@
         return Math.max(1, recordCount);
     }
 
-    /** Whether a record has space for so many bytes more. */
+    /** Whether a record has space for this number of further bytes. */
     private boolean fits(int recordIndex, int bytes) {
         while (bytesByRecord.size() <= recordIndex) {
             bytesByRecord.add(0);
--- a/src/main/java/org/shoreusher/core/job/CompletionRecords.java
+++ b/src/main/java/org/shoreusher/core/job/CompletionRecords.java
@@ -14,15 +14,15 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * The layout of a shard's completion records. They hold the completed tasks of the open jobs, each
- * below the store's limit on a value: record 0 is part of the shard's own record, the others take
- * what does not fit into it. A job's tasks are divided into slices of consecutive indexes. A slice
- * fits into a record in whatever order its tasks complete, and it stays in its record, so that a
+ * The layout of a shard's completion records, which hold the completed tasks of the open jobs. Each
+ * is below the store's size limit on values: record 0 is part of the shard's own record, the others
+ * take what does not fit into it. A job's tasks are divided into slices of consecutive indexes. A
+ * slice fits into a record in whatever order its tasks complete, and it keeps its record, so that a
  * completion changes one record only.
  *
- * <p>Invariants: a recorded completion stays recorded, and no record is written above the limit. A
- * previous leader may have had a higher limit or other slices. A slice that has to move for that
- * reason leaves its old record only after its new record is durable.
+ * <p>Invariants: a recorded completion is never lost, and no record is written that exceeds the
+ * limit. A previous leader may have had a higher limit or other slices. A slice that has to move
+ * for that reason is removed from its old record only after its new record is durable.
  */
 public final class CompletionRecords implements CompletionSnapshot {
     /** The completed tasks of one slice, and the index of its record. */
@@ -49,7 +49,7 @@
     }
 
     /**
-     * Lays out the completed tasks of the jobs as they are now.
+     * Lays out the current completed tasks of the jobs.
      *
      * @param storedRecord reads the stored value of a record by its index; empty if there is none
      */
@@ -71,7 +71,10 @@
         return layout;
     }
 
-    /** Notes that a record of a previous leader holds these completed tasks of the job. */
+    /**
+     * Assigns to slices of the job the record of a previous leader in which these completed tasks
+     * are stored.
+     */
     public static void adoptStoredRecord(
             Job job, BitSet completedTasks, int recordIndex, Settings settings) {
         CompletionSlices slices = new CompletionSlices(settings);
@@ -105,8 +108,9 @@
     }
 
     /**
-     * The value that a record should have now: its own slices, and stored tasks of other slices
-     * that no other record holds yet. If that exceeds the limit, it is the stored value, unchanged.
+     * The value that is to be written to a record: the completed tasks of its own slices, and its
+     * stored tasks of other slices that the records of those slices do not contain yet. If that
+     * exceeds the limit, the stored value is returned unchanged.
      */
     @Override
     public Map<String, Object> recordValue(int recordIndex) {
@@ -114,17 +118,17 @@
         Map<String, Object> storedValue = storedRecord.apply(recordIndex);
         for (Job job : jobs) {
             if (storedValue.get(job.id()) instanceof String ranges) {
-                BitSet own = tasksByJob.get(job.id());
-                BitSet onlyHere = TaskRanges.parse(ranges);
-                if (own != null) {
-                    onlyHere.andNot(own);
+                BitSet ownTasks = tasksByJob.get(job.id());
+                BitSet storedOnlyHere = TaskRanges.parse(ranges);
+                if (ownTasks != null) {
+                    storedOnlyHere.andNot(ownTasks);
                 }
-                removeStoredElsewhere(job, recordIndex, onlyHere);
-                if (!onlyHere.isEmpty()) {
-                    if (own != null) {
-                        onlyHere.or(own);
+                removeStoredElsewhere(job, recordIndex, storedOnlyHere);
+                if (!storedOnlyHere.isEmpty()) {
+                    if (ownTasks != null) {
+                        storedOnlyHere.or(ownTasks);
                     }
-                    tasksByJob.put(job.id(), onlyHere);
+                    tasksByJob.put(job.id(), storedOnlyHere);
                 }
             }
         }
@@ -134,9 +138,9 @@
     }
 
     /**
-     * Removes the tasks that are stored in the record of their slice, unless it is the given one.
-     * Only the record assigned to a slice counts as a second copy: two other records could each
-     * rely on the other one and both drop the tasks.
+     * Removes from {@code tasks} those that are stored in the record of their slice, unless it is
+     * the given record. Only the record that is assigned to a slice counts as a second copy: two
+     * other records could each rely on the other and both drop the tasks.
      */
     private void removeStoredElsewhere(Job job, int recordIndex, BitSet tasks) {
         int[] recordBySlice = job.completionRecordBySlice();
@@ -149,7 +153,10 @@
         }
     }
 
-    /** Updates each job's durably completed tasks from the stored records. */
+    /**
+     * Adds to each job's durably completed tasks those of this layout that the stored records
+     * contain.
+     */
     @Override
     public void markDurable() {
         for (PlacedSlice placed : placedSlices) {
--- a/src/main/java/org/shoreusher/core/job/CompletionSlices.java
+++ b/src/main/java/org/shoreusher/core/job/CompletionSlices.java
@@ -7,17 +7,17 @@
 import org.shoreusher.settings.Settings;
 
 /**
- * The slices into which the tasks of a job are divided for its completion records. A slice has
- * consecutive task indexes and fits into one record in whatever order its tasks complete.
+ * Divides the tasks of a job into slices for its completion records. A slice has consecutive task
+ * indexes and fits into one record in whatever order its tasks complete.
  */
 final class CompletionSlices {
-    /** The record of a slice that is in no record yet. */
+    /** The record index of a slice that is not assigned to a record. */
     static final int UNASSIGNED = -1;
 
     /** The limit on the JSON length of a record, in bytes. */
     private final int maxRecordBytes;
 
-    /** The slices under the settings' limit on a value. */
+    /** Creates slices for the settings' size limit on values. */
     CompletionSlices(Settings settings) {
         maxRecordBytes = CompletionRecord.maxBytes(settings);
     }
@@ -28,13 +28,17 @@
     }
 
     /**
-     * The number of tasks in a slice: as many as fit into a record if every other one is completed.
+     * The number of tasks in a slice: as many as fit into a record if every other one is completed,
+     * which is the longest encoding.
      */
     int tasksPerSlice(String jobId) {
         return CompletionRecord.tasksThatFit(jobId, maxRecordBytes);
     }
 
-    /** Sizes the job's table of slices; all slices are unassigned if their number has changed. */
+    /**
+     * Sizes the job's table of records by slice; if the number of slices changes, all become
+     * unassigned.
+     */
     void resizeTable(Job job) {
         int sliceCount = (job.spec().taskCount() - 1) / tasksPerSlice(job.id()) + 1;
         if (job.completionRecordBySlice().length != sliceCount) {
@@ -42,7 +46,7 @@
         }
     }
 
-    /** The most bytes that a slice can take in its record. */
+    /** The maximum number of bytes that a slice can take in its record. */
     int maxBytes(Job job, int slice) {
         int tasksPerSlice = tasksPerSlice(job.id());
         int taskCount = Math.min(tasksPerSlice, job.spec().taskCount() - slice * tasksPerSlice);
--- a/src/main/java/org/shoreusher/core/job/HighWaterMarkRecords.java
+++ b/src/main/java/org/shoreusher/core/job/HighWaterMarkRecords.java
@@ -8,19 +8,19 @@
 import org.shoreusher.core.store.StoreSchema;
 import org.shoreusher.settings.Settings;
 
-/** The stored high-water marks of a shard's jobs, some hundred to a record. */
+/** The stored high-water marks of a shard's jobs; hundreds share a record. */
 final class HighWaterMarkRecords {
     private final int shardNumber;
     private final StoreCache storeCache;
 
-    /** The ids of the open jobs; a live view. */
+    /** The open jobs by id; a live view of which only the ids are used. */
     private final Map<String, ?> openJobs;
 
     /** The limit on the encoded length of a record, in bytes. */
     private final double maxRecordBytes;
 
     /**
-     * The records of one shard.
+     * Creates the view of one shard's records.
      *
      * @param openJobs the shard's open jobs by id; a live view
      */
@@ -32,12 +32,12 @@
         maxRecordBytes = settings.maxValueBytes() * StoreConstants.RECORD_FILL_SHARE;
     }
 
-    /** The key of a record. */
+    /** The store key of a record. */
     String key(int recordIndex) {
         return StoreSchema.highWaterMarkKey(shardNumber, recordIndex);
     }
 
-    /** Whether the cache of the store has a record. */
+    /** Whether the store cache has a record. */
     boolean exists(int recordIndex) {
         return storeCache.get(key(recordIndex)) != null;
     }
@@ -57,7 +57,7 @@
         return marks;
     }
 
-    /** Whether a record with these marks, and a mark for another job, is within the limit. */
+    /** Whether a record with these marks and one more, for the given job, is within the limit. */
     boolean hasSpaceFor(String jobId, Map<String, Integer> marks) {
         return encodedBytes(marks) + encodedBytes(jobId) <= maxRecordBytes;
     }
--- a/src/main/java/org/shoreusher/core/job/HighWaterMarkWrite.java
+++ b/src/main/java/org/shoreusher/core/job/HighWaterMarkWrite.java
@@ -11,7 +11,10 @@
 import org.shoreusher.core.store.StoreCache;
 import org.shoreusher.core.store.StoreSchema;
 
-/** One write of high-water marks: first it is put together, then its marks become durable. */
+/**
+ * One write of high-water marks. The caller adds marks, sends the resulting operation, and applies
+ * the marks to the jobs after the store has confirmed it.
+ */
 final class HighWaterMarkWrite {
     /** A mark that is being written, and the index of its record. */
     private record PendingMark(Job job, int recordIndex, int highWaterMark) {}
@@ -22,13 +25,13 @@
     private final Map<Integer, Map<String, Integer>> marksByRecord = new LinkedHashMap<>();
     private final List<PendingMark> pendingMarks = new ArrayList<>();
 
-    /** An empty write with the shard's fencing precondition. */
+    /** Creates an empty write with the shard's fencing precondition. */
     HighWaterMarkWrite(HighWaterMarkRecords records, Map<String, Long> fencingPrecondition) {
         this.records = records;
         preconditions = new LinkedHashMap<>(fencingPrecondition);
     }
 
-    /** Whether there is no mark in it. */
+    /** Whether no mark has been added. */
     boolean isEmpty() {
         return pendingMarks.isEmpty();
     }
@@ -44,7 +47,10 @@
         writes.put(StoreSchema.jobKey(jobId), record.toMap());
     }
 
-    /** Adds a mark of a job, at least the requested one, to a record with space for it. */
+    /**
+     * Adds a mark of a job to a record with space for it: the requested mark or a multiple of the
+     * durable one, whichever is higher, but no more than the number of tasks.
+     */
     void addMark(Job job, int requestedMark) {
         int raisedMark =
                 Math.min(
@@ -52,7 +58,7 @@
                         Math.max(
                                 requestedMark,
                                 job.highWaterMark() * JobConstants.HIGH_WATER_MARK_GROWTH_FACTOR));
-        int recordIndex = recordFor(job);
+        int recordIndex = recordIndexFor(job);
         // The stored mark is the larger one if a write took effect and only its reply was lost.
         int largestMark =
                 marksByRecord
@@ -62,13 +68,14 @@
     }
 
     /**
-     * The record of a job's mark. A record of a previous leader may exceed today's limit; then it
-     * is left as it is, the mark goes to another record, and readers take the larger one.
+     * The index of the record for a job's mark. A record of a previous leader may exceed the
+     * current limit. It is then left unchanged, the mark goes to another record, and readers take
+     * the larger mark.
      */
-    private int recordFor(Job job) {
-        int present = job.highWaterMarkRecordIndex();
-        if (present >= 0 && records.fits(marksIn(present))) {
-            return present;
+    private int recordIndexFor(Job job) {
+        int currentRecordIndex = job.highWaterMarkRecordIndex();
+        if (currentRecordIndex >= 0 && records.fits(marksIn(currentRecordIndex))) {
+            return currentRecordIndex;
         }
         int recordIndex = 0;
         while (!records.hasSpaceFor(job.id(), marksIn(recordIndex))) {
@@ -82,7 +89,7 @@
         return marks != null ? marks : records.copyOfOpenJobMarks(recordIndex);
     }
 
-    /** Completes the write; no mark may be added after this. */
+    /** Builds the operation; no mark may be added afterwards. */
     StoreOperation.CompareAndSwap toOperation(StoreCache storeCache) {
         marksByRecord.forEach(
                 (recordIndex, marks) -> {
@@ -94,9 +101,10 @@
     }
 
     /**
-     * Applies the marks after the write has become durable. Only now are records assigned to jobs.
-     * The space in a record is computed from what is stored in it, so a record assigned by a failed
-     * write could later exceed the limit, and every write of it would be refused for good.
+     * Applies the marks to their jobs after the write has become durable. Only then are records
+     * assigned to jobs: the space in a record is computed from its stored marks, so a record that a
+     * failed write had assigned could later exceed the limit, and the store would reject every
+     * write of it.
      */
     void applyDurableMarks() {
         for (PendingMark mark : pendingMarks) {
--- a/src/main/java/org/shoreusher/core/job/HighWaterMarks.java
+++ b/src/main/java/org/shoreusher/core/job/HighWaterMarks.java
@@ -17,16 +17,17 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * Keeps a durable high-water mark for each job: tasks are started in the order of their indexes,
- * and none at or above the mark. So after a failover the successor knows that those tasks are on no
- * machine, and can start them without waiting for unresponsive machines. The marks of some hundred
- * jobs share a record. One mark in each job's own record used most of the twenty writes a second
- * just when machines came up.
+ * Keeps a durable high-water mark for each job: tasks are started for the first time in the order
+ * of their indexes, and none at or above the mark. After a failover no machine can have a task at
+ * or above the mark, so the successor starts these tasks without waiting for unresponsive machines.
+ * Hundreds of jobs share a record of marks: a mark in each job's own record used most of the twenty
+ * writes per second at the time when new machines became available.
  *
  * <p>Invariant: a mark is durable before a task below it is started for the first time. Each write
- * has the shard's fencing token as a precondition, so a write of a previous leader cannot take
- * effect after its successor has read the marks. With several shards, the job's own record must
- * exist as well: two nodes may have accepted the job for different shards.
+ * has the shard's fencing precondition, so a write of a previous leader cannot take effect after
+ * its successor has read the marks. With several shards, the job's own record must exist as well,
+ * and the same transaction creates it if necessary: two nodes may have accepted the job for
+ * different shards.
  */
 public final class HighWaterMarks {
     private final int shardCount;
@@ -38,19 +39,22 @@
     private final Map<String, Job> jobs;
     private final HighWaterMarkRecords records;
 
-    /** The least time between two writes, in ms; it bounds the share of the write rate. */
+    /**
+     * The minimum time between two writes in ms, which limits the share of the write rate that
+     * marks take.
+     */
     private final long writeIntervalMs;
 
-    /** Marks to be written, in the order in which they were requested. */
+    /** Requested marks that are in no write yet, in the order of their requests. */
     private final Object2IntLinkedOpenHashMap<Job> requestedMarks =
             new Object2IntLinkedOpenHashMap<>();
 
     private boolean writeInFlight;
 
-    /** When the next write may be sent; monotonic ms. */
+    /** The earliest time of the next write; monotonic ms. */
     private long nextWriteMs;
 
-    /** The marks of one shard; see {@link #load}. */
+    /** Creates the marks of one shard; {@link #load} reads those in the store. */
     public HighWaterMarks(
             int shardNumber,
             int shardCount,
@@ -73,7 +77,7 @@
                                         * JobConstants.HIGH_WATER_MARK_WRITE_SHARE));
     }
 
-    /** Reads the marks that previous leaders have written. */
+    /** Reads the marks that previous leaders have written. The open jobs must be loaded before. */
     public void load() {
         for (int recordIndex = 0; records.exists(recordIndex); recordIndex++) {
             for (Map.Entry<String, Integer> mark : records.marks(recordIndex).entrySet()) {
@@ -86,7 +90,10 @@
         }
     }
 
-    /** Requests a mark for tasks that are to be started soon; one that is too low is ignored. */
+    /**
+     * Requests a mark for tasks that are to be started soon. Does nothing if the durable mark is as
+     * high already.
+     */
     public void request(Job job, int highWaterMark) {
         if (highWaterMark > job.highWaterMark()) {
             requestedMarks.put(job, Math.max(highWaterMark, requestedMarks.getInt(job)));
@@ -94,9 +101,9 @@
     }
 
     /**
-     * Writes the requested marks, as many as one transaction takes. What is left out for another
-     * reason is requested again by the next placement plan. Does nothing while a write is in
-     * flight.
+     * Writes as many of the requested marks as fit into one transaction. Does nothing while a write
+     * is in flight, before the next write is due, or if this node is not the leader. Marks whose
+     * write is not sent or fails are requested again by the next placement plan.
      */
     public void writeRequestedMarks() {
         if (writeInFlight
@@ -107,7 +114,7 @@
         }
         HighWaterMarkWrite write =
                 new HighWaterMarkWrite(records, leadership.fencingPrecondition());
-        takeRequestedMarks(write);
+        addRequestedMarks(write);
         if (write.isEmpty()) {
             return;
         }
@@ -125,11 +132,14 @@
         nextWriteMs = writeInFlight ? outbox.now().monotonicMs() + writeIntervalMs : nextWriteMs;
     }
 
-    /** Moves requested marks into a write until it is full. */
-    private void takeRequestedMarks(HighWaterMarkWrite write) {
+    /**
+     * Moves requested marks to a write until it is full; drops those that are not needed or cannot
+     * be written.
+     */
+    private void addRequestedMarks(HighWaterMarkWrite write) {
         ObjectIterator<Object2IntMap.Entry<Job>> iterator =
                 requestedMarks.object2IntEntrySet().iterator();
-        // A mark may need a value for the job's own record and one for a new record of marks.
+        // A mark may need two values: the job's own record and a record of marks.
         while (iterator.hasNext() && write.size() + 2 <= settings.maxTransactionWrites()) {
             Object2IntMap.Entry<Job> request = iterator.next();
             Job job = request.getKey();
@@ -141,8 +151,9 @@
             }
             if (shardCount > 1) {
                 if (!fitsValueLimit(record)) {
-                    // The job was accepted in a batch under a higher limit and does not fit into a
-                    // record of its own. Here it would block all other marks for good.
+                    // The job was accepted in a batch under a higher limit and exceeds the limit
+                    // for a record of its own. The store would reject every transaction with it,
+                    // and all other marks with it.
                     continue;
                 }
                 if (storeCache.get(StoreSchema.jobKey(job.id())) == null) {
--- a/src/main/java/org/shoreusher/core/job/OpenJobs.java
+++ b/src/main/java/org/shoreusher/core/job/OpenJobs.java
@@ -10,7 +10,7 @@
 import org.shoreusher.core.store.JobRecord;
 import org.shoreusher.core.store.JobStatus;
 
-/** The open jobs of a shard, as the cache of the store shows them. */
+/** The open jobs of a shard, as the store cache shows them. */
 public final class OpenJobs {
     private final Map<String, Job> jobs;
     private final ShardAuthority authority;
@@ -20,8 +20,8 @@
     /**
      * Creates the open jobs of a shard.
      *
-     * @param onJobClosed told of each job that is removed, before its tasks are stopped
-     * @param stopTask sends the order to stop an active task at once
+     * @param onJobClosed called with each job that is removed, before its tasks are stopped
+     * @param stopTask orders the worker of an active attempt to stop it at once
      */
     public OpenJobs(
             ShardContext context, Consumer<Job> onJobClosed, Consumer<TaskAttempt> stopTask) {
@@ -32,8 +32,8 @@
     }
 
     /**
-     * The record of a job of this shard has appeared or changed in the cache of the store. Ignored
-     * until the shard's state has been loaded, which reads all records.
+     * Handles a new or changed record of a job of this shard in the store cache. Does nothing until
+     * the shard's state has been loaded, since loading reads all records.
      */
     public void recordChanged(String jobId, JobRecord record) {
         if (!authority.isLoaded()) {
@@ -42,14 +42,17 @@
         if (record.status() != JobStatus.OPEN) {
             close(jobId);
         } else if (!jobs.containsKey(jobId)) {
-            // The job was accepted while this node was the leader: no task has been started.
+            // The job was accepted while this node was the leader, so no task has been started.
             add(jobId, record).markPendingFrom(0);
         } else {
             jobs.get(jobId).raiseHighWaterMark(record.highWaterMark());
         }
     }
 
-    /** Adds a job of this shard. One in a terminal state is returned but not kept. */
+    /**
+     * Adds a job of this shard without pending tasks. A job in a terminal state is returned closed
+     * and is not added.
+     */
     public Job add(String jobId, JobRecord record) {
         Job job = new Job(jobId, record.parseSpec(), record.acceptedWallMs());
         job.raiseHighWaterMark(record.highWaterMark());
--- a/src/main/java/org/shoreusher/core/job/RunTimeEstimates.java
+++ b/src/main/java/org/shoreusher/core/job/RunTimeEstimates.java
@@ -4,18 +4,19 @@
 import org.shoreusher.core.cluster.Job;
 
 /**
- * Estimates of task run times: the mean of the job's own completed tasks, or else the user's
- * estimate times the recent mean ratio of actual to estimated run times in the job's class.
+ * Estimates the run times of tasks: the mean of the job's own completed tasks or, while there are
+ * none, the user's estimate times the recent mean ratio of actual to estimated run times in the
+ * job's class.
  */
 public final class RunTimeEstimates {
     /**
-     * The exponentially weighted mean of actual to estimated run time, by job class. It is an array
-     * of one element, so that an update allocates nothing.
+     * The exponentially weighted mean ratio of actual to estimated run time, by job class. Each is
+     * held in an array of one element, so that an update allocates nothing.
      */
     private final Object2ObjectOpenHashMap<String, double[]> meanRatioByClass =
             new Object2ObjectOpenHashMap<>();
 
-    /** Records how long a completed task of the job ran. */
+    /** Records how long a completed task of the job ran, in seconds. */
     public void recordRunTime(Job job, double runTimeS) {
         job.recordRunTime(runTimeS);
         if (job.spec().estimatedRunS() > 0) {
--- a/src/main/java/org/shoreusher/core/job/ShardJobs.java
+++ b/src/main/java/org/shoreusher/core/job/ShardJobs.java
@@ -1,12 +1,12 @@
 package org.shoreusher.core.job;
 
 /**
- * The job collaborators of a shard that other packages use.
+ * The parts of a shard that manage its jobs, for use by other packages.
  *
  * @param openJobs the shard's open jobs
- * @param highWaterMarks up to which task each job may have been started
+ * @param highWaterMarks the durable high-water marks of the jobs
  * @param terminalStateWriter writes the terminal states of jobs
- * @param runTimeEstimates estimates of the run times of tasks
+ * @param runTimeEstimates estimates the run times of tasks
  * @param submissionBatches jobs that were accepted together and share a stored record
  */
 public record ShardJobs(
--- a/src/main/java/org/shoreusher/core/job/SubmissionBatches.java
+++ b/src/main/java/org/shoreusher/core/job/SubmissionBatches.java
@@ -18,16 +18,17 @@
 import org.shoreusher.settings.Settings;
 
 /**
- * Jobs that were committed together in a shared record, the submission batch, and have no record of
- * their own yet.
+ * The jobs that were committed together in a shared record, the submission batch, and have no
+ * record of their own yet.
  *
- * <p>Invariant: a batch only says that its jobs exist. Any change of a job (its first start, its
- * cancellation, its completion) creates the job's own record with the precondition that there is
- * none; from then on only that record counts. So a job is started, cancelled and completed once
- * even if two nodes accept it in two batches, or a batch becomes visible late.
+ * <p>Invariant: a batch states only that its jobs exist. A change of a job's state (its
+ * cancellation, its completion and, with several shards, its first start) creates the job's own
+ * record with the precondition that there is none. From then on only that record counts. A job is
+ * therefore started, cancelled and completed only once, even if two nodes accept it in two batches
+ * or a batch becomes visible late.
  */
 public final class SubmissionBatches {
-    /** A job as its batch has it, and the version of the batch in the store. */
+    /** The record of a job in its batch, and the version of the batch in the store. */
     private record BatchedJob(JobRecord record, long version) {}
 
     private final Settings settings;
@@ -38,16 +39,16 @@
     private final Object2ObjectLinkedOpenHashMap<String, BatchedJob> jobsWithoutOwnRecord =
             new Object2ObjectLinkedOpenHashMap<>();
 
-    /** For each batch, by key, the ids of its jobs without a record of their own. */
-    private final Object2ObjectOpenHashMap<String, Set<String>> batches =
+    /** The ids of the jobs without a record of their own in each batch, by the batch's key. */
+    private final Object2ObjectOpenHashMap<String, Set<String>> jobIdsByBatchKey =
             new Object2ObjectOpenHashMap<>();
 
     private boolean removalInFlight;
 
-    /** When empty batches are next removed; monotonic ms. */
+    /** The earliest time of the next removal of empty batches; monotonic ms. */
     private long nextRemovalMs;
 
-    /** No batches yet. */
+    /** Creates an instance without batches. */
     public SubmissionBatches(Settings settings, Outbox outbox, StoreCache storeCache) {
         this.settings = settings;
         this.outbox = outbox;
@@ -55,8 +56,8 @@
     }
 
     /**
-     * The record of a job in the cache of the store: its own, or else that of its batch; null if
-     * there is neither.
+     * The record of a job in the store cache: its own, or else that in its batch; null if there is
+     * neither.
      */
     public JobRecord jobRecord(String jobId) {
         StoreCache.Entry ownEntry = storeCache.get(StoreSchema.jobKey(jobId));
@@ -73,17 +74,18 @@
     }
 
     /**
-     * A batch has appeared in the cache of the store, or was removed. If two batches contain the
-     * same job, the older one counts, whichever becomes visible first: otherwise the leaders of two
-     * shards might each believe that the job belongs to the other.
+     * Handles a new or removed batch in the store cache. If two batches contain the same job, the
+     * older batch counts, whichever becomes visible first. Otherwise the leaders of two shards
+     * could each treat the job as the other's, and none would start it.
      *
      * @param after the batch; null if it was removed
-     * @param onNewJob called with the id and record of each job that is new by it
+     * @param onNewJob called with the id and record of each job for which this batch counts from
+     *     now on
      */
     public void batchChanged(
             String key, StoreCache.Entry after, BiConsumer<String, JobRecord> onNewJob) {
         if (after == null) {
-            Set<String> removedJobIds = batches.remove(key);
+            Set<String> removedJobIds = jobIdsByBatchKey.remove(key);
             if (removedJobIds != null) {
                 removedJobIds.forEach(jobsWithoutOwnRecord::remove);
             }
@@ -93,32 +95,36 @@
         Set<String> withoutOwnRecord = new HashSet<>();
         jobs.forEach(
                 (jobId, record) -> {
-                    // A completed job has been evicted from the cache; the watch may still deliver
-                    // the older event of its submission.
+                    // The own record of a completed job may already be evicted from the cache when
+                    // the watch delivers the earlier batch.
                     if (!storeCache.containsOrRecentlyRemoved(StoreSchema.jobKey(jobId))) {
                         withoutOwnRecord.add(jobId);
                     }
                 });
-        batches.put(key, withoutOwnRecord);
+        jobIdsByBatchKey.put(key, withoutOwnRecord);
         jobs.forEach(
                 (jobId, record) -> {
-                    BatchedJob known = jobsWithoutOwnRecord.get(jobId);
+                    BatchedJob current = jobsWithoutOwnRecord.get(jobId);
                     if (withoutOwnRecord.contains(jobId)
-                            && (known == null || known.version > after.version())) {
+                            && (current == null || current.version > after.version())) {
                         jobsWithoutOwnRecord.put(jobId, new BatchedJob(record, after.version()));
                         onNewJob.accept(jobId, record);
                     }
                 });
     }
 
-    /** The job has got a record of its own; the batch no longer counts for it. */
+    /** Handles a job's new record of its own: its batch no longer counts for it. */
     public void ownRecordCreated(String jobId) {
         if (jobsWithoutOwnRecord.remove(jobId) != null) {
-            batches.values().forEach(jobIds -> jobIds.remove(jobId));
+            jobIdsByBatchKey.values().forEach(jobIds -> jobIds.remove(jobId));
         }
     }
 
-    /** Removes batches all of whose jobs have records of their own, from time to time. */
+    /**
+     * Removes the records of batches whose jobs all have records of their own, at most once per
+     * {@link JobConstants#SUBMISSION_BATCH_CLEANUP_INTERVAL_MS}. Only the leader of a shard may
+     * call this.
+     */
     public void removeEmptyBatches(ShardLeadership leadership) {
         if (removalInFlight || outbox.now().monotonicMs() < nextRemovalMs) {
             return;
@@ -127,7 +133,7 @@
                 outbox.now().monotonicMs() + JobConstants.SUBMISSION_BATCH_CLEANUP_INTERVAL_MS;
         Map<String, Long> preconditions = new LinkedHashMap<>(leadership.fencingPrecondition());
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
-        batches.forEach(
+        jobIdsByBatchKey.forEach(
                 (key, jobIds) -> {
                     if (jobIds.isEmpty() && writes.size() < settings.maxTransactionWrites() / 2) {
                         preconditions.put(key, storeCache.version(key));
--- a/src/main/java/org/shoreusher/core/job/TerminalJobCache.java
+++ b/src/main/java/org/shoreusher/core/job/TerminalJobCache.java
@@ -10,30 +10,36 @@
 import org.shoreusher.settings.Settings;
 
 /**
- * Jobs in a terminal state, which never changes. Their records are evicted from the cache of the
- * store; a bounded number is kept here, and the store keeps all of them.
+ * The records of jobs in a terminal state, which never changes. They are evicted from the store
+ * cache. This cache keeps a bounded number of them, and the key-value store keeps all.
  */
 public final class TerminalJobCache {
-    /** A cancelled job, and when its record is evicted; monotonic ms. */
+    /** A cancelled job, and when its record is to be evicted; monotonic ms. */
     private record PendingEviction(String jobId, long evictAtMs) {}
 
     private final Outbox outbox;
     private final StoreCache storeCache;
 
-    /** ms after a cancellation until the job's tasks have surely been stopped. */
+    /**
+     * How long after a cancellation the job's record stays in the store cache, in ms; by then all
+     * its tasks must have been stopped.
+     */
     private final long cancelledRetentionMs;
 
-    /** Jobs evicted from the cache of the store; those dropped here can be read from the store. */
+    /**
+     * Records evicted from the store cache, by job id. Those that this cache drops can be read from
+     * the store.
+     */
     private final Cache<String, JobRecord> terminalJobs =
             Caffeine.newBuilder()
                     .maximumSize(JobConstants.MAX_CACHED_TERMINAL_JOBS)
                     .executor(Runnable::run)
                     .build();
 
-    /** Cancelled jobs whose records are not yet evicted, in the order of their times. */
+    /** Cancelled jobs whose records are not yet evicted, in the order of their eviction times. */
     private final ArrayDeque<PendingEviction> pendingEvictions = new ArrayDeque<>();
 
-    /** An empty cache. */
+    /** Creates an empty cache. */
     public TerminalJobCache(Settings settings, Outbox outbox, StoreCache storeCache) {
         this.outbox = outbox;
         this.storeCache = storeCache;
@@ -44,20 +50,20 @@
                                 * JobConstants.CANCELLED_JOB_RETENTION_FACTOR);
     }
 
-    /** The record of a job in a terminal state; null if it is not in memory. */
+    /** The record of a job in a terminal state; null if it is not in this cache. */
     public JobRecord get(String jobId) {
         return terminalJobs.getIfPresent(jobId);
     }
 
-    /** A job has completed: moves its record from the cache of the store to this one. */
+    /** Moves the record of a completed job from the store cache to this one. */
     public void jobCompleted(String jobId, JobRecord record) {
         terminalJobs.put(jobId, record);
         storeCache.evict(StoreSchema.jobKey(jobId));
     }
 
     /**
-     * A job has been cancelled: schedules the eviction of its record for a time when its tasks have
-     * surely been stopped.
+     * Schedules the eviction of a cancelled job's record for a time at which all its tasks must
+     * have been stopped.
      */
     public void jobCancelled(String jobId) {
         pendingEvictions.add(
@@ -65,7 +71,8 @@
     }
 
     /**
-     * Evicts the records of cancelled jobs that are due, and keeps them here without their specs.
+     * Moves the records of cancelled jobs that are due from the store cache to this one, without
+     * their specs.
      */
     public void evictCancelledJobs() {
         while (!pendingEvictions.isEmpty()
--- a/src/main/java/org/shoreusher/core/job/TerminalStateWriter.java
+++ b/src/main/java/org/shoreusher/core/job/TerminalStateWriter.java
@@ -13,8 +13,8 @@
 import org.shoreusher.core.store.StoreSchema;
 
 /**
- * Writes the terminal state of jobs whose last task has completed. Users are told of the state only
- * after the write is durable.
+ * Writes the terminal state of jobs whose last task has completed. The state is reported to users
+ * only after the write is durable.
  */
 public final class TerminalStateWriter {
     private final Outbox outbox;
@@ -25,7 +25,7 @@
     /** Jobs whose last task has completed and whose terminal state is not yet durable. */
     private final List<Job> completedJobs = new ArrayList<>();
 
-    /** A writer for the jobs of one shard. */
+    /** Creates the writer for the jobs of one shard. */
     public TerminalStateWriter(
             Outbox outbox,
             StoreCache storeCache,
@@ -38,8 +38,8 @@
     }
 
     /**
-     * Queues the job if its last task has completed. To be called when a task completes, and for
-     * each job that this leader takes over.
+     * Queues the job if all its tasks are completed. Must be called when a task completes, and for
+     * each job that a new leader has loaded.
      */
     public void taskCompleted(Job job) {
         if (job.isComplete() && !completedJobs.contains(job)) {
@@ -48,7 +48,7 @@
     }
 
     /**
-     * Sends the writes that are due, as far as the request rate allows. Does nothing unless this
+     * Sends the writes of queued jobs, as far as the rate limit allows. Does nothing unless this
      * node is the leader.
      */
     public void writeTerminalStates() {
@@ -73,7 +73,8 @@
     private boolean write(Job job, JobRecord record) {
         String key = StoreSchema.jobKey(job.id());
         Map<String, Map<String, Object>> writes = Map.of(key, record.asDone().toMap());
-        // A failed precondition means that a cancellation came first; the watch will show it.
+        // The job's precondition fails if a cancellation was written first. The watch then delivers
+        // it.
         return outbox.callStore(
                 new StoreOperation.CompareAndSwap(
                         leadership.preconditions(key, storeCache.version(key)), writes),
--- a/src/test/java/org/shoreusher/core/job/SubmissionBatchesTest.java
+++ b/src/test/java/org/shoreusher/core/job/SubmissionBatchesTest.java
@@ -31,7 +31,7 @@
      * which has already left it: the job must not be started again.
      */
     @Example
-    void submissionSeenAfterItsTerminalStateStartsNothing() {
+    void batchAppliedAfterTerminalStateAddsNoJob() {
         JobSpec spec =
                 new JobSpecBuilder("wk-1")
                         .jobClass("c")
