--- a/src/main/java/org/shoreusher/core/user/AdmissionPolicy.java
+++ b/src/main/java/org/shoreusher/core/user/AdmissionPolicy.java
@@ -5,15 +5,21 @@
 import org.shoreusher.core.store.VersionNegotiation;
 import org.shoreusher.settings.Settings;
 
-/** Decides which jobs are admitted: those that can run at some time. */
+/**
+ * Decides whether a job is admitted: only if its team's limit and the machine types allow it to
+ * run.
+ */
 final class AdmissionPolicy {
-    /** Whether a job is admitted. */
+    /** The decision on a job. */
     enum Decision {
-        /** The job can run. */
+        /** The team's limit and the machine types allow the job to run. */
         ADMITTED,
-        /** The job can never run. */
+        /** The job can never run; the user has to change it. */
         REJECTED,
-        /** This node cannot tell yet. */
+        /**
+         * The machine types are not loaded, or not all nodes are known to support services; the
+         * user should retry.
+         */
         UNDECIDED
     }
 
@@ -21,7 +27,10 @@
     private final MachineTypeCatalog machineTypes;
     private final VersionNegotiation versionNegotiation;
 
-    /** A policy by the teams' limits, the cloud's machine types and the nodes' versions. */
+    /**
+     * Creates a policy by the teams' limits, the cloud's machine types and the versions of the
+     * nodes.
+     */
     AdmissionPolicy(
             Settings settings,
             MachineTypeCatalog machineTypes,
@@ -31,7 +40,6 @@
         this.versionNegotiation = versionNegotiation;
     }
 
-    /** Decides on a job. */
     Decision decide(JobSpec spec) {
         if (exceedsTeamLimit(spec)) {
             return Decision.REJECTED;
@@ -47,7 +55,10 @@
                 : Decision.REJECTED;
     }
 
-    /** Whether the team is unknown, or its limit is too low for the tasks that must run at once. */
+    /**
+     * Whether the team is not configured, or its limit is too low for the tasks that must run
+     * concurrently.
+     */
     private boolean exceedsTeamLimit(JobSpec spec) {
         Settings.Team team = settings.teams().get(spec.team());
         int minConcurrentTasks = spec.minConcurrentTasks();
--- a/src/main/java/org/shoreusher/core/user/JobCancellation.java
+++ b/src/main/java/org/shoreusher/core/user/JobCancellation.java
@@ -13,25 +13,26 @@
 import org.shoreusher.core.store.StoreSchema;
 import org.shoreusher.settings.Settings;
 
-/** Cancels jobs: writes their terminal state, unless another one comes first. */
+/** Cancels jobs by writing their terminal state, unless they are already in a terminal state. */
 final class JobCancellation {
-    /** A request to cancel a job, and how often its write may yet be tried after conflicts. */
-    private record Attempt(long requestId, String jobId, int triesLeft) {}
+    /** A request to cancel a job, and how many times it may still be tried, this time included. */
+    private record CancelRequest(long requestId, String jobId, int triesLeft) {}
 
     private final Settings settings;
     private final Outbox outbox;
     private final StoreCache storeCache;
     private final LinearizableReads linearizableReads;
 
-    /** Refuses a request if the node is overloaded; returns whether it did. */
+    /** Rejects a request if this node cannot serve it now; returns whether it did. */
     private final LongPredicate rejectIfOverloaded;
 
     private int writesInFlight;
 
     /**
-     * Cancels jobs at one node.
+     * Creates the cancellation of jobs for one node.
      *
-     * @param rejectIfOverloaded refuses a request if the node is overloaded; returns whether it did
+     * @param rejectIfOverloaded rejects a request if this node cannot serve it now; returns whether
+     *     it did
      */
     JobCancellation(
             Settings settings,
@@ -46,46 +47,48 @@
         this.rejectIfOverloaded = rejectIfOverloaded;
     }
 
-    /** Writes that await their reply. */
+    /** The number of writes that await their reply. */
     int writesInFlight() {
         return writesInFlight;
     }
 
-    /** Cancels a job, and answers the request with the job's terminal state. */
+    /** Cancels a job, and responds with the job's terminal state. */
     void cancel(long requestId, String jobId) {
         linearizableReads.readBatched(
                 requestId,
                 jobId,
                 record ->
                         cancel(
-                                new Attempt(
+                                new CancelRequest(
                                         requestId, jobId, AdmissionConstants.MAX_WRITE_ATTEMPTS),
                                 record));
     }
 
-    /** Cancels a job whose record was just read; null if there is no such job. */
-    private void cancel(Attempt attempt, JobRecord record) {
+    /**
+     * Cancels a job whose record has just been read; the record is null if there is no such job.
+     */
+    private void cancel(CancelRequest request, JobRecord record) {
         if (record == null) {
-            outbox.respond(attempt.requestId, new Response.NotFound());
+            outbox.respond(request.requestId, new Response.NotFound());
             return;
         }
         switch (record.status()) {
-            case DONE -> respond(attempt, DisplayState.DONE);
-            case CANCELLED -> respond(attempt, DisplayState.CANCELLED);
-            case OPEN -> writeCancelled(attempt, record);
+            case DONE -> respond(request, DisplayState.DONE);
+            case CANCELLED -> respond(request, DisplayState.CANCELLED);
+            case OPEN -> writeCancelled(request, record);
         }
     }
 
-    private void respond(Attempt attempt, DisplayState state) {
-        outbox.respond(attempt.requestId, new Response.JobState(attempt.jobId, state));
+    private void respond(CancelRequest request, DisplayState state) {
+        outbox.respond(request.requestId, new Response.JobState(request.jobId, state));
     }
 
-    private void writeCancelled(Attempt attempt, JobRecord record) {
-        String key = StoreSchema.jobKey(attempt.jobId);
+    private void writeCancelled(CancelRequest request, JobRecord record) {
+        String key = StoreSchema.jobKey(request.jobId);
         Map<String, Map<String, Object>> writes =
                 Map.of(key, record.asCancelled(settings.maxValueBytes()).toMap());
         send(
-                attempt,
+                request,
                 new StoreOperation.CompareAndSwap(Map.of(key, storeCache.version(key)), writes),
                 AdmissionConstants.MAX_WRITE_ATTEMPTS);
     }
@@ -93,10 +96,11 @@
     /**
      * Sends a write.
      *
-     * @param sendsLeft how often it may be sent if the store's rate limit refuses it
+     * @param sendsLeft how many times it may be sent while the store rejects it with status 429
      */
-    private void send(Attempt attempt, StoreOperation.CompareAndSwap operation, int sendsLeft) {
-        if (rejectIfOverloaded.test(attempt.requestId)) {
+    private void send(
+            CancelRequest request, StoreOperation.CompareAndSwap operation, int sendsLeft) {
+        if (rejectIfOverloaded.test(request.requestId)) {
             return;
         }
         writesInFlight++;
@@ -107,30 +111,34 @@
                             writesInFlight--;
                             if (reply.status() == ReplyStatus.OK) {
                                 storeCache.applyOwnWrites(reply, operation.writes());
-                                respond(attempt, DisplayState.CANCELLED);
+                                respond(request, DisplayState.CANCELLED);
                             } else if (reply.status() == ReplyStatus.CONFLICT) {
-                                retryAfterConflict(attempt);
+                                retryAfterConflict(request);
                             } else if (reply.status() == ReplyStatus.TOO_MANY_REQUESTS
                                     && sendsLeft > 1) {
-                                send(attempt, operation, sendsLeft - 1);
+                                send(request, operation, sendsLeft - 1);
                             } else {
-                                outbox.respondUnavailable(attempt.requestId);
+                                outbox.respondUnavailable(request.requestId);
                             }
                         });
         if (!sent) {
             writesInFlight--;
-            outbox.respondUnavailable(attempt.requestId);
+            outbox.respondUnavailable(request.requestId);
         }
     }
 
-    /** The job has changed since it was read: reads it again, as often as that may be tried. */
-    private void retryAfterConflict(Attempt attempt) {
-        if (attempt.triesLeft <= 1) {
-            outbox.respondUnavailable(attempt.requestId);
+    /**
+     * Reads the job again and retries, unless no try is left. The job has changed since it was
+     * read.
+     */
+    private void retryAfterConflict(CancelRequest request) {
+        if (request.triesLeft <= 1) {
+            outbox.respondUnavailable(request.requestId);
             return;
         }
-        Attempt next = new Attempt(attempt.requestId, attempt.jobId, attempt.triesLeft - 1);
+        CancelRequest next =
+                new CancelRequest(request.requestId, request.jobId, request.triesLeft - 1);
         linearizableReads.readIndividually(
-                attempt.requestId, attempt.jobId, latestRecord -> cancel(next, latestRecord));
+                request.requestId, request.jobId, latestRecord -> cancel(next, latestRecord));
     }
 }
--- a/src/main/java/org/shoreusher/core/user/JobStateResponses.java
+++ b/src/main/java/org/shoreusher/core/user/JobStateResponses.java
@@ -6,25 +6,27 @@
 import org.shoreusher.core.message.Response.TaskCounts;
 import org.shoreusher.core.store.JobRecord;
 
-/** Builds the responses that tell users the state of a job. */
+/** Builds the responses with the state of a job. */
 final class JobStateResponses {
     private final TaskCountSource taskCounts;
 
-    /** Responses with the counts of a source, which are for display only. */
+    /** Creates responses with the counts of a source, which are for display only. */
     JobStateResponses(TaskCountSource taskCounts) {
         this.taskCounts = taskCounts;
     }
 
-    /** The response to a poll: the state of the job, and its task counts. */
+    /** The response to a poll: the state and the task counts of the job. */
     Response withCounts(String jobId, JobRecord record) {
-        TaskCounts current = taskCounts.taskCounts(jobId);
+        TaskCounts currentCounts = taskCounts.taskCounts(jobId);
         return switch (record.status()) {
             case DONE ->
                     withCounts(jobId, DisplayState.DONE, new TaskCounts(record.taskCount(), 0));
             case CANCELLED ->
                     withCounts(
-                            jobId, DisplayState.CANCELLED, new TaskCounts(current.completed(), 0));
-            case OPEN -> withCounts(jobId, openState(current), current);
+                            jobId,
+                            DisplayState.CANCELLED,
+                            new TaskCounts(currentCounts.completed(), 0));
+            case OPEN -> withCounts(jobId, openState(currentCounts), currentCounts);
         };
     }
 
@@ -32,7 +34,7 @@
         return new JobState(jobId, state, counts, false);
     }
 
-    /** The response with the state of a known job alone. */
+    /** The response with the state of an existing job, without its task counts. */
     Response stateOnly(String jobId, JobRecord record) {
         DisplayState state =
                 switch (record.status()) {
@@ -48,7 +50,7 @@
         return new JobState(jobId, DisplayState.PENDING, null, true);
     }
 
-    private static DisplayState openState(TaskCounts current) {
-        return current.running() > 0 ? DisplayState.RUNNING : DisplayState.PENDING;
+    private static DisplayState openState(TaskCounts currentCounts) {
+        return currentCounts.running() > 0 ? DisplayState.RUNNING : DisplayState.PENDING;
     }
 }
--- a/src/main/java/org/shoreusher/core/user/SubmissionCommit.java
+++ b/src/main/java/org/shoreusher/core/user/SubmissionCommit.java
@@ -24,14 +24,17 @@
 import org.shoreusher.wire.StoreFormat;
 
 /**
- * Makes submissions durable by group commit, and answers them. A single submission gets a record of
- * its own. Submissions that arrive while the write before them is in flight, or waits for a token
- * of the rate limit, share a record; see {@link SubmissionBatches}. One write for each would make a
- * hundred simultaneous submissions wait up to six seconds at twenty writes a second. Submissions
- * that do not fit into the next writes are refused at once.
+ * Makes submissions durable by group commit, and responds to them. A single submission gets a
+ * record of its own. Submissions that arrive while the previous writes are in flight or wait for
+ * the rate limit share a record; see {@link SubmissionBatches}. With one write for each, a hundred
+ * simultaneous submissions would wait up to six seconds at twenty writes per second. Submissions
+ * beyond what the next writes hold are rejected at once.
  */
 final class SubmissionCommit {
-    /** A job that is to be written, with all requests that submit it. */
+    /**
+     * A job that is to be written, with all requests that submit it and the time of the first;
+     * monotonic ms.
+     */
     private record PendingSubmission(
             String jobId,
             long queuedAtMs,
@@ -50,25 +53,35 @@
     private final String processName;
     private final ToIntFunction<JobSpec> shardWithMostHeadroom;
 
-    /** Called for a job that has become durable by another submission; with request and job id. */
-    private final BiConsumer<Long, String> onAlreadyKnown;
+    /**
+     * Called with the request id and the job id if another submission has already made the job
+     * durable.
+     */
+    private final BiConsumer<Long, String> onAlreadyExists;
 
-    /** Called for a description that exceeds the limit on a record; with request and job id. */
+    /**
+     * Called with the request id and the job id if the job's record would exceed the size limit on
+     * values.
+     */
     private final BiConsumer<Long, String> onTooLong;
 
-    /** Submissions to be written, by job id, in the order of arrival. */
+    /**
+     * Submissions that are not in a write yet, by job id, in the order in which they are written.
+     */
     private final Map<String, PendingSubmission> pendingSubmissions = new LinkedHashMap<>();
 
     private int writesInFlight;
     private long nextBatchNumber = 1;
 
     /**
-     * A committer for the submissions that one node accepts.
+     * Creates an instance for the submissions that one node accepts.
      *
      * @param processName the name of this process, which no other process has ever had
-     * @param shardWithMostHeadroom the number of the shard that a new job should go to
-     * @param onAlreadyKnown called for a job that has become durable by another submission
-     * @param onTooLong called for a description that exceeds the limit on a record
+     * @param shardWithMostHeadroom returns the number of the shard to which a new job is assigned
+     * @param onAlreadyExists called with the request id and the job id if another submission has
+     *     already made the job durable
+     * @param onTooLong called with the request id and the job id if the job's record would exceed
+     *     the size limit on values
      */
     SubmissionCommit(
             Settings settings,
@@ -76,18 +89,21 @@
             StoreCache storeCache,
             String processName,
             ToIntFunction<JobSpec> shardWithMostHeadroom,
-            BiConsumer<Long, String> onAlreadyKnown,
+            BiConsumer<Long, String> onAlreadyExists,
             BiConsumer<Long, String> onTooLong) {
         this.settings = settings;
         this.outbox = outbox;
         this.storeCache = storeCache;
         this.processName = processName;
         this.shardWithMostHeadroom = shardWithMostHeadroom;
-        this.onAlreadyKnown = onAlreadyKnown;
+        this.onAlreadyExists = onAlreadyExists;
         this.onTooLong = onTooLong;
     }
 
-    /** Queues a job that is not yet known and has been admitted; the request is answered later. */
+    /**
+     * Queues an admitted job, and responds once it is durable or rejected. Responds at once if the
+     * queue is full.
+     */
     void enqueue(long requestId, JobSpec spec) {
         PendingSubmission queued = pendingSubmissions.get(spec.id());
         if (queued != null) {
@@ -116,14 +132,15 @@
                         new ArrayList<>(List.of(requestId))));
     }
 
-    /** Writes the queued submissions, and refuses those that have waited for too long. */
+    /** Writes the queued submissions, and rejects those that have been queued for too long. */
     void commitPending() {
         while (!pendingSubmissions.isEmpty()
                 && writesInFlight < AdmissionConstants.MAX_SUBMISSION_COMMITS_IN_FLIGHT
                 && writeBatch()) {
-            // until the queue is empty or the rate limit is reached
+            // repeats until the queue is empty or a limit is reached
         }
-        // A submission waits for the next write only: a retry by the user costs less than a queue.
+        // A submission waits only for the next writes: a retry by the user costs less than a long
+        // queue.
         pendingSubmissions
                 .values()
                 .removeIf(
@@ -156,10 +173,10 @@
         return sent;
     }
 
-    /** The first submissions that fit into one record, at least one. */
+    /** The first queued submissions that fit into one record, at least one. */
     private List<PendingSubmission> nextBatch() {
         double maxBatchBytes = settings.maxValueBytes() * StoreConstants.RECORD_FILL_SHARE;
-        // One precondition for each job, and one for the record.
+        // One precondition for each job, and one for the batch's record.
         int maxBatchSize =
                 StoreConstants.MAX_PRECONDITIONS_PER_WRITE * settings.maxTransactionWrites() - 1;
         List<PendingSubmission> batch = new ArrayList<>();
@@ -183,7 +200,7 @@
         if (batch.size() == 1) {
             writes.put(batch.get(0).key(), batch.get(0).recordValue);
         } else {
-            // The name of this process is unique, so no batch record is ever overwritten.
+            // The name of this process is unique, so no batch record is overwritten.
             String batchKey = StoreSchema.submissionBatchKey(processName, nextBatchNumber++);
             preconditions.put(batchKey, StoreCache.ABSENT);
             Map<String, Map<String, Object>> jobs = new LinkedHashMap<>();
@@ -200,7 +217,7 @@
         switch (reply.status()) {
             case ReplyStatus.OK -> {
                 storeCache.applyOwnWrites(reply, writes);
-                batch.forEach(this::answerCreated);
+                batch.forEach(this::respondCreated);
             }
             case ReplyStatus.CONFLICT -> handleConflict(batch, failedPreconditions(reply));
             case ReplyStatus.TOO_MANY_REQUESTS -> batch.forEach(this::requeue);
@@ -211,18 +228,18 @@
         }
     }
 
-    private void answerCreated(PendingSubmission submission) {
+    private void respondCreated(PendingSubmission submission) {
         submission.requestIds.forEach(
                 requestId ->
                         outbox.respond(requestId, JobStateResponses.created(submission.jobId())));
     }
 
-    /** Jobs that exist already are answered with their state; the others are written again. */
+    /** Responds with the state of jobs that already exist; the others are queued again. */
     private void handleConflict(List<PendingSubmission> batch, Set<String> failedKeys) {
         for (PendingSubmission submission : batch) {
             if (failedKeys.contains(submission.key())) {
                 submission.requestIds.forEach(
-                        requestId -> onAlreadyKnown.accept(requestId, submission.jobId()));
+                        requestId -> onAlreadyExists.accept(requestId, submission.jobId()));
             } else {
                 requeue(submission);
             }
--- a/src/main/java/org/shoreusher/core/user/UserRequests.java
+++ b/src/main/java/org/shoreusher/core/user/UserRequests.java
@@ -14,15 +14,18 @@
 import org.shoreusher.settings.Settings;
 
 /**
- * Answers the requests of users. A terminal state is answered from memory, since it never changes.
- * Any other state is answered only after a linearizable read of the key-value store, see {@link
- * LinearizableReads}. A request that cannot be served now is refused at once.
+ * Handles the requests of users. A terminal state is returned from memory, since it never changes.
+ * Any other state is returned only after a linearizable read of the key-value store; see {@link
+ * LinearizableReads}. A request that cannot be served now is rejected at once.
  */
 public final class UserRequests {
-    private static final String INVALID_ID = "name_id must look like wk-000412";
-    private static final String NEVER_RUNS =
-            "can never run: unknown team, no machine type that fits, or above the team's limit";
-    private static final String TOO_LONG = "the description is longer than a record may be";
+    private static final String INVALID_JOB_ID =
+            "name_id must be wk- followed by 1 to 37 digits, such as wk-000412";
+    private static final String CAN_NEVER_RUN =
+            "the job can never run: its team is unknown, no machine type fits a task, or the tasks"
+                    + " that must run concurrently exceed the team's limit";
+    private static final String TOO_LONG =
+            "the job description is too long for a stored record; shorten it";
 
     private final Outbox outbox;
     private final StoreCache storeCache;
@@ -35,10 +38,10 @@
     private final LinearizableReads linearizableReads;
 
     /**
-     * A handler for the requests of one node.
+     * Creates the handler of the requests that one node receives.
      *
      * @param processName the name of this process, which no other process has ever had
-     * @param shardWithMostHeadroom the number of the shard that a new job should go to
+     * @param shardWithMostHeadroom returns the number of the shard to which a new job is assigned
      */
     public UserRequests(
             NodeContext context,
@@ -72,13 +75,11 @@
                         storeCache,
                         processName,
                         shardWithMostHeadroom,
-                        this::answerConflict,
-                        this::answerTooLong);
+                        this::respondAfterConflict,
+                        this::respondTooLong);
     }
 
-    // ---- requests ----------------------------------------------------------------------------
-
-    /** A user asks for the state of a job. */
+    /** Handles a request for the state and the task counts of a job. */
     public void poll(long requestId, String jobId) {
         if (!JobSpec.isValidId(jobId)) {
             outbox.respond(requestId, new Response.NotFound());
@@ -96,19 +97,20 @@
     }
 
     /**
-     * A user submits a job. A repeated submission is answered with the state of the job.
+     * Handles a submission. The response to a repeated submission is the state of the job.
      *
-     * @param spec the job; null if the body of the request can't be used
-     * @param validationError what is wrong with the body; null if nothing is
+     * @param spec the job; null if the body of the request is invalid
+     * @param validationError the fault in the body; null if there is none
      */
     public void submit(long requestId, String jobId, JobSpec spec, String validationError) {
         if (!JobSpec.isValidId(jobId)) {
             outbox.respond(
                     requestId,
-                    new Response.Malformed(validationError == null ? INVALID_ID : validationError));
+                    new Response.Malformed(
+                            validationError == null ? INVALID_JOB_ID : validationError));
             return;
         }
-        // A known job is answered with its state, whether or not the body is valid.
+        // The response for an existing job is its state, whether or not the body is valid.
         if (spec != null
                 && storeCache.isLoaded()
                 && !isInMemory(jobId)
@@ -121,7 +123,7 @@
                 jobId,
                 record -> {
                     if (record != null) {
-                        answerKnownJob(requestId, jobId, record);
+                        respondWithState(requestId, jobId, record);
                     } else if (spec == null) {
                         outbox.respond(requestId, new Response.Malformed(validationError));
                     } else {
@@ -130,7 +132,7 @@
                 });
     }
 
-    /** A user cancels a job. */
+    /** Handles a cancellation. The response is the terminal state of the job. */
     public void cancel(long requestId, String jobId) {
         if (JobSpec.isValidId(jobId)) {
             jobCancellation.cancel(requestId, jobId);
@@ -139,17 +141,15 @@
         }
     }
 
-    // ---- submissions -------------------------------------------------------------------------
-
     private boolean isInMemory(String jobId) {
         return submissionBatches.jobRecord(jobId) != null || terminalJobs.get(jobId) != null;
     }
 
-    /** Commits a job that is not known, or says why it can't be admitted. */
+    /** Commits a job that does not exist yet, or responds that it can't be admitted. */
     private void admit(long requestId, JobSpec spec) {
         switch (admissionPolicy.decide(spec)) {
             case ADMITTED -> commitUnlessOverloaded(requestId, spec);
-            case REJECTED -> outbox.respond(requestId, new Response.CannotRun(NEVER_RUNS));
+            case REJECTED -> outbox.respond(requestId, new Response.CannotRun(CAN_NEVER_RUN));
             case UNDECIDED -> outbox.respondUnavailable(requestId);
         }
     }
@@ -160,24 +160,25 @@
         }
     }
 
-    /** Another submission of the job has become durable first. */
-    private void answerConflict(long requestId, String jobId) {
-        answerIfKnown(requestId, jobId, () -> outbox.respondUnavailable(requestId));
+    /** Responds with the state of a job that another submission has already made durable. */
+    private void respondAfterConflict(long requestId, String jobId) {
+        respondIfJobExists(requestId, jobId, () -> outbox.respondUnavailable(requestId));
     }
 
     /**
-     * The description exceeds the limit on a record. It is refused only after a read of the store:
-     * a job that was accepted under a higher limit must be found even if this node's cache lags.
+     * Rejects a job whose record would exceed the size limit on values, but only after a read of
+     * the store: a job that was accepted under a higher limit must be found even if this node's
+     * store cache lags.
      */
-    private void answerTooLong(long requestId, String jobId) {
-        answerIfKnown(
+    private void respondTooLong(long requestId, String jobId) {
+        respondIfJobExists(
                 requestId,
                 jobId,
                 () -> outbox.respond(requestId, new Response.Malformed(TOO_LONG)));
     }
 
-    /** Reads the job from the store, and answers with its state if there is one. */
-    private void answerIfKnown(long requestId, String jobId, Runnable otherwise) {
+    /** Reads the job from the store, and responds with its state if it exists. */
+    private void respondIfJobExists(long requestId, String jobId, Runnable otherwise) {
         linearizableReads.readIndividually(
                 requestId,
                 jobId,
@@ -185,18 +186,16 @@
                     if (record == null) {
                         otherwise.run();
                     } else {
-                        answerKnownJob(requestId, jobId, record);
+                        respondWithState(requestId, jobId, record);
                     }
                 });
     }
 
-    private void answerKnownJob(long requestId, String jobId, JobRecord record) {
+    private void respondWithState(long requestId, String jobId, JobRecord record) {
         outbox.respond(requestId, responses.stateOnly(jobId, record));
     }
 
-    // ---- work that has gathered --------------------------------------------------------------
-
-    /** Sends the writes and reads that have gathered, and gives the answers that are due. */
+    /** Sends the queued writes and reads, and the responses that are due. */
     public void step() {
         submissionCommit.commitPending();
         linearizableReads.answerCaughtUpReads();
@@ -204,12 +203,12 @@
         linearizableReads.sendBatch();
     }
 
-    /** The jobs in a terminal state, which the cache of the store evicts. */
+    /** The records of jobs in a terminal state, which the store cache evicts. */
     public TerminalJobCache terminalJobs() {
         return terminalJobs;
     }
 
-    /** Refuses the request if this node can't serve it now; returns whether it did. */
+    /** Rejects the request if this node can't serve it now; returns whether it did. */
     private boolean rejectIfOverloaded(long requestId) {
         int inProgress = jobCancellation.writesInFlight() + linearizableReads.pendingCount();
         if (!storeCache.isLoaded()
--- a/src/main/java/org/shoreusher/core/user/package-info.java
+++ b/src/main/java/org/shoreusher/core/user/package-info.java
@@ -1,11 +1,12 @@
 /**
  * The requests of users: submitting, polling and cancelling jobs.
  *
- * <p>It promises that every request is answered, that no answer says more than the key-value store
- * has confirmed, and that a submission or cancellation is durable before it is confirmed. Requests
- * beyond what a node can serve are answered at once with the advice to retry.
+ * <p>Guarantees: every request gets a response. For a valid job id, a response states whether the
+ * job exists and whether it is in a terminal state only as the key-value store has confirmed it. A
+ * submission or cancellation is durable before it is confirmed to the user. Requests beyond the
+ * capacity of a node are rejected at once with a suggested retry delay.
  *
- * <p>It may use the packages {@code message}, {@code store}, {@code job} and {@code machine} of the
+ * <p>May use the packages {@code message}, {@code store}, {@code job} and {@code machine} of the
  * core, and {@code wire}, {@code log} and {@code settings}.
  */
 package org.shoreusher.core.user;
--- a/src/test/java/org/shoreusher/core/user/JobStateResponsesTest.java
+++ b/src/test/java/org/shoreusher/core/user/JobStateResponsesTest.java
@@ -9,7 +9,7 @@
 import org.shoreusher.core.message.Response.TaskCounts;
 import org.shoreusher.core.store.JobRecord;
 
-/** The states and counts that users are told. */
+/** The job states and task counts in responses to users. */
 class JobStateResponsesTest {
     private static final String JOB_ID = "wk-000001";
     private static final JobRecord OPEN =
@@ -29,7 +29,7 @@
     }
 
     @Example
-    void openJobRunsIfAnyTaskRuns() {
+    void openJobIsRunningIfAnyTaskRuns() {
         assertEquals(
                 new JobState(JOB_ID, DisplayState.PENDING, new TaskCounts(3, 0), false),
                 responses(3, 0).withCounts(JOB_ID, OPEN));
