--- a/src/main/java/org/shoreusher/core/gossip/GossipConstants.java
+++ b/src/main/java/org/shoreusher/core/gossip/GossipConstants.java
@@ -1,44 +1,56 @@
 package org.shoreusher.core.gossip;
 
-/** Constants of the gossip between nodes, each with its unit and the reason for its value. */
+/** Intervals, timeouts and thresholds of the gossip between nodes. */
 public final class GossipConstants {
     private GossipConstants() {}
 
-    /** s; a peer with less uptime is given no shard, since it may be in a rolling restart. */
+    /**
+     * s; no shard is given up in favor of a peer with less uptime, since that peer may be part of a
+     * rolling restart.
+     */
     static final double SHARD_REBALANCE_MIN_PEER_UPTIME_S = 10;
 
     /**
-     * ms; about how often a worker that cannot reach the leader contacts another node: its response
-     * timeout of 4 s, a pause of 1 s, and the time for which its response is delayed.
+     * ms; about how often a worker that cannot reach its leader contacts another node: its response
+     * timeout of 4 s, a pause of 1 s, and up to 3 s for which its redirect to the leader is
+     * delayed.
      */
     public static final long REDIRECTED_WORKER_RETRY_MS = 8_000;
 
     /**
-     * ms; a worker whose response is delayed retries every 500 ms. After a longer gap it has
-     * reached the leader in between, and a new episode begins.
+     * ms; a worker whose redirect to the leader is delayed sends a heartbeat every 500 ms. A longer
+     * gap means that it was redirected to the leader in between, so a new episode with its own
+     * delay begins.
      */
     static final long REDIRECT_EPISODE_GAP_MS = 2_000;
 
     /**
-     * ms; longest time for which a redirect is delayed, so that the leader can step down meanwhile.
+     * ms; maximum time for which a redirect to the leader is delayed, so that the leader can step
+     * down meanwhile.
      */
     static final long MAX_REDIRECT_DELAY_MS = 3_000;
 
-    /** Share of all machines that must have contacted other nodes before redirects are delayed. */
+    /**
+     * A node delays redirects only if the workers of more than this share of all machines have
+     * contacted it.
+     */
     static final double REDIRECT_DELAY_MIN_WORKER_SHARE = 0.2;
 
     /**
-     * ms; a node that has had no answer of the store for this long is not ready, so that users are
-     * sent to other nodes.
+     * ms; a node without a reply from the store for this long reports to its peers that it cannot
+     * reach the store, and is not ready if a peer can, so that users are routed to other nodes.
      */
     public static final long READINESS_STORE_TIMEOUT_MS = 4_500;
 
-    /** ms; how often gossip is sent to the peers. */
+    /** ms; interval at which gossip is sent to the peers. */
     static final long GOSSIP_INTERVAL_MS = 500;
 
-    /** ms; a peer without gossip for this long is unresponsive; gossip comes every 500 ms. */
+    /**
+     * ms; a peer without gossip for this long is considered unresponsive; gossip is sent every 500
+     * ms.
+     */
     static final long PEER_UNRESPONSIVE_MS = 1_500;
 
-    /** ms; older gossip is not used. */
+    /** ms; older gossip is not used for decisions. */
     public static final long MAX_GOSSIP_AGE_MS = 5_000;
 }
--- a/src/main/java/org/shoreusher/core/gossip/GossipSender.java
+++ b/src/main/java/org/shoreusher/core/gossip/GossipSender.java
@@ -19,47 +19,47 @@
     private final Outbox outbox;
     private final int shardCount;
 
-    /** The shards that this node leads, by number; null for another shard. */
+    /** Returns the shard with the given number if this node leads it, else null. */
     private final IntFunction<? extends LedShardView> ledShards;
 
-    private final RedirectedWorkers[] redirected;
+    private final RedirectedWorkers[] redirectedWorkersByShard;
 
-    /** Whether this process has handled its first batch of commands. */
+    /** Whether {@link #startedMs} has been set. */
     private boolean isStarted;
 
-    /** When it did; monotonic ms. */
+    /** When the first batch of commands was handled; monotonic ms. */
     private long startedMs;
 
     private long nextSendMs;
 
-    /** When this node last told its peers that it can't reach the store; monotonic ms. */
-    private long lastSaidUnreachableMs;
+    /** When this node last sent gossip that it can't reach the store; monotonic ms. */
+    private long lastStoreOutageSentMs;
 
     /**
-     * A sender that has sent nothing yet.
+     * Creates a sender that has sent nothing yet.
      *
-     * @param ledShards the shards that this node leads, by number; null for another shard
-     * @param redirected for each shard, the workers that can't reach its leader
+     * @param ledShards returns the shard with the given number if this node leads it, else null
+     * @param redirectedWorkersByShard for each shard, the workers that can't reach its leader
      */
     GossipSender(
             Settings settings,
             Outbox outbox,
             IntFunction<? extends LedShardView> ledShards,
-            RedirectedWorkers[] redirected) {
+            RedirectedWorkers[] redirectedWorkersByShard) {
         this.settings = settings;
         this.outbox = outbox;
         this.ledShards = ledShards;
-        this.redirected = redirected;
-        shardCount = redirected.length;
+        this.redirectedWorkersByShard = redirectedWorkersByShard;
+        shardCount = redirectedWorkersByShard.length;
     }
 
-    /** Notes when the first batch of commands is handled; later calls do nothing. */
+    /** Records the time of the first batch of commands; later calls do nothing. */
     void noteStart() {
         if (!isStarted) {
             isStarted = true;
             startedMs = outbox.now().monotonicMs();
-            // An earlier process on this host may have said so until it ended.
-            lastSaidUnreachableMs = startedMs;
+            // A previous process on this host may have sent such gossip until it ended.
+            lastStoreOutageSentMs = startedMs;
         }
     }
 
@@ -69,17 +69,16 @@
     }
 
     /**
-     * Until when a peer may rely on this node's message that it can't reach the store; monotonic
-     * ms.
+     * Until when a peer may rely on this node's gossip that it can't reach the store; monotonic ms.
      */
     long storeOutageGossipValidUntilMs() {
-        return lastSaidUnreachableMs
+        return lastStoreOutageSentMs
                 + GossipConstants.MAX_GOSSIP_AGE_MS
                 + 2 * settings.maxClockOffsetMs()
                 + LeadershipConstants.LEASE_EXPIRY_MARGIN_MS;
     }
 
-    /** Sends a message to the peers if one is due; returns whether it did. */
+    /** Sends gossip to the peers if it is due; returns whether it did. */
     boolean sendIfDue() {
         long nowMs = outbox.now().monotonicMs();
         if (nowMs < nextSendMs) {
@@ -89,7 +88,7 @@
         boolean isStoreReachable =
                 outbox.sinceStoreReplyMs() < GossipConstants.READINESS_STORE_TIMEOUT_MS;
         if (!isStoreReachable) {
-            lastSaidUnreachableMs = nowMs;
+            lastStoreOutageSentMs = nowMs;
         }
         outbox.add(new Effect.SendGossip(message(isStoreReachable)));
         return true;
@@ -115,17 +114,21 @@
                 isStoreReachable,
                 uptimeS(),
                 summaries,
-                redirectedWorkers(),
+                redirectedWorkerCounts(),
                 runningTasks,
                 completedTasks);
     }
 
-    /** By shard, the number of workers that can't reach its leader, where there are any. */
-    private Map<Integer, Integer> redirectedWorkers() {
+    /**
+     * The number of workers that can't reach their leader, by shard; shards without such workers
+     * are left out.
+     */
+    private Map<Integer, Integer> redirectedWorkerCounts() {
         Map<Integer, Integer> workersByShard = new HashMap<>();
         for (int shardNumber = 0; shardNumber < shardCount; shardNumber++) {
             int workers =
-                    redirected[shardNumber].countRepeatedlyRedirected(outbox.now().monotonicMs());
+                    redirectedWorkersByShard[shardNumber].countRepeatedlyRedirected(
+                            outbox.now().monotonicMs());
             if (workers > 0) {
                 workersByShard.put(shardNumber, workers);
             }
--- a/src/main/java/org/shoreusher/core/gossip/LedShardView.java
+++ b/src/main/java/org/shoreusher/core/gossip/LedShardView.java
@@ -4,12 +4,12 @@
 import org.shoreusher.core.cluster.Job;
 import org.shoreusher.core.message.GossipMessage.ShardSummary;
 
-/** What gossip needs of a shard that this node leads. */
+/** The state of a shard led by this node that gossip reports. */
 public interface LedShardView {
     /** Returns whether this node's lease on the shard is valid. */
     boolean isLeader();
 
-    /** Returns the summary of the shard for the other nodes. */
+    /** Returns the summary of the shard that is sent to the other nodes. */
     ShardSummary summary();
 
     /** Returns the shard's open jobs by id. */
--- a/src/main/java/org/shoreusher/core/gossip/PeerGossip.java
+++ b/src/main/java/org/shoreusher/core/gossip/PeerGossip.java
@@ -4,7 +4,7 @@
 import java.util.Comparator;
 import java.util.Optional;
 import java.util.function.IntFunction;
-import org.shoreusher.core.gossip.ReceivedMessages.Received;
+import org.shoreusher.core.gossip.ReceivedMessages.PeerMessage;
 import org.shoreusher.core.leadership.LeaderLease;
 import org.shoreusher.core.leadership.LeadershipPeerView;
 import org.shoreusher.core.message.GossipMessage;
@@ -17,26 +17,29 @@
 
 /**
  * The gossip between the nodes: the last message of each peer, and the messages that this node
- * sends. Correctness never depends on it: a wrong or missing message costs time only.
+ * sends. Correctness never depends on it: a wrong or missing message only delays decisions.
  */
 public final class PeerGossip implements LeadershipPeerView {
     private final Settings settings;
     private final Outbox outbox;
 
-    /** The shards that this node leads, by number; null for another shard. */
+    /** Returns the shard with the given number if this node leads it, else null. */
     private final IntFunction<? extends LedShardView> ledShards;
 
-    private final ReceivedMessages received = new ReceivedMessages();
+    private final ReceivedMessages receivedMessages = new ReceivedMessages();
 
-    /** For each shard, the workers that its leader had answered and that now come to this node. */
-    private final RedirectedWorkers[] redirected;
+    /**
+     * For each shard, the workers that its leader had responded to and that now send heartbeats to
+     * this node.
+     */
+    private final RedirectedWorkers[] redirectedWorkersByShard;
 
     private final GossipSender sender;
 
     /**
-     * The gossip of one node, before the first message.
+     * Creates the gossip of one node without any message.
      *
-     * @param ledShards the shards that this node leads, by number; null for another shard
+     * @param ledShards returns the shard with the given number if this node leads it, else null
      */
     public PeerGossip(
             Settings settings,
@@ -46,105 +49,111 @@
         this.settings = settings;
         this.outbox = outbox;
         this.ledShards = ledShards;
-        redirected = new RedirectedWorkers[shardCount];
-        Arrays.setAll(redirected, shardNumber -> new RedirectedWorkers());
-        sender = new GossipSender(settings, outbox, ledShards, redirected);
+        redirectedWorkersByShard = new RedirectedWorkers[shardCount];
+        Arrays.setAll(redirectedWorkersByShard, shardNumber -> new RedirectedWorkers());
+        sender = new GossipSender(settings, outbox, ledShards, redirectedWorkersByShard);
     }
 
-    /** Notes when the first batch of commands is handled; later calls do nothing. */
+    /** Records the time of the first batch of commands; later calls do nothing. */
     public void noteStart() {
         sender.noteStart();
     }
 
-    /** Sends a message to the peers if one is due; returns whether it did. */
+    /** Sends gossip to the peers if it is due; returns whether it did. */
     public boolean sendIfDue() {
         return sender.sendIfDue();
     }
 
-    /** A message from a peer has arrived. */
+    /** Handles a message from a peer. */
     public void receive(GossipMessage message) {
-        received.put(message, nowMs());
+        receivedMessages.put(message, nowMs());
     }
 
     private long nowMs() {
         return outbox.now().monotonicMs();
     }
 
-    // ---- workers that can't reach their leader -----------------------------------------------
-
     /**
-     * Records the heartbeat of a worker that belongs to the shard of another leader.
+     * Records the heartbeat of a worker whose shard another node leads.
      *
      * @param machineCount the number of machines of all shards
-     * @return whether the worker should be kept away from the shard's leader for now
+     * @return whether the worker should be redirected to another node than the shard's leader for
+     *     now
      */
     public boolean recordRedirectedWorker(
             int shardNumber, WorkerHeartbeat heartbeat, int machineCount) {
-        return redirected[shardNumber].recordRedirect(heartbeat, machineCount, nowMs());
+        return redirectedWorkersByShard[shardNumber].recordRedirect(
+                heartbeat, machineCount, nowMs());
     }
 
-    /** The shard has another leader than before. */
+    /** Handles a change of the shard's leader. */
     public void leaderChanged(int shardNumber) {
-        redirected[shardNumber].clear();
+        redirectedWorkersByShard[shardNumber].clear();
     }
 
     @Override
     public int workersUnableToReachLeader(int shardNumber) {
         int workers = 0;
-        for (Received last : received.all()) {
-            if (last.isFromUsableNode(nowMs())) {
-                // The largest count, not the sum: a redirected worker goes back and forth between
-                // peers.
+        for (PeerMessage peerMessage : receivedMessages.all()) {
+            if (peerMessage.isFreshAndStoreReachable(nowMs())) {
+                // The largest count, not the sum: several peers may count the same worker.
                 workers =
                         Math.max(
                                 workers,
-                                last.message().redirectedWorkers().getOrDefault(shardNumber, 0));
+                                peerMessage
+                                        .message()
+                                        .redirectedWorkers()
+                                        .getOrDefault(shardNumber, 0));
             }
         }
         return workers;
     }
 
     /**
-     * The host that a worker should send heartbeats to until its shard has a new leader; empty if
-     * no peer is suitable. Redirected to a leader that is cut off, the worker would wait there for
-     * its whole timeout, again and again, while its lease runs out. Redirected between two
-     * responsive nodes it asks every half second, so the successor hears from it at once.
+     * The host to which a worker should send heartbeats until its shard has a new leader; empty if
+     * no peer is suitable. A worker that is redirected to an unreachable leader waits for its full
+     * response timeout each time, and its lease may expire meanwhile. A worker that is redirected
+     * between responsive nodes sends a heartbeat every 500 ms, so the successor receives one soon
+     * after the failover.
      */
     public Optional<String> interimHost(String leaderHost) {
-        return received.all().stream()
-                .filter(last -> last.message().storeReachable() && hasSentRecently(last))
-                .map(last -> last.message().senderHost())
+        return receivedMessages.all().stream()
+                .filter(
+                        peerMessage ->
+                                peerMessage.message().storeReachable()
+                                        && hasSentRecently(peerMessage))
+                .map(peerMessage -> peerMessage.message().senderHost())
                 .filter(host -> !host.equals(leaderHost))
                 .min(Comparator.naturalOrder());
     }
 
-    // ---- the state of peers ------------------------------------------------------------------
-
-    /** Whether any peer has lately said that it reaches the store. */
+    /** Whether recent gossip of any peer reports that it can reach the store. */
     public boolean anyPeerReachesStore() {
-        return received.all().stream().anyMatch(last -> last.isFromUsableNode(nowMs()));
+        return receivedMessages.all().stream()
+                .anyMatch(peerMessage -> peerMessage.isFreshAndStoreReachable(nowMs()));
     }
 
     /**
      * {@inheritDoc}
      *
-     * <p>A message may have been delayed by the network, so its age is also checked by the sender's
-     * clock. A peer that sends nothing is assumed to reach the store.
+     * <p>The network may have delayed a message, so its age is also checked by the sender's clock.
+     * A peer without recent gossip is assumed to reach the store.
      */
     @Override
     public boolean isStoreUnavailableToAllPeers() {
         return settings.members().stream()
                 .allMatch(
                         member ->
-                                received.lastOf(member.host())
-                                        .filter(this::provesStoreOutage)
+                                receivedMessages
+                                        .lastOf(member.host())
+                                        .filter(this::reportsStoreOutage)
                                         .isPresent());
     }
 
-    private boolean provesStoreOutage(Received last) {
-        return last.isFresh(nowMs())
-                && !last.message().storeReachable()
-                && outbox.now().wallMs() - last.message().sentWallMs()
+    private boolean reportsStoreOutage(PeerMessage peerMessage) {
+        return peerMessage.isFresh(nowMs())
+                && !peerMessage.message().storeReachable()
+                && outbox.now().wallMs() - peerMessage.message().sentWallMs()
                         < GossipConstants.MAX_GOSSIP_AGE_MS;
     }
 
@@ -155,12 +164,13 @@
 
     @Override
     public boolean isResponsive(String host) {
-        return received.isFresh(host, nowMs());
+        return receivedMessages.isFresh(host, nowMs());
     }
 
     /**
-     * Whether a shard's leader has probably failed: its lease has expired, or it has missed a lease
-     * renewal and its gossip has stopped.
+     * Whether a shard's leader has probably failed: its lease has expired, or its lease renewal is
+     * overdue by {@link GossipConstants#PEER_UNRESPONSIVE_MS} and no gossip of its host has arrived
+     * for that time.
      */
     public boolean isSuspectedDown(ShardRecord record) {
         long remainingLeaseMs = record.leaseExpiryWallMs() - outbox.now().wallMs();
@@ -172,41 +182,43 @@
                         - LeaderLease.renewalIntervalMs(settings)
                         - GossipConstants.PEER_UNRESPONSIVE_MS;
         return remainingLeaseMs < remainingAfterMissedRenewalMs
-                && received.lastOf(record.leaderHost()).map(this::isGossipOverdue).orElse(true);
+                && receivedMessages
+                        .lastOf(record.leaderHost())
+                        .map(this::isGossipOverdue)
+                        .orElse(true);
     }
 
-    private boolean isGossipOverdue(Received last) {
-        return nowMs() - last.receivedAtMs() > GossipConstants.PEER_UNRESPONSIVE_MS;
+    private boolean isGossipOverdue(PeerMessage peerMessage) {
+        return nowMs() - peerMessage.receivedAtMs() > GossipConstants.PEER_UNRESPONSIVE_MS;
     }
 
-    private boolean hasSentRecently(Received last) {
-        return nowMs() - last.receivedAtMs() < GossipConstants.PEER_UNRESPONSIVE_MS;
+    private boolean hasSentRecently(PeerMessage peerMessage) {
+        return nowMs() - peerMessage.receivedAtMs() < GossipConstants.PEER_UNRESPONSIVE_MS;
     }
 
-    // ---- shards and jobs of peers ------------------------------------------------------------
-
     @Override
     public ShardSummary shardSummary(int shardNumber) {
         LedShardView ledShard = ledShards.apply(shardNumber);
         if (ledShard != null) {
             return ledShard.isLeader() ? ledShard.summary() : null;
         }
-        for (Received last : received.all()) {
-            if (last.isFresh(nowMs()) && last.message().shards().containsKey(shardNumber)) {
-                return last.message().shards().get(shardNumber);
+        for (PeerMessage peerMessage : receivedMessages.all()) {
+            if (peerMessage.isFresh(nowMs())
+                    && peerMessage.message().shards().containsKey(shardNumber)) {
+                return peerMessage.message().shards().get(shardNumber);
             }
         }
         return null;
     }
 
     /**
-     * The task counts of a job in the shard of another leader, for display; zeros if no message
-     * names the job.
+     * The task counts of a job in the shard of another leader, for display; zeros if no peer's last
+     * message contains the job. The age of the message does not matter.
      */
     public TaskCounts taskCounts(String jobId) {
-        for (Received last : received.all()) {
-            Integer running = last.message().runningTasks().get(jobId);
-            Integer completed = last.message().completedTasks().get(jobId);
+        for (PeerMessage peerMessage : receivedMessages.all()) {
+            Integer running = peerMessage.message().runningTasks().get(jobId);
+            Integer completed = peerMessage.message().completedTasks().get(jobId);
             if (running != null || completed != null) {
                 return new TaskCounts(
                         completed == null ? 0 : completed, running == null ? 0 : running);
@@ -217,11 +229,12 @@
 
     @Override
     public int peersWithPriority(int ledShardCount) {
-        // A peer that has sent nothing yet may be starting: a node that leads no shard leaves one
-        // shard to each such peer.
+        // A peer without recent gossip may be starting. A node that already leads a shard lets each
+        // such peer try first; a node without a shard does not wait for them.
         int peerCount = ledShardCount == 0 ? 0 : membersWithoutFreshGossip();
-        for (Received last : received.all()) {
-            if (last.isFromUsableNode(nowMs()) && goesFirst(last.message(), ledShardCount)) {
+        for (PeerMessage peerMessage : receivedMessages.all()) {
+            if (peerMessage.isFreshAndStoreReachable(nowMs())
+                    && hasPriority(peerMessage.message(), ledShardCount)) {
                 peerCount++;
             }
         }
@@ -231,12 +244,15 @@
     private int membersWithoutFreshGossip() {
         return (int)
                 settings.members().stream()
-                        .filter(member -> !received.isFresh(member.host(), nowMs()))
+                        .filter(member -> !receivedMessages.isFresh(member.host(), nowMs()))
                         .count();
     }
 
-    /** Whether a peer leads fewer shards than this node, or as many and is up for less time. */
-    private boolean goesFirst(GossipMessage peer, int ledShardCount) {
+    /**
+     * Whether a peer leads fewer shards than this node, or as many and has been up for a shorter
+     * time.
+     */
+    private boolean hasPriority(GossipMessage peer, int ledShardCount) {
         int peerShardCount = peer.shards().size();
         return peerShardCount < ledShardCount
                 || (peerShardCount == ledShardCount && peer.uptimeS() < sender.uptimeS());
@@ -244,12 +260,13 @@
 
     @Override
     public boolean isAnyPeerLeadingTwoFewer(int ledShardCount) {
-        return received.all().stream()
+        return receivedMessages.all().stream()
                 .anyMatch(
-                        last ->
-                                last.isFromUsableNode(nowMs())
-                                        && last.message().uptimeS()
+                        peerMessage ->
+                                peerMessage.isFreshAndStoreReachable(nowMs())
+                                        && peerMessage.message().uptimeS()
                                                 > GossipConstants.SHARD_REBALANCE_MIN_PEER_UPTIME_S
-                                        && last.message().shards().size() <= ledShardCount - 2);
+                                        && peerMessage.message().shards().size()
+                                                <= ledShardCount - 2);
     }
 }
--- a/src/main/java/org/shoreusher/core/gossip/ReceivedMessages.java
+++ b/src/main/java/org/shoreusher/core/gossip/ReceivedMessages.java
@@ -8,44 +8,44 @@
 /** The last message of each peer, and when it was received. */
 final class ReceivedMessages {
     /**
-     * A message of a peer.
+     * A message from a peer.
      *
      * @param message the message
      * @param receivedAtMs when it was received; monotonic ms
      */
-    record Received(GossipMessage message, long receivedAtMs) {
+    record PeerMessage(GossipMessage message, long receivedAtMs) {
         /** Whether the message is recent enough to be used. */
         boolean isFresh(long nowMs) {
             return nowMs - receivedAtMs < GossipConstants.MAX_GOSSIP_AGE_MS;
         }
 
-        /** Whether the message is recent, and its sender reaches the store. */
-        boolean isFromUsableNode(long nowMs) {
+        /** Whether the message is recent enough to be used, and its sender can reach the store. */
+        boolean isFreshAndStoreReachable(long nowMs) {
             return isFresh(nowMs) && message.storeReachable();
         }
     }
 
-    private final Object2ObjectOpenHashMap<String, Received> lastByHost =
+    private final Object2ObjectOpenHashMap<String, PeerMessage> lastByHost =
             new Object2ObjectOpenHashMap<>();
 
-    /** Keeps a message in place of the sender's message before. */
+    /** Replaces the sender's previous message. */
     void put(GossipMessage message, long nowMs) {
-        lastByHost.put(message.senderHost(), new Received(message, nowMs));
+        lastByHost.put(message.senderHost(), new PeerMessage(message, nowMs));
     }
 
-    /** The last message of a host, if there is one. */
-    Optional<Received> lastOf(String host) {
+    /** The last message of a host; empty if there is none. */
+    Optional<PeerMessage> lastOf(String host) {
         return Optional.ofNullable(lastByHost.get(host));
     }
 
     /** The last message of each peer; a live view. */
-    Collection<Received> all() {
+    Collection<PeerMessage> all() {
         return lastByHost.values();
     }
 
-    /** Whether a host has sent a message lately enough for it to be used. */
+    /** Whether the last message of a host is recent enough to be used. */
     boolean isFresh(String host, long nowMs) {
-        Received last = lastByHost.get(host);
+        PeerMessage last = lastByHost.get(host);
         return last != null && last.isFresh(nowMs);
     }
 }
--- a/src/main/java/org/shoreusher/core/gossip/RedirectedWorkers.java
+++ b/src/main/java/org/shoreusher/core/gossip/RedirectedWorkers.java
@@ -4,13 +4,13 @@
 import org.shoreusher.core.message.WorkerHeartbeat;
 
 /**
- * Workers of a shard that another node leads, and which now send their heartbeats to this node
- * although that leader has answered them before. Such workers can't reach their leader any more.
- * The number goes to the leader by gossip. A leader that most of its workers can't reach steps
- * down, because their leases would expire while it renews its own.
+ * The workers of a shard led by another node that now send heartbeats to this node although that
+ * leader has responded to them before. A worker that does so repeatedly is counted as unable to
+ * reach its leader. The number of such workers is sent to the leader by gossip. A leader that most
+ * of its workers can't reach steps down, because their leases would expire while it renews its own.
  */
 final class RedirectedWorkers {
-    /** The heartbeats of one worker that arrived here. */
+    /** The heartbeats of one worker that this node has redirected; times in monotonic ms. */
     private static final class RedirectHistory {
         long firstRedirectMs;
         long lastRedirectMs;
@@ -18,8 +18,9 @@
         long sequenceNumber;
 
         /**
-         * Whether it came more than once lately, each time with a newer heartbeat. Delayed copies
-         * of an old heartbeat don't count.
+         * Whether the last two heartbeats, the second newer than the first, arrived within {@link
+         * GossipConstants#REDIRECTED_WORKER_RETRY_MS}. Delayed copies of an old heartbeat don't
+         * count.
          */
         boolean isRepeated;
     }
@@ -28,11 +29,12 @@
             new Object2ObjectOpenHashMap<>();
 
     /**
-     * Records a heartbeat of a worker that belongs to another node's shard. Returns whether to
-     * redirect the worker to other reachable nodes for a while rather than to its leader. That
-     * gives an unreachable leader time to step down; a worker sent back at once would wait there
-     * for its full request timeout. Returns true only if many workers come, because a single worker
-     * may just have missed one answer.
+     * Records a heartbeat of a worker whose shard another node leads. Returns whether to redirect
+     * the worker to other responsive nodes for a while rather than to its leader. That gives an
+     * unreachable leader time to step down; a worker redirected to it at once would wait there for
+     * its full response timeout. Returns true only if many workers send heartbeats here (more than
+     * two, and more than {@link GossipConstants#REDIRECT_DELAY_MIN_WORKER_SHARE} of all machines),
+     * because a single one may just have missed a response.
      *
      * @param machineCount the number of machines of all shards
      * @param nowMs monotonic ms
@@ -60,14 +62,14 @@
                                 2, machineCount * GossipConstants.REDIRECT_DELAY_MIN_WORKER_SHARE);
     }
 
-    /** Forgets all workers, because the shard has another leader. */
+    /** Removes all workers; called when the shard has another leader. */
     void clear() {
         historyByMachine.clear();
     }
 
     /**
-     * The number of workers that came lately and more than once, which can't reach their leader.
-     * Removes older entries.
+     * The number of workers that have recently and repeatedly sent heartbeats here, and so count as
+     * unable to reach their leader. Removes workers without a recent heartbeat.
      *
      * @param nowMs monotonic ms
      */
--- a/src/main/java/org/shoreusher/core/gossip/ShardDemand.java
+++ b/src/main/java/org/shoreusher/core/gossip/ShardDemand.java
@@ -12,8 +12,8 @@
 import org.shoreusher.core.message.JobSpec;
 
 /**
- * The demand of a shard and that of the others: the summary that the others get by gossip, and what
- * their summaries say.
+ * The demand of a shard and of the other shards: creates the summary that is sent by gossip, and
+ * reads the summaries of the others.
  */
 public final class ShardDemand {
     private static final TeamDemand NO_DEMAND = new TeamDemand(0, 0);
@@ -24,7 +24,7 @@
     private final Map<String, Job> jobs;
     private final Map<String, Machine> machines;
 
-    /** The demand of one shard; {@code jobs} and {@code machines} are live views. */
+    /** Creates the demand of one shard; {@code jobs} and {@code machines} are live views. */
     public ShardDemand(
             int shardNumber,
             int shardCount,
@@ -38,7 +38,10 @@
         this.machines = machines;
     }
 
-    /** CPUs of a team's quota that the other shards need, as far as fresh summaries tell. */
+    /**
+     * The CPUs of a team's quota that the other shards need; a shard without a recent summary
+     * counts as 0.
+     */
     public double demandElsewhereCpus(String team) {
         double cpus = 0;
         for (int otherShard = 0; otherShard < shardCount; otherShard++) {
@@ -49,7 +52,9 @@
         return cpus;
     }
 
-    /** A team's demand in each shard, by number; null where there is no fresh summary. */
+    /**
+     * A team's demand in each shard, by number; null for another shard without a recent summary.
+     */
     public TeamDemand[] demandByShard(String team) {
         TeamDemand[] demands = new TeamDemand[shardCount];
         for (int otherShard = 0; otherShard < shardCount; otherShard++) {
@@ -62,7 +67,7 @@
         return demands;
     }
 
-    /** The summary of another shard; null for this shard, or if there is no fresh one. */
+    /** The summary of another shard; null for this shard, or if there is no recent one. */
     private ShardSummary summaryFromPeers(int otherShard) {
         return otherShard == shardNumber ? null : peers.shardSummary(otherShard);
     }
@@ -86,8 +91,8 @@
     }
 
     /**
-     * The CPUs of the team's largest task in this shard; 0 if there is none. A share of the quota
-     * that is smaller than this would be useless.
+     * The CPUs of the team's largest task in this shard; 0 if there is none. With a smaller share
+     * of the quota, this task could not be started.
      */
     public double largestTaskCpus(String team) {
         double largest = 0;
@@ -100,10 +105,10 @@
     }
 
     /**
-     * The summary of this shard for the others.
+     * Creates the summary of this shard for the other nodes.
      *
      * @param isSurplus whether the shard has no tasks for a machine
-     * @param machineShortfall how many more machines the shard could fill at once
+     * @param machineShortfall the number of further machines that the shard could use now
      */
     public ShardSummary summarize(Predicate<Machine> isSurplus, int machineShortfall) {
         double cpuHeadroom = 0;
@@ -122,7 +127,9 @@
         return new ShardSummary(cpuHeadroom, idleMachines, machineShortfall, demands);
     }
 
-    /** The number of machines for which the other shards have no work. */
+    /**
+     * The number of machines for which the other shards have no tasks, by their recent summaries.
+     */
     public int idleMachinesElsewhere() {
         int idleMachines = 0;
         for (int otherShard = 0; otherShard < shardCount; otherShard++) {
@@ -132,23 +139,26 @@
         return idleMachines;
     }
 
-    /** The number of further machines that another shard could use now. */
+    /** The number of further machines that a shard could use now; 0 if it has no recent summary. */
     public int machineShortfallOf(int otherShard) {
         ShardSummary summary = peers.shardSummary(otherShard);
         return summary == null ? 0 : summary.machineShortfall();
     }
 
-    /** The number of the other shard that could use most machines; empty if none needs any. */
+    /**
+     * The number of the other shard that could use the most further machines; empty if none could
+     * use any.
+     */
     public OptionalInt shardWithLargestShortfall() {
-        OptionalInt neediest = OptionalInt.empty();
+        OptionalInt targetShard = OptionalInt.empty();
         int largestShortfall = 0;
         for (int otherShard = 0; otherShard < shardCount; otherShard++) {
             int shortfall = otherShard == shardNumber ? 0 : machineShortfallOf(otherShard);
             if (shortfall > largestShortfall) {
                 largestShortfall = shortfall;
-                neediest = OptionalInt.of(otherShard);
+                targetShard = OptionalInt.of(otherShard);
             }
         }
-        return neediest;
+        return targetShard;
     }
 }
--- a/src/test/java/org/shoreusher/core/gossip/PeerGossipTest.java
+++ b/src/test/java/org/shoreusher/core/gossip/PeerGossipTest.java
@@ -21,16 +21,16 @@
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.SettingsBuilder;
 
-/** What a node concludes from the gossip of its peers, and what it sends itself. */
+/** The conclusions that a node draws from the gossip of its peers, and the gossip that it sends. */
 class PeerGossipTest {
-    private static final Settings.Address NOWHERE = new Settings.Address("127.0.0.1", 1);
+    private static final Settings.Address UNUSED_ADDRESS = new Settings.Address("127.0.0.1", 1);
     private static final Settings SETTINGS =
             new SettingsBuilder(CoreTestData.settings(List.of()))
                     .host(
                             "a",
                             List.of(
-                                    new Settings.Member("b", NOWHERE, "a"),
-                                    new Settings.Member("c", NOWHERE, "a")))
+                                    new Settings.Member("b", UNUSED_ADDRESS, "a"),
+                                    new Settings.Member("c", UNUSED_ADDRESS, "a")))
                     .build();
     private static final ShardSummary SUMMARY = new ShardSummary(4, 1, 2, Map.of());
 
@@ -81,10 +81,10 @@
     }
 
     @Example
-    void storeOutageOfAllNeedsRecentGossipOfEveryPeer() {
+    void storeOutageOfAllPeersNeedsRecentGossipFromEachPeer() {
         setTime(10_000);
         receive("b", false);
-        assertFalse(gossip.isStoreUnavailableToAllPeers(), "nothing is known of c");
+        assertFalse(gossip.isStoreUnavailableToAllPeers(), "no message from c");
         receiveSentAt(10_000 - GossipConstants.MAX_GOSSIP_AGE_MS, "c", false);
         assertFalse(gossip.isStoreUnavailableToAllPeers(), "the network delayed c's message");
         receive("c", true);
@@ -104,11 +104,11 @@
         receive("c", false);
         assertEquals(Optional.empty(), gossip.interimHost("b"));
         setTime(1_000 + GossipConstants.PEER_UNRESPONSIVE_MS);
-        assertEquals(Optional.empty(), gossip.interimHost("c"), "b has stopped sending");
+        assertEquals(Optional.empty(), gossip.interimHost("c"), "the gossip of b is overdue");
     }
 
     @Example
-    void leaderIsSuspectedOnlyIfItsLeaseRunsOutAndItsGossipHasStopped() {
+    void leaderIsSuspectedAfterLeaseExpiryOrOverdueRenewalWithoutGossip() {
         setTime(1_000);
         receive("b", true, 0);
         ShardRecord expired = new ShardRecord("b/1", 999, 1, Map.of(), null);
@@ -124,10 +124,13 @@
     }
 
     @Example
-    void peersThatLeadFewerShardsGoFirst() {
+    void peersThatLeadFewerShardsHavePriority() {
         setTime(1_000);
-        assertEquals(0, gossip.peersWithPriority(0), "a node without shards waits for nobody");
-        assertEquals(2, gossip.peersWithPriority(1), "peers may be starting");
+        assertEquals(
+                0,
+                gossip.peersWithPriority(0),
+                "a node without shards does not wait for silent peers");
+        assertEquals(2, gossip.peersWithPriority(1), "silent peers may be starting");
         receive("b", true);
         receive("c", true, 0, 1);
         assertEquals(1, gossip.peersWithPriority(1));
@@ -145,13 +148,13 @@
     }
 
     @Example
-    void sendsAtAFixedIntervalAndRemembersThatItSaidTheStoreIsUnreachable() {
+    void sendsAtFixedIntervalAndExtendsValidityOfStoreOutageGossip() {
         setTime(10_000);
         assertTrue(gossip.sendIfDue());
         assertFalse(gossip.sendIfDue());
         GossipMessage first = lastSent();
         assertEquals("a", first.senderHost());
-        assertFalse(first.storeReachable(), "the store has never answered");
+        assertFalse(first.storeReachable(), "the store has not replied yet");
         long validUntilMs = gossip.storeOutageGossipValidUntilMs();
         assertTrue(validUntilMs > 10_000 + GossipConstants.MAX_GOSSIP_AGE_MS);
         setTime(10_000 + GossipConstants.GOSSIP_INTERVAL_MS);
