--- a/src/test/java/org/shoreusher/core/job/CompletionRecordsTest.java
+++ b/src/test/java/org/shoreusher/core/job/CompletionRecordsTest.java
@@ -24,8 +24,8 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * Completion records stay below the value limit whatever has completed, and durable completions
- * stay durable, whichever version wrote them.
+ * Completion records stay within the size limit on values whichever tasks have completed, and
+ * durable completions are never lost, whichever version wrote them.
  */
 class CompletionRecordsTest {
 
@@ -103,7 +103,7 @@
             int recordNumber = random.nextInt(recordCount);
             Map<String, Object> record = records.get(recordNumber);
             record.put(job.id(), TaskRanges.format(completed));
-            // A successor splits a shard's own record that is too long to be written again.
+            // A successor splits the shard's own record if it is too long to be written again.
             int maxBytes =
                     recordNumber == 0
                             ? Math.min(previousValueBytes, settings.maxValueBytes())
@@ -113,7 +113,7 @@
             }
         }
 
-        /** Reads the records as a new leader does. */
+        /** Loads the records as a new leader does. */
         void load() {
             for (Job job : jobs) {
                 records.forEach(
@@ -137,7 +137,10 @@
             }
         }
 
-        /** Renews the lease with as many records as a transaction allows; it may fail. */
+        /**
+         * Writes as many records as a transaction allows, as a lease renewal does. With {@code
+         * mayFail}, one write in four fails.
+         */
         void renewLease(boolean mayFail) {
             CompletionRecords completionRecords =
                     CompletionRecords.layOut(
@@ -159,7 +162,11 @@
                     (recordNumber, record) ->
                             assertTrue(
                                     FieldMap.jsonLength(record) <= settings.maxValueBytes(),
-                                    () -> recordNumber + ": " + FieldMap.jsonLength(record)));
+                                    () ->
+                                            "bytes of record "
+                                                    + recordNumber
+                                                    + ": "
+                                                    + FieldMap.jsonLength(record)));
             if (random.nextInt(4) > 0 || !mayFail) {
                 records.putAll(writes);
                 completionRecords.markDurable();
@@ -170,19 +177,21 @@
             for (Job job : jobs) {
                 BitSet missing = (BitSet) job.durablyCompletedTasks().clone();
                 missing.andNot(storedCompletions(records, job.id()));
-                assertTrue(missing.isEmpty(), () -> "lost of " + job.id() + ": " + missing);
+                assertTrue(
+                        missing.isEmpty(),
+                        () -> "lost completions of " + job.id() + ": " + missing);
                 BitSet notCompleted = storedCompletions(records, job.id());
                 notCompleted.andNot(job.completedTasks());
-                assertTrue(notCompleted.isEmpty(), "not completed: " + notCompleted);
+                assertTrue(notCompleted.isEmpty(), "stored but not completed: " + notCompleted);
             }
         }
     }
 
     /**
-     * The store was filled by a previous leader, perhaps under a higher value limit and with a
-     * job's completions in one record or in two. Then a leader renews its lease, and some of the
-     * writes fail. After each write all durable completions are still in the store, and at the end
-     * all completions are.
+     * A previous leader has filled the store, possibly under a higher size limit on values and with
+     * a job's completions in one or two records. A leader then renews its lease, and some of the
+     * writes fail. After each write, all durable completions are still in the store, and at the end
+     * all completions are durable.
      */
     @Property(tries = 150, seed = "12", shrinking = ShrinkingMode.OFF)
     void durableCompletionsStayDurable(@ForAll @LongRange(min = 0) long seed) {
@@ -201,16 +210,16 @@
     }
 
     /**
-     * The completions of a shard's own record are split into records below the value limit; none is
-     * lost or stored twice.
+     * The completions of a shard's own record are split into records within the size limit on
+     * values; none is lost or stored twice.
      */
     @Property(tries = 150, seed = "13", shrinking = ShrinkingMode.OFF)
     void splitsAnOversizedRecord(@ForAll @LongRange(min = 0) long seed) {
         Random random = new Random(seed);
         Settings settings = settings(1024 << random.nextInt(2));
-        Map<String, Object> done = new LinkedHashMap<>();
-        Map<String, BitSet> all = new LinkedHashMap<>();
-        Map<String, BitSet> covered = new LinkedHashMap<>();
+        Map<String, Object> recordToSplit = new LinkedHashMap<>();
+        Map<String, BitSet> completedByJob = new LinkedHashMap<>();
+        Map<String, BitSet> alreadyStoredByJob = new LinkedHashMap<>();
         for (int i = 0; i < 1 + random.nextInt(20); i++) {
             Job job = job(i, 1 + random.nextInt(1500));
             for (int taskIndex = 0; taskIndex < job.spec().taskCount(); taskIndex++) {
@@ -220,19 +229,19 @@
             if (random.nextBoolean()) {
                 alreadyStored.set(0, random.nextInt(800));
             }
-            all.put(job.id(), job.completedTasks());
-            covered.put(job.id(), alreadyStored);
-            done.put(job.id(), TaskRanges.format(job.completedTasks()));
+            completedByJob.put(job.id(), job.completedTasks());
+            alreadyStoredByJob.put(job.id(), alreadyStored);
+            recordToSplit.put(job.id(), TaskRanges.format(job.completedTasks()));
         }
-        Map<String, BitSet> found = new LinkedHashMap<>(covered);
-        for (Map<String, Object> piece :
-                CompletionRecordSplitter.split(done, settings, covered::get)) {
-            assertTrue(FieldMap.jsonLength(piece) <= settings.maxValueBytes());
-            piece.forEach(
+        Map<String, BitSet> storedByJob = new LinkedHashMap<>(alreadyStoredByJob);
+        for (Map<String, Object> record :
+                CompletionRecordSplitter.split(recordToSplit, settings, alreadyStoredByJob::get)) {
+            assertTrue(FieldMap.jsonLength(record) <= settings.maxValueBytes());
+            record.forEach(
                     (id, ranges) -> {
                         BitSet set = TaskRanges.parse((String) ranges);
-                        assertTrue(!set.intersects(found.get(id)), "stored twice: " + id);
-                        found.merge(
+                        assertTrue(!set.intersects(storedByJob.get(id)), "stored twice: " + id);
+                        storedByJob.merge(
                                 id,
                                 set,
                                 (earlier, later) -> {
@@ -242,11 +251,12 @@
                                 });
                     });
         }
-        all.forEach(
+        completedByJob.forEach(
                 (id, set) -> {
                     BitSet missing = (BitSet) set.clone();
-                    missing.andNot(found.get(id));
-                    assertTrue(missing.isEmpty(), id);
+                    missing.andNot(storedByJob.get(id));
+                    assertTrue(
+                            missing.isEmpty(), () -> "lost completions of " + id + ": " + missing);
                 });
     }
 }
--- a/src/test/java/org/shoreusher/core/job/HighWaterMarksTest.java
+++ b/src/test/java/org/shoreusher/core/job/HighWaterMarksTest.java
@@ -20,6 +20,7 @@
 import org.shoreusher.core.message.Effect;
 import org.shoreusher.core.message.Effect.StoreOperation;
 import org.shoreusher.core.message.JobSpec;
+import org.shoreusher.core.message.ReplyStatus;
 import org.shoreusher.core.store.JobRecord;
 import org.shoreusher.core.store.NodeContext;
 import org.shoreusher.core.store.Outbox;
@@ -30,12 +31,12 @@
 import org.shoreusher.settings.Settings;
 import org.shoreusher.wire.FieldMap;
 
-/**
- * High-water marks of started tasks, also when their writes fail, get no response, or are executed
- * late.
- */
+/** High-water marks, including writes that fail or get no reply. */
 class HighWaterMarksTest {
     private static final Settings SETTINGS = CoreTestData.settings(List.of());
+    private static final int[] FAILURES = {
+        ReplyStatus.NO_REPLY, ReplyStatus.SERVICE_UNAVAILABLE, ReplyStatus.TOO_MANY_REQUESTS
+    };
 
     /** A shard with open jobs whose marks are written by its leader. */
     private static final class LedShard {
@@ -46,7 +47,7 @@
         private final ShardLeadership leadership;
         private long revision = 1;
 
-        /** Starts the leadership of a shard with jobs of up to this number of tasks. */
+        /** Starts the leadership of a shard whose jobs have at most {@code maxTasks} tasks. */
         LedShard(int jobCount, int maxTasks, Random random) {
             outbox.setNow(new ClockReading(1_000, 1_000));
             leadership =
@@ -74,14 +75,14 @@
             }
         }
 
-        HighWaterMarks highWaterMarks(Map<String, Job> ofJobs) {
+        HighWaterMarks highWaterMarks(Map<String, Job> markedJobs) {
             return new HighWaterMarks(
                     0,
                     1,
                     new NodeContext(SETTINGS, Features.NONE, outbox, storeCache, null),
                     new SubmissionBatches(SETTINGS, outbox, storeCache),
                     leadership,
-                    ofJobs);
+                    markedJobs);
         }
 
         boolean isAnyMarkMissing() {
@@ -89,9 +90,10 @@
         }
 
         /**
-         * Writes the requested marks in records below the value limit; the store replies as given.
+         * Writes the requested marks, and checks that each value is within the size limit. The
+         * store replies to each call with the next status.
          */
-        void writeRequestedMarks(HighWaterMarks highWaterMarks, IntSupplier status) {
+        void writeRequestedMarks(HighWaterMarks highWaterMarks, IntSupplier nextStatus) {
             outbox.setNow(
                     new ClockReading(outbox.now().monotonicMs() + 300, outbox.now().wallMs() + 10));
             highWaterMarks.writeRequestedMarks();
@@ -105,27 +107,29 @@
                                                 FieldMap.jsonLength(value)
                                                         <= SETTINGS.maxValueBytes(),
                                                 key));
-                int replied = status.getAsInt();
+                int replyStatus = nextStatus.getAsInt();
                 outbox.onReply(
                         new StoreReply(
                                 call.callId(),
-                                replied,
-                                replied == 200 ? Map.of("ledger", ++revision) : null));
+                                replyStatus,
+                                replyStatus == ReplyStatus.OK
+                                        ? Map.of("ledger", ++revision)
+                                        : null));
             }
         }
     }
 
     /**
-     * A record was once assigned to a job when the write was made. After failed writes other jobs
-     * were assigned the same space. A record above the value limit is rejected for good, so that
-     * none of its jobs would ever start.
+     * Guards against records above the size limit on values, which the store rejects each time, so
+     * that their jobs are never started. They came about when a record was assigned to a job before
+     * its write had succeeded: after a failed write, other jobs were assigned the same space.
      */
     @Property(tries = 100, seed = "431")
     void recordsStayBelowTheValueLimitWhenWritesFail(
-            @ForAll @IntRange(min = 1, max = 300) int count,
+            @ForAll @IntRange(min = 1, max = 300) int jobCount,
             @ForAll @LongRange(min = 0) long seed) {
         Random random = new Random(seed);
-        LedShard shard = new LedShard(count, 1_000, random);
+        LedShard shard = new LedShard(jobCount, 1_000, random);
         HighWaterMarks highWaterMarks = shard.highWaterMarks(shard.jobs);
         for (int round = 0; round < 300 && shard.isAnyMarkMissing(); round++) {
             int currentRound = round;
@@ -137,7 +141,7 @@
                     () -> {
                         boolean fails =
                                 currentRound < 20 || (currentRound < 100 && random.nextInt(3) > 0);
-                        return fails ? new int[] {0, 503, 429}[random.nextInt(3)] : 200;
+                        return fails ? FAILURES[random.nextInt(FAILURES.length)] : ReplyStatus.OK;
                     });
         }
         shard.jobs
@@ -147,37 +151,37 @@
                                 assertEquals(
                                         1,
                                         Math.min(1, job.highWaterMark()),
-                                        job.id() + " may never begin"));
+                                        job.id() + " has no durable high-water mark"));
     }
 
     /**
-     * High-water marks of any number of jobs are stored in records below the value limit, and a
-     * successor finds each mark.
+     * The marks of any number of jobs are stored in records within the size limit on values, and a
+     * successor loads each of them.
      */
     @Property(tries = 30, seed = "11")
     void highWaterMarkRecordsStayBelowTheValueLimit(
-            @ForAll @IntRange(min = 1, max = 400) int count,
+            @ForAll @IntRange(min = 1, max = 400) int jobCount,
             @ForAll @LongRange(min = 0) long seed) {
-        LedShard shard = new LedShard(count, 100_000, new Random(seed));
+        LedShard shard = new LedShard(jobCount, 100_000, new Random(seed));
         HighWaterMarks highWaterMarks = shard.highWaterMarks(shard.jobs);
         for (int round = 0; round < 200 && shard.isAnyMarkMissing(); round++) {
             shard.jobs
                     .values()
                     .forEach(job -> highWaterMarks.request(job, job.highWaterMark() == 0 ? 1 : 0));
-            shard.writeRequestedMarks(highWaterMarks, () -> 200);
+            shard.writeRequestedMarks(highWaterMarks, () -> ReplyStatus.OK);
         }
-        Map<String, Job> ofSuccessor = new LinkedHashMap<>();
+        Map<String, Job> successorJobs = new LinkedHashMap<>();
         shard.jobs
                 .values()
-                .forEach(job -> ofSuccessor.put(job.id(), new Job(job.id(), job.spec(), 0)));
-        shard.highWaterMarks(ofSuccessor).load();
+                .forEach(job -> successorJobs.put(job.id(), new Job(job.id(), job.spec(), 0)));
+        shard.highWaterMarks(successorJobs).load();
         shard.jobs
                 .values()
                 .forEach(
                         job ->
                                 assertEquals(
                                         Math.max(1, job.highWaterMark()),
-                                        ofSuccessor.get(job.id()).highWaterMark(),
+                                        successorJobs.get(job.id()).highWaterMark(),
                                         job.id()));
     }
 }
--- a/src/test/java/org/shoreusher/core/job/SubmissionBatchesTest.java
+++ b/src/test/java/org/shoreusher/core/job/SubmissionBatchesTest.java
@@ -18,7 +18,7 @@
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.SettingsBuilder;
 
-/** Records of jobs that were accepted in one batch, beside the jobs' own records. */
+/** Submission batches, and the precedence of the jobs' own records. */
 class SubmissionBatchesTest {
     private static final Settings SETTINGS =
             new SettingsBuilder(CoreTestData.settings(List.of()))
@@ -27,8 +27,8 @@
                     .build();
 
     /**
-     * The change of a batch record may reach the cache after that of the job's terminal state,
-     * which has already left it: the job must not be started again.
+     * A completed job must not be started again when its batch reaches the store cache after the
+     * job's own record has been applied and evicted.
      */
     @Example
     void batchAppliedAfterTerminalStateAddsNoJob() {
@@ -40,7 +40,7 @@
                         .image("i")
                         .estimatedRunS(1)
                         .build();
-        for (boolean ended : new boolean[] {false, true}) {
+        for (boolean isDone : new boolean[] {false, true}) {
             Outbox outbox = new Outbox(SETTINGS, 1);
             SubmissionBatches[] submissionBatches = new SubmissionBatches[1];
             List<String> notified = new ArrayList<>();
@@ -55,7 +55,7 @@
                                 }
                             });
             submissionBatches[0] = new SubmissionBatches(SETTINGS, outbox, storeCache);
-            if (ended) {
+            if (isDone) {
                 storeCache.apply(
                         StoreSchema.jobKey("wk-1"), JobRecord.open(0, spec, 0).asDone().toMap(), 9);
                 storeCache.evict(StoreSchema.jobKey("wk-1"));
@@ -64,24 +64,24 @@
                     StoreSchema.submissionBatchKey("n/1", 1),
                     SubmissionBatchRecord.toMap(Map.of("wk-1", JobRecord.open(0, spec, 0).toMap())),
                     6);
-            assertEquals(ended ? List.of() : List.of("wk-1"), notified);
-            if (ended) {
+            assertEquals(isDone ? List.of() : List.of("wk-1"), notified);
+            if (isDone) {
                 assertNull(submissionBatches[0].jobRecord("wk-1"));
             }
         }
     }
 
     /**
-     * Two nodes have accepted the same job for different shards. Whichever record a node sees
-     * first, the older one counts. Otherwise each leader might leave the job to the other, and
-     * nobody would start it. The job's own record takes precedence over both.
+     * Two nodes have accepted the same job for different shards. The older batch counts, whichever
+     * reaches the store cache first. Otherwise each leader might treat the job as the other's, and
+     * none would start it. The job's own record takes precedence over both batches.
      */
     @Example
     void olderOfTwoSubmissionRecordsCounts() {
         Settings settings = CoreTestData.settings(List.of());
         JobSpec spec =
                 CoreTestData.job("wk-1", "c", JobSpec.Priority.HIGH, 3, 1, Double.NaN, 0).spec();
-        for (boolean olderFirst : new boolean[] {true, false}) {
+        for (boolean isOlderFirst : new boolean[] {true, false}) {
             Outbox outbox = new Outbox(settings, 2);
             SubmissionBatches[] submissionBatches = new SubmissionBatches[1];
             List<Integer> notified = new ArrayList<>();
@@ -98,7 +98,7 @@
                                 }
                             });
             submissionBatches[0] = new SubmissionBatches(settings, outbox, storeCache);
-            for (int shardNumber : olderFirst ? new int[] {1, 0} : new int[] {0, 1}) {
+            for (int shardNumber : isOlderFirst ? new int[] {1, 0} : new int[] {0, 1}) {
                 storeCache.apply(
                         StoreSchema.submissionBatchKey("n/" + shardNumber, 1),
                         SubmissionBatchRecord.toMap(
