--- a/src/main/java/org/shoreusher/core/job/HighWaterMarks.java
+++ b/src/main/java/org/shoreusher/core/job/HighWaterMarks.java
@@ -139,7 +139,7 @@
     private void addRequestedMarks(HighWaterMarkWrite write) {
         ObjectIterator<Object2IntMap.Entry<Job>> iterator =
                 requestedMarks.object2IntEntrySet().iterator();
-        // A mark may need two values: the job's own record and a record of marks.
+        // A mark may add two values: the job's own record and a record of marks.
         while (iterator.hasNext() && write.size() + 2 <= settings.maxTransactionWrites()) {
             Object2IntMap.Entry<Job> request = iterator.next();
             Job job = request.getKey();
--- a/src/main/java/org/shoreusher/core/user/UserRequests.java
+++ b/src/main/java/org/shoreusher/core/user/UserRequests.java
@@ -22,8 +22,7 @@
     private static final String INVALID_JOB_ID =
             "name_id must be wk- followed by 1 to 37 digits, such as wk-000412";
     private static final String CAN_NEVER_RUN =
-            "the job can never run: its team is unknown, no machine type fits a task, or the tasks"
-                    + " that must run concurrently exceed the team's limit";
+            "can never run: unknown team, no machine type that fits, or above the team's limit";
     private static final String TOO_LONG =
             "the job description is too long for a stored record; shorten it";
 
