--- a/src/main/java/org/shoreusher/balance/BalanceSettings.java
+++ b/src/main/java/org/shoreusher/balance/BalanceSettings.java
@@ -5,8 +5,8 @@
 /**
  * The operator's settings of the balancer.
  *
- * @param spreadMargin share of a machine's CPUs by which a high-demand team's use of any machine
- *     may exceed its mean use of all machines
+ * @param skewMargin share of a machine's CPUs by which a high-demand team's use of any machine may
+ *     exceed its mean use of all machines
  * @param hysteresis share of a machine's CPUs by which the skew must exceed the margin before tasks
  *     are migrated
  * @param highDemandShare smallest share of all CPUs, by usage and unmet demand together, from which
@@ -21,7 +21,7 @@
  * @param budgetsByClass budgets by job class
  */
 public record BalanceSettings(
-        double spreadMargin,
+        double skewMargin,
         double hysteresis,
         double highDemandShare,
         int maxConcurrentMigrations,
--- a/src/main/java/org/shoreusher/balance/Balancer.java
+++ b/src/main/java/org/shoreusher/balance/Balancer.java
@@ -96,7 +96,7 @@
         }
         return Math.max(
                 taskCpus,
-                (highDemandTeams.demandShare(team) + settings.spreadMargin() + fetchShare)
+                (highDemandTeams.demandShare(team) + settings.skewMargin() + fetchShare)
                         * machineLoad.cpus());
     }
 
--- a/src/main/java/org/shoreusher/balance/MigrationPlanner.java
+++ b/src/main/java/org/shoreusher/balance/MigrationPlanner.java
@@ -82,8 +82,8 @@
      * begins at once, so that the next selection takes it into account.
      */
     void beginMigrations(String team, SchedulerView scheduler, MigrationLimits limits) {
-        double shareLimit = load.meanShare(team) + settings.spreadMargin();
-        if (load.skew(team) <= settings.spreadMargin() + settings.hysteresis()) {
+        double shareLimit = load.meanShare(team) + settings.skewMargin();
+        if (load.skew(team) <= settings.skewMargin() + settings.hysteresis()) {
             return;
         }
         List<MachineLoad> targets = targets(team, limits);
--- a/src/main/java/org/shoreusher/core/CoreConstants.java
+++ b/src/main/java/org/shoreusher/core/CoreConstants.java
@@ -26,7 +26,7 @@
      * ms; interval between two scheduling passes over all machines and jobs of a shard. Heartbeats
      * are handled independently of it.
      */
-    static final long FULL_SCAN_INTERVAL_MS = 100;
+    static final long SCHEDULING_PASS_INTERVAL_MS = 100;
 
     /**
      * CPUs; headroom assumed for a shard without recent gossip. It gets a new job only if all other
--- a/src/main/java/org/shoreusher/core/Node.java
+++ b/src/main/java/org/shoreusher/core/Node.java
@@ -164,7 +164,7 @@
         if (!storeCache.isLoaded() || !machineTypes.isLoaded()) {
             return false;
         }
-        return outbox.sinceStoreReplyMs() < GossipConstants.READINESS_STORE_TIMEOUT_MS
+        return outbox.sinceStoreReplyMs() < GossipConstants.STORE_UNREACHABLE_TIMEOUT_MS
                 || !peerGossip.anyPeerReachesStore();
     }
 
--- a/src/main/java/org/shoreusher/core/Shard.java
+++ b/src/main/java/org/shoreusher/core/Shard.java
@@ -6,8 +6,8 @@
 import org.shoreusher.core.cluster.ShardState;
 import org.shoreusher.core.gossip.LedShardView;
 import org.shoreusher.core.gossip.ShardDemand;
+import org.shoreusher.core.heartbeat.HeartbeatApplier;
 import org.shoreusher.core.heartbeat.HeartbeatHandler;
-import org.shoreusher.core.heartbeat.HeartbeatReader;
 import org.shoreusher.core.job.CompletionRecords;
 import org.shoreusher.core.job.OpenJobs;
 import org.shoreusher.core.job.RunTimeEstimates;
@@ -119,8 +119,8 @@
     }
 
     private HeartbeatHandler createHeartbeatHandler() {
-        HeartbeatReader heartbeatReader =
-                new HeartbeatReader(context, jobs, machines, scheduling, reconciliation);
+        HeartbeatApplier heartbeatReader =
+                new HeartbeatApplier(context, jobs, machines, scheduling, reconciliation);
         return new HeartbeatHandler(
                 context, jobs, machines, scheduling, standbyReplication, heartbeatReader);
     }
@@ -226,7 +226,8 @@
         if (outbox.now().monotonicMs() < nextSchedulingPassMs) {
             return;
         }
-        nextSchedulingPassMs = outbox.now().monotonicMs() + CoreConstants.FULL_SCAN_INTERVAL_MS;
+        nextSchedulingPassMs =
+                outbox.now().monotonicMs() + CoreConstants.SCHEDULING_PASS_INTERVAL_MS;
         runSchedulingPass();
         if (outbox.now().monotonicMs() >= nextStatusLogMs) {
             nextStatusLogMs = outbox.now().monotonicMs() + SharedConstants.STATUS_LOG_INTERVAL_MS;
--- a/src/main/java/org/shoreusher/core/ShardAssembly.java
+++ b/src/main/java/org/shoreusher/core/ShardAssembly.java
@@ -77,7 +77,7 @@
                 new HighWaterMarks(
                         context.state().shardNumber(),
                         context.state().shardCount(),
-                        context.node(),
+                        context.nodeContext(),
                         services.submissionBatches(),
                         leadership,
                         context.state().jobs());
--- a/src/main/java/org/shoreusher/core/Shards.java
+++ b/src/main/java/org/shoreusher/core/Shards.java
@@ -5,7 +5,7 @@
 import org.shoreusher.core.leadership.LeadershipAcquisition;
 import org.shoreusher.core.leadership.LeadershipPeerView;
 import org.shoreusher.core.reconcile.PromotedAttemptLog;
-import org.shoreusher.core.replication.StandbyReplicas;
+import org.shoreusher.core.replication.ReceivedAttemptLogs;
 import org.shoreusher.core.store.JobRecord;
 import org.shoreusher.core.store.MachineRecord;
 import org.shoreusher.core.store.NodeContext;
@@ -22,7 +22,7 @@
     private final StoreCache storeCache;
     private final NodeServices services;
     private final LeadershipPeerView peerView;
-    private final StandbyReplicas standbyReplicas;
+    private final ReceivedAttemptLogs standbyReplicas;
     private final LeadershipAcquisition acquisition;
     private final Shard[] ledShards;
     private long nextRebalanceMs;
@@ -41,7 +41,7 @@
         storeCache = context.storeCache();
         this.services = services;
         this.peerView = peerView;
-        standbyReplicas = new StandbyReplicas(context, processName, shardCount);
+        standbyReplicas = new ReceivedAttemptLogs(context, processName, shardCount);
         ledShards = new Shard[shardCount];
         acquisition =
                 new LeadershipAcquisition(
@@ -86,7 +86,7 @@
     }
 
     /** The attempt logs that this node receives as a standby. */
-    StandbyReplicas standbyReplicas() {
+    ReceivedAttemptLogs standbyReplicas() {
         return standbyReplicas;
     }
 
--- a/src/main/java/org/shoreusher/core/cluster/Machine.java
+++ b/src/main/java/org/shoreusher/core/cluster/Machine.java
@@ -56,7 +56,7 @@
     /** Monotonic ms; start of the time in which heartbeats have listed no task. */
     private long idleSinceMs = NOT_KNOWN_IDLE_MS;
 
-    private final Object2ObjectOpenHashMap<String, TaskAttempt> tasks =
+    private final Object2ObjectOpenHashMap<String, TaskAttempt> attempts =
             new Object2ObjectOpenHashMap<>();
     private final ObjectOpenHashSet<String> cachedImages = new ObjectOpenHashSet<>();
     private final ObjectOpenHashSet<String> failedJobIds = new ObjectOpenHashSet<>();
@@ -186,7 +186,7 @@
     }
 
     /** Sets whether previous leaders may have started tasks on it, as read from its record. */
-    public void loadUse(boolean recordedAsUsed) {
+    public void loadRecordedUse(boolean recordedAsUsed) {
         mayHaveRunTasks = recordedAsUsed;
         hasDurableUseRecord = recordedAsUsed;
     }
@@ -213,18 +213,18 @@
      * The attempts that are or may be on it, by {@link #taskKey}; a live view. Only {@link
      * ResourceLedger} adds and removes them.
      */
-    public Map<String, TaskAttempt> tasks() {
-        return tasks;
+    public Map<String, TaskAttempt> attempts() {
+        return attempts;
     }
 
     /** Returns a copy of the attempts, for callers that add or remove some while they iterate. */
-    public List<TaskAttempt> snapshotTasks() {
-        return new ArrayList<>(tasks.values());
+    public List<TaskAttempt> snapshotAttempts() {
+        return new ArrayList<>(attempts.values());
     }
 
     /** Whether it has no tasks and no capacity is reserved on it. */
     public boolean isIdle() {
-        return tasks.isEmpty() && resources.reservedTaskCount() == 0;
+        return attempts.isEmpty() && resources.reservedTaskCount() == 0;
     }
 
     /** Whether a heartbeat has shown that it is idle since it last had tasks. */
@@ -239,7 +239,7 @@
 
     /** Starts the idle time after a heartbeat, unless it has started or the machine has tasks. */
     public void updateIdleSince(long nowMs) {
-        if (!tasks.isEmpty()) {
+        if (!attempts.isEmpty()) {
             idleSinceMs = NOT_KNOWN_IDLE_MS;
         } else if (!isIdleTimeKnown()) {
             idleSinceMs = nowMs;
@@ -269,7 +269,7 @@
     /** Adds an attempt and uses its resources. Called by {@link ResourceLedger} only. */
     void addAttempt(TaskAttempt attempt) {
         JobSpec spec = attempt.job().spec();
-        tasks.put(taskKey(attempt.job().id(), attempt.taskIndex()), attempt);
+        attempts.put(taskKey(attempt.job().id(), attempt.taskIndex()), attempt);
         resources.use(spec);
         cachedImages.add(spec.image());
         idleSinceMs = NOT_KNOWN_IDLE_MS;
@@ -277,14 +277,14 @@
 
     /** Removes an attempt if it is present; returns whether it was. See {@link ResourceLedger}. */
     boolean removeAttempt(TaskAttempt attempt) {
-        if (!tasks.remove(taskKey(attempt.job().id(), attempt.taskIndex()), attempt)) {
+        if (!attempts.remove(taskKey(attempt.job().id(), attempt.taskIndex()), attempt)) {
             return false;
         }
-        resources.release(attempt.job().spec(), tasks.isEmpty());
+        resources.release(attempt.job().spec(), attempts.isEmpty());
         return true;
     }
 
-    /** Returns the key of a task in {@link #tasks}: JOB_ID/INDEX. */
+    /** Returns the key of a task in {@link #attempts}: JOB_ID/INDEX. */
     public static String taskKey(String jobId, int index) {
         return jobId + "/" + index;
     }
--- a/src/main/java/org/shoreusher/core/cluster/ShardContext.java
+++ b/src/main/java/org/shoreusher/core/cluster/ShardContext.java
@@ -8,18 +8,18 @@
 /**
  * The objects that the collaborators of one shard share.
  *
- * @param node the collaborators that all classes of the node share
+ * @param nodeContext the collaborators that all classes of the node share
  * @param state the shard's jobs and machines
  * @param authority the checks of what this node may currently do as the shard's leader
  */
-public record ShardContext(NodeContext node, ShardState state, ShardAuthority authority) {
+public record ShardContext(NodeContext nodeContext, ShardState state, ShardAuthority authority) {
     /** The deployment's settings. */
     public Settings settings() {
-        return node.settings();
+        return nodeContext.settings();
     }
 
     /** Collects effects, and tracks calls to the store and to the cloud. */
     public Outbox outbox() {
-        return node.outbox();
+        return nodeContext.outbox();
     }
 }
--- a/src/main/java/org/shoreusher/core/cluster/TaskAttempt.java
+++ b/src/main/java/org/shoreusher/core/cluster/TaskAttempt.java
@@ -105,7 +105,7 @@
     }
 
     /** Begins a graceful eviction; the task becomes pending again once it has exited. */
-    public void evict() {
+    public void beginEviction() {
         beingEvicted = true;
     }
 
--- a/src/main/java/org/shoreusher/core/cluster/WorkerConnection.java
+++ b/src/main/java/org/shoreusher/core/cluster/WorkerConnection.java
@@ -135,7 +135,7 @@
     }
 
     /** Records that the lease may have been renewed as late as a time; never moves it back. */
-    public void extendLeaseTo(long renewedAtMs) {
+    public void recordPossibleRenewal(long renewedAtMs) {
         leaseRenewedAtMs = Math.max(leaseRenewedAtMs, renewedAtMs);
     }
 
@@ -145,7 +145,7 @@
     }
 
     /** Records a response of this leader, which renews the worker's lease. */
-    public void recordReply(long nowMs) {
+    public void recordResponse(long nowMs) {
         lastResponseAtMs = nowMs;
         leaseRenewedAtMs = nowMs;
     }
@@ -156,7 +156,7 @@
      * one again, and eventually its incarnation ends although the responses were sent in time. Must
      * be called before the heartbeat is applied.
      */
-    public void inferReplyDelivery(WorkerHeartbeat heartbeat, long nowMs, Settings settings) {
+    public void inferResponseDelivery(WorkerHeartbeat heartbeat, long nowMs, Settings settings) {
         if (lastResponseAtMs == NEVER_MS) {
             return;
         }
--- a/src/main/java/org/shoreusher/core/gossip/GossipConstants.java
+++ b/src/main/java/org/shoreusher/core/gossip/GossipConstants.java
@@ -40,7 +40,7 @@
      * ms; a node without a reply from the store for this long reports to its peers that it cannot
      * reach the store, and is not ready if a peer can, so that users are routed to other nodes.
      */
-    public static final long READINESS_STORE_TIMEOUT_MS = 4_500;
+    public static final long STORE_UNREACHABLE_TIMEOUT_MS = 4_500;
 
     /** ms; interval at which gossip is sent to the peers. */
     static final long GOSSIP_INTERVAL_MS = 500;
--- a/src/main/java/org/shoreusher/core/gossip/GossipSender.java
+++ b/src/main/java/org/shoreusher/core/gossip/GossipSender.java
@@ -86,7 +86,7 @@
         }
         nextSendMs = nowMs + GossipConstants.GOSSIP_INTERVAL_MS;
         boolean isStoreReachable =
-                outbox.sinceStoreReplyMs() < GossipConstants.READINESS_STORE_TIMEOUT_MS;
+                outbox.sinceStoreReplyMs() < GossipConstants.STORE_UNREACHABLE_TIMEOUT_MS;
         if (!isStoreReachable) {
             lastStoreOutageSentMs = nowMs;
         }
--- a/src/main/java/org/shoreusher/core/heartbeat/HeartbeatReader.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/HeartbeatApplier.java
@@ -25,7 +25,7 @@
  * Applies a worker's newest heartbeat to the leader's state of the machine, of its tasks and of
  * their jobs.
  */
-public final class HeartbeatReader {
+public final class HeartbeatApplier {
     private final ShardState shard;
     private final Outbox outbox;
     private final SubmissionBatches submissionBatches;
@@ -36,7 +36,7 @@
     private final TaskExitRecorder taskExitRecorder;
 
     /** Creates the reader of one shard that this process leads. */
-    public HeartbeatReader(
+    public HeartbeatApplier(
             ShardContext context,
             ShardJobs jobs,
             ShardMachines machines,
@@ -67,7 +67,7 @@
         taskMigration.onMachineReported(machine);
         ObjectOpenHashSet<String> presentTaskKeys = recordTasks(machine, heartbeat);
         if (isFirstSinceFailover) {
-            machine.tasks().values().forEach(ledger::recordInherited);
+            machine.attempts().values().forEach(ledger::recordInherited);
         }
         removeAbsentAttempts(machine, presentTaskKeys);
         if (machine.worker().hasInterruptionNotice()) {
@@ -97,10 +97,10 @@
      * heartbeat, which would then list it, or it will never start it.
      */
     private void removeAbsentAttempts(Machine machine, ObjectOpenHashSet<String> presentTaskKeys) {
-        if (machine.tasks().size() <= presentTaskKeys.size()) {
+        if (machine.attempts().size() <= presentTaskKeys.size()) {
             return;
         }
-        for (TaskAttempt attempt : machine.snapshotTasks()) {
+        for (TaskAttempt attempt : machine.snapshotAttempts()) {
             if (!presentTaskKeys.contains(
                     Machine.taskKey(attempt.job().id(), attempt.taskIndex()))) {
                 ledger.remove(attempt);
@@ -113,14 +113,14 @@
      * and running tasks that have enough time left to write a checkpoint.
      */
     private static void evictBeforeInterruption(Machine machine) {
-        for (TaskAttempt attempt : machine.tasks().values()) {
+        for (TaskAttempt attempt : machine.attempts().values()) {
             JobSpec spec = attempt.job().spec();
             if (!spec.workloadType().runsToCompletion()
                     || (spec.checkpointIntervalS() > 0
                             && attempt.state() == TaskAttempt.State.RUNNING
                             && spec.checkpointDurationS()
                                     < machine.worker().interruptionNoticeS())) {
-                attempt.evict();
+                attempt.beginEviction();
             }
         }
     }
@@ -128,7 +128,7 @@
     /** Records a task that is on the machine, whether or not it should run there. */
     private void recordPresentTask(
             Machine machine, String taskKey, TaskStatus task, long fencingToken) {
-        TaskAttempt attempt = machine.tasks().get(taskKey);
+        TaskAttempt attempt = machine.attempts().get(taskKey);
         if (attempt != null && attempt.attemptNumber() != task.attemptNumber()) {
             ledger.remove(attempt);
             attempt = null;
--- a/src/main/java/org/shoreusher/core/heartbeat/HeartbeatConstants.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/HeartbeatConstants.java
@@ -14,5 +14,5 @@
      * s; a job with a shorter mean run time is not used to measure the slowdown of a machine, since
      * heartbeats are about a second apart.
      */
-    static final double MIN_SLOWDOWN_SAMPLE_S = 5;
+    static final double MIN_SLOWDOWN_RUN_TIME_S = 5;
 }
--- a/src/main/java/org/shoreusher/core/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/HeartbeatHandler.java
@@ -30,7 +30,7 @@
     private final Outbox outbox;
     private final StandbyReplication standbyReplication;
     private final MachineRegistration machineRegistration;
-    private final HeartbeatReader heartbeatReader;
+    private final HeartbeatApplier heartbeatReader;
     private final ReportedTaskOrders reportedTaskOrders;
     private final TaskStarter taskStarter;
 
@@ -41,7 +41,7 @@
             ShardMachines machines,
             ShardScheduling scheduling,
             StandbyReplication standbyReplication,
-            HeartbeatReader heartbeatReader) {
+            HeartbeatApplier heartbeatReader) {
         shard = context.state();
         authority = context.authority();
         settings = context.settings();
@@ -60,7 +60,7 @@
      * "unavailable", and the worker tries another node.
      */
     public void handle(long requestId, WorkerHeartbeat heartbeat) {
-        if (!authority.canAnswerHeartbeats() || hasNewerFencingToken(heartbeat)) {
+        if (!authority.canRespondToHeartbeats() || hasNewerFencingToken(heartbeat)) {
             if (!authority.isLeadershipLost() && hasNewerFencingToken(heartbeat)) {
                 authority.raiseTerm(heartbeat.fencingToken());
             }
@@ -122,7 +122,7 @@
 
     /** Renews the worker's lease, with only those orders that are correct under any leader. */
     private void renewWorkerLease(long requestId, Machine machine, WorkerHeartbeat heartbeat) {
-        machine.worker().extendLeaseTo(outbox.now().monotonicMs());
+        machine.worker().recordPossibleRenewal(outbox.now().monotonicMs());
         outbox.respond(
                 requestId,
                 new Response.HeartbeatAccepted(
@@ -147,7 +147,7 @@
     /** Applies the newest heartbeat of a machine and responds to it with orders. */
     private void accept(long requestId, Machine machine, WorkerHeartbeat heartbeat) {
         standbyReplication.discardHeldResponse(machine);
-        machine.worker().inferReplyDelivery(heartbeat, outbox.now().monotonicMs(), settings);
+        machine.worker().inferResponseDelivery(heartbeat, outbox.now().monotonicMs(), settings);
         heartbeatReader.apply(machine, heartbeat);
         standbyReplication.respondOrHold(requestId, machine, decideOrders(machine, heartbeat));
     }
--- a/src/main/java/org/shoreusher/core/heartbeat/ReportedTaskOrders.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/ReportedTaskOrders.java
@@ -37,7 +37,7 @@
 
     /** Adds {@code STOP} orders for the tasks that must not run here or are being evicted. */
     void addStopOrders(Machine machine, List<WorkerOrder> orders) {
-        for (TaskAttempt attempt : machine.tasks().values()) {
+        for (TaskAttempt attempt : machine.attempts().values()) {
             if (attempt.mustStop()) {
                 orders.add(TaskStopper.stopOrder(attempt, 0));
             } else if (attempt.isBeingEvicted()
--- a/src/main/java/org/shoreusher/core/heartbeat/TaskExitRecorder.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/TaskExitRecorder.java
@@ -38,7 +38,7 @@
      * heartbeat until it receives a {@code FORGET} order.
      */
     void recordExit(Machine machine, String taskKey, TaskStatus task) {
-        TaskAttempt attemptOnMachine = machine.tasks().get(taskKey);
+        TaskAttempt attemptOnMachine = machine.attempts().get(taskKey);
         boolean isCurrent =
                 attemptOnMachine != null
                         && attemptOnMachine.attemptNumber() == task.attemptNumber();
@@ -76,7 +76,7 @@
         }
         double runTimeS = runningMs(attempt) / 1000.0;
         if (job.observedRunCount() >= ClusterConstants.MIN_SLOWDOWN_SAMPLES
-                && job.meanRunTimeS() >= HeartbeatConstants.MIN_SLOWDOWN_SAMPLE_S) {
+                && job.meanRunTimeS() >= HeartbeatConstants.MIN_SLOWDOWN_RUN_TIME_S) {
             machine.recordRunTime(runTimeS / job.meanRunTimeS());
         }
         runTimeEstimates.recordRunTime(job, runTimeS);
@@ -91,7 +91,7 @@
         }
         job.completedTasks().set(taskIndex);
         job.setPending(taskIndex, false);
-        terminalStateWriter.taskCompleted(job);
+        terminalStateWriter.queueIfComplete(job);
         TaskAttempt activeAttempt = job.activeAttempts().get(taskIndex);
         if (activeAttempt != null && activeAttempt != completedAttempt) {
             activeAttempt.requireStop();
--- a/src/main/java/org/shoreusher/core/heartbeat/TaskStarter.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/TaskStarter.java
@@ -59,7 +59,7 @@
         // tasks even if more small ones would fit.
         int remainingTasks =
                 ClusterConstants.MAX_TASKS_PER_MACHINE
-                        - Math.max(machine.tasks().size(), machine.worker().reportedTaskCount());
+                        - Math.max(machine.attempts().size(), machine.worker().reportedTaskCount());
         for (PlacedTasks placed : placementPlan.takeTasksToStart(machine)) {
             int taskIndex = -1;
             for (int i = 0; i < placed.taskCount() && remainingTasks > 0; i++, remainingTasks--) {
--- a/src/main/java/org/shoreusher/core/job/CompletionRecords.java
+++ b/src/main/java/org/shoreusher/core/job/CompletionRecords.java
@@ -113,7 +113,7 @@
      * exceeds the limit, the stored value is returned unchanged.
      */
     @Override
-    public Map<String, Object> recordValue(int recordIndex) {
+    public Map<String, Object> completedRanges(int recordIndex) {
         Map<String, BitSet> tasksByJob = new LinkedHashMap<>(records.get(recordIndex));
         Map<String, Object> storedValue = storedRecord.apply(recordIndex);
         for (Job job : jobs) {
--- a/src/main/java/org/shoreusher/core/job/TerminalStateWriter.java
+++ b/src/main/java/org/shoreusher/core/job/TerminalStateWriter.java
@@ -41,7 +41,7 @@
      * Queues the job if all its tasks are completed. Must be called when a task completes, and for
      * each job that a new leader has loaded.
      */
-    public void taskCompleted(Job job) {
+    public void queueIfComplete(Job job) {
         if (job.isComplete() && !completedJobs.contains(job)) {
             completedJobs.add(job);
         }
--- a/src/main/java/org/shoreusher/core/leadership/CompletionSnapshot.java
+++ b/src/main/java/org/shoreusher/core/leadership/CompletionSnapshot.java
@@ -8,7 +8,7 @@
     int recordCount();
 
     /** Returns the ranges of completed tasks in a record, by job id. */
-    Map<String, Object> recordValue(int recordIndex);
+    Map<String, Object> completedRanges(int recordIndex);
 
     /**
      * Must be called after the store has confirmed a write of these records: marks those completed
--- a/src/main/java/org/shoreusher/core/leadership/LeaderLease.java
+++ b/src/main/java/org/shoreusher/core/leadership/LeaderLease.java
@@ -83,7 +83,7 @@
                         Math.max(
                                 workerLeaseShareMs,
                                 (double)
-                                        (LeadershipConstants.LEADER_LEASE_MIN_MARGINS
+                                        (LeadershipConstants.LEADER_LEASE_MIN_MARGIN_MULTIPLE
                                                 * (settings.maxClockOffsetMs()
                                                         + LeadershipConstants
                                                                 .LEASE_EXPIRY_MARGIN_MS))));
--- a/src/main/java/org/shoreusher/core/leadership/LeadershipConstants.java
+++ b/src/main/java/org/shoreusher/core/leadership/LeadershipConstants.java
@@ -16,7 +16,7 @@
      * A leader's lease is at least this many times the sum of the clock offset bound and the
      * margin, however short the workers' leases are.
      */
-    static final int LEADER_LEASE_MIN_MARGINS = 6;
+    static final int LEADER_LEASE_MIN_MARGIN_MULTIPLE = 6;
 
     /** ms; delay before a failed lease renewal is retried, well within the lease. */
     static final long LEASE_RENEWAL_RETRY_MS = 400;
--- a/src/main/java/org/shoreusher/core/leadership/LeaseRenewal.java
+++ b/src/main/java/org/shoreusher/core/leadership/LeaseRenewal.java
@@ -77,7 +77,7 @@
                         state.term(),
                         completions == null
                                 ? storedCompletions.completedRanges(0)
-                                : completions.recordValue(0));
+                                : completions.completedRanges(0));
         Map<String, Map<String, Object>> writes = recordWriter.writes(record);
         if (completions != null) {
             storedCompletions.addChangedRecords(completions, writes);
--- a/src/main/java/org/shoreusher/core/leadership/ShardAuthority.java
+++ b/src/main/java/org/shoreusher/core/leadership/ShardAuthority.java
@@ -100,7 +100,7 @@
      * period only as long as its own gossip, in which it reported the outage, may still be relied
      * on.
      */
-    public boolean canAnswerHeartbeats() {
+    public boolean canRespondToHeartbeats() {
         return !leadership.isLost()
                 && progress.isLoaded()
                 && storeCache.ageMs() < LeaderLease.maxStoreCacheAgeMs(settings)
--- a/src/main/java/org/shoreusher/core/leadership/ShardLeadership.java
+++ b/src/main/java/org/shoreusher/core/leadership/ShardLeadership.java
@@ -261,7 +261,8 @@
         // The record still names the standby, which can acquire the shard at once: its attempt log
         // contains every start order that this leader has sent.
         ShardRecord record =
-                recordWriter.newRecord(EXPIRED_WALL_MS, state.term(), completions.recordValue(0));
+                recordWriter.newRecord(
+                        EXPIRED_WALL_MS, state.term(), completions.completedRanges(0));
         if (recordWriter.writeLast(record)) {
             state.loseLeadership("stepped down: " + reason);
         }
--- a/src/main/java/org/shoreusher/core/leadership/StoredCompletions.java
+++ b/src/main/java/org/shoreusher/core/leadership/StoredCompletions.java
@@ -55,7 +55,7 @@
                 offset++) {
             int recordIndex = 1 + (previousIndex + offset - 1) % completionRecordCount;
             String key = StoreSchema.completionKey(shardNumber, recordIndex);
-            Map<String, Object> completedRanges = completions.recordValue(recordIndex);
+            Map<String, Object> completedRanges = completions.completedRanges(recordIndex);
             if (!completedRanges.equals(completedRanges(recordIndex))
                     || storeCache.get(key) == null) {
                 writes.put(key, new CompletionRecord(completedRanges).toMap());
--- a/src/main/java/org/shoreusher/core/machine/MachineConstants.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineConstants.java
@@ -11,7 +11,7 @@
      * CPUs, as a share of the CPUs of the shard's largest available machine, that must stay free on
      * the other machines when a machine is evacuated in order to be handed over to another shard.
      */
-    static final double HANDOVER_MIN_FREE_MACHINES = 0.5;
+    static final double HANDOVER_MIN_FREE_MACHINE_SHARE = 0.5;
 
     /** ms; a machine must have been idle this long before it is handed over to another shard. */
     static final long HANDOVER_MIN_IDLE_MS = 1_000;
@@ -34,7 +34,7 @@
      * not add them again. Enough for replacing 6,000 machines three times within minutes; about 2
      * MB.
      */
-    static final int MAX_REMEMBERED_TERMINATED_MACHINES = 20_000;
+    static final int MAX_TERMINATED_MACHINE_IDS = 20_000;
 
     /**
      * ms; a machine considered terminated that the inventory has listed for longer than this, far
@@ -46,7 +46,7 @@
      * Jobs of which a task failed on a machine, with no task succeeding there in between, from
      * which the machine is cordoned as faulty.
      */
-    static final int FAULTY_MACHINE_FAILURES = 3;
+    static final int FAULTY_MACHINE_FAILED_JOBS = 3;
 
     /** ms; interval between plans of the autoscaler. */
     static final long AUTOSCALER_INTERVAL_MS = 1_000;
@@ -102,7 +102,7 @@
      * Shortfall of CPUs, as a share of the CPUs of running machines, above which expensive
      * on-demand machines are also provisioned for tasks that may run on spot machines.
      */
-    static final double ON_DEMAND_MIN_SHORTAGE_SHARE = 0.5;
+    static final double ON_DEMAND_MIN_SHORTFALL_SHARE = 0.5;
 
     /** ms; shortest time for which the cloud charges for a machine (protocol). */
     static final long MIN_BILLED_MS = 60_000;
@@ -117,7 +117,7 @@
      * Share of the time left until a job's objective in which its pending tasks should finish; the
      * rest covers booting and estimation errors.
      */
-    static final double SCALE_OUT_DEADLINE_SHARE = 0.5;
+    static final double SCALE_OUT_SLACK_SHARE = 0.5;
 
     /**
      * ms; margin added to twice the inventory's lag. A machine that was provisioned longer ago than
--- a/src/main/java/org/shoreusher/core/machine/MachineCordon.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineCordon.java
@@ -48,7 +48,7 @@
                 machine.drain();
             } else if (machine.state() == Machine.State.UP
                     && machine.worker().hasInterruptionNotice()
-                    && machine.tasks().isEmpty()) {
+                    && machine.attempts().isEmpty()) {
                 machine.drain();
             }
             if (machine.state() == Machine.State.DRAINING) {
@@ -91,14 +91,14 @@
     private Optional<String> findFaultWhenUp(
             Machine machine, boolean partitionedMachinesAreFaulty) {
         int failedJobCount = machine.failedJobIds().size();
-        if (failedJobCount >= MachineConstants.FAULTY_MACHINE_FAILURES) {
+        if (failedJobCount >= MachineConstants.FAULTY_MACHINE_FAILED_JOBS) {
             return Optional.of("tasks of " + failedJobCount + " jobs failed on this machine");
         }
         if (machine.isSlow()) {
             return Optional.of("its tasks run far longer than the mean of their jobs");
         }
         if (machine.worker().hasOneWayPartition()
-                && machine.tasks().isEmpty()
+                && machine.attempts().isEmpty()
                 && partitionedMachinesAreFaulty) {
             return Optional.of("one-way partition");
         }
@@ -139,7 +139,7 @@
      */
     private boolean isUnresponsive(Machine machine) {
         return machine.mayHaveRunTasks()
-                && machine.tasks().isEmpty()
+                && machine.attempts().isEmpty()
                 && sinceLeaseRenewalMs(machine)
                         > LeaderLease.workerLeaseBoundMs(settings) + MachineConstants.MIN_BILLED_MS;
     }
@@ -149,7 +149,7 @@
      * started on other machines.
      */
     private void evictReplicas(Machine machine) {
-        for (TaskAttempt attempt : machine.tasks().values()) {
+        for (TaskAttempt attempt : machine.attempts().values()) {
             if (!attempt.job().spec().workloadType().runsToCompletion() && !attempt.mustStop()) {
                 attempt.requireStop();
                 taskStopper.sendStop(attempt, 0);
--- a/src/main/java/org/shoreusher/core/machine/MachineHandover.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineHandover.java
@@ -111,7 +111,7 @@
                 && ownShortfall == 0
                 && leastUsed != null
                 && freeCpus - leastUsed.resources().cpusFree()
-                        > largestMachineCpus * MachineConstants.HANDOVER_MIN_FREE_MACHINES) {
+                        > largestMachineCpus * MachineConstants.HANDOVER_MIN_FREE_MACHINE_SHARE) {
             leastUsed.setEvacuating(true);
         }
     }
--- a/src/main/java/org/shoreusher/core/machine/MachineIndex.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineIndex.java
@@ -76,6 +76,6 @@
         MachineRecord wide = group(StoreSchema.machineGroupKey(id, true)).get(id);
         return narrow == null
                 ? wide
-                : wide != null && wide.mayHaveRunTasks() ? narrow.withRunTasks() : narrow;
+                : wide != null && wide.mayHaveRunTasks() ? narrow.withMayHaveRunTasks() : narrow;
     }
 }
--- a/src/main/java/org/shoreusher/core/machine/MachineKindSelector.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineKindSelector.java
@@ -77,6 +77,6 @@
     private boolean isOnDemandWorthwhile(MachineType type) {
         return !type.isOnDemandExpensive()
                 || shortfall.cpus()
-                        > shard.totalCpus() * MachineConstants.ON_DEMAND_MIN_SHORTAGE_SHARE;
+                        > shard.totalCpus() * MachineConstants.ON_DEMAND_MIN_SHORTFALL_SHARE;
     }
 }
--- a/src/main/java/org/shoreusher/core/machine/MachineLifecycle.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineLifecycle.java
@@ -53,7 +53,7 @@
         }
         Machine machine =
                 new Machine(id, type, record.zone(), record.spot(), record.provisionedWallMs());
-        machine.loadUse(record.mayHaveRunTasks());
+        machine.loadRecordedUse(record.mayHaveRunTasks());
         machine.worker().inheritLease(authority.previousLeaderRenewalBoundMs());
         shard.machines().put(id, machine);
         return machine;
@@ -104,13 +104,13 @@
      */
     public void expireWorkerLeases() {
         for (Machine machine : shard.machines().values()) {
-            if (!machine.tasks().isEmpty() && shard.hasWorkerLeaseExpired(machine)) {
+            if (!machine.attempts().isEmpty() && shard.hasWorkerLeaseExpired(machine)) {
                 outbox.log(
                         LogEvent.of(LogEventType.WORKER_LEASE_EXPIRED)
                                 .with("machine", machine.id())
                                 .with("shard", shard.shardNumber())
-                                .with("tasks", machine.tasks().size()));
-                machine.snapshotTasks().forEach(ledger::remove);
+                                .with("tasks", machine.attempts().size()));
+                machine.snapshotAttempts().forEach(ledger::remove);
                 machine.worker().expireIncarnation();
             }
         }
@@ -140,7 +140,7 @@
                         .with("machine", machine.id())
                         .with("shard", shard.shardNumber())
                         .with("reason", reason.description));
-        machine.snapshotTasks().forEach(ledger::remove);
+        machine.snapshotAttempts().forEach(ledger::remove);
         shard.removeMachine(machine.id());
         machineRecords.markDirty(machine.id());
         terminatedMachines.add(machine.id());
@@ -151,7 +151,7 @@
      * return to the queue, and it is drained if it is booting or up.
      */
     void handleMachineFailure(Machine machine) {
-        machine.snapshotTasks().forEach(ledger::remove);
+        machine.snapshotAttempts().forEach(ledger::remove);
         if (machine.state() == Machine.State.BOOTING || machine.state() == Machine.State.UP) {
             machine.drain();
         }
@@ -179,7 +179,7 @@
                 && !terminatedMachines.contains(id)) {
             addRecordedMachine(id, record);
         } else if (machine != null
-                && machine.tasks().isEmpty()
+                && machine.attempts().isEmpty()
                 && record.shardNumber() != shard.shardNumber()) {
             shard.removeMachine(id);
         }
--- a/src/main/java/org/shoreusher/core/machine/MachineRecords.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineRecords.java
@@ -58,8 +58,8 @@
         shard = context.state();
         settings = context.settings();
         outbox = context.outbox();
-        storeCache = context.node().storeCache();
-        versionNegotiation = context.node().versionNegotiation();
+        storeCache = context.nodeContext().storeCache();
+        versionNegotiation = context.nodeContext().versionNegotiation();
         this.machineIndex = machineIndex;
         this.leadership = leadership;
         wideGroupMigration = new WideGroupMigration(shard, settings, machineIndex);
--- a/src/main/java/org/shoreusher/core/machine/ReservedReplicaCapacity.java
+++ b/src/main/java/org/shoreusher/core/machine/ReservedReplicaCapacity.java
@@ -94,7 +94,7 @@
 
     private static double replicaCpus(Machine machine) {
         double replicaCpus = 0;
-        for (TaskAttempt attempt : machine.tasks().values()) {
+        for (TaskAttempt attempt : machine.attempts().values()) {
             JobSpec spec = attempt.job().spec();
             replicaCpus += spec.workloadType().runsToCompletion() ? 0 : spec.cpus();
         }
--- a/src/main/java/org/shoreusher/core/machine/ScaleIn.java
+++ b/src/main/java/org/shoreusher/core/machine/ScaleIn.java
@@ -75,7 +75,7 @@
                     machine.state() == Machine.State.DRAINING
                             || machine.state() == Machine.State.TERMINATING;
             if (mayBeTerminated
-                    && machine.tasks().isEmpty()
+                    && machine.attempts().isEmpty()
                     && ids.size() < MachineConstants.MAX_MACHINES_PER_TERMINATE) {
                 // From now on no task starts on it, whatever the outcome of the call, unless the
                 // cloud certainly refuses to terminate a machine that was drained as idle.
--- a/src/main/java/org/shoreusher/core/machine/ScaleOut.java
+++ b/src/main/java/org/shoreusher/core/machine/ScaleOut.java
@@ -215,7 +215,7 @@
             CloudReply reply,
             long requestedWallMs) {
         try {
-            List<String> machineIds = CloudFormat.readMachineNames(new FieldMap(reply.body()));
+            List<String> machineIds = CloudFormat.readMachineIds(new FieldMap(reply.body()));
             outbox.log(
                     LogEvent.of(LogEventType.MACHINES_PROVISIONED)
                             .with("shard", shard.shardNumber())
--- a/src/main/java/org/shoreusher/core/machine/TargetParallelism.java
+++ b/src/main/java/org/shoreusher/core/machine/TargetParallelism.java
@@ -40,7 +40,7 @@
                         runTimeS,
                         slackS == Double.MAX_VALUE || isTooLate
                                 ? MachineConstants.SCALE_OUT_HORIZON_S
-                                : slackS * MachineConstants.SCALE_OUT_DEADLINE_SHARE);
+                                : slackS * MachineConstants.SCALE_OUT_SLACK_SHARE);
         return (int) Math.ceil(job.pendingCount() * Math.min(1, runTimeS / horizonS));
     }
 }
--- a/src/main/java/org/shoreusher/core/machine/TerminatedMachines.java
+++ b/src/main/java/org/shoreusher/core/machine/TerminatedMachines.java
@@ -13,7 +13,7 @@
     /** Adds a machine that has been terminated; removes the oldest id if there are too many. */
     void add(String machineId) {
         machineIds.add(machineId);
-        if (machineIds.size() > MachineConstants.MAX_REMEMBERED_TERMINATED_MACHINES) {
+        if (machineIds.size() > MachineConstants.MAX_TERMINATED_MACHINE_IDS) {
             machineIds.removeFirst();
         }
     }
--- a/src/main/java/org/shoreusher/core/reconcile/StoredStateLoader.java
+++ b/src/main/java/org/shoreusher/core/reconcile/StoredStateLoader.java
@@ -50,7 +50,7 @@
             TaskMigration taskMigration) {
         shard = context.state();
         settings = context.settings();
-        storeCache = context.node().storeCache();
+        storeCache = context.nodeContext().storeCache();
         this.leadership = leadership;
         openJobs = jobs.openJobs();
         submissionBatches = jobs.submissionBatches();
@@ -73,9 +73,9 @@
         highWaterMarks.load();
         for (Job job : shard.jobs().values()) {
             if (job.highWaterMark() > 0) {
-                taskMigration.onJobBegunByPreviousLeader(job);
+                taskMigration.onJobStartedByPreviousLeader(job);
             }
-            terminalStateWriter.taskCompleted(job);
+            terminalStateWriter.queueIfComplete(job);
         }
     }
 
--- a/src/main/java/org/shoreusher/core/replication/HeartbeatResponses.java
+++ b/src/main/java/org/shoreusher/core/replication/HeartbeatResponses.java
@@ -57,7 +57,7 @@
 
     /** Sends a response, which renews the worker's lease. */
     void send(long requestId, Machine machine, List<WorkerOrder> orders) {
-        machine.worker().recordReply(nowMs());
+        machine.worker().recordResponse(nowMs());
         outbox.respond(requestId, new Response.HeartbeatAccepted(authority.term(), orders));
     }
 
@@ -98,7 +98,7 @@
         // The lease, the store cache and the jobs may have changed since the starts were decided,
         // so
         // they are checked again.
-        if (authority.canAnswerHeartbeats()) {
+        if (authority.canRespondToHeartbeats()) {
             send(
                     heldResponse.requestId,
                     machine,
@@ -129,7 +129,7 @@
 
     private static boolean isStartStillValid(Machine machine, WorkerOrder start) {
         TaskAttempt attempt =
-                machine.tasks().get(Machine.taskKey(start.jobId(), start.taskIndex()));
+                machine.attempts().get(Machine.taskKey(start.jobId(), start.taskIndex()));
         return attempt != null
                 && attempt.attemptNumber() == start.attemptNumber()
                 && !attempt.mustStop()
--- a/src/main/java/org/shoreusher/core/replication/StandbyReplicas.java
+++ b/src/main/java/org/shoreusher/core/replication/ReceivedAttemptLogs.java
@@ -24,7 +24,7 @@
  * The attempt logs that this node receives as the standby of shard leaders, and their promotion
  * when this node becomes the leader of a shard. Does nothing when the warm standby is off.
  */
-public final class StandbyReplicas {
+public final class ReceivedAttemptLogs {
     private final Settings settings;
     private final StandbySettings standbySettings;
     private final Outbox outbox;
@@ -41,7 +41,7 @@
      *     has the same
      * @param shardCount the number of shards
      */
-    public StandbyReplicas(NodeContext context, String processName, int shardCount) {
+    public ReceivedAttemptLogs(NodeContext context, String processName, int shardCount) {
         settings = context.settings();
         standbySettings = context.features().standby();
         outbox = context.outbox();
@@ -87,7 +87,7 @@
 
     private AttemptLogReceiver receiverFor(int shardNumber) {
         if (receivers[shardNumber] == null) {
-            receivers[shardNumber] = new AttemptLogReceiver(standbySettings.mostAttempts());
+            receivers[shardNumber] = new AttemptLogReceiver(standbySettings.maxAttempts());
         }
         return receivers[shardNumber];
     }
--- a/src/main/java/org/shoreusher/core/replication/StandbyReplication.java
+++ b/src/main/java/org/shoreusher/core/replication/StandbyReplication.java
@@ -82,16 +82,16 @@
         this.peerView = peerView;
         this.leadership = leadership;
         outbox = context.outbox();
-        versionNegotiation = context.node().versionNegotiation();
-        enabled = context.node().features().standby() != null;
-        settings = enabled ? context.node().features().standby() : StandbySettings.DEFAULTS;
+        versionNegotiation = context.nodeContext().versionNegotiation();
+        enabled = context.nodeContext().features().standby() != null;
+        settings = enabled ? context.nodeContext().features().standby() : StandbySettings.DEFAULTS;
         standbyChooser = new StandbyChooser(context.settings().zone());
         logSender =
                 new AttemptLogSender(
                         shardNumber,
                         leadership.acquisitionTerm(),
                         leadership.processName(),
-                        settings.frameRecords());
+                        settings.maxFrameRecords());
         logWriter = new AttemptLogWriter(logSender);
         responses = new HeartbeatResponses(authority, outbox, settings.ackTimeoutMs());
     }
@@ -203,7 +203,7 @@
     private void tryAttach() {
         if (!authority.isReconciled()
                 || !authority.isLeader()
-                || logSender.attemptCount() > settings.mostAttempts()) {
+                || logSender.attemptCount() > settings.maxAttempts()) {
             return;
         }
         standbyChooser
--- a/src/main/java/org/shoreusher/core/schedule/BalancerInput.java
+++ b/src/main/java/org/shoreusher/core/schedule/BalancerInput.java
@@ -64,7 +64,7 @@
         if (machine == null || !shard.isAvailable(machine)) {
             return migratable;
         }
-        for (TaskAttempt attempt : machine.tasks().values()) {
+        for (TaskAttempt attempt : machine.attempts().values()) {
             if (attempt.job().spec().team().equals(team) && isMigratable(attempt)) {
                 migratable.add(toMigratableTask(attempt));
             }
@@ -126,7 +126,7 @@
         MachineCapacity capacity = new MachineCapacity(machine);
         return !capacity.isExpensive()
                 && !job.failedMachineIds().contains(machineId)
-                && machine.tasks().size() + machine.resources().reservedTaskCount()
+                && machine.attempts().size() + machine.resources().reservedTaskCount()
                         < ClusterConstants.MAX_TASKS_PER_MACHINE
                 && capacity.isAllowedFor(job.spec())
                 && capacity.fittingTaskCount(job.spec()) > 0;
--- a/src/main/java/org/shoreusher/core/schedule/Preemption.java
+++ b/src/main/java/org/shoreusher/core/schedule/Preemption.java
@@ -44,7 +44,7 @@
         this.schedulingOrder = schedulingOrder;
         this.now = now;
         for (Machine machine : shard.machines().values()) {
-            for (TaskAttempt attempt : machine.tasks().values()) {
+            for (TaskAttempt attempt : machine.attempts().values()) {
                 JobSpec spec = attempt.job().spec();
                 if (attempt.isBeingEvicted() || attempt.mustStop()) {
                     reclaimedTeamCpus.addTo(spec.team(), spec.cpus());
--- a/src/main/java/org/shoreusher/core/schedule/PreemptionPass.java
+++ b/src/main/java/org/shoreusher/core/schedule/PreemptionPass.java
@@ -75,7 +75,7 @@
         for (TaskAttempt attempt :
                 new Preemption(shard, schedulingOrder, outbox.now())
                         .choose(orderedJobs, binPackers.create())) {
-            attempt.evict();
+            attempt.beginEviction();
             taskStopper.sendStop(attempt, TaskStopper.gracePeriodS(attempt));
         }
     }
--- a/src/main/java/org/shoreusher/core/schedule/ProspectiveCapacity.java
+++ b/src/main/java/org/shoreusher/core/schedule/ProspectiveCapacity.java
@@ -29,7 +29,7 @@
         freeCpus = machine.resources().cpusFree();
         freeGpus = machine.resources().gpusFree();
         freeMemGb = machine.resources().memGbFree();
-        for (TaskAttempt attempt : machine.tasks().values()) {
+        for (TaskAttempt attempt : machine.attempts().values()) {
             if (attempt.mustStop() || attempt.isBeingEvicted()) {
                 release(attempt.job().spec());
             } else if (attempt.job().spec().workloadType().runsToCompletion()) {
--- a/src/main/java/org/shoreusher/core/schedule/TaskMigration.java
+++ b/src/main/java/org/shoreusher/core/schedule/TaskMigration.java
@@ -67,7 +67,7 @@
         this.taskStopper = taskStopper;
         balancerInput =
                 new BalancerInput(context, schedulingOrder, runTimeEstimates, quotaHeadroom);
-        BalanceSettings settings = context.node().features().balance();
+        BalanceSettings settings = context.nodeContext().features().balance();
         balancer = settings == null ? null : new Balancer(settings, timeouts(context));
         spreadLimit = settings == null ? SpreadLimit.NONE : new BalancerSpreadLimit(balancer);
     }
@@ -105,7 +105,7 @@
     }
 
     /** Handles a job, loaded from the store, that was started under a previous leader. */
-    public void onJobBegunByPreviousLeader(Job job) {
+    public void onJobStartedByPreviousLeader(Job job) {
         if (!isDisabled()) {
             balancer.budget().markStartedByPreviousLeader(job.id());
         }
@@ -252,7 +252,7 @@
                         migration, attempt, shard.machines().get(migration.target()));
         reservations.put(reservation.taskId(), reservation);
         reservation.target().resources().reserve(reservation.spec(), 1);
-        attempt.evict();
+        attempt.beginEviction();
         taskStopper.sendStop(attempt, TaskStopper.gracePeriodS(attempt));
         outbox.log(
                 MigrationEvents.started(
--- a/src/main/java/org/shoreusher/core/store/LinearizableReads.java
+++ b/src/main/java/org/shoreusher/core/store/LinearizableReads.java
@@ -112,7 +112,7 @@
      */
     public void sendBatch() {
         if (pendingReads.isEmpty()
-                || batchesInFlight >= StoreConstants.MAX_LINEARIZABLE_READS_IN_FLIGHT) {
+                || batchesInFlight >= StoreConstants.MAX_LINEARIZABLE_READ_CALLS_IN_FLIGHT) {
             return;
         }
         Map<String, Long> preconditions = new LinkedHashMap<>();
--- a/src/main/java/org/shoreusher/core/store/MachineRecord.java
+++ b/src/main/java/org/shoreusher/core/store/MachineRecord.java
@@ -20,7 +20,7 @@
     /**
      * Returns a copy of the record which states that tasks may have been started on the machine.
      */
-    public MachineRecord withRunTasks() {
+    public MachineRecord withMayHaveRunTasks() {
         return new MachineRecord(shardNumber, type, zone, spot, provisionedWallMs, true);
     }
 }
--- a/src/main/java/org/shoreusher/core/store/StoreConstants.java
+++ b/src/main/java/org/shoreusher/core/store/StoreConstants.java
@@ -71,7 +71,7 @@
     /**
      * Shared calls for linearizable reads in flight; further reads are collected for the next call.
      */
-    static final int MAX_LINEARIZABLE_READS_IN_FLIGHT = 2;
+    static final int MAX_LINEARIZABLE_READ_CALLS_IN_FLIGHT = 2;
 
     /**
      * ms; a read of a job without a record is rejected if the store cache takes longer than this to
--- a/src/main/java/org/shoreusher/core/user/AdmissionConstants.java
+++ b/src/main/java/org/shoreusher/core/user/AdmissionConstants.java
@@ -9,7 +9,7 @@
      * concurrent change, and that each of its writes is sent when the store rejects it with status
      * 429.
      */
-    static final int MAX_WRITE_ATTEMPTS = 3;
+    static final int MAX_CANCELLATION_TRIES = 3;
 
     /**
      * Maximum group commits of submissions in flight; further submissions are batched into the next
--- a/src/main/java/org/shoreusher/core/user/JobCancellation.java
+++ b/src/main/java/org/shoreusher/core/user/JobCancellation.java
@@ -60,7 +60,9 @@
                 record ->
                         cancel(
                                 new CancelRequest(
-                                        requestId, jobId, AdmissionConstants.MAX_WRITE_ATTEMPTS),
+                                        requestId,
+                                        jobId,
+                                        AdmissionConstants.MAX_CANCELLATION_TRIES),
                                 record));
     }
 
@@ -90,7 +92,7 @@
         send(
                 request,
                 new StoreOperation.CompareAndSwap(Map.of(key, storeCache.version(key)), writes),
-                AdmissionConstants.MAX_WRITE_ATTEMPTS);
+                AdmissionConstants.MAX_CANCELLATION_TRIES);
     }
 
     /**
--- a/src/main/java/org/shoreusher/measure/BalanceMeasurement.java
+++ b/src/main/java/org/shoreusher/measure/BalanceMeasurement.java
@@ -79,8 +79,8 @@
         LoadSkewSampler skew =
                 new LoadSkewSampler(
                         DoubledTeamLoad.DOUBLED_TEAM,
-                        settings.spreadMargin(),
-                        settings.spreadMargin() + settings.hysteresis());
+                        settings.skewMargin(),
+                        settings.skewMargin() + settings.hysteresis());
         try (TemporaryFeaturesFile features = TemporaryFeaturesFile.enabling("balance");
                 Cluster cluster = new Cluster(topology(features.path()))) {
             cluster.start();
--- a/src/main/java/org/shoreusher/peer/StandbyCodec.java
+++ b/src/main/java/org/shoreusher/peer/StandbyCodec.java
@@ -101,7 +101,7 @@
         output.writeVarLong(stream.term(), true);
         output.writeString(stream.leader());
         output.writeString(stream.standby());
-        output.writeVarLong(stream.attachmentNumber(), true);
+        output.writeVarLong(stream.streamNumber(), true);
     }
 
     private static LogStream readStream(Input input) {
--- a/src/main/java/org/shoreusher/settings/FeaturesFile.java
+++ b/src/main/java/org/shoreusher/settings/FeaturesFile.java
@@ -84,7 +84,7 @@
         boolean enabled = section.flagOr("enabled", true);
         BalanceSettings balance =
                 new BalanceSettings(
-                        section.numberOr("spread_margin", 0.05, 1, defaults.spreadMargin()),
+                        section.numberOr("spread_margin", 0.05, 1, defaults.skewMargin()),
                         section.numberOr("hysteresis", 0, 0.5, defaults.hysteresis()),
                         section.numberOr("hot_share", 0.01, 1, defaults.highDemandShare()),
                         section.integerOr(
@@ -130,9 +130,9 @@
                                 "frame_records",
                                 MIN_FRAME_RECORDS,
                                 MAX_FRAME_RECORDS,
-                                defaults.frameRecords()),
+                                defaults.maxFrameRecords()),
                         section.integerOr(
-                                "most_attempts", 0, MAX_ATTEMPTS, defaults.mostAttempts()));
+                                "most_attempts", 0, MAX_ATTEMPTS, defaults.maxAttempts()));
         section.rejectUnknownKeys();
         return enabled ? standby : null;
     }
--- a/src/main/java/org/shoreusher/standby/LogStream.java
+++ b/src/main/java/org/shoreusher/standby/LogStream.java
@@ -9,16 +9,15 @@
  * @param term the term at which the sender acquired leadership of the shard
  * @param leader the sending leader process, HOST/SUFFIX
  * @param standby the receiving process, HOST/SUFFIX
- * @param attachmentNumber number of the stream among those that the leader has begun for this shard
- *     and term, from 1
+ * @param streamNumber number of the stream among those that the leader has begun for this shard and
+ *     term, from 1
  */
 public record LogStream(
-        int shardNumber, long term, String leader, String standby, long attachmentNumber) {
+        int shardNumber, long term, String leader, String standby, long streamNumber) {
 
     /** Whether this stream began after another one of the same shard. */
     boolean isNewerThan(LogStream other) {
-        return term > other.term
-                || (term == other.term && attachmentNumber > other.attachmentNumber);
+        return term > other.term || (term == other.term && streamNumber > other.streamNumber);
     }
 
     /** The host in a process name, HOST/SUFFIX. */
--- a/src/main/java/org/shoreusher/standby/StandbySettings.java
+++ b/src/main/java/org/shoreusher/standby/StandbySettings.java
@@ -5,11 +5,11 @@
  *
  * @param ackTimeoutMs ms without acknowledgement after which a leader abandons its standby
  * @param headStartMs ms that other nodes wait to let the named standby acquire leadership first
- * @param frameRecords maximum number of records in one frame
- * @param mostAttempts maximum number of attempts in a table; a shard with more has no standby
+ * @param maxFrameRecords maximum number of records in one frame
+ * @param maxAttempts maximum number of attempts in a table; a shard with more has no standby
  */
 public record StandbySettings(
-        int ackTimeoutMs, int headStartMs, int frameRecords, int mostAttempts) {
+        int ackTimeoutMs, int headStartMs, int maxFrameRecords, int maxAttempts) {
     /**
      * The defaults. The acknowledgement timeout of 1 s is well below the 4 s that a worker waits
      * for a response, so no held response is lost. It is well above a node's pauses of some hundred
--- a/src/main/java/org/shoreusher/user/ConnectionTimeouts.java
+++ b/src/main/java/org/shoreusher/user/ConnectionTimeouts.java
@@ -32,8 +32,8 @@
         return (int)
                 Math.ceil(
                         Math.max(
-                                FrontendConstants.MIN_IDLE_WORKER_TIMEOUT_S,
-                                FrontendConstants.IDLE_WORKER_HEARTBEAT_INTERVALS
+                                FrontendConstants.MIN_WORKER_IDLE_TIMEOUT_S,
+                                FrontendConstants.WORKER_IDLE_TIMEOUT_HEARTBEAT_INTERVALS
                                         * settings.heartbeatIntervalS()));
     }
 
--- a/src/main/java/org/shoreusher/user/FrontendConstants.java
+++ b/src/main/java/org/shoreusher/user/FrontendConstants.java
@@ -11,13 +11,13 @@
      * Heartbeat intervals; a worker's connection without a heartbeat for this long is closed. A
      * worker sends heartbeats at most 1.25 intervals apart.
      */
-    public static final double IDLE_WORKER_HEARTBEAT_INTERVALS = 4;
+    public static final double WORKER_IDLE_TIMEOUT_HEARTBEAT_INTERVALS = 4;
 
     /**
      * s; shortest idle timeout of a worker's connection. Exceeds the worker's response timeout and
      * retry delay.
      */
-    public static final double MIN_IDLE_WORKER_TIMEOUT_S = 10;
+    public static final double MIN_WORKER_IDLE_TIMEOUT_S = 10;
 
     /** s; a connection is closed if a request is incomplete this long after its first byte. */
     public static final int REQUEST_READ_TIMEOUT_S = 10;
--- a/src/main/java/org/shoreusher/user/HttpFrontend.java
+++ b/src/main/java/org/shoreusher/user/HttpFrontend.java
@@ -35,7 +35,7 @@
     private final EventLoopGroup loop;
     private final Settings settings;
     private final Predicate<Command> core;
-    private final LongSupplier lagMs;
+    private final LongSupplier eventLoopDelayMs;
     private final OpenConnections connections;
     private final Long2ObjectOpenHashMap<PendingRequest> pendingRequests =
             new Long2ObjectOpenHashMap<>();
@@ -49,11 +49,11 @@
      * Creates a server that does not listen yet.
      *
      * @param core accepts a command, or returns false if its queue is full
-     * @param lagMs how far the processing of commands lags, in ms
+     * @param eventLoopDelayMs how far the processing of commands lags, in ms
      */
     public HttpFrontend(
             EventLoopGroup loop, Settings settings, Predicate<Command> core, LongSupplier lagMs) {
-        this.lagMs = lagMs;
+        this.eventLoopDelayMs = lagMs;
         this.loop = loop;
         this.settings = settings;
         this.core = core;
@@ -133,8 +133,8 @@
     }
 
     /** How far the processing of commands lags, in ms. */
-    long lagMs() {
-        return lagMs.getAsLong();
+    long eventLoopDelayMs() {
+        return eventLoopDelayMs.getAsLong();
     }
 
     /** Returns a new id, by which the core's response is matched to its request. */
--- a/src/main/java/org/shoreusher/user/RequestHandler.java
+++ b/src/main/java/org/shoreusher/user/RequestHandler.java
@@ -58,7 +58,7 @@
      * without responses lose their leases.
      */
     private boolean mustShed(HttpMethod method) {
-        return frontend.lagMs()
+        return frontend.eventLoopDelayMs()
                 > (method.equals(HttpMethod.GET)
                         ? FrontendConstants.SHED_POLLS_LAG_MS
                         : FrontendConstants.SHED_WRITES_LAG_MS);
--- a/src/main/java/org/shoreusher/wire/CloudFormat.java
+++ b/src/main/java/org/shoreusher/wire/CloudFormat.java
@@ -65,7 +65,7 @@
     }
 
     /** Decodes the names of the machines that a provision request created. */
-    public static List<String> readMachineNames(FieldMap reply)
+    public static List<String> readMachineIds(FieldMap reply)
             throws FieldMap.InvalidFieldException {
         return reply.texts("boxes");
     }
--- a/src/test/java/org/shoreusher/core/cluster/MachineTest.java
+++ b/src/test/java/org/shoreusher/core/cluster/MachineTest.java
@@ -33,7 +33,7 @@
 
     private void heartbeat(long incarnation, long sequenceNumber, long atMs) {
         machine.worker()
-                .inferReplyDelivery(
+                .inferResponseDelivery(
                         new WorkerHeartbeat(
                                 "host-1",
                                 "",
@@ -48,7 +48,7 @@
                         atMs,
                         SETTINGS);
         machine.worker().recordHeartbeatOrder(incarnation, sequenceNumber);
-        machine.worker().recordReply(atMs);
+        machine.worker().recordResponse(atMs);
     }
 
     /**
--- a/src/test/java/org/shoreusher/core/job/CompletionRecordsTest.java
+++ b/src/test/java/org/shoreusher/core/job/CompletionRecordsTest.java
@@ -148,12 +148,12 @@
                             settings,
                             recordNumber -> records.getOrDefault(recordNumber, Map.of()));
             Map<Integer, Map<String, Object>> writes = new LinkedHashMap<>();
-            writes.put(0, completionRecords.recordValue(0));
+            writes.put(0, completionRecords.completedRanges(0));
             for (int recordNumber = 1;
                     recordNumber < completionRecords.recordCount()
                             && writes.size() < settings.maxTransactionWrites();
                     recordNumber++) {
-                Map<String, Object> wanted = completionRecords.recordValue(recordNumber);
+                Map<String, Object> wanted = completionRecords.completedRanges(recordNumber);
                 if (!wanted.equals(records.get(recordNumber))) {
                     writes.put(recordNumber, wanted);
                 }
