--- a/src/test/java/org/shoreusher/simulation/AutoscalerTest.java
+++ b/src/test/java/org/shoreusher/simulation/AutoscalerTest.java
@@ -2,6 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static org.shoreusher.simulation.SingleNodeSimulation.TERM;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -22,7 +23,7 @@
      * still be executed does not.
      */
     @Example
-    void machineWithRefusedTerminationTakesWork() {
+    void machineWhoseTerminationWasRejectedGetsTasks() {
         for (int status : new int[] {503, 0}) {
             SingleNodeSimulation node = new SingleNodeSimulation();
             node.storeShardOfPreviousLeader("host-1");
@@ -35,7 +36,7 @@
             node.runSteps(20);
             int sequenceNumber = 1;
             while (!asked[0] && sequenceNumber < 80) {
-                node.heartbeat("host-1", sequenceNumber++, 6);
+                node.heartbeat("host-1", sequenceNumber++, TERM);
                 node.runSteps(15);
             }
             assertTrue(asked[0], "idle for long");
@@ -43,7 +44,7 @@
             boolean started = false;
             for (int i = 0; i < 5; i++) {
                 node.runSteps(15);
-                List<String> orders = node.heartbeat("host-1", sequenceNumber++, 6);
+                List<String> orders = node.heartbeat("host-1", sequenceNumber++, TERM);
                 started |= orders != null && orders.contains("run");
             }
             assertEquals(status == 503, started, "after status " + status);
@@ -56,7 +57,7 @@
      * again once it was answered.
      */
     @Example
-    void provisionRequestsKeepTheirNamesUntilAnswered() {
+    void provisionRequestsKeepTheirNamesUntilTheCloudReplies() {
         List<CloudOperation.Provision> asked = new ArrayList<>();
         Map<String, CloudOperation.Provision> open = new HashMap<>();
         node.cloud =
--- a/src/test/java/org/shoreusher/simulation/ClusterSimulationTest.java
+++ b/src/test/java/org/shoreusher/simulation/ClusterSimulationTest.java
@@ -15,13 +15,13 @@
 import org.shoreusher.simulation.ClusterSimulation.InjectedDefect;
 
 /**
- * Runs whole clusters through random faults and checks every invariant of the protocol. The last
- * tests inject one defect each, and expect the checks to detect it.
+ * Runs whole clusters with random faults and checks every invariant of the protocol. The tests
+ * whose names begin with {@code detects} inject one defect each, and expect a violation.
  */
 class ClusterSimulationTest {
     private static final long END_MS = 400_000;
 
-    /** The last fault has ended by then, rolling restarts and late duplicates included. */
+    /** The last fault, including rolling restarts and late duplicates, has ended by then. */
     private static final long FAULT_FREE_FROM_MS = 215_000;
 
     /**
@@ -67,13 +67,15 @@
                 () -> "seed " + seed + "\n" + simulation.log);
         assertTrue(
                 simulation.invariants.taskStarts > 200,
-                "hardly anything ran: " + simulation.invariants.taskStarts);
-        assertTrue(simulation.store.batchedSubmissions > 0, "no submissions shared a write");
+                "too few task starts: " + simulation.invariants.taskStarts);
+        assertTrue(
+                simulation.store.batchedSubmissions > 0,
+                "no transaction stored several submissions");
     }
 
     /**
-     * Forty jobs that are submitted within half a second are all accepted within a second, although
-     * the store takes only twenty changes per second.
+     * Of forty jobs that are submitted within half a second, at least 38 are accepted a second
+     * later, although the store allows only twenty writes per second.
      */
     @Example
     void acceptsSimultaneousSubmissionsInBatches() {
@@ -85,7 +87,7 @@
         }
         simulation.run(2_500, List.of());
         long accepted = simulation.users.jobs.values().stream().filter(job -> job.accepted).count();
-        assertTrue(accepted >= 38, () -> "accepted " + accepted);
+        assertTrue(accepted >= 38, () -> "accepted: " + accepted);
     }
 
     static ClusterSimulation simulate(long seed, InjectedDefect defect, List<Fault> faults) {
@@ -122,13 +124,13 @@
                 () -> "seed " + seed + "\n" + simulation.log);
         assertTrue(
                 simulation.invariants.taskStarts > 100,
-                "hardly anything ran: " + simulation.invariants.taskStarts);
+                "too few task starts: " + simulation.invariants.taskStarts);
         assertTrue(
                 simulation.duplicateHeartbeats > 10,
-                "hardly any late duplicates: " + simulation.duplicateHeartbeats);
+                "too few late duplicates of heartbeats: " + simulation.duplicateHeartbeats);
         assertTrue(
                 simulation.network.duplicatedMessages > 100,
-                "hardly any duplicated messages: " + simulation.network.duplicatedMessages);
+                "too few duplicated messages: " + simulation.network.duplicatedMessages);
     }
 
     @Property(tries = 15, seed = "815", shrinking = ShrinkingMode.OFF)
@@ -173,8 +175,8 @@
     }
 
     /**
-     * A job far larger than its team's quota, and of low priority, starts within four minutes
-     * although urgent jobs of several times the quota keep coming.
+     * A job of low priority that is far larger than its team's quota starts within four minutes,
+     * although jobs of high priority that need several times the quota keep arriving.
      */
     @Example
     void largestJobStartsDespiteContinuousUrgentWork() {
@@ -188,8 +190,9 @@
         simulation.run(END_MS, List.of());
         simulation.invariants.checkAtEnd();
         assertEquals(List.of(), simulation.invariants.violations);
-        long began = simulation.invariants.firstStartMs.getOrDefault("wk-000000", Long.MAX_VALUE);
-        assertTrue(began < 5_000 + 240_000, () -> "began at " + began);
+        long startedAtMs =
+                simulation.invariants.firstStartMs.getOrDefault("wk-000000", Long.MAX_VALUE);
+        assertTrue(startedAtMs < 5_000 + 240_000, () -> "started at " + startedAtMs);
     }
 
     private static SimulatedUsers.SimulatedJob job(
--- a/src/test/java/org/shoreusher/simulation/CompoundFailuresTest.java
+++ b/src/test/java/org/shoreusher/simulation/CompoundFailuresTest.java
@@ -17,12 +17,36 @@
 import org.shoreusher.simulation.ClusterSimulation.Fault;
 import org.shoreusher.simulation.ClusterSimulation.InjectedDefect;
 
-/** Compound failures: two or three faults within a few seconds, several times in a run. */
+/**
+ * Compound failures: two or three faults of random kinds within 3 s, several times in a run. Guards
+ * against recovery from one fault that breaks an invariant when another fault interrupts it.
+ */
 class CompoundFailuresTest {
     private static final long FAULT_FREE_FROM_MS = 200_000;
     private static final long END_MS = 440_000;
-    private static final int FAULT_KINDS = 17;
 
+    /** The kinds of faults. Their order determines which kind a seed chooses. */
+    private enum FaultKind {
+        REPLIES_LOST,
+        REPLIES_LOST_AND_WRITES_DELAYED,
+        HEARTBEATS_RETAINED,
+        LEADERS_CRASH,
+        STORE_REJECTS_LEADERS,
+        STORE_OUTAGE,
+        WORKERS_INBOUND_BLOCKED,
+        WORKERS_OUTBOUND_BLOCKED,
+        JOBS_CANCELLED_WHILE_WORKERS_HANG,
+        STORE_SLOW,
+        NODE_WITHOUT_STORE_AND_PEERS,
+        ZONE_ISOLATED,
+        TEN_FAILOVERS,
+        MACHINES_TERMINATED,
+        ALL_NODES_CRASH,
+        WORKERS_HANG,
+        LEADERS_WITHOUT_WORKERS
+    }
+
+    /** Applies an action to about a third of the machines. */
     private static void forSomeMachines(
             ClusterSimulation simulation, Consumer<SimulatedWorker> action) {
         for (SimulatedWorker machine : simulation.cloud.machines()) {
@@ -32,7 +56,11 @@
         }
     }
 
-    private static void cancelRunning(ClusterSimulation simulation, int count, long hangMs) {
+    /**
+     * Cancels up to this number of running jobs within 200 ms, while about a third of the machines
+     * hang.
+     */
+    private static void cancelRunningJobs(ClusterSimulation simulation, int maxJobs, long hangMs) {
         List<SimulatedUsers.SimulatedJob> running =
                 simulation.users.jobs.values().stream()
                         .filter(
@@ -44,7 +72,7 @@
                                                         job.spec.id()))
                         .toList();
         running.stream()
-                .limit(count)
+                .limit(maxJobs)
                 .forEach(
                         job ->
                                 simulation.scheduleAfter(
@@ -55,65 +83,79 @@
         }
     }
 
-    /** One fault, of a few seconds up to well over the workers' lease of 8 s. */
-    private static Consumer<ClusterSimulation> fault(int kind, long length, int node) {
-        String host = "node-" + node;
+    /**
+     * A fault of this kind. Outages, partitions and hangs have the given duration, which may be far
+     * longer than the workers' lease of 8 s.
+     */
+    private static Consumer<ClusterSimulation> fault(FaultKind kind, long durationMs, int node) {
         return switch (kind) {
-            case 0 -> cluster -> cluster.store.loseReplies(5, true, length);
-            case 1 -> cluster -> cluster.store.loseReplies(4, false, length);
-            case 2 ->
-                    cluster -> {
-                        cluster.retainHeartbeats = true;
-                        cluster.scheduleAfter(length, () -> cluster.retainHeartbeats = false);
+            case REPLIES_LOST -> simulation -> simulation.store.loseReplies(5, true, durationMs);
+            case REPLIES_LOST_AND_WRITES_DELAYED ->
+                    simulation -> simulation.store.loseReplies(4, false, durationMs);
+            case HEARTBEATS_RETAINED ->
+                    simulation -> {
+                        simulation.retainHeartbeats = true;
+                        simulation.scheduleAfter(
+                                durationMs, () -> simulation.retainHeartbeats = false);
                     };
-            case 3 ->
-                    cluster ->
-                            FaultInjection.currentLeaders(cluster)
-                                    .forEach(controller -> controller.crash(50 + length / 4));
-            case 4 ->
-                    cluster ->
-                            FaultInjection.currentLeaders(cluster)
-                                    .forEach(
-                                            controller ->
-                                                    cluster.store.rejectHost(
-                                                            controller.host, length));
-            case 5 -> cluster -> cluster.store.outage(length);
-            case 6 -> cluster -> forSomeMachines(cluster, machine -> machine.blockInbound(length));
-            case 7 -> cluster -> forSomeMachines(cluster, machine -> machine.blockOutbound(length));
-            case 8 -> cluster -> cancelRunning(cluster, 8, length / 3);
-            case 9 -> cluster -> cluster.store.slowDown(900, length);
-            case 10 ->
-                    cluster -> {
-                        FaultInjection.isolateFromStoreAndPeers(
-                                cluster, cluster.controllers.get(node), length);
+            case STORE_OUTAGE -> simulation -> simulation.store.outage(durationMs);
+            case WORKERS_INBOUND_BLOCKED ->
+                    simulation ->
+                            forSomeMachines(
+                                    simulation, machine -> machine.blockInbound(durationMs));
+            case WORKERS_OUTBOUND_BLOCKED ->
+                    simulation ->
+                            forSomeMachines(
+                                    simulation, machine -> machine.blockOutbound(durationMs));
+            case JOBS_CANCELLED_WHILE_WORKERS_HANG ->
+                    simulation -> cancelRunningJobs(simulation, 8, durationMs / 3);
+            case STORE_SLOW -> simulation -> simulation.store.slowDown(900, durationMs);
+            case MACHINES_TERMINATED ->
+                    simulation -> {
+                        simulation.cloud.fastBoots = true;
+                        forSomeMachines(simulation, simulation.cloud::terminate);
                     };
-            case 11 -> cluster -> cluster.network.isolateZone("b", host, length);
-            case 12 ->
-                    cluster -> {
-                        // Ten failovers.
+            case WORKERS_HANG ->
+                    simulation -> forSomeMachines(simulation, machine -> machine.hang(durationMs));
+            default -> controllerFault(kind, durationMs, node);
+        };
+    }
+
+    /** The rest of {@link #fault}: crashes and partitions of controllers. */
+    private static Consumer<ClusterSimulation> controllerFault(
+            FaultKind kind, long durationMs, int node) {
+        return switch (kind) {
+            case LEADERS_CRASH ->
+                    FaultInjection.onCurrentLeaders(
+                            (simulation, leader) -> leader.crash(50 + durationMs / 4));
+            case STORE_REJECTS_LEADERS ->
+                    FaultInjection.onCurrentLeaders(
+                            (simulation, leader) ->
+                                    simulation.store.rejectHost(leader.host, durationMs));
+            case NODE_WITHOUT_STORE_AND_PEERS ->
+                    simulation ->
+                            FaultInjection.isolateFromStoreAndPeers(
+                                    simulation, simulation.controllers.get(node), durationMs);
+            case ZONE_ISOLATED ->
+                    simulation -> simulation.network.isolateZone("b", "node-" + node, durationMs);
+            case TEN_FAILOVERS ->
+                    simulation -> {
                         for (int i = 0; i < 10; i++) {
-                            cluster.scheduleAfter(i * 8_000L, () -> crashLeaders(cluster));
+                            simulation.scheduleAfter(i * 8_000L, () -> crashLeaders(simulation));
                         }
                     };
-            case 13 ->
-                    cluster -> {
-                        cluster.cloud.fastBoots = true;
-                        forSomeMachines(cluster, cluster.cloud::terminate);
-                    };
-            case 14 ->
-                    cluster ->
-                            cluster.controllers.forEach(
+            case ALL_NODES_CRASH ->
+                    simulation ->
+                            simulation.controllers.forEach(
                                     controller ->
                                             controller.crash(
-                                                    9_000 + cluster.random.nextInt(3_000)));
-            case 15 -> cluster -> forSomeMachines(cluster, machine -> machine.hang(length));
-            default ->
-                    cluster ->
-                            FaultInjection.currentLeaders(cluster)
-                                    .forEach(
-                                            controller ->
-                                                    FaultInjection.isolateFromWorkers(
-                                                            cluster, controller, length));
+                                                    9_000 + simulation.random.nextInt(3_000)));
+            case LEADERS_WITHOUT_WORKERS ->
+                    FaultInjection.onCurrentLeaders(
+                            (simulation, leader) ->
+                                    FaultInjection.isolateFromWorkers(
+                                            simulation, leader, durationMs));
+            default -> throw new IllegalArgumentException("no fault of kind " + kind);
         };
     }
 
@@ -122,7 +164,9 @@
                 .forEach(controller -> controller.crash(100 + simulation.random.nextInt(6_000)));
     }
 
+    /** Groups of two or three faults, which start every 25 to 45 s from 25 to 130 s. */
     static List<Fault> compoundFaults(long seed) {
+        FaultKind[] kinds = FaultKind.values();
         Random random = new Random(seed * 131 + 5);
         List<Fault> faults = new ArrayList<>();
         for (long atMs = 25_000; atMs < 130_000; atMs += 25_000 + random.nextInt(20_000)) {
@@ -131,7 +175,7 @@
                         new Fault(
                                 atMs + random.nextInt(3_000),
                                 fault(
-                                        random.nextInt(FAULT_KINDS),
+                                        kinds[random.nextInt(kinds.length)],
                                         1_000 + random.nextInt(30_000),
                                         random.nextInt(3))));
             }
@@ -148,7 +192,7 @@
         for (int i = 0; i < 36; i++) {
             simulation.users.submit(i, 1_000 + simulation.random.nextInt(130_000));
         }
-        // Two groups of simultaneous submissions, so that they share writes.
+        // Two groups of simultaneous submissions, so that one transaction stores several.
         for (int i = 36; i < 66; i++) {
             simulation.users.submit(i, (i < 51 ? 20_000 : 70_000) + simulation.random.nextInt(20));
         }
@@ -178,8 +222,10 @@
                 () -> "seed " + seed + "\n" + simulation.log);
         assertTrue(
                 simulation.invariants.taskStarts > 100,
-                "hardly anything ran: " + simulation.invariants.taskStarts);
-        assertTrue(simulation.store.batchedSubmissions > 0, "no submissions shared a write");
+                "too few task starts: " + simulation.invariants.taskStarts);
+        assertTrue(
+                simulation.store.batchedSubmissions > 0,
+                "no transaction stored several submissions");
         assertEquals(
                 List.of(),
                 simulation.users.unfinishedJobs(),
@@ -187,8 +233,8 @@
     }
 
     /**
-     * Submissions that cannot run, of an unknown team, above a quota or lacking a field are
-     * rejected permanently, and no others are.
+     * Invalid submissions (too large for any machine and above the quota, of an unknown team, in an
+     * unknown zone, or without a required field) are rejected permanently; all others are accepted.
      */
     @Example
     void rejectsInvalidSubmissionsPermanently() {
@@ -197,18 +243,19 @@
         assertTrue(
                 simulation.users.invalidRejected > 6,
                 () ->
-                        "refused "
+                        "rejected "
                                 + simulation.users.invalidRejected
                                 + " of "
-                                + simulation.users.invalidSubmitted);
+                                + simulation.users.invalidSubmitted
+                                + " invalid submissions");
     }
 
     /**
-     * Four jobs of one task are submitted per second and a quarter of them is cancelled, while the
-     * leader crashes.
+     * Four single-task jobs are submitted per second, and a quarter of them are cancelled. The
+     * leader crashes meanwhile. All jobs must end.
      */
     @Example
-    void manySmallJobsWithAQuarterCancelled() {
+    void cancelsAQuarterOfManySmallJobs() {
         ClusterSimulation simulation =
                 new ClusterSimulation(7, SimulationSettings.standard(), 1, InjectedDefect.NONE);
         simulation.users.probeAfterEachChange = false;
--- a/src/test/java/org/shoreusher/simulation/DecisionDigests.java
+++ b/src/test/java/org/shoreusher/simulation/DecisionDigests.java
@@ -103,10 +103,7 @@
         runs.add(new Run("service-interruptions", services::movesAllReplicasOnInterruptionNotices));
         runs.add(new Run("migration-target-terminated", new MigrationsTest()::targetIsTerminated));
         runs.add(new Run("migration-leader-crashes", new MigrationsTest()::leaderCrashesAtAnyStep));
-        runs.add(
-                new Run(
-                        "small-jobs",
-                        new CompoundFailuresTest()::manySmallJobsWithAQuarterCancelled));
+        runs.add(new Run("small-jobs", new CompoundFailuresTest()::cancelsAQuarterOfManySmallJobs));
         runs.add(
                 new Run(
                         "previous-version-formats",
--- a/src/test/java/org/shoreusher/simulation/HeartbeatsTest.java
+++ b/src/test/java/org/shoreusher/simulation/HeartbeatsTest.java
@@ -4,6 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static org.shoreusher.simulation.SingleNodeSimulation.PREVIOUS_TERM;
+import static org.shoreusher.simulation.SingleNodeSimulation.TERM;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -20,71 +22,77 @@
 import org.shoreusher.core.message.WorkerHeartbeat.TaskStatus;
 
 /**
- * What a leader makes of heartbeats that come late, as duplicates, or from machines that are being
- * terminated.
+ * How a leader handles heartbeats that are delayed, duplicated or from terminated machines, and
+ * what it may start while machines are unresponsive. Guards against starting a task that may still
+ * run on another machine.
  */
 class HeartbeatsTest {
     private final SingleNodeSimulation node = new SingleNodeSimulation();
 
     /**
-     * A heartbeat that the network delayed since before a failover does not show what the previous
-     * leader started after it was made. If it were taken as current, the new leader could start a
-     * task that is already on a machine.
+     * A heartbeat that was sent before a failover and delayed by the network does not report what
+     * the previous leader started afterwards. If the successor treated it as current, it could
+     * start a task that already runs.
      */
     @Example
-    void heartbeatFromBeforeTheFailoverIsNotTakenAsCurrent() {
+    void heartbeatSentBeforeTheFailoverIsNotTreatedAsCurrent() {
         node.addOpenJob("wk-1", 1);
         node.storeShardOfPreviousLeader("host-2", "host-1");
         node.runSteps(20);
         assertEquals(
                 List.of(),
-                node.heartbeat("host-2", 10, 5),
-                "held since before the failover: answered, but nothing may start");
-        assertEquals(List.of(), node.heartbeat("host-1", 20, 5));
+                node.heartbeat("host-2", 10, PREVIOUS_TERM),
+                "a heartbeat with the previous term gets a response, but no starts");
+        assertEquals(List.of(), node.heartbeat("host-1", 20, PREVIOUS_TERM));
         assertEquals(
                 List.of(),
-                node.heartbeat("host-1", 21, 6),
-                "host-2 has not sent a current heartbeat yet");
+                node.heartbeat("host-1", 21, TERM),
+                "host-2 has not sent a heartbeat with the new term yet");
         node.runSteps(3);
-        assertEquals(List.of(), node.heartbeat("host-1", 22, 6));
+        assertEquals(List.of(), node.heartbeat("host-1", 22, TERM));
         assertEquals(
                 List.of(),
                 node.heartbeat(
                         "host-2",
                         12,
-                        6,
+                        TERM,
                         new TaskStatus("wk-1", 0, 1, TaskState.RUNNING, ExitCause.NONE)));
         node.runSteps(3);
-        assertEquals(List.of(), node.heartbeat("host-1", 23, 6), "the task is on host-2");
+        assertEquals(List.of(), node.heartbeat("host-1", 23, TERM), "the task runs on host-2");
         assertEquals(
                 List.of(),
                 node
                         .heartbeat(
                                 "host-2",
                                 13,
-                                6,
+                                TERM,
                                 new TaskStatus("wk-1", 0, 1, TaskState.EXITED, ExitCause.STOPPED))
                         .stream()
                         .filter(verb -> verb.equals("halt"))
                         .toList());
         node.runSteps(3);
-        List<String> later = new ArrayList<>(node.heartbeat("host-1", 24, 6));
-        later.addAll(node.heartbeat("host-2", 14, 6));
-        assertTrue(later.contains("run"), "once it has stopped there, it starts again: " + later);
+        List<String> laterOrders = new ArrayList<>(node.heartbeat("host-1", 24, TERM));
+        laterOrders.addAll(node.heartbeat("host-2", 14, TERM));
+        assertTrue(
+                laterOrders.contains("run"),
+                "the task starts again once it has stopped on host-2: " + laterOrders);
     }
 
     /**
-     * Terminated machines stay terminated, whatever duplicates of their heartbeats arrive, also for
-     * a leader that did not terminate them.
+     * Late duplicates of the heartbeats of a terminated machine do not register it again, also if a
+     * previous leader terminated it.
      */
     @Example
-    void lateDuplicateHeartbeatsReviveNoMachine() {
+    void duplicateHeartbeatsDoNotRegisterTerminatedMachines() {
         node.storeShardOfPreviousLeader();
         node.runSteps(20);
         assertNull(
-                node.heartbeat("host-7", 10, 6),
-                "no record and no inventory contains it, and it has been answered before");
-        assertEquals(List.of(), node.heartbeat("host-8", 1, 0), "a new machine is registered");
+                node.heartbeat("host-7", 10, TERM),
+                "not a first heartbeat, and of a machine without a record or inventory entry");
+        assertEquals(
+                List.of(),
+                node.heartbeat("host-8", 1, 0),
+                "the first heartbeat of a new machine registers it");
         node.runSteps(10);
         List<String> terminated = new ArrayList<>();
         node.cloud =
@@ -98,22 +106,22 @@
         for (int i = 1; terminated.isEmpty() && i < 600; i++) {
             node.runSteps(1);
             if (i % 15 == 0 && terminated.isEmpty()) {
-                node.heartbeat("host-8", 1 + i, 6);
+                node.heartbeat("host-8", 1 + i, TERM);
             }
         }
-        assertEquals(List.of("host-8"), terminated, "idle for long");
+        assertEquals(List.of("host-8"), terminated, "terminated because it was idle");
         assertNull(
-                node.heartbeat("host-8", 1_000, 6),
-                "a duplicate that arrives while its record is still there");
+                node.heartbeat("host-8", 1_000, TERM),
+                "a duplicate that arrives before its record is deleted");
         node.runSteps(3);
         assertNull(node.heartbeat("host-8", 1, 0), "a duplicate of its first heartbeat");
-        assertNull(node.heartbeat("host-8", 30, 6), "a duplicate of a later one");
+        assertNull(node.heartbeat("host-8", 30, TERM), "a duplicate of a later heartbeat");
     }
 
     /**
-     * While a machine is unresponsive, tasks that no leader has ever started begin all the same,
-     * within the quota that is surely left: 24 CPUs less 8 that the unresponsive machine may use. A
-     * task that may run on the unresponsive machine waits.
+     * While a machine is unresponsive, tasks that no leader has ever started are still started, up
+     * to the quota that remains: 24 CPUs less the 8 that the unresponsive machine may use. A task
+     * that may run on the unresponsive machine waits.
      */
     @Example
     void neverStartedTasksDoNotWaitForUnresponsiveMachines() {
@@ -122,19 +130,19 @@
         node.runSteps(20);
         assertEquals(
                 List.of(),
-                node.heartbeatAndGetStarts("host-1", 1, 5),
-                "sent before it saw the new term");
+                node.heartbeatAndGetStarts("host-1", 1, PREVIOUS_TERM),
+                "a heartbeat with the previous term");
         List<String> started = new ArrayList<>();
         for (int sequenceNumber = 2; sequenceNumber < 8; sequenceNumber++) {
             node.runSteps(3);
-            started.addAll(node.heartbeatAndGetStarts("host-1", sequenceNumber, 6));
+            started.addAll(node.heartbeatAndGetStarts("host-1", sequenceNumber, TERM));
         }
         assertEquals(Set.of("wk-1/1"), Set.copyOf(started));
     }
 
     /**
-     * A job whose tasks must be in one zone waits: the task that may run on the unresponsive
-     * machine is in some zone, and nobody knows in which.
+     * A single-zone job waits, since the zone of the task that may run on the unresponsive machine
+     * is unknown.
      */
     @Example
     void singleZoneJobWaitsForUnresponsiveMachines() {
@@ -145,16 +153,16 @@
             assertEquals(
                     List.of(),
                     node.heartbeatAndGetStarts(
-                            "host-1", sequenceNumber, sequenceNumber == 1 ? 5 : 6));
+                            "host-1", sequenceNumber, sequenceNumber == 1 ? PREVIOUS_TERM : TERM));
             node.runSteps(3);
         }
     }
 
     /**
-     * The previous leader kept a team within its quota. So the tasks on unresponsive machines use
-     * no more than the quota leaves beside the tasks that were found: of 24 CPUs, 16 found on
-     * responsive machines leave 8 for three unresponsive ones, not 24. When one of the found tasks
-     * has ended, another may start.
+     * The previous leader kept the team within its quota, so the tasks on unresponsive machines use
+     * at most what the tasks on responsive machines leave of it: 16 of 24 CPUs are reported, which
+     * leaves 8, not 24, for the three unresponsive machines. Once a reported task has ended,
+     * another may start.
      */
     @Example
     void unresponsiveMachinesReserveNoMoreThanTheRemainingQuota() {
@@ -164,15 +172,15 @@
         node.runSteps(20);
         TaskStatus first = new TaskStatus("wk-2", 0, 1, TaskState.RUNNING, ExitCause.NONE);
         TaskStatus second = new TaskStatus("wk-2", 1, 2, TaskState.RUNNING, ExitCause.NONE);
-        node.heartbeat("host-1", 1, 5);
-        node.heartbeat("host-2", 1, 5);
-        assertEquals(List.of(), node.heartbeatAndGetStarts("host-1", 2, 6, first));
-        assertEquals(List.of(), node.heartbeatAndGetStarts("host-2", 2, 6, second));
+        node.heartbeat("host-1", 1, PREVIOUS_TERM);
+        node.heartbeat("host-2", 1, PREVIOUS_TERM);
+        assertEquals(List.of(), node.heartbeatAndGetStarts("host-1", 2, TERM, first));
+        assertEquals(List.of(), node.heartbeatAndGetStarts("host-2", 2, TERM, second));
         node.runSteps(3);
         assertEquals(
                 List.of(),
-                node.heartbeatAndGetStarts("host-2", 3, 6, second),
-                "the limit may be used up");
+                node.heartbeatAndGetStarts("host-2", 3, TERM, second),
+                "the unresponsive machines may use the rest of the quota");
         List<String> started = new ArrayList<>();
         for (int sequenceNumber = 3; sequenceNumber < 8; sequenceNumber++) {
             node.runSteps(3);
@@ -180,165 +188,177 @@
                     node.heartbeatAndGetStarts(
                             "host-1",
                             sequenceNumber,
-                            6,
+                            TERM,
                             new TaskStatus("wk-2", 0, 1, TaskState.EXITED, ExitCause.COMPLETED)));
         }
         assertEquals(Set.of("wk-1/1"), Set.copyOf(started));
     }
 
     /**
-     * A machine with a one-way partition since before a failover keeps sending heartbeats, and
-     * never sees the new term. Once its lease from the previous leader has surely expired, the
-     * tasks of that leader are gone and run elsewhere. Duplicates of one heartbeat prove nothing.
+     * Since before a failover a machine gets no messages: it keeps sending heartbeats with the
+     * previous term. Once newer heartbeats show that its lease from the previous leader has
+     * expired, the tasks of that leader are started elsewhere. Duplicates of a single heartbeat do
+     * not show that.
      */
     @Example
-    void machineWithAOneWayPartitionSinceFailoverDelaysNothing() {
-        for (boolean newer : new boolean[] {true, false}) {
+    void machineWithAOneWayPartitionDelaysStartsUntilItsLeaseExpires() {
+        for (boolean newerHeartbeats : new boolean[] {true, false}) {
             SingleNodeSimulation node = new SingleNodeSimulation();
             node.addOpenJob("wk-1", 1);
             node.storeShardOfPreviousLeader("host-1", "host-2");
             node.runSteps(20);
-            long from = node.nowMs;
-            node.heartbeat("host-1", 1, 5);
-            long ranAtMs = 0;
-            for (int sequenceNumber = 2; ranAtMs == 0 && sequenceNumber < 60; sequenceNumber++) {
+            long fromMs = node.nowMs;
+            node.heartbeat("host-1", 1, PREVIOUS_TERM);
+            long startedAfterMs = 0;
+            for (int sequenceNumber = 2;
+                    startedAfterMs == 0 && sequenceNumber < 60;
+                    sequenceNumber++) {
                 node.runSteps(12);
-                if (newer
-                        && node.nowMs - from
+                if (newerHeartbeats
+                        && node.nowMs - fromMs
                                 > 1_000 * SimulationSettings.standard().workerLeaseS()) {
-                    node.heartbeatInIncarnation("host-2", 2, sequenceNumber, 5);
+                    node.heartbeatInIncarnation("host-2", 2, sequenceNumber, PREVIOUS_TERM);
                 } else {
                     node.heartbeat(
                             "host-2",
-                            newer ? sequenceNumber : 1,
-                            5,
+                            newerHeartbeats ? sequenceNumber : 1,
+                            PREVIOUS_TERM,
                             new TaskStatus("wk-1", 0, 1, TaskState.RUNNING, ExitCause.NONE));
                 }
                 node.runSteps(3);
-                if (node.heartbeat("host-1", sequenceNumber, 6).contains("run")) {
-                    ranAtMs = node.nowMs - from;
+                if (node.heartbeat("host-1", sequenceNumber, TERM).contains("run")) {
+                    startedAfterMs = node.nowMs - fromMs;
                 }
-                // The duplicates arrive for a while only; each may be the heartbeat whose
-                // response the worker waits for.
-                if (!newer && sequenceNumber == 30) {
+                // The duplicates end here. Each may be the heartbeat whose response the worker
+                // waits for.
+                if (!newerHeartbeats && sequenceNumber == 30) {
                     break;
                 }
             }
-            long lease = (long) (SimulationSettings.standard().workerLeaseS() * 1000);
-            assertEquals(newer, ranAtMs > 0, "newer heartbeats: " + newer);
-            assertTrue(!newer || ranAtMs > lease, "too early: " + ranAtMs);
+            long leaseMs = (long) (SimulationSettings.standard().workerLeaseS() * 1000);
+            assertEquals(
+                    newerHeartbeats, startedAfterMs > 0, "newer heartbeats: " + newerHeartbeats);
+            assertTrue(
+                    !newerHeartbeats || startedAfterMs > leaseMs,
+                    "started too early, after ms: " + startedAfterMs);
         }
     }
 
     /**
-     * A new machine that sends a heartbeat at once gets no task before its record is durable. The
-     * next leader, which reads the records, would not wait for it and would start the same tasks
-     * elsewhere.
+     * A new machine gets no task before its record is durable. A successor reads the records: it
+     * would not wait for a machine without one, and would start the same tasks elsewhere.
      */
     @Example
     void newMachineGetsNoTaskBeforeItsRecordIsDurable() {
-        for (boolean lost : new boolean[] {false, true}) {
+        for (boolean recordLost : new boolean[] {false, true}) {
             SingleNodeSimulation node = new SingleNodeSimulation();
             node.storeShardOfPreviousLeader();
             node.runSteps(20);
             node.addOpenJob("wk-1", 1);
             node.runSteps(3);
-            if (lost) {
+            if (recordLost) {
                 node.store().loseReplies(10, false, 60_000);
             }
             List<String> started = new ArrayList<>();
             for (int sequenceNumber = 1; sequenceNumber < 12; sequenceNumber++) {
                 started.addAll(
                         node.heartbeatAndGetStarts(
-                                "host-8", sequenceNumber, sequenceNumber == 1 ? 0 : 6));
+                                "host-8", sequenceNumber, sequenceNumber == 1 ? 0 : TERM));
                 node.runSteps(4);
             }
-            assertEquals(!lost, started.contains("wk-1/0"), "record lost: " + lost);
+            assertEquals(!recordLost, started.contains("wk-1/0"), "record lost: " + recordLost);
         }
     }
 
-    /** A task of an earlier incarnation that a late duplicate contains does not count. */
+    /** Tasks in late duplicates of an earlier incarnation's heartbeats are ignored. */
     @Example
     void duplicateHeartbeatsOfAnEarlierIncarnationChangeNothing() {
         node.addOpenJob("wk-1", 1);
         node.storeShardOfPreviousLeader("host-1", "host-2");
         node.runSteps(20);
         TaskStatus running = new TaskStatus("wk-1", 0, 1, TaskState.RUNNING, ExitCause.NONE);
-        node.heartbeat("host-2", 1, 5);
-        node.heartbeat("host-2", 2, 6);
-        assertEquals(List.of(), node.heartbeat("host-1", 10, 6, running));
+        node.heartbeat("host-2", 1, PREVIOUS_TERM);
+        node.heartbeat("host-2", 2, TERM);
+        assertEquals(List.of(), node.heartbeat("host-1", 10, TERM, running));
         node.runSteps(3);
-        List<String> first = node.heartbeatInIncarnation("host-1", 2, 11, 6);
+        List<String> firstOrders = node.heartbeatInIncarnation("host-1", 2, 11, TERM);
         node.runSteps(3);
-        List<String> orders = new ArrayList<>(first);
-        orders.addAll(node.heartbeat("host-2", 3, 6));
+        List<String> orders = new ArrayList<>(firstOrders);
+        orders.addAll(node.heartbeat("host-2", 3, TERM));
         assertTrue(
                 orders.contains("run"),
-                "the incarnation has ended and the task with it: " + orders);
+                "the task ended with the earlier incarnation and starts again: " + orders);
         assertNull(
-                node.heartbeat("host-1", 10, 6, running),
-                "a duplicate of the earlier incarnation's heartbeat");
+                node.heartbeat("host-1", 10, TERM, running),
+                "a duplicate of a heartbeat of the earlier incarnation");
         assertNull(
                 node.heartbeat(
                         "host-1",
                         12,
-                        6,
+                        TERM,
                         new TaskStatus("wk-1", 0, 1, TaskState.EXITED, ExitCause.STOPPED)),
-                "and one that was never seen");
+                "a heartbeat of the earlier incarnation that arrives for the first time");
         node.runSteps(3);
-        List<String> later = node.heartbeat("host-2", 4, 6, running("wk-1", first));
-        assertFalse(later.contains("run"), "the task is not started again: " + later);
+        List<String> laterOrders = node.heartbeat("host-2", 4, TERM, running("wk-1", firstOrders));
+        assertFalse(laterOrders.contains("run"), "the task starts a second time: " + laterOrders);
     }
 
     /**
-     * The largest job of tiny tasks: the orders in one response, and so the heartbeat of a machine,
-     * stay below 64 KiB.
+     * A job with the maximum number of very small tasks: the orders in one response are limited, so
+     * that a machine's heartbeat stays below 64 KiB.
      */
     @Example
     void limitsOrdersPerHeartbeat() {
         node.addOpenJob("wk-1", MessageConstants.MAX_TASKS_PER_JOB, 0.001);
         node.storeShardOfPreviousLeader("host-1");
         node.runSteps(20);
-        node.heartbeat("host-1", 1, 5);
+        node.heartbeat("host-1", 1, PREVIOUS_TERM);
         int started = 0;
         for (int sequenceNumber = 2; started == 0 && sequenceNumber < 20; sequenceNumber++) {
             node.runSteps(3);
-            started = node.heartbeat("host-1", sequenceNumber, 6).size();
+            started = node.heartbeat("host-1", sequenceNumber, TERM).size();
         }
         assertEquals(ClusterConstants.MAX_TASKS_PER_MACHINE, started);
     }
 
     /**
-     * A successor waits for an unresponsive machine as long as the previous leader may have kept
-     * its lease alive. That is as long as that leader may have received gossip of this node that
-     * the store is unavailable, here until this node's start, and no longer.
+     * A successor waits for an unresponsive machine as long as the previous leader may have renewed
+     * the machine's lease, and no longer. That leader may do so in a grace period, while it gets
+     * gossip from this node that the store is unavailable: here until this node's start.
      */
     @Example
-    void successorWaitsForTheGracePeriodItMayHaveGranted() {
-        long startedAt = node.nowMs;
+    void successorWaitsForTheGracePeriodOfThePreviousLeader() {
+        long nodeStartMs = node.nowMs;
         node.addOpenJob("wk-1", 1);
         node.storeShardOfPreviousLeader("host-1", "host-2");
         node.runSteps(20);
-        assertEquals(List.of(), node.heartbeat("host-1", 1, 5));
-        long ranAtMs = 0;
-        for (int sequenceNumber = 2; ranAtMs == 0 && sequenceNumber < 80; sequenceNumber++) {
+        assertEquals(List.of(), node.heartbeat("host-1", 1, PREVIOUS_TERM));
+        long startedAfterMs = 0;
+        for (int sequenceNumber = 2; startedAfterMs == 0 && sequenceNumber < 80; sequenceNumber++) {
             node.runSteps(7);
-            if (node.heartbeat("host-1", sequenceNumber, 6).contains("run")) {
-                ranAtMs = node.nowMs - startedAt;
+            if (node.heartbeat("host-1", sequenceNumber, TERM).contains("run")) {
+                startedAfterMs = node.nowMs - nodeStartMs;
             }
         }
-        long agreed =
+        long waitMs =
                 GossipConstants.MAX_GOSSIP_AGE_MS
                         + (long) (SimulationSettings.standard().workerLeaseS() * 1000);
-        assertTrue(ranAtMs > agreed, "too early: " + ranAtMs);
-        assertTrue(ranAtMs < agreed + 2_500, "too late: " + ranAtMs);
+        assertTrue(startedAfterMs > waitMs, "started too early, after ms: " + startedAfterMs);
+        assertTrue(
+                startedAfterMs < waitMs + 2_500, "started too late, after ms: " + startedAfterMs);
     }
 
-    private static TaskStatus[] running(String jobId, List<String> startedElsewhere) {
-        return startedElsewhere.contains("run")
+    /** The first task of the job as running, unless another machine's orders start it. */
+    private static TaskStatus[] running(String jobId, List<String> ordersElsewhere) {
+        return ordersElsewhere.contains("run")
                 ? new TaskStatus[0]
                 : new TaskStatus[] {
-                    new TaskStatus(jobId, 0, (6L << 24) + 1, TaskState.RUNNING, ExitCause.NONE)
+                    new TaskStatus(
+                            jobId,
+                            0,
+                            SingleNodeSimulation.attemptNumber(1),
+                            TaskState.RUNNING,
+                            ExitCause.NONE)
                 };
     }
 }
--- a/src/test/java/org/shoreusher/simulation/Invariants.java
+++ b/src/test/java/org/shoreusher/simulation/Invariants.java
@@ -61,7 +61,7 @@
         SimulatedWorker other = machineOfTask.put(taskName, machine);
         if (other != null) {
             recordViolation(
-                    "runs_twice",
+                    "ran_twice",
                     taskName + " starts on " + machine.id + " and runs on " + other.id);
             resourceUsage.add(job.spec, other, -1);
         }
@@ -91,8 +91,7 @@
                 || (spec.singleZone() && inZone != ofJob)
                 || (spec.spreadAcrossZones() && inZone > (spec.taskCount() + 1) / 2)) {
             recordViolation(
-                    "placement_constraint",
-                    taskName + " in " + machine.zone + " on " + machine.type);
+                    "wrong_place", taskName + " in " + machine.zone + " on " + machine.type);
         }
         checkCancelled(taskName, job);
     }
@@ -102,7 +101,7 @@
         if (job.cancelConfirmed
                 && simulation.nowMs - job.cancelConfirmedAtMs
                         > simulation.settings.cancellationLimitS() * 1000) {
-            recordViolation("runs_after_cancellation", taskName);
+            recordViolation("ran_cancelled", taskName);
         }
     }
 
@@ -215,7 +214,7 @@
                 && !job.doneConfirmed
                 && !job.cancelConfirmed
                 && simulation.nowMs - sinceMs > MAX_WITHOUT_RESPONSE_MS) {
-            recordViolation("no_response", job.spec.id() + " has had no response since " + sinceMs);
+            recordViolation("forgotten", job.spec.id() + " has had no response since " + sinceMs);
         }
     }
 
@@ -228,7 +227,7 @@
         checkRecentResponse(job);
         job.lastResponseAtMs = simulation.nowMs;
         if (response.status() == 404) {
-            recordViolation("accepted_job_unknown", id + " got 404");
+            recordViolation("forgotten", "accepted job " + id + " got 404");
             return;
         }
         String status = (String) response.body().get("status");
@@ -237,14 +236,15 @@
         if (done) {
             for (int i = 0; i < job.spec.taskCount(); i++) {
                 if (!completedTasks.contains(id + "/" + i)) {
-                    recordViolation("done_too_early", id + "/" + i);
+                    recordViolation(
+                            "not_done", id + "/" + i + " has not completed, but its job is done");
                 }
             }
         }
         if ((job.doneConfirmed && job.doneConfirmedAtMs < sentAtMs && !done)
                 || (job.cancelConfirmed && job.cancelConfirmedAtMs < sentAtMs && !cancelled)
                 || (cancelled && !job.cancelRequested)) {
-            recordViolation("status_regressed", id + " is now " + status);
+            recordViolation("went_back", id + " is now " + status);
         }
         if (cancelled && !job.cancelConfirmed) {
             job.cancelConfirmed = true;
--- a/src/test/java/org/shoreusher/simulation/LeaderFailureTest.java
+++ b/src/test/java/org/shoreusher/simulation/LeaderFailureTest.java
@@ -16,24 +16,27 @@
 import org.shoreusher.simulation.ClusterSimulation.Fault;
 import org.shoreusher.simulation.ClusterSimulation.InjectedDefect;
 
-/** Leaders that crash, or lose what they need, one fault at a time. */
+/**
+ * Leaders that crash, or lose the store, their peers or their workers, one fault at a time. Guards
+ * against failovers that are too slow for running tasks to survive.
+ */
 class LeaderFailureTest {
-    /** A minute after the start each shard's leader is hit. */
+    /** A fault that hits the leader of each shard a minute after the start. */
     private static List<Fault> faultOnLeaders(
             BiConsumer<ClusterSimulation, SimulatedController> injection) {
         return List.of(
                 new Fault(
                         60_000,
-                        cluster ->
-                                FaultInjection.currentLeaders(cluster)
+                        simulation ->
+                                FaultInjection.currentLeaders(simulation)
                                         .forEach(
                                                 controller ->
-                                                        injection.accept(cluster, controller))));
+                                                        injection.accept(simulation, controller))));
     }
 
     /**
-     * A store outage that is longer than the lease: the leader keeps its workers' leases alive, and
-     * its tasks keep running.
+     * During a store outage that is longer than the shard's lease, the leader keeps renewing its
+     * workers' leases, so that its tasks keep running.
      */
     @Example
     void keepsTasksRunningThroughAStoreOutageLongerThanTheLease() {
@@ -49,11 +52,11 @@
     }
 
     /**
-     * The store refuses one node alone: another node leads its shard soon, and not only after its
-     * grace period.
+     * The store rejects the requests of the leader only. Another node acquires the shard before the
+     * leader's grace period ends, because the leader redirects its workers.
      */
     @Example
-    void leaderRefusedByTheStoreRedirectsItsWorkers() {
+    void leaderRejectedByTheStoreRedirectsItsWorkers() {
         ClusterSimulation simulation =
                 ClusterSimulationTest.simulate(
                         1,
@@ -62,21 +65,22 @@
                                 (cluster, controller) ->
                                         cluster.store.rejectHost(controller.host, 40_000)));
         assertEquals(List.of(), simulation.invariants.violations);
-        // The lease of 9 s, at most a renewal just before, the successor's delay, and a round of
-        // heartbeats from redirected workers.
+        // The lease of 9 s, which may have been renewed just before the fault, the successor's
+        // delay, and one heartbeat of each redirected worker.
         assertTrue(
                 firstReconciledAfterMs(simulation, 60_000) < 60_000 + 16_000,
                 simulation.log::toString);
     }
 
     /**
-     * A leader loses the network. Its workers must not wait for it until their leases expire, but
-     * turn to reachable nodes, so that the successor finds their tasks.
+     * A leader is isolated from the store, its peers and its workers. The workers must send their
+     * heartbeats to other nodes before their leases expire, so that their tasks survive.
      */
     @Example
     void workersOfAnIsolatedLeaderReachTheSuccessorInTime() {
         List<Long> reconciledAtMs = new ArrayList<>();
-        // Seeds with one shard; in some run a single message is late by seconds.
+        // Seeds with one shard. The median is checked, since in some runs a single message is
+        // delayed by seconds.
         for (long seed : new long[] {0, 3, 6, 9, 12}) {
             ClusterSimulation simulation =
                     ClusterSimulationTest.simulate(
@@ -92,16 +96,15 @@
             assertEquals(List.of(), simulation.invariants.violations);
             reconciledAtMs.add(firstReconciledAfterMs(simulation, 60_000));
         }
-        // A failover after 7 s and a round of heartbeats at once; workers that wait for the lost
-        // leader make it 12 s.
+        // A failover after 7 s, and one heartbeat of each worker immediately afterwards. If the
+        // workers waited for the isolated leader, it would take 12 s.
         Collections.sort(reconciledAtMs);
         assertTrue(reconciledAtMs.get(2) < 60_000 + 9_500, () -> "reconciled at " + reconciledAtMs);
     }
 
     /**
-     * A controller loses the store and its peers, but not its workers. Nobody can tell it that it
-     * is alone, so it must detect that itself: its grace period would keep the workers from the
-     * next leader.
+     * A leader loses the store and its peers, but not its workers. It must detect without gossip
+     * that it is isolated: in a grace period it would keep its workers from the successor.
      */
     @Example
     void leaderThatReachesOnlyItsWorkersReleasesThem() {
@@ -119,8 +122,8 @@
             reconciledAtMs.add(firstReconciledAfterMs(simulation, 60_000));
         }
         Collections.sort(reconciledAtMs);
-        // The lease expires after 6 to 9 s, then follows a round of heartbeats; with the grace
-        // period it is 15 s and more.
+        // The lease expires after 6 to 9 s, and one heartbeat of each worker follows. With the
+        // grace period it would take 15 s or more.
         assertTrue(
                 reconciledAtMs.get(1) < 60_000 + 13_000, () -> "reconciled at " + reconciledAtMs);
     }
@@ -154,20 +157,19 @@
                             ? firstReconciledAfterMs(simulation, 60_000)
                             : Long.MAX_VALUE);
         }
-        // In some run a single message is late by seconds, or a machine waits for the old leader
-        // once more.
+        // The median is checked: in some runs a single message is delayed by seconds, or a machine
+        // sends one more heartbeat to the previous leader.
         Collections.sort(reconciledAtMs);
         assertTrue(
                 reconciledAtMs.get(2) < 60_000 + 14_000, () -> "reconciled at " + reconciledAtMs);
     }
 
     /**
-     * A thousand machines: leaders crash while a zone is isolated, a controller is paused, and many
-     * machines stop at once. A few simulations of bounded work; lost work is repeated, and no
-     * invariant is violated.
+     * With a thousand machines, leaders crash while a zone is isolated, a controller is paused, and
+     * a third of the machines is terminated at once. Every job ends, and no invariant is violated.
      */
     @Example
-    void aThousandMachines() {
+    void keepsInvariantsWithAThousandMachines() {
         Settings large = SimulationSettings.large();
         for (int shardCount = 1; shardCount <= 2; shardCount++) {
             ClusterSimulation simulation =
@@ -211,14 +213,14 @@
                             .entries(LogEventType.MACHINES_PROVISIONED)
                             .mapToLong(entry -> Long.parseLong(entry.text("count")))
                             .sum();
-            assertTrue(machines > 1_000, () -> "provisioned " + machines);
+            assertTrue(machines > 1_000, () -> "machines provisioned: " + machines);
             assertEquals(List.of(), simulation.users.unfinishedJobs());
         }
     }
 
     /**
-     * A leader crashes. Each successor crashes while it takes over, and restarts before any other
-     * node has detected it.
+     * A leader crashes. Each of the next three successors crashes during its failover, and restarts
+     * before any other node has detected the crash.
      */
     @Example
     void successorsCrashingDuringFailoverLoseNothing() {
@@ -271,8 +273,8 @@
             assertEquals(List.of(), simulation.invariants.violations);
             assertEquals(1, unreachable.size());
             String id = unreachable.get(0).id;
-            // Otherwise tasks are started on it again and again, since it seems idle, and it is
-            // never terminated while there is work.
+            // Without the cordon, tasks would be started on it repeatedly, since it seems idle, and
+            // it would not be terminated while tasks are pending.
             assertTrue(
                     simulation
                             .log
@@ -288,7 +290,7 @@
         }
     }
 
-    /** When a shard was first reconciled after a time, in ms. */
+    /** The time of the first reconciliation of a shard after this time, in ms. */
     private static long firstReconciledAfterMs(ClusterSimulation simulation, long afterMs) {
         return simulation
                 .log
@@ -299,11 +301,11 @@
                 .orElseThrow();
     }
 
-    private static void terminateEveryThirdMachine(ClusterSimulation cluster) {
+    private static void terminateEveryThirdMachine(ClusterSimulation simulation) {
         int index = 0;
-        for (SimulatedWorker machine : cluster.cloud.machines()) {
+        for (SimulatedWorker machine : simulation.cloud.machines()) {
             if (index++ % 3 == 0) {
-                cluster.cloud.terminate(machine);
+                simulation.cloud.terminate(machine);
             }
         }
     }
--- a/src/test/java/org/shoreusher/simulation/MigrationsTest.java
+++ b/src/test/java/org/shoreusher/simulation/MigrationsTest.java
@@ -156,13 +156,13 @@
 
     @Example
     void migratedTasksCompleteOnce() {
-        simulateWithFault((cluster, migration) -> {}, LogEventType.MIGRATION_COMPLETED);
+        simulateWithFault((simulation, migration) -> {}, LogEventType.MIGRATION_COMPLETED);
     }
 
     @Example
     void targetIsTerminated() {
         simulateWithFault(
-                (cluster, migration) -> cluster.cloud.terminate(migration.target(cluster)),
+                (simulation, migration) -> simulation.cloud.terminate(migration.target(simulation)),
                 LogEventType.MIGRATION_ABANDONED,
                 "target_lost");
     }
@@ -170,15 +170,15 @@
     @Example
     void targetHangsOrIsPartitioned() {
         simulateWithFault(
-                (cluster, migration) -> {
-                    SimulatedWorker target = migration.target(cluster);
-                    switch (cluster.random.nextInt(3)) {
+                (simulation, migration) -> {
+                    SimulatedWorker target = migration.target(simulation);
+                    switch (simulation.random.nextInt(3)) {
                         case 0 -> target.blockInbound(20_000);
                         case 1 -> target.hang(15_000);
                         default ->
-                                cluster.controllers.forEach(
+                                simulation.controllers.forEach(
                                         controller ->
-                                                cluster.network.partition(
+                                                simulation.network.partition(
                                                         controller.host, target.id, 15_000));
                     }
                 },
@@ -189,15 +189,15 @@
     @Example
     void sourceBecomesUnresponsiveAfterTheStopOrder() {
         simulateWithFault(
-                (cluster, migration) -> {
-                    SimulatedWorker source = migration.source(cluster);
-                    if (cluster.random.nextBoolean()) {
-                        cluster.controllers.forEach(
+                (simulation, migration) -> {
+                    SimulatedWorker source = migration.source(simulation);
+                    if (simulation.random.nextBoolean()) {
+                        simulation.controllers.forEach(
                                 controller ->
-                                        cluster.network.partition(
+                                        simulation.network.partition(
                                                 controller.host, source.id, 30_000));
                     } else {
-                        source.hang(7_000 + cluster.random.nextInt(20_000));
+                        source.hang(7_000 + simulation.random.nextInt(20_000));
                     }
                 },
                 LogEventType.WORKER_LEASE_EXPIRED);
@@ -206,19 +206,19 @@
     @Example
     void sourceIsTerminated() {
         simulateWithFault(
-                (cluster, migration) -> cluster.cloud.terminate(migration.source(cluster)),
+                (simulation, migration) -> simulation.cloud.terminate(migration.source(simulation)),
                 LogEventType.MACHINE_REMOVED);
     }
 
     @Example
     void sourceOrTargetGetsAnInterruptionNotice() {
         simulateWithFault(
-                (cluster, migration) -> {
+                (simulation, migration) -> {
                     SimulatedWorker machine =
-                            cluster.random.nextBoolean()
-                                    ? migration.source(cluster)
-                                    : migration.target(cluster);
-                    machine.announceInterruption(2_000 + cluster.random.nextInt(4_000));
+                            simulation.random.nextBoolean()
+                                    ? migration.source(simulation)
+                                    : migration.target(simulation);
+                    machine.announceInterruption(2_000 + simulation.random.nextInt(4_000));
                 },
                 LogEventType.MIGRATION_STARTED);
     }
@@ -226,13 +226,13 @@
     @Example
     void jobIsCancelledAtAnyStep() {
         simulateWithFault(
-                (cluster, migration) -> {
+                (simulation, migration) -> {
                     SimulatedUsers.SimulatedJob job =
-                            cluster.users.jobs.get(
+                            simulation.users.jobs.get(
                                     migration.taskName.substring(
                                             0, migration.taskName.indexOf('/')));
-                    cluster.scheduleAfter(
-                            cluster.random.nextInt(6_000), () -> cluster.users.cancel(job));
+                    simulation.scheduleAfter(
+                            simulation.random.nextInt(6_000), () -> simulation.users.cancel(job));
                 },
                 LogEventType.MIGRATION_ABANDONED,
                 "job_closed");
@@ -241,15 +241,16 @@
     @Example
     void leaderCrashesAtAnyStep() {
         simulateWithFault(
-                (cluster, migration) ->
-                        cluster.scheduleAfter(
-                                cluster.random.nextInt(6_000),
+                (simulation, migration) ->
+                        simulation.scheduleAfter(
+                                simulation.random.nextInt(6_000),
                                 () -> {
                                     for (SimulatedController controller :
-                                            FaultInjection.currentLeaders(cluster)) {
+                                            FaultInjection.currentLeaders(simulation)) {
                                         if (controller.isRunning()
-                                                && cluster.nowMs < FAULT_FREE_FROM_MS - 20_000) {
-                                            controller.crash(100 + cluster.random.nextInt(5_000));
+                                                && simulation.nowMs < FAULT_FREE_FROM_MS - 20_000) {
+                                            controller.crash(
+                                                    100 + simulation.random.nextInt(5_000));
                                         }
                                     }
                                 }),
@@ -260,13 +261,13 @@
     @Example
     void leaderStepsDownDuringMigrations() {
         simulateWithFault(
-                (cluster, migration) -> {
-                    if (cluster.nowMs < FAULT_FREE_FROM_MS - 40_000) {
-                        FaultInjection.currentLeaders(cluster)
+                (simulation, migration) -> {
+                    if (simulation.nowMs < FAULT_FREE_FROM_MS - 40_000) {
+                        FaultInjection.currentLeaders(simulation)
                                 .forEach(
                                         controller ->
                                                 FaultInjection.isolateFromWorkers(
-                                                        cluster, controller, 25_000));
+                                                        simulation, controller, 25_000));
                     }
                 },
                 LogEventType.LEADERSHIP_LOST,
@@ -276,7 +277,8 @@
     @Example
     void storeOutageDuringMigrations() {
         simulateWithFault(
-                (cluster, migration) -> cluster.store.outage(3_000 + cluster.random.nextInt(9_000)),
+                (simulation, migration) ->
+                        simulation.store.outage(3_000 + simulation.random.nextInt(9_000)),
                 LogEventType.LEASE_EXPIRED);
     }
 
@@ -287,12 +289,12 @@
     @Example
     void staleHeartbeatsArriveDuringFailover() {
         simulateWithFault(
-                (cluster, migration) -> {
-                    cluster.retainHeartbeats = true;
-                    cluster.scheduleAfter(
+                (simulation, migration) -> {
+                    simulation.retainHeartbeats = true;
+                    simulation.scheduleAfter(
                             3_000,
                             () ->
-                                    FaultInjection.currentLeaders(cluster)
+                                    FaultInjection.currentLeaders(simulation)
                                             .forEach(controller -> controller.crash(300)));
                 },
                 LogEventType.SHARD_ACQUIRED);
--- a/src/test/java/org/shoreusher/simulation/OversizedRecordsTest.java
+++ b/src/test/java/org/shoreusher/simulation/OversizedRecordsTest.java
@@ -50,10 +50,10 @@
 
     /**
      * A 400 would mean to the user that the job does not exist, and violate the invariant
-     * "submission_rejected".
+     * "forgotten".
      */
     @Example
-    void laggingNodeAnswersARepeatedSubmissionWithTheJobState() {
+    void nodeWithAStaleCacheReturnsTheJobStateForARepeatedSubmission() {
         node.storeShardOfPreviousLeader();
         node.runSteps(40);
         node.store().stallCacheUpdates("node-0", 1_000_000);
--- a/src/test/java/org/shoreusher/simulation/PreviousVersionFormatsTest.java
+++ b/src/test/java/org/shoreusher/simulation/PreviousVersionFormatsTest.java
@@ -4,6 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static org.shoreusher.simulation.SingleNodeSimulation.PREVIOUS_TERM;
+import static org.shoreusher.simulation.SingleNodeSimulation.TERM;
 
 import java.io.InputStream;
 import java.util.BitSet;
@@ -129,9 +131,9 @@
     /** All machines stay in some group, also while a group that is too long is split. */
     private static void assertMachinesKept(
             SingleNodeSimulation node, int valueBytes, String limits) {
-        assertNotNull(node.heartbeat("host-000205", 1, 5), "a machine of its records");
+        assertNotNull(node.heartbeat("host-000205", 1, PREVIOUS_TERM), "a machine of its records");
         // Now the machine's record changes, which splits its group where that is too long.
-        assertEquals(List.of(), node.heartbeat("host-000265", 1, 6));
+        assertEquals(List.of(), node.heartbeat("host-000265", 1, TERM));
         for (int step = 0; step < 300; step++) {
             node.runSteps(1);
             assertEquals(
@@ -162,7 +164,7 @@
     @Example
     void writesRecordsThatThePreviousVersionReads() {
         SingleNodeSimulation node = nodeOnPreviousVersionStore(2_048, 6, 300);
-        node.heartbeat("host-000265", 1, 6);
+        node.heartbeat("host-000265", 1, TERM);
         JobSpec service = service("wk-000020", 3);
         assertEquals(201, node.submit(service));
         node.runSteps(300);
@@ -253,7 +255,7 @@
      * again all the same.
      */
     @Example
-    void restartsAReplicaThatThePreviousVersionMarkedFinished() {
+    void restartsAReplicaThatThePreviousVersionMarkedCompleted() {
         SingleNodeSimulation node = new SingleNodeSimulation(settingsWithLimits(8_192, 12));
         node.storeShardOfPreviousLeader("host-1");
         node.writeToStore(
@@ -284,10 +286,10 @@
                         Map.of("wk-000020", "0")));
         node.runSteps(40);
         long sequenceNumber = 1;
-        node.heartbeat("host-1", sequenceNumber++, 5);
+        node.heartbeat("host-1", sequenceNumber++, PREVIOUS_TERM);
         for (int i = 0; i < 30; i++) {
             node.runSteps(3);
-            if (node.heartbeatAndGetStarts("host-1", sequenceNumber++, 6)
+            if (node.heartbeatAndGetStarts("host-1", sequenceNumber++, TERM)
                     .equals(List.of("wk-000020/0"))) {
                 return;
             }
--- a/src/test/java/org/shoreusher/simulation/RecordedFormatsTest.java
+++ b/src/test/java/org/shoreusher/simulation/RecordedFormatsTest.java
@@ -42,7 +42,7 @@
     }
 
     @Example
-    void recordedRecordsAreReadAndWrittenAgain() throws IOException {
+    void recordedRecordsRoundTripUnchanged() throws IOException {
         section("records")
                 .forEach(
                         (key, value) ->
@@ -69,7 +69,7 @@
 
     /** Term, fence, the note of formats and the types: a node's first values, then its next. */
     @Example
-    void aNodeWritesAndGoesOnWithRecordedValues() throws IOException {
+    void nodeWritesRecordedValuesAndContinuesFromThem() throws IOException {
         Map<String, Object> recorded = section("node");
         Map<String, Object> first = RecordedFormats.writtenByNode(Map.of());
         assertEquals(recorded.keySet(), first.keySet());
@@ -88,7 +88,7 @@
     }
 
     @Example
-    void recordedMessagesAreReadAndWrittenAgain() throws IOException {
+    void recordedMessagesRoundTripUnchanged() throws IOException {
         Map<String, Object> recorded = section("messages");
         for (Map.Entry<String, GossipMessage> entry : RecordedFormats.gossipMessages().entrySet()) {
             String hex = (String) recorded.get(entry.getKey());
--- a/src/test/java/org/shoreusher/simulation/ServiceFaultsTest.java
+++ b/src/test/java/org/shoreusher/simulation/ServiceFaultsTest.java
@@ -223,7 +223,7 @@
      * fails for all nodes for too long.
      */
     @Example
-    void cancelsAServiceUnseenByTheLeaderBeforeAnOutage() {
+    void cancelsServicesThatTheLeaderCannotReadBeforeAnOutage() {
         for (long seed = 0; seed < SEEDS; seed++) {
             ClusterSimulation simulation = createSimulation(seed);
             runWithFault(
--- a/src/test/java/org/shoreusher/simulation/ServiceReplicaTest.java
+++ b/src/test/java/org/shoreusher/simulation/ServiceReplicaTest.java
@@ -3,6 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static org.shoreusher.simulation.SingleNodeSimulation.PREVIOUS_TERM;
+import static org.shoreusher.simulation.SingleNodeSimulation.TERM;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -34,21 +36,27 @@
     private void startWithOneMachine() {
         node.storeShardOfPreviousLeader("host-1");
         node.runSteps(40);
-        node.heartbeat("host-1", nextSequenceNumber++, 5);
+        node.heartbeat("host-1", nextSequenceNumber++, PREVIOUS_TERM);
         node.runSteps(3);
-        node.heartbeat("host-1", nextSequenceNumber++, 6);
+        node.heartbeat("host-1", nextSequenceNumber++, TERM);
         node.runSteps(3);
     }
 
     private List<String> heartbeatAndGetStarts(TaskStatus... tasks) {
-        List<String> started = node.heartbeatAndGetStarts("host-1", nextSequenceNumber++, 6, tasks);
+        List<String> started =
+                node.heartbeatAndGetStarts("host-1", nextSequenceNumber++, TERM, tasks);
         node.runSteps(3);
         return started;
     }
 
     private static TaskStatus replicaStatus(
             int number, long attemptNumber, TaskState state, ExitCause exitCause) {
-        return new TaskStatus("wk-1", number, (6L << 24) + attemptNumber, state, exitCause);
+        return new TaskStatus(
+                "wk-1",
+                number,
+                SingleNodeSimulation.attemptNumber(attemptNumber),
+                state,
+                exitCause);
     }
 
     /**
@@ -76,7 +84,7 @@
                 node.heartbeat(
                         "host-1",
                         nextSequenceNumber++,
-                        6,
+                        TERM,
                         replicaStatus(0, 1, TaskState.EXITED, ExitCause.COMPLETED));
         assertTrue(orders.contains("forget"), () -> "orders " + orders);
         List<String> again =
@@ -117,13 +125,13 @@
      * backoff. It does not count against the machines: none of them is cordoned.
      */
     @Example
-    void doesNotBlameMachinesForAReplicaThatFailsEverywhere() {
+    void doesNotCordonMachinesForAReplicaThatFailsEverywhere() {
         List<String> machines = List.of("host-1", "host-2", "host-3");
         node.storeShardOfPreviousLeader(machines.toArray(new String[0]));
         node.runSteps(40);
-        machines.forEach(machine -> node.heartbeat(machine, nextSequenceNumber++, 5));
+        machines.forEach(machine -> node.heartbeat(machine, nextSequenceNumber++, PREVIOUS_TERM));
         node.runSteps(3);
-        machines.forEach(machine -> node.heartbeat(machine, nextSequenceNumber++, 6));
+        machines.forEach(machine -> node.heartbeat(machine, nextSequenceNumber++, TERM));
         assertEquals(201, node.submit(service("wk-1", 1, 2)));
         List<String> startedOn = new ArrayList<>();
         for (int round = 0; round < 150; round++) {
@@ -135,8 +143,8 @@
                 List<String> started =
                         last
                                 ? node.heartbeatAndGetStarts(
-                                        machine, nextSequenceNumber++, 6, failed)
-                                : node.heartbeatAndGetStarts(machine, nextSequenceNumber++, 6);
+                                        machine, nextSequenceNumber++, TERM, failed)
+                                : node.heartbeatAndGetStarts(machine, nextSequenceNumber++, TERM);
                 node.runSteps(2);
                 started.forEach(taskName -> startedOn.add(machine));
             }
@@ -166,18 +174,28 @@
         for (int i = 0; i < 4; i++) {
             running[i] =
                     new TaskStatus(
-                            "wk-2", i, (6L << 24) + 1 + i, TaskState.RUNNING, ExitCause.NONE);
+                            "wk-2",
+                            i,
+                            SingleNodeSimulation.attemptNumber(1 + i),
+                            TaskState.RUNNING,
+                            ExitCause.NONE);
         }
-        assertFalse(node.heartbeat("host-1", nextSequenceNumber++, 6, running).contains("halt"));
+        assertFalse(node.heartbeat("host-1", nextSequenceNumber++, TERM, running).contains("halt"));
         assertEquals(201, node.submit(service("wk-1", 1, 2)));
         node.runSteps(4);
-        List<String> orders = node.heartbeat("host-1", nextSequenceNumber++, 6, running);
+        List<String> orders = node.heartbeat("host-1", nextSequenceNumber++, TERM, running);
         assertEquals(
                 1,
                 orders.stream().filter(verb -> verb.equals("halt")).count(),
                 () -> "one of them is enough: " + orders);
         node.runSteps(3);
-        running[0] = new TaskStatus("wk-2", 0, (6L << 24) + 1, TaskState.EXITED, ExitCause.STOPPED);
+        running[0] =
+                new TaskStatus(
+                        "wk-2",
+                        0,
+                        SingleNodeSimulation.attemptNumber(1),
+                        TaskState.EXITED,
+                        ExitCause.STOPPED);
         TaskStatus[] all = running;
         List<String> next = new ArrayList<>();
         for (int stopped = 0; stopped < 4; stopped++) {
@@ -187,7 +205,7 @@
                         new TaskStatus(
                                 "wk-2",
                                 i,
-                                (6L << 24) + 1 + i,
+                                SingleNodeSimulation.attemptNumber(1 + i),
                                 i == stopped ? TaskState.EXITED : TaskState.RUNNING,
                                 i == stopped ? ExitCause.STOPPED : ExitCause.NONE);
             }
--- a/src/test/java/org/shoreusher/simulation/ServiceSupportTest.java
+++ b/src/test/java/org/shoreusher/simulation/ServiceSupportTest.java
@@ -39,7 +39,7 @@
      * says.
      */
     @Example
-    void refusesServicesUntilEveryNodeSupportsThem() {
+    void rejectsServicesUntilEveryNodeSupportsThem() {
         SingleNodeSimulation node = nodeInClusterOfTwo();
         assertEquals(503, node.submit(PreviousVersionFormatsTest.service("wk-000020", 3)));
         assertEquals(1, countServicesDisabled(node, "[node-1]"));
@@ -62,7 +62,7 @@
      * services by its version record.
      */
     @Example
-    void refusesNewServicesAfterAMemberDowngrades() {
+    void rejectsNewServicesAfterAMemberDowngrade() {
         SingleNodeSimulation node = nodeInClusterOfTwo();
         node.writeToStore("node/node-1", Map.of("formats", 2L, "process", "node-1/new"));
         node.runSteps(5);
--- a/src/test/java/org/shoreusher/simulation/SimulatedUsers.java
+++ b/src/test/java/org/shoreusher/simulation/SimulatedUsers.java
@@ -223,7 +223,7 @@
                 (response, sentAtMs) -> {
                     if (response.status() != 200 && response.status() != 201) {
                         simulation.invariants.recordViolation(
-                                "submission_rejected",
+                                "forgotten",
                                 "submission of " + job.spec.id() + " got " + response.status());
                     }
                     statusReported(job, response, sentAtMs);
@@ -296,7 +296,7 @@
                                 (response, sentAtMs) -> {
                                     if (response.status() != 200 && response.status() != 201) {
                                         simulation.invariants.recordViolation(
-                                                "submission_rejected",
+                                                "forgotten",
                                                 "repeated submission of "
                                                         + job.spec.id()
                                                         + " got "
@@ -318,7 +318,7 @@
                                 (response, sentAtMs) -> {
                                     if (response.status() != 200) {
                                         simulation.invariants.recordViolation(
-                                                "submission_rejected",
+                                                "forgotten",
                                                 "repeated submission of "
                                                         + job.spec.id()
                                                         + " got "
@@ -385,7 +385,10 @@
                 (response, sentAtMs) -> {
                     if (response.status() != 404) {
                         simulation.invariants.recordViolation(
-                                "unknown_job", "poll got " + response.status() + " instead of 404");
+                                "invented",
+                                "poll of an unknown job got "
+                                        + response.status()
+                                        + " instead of 404");
                     }
                 },
                 () -> {});
--- a/src/test/java/org/shoreusher/simulation/SingleNodeSimulation.java
+++ b/src/test/java/org/shoreusher/simulation/SingleNodeSimulation.java
@@ -9,6 +9,7 @@
 import java.util.function.Function;
 import org.shoreusher.core.JobSpecBuilder;
 import org.shoreusher.core.Node;
+import org.shoreusher.core.cluster.ClusterConstants;
 import org.shoreusher.core.message.ClockReading;
 import org.shoreusher.core.message.Command;
 import org.shoreusher.core.message.Effect;
@@ -24,6 +25,12 @@
 
 /** A single core with a store, which a test drives command by command. */
 final class SingleNodeSimulation {
+    /** The term of the leader of {@link #storeShardOfPreviousLeader}. */
+    static final long PREVIOUS_TERM = 5;
+
+    /** The term in which the node leads that shard first. */
+    static final long TERM = 6;
+
     /** The cloud's reply to an operation; by default status 0, which means no reply. */
     Function<CloudOperation, Command.CloudReply> cloud =
             operation -> new Command.CloudReply(0, 0, null);
@@ -52,6 +59,11 @@
         node = new Node(settings, features, "node-0/1", 1);
     }
 
+    /** The attempt number of the node's nth start in {@link #TERM}; n is at least 1. */
+    static long attemptNumber(long startNumber) {
+        return (TERM << ClusterConstants.ATTEMPT_SEQUENCE_BITS) + startNumber;
+    }
+
     /** Runs this number of steps; the first gets the commands that are pending. */
     void runSteps(int count) {
         for (int i = 0; i < count; i++) {
@@ -156,8 +168,8 @@
     }
 
     /**
-     * Stores a shard as a previous leader with term 5 would leave it, with an expired lease and
-     * with machines that may have run tasks.
+     * Stores a shard as the leader of {@link #PREVIOUS_TERM} would leave it, with an expired lease
+     * and with machines that may have run tasks.
      */
     void storeShardOfPreviousLeader(String... machines) {
         Map<String, Object> machineFields = new LinkedHashMap<>();
@@ -186,9 +198,10 @@
                                         32.0,
                                         "yards",
                                         List.of("a", "b")))));
-        writeToStore("term", Map.of("term", 5L));
+        writeToStore("term", Map.of("term", PREVIOUS_TERM));
         writeToStore(
-                "part/0", Map.of("owner", "node-1/x", "expiry", 0L, "term", 5L, "done", Map.of()));
+                "part/0",
+                Map.of("owner", "node-1/x", "expiry", 0L, "term", PREVIOUS_TERM, "done", Map.of()));
     }
 
     SimulatedStore store() {
--- a/src/test/java/org/shoreusher/simulation/StandbyCrashPointsTest.java
+++ b/src/test/java/org/shoreusher/simulation/StandbyCrashPointsTest.java
@@ -22,11 +22,14 @@
 import org.shoreusher.simulation.ClusterSimulation.Fault;
 import org.shoreusher.simulation.ClusterSimulation.InjectedDefect;
 
-/** Leaders that crash during a start, while they name a standby, or while they give one up. */
+/**
+ * Leaders that crash while they start a task, or while they name or remove a standby. Guards
+ * against a promoted standby that loses a started task or starts it a second time.
+ */
 class StandbyCrashPointsTest {
     /**
-     * Crashes the leader at a point, and blocks the heartbeats of the machines that responses have
-     * just reached.
+     * Crashes the leader at this point. The heartbeats of all machines are blocked from then on, so
+     * that only the attempt log shows which tasks the last responses started.
      */
     private static void crashAt(
             ClusterSimulation simulation, SimulatedController leader, CrashPoint crashPoint) {
@@ -52,14 +55,18 @@
             }
         }
         for (CrashPoint crashPoint : CrashPoint.values()) {
-            assertTrue(promoted.get(crashPoint) >= 5, () -> "from the log: " + promoted);
+            assertTrue(promoted.get(crashPoint) >= 5, () -> "too few promotions: " + promoted);
         }
     }
 
-    /** Crashes during the first naming: the name is in the record, or it is not. */
+    /**
+     * The first leader crashes before or after it sends the write that names its standby. Only
+     * after it can the standby be promoted from its log.
+     */
     @Example
     void leaderCrashWhileNamingAStandby() {
-        int[] promoted = new int[2];
+        int promotedBefore = 0;
+        int promotedAfter = 0;
         for (CrashPoint crashPoint : List.of(CrashPoint.BEFORE_NAMING, CrashPoint.AFTER_NAMING)) {
             for (long seed = 0; seed < 8; seed++) {
                 ClusterSimulation simulation =
@@ -72,11 +79,15 @@
                 assertInvariants(simulation);
                 boolean fromLog =
                         StandbySimulations.firstPromotionOutcome(simulation).equals("in_sync");
-                promoted[crashPoint == CrashPoint.BEFORE_NAMING ? 0 : 1] += fromLog ? 1 : 0;
+                if (crashPoint == CrashPoint.BEFORE_NAMING) {
+                    promotedBefore += fromLog ? 1 : 0;
+                } else {
+                    promotedAfter += fromLog ? 1 : 0;
+                }
             }
         }
-        assertEquals(0, promoted[0], "named before the write was sent");
-        assertTrue(promoted[1] > 0, "never named");
+        assertEquals(0, promotedBefore, "promoted although the write was not sent");
+        assertTrue(promotedAfter > 0, "never promoted after the write was sent");
     }
 
     private static void crashFirstLeader(ClusterSimulation simulation, CrashPoint crashPoint) {
@@ -89,46 +100,48 @@
     }
 
     /**
-     * The leader gives up an unreachable standby, and crashes before or after the write that says
-     * so.
+     * The leader crashes before or after the write that removes an unreachable standby from the
+     * shard record.
      */
     @Example
     void leaderCrashWhileRemovingAStandby() {
-        int reconciled = 0;
+        int withoutName = 0;
         int promoted = 0;
         for (long seed = 0; seed < 8; seed++) {
-            boolean after = seed % 2 == 0;
+            boolean crashesAfterWrite = seed % 2 == 0;
             ClusterSimulation simulation =
                     simulate(
                             seed,
                             (cluster, leader) -> {
                                 SimulatedController standby = namedStandby(cluster);
                                 cluster.network.partition(leader.host, standby.host, 8_000);
-                                leader.crashInjector.arm(removesStandby(after), DOWNTIME_MS);
+                                leader.crashInjector.arm(
+                                        removesStandby(crashesAfterWrite), DOWNTIME_MS);
                             });
             assertInvariants(simulation);
-            assertTrue(simulation.crashes > 0, "nothing was removed");
+            assertTrue(simulation.crashes > 0, "the leader did not remove the standby");
             promoted += promotionsInSync(simulation);
-            reconciled += promotionsWithoutName(simulation);
+            withoutName += promotionsWithoutName(simulation);
         }
         assertTrue(
-                promoted > 0 && reconciled > 0,
-                promoted + " promoted, " + reconciled + " reconciled");
+                promoted > 0 && withoutName > 0,
+                promoted + " promotions from the log, " + withoutName + " without a name");
     }
 
-    private static Predicate<Effect> removesStandby(boolean after) {
-        boolean[] seen = {false};
+    /** Matches the write that removes the standby, or the first effect after it. */
+    private static Predicate<Effect> removesStandby(boolean crashesAfterWrite) {
+        boolean[] removed = {false};
         return effect -> {
-            boolean due = seen[0];
+            boolean removedBefore = removed[0];
             Map<String, Object> record = CrashPoint.shardRecord(effect);
-            seen[0] |= record != null && !record.containsKey("standby");
-            return after ? due : seen[0];
+            removed[0] |= record != null && !record.containsKey("standby");
+            return crashesAfterWrite ? removedBefore : removed[0];
         };
     }
 
     /**
-     * Starts continue while the standby's link is slow; the leader crashes before the standby has
-     * caught up.
+     * The standby is partitioned from the leader for 0.9 s, and the leader crashes just before the
+     * end of the partition. It must not have started tasks that the standby had not acknowledged.
      */
     @Example
     void startsOnlyAfterTheStandbyAcknowledged() {
@@ -157,8 +170,10 @@
     }
 
     /**
-     * Completions are seen and not yet durable when their leader crashes, just before its next
-     * renewal. Half of the machines stay unresponsive, and the others have capacity.
+     * The leader crashes just before a lease renewal, so that reported completions are not yet
+     * durable. Half of the machines are unresponsive, and the others have capacity. A completed
+     * task of an unresponsive machine must not run again before its machine may report the
+     * completion.
      */
     @Example
     void doesNotRestartACompletedTaskBeforeItsMachineReports() {
@@ -174,18 +189,18 @@
                                 cluster.onCrash = () -> blockHalfAndCheckStarts(cluster);
                             });
             assertInvariants(simulation);
-            assertTrue(simulation.crashes > 0, "never killed");
+            assertTrue(simulation.crashes > 0, "the leader did not crash");
             promoted += promotionsInSync(simulation);
         }
-        assertTrue(promoted >= 10, "promoted " + promoted);
+        assertTrue(promoted >= 10, "promotions from the log: " + promoted);
     }
 
     private static void blockHalfAndCheckStarts(ClusterSimulation simulation) {
         blockOutboundOfHalf(simulation, UNRESPONSIVE_MS);
-        int before = simulation.invariants.startsAfterCompletion;
+        int startsBefore = simulation.invariants.startsAfterCompletion;
         simulation.scheduleAfter(
                 LEASES_VALID_MS,
-                () -> assertEquals(before, simulation.invariants.startsAfterCompletion));
+                () -> assertEquals(startsBefore, simulation.invariants.startsAfterCompletion));
     }
 
     private static void blockOutboundOfHalf(ClusterSimulation simulation, long durationMs) {
@@ -197,7 +212,10 @@
         }
     }
 
-    /** Half of the machines are unresponsive at the promotion: the others get work at once. */
+    /**
+     * Half of the machines are unresponsive at the failover. With a standby, the other half gets
+     * tasks before the leases of the unresponsive machines expire.
+     */
     @Example
     void unresponsiveMachinesDoNotDelayStarts() {
         int startsWith = 0;
@@ -206,17 +224,18 @@
             startsWith += startsBesideUnresponsiveMachines(seed, true);
             startsWithout += startsBesideUnresponsiveMachines(seed, false);
         }
-        int with = startsWith;
-        int without = startsWithout;
-        assertTrue(with > 2 * without, () -> with + " starts with, " + without + " without");
+        assertTrue(
+                startsWith > 2 * startsWithout,
+                startsWith + " starts with a standby, " + startsWithout + " without");
     }
 
     /**
-     * Tasks that start between the crash and the earliest expiry of the unresponsive machines'
-     * leases.
+     * The number of task starts between the crash and the earliest expiry of the unresponsive
+     * machines' leases.
      */
     private static int startsBesideUnresponsiveMachines(long seed, boolean standby) {
-        int[] starts = new int[2];
+        int[] startsAtCrash = {0};
+        int[] startsAtExpiry = {0};
         ClusterSimulation simulation =
                 new ClusterSimulation(seed, SimulationSettings.standard(), 1, InjectedDefect.NONE);
         simulation.features = standby ? StandbySimulations.FEATURES : simulation.features;
@@ -238,11 +257,12 @@
                     blockOutboundOfHalf(simulation, 60_000);
                     FaultInjection.currentLeaders(simulation)
                             .forEach(controller -> controller.crash(DOWNTIME_MS));
-                    starts[0] = simulation.invariants.taskStarts;
+                    startsAtCrash[0] = simulation.invariants.taskStarts;
                 });
-        simulation.scheduleAt(FAULT_MS + 8_000, () -> starts[1] = simulation.invariants.taskStarts);
+        simulation.scheduleAt(
+                FAULT_MS + 8_000, () -> startsAtExpiry[0] = simulation.invariants.taskStarts);
         simulation.run(FAULT_MS + 20_000, List.of());
         assertEquals(List.of(), simulation.invariants.violations, simulation.log::toString);
-        return starts[1] - starts[0];
+        return startsAtExpiry[0] - startsAtCrash[0];
     }
 }
--- a/src/test/java/org/shoreusher/simulation/StandbyFaultsTest.java
+++ b/src/test/java/org/shoreusher/simulation/StandbyFaultsTest.java
@@ -11,8 +11,9 @@
 import org.shoreusher.simulation.ClusterSimulation.Fault;
 
 /**
- * The random faults of the other tests with a warm standby: on all controllers, on some, and beside
- * processes with the limits of a previous version that are upgraded one after the other.
+ * The random faults of other tests in clusters with a warm standby: on all controllers, on some of
+ * them, and during a rolling upgrade to lower store limits. Guards against a promotion that breaks
+ * an invariant, and against standbys that are never promoted.
  */
 class StandbyFaultsTest {
     private static final int SIMULATIONS = 24;
@@ -32,10 +33,10 @@
                 .forEach((outcome, count) -> promotionOutcomes.merge(outcome, count, Integer::sum));
     }
 
-    private void assertPromotions(int leastInSync) {
+    private void assertPromotions(int minInSync) {
         assertEquals(0, promotionOutcomes.getOrDefault("contradicted_by_heartbeat", 0));
         assertTrue(
-                promotionOutcomes.getOrDefault("in_sync", 0) >= leastInSync,
+                promotionOutcomes.getOrDefault("in_sync", 0) >= minInSync,
                 () -> "promotions: " + promotionOutcomes);
     }
 
@@ -65,9 +66,7 @@
         assertPromotions(SIMULATIONS / 4);
     }
 
-    /**
-     * Controllers with and without the feature acquire the shard from each other in every order.
-     */
+    /** Controllers with and without a standby acquire the shard from each other in any order. */
     @Example
     void keepsInvariantsWhenOnlySomeNodesHaveTheFeature() {
         for (long seed = 0; seed < SIMULATIONS; seed++) {
@@ -78,15 +77,15 @@
                             1,
                             ClusterSimulation.InjectedDefect.NONE);
             simulation.features = StandbySimulations.FEATURES;
-            long without = seed % 3;
-            simulation.usesFeatures = process -> process != without;
+            long indexWithout = seed % 3;
+            simulation.usesFeatures = index -> index != indexWithout;
             StandbySimulations.submitAndRun(simulation, StandbySimulations.randomCrashes(seed));
             assertInvariantsAndCount(simulation, seed);
         }
         assertPromotions(SIMULATIONS / 2);
     }
 
-    /** The limits drop while leaders crash, and processes are upgraded one after the other. */
+    /** The store's limits drop during a rolling upgrade, and leaders crash meanwhile. */
     @Example
     void keepsInvariantsWhenStoreLimitsDropDuringFailovers() {
         Settings previousSettings = SimulationSettings.withStoreLimits(100, 8_192, 20);
@@ -103,8 +102,8 @@
             simulation.features = StandbySimulations.FEATURES;
             List<Fault> faults = new java.util.ArrayList<>(StandbySimulations.randomCrashes(seed));
             for (int i = 0; i < 3; i++) {
-                SimulatedController process = simulation.controllers.get(i);
-                faults.add(new Fault(50_000 + i * 9_000L, cluster -> process.upgrade(1_000)));
+                SimulatedController controller = simulation.controllers.get(i);
+                faults.add(new Fault(50_000 + i * 9_000L, cluster -> controller.upgrade(1_000)));
             }
             faults.add(new Fault(85_000, cluster -> cluster.store.applyCurrentLimits()));
             StandbySimulations.submitAndRun(simulation, faults);
--- a/src/test/java/org/shoreusher/simulation/StandbyPartitionsTest.java
+++ b/src/test/java/org/shoreusher/simulation/StandbyPartitionsTest.java
@@ -17,9 +17,12 @@
 import net.jqwik.api.Example;
 import org.shoreusher.simulation.ClusterSimulation.Fault;
 
-/** Standbys and leaders that are partitioned, paused, crash together or restart. */
+/**
+ * Leaders and standbys that are partitioned, paused or restarted, or that crash together. Guards
+ * against the promotion of an attempt log that is incomplete or of another incarnation.
+ */
 class StandbyPartitionsTest {
-    /** Runs a number of simulations with a fault that hits the leader, and checks each. */
+    /** Runs this number of simulations with a fault that hits the leader, and checks each. */
     private static List<ClusterSimulation> simulateFaultOnLeader(
             int runs, BiConsumer<ClusterSimulation, SimulatedController> fault) {
         return simulateFaultOnLeader(runs, FAULT_MS, fault);
@@ -44,30 +47,30 @@
         return simulations.stream().mapToInt(SaturatedCluster::promotionsWithoutName).sum();
     }
 
-    private static void assertAtLeast(int least, int actual) {
-        assertTrue(actual >= least, () -> actual + " of at least " + least);
+    private static void assertAtLeast(int expected, int actual) {
+        assertTrue(actual >= expected, () -> "at least " + expected + " expected, but " + actual);
     }
 
     private static void crashWithMachinesUnresponsive(
-            ClusterSimulation simulation, SimulatedController... processes) {
+            ClusterSimulation simulation, SimulatedController... controllers) {
         simulation.cloud.machines().forEach(machine -> machine.blockOutbound(UNRESPONSIVE_MS));
-        for (SimulatedController process : processes) {
-            process.crash(DOWNTIME_MS);
+        for (SimulatedController controller : controllers) {
+            controller.crash(DOWNTIME_MS);
         }
     }
 
     /**
-     * The process restarts within a fraction of a second: its log is gone, and its incarnation
-     * differs.
+     * The standby restarts within 0.1 s: its log is lost, and the shard record names its previous
+     * incarnation.
      */
     @Example
     void restartedStandbyIsNotPromotedFromTheLog() {
         List<ClusterSimulation> simulations =
                 simulateFaultOnLeader(
                         8,
-                        (cluster, leader) -> {
-                            namedStandby(cluster).crash(100);
-                            cluster.scheduleAfter(200, () -> leader.crash(DOWNTIME_MS));
+                        (simulation, leader) -> {
+                            namedStandby(simulation).crash(100);
+                            simulation.scheduleAfter(200, () -> leader.crash(DOWNTIME_MS));
                         });
         assertAtLeast(1, totalPromotionsWithoutName(simulations));
     }
@@ -77,35 +80,37 @@
         List<ClusterSimulation> simulations =
                 simulateFaultOnLeader(
                         6,
-                        (cluster, leader) -> {
-                            namedStandby(cluster).crash(DOWNTIME_MS);
+                        (simulation, leader) -> {
+                            namedStandby(simulation).crash(DOWNTIME_MS);
                             leader.crash(DOWNTIME_MS);
                         });
         simulations.forEach(
-                cluster -> assertTrue(promotionsInSync(cluster) == 0, cluster.log::toString));
+                simulation ->
+                        assertTrue(promotionsInSync(simulation) == 0, simulation.log::toString));
         assertAtLeast(6, totalPromotionsWithoutName(simulations));
     }
 
     /**
-     * Partitioned from the standby alone: another is named, and the first one still has its log.
+     * The leader is partitioned from its standby only and names another one. The first standby
+     * still has its old log, and must not be promoted from it.
      */
     @Example
     void leaderPartitionedFromItsStandbyNamesAnother() {
         List<ClusterSimulation> simulations =
                 simulateFaultOnLeader(
                         8,
-                        (cluster, leader) -> {
-                            SimulatedController first = namedStandby(cluster);
-                            cluster.network.partition(leader.host, first.host, 30_000);
-                            cluster.scheduleAfter(
+                        (simulation, leader) -> {
+                            SimulatedController first = namedStandby(simulation);
+                            simulation.network.partition(leader.host, first.host, 30_000);
+                            simulation.scheduleAfter(
                                     6_000,
                                     () -> {
-                                        SimulatedController second = namedStandby(cluster);
+                                        SimulatedController second = namedStandby(simulation);
                                         assertTrue(second != null && second != first);
-                                        crashWithMachinesUnresponsive(cluster, second, leader);
+                                        crashWithMachinesUnresponsive(simulation, second, leader);
                                     });
                         });
-        simulations.forEach(cluster -> assertAtLeast(1, promotionsWithoutName(cluster)));
+        simulations.forEach(simulation -> assertAtLeast(1, promotionsWithoutName(simulation)));
     }
 
     @Example
@@ -115,12 +120,15 @@
                 totalPromotionsInSync(
                         simulateFaultOnLeader(
                                 6,
-                                (cluster, leader) ->
-                                        cluster.network.partition(
+                                (simulation, leader) ->
+                                        simulation.network.partition(
                                                 leader.host, SimulatedStore.HOST, 20_000))));
     }
 
-    /** It reaches its workers only: it can neither remove the name nor start anything. */
+    /**
+     * The leader reaches only its workers, so it can neither remove the standby from the record nor
+     * start tasks.
+     */
     @Example
     void leaderThatReachesOnlyItsWorkers() {
         assertAtLeast(
@@ -128,21 +136,21 @@
                 totalPromotionsInSync(
                         simulateFaultOnLeader(
                                 6,
-                                (cluster, leader) ->
+                                (simulation, leader) ->
                                         FaultInjection.isolateFromStoreAndPeers(
-                                                cluster, leader, 20_000))));
+                                                simulation, leader, 20_000))));
     }
 
     /**
-     * A leader is paused for longer than its lease and then continues with frames of a term that
-     * has ended.
+     * A leader is paused for longer than its lease, and then sends log frames of a term that has
+     * ended.
      */
     @Example
     void leaderResumedAfterAPauseStartsNothing() {
         assertAtLeast(
                 6,
                 totalPromotionsInSync(
-                        simulateFaultOnLeader(8, (cluster, leader) -> leader.pause(9_000))));
+                        simulateFaultOnLeader(8, (simulation, leader) -> leader.pause(9_000))));
     }
 
     /** The standby is paused between its acknowledgement and the crash of the leader. */
@@ -151,51 +159,52 @@
         List<ClusterSimulation> simulations =
                 simulateFaultOnLeader(
                         8,
-                        (cluster, leader) -> {
-                            namedStandby(cluster).pause(3_000);
+                        (simulation, leader) -> {
+                            namedStandby(simulation).pause(3_000);
                             leader.crash(DOWNTIME_MS);
                         });
         assertAtLeast(6, totalPromotionsInSync(simulations));
     }
 
     /**
-     * Responses to writes that name or remove a standby are lost, and the writes are executed at
-     * once or much later.
+     * Replies to writes that name or remove a standby are lost, and the writes are executed at once
+     * or much later.
      */
     @Example
-    void responsesToShardRecordWritesAreLost() {
+    void repliesToShardRecordWritesAreLost() {
         for (boolean atOnce : new boolean[] {false, true}) {
             simulateFaultOnLeader(
                     5,
-                    (cluster, leader) -> {
-                        cluster.store.loseReplies(6, atOnce, 8_000);
-                        cluster.network.partition(leader.host, namedStandby(cluster).host, 1_500);
-                        cluster.scheduleAfter(
-                                3_000 + cluster.random.nextInt(4_000),
-                                () -> crashWithMachinesUnresponsive(cluster, leader));
+                    (simulation, leader) -> {
+                        simulation.store.loseReplies(6, atOnce, 8_000);
+                        simulation.network.partition(
+                                leader.host, namedStandby(simulation).host, 1_500);
+                        simulation.scheduleAfter(
+                                3_000 + simulation.random.nextInt(4_000),
+                                () -> crashWithMachinesUnresponsive(simulation, leader));
                     });
         }
     }
 
-    /** Another node confirms a cancellation; the leader never sees it and crashes. */
+    /** Another node confirms cancellations, and the leader crashes before its cache has them. */
     @Example
-    void cancellationUnseenByTheLeader() {
+    void cancellationMissingFromTheLeadersCache() {
         List<ClusterSimulation> simulations =
                 simulateFaultOnLeader(
                         6,
-                        (cluster, leader) -> {
-                            cluster.store.stallCacheUpdates(leader.host, 10_000);
-                            cluster.users.jobs.values().stream()
+                        (simulation, leader) -> {
+                            simulation.store.stallCacheUpdates(leader.host, 10_000);
+                            simulation.users.jobs.values().stream()
                                     .filter(job -> job.accepted && !job.doneConfirmed)
                                     .limit(6)
-                                    .forEach(job -> cluster.users.cancel(job));
-                            cluster.scheduleAfter(
-                                    1_500, () -> crashWithMachinesUnresponsive(cluster, leader));
+                                    .forEach(job -> simulation.users.cancel(job));
+                            simulation.scheduleAfter(
+                                    1_500, () -> crashWithMachinesUnresponsive(simulation, leader));
                         });
         simulations.forEach(
-                cluster ->
+                simulation ->
                         assertTrue(
-                                cluster.users.jobs.values().stream()
+                                simulation.users.jobs.values().stream()
                                         .anyMatch(job -> job.cancelConfirmed)));
     }
 
@@ -205,9 +214,9 @@
                 simulateFaultOnLeader(
                         6,
                         FAULT_MS + 2_500,
-                        (cluster, leader) -> {
+                        (simulation, leader) -> {
                             leader.crash(DOWNTIME_MS);
-                            cluster.store.outage(7_000);
+                            simulation.store.outage(7_000);
                         });
         assertAtLeast(5, totalPromotionsInSync(simulations));
     }
--- a/src/test/java/org/shoreusher/simulation/StandbyRandomCrashesTest.java
+++ b/src/test/java/org/shoreusher/simulation/StandbyRandomCrashesTest.java
@@ -10,35 +10,31 @@
 import org.shoreusher.log.LogEventType;
 
 /**
- * Leaders crash at random points: in the middle of a batch, between any two effects. No job is
- * lost, none is duplicated, and the standby takes over from its log.
+ * Leaders crash between any two effects of a batch. Guards against jobs that a failover loses or
+ * duplicates; the standby must be promoted from its log.
  */
 class StandbyRandomCrashesTest {
-    /** Simulations in each run; {@code -Dstandby.worlds=N} runs more. */
+    /** The number of simulations; {@code -Dstandby.worlds=N} changes it. */
     private static final int SIMULATIONS = Integer.getInteger("standby.worlds", 60);
 
     @Example
     void leaderCrashAtAnyEffectLosesAndDuplicatesNothing() {
         Map<String, Integer> promotions = new TreeMap<>();
         for (long seed = 0; seed < SIMULATIONS; seed++) {
-            long number = seed;
+            String seedText = "seed " + seed + "\n";
             ClusterSimulation simulation =
                     StandbySimulations.simulate(
                             seed,
                             SimulationSettings.standard(),
                             StandbySimulations.randomCrashes(seed));
             assertEquals(
-                    List.of(),
-                    simulation.invariants.violations,
-                    () -> "seed " + number + "\n" + simulation.log);
+                    List.of(), simulation.invariants.violations, () -> seedText + simulation.log);
             assertEquals(
-                    List.of(),
-                    simulation.users.unfinishedJobs(),
-                    () -> "seed " + number + "\n" + simulation.log);
+                    List.of(), simulation.users.unfinishedJobs(), () -> seedText + simulation.log);
             assertEquals(
                     List.of(),
                     simulation.log.entries(LogEventType.ATTEMPT_LOG_CONTRADICTED).toList(),
-                    () -> "seed " + number + "\n" + simulation.log);
+                    () -> seedText + simulation.log);
             StandbySimulations.promotionOutcomes(simulation)
                     .forEach((outcome, count) -> promotions.merge(outcome, count, Integer::sum));
         }
--- a/src/test/java/org/shoreusher/simulation/UnseenCancellationsTest.java
+++ b/src/test/java/org/shoreusher/simulation/UnseenCancellationsTest.java
@@ -16,13 +16,14 @@
 import org.shoreusher.simulation.ClusterSimulation.InjectedDefect;
 
 /**
- * Cancellations that are confirmed by another node while the leader cannot see them: the tasks are
- * stopped in time all the same.
+ * Cancellations that another node confirms while the leader cannot read them from the store. Guards
+ * against tasks that run for longer than the cancellation limit, because the leader keeps renewing
+ * their workers' leases.
  */
 class UnseenCancellationsTest {
     private static final long FAULT_MS = 60_000;
 
-    /** Long tasks of jobs that all run when the fault begins. */
+    /** Runs a simulation with jobs of long tasks, all of which run when the first fault begins. */
     private static ClusterSimulation simulate(long seed, List<Fault> faults) {
         ClusterSimulation simulation =
                 new ClusterSimulation(seed, SimulationSettings.standard(), 1, InjectedDefect.NONE);
@@ -44,24 +45,24 @@
         return simulation;
     }
 
-    /** Cancels most of the jobs within two seconds. */
+    /** Cancels about four of five jobs within 1.5 s. */
     private static Fault cancelMostJobs(long atMs) {
         return new Fault(
                 atMs,
-                cluster ->
-                        cluster.users.jobs.values().stream()
+                simulation ->
+                        simulation.users.jobs.values().stream()
                                 .filter(
                                         job ->
                                                 job.accepted
                                                         && !job.doneConfirmed
                                                         && !job.cancelRequested
-                                                        && cluster.random.nextInt(5) > 0)
+                                                        && simulation.random.nextInt(5) > 0)
                                 .toList()
                                 .forEach(
                                         job ->
-                                                cluster.scheduleAfter(
-                                                        cluster.random.nextInt(1_500),
-                                                        () -> cluster.users.cancel(job))));
+                                                simulation.scheduleAfter(
+                                                        simulation.random.nextInt(1_500),
+                                                        () -> simulation.users.cancel(job))));
     }
 
     private static long countConfirmedCancellations(ClusterSimulation simulation) {
@@ -69,16 +70,16 @@
     }
 
     /**
-     * The store refuses the leader alone, other nodes confirm cancellations, and then the store
-     * fails for all nodes: for the length of a shard's lease, for lease and grace period, or for
-     * longer than the limit of a cancellation.
+     * The store rejects the requests of the leader only, other nodes confirm cancellations, and
+     * then the store fails for all nodes: for about a shard's lease, for lease and grace period, or
+     * for about or longer than the cancellation limit.
      */
     @Property(tries = 40, seed = "60", shrinking = ShrinkingMode.OFF)
-    void stopsTasksInTimeAlthoughTheLeaderNeverSeesTheCancellation(
+    void stopsTasksInTimeAlthoughTheLeaderMissesTheCancellation(
             @ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
         Random random = new Random(seed);
-        long before = 1_000 + random.nextInt(19_000);
-        long outage =
+        long rejectionMs = 1_000 + random.nextInt(19_000);
+        long outageMs =
                 new long[] {5_200, 14_500, 31_000, 60_000}[random.nextInt(4)]
                         + random.nextInt(4_000)
                         - 2_000;
@@ -92,13 +93,14 @@
                                                 controller ->
                                                         simulation.store.rejectHost(
                                                                 controller.host,
-                                                                before + 14_000))));
+                                                                rejectionMs + 14_000))));
         faults.add(cancelMostJobs(FAULT_MS + random.nextInt(2_000)));
-        faults.add(new Fault(FAULT_MS + before, simulation -> simulation.store.outage(outage)));
+        faults.add(
+                new Fault(FAULT_MS + rejectionMs, simulation -> simulation.store.outage(outageMs)));
         if (random.nextInt(3) == 0) {
             faults.add(
                     new Fault(
-                            FAULT_MS + before,
+                            FAULT_MS + rejectionMs,
                             simulation ->
                                     simulation
                                             .cloud
@@ -112,15 +114,15 @@
                 List.of(),
                 simulation.invariants.violations,
                 () -> "seed " + seed + "\n" + simulation.log);
-        assertTrue(countConfirmedCancellations(simulation) > 3, "hardly any cancellation");
+        assertTrue(countConfirmedCancellations(simulation) > 3, "too few confirmed cancellations");
     }
 
     /**
-     * Changes by others do not reach the leader, although its lease renewals do reach the store. It
-     * must not answer its workers forever, since a renewal does not show cancellations.
+     * The leader renews its lease, but its store cache gets no updates. It must stop answering
+     * heartbeats, since a lease renewal does not show it the cancellations of other nodes.
      */
     @Example
-    void leaderWithAStaleCacheReleasesItsWorkers() {
+    void leaderWithAStaleCacheStopsRenewingItsWorkersLeases() {
         for (long seed = 0; seed < 6; seed++) {
             Fault staleCache =
                     new Fault(
@@ -131,7 +133,8 @@
             ClusterSimulation simulation =
                     simulate(seed, List.of(staleCache, cancelMostJobs(FAULT_MS + 2_500)));
             assertEquals(List.of(), simulation.invariants.violations, simulation.log::toString);
-            assertTrue(countConfirmedCancellations(simulation) > 3, "hardly any cancellation");
+            assertTrue(
+                    countConfirmedCancellations(simulation) > 3, "too few confirmed cancellations");
         }
     }
 }
