--- a/src/test/java/org/shoreusher/simulation/AutoscalerTest.java
+++ b/src/test/java/org/shoreusher/simulation/AutoscalerTest.java
@@ -14,32 +14,32 @@
 import org.shoreusher.log.LogEventType;
 import org.shoreusher.settings.SettingsBuilder;
 
-/** Which machines a leader provisions, keeps and terminates. */
+/** Which machines a leader provisions, keeps and terminates, and how it retries failed requests. */
 class AutoscalerTest {
     private final SingleNodeSimulation node = new SingleNodeSimulation();
 
     /**
-     * An idle machine whose termination was refused takes work again; one whose termination may
-     * still be executed does not.
+     * An idle machine whose termination the cloud rejected gets tasks again. One whose termination
+     * got no reply does not, since the cloud may still execute it.
      */
     @Example
     void machineWhoseTerminationWasRejectedGetsTasks() {
         for (int status : new int[] {503, 0}) {
             SingleNodeSimulation node = new SingleNodeSimulation();
             node.storeShardOfPreviousLeader("host-1");
-            boolean[] asked = {false};
+            boolean[] terminationRequested = {false};
             node.cloud =
                     operation -> {
-                        asked[0] |= operation instanceof CloudOperation.Terminate;
+                        terminationRequested[0] |= operation instanceof CloudOperation.Terminate;
                         return new Command.CloudReply(0, status, Map.of("error", "trouble"));
                     };
             node.runSteps(20);
             int sequenceNumber = 1;
-            while (!asked[0] && sequenceNumber < 80) {
+            while (!terminationRequested[0] && sequenceNumber < 80) {
                 node.heartbeat("host-1", sequenceNumber++, TERM);
                 node.runSteps(15);
             }
-            assertTrue(asked[0], "idle for long");
+            assertTrue(terminationRequested[0], "no termination although idle");
             node.addOpenJob("wk-1", 1);
             boolean started = false;
             for (int i = 0; i < 5; i++) {
@@ -47,61 +47,61 @@
                 List<String> orders = node.heartbeat("host-1", sequenceNumber++, TERM);
                 started |= orders != null && orders.contains("run");
             }
-            assertEquals(status == 503, started, "after status " + status);
+            assertEquals(status == 503, started, "tasks started after status " + status);
         }
     }
 
     /**
-     * Provision requests are sent in parallel. A request without a response may have been executed,
-     * so it is repeated under its own name, one at a time while they fail. No name is requested
-     * again once it was answered.
+     * Provision requests are sent in parallel. A request without a reply may have been executed, so
+     * it is repeated with the same name and content; while requests fail, one is sent at a time.
+     * After a reply the name is not used again.
      */
     @Example
     void provisionRequestsKeepTheirNamesUntilTheCloudReplies() {
-        List<CloudOperation.Provision> asked = new ArrayList<>();
-        Map<String, CloudOperation.Provision> open = new HashMap<>();
+        List<CloudOperation.Provision> requests = new ArrayList<>();
+        Map<String, CloudOperation.Provision> pending = new HashMap<>();
         node.cloud =
                 operation -> {
                     if (!(operation instanceof CloudOperation.Provision provision)) {
                         return new Command.CloudReply(0, 0, null);
                     }
-                    asked.add(provision);
+                    requests.add(provision);
                     assertTrue(
-                            asked.size() <= 2 || open.containsKey(provision.name()),
-                            "asked again after its answer, or more than is wanted: " + provision);
+                            requests.size() <= 2 || pending.containsKey(provision.name()),
+                            "repeated after its reply, or one request too many:  " + provision);
                     assertTrue(
-                            !open.containsKey(provision.name())
-                                    || open.get(provision.name()).equals(provision),
-                            "another request under the name of " + provision);
-                    open.put(provision.name(), provision);
-                    if (asked.size() < 6) {
+                            !pending.containsKey(provision.name())
+                                    || pending.get(provision.name()).equals(provision),
+                            "the name of a pending request with other content: " + provision);
+                    pending.put(provision.name(), provision);
+                    if (requests.size() < 6) {
                         return new Command.CloudReply(0, 0, null);
                     }
-                    open.remove(provision.name());
+                    pending.remove(provision.name());
                     return new Command.CloudReply(
-                            0, 200, Map.of("boxes", List.of("host-" + asked.size())));
+                            0, 200, Map.of("boxes", List.of("host-" + requests.size())));
                 };
         node.storeShardOfPreviousLeader();
         node.runSteps(20);
-        // A twelfth of its tasks at once needs two machines, in two zones.
+        // The target parallelism is a twelfth of the tasks, which needs two machines in two zones.
         node.addOpenJob("wk-1", 24, 8);
         node.runSteps(200);
         assertEquals(
                 2,
-                asked.stream().map(CloudOperation.Provision::name).distinct().count(),
-                "one request a zone: " + asked);
-        assertTrue(open.isEmpty(), "all are answered in the end");
-        assertTrue(asked.size() > 6, "repeated: " + asked);
+                requests.stream().map(CloudOperation.Provision::name).distinct().count(),
+                "one request per zone: " + requests);
+        assertTrue(pending.isEmpty(), "requests without a reply: " + pending);
+        assertTrue(requests.size() > 6, "too few repeated requests: " + requests);
     }
 
     /**
-     * The machine type that is cheapest for a task is provisioned first, and the next one when the
-     * cloud has no capacity of it. With the cheapest type alone, work once waited although hundreds
-     * of small machines were available.
+     * The machine type that is cheapest for a task is requested first, and the next cheapest when
+     * the cloud has no capacity of it. When only the cheapest type was requested, tasks waited
+     * although hundreds of smaller machines were available.
      */
     @Example
     void provisionsTheNextCheapestTypeWhenTheCheapestIsUnavailable() {
-        List<String> asked = new ArrayList<>();
+        List<String> requestedTypes = new ArrayList<>();
         node.cloud =
                 operation -> {
                     if (operation instanceof CloudOperation.ListTypes) {
@@ -117,19 +117,21 @@
                     if (!(operation instanceof CloudOperation.Provision provision)) {
                         return new Command.CloudReply(0, 0, null);
                     }
-                    asked.add(provision.type() + (provision.spot() ? "" : " ordinary"));
+                    requestedTypes.add(
+                            provision.type() + (provision.spot() ? " spot" : " on demand"));
                     return new Command.CloudReply(0, 503, Map.of("error", "no capacity"));
                 };
         node.runSteps(30);
         node.addOpenJob("wk-1", 100, 1);
         node.runSteps(300);
-        List<String> order = asked.stream().distinct().toList();
-        assertEquals(List.of("large", "small", "large ordinary", "small ordinary"), order);
+        List<String> order = requestedTypes.stream().distinct().toList();
+        assertEquals(
+                List.of("large spot", "small spot", "large on demand", "small on demand"), order);
     }
 
     /**
-     * A machine that has run tasks has booted before: a successor that gets no heartbeat from it
-     * does not take it for one that failed to boot, and keeps it for a while.
+     * A machine that may have run tasks has booted. A successor that gets no heartbeat from it must
+     * not treat it as one that failed to boot, and keeps it for more than a minute.
      */
     @Example
     void successorKeepsUnresponsiveMachinesThatWereUsed() {
@@ -146,22 +148,22 @@
                 };
         node.nowMs += 600_000;
         node.storeShardOfPreviousLeader("host-1");
-        long from = node.nowMs;
+        long storedAtMs = node.nowMs;
         node.nowMs += 600_000;
         for (int i = 0; terminated.isEmpty() && i < 3_000; i++) {
             node.runSteps(1);
         }
         assertEquals(List.of("host-1"), terminated);
-        // Its lease of 8 s, and a minute.
+        // After its lease of 8 s and another minute.
         assertTrue(
-                terminatedAtMs[0] - from - 600_000 > 60_000,
-                () -> "terminated after " + (terminatedAtMs[0] - from - 600_000));
+                terminatedAtMs[0] - storedAtMs - 600_000 > 60_000,
+                () -> "terminated after ms: " + (terminatedAtMs[0] - storedAtMs - 600_000));
     }
 
     /**
-     * An inventory of 4,200 machines has more pages than the cloud accepts calls in a burst; it is
-     * read completely all the same. It never was when reading restarted at each page without a
-     * token, and machines that had disappeared counted forever.
+     * An inventory of 4,200 machines has more pages than the cloud accepts requests in a burst. It
+     * must be read completely: when reading restarted whenever the rate limit delayed a page, it
+     * never was, and machines that had disappeared were counted forever.
      */
     @Example
     void readsAMachineListLongerThanTheCallBurst() {
@@ -183,11 +185,11 @@
         for (int i = 0; i < 600 && !isGone(node, "host-9"); i++) {
             node.runSteps(1);
         }
-        assertTrue(isGone(node, "host-9"), () -> "pages asked for: " + pages);
+        assertTrue(isGone(node, "host-9"), () -> "requested pages after machine: " + pages);
         assertEquals(
                 List.of("null", "host-000500", "host-001000"),
                 pages.subList(0, 3),
-                "in the order of the names");
+                "pages in the order of machine ids");
     }
 
     private static boolean isGone(SingleNodeSimulation node, String machine) {
@@ -200,9 +202,9 @@
     private static Command.CloudReply machinePage(String after, int machines) {
         int first = after == null ? 1 : 1 + Integer.parseInt(after.substring("host-".length()));
         int last = Math.min(machines, first + 499);
-        List<Object> boxes = new ArrayList<>();
+        List<Object> machineFields = new ArrayList<>();
         for (int i = first; i <= last; i++) {
-            boxes.add(
+            machineFields.add(
                     Map.of(
                             "name_id",
                             String.format("host-%06d", i),
@@ -217,7 +219,8 @@
                             "age_s",
                             100.0));
         }
-        return new Command.CloudReply(0, 200, Map.of("boxes", boxes, "more", last < machines));
+        return new Command.CloudReply(
+                0, 200, Map.of("boxes", machineFields, "more", last < machines));
     }
 
     private static Map<String, Object> machineType(
--- a/src/test/java/org/shoreusher/simulation/LargestClusterTest.java
+++ b/src/test/java/org/shoreusher/simulation/LargestClusterTest.java
@@ -11,15 +11,15 @@
 import org.shoreusher.simulation.ClusterSimulation.Fault;
 import org.shoreusher.simulation.ClusterSimulation.InjectedDefect;
 
-/** Four thousand machines, the largest size that the service is meant for. */
+/** A cluster of 4,000 machines, the largest size that is supported. */
 class LargestClusterTest {
     private static final int MACHINES = 4_000;
     private static final long ZONE_ISOLATED_MS = 50_000;
     private static final long LEADER_CRASH_MS = 60_000;
 
     /**
-     * A zone is isolated from everything, and meanwhile the leader crashes. Half of the machines
-     * are unresponsive during reconciliation. No invariant is violated, and every job ends.
+     * The leader crashes while a zone is isolated, so that half of the machines are unresponsive
+     * during reconciliation. No invariant may be violated, and every job must end.
      */
     @Example
     void failoverWhileAZoneIsIsolated() {
@@ -45,7 +45,7 @@
         assertEquals(List.of(), simulation.invariants.violations, simulation.log::toString);
         assertTrue(
                 simulation.cloud.peakMachines() >= MACHINES,
-                () -> "had " + simulation.cloud.peakMachines());
+                () -> "peak number of machines: " + simulation.cloud.peakMachines());
         assertTrue(simulation.log.count(LogEventType.SHARD_ACQUIRED) > 1, "no failover");
         assertEquals(List.of(), simulation.users.unfinishedJobs());
     }
--- a/src/test/java/org/shoreusher/simulation/MigrationStepsTest.java
+++ b/src/test/java/org/shoreusher/simulation/MigrationStepsTest.java
@@ -18,7 +18,10 @@
 import org.shoreusher.settings.Features;
 import org.shoreusher.settings.SettingsBuilder;
 
-/** The steps of one migration, message by message. */
+/**
+ * The steps of a single task migration, message by message. Guards against a start on the target
+ * before the attempt on the source has surely ended.
+ */
 class MigrationStepsTest {
     /** One migration at a time. */
     private static final Features FEATURES =
@@ -70,13 +73,13 @@
         for (int i = 0; i < 5 && firstWorker().taskCount() < TASKS; i++) {
             heartbeatAll();
         }
-        assertEquals(TASKS, firstWorker().taskCount(), "all on the first machine");
+        assertEquals(TASKS, firstWorker().taskCount(), "tasks on the first machine");
         addIdleMachines();
     }
 
     /**
-     * The other machines come late: one that is idle for 20 s is terminated, and a task is migrated
-     * only when it has run for longer.
+     * The other machines start late, since a machine that is idle for 20 s is terminated, and a
+     * task is migrated only after it has run for longer than that.
      */
     private void addIdleMachines() {
         for (int i = 0; i < 28; i++) {
@@ -90,8 +93,8 @@
     /**
      * Sends heartbeats until a task of the first machine gets a stop order; returns it, or null.
      */
-    private String awaitStopOrder(int reports) {
-        for (int i = 0; i < reports; i++) {
+    private String awaitStopOrder(int maxHeartbeats) {
+        for (int i = 0; i < maxHeartbeats; i++) {
             heartbeatAll();
             if (!firstWorker().tasksOrderedToStop.isEmpty()) {
                 assertEquals(1, firstWorker().tasksOrderedToStop.size(), "one migration at a time");
@@ -114,8 +117,11 @@
             assertEquals(
                     List.of(taskName),
                     firstWorker().tasksOrderedToStop,
-                    "ordered again until it is gone");
-            assertEquals(List.of(), startedElsewhere(), "still on its source");
+                    "the stop order is repeated until the task has exited");
+            assertEquals(
+                    List.of(),
+                    startedElsewhere(),
+                    "started before the source has reported the exit");
         }
         firstWorker().exitTask(taskName, ExitCause.STOPPED, true);
         heartbeatAll();
@@ -127,22 +133,23 @@
                 node.log
                         .entries(LogEventType.MIGRATION_COMPLETED)
                         .anyMatch(entry -> entry.text("task").equals(taskName)),
-                "no log line");
+                "no event of the completed migration");
         heartbeatAll();
-        assertEquals(List.of(), startedElsewhere(), "once only");
+        assertEquals(List.of(), startedElsewhere(), "started a second time");
     }
 
     /**
-     * A duplicate of an older heartbeat does not contain the task, as it was made before the task's
-     * start.
+     * A duplicate of a heartbeat from before the task's start does not contain the task. It must
+     * not count as a report that the task has exited.
      */
     @Example
     void staleHeartbeatOfTheSourceStartsNothing() {
         placeAllTasksOnFirstMachine();
-        long before = 1;
         String taskName = awaitStopOrder(50);
         assertNotEquals(null, taskName);
-        assertNull(node.heartbeat("host-1", before, firstWorker().fencingToken), "refused");
+        assertNull(
+                node.heartbeat("host-1", 1, firstWorker().fencingToken),
+                "the duplicate is not rejected");
         workers.stream().skip(1).forEach(ScriptedWorker::sendHeartbeat);
         assertEquals(List.of(), startedElsewhere());
     }
@@ -164,12 +171,12 @@
                         .toList());
     }
 
-    /** Capacity on the target stays reserved: jobs that are submitted meanwhile do not use it. */
+    /** Capacity on the target stays reserved; jobs that are submitted meanwhile cannot use it. */
     @Example
     void reservesCapacityOnTheTarget() {
         placeAllTasksOnFirstMachine();
         String taskName = awaitStopOrder(50);
-        EventLog.Entry last = node.log.last();
+        EventLog.Entry migrationStarted = node.log.last();
         node.addOpenJob(
                 new JobSpecBuilder("wk-000002")
                         .team("team-1")
@@ -180,16 +187,20 @@
         for (int i = 0; i < 4; i++) {
             heartbeatAll();
         }
-        long filled = workers.stream().skip(1).filter(worker -> worker.taskCount() == 1).count();
-        assertEquals(2, filled, () -> "the third machine waits for " + taskName + ": " + last);
+        long filledMachines =
+                workers.stream().skip(1).filter(worker -> worker.taskCount() == 1).count();
+        assertEquals(
+                2,
+                filledMachines,
+                () -> "the third machine is reserved for " + taskName + ": " + migrationStarted);
         firstWorker().exitTask(taskName, ExitCause.STOPPED, true);
         heartbeatAll();
         assertEquals(3, workers.stream().skip(1).filter(worker -> worker.taskCount() == 1).count());
     }
 
     /**
-     * A machine reports the task under an attempt of long ago. The end of that attempt says nothing
-     * about the attempt that is being migrated, which is still on its source.
+     * Another machine reports an old attempt of the task. The exit of that attempt must not be
+     * taken for the exit of the attempt that is being migrated, which still runs on its source.
      */
     @Example
     void exitOfAnotherAttemptStartsNothing() {
@@ -209,7 +220,7 @@
                         .orElseThrow();
         other.addRunningTask(taskName, 3);
         heartbeatAll();
-        assertEquals(List.of(taskName), other.tasksOrderedToStop, "nobody wants it there");
+        assertEquals(List.of(taskName), other.tasksOrderedToStop, "the old attempt is stopped");
         other.exitTask(taskName, ExitCause.STOPPED, false);
         for (int i = 0; i < 3; i++) {
             heartbeatAll();
@@ -217,9 +228,7 @@
         }
     }
 
-    /**
-     * Tasks of a high-demand team are spread on placement, as far as other machines have capacity.
-     */
+    /** New tasks of a high-demand team are spread across machines as far as these have capacity. */
     @Example
     void spreadsTasksOfAHighDemandTeamOnPlacement() {
         node.storeShardOfPreviousLeader();
@@ -236,8 +245,7 @@
         }
         // A quarter of all CPUs and the margin of a tenth are 2.8 of 8.
         assertEquals(List.of(2, 2, 2, 2), workers.stream().map(ScriptedWorker::taskCount).toList());
-        // The load doubles, and doubles again: the allowed share rises with it, and nothing
-        // waits.
+        // The load doubles twice, and the allowed share rises with it: no task waits.
         node.addOpenJob(new JobSpecBuilder("wk-000002").taskCount(8).cpus(1).build());
         for (int i = 0; i < 4; i++) {
             heartbeatAll();
@@ -250,7 +258,7 @@
         assertEquals(List.of(8, 8, 8, 8), workers.stream().map(ScriptedWorker::taskCount).toList());
     }
 
-    /** Unknown tasks are stopped as usual, and are not part of any plan. */
+    /** Tasks of unknown jobs are stopped as usual, and are never migrated. */
     @Example
     void ignoresUnknownTasksWhenPlanning() {
         placeAllTasksOnFirstMachine();
@@ -277,19 +285,22 @@
         node.addOpenJob(job());
         node.runSteps(20);
         workers.add(new ScriptedWorker(node, "host-1"));
-        firstWorker().fencingToken = 6;
+        firstWorker().fencingToken = SingleNodeSimulation.TERM;
         for (int i = 0; i < TASKS; i++) {
             firstWorker().addRunningTask("wk-000001/" + i, 5);
         }
         addIdleMachines();
         assertNull(awaitStopOrder(20));
         assertEquals(
-                List.of(), firstWorker().tasksOrderedToStop, "the tasks are wanted where they are");
+                List.of(),
+                firstWorker().tasksOrderedToStop,
+                "the tasks keep running on the first machine");
     }
 
     /**
-     * Nothing is migrated while a machine that may run tasks is unresponsive. Workers' leases are
-     * longer here than the age at which a task may be migrated.
+     * Nothing is migrated during reconciliation, while a machine that may run tasks is
+     * unresponsive. Workers' leases are longer here than the run time from which a task may be
+     * migrated.
      */
     @Example
     void migratesNothingDuringReconciliation() {
@@ -301,6 +312,8 @@
                         FEATURES);
         placeAllTasksOnFirstMachine("host-9");
         assertNull(awaitStopOrder(20));
-        assertTrue(!node.log.contains(LogEventType.SHARD_RECONCILED), "reconciled too soon");
+        assertTrue(
+                !node.log.contains(LogEventType.SHARD_RECONCILED),
+                "the reconciliation ended before the check");
     }
 }
--- a/src/test/java/org/shoreusher/simulation/MigrationsTest.java
+++ b/src/test/java/org/shoreusher/simulation/MigrationsTest.java
@@ -22,8 +22,9 @@
 import org.shoreusher.simulation.ClusterSimulation.InjectedDefect;
 
 /**
- * Simulations in which a team fills the first machines that boot, and its tasks are migrated while
- * faults occur. Each fault hits the migrations that have just begun.
+ * Task migrations under faults: a team fills the first machines that boot, and its tasks are
+ * migrated when more machines boot. Most tests inject a fault when a migration starts. Guards
+ * against tasks that a migration loses, runs twice or runs again after their completion.
  */
 class MigrationsTest {
     private static final long FAULT_FREE_FROM_MS = 170_000;
@@ -36,7 +37,7 @@
                             0.1, 0.02, 0.05, 20, 20, 20, 2, 1, new ClassBudget(2, 1), Map.of()),
                     null);
 
-    /** The task, source and target of a migration, as the event of its beginning names them. */
+    /** The task, source and target of a migration, as logged at its start. */
     private record StartedMigration(String taskName, String source, String target) {
         static StartedMigration of(EventLog.Entry entry) {
             return new StartedMigration(
@@ -56,7 +57,7 @@
      * Runs a simulation in which one team's long tasks fill the first machines, while short tasks
      * of the other team cause more machines to be provisioned.
      *
-     * @param onMigration what happens to a migration that has just begun
+     * @param onMigration called when a migration starts before the fault-free end of the run
      */
     private static ClusterSimulation simulate(
             long seed,
@@ -112,46 +113,47 @@
     }
 
     /**
-     * Runs several simulations with a fault for each migration. All invariants hold, and migrations
-     * were really hit.
+     * Runs six simulations with a fault at the start of about a third of the migrations. Checks the
+     * invariants, that each simulation had a fault, and that the expected event was logged.
      */
     private static void simulateWithFault(
             BiConsumer<ClusterSimulation, StartedMigration> onMigration, LogEventType expected) {
         simulateWithFault(onMigration, expected, "");
     }
 
-    /** The same; the reason of the expected event starts with this text. */
+    /** The same; the reason of the expected event must start with this text. */
     private static void simulateWithFault(
             BiConsumer<ClusterSimulation, StartedMigration> onMigration,
             LogEventType expected,
             String reason) {
-        long seen = 0;
+        long expectedEvents = 0;
         for (long seed = 0; seed < 6; seed++) {
-            int[] hit = {0};
+            int[] faults = {0};
             ClusterSimulation simulation =
                     simulate(
                             seed,
                             1 + (int) (seed % 2),
                             (cluster, migration) -> {
-                                // The first of a run, and then one in three. The cloud may have
-                                // reclaimed a machine that the leader still uses.
-                                boolean there =
+                                // The first migration, and a third of the others. The cloud may
+                                // have reclaimed a machine that the leader still uses.
+                                boolean machinesExist =
                                         migration.source(cluster) != null
                                                 && migration.target(cluster) != null;
-                                if (there && (hit[0]++ == 0 || cluster.random.nextInt(3) == 0)) {
+                                if (machinesExist
+                                        && (faults[0]++ == 0 || cluster.random.nextInt(3) == 0)) {
                                     onMigration.accept(cluster, migration);
                                 }
                             });
             assertInvariantsAndCompletion(simulation);
-            assertTrue(hit[0] > 0, "no migration began with seed " + seed);
-            seen +=
+            assertTrue(faults[0] > 0, "no migration started with seed " + seed);
+            expectedEvents +=
                     simulation
                             .log
                             .entries(expected)
                             .filter(entry -> entry.text("reason").startsWith(reason))
                             .count();
         }
-        assertTrue(seen > 0, "never seen: " + expected + " " + reason);
+        assertTrue(expectedEvents > 0, "never logged: " + expected + " " + reason);
     }
 
     @Example
@@ -257,7 +259,9 @@
                 LogEventType.SHARD_ACQUIRED);
     }
 
-    /** The leader loses its workers and steps down while migrations are in progress. */
+    /**
+     * The leader is partitioned from its workers and steps down while migrations are in progress.
+     */
     @Example
     void leaderStepsDownDuringMigrations() {
         simulateWithFault(
@@ -283,8 +287,8 @@
     }
 
     /**
-     * Late duplicates of heartbeats are in every simulation; here every leader gets retained ones
-     * as well.
+     * Every simulation has late duplicates of heartbeats; here each new leader also gets heartbeats
+     * that were retained before its failover.
      */
     @Example
     void staleHeartbeatsArriveDuringFailover() {
@@ -300,14 +304,14 @@
                 LogEventType.SHARD_ACQUIRED);
     }
 
-    /** Only some nodes have the feature: the leadership moves between both kinds. */
+    /** Leaders with and without task migrations acquire the shard from each other. */
     @Property(tries = 6, seed = "23", shrinking = ShrinkingMode.OFF)
     void onlySomeNodesHaveTheFeature(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
         ClusterSimulation simulation =
                 new ClusterSimulation(
                         seed, SimulationSettings.ampleQuota(), 1, InjectedDefect.NONE);
         simulation.features = FEATURES;
-        simulation.usesFeatures = process -> process != 1;
+        simulation.usesFeatures = index -> index != 1;
         for (int i = 0; i < 8; i++) {
             simulation.users.submit(job(i, "team-" + i % 2, 10, 40_000), 1_000 + i * 4_000L);
         }
@@ -327,7 +331,7 @@
         assertInvariantsAndCompletion(simulation);
     }
 
-    /** Faults of every kind, with the feature on. */
+    /** Faults of every kind, with task migrations enabled. */
     @Property(tries = 30, seed = "29", shrinking = ShrinkingMode.OFF)
     void keepsInvariantsUnderRandomFaults(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
         ClusterSimulation simulation =
--- a/src/test/java/org/shoreusher/simulation/OversizedRecordsTest.java
+++ b/src/test/java/org/shoreusher/simulation/OversizedRecordsTest.java
@@ -13,26 +13,29 @@
 import org.shoreusher.wire.FieldMap;
 import org.shoreusher.wire.UserFormat;
 
-/** Jobs that were accepted when the store allowed longer values than it does now. */
+/**
+ * Jobs whose records are longer than the store now allows, since they were accepted under a higher
+ * limit. Guards against rejecting or blocking them because of their length.
+ */
 class OversizedRecordsTest {
-    private static final int VALUE_BYTES = 2_048;
-    private static final String ID = "wk-000030";
+    private static final int MAX_VALUE_BYTES = 2_048;
+    private static final String JOB_ID = "wk-000030";
 
-    private final SingleNodeSimulation node = new SingleNodeSimulation(limits());
+    private final SingleNodeSimulation node = new SingleNodeSimulation(settings());
 
-    private static Settings limits() {
-        Settings usual = SimulationSettings.standard();
+    private static Settings settings() {
+        Settings standard = SimulationSettings.standard();
         return SimulationSettings.withStoreLimits(
-                usual.storeWritesPerS(), VALUE_BYTES, usual.maxTransactionWrites());
+                standard.storeWritesPerS(), MAX_VALUE_BYTES, standard.maxTransactionWrites());
     }
 
     /** A job whose list of machine types alone is longer than a value may be. */
     private static JobSpec oversizedJob() {
-        return new JobSpecBuilder(ID)
+        return new JobSpecBuilder(JOB_ID)
                 .taskCount(2)
                 .cpus(2)
                 .image("img")
-                .machineTypes(Collections.nCopies(VALUE_BYTES / 4, SimulatedCloud.SMALL_TYPE))
+                .machineTypes(Collections.nCopies(MAX_VALUE_BYTES / 4, SimulatedCloud.SMALL_TYPE))
                 .build();
     }
 
@@ -44,13 +47,14 @@
         record.put("accepted", node.nowMs);
         record.put("begun", 0L);
         record.put("spec", UserFormat.writeDescription(oversizedJob()));
-        assertTrue(FieldMap.jsonLength(record) > VALUE_BYTES);
-        node.store().putDirectly("job/" + ID, record);
+        assertTrue(FieldMap.jsonLength(record) > MAX_VALUE_BYTES);
+        node.store().putDirectly("job/" + JOB_ID, record);
     }
 
     /**
-     * A 400 would mean to the user that the job does not exist, and violate the invariant
-     * "forgotten".
+     * A node whose store cache lags does not find the accepted job in it. A response with status
+     * 400 would mean to the user that the job does not exist, and violate the invariant {@code
+     * forgotten}.
      */
     @Example
     void nodeWithAStaleCacheReturnsTheJobStateForARepeatedSubmission() {
@@ -71,19 +75,21 @@
         assertEquals(200, node.submit(oversizedJob()));
     }
 
-    /** The complete record of the cancelled job would be rejected each time. */
+    /**
+     * The store would reject the complete record of the cancelled job, so a shorter one is written.
+     */
     @Example
     void cancelsAnOversizedJob() throws FieldMap.InvalidFieldException {
         node.storeShardOfPreviousLeader();
         storeOversizedJob();
         node.runSteps(40);
-        assertEquals("pending", node.pollStatus(ID));
-        assertEquals(200, node.cancel(ID));
-        assertEquals("aborted", node.pollStatus(ID));
-        Map<String, Object> record = node.store().value("job/" + ID);
-        assertTrue(FieldMap.jsonLength(record) <= VALUE_BYTES);
-        JobSpec left = UserFormat.readDescription(new FieldMap(record).map("spec"));
-        assertEquals("team-0", left.team());
-        assertEquals(2.0, left.cpus());
+        assertEquals("pending", node.pollStatus(JOB_ID));
+        assertEquals(200, node.cancel(JOB_ID));
+        assertEquals("aborted", node.pollStatus(JOB_ID));
+        Map<String, Object> record = node.store().value("job/" + JOB_ID);
+        assertTrue(FieldMap.jsonLength(record) <= MAX_VALUE_BYTES);
+        JobSpec storedSpec = UserFormat.readDescription(new FieldMap(record).map("spec"));
+        assertEquals("team-0", storedSpec.team());
+        assertEquals(2.0, storedSpec.cpus());
     }
 }
--- a/src/test/java/org/shoreusher/simulation/PreviousVersionFormatsTest.java
+++ b/src/test/java/org/shoreusher/simulation/PreviousVersionFormatsTest.java
@@ -26,15 +26,16 @@
 import org.shoreusher.wire.UserFormat;
 
 /**
- * Reads and continues what the version before services left in the store, under any limits. The
- * resource contains values that that version wrote itself. Also checks that that version can read
- * what this one writes.
+ * A node continues from records of the version before services under various limits of the store,
+ * and writes records that this previous version can read. The resource contains values that the
+ * previous version wrote. Guards against an upgrade that loses work, and against a downgrade after
+ * which the previous version cannot read the store.
  */
 class PreviousVersionFormatsTest {
     /** Machines in the resource. */
     private static final int MACHINES = 70;
 
-    /** Fields that the previous version needs in a job's description. */
+    /** Fields that the previous version requires in a job's description. */
     private static final List<String> SPEC_FIELDS =
             List.of(
                     "name_id",
@@ -64,17 +65,19 @@
         }
     }
 
-    /** The usual settings with these limits of the store. */
-    static Settings settingsWithLimits(int valueBytes, int txnOps) {
+    /** The standard settings with these limits of the store. */
+    static Settings settingsWithLimits(int maxValueBytes, int maxTransactionWrites) {
         return SimulationSettings.withStoreLimits(
-                SimulationSettings.standard().storeWritesPerS(), valueBytes, txnOps);
+                SimulationSettings.standard().storeWritesPerS(),
+                maxValueBytes,
+                maxTransactionWrites);
     }
 
     @SuppressWarnings("unchecked")
     private static SingleNodeSimulation nodeOnPreviousVersionStore(
-            int valueBytes, int txnOps, int steps) {
+            int maxValueBytes, int maxTransactionWrites, int steps) {
         SingleNodeSimulation node =
-                new SingleNodeSimulation(settingsWithLimits(valueBytes, txnOps));
+                new SingleNodeSimulation(settingsWithLimits(maxValueBytes, maxTransactionWrites));
         previousVersionValues()
                 .forEach(
                         (key, value) -> node.store().putDirectly(key, (Map<String, Object>) value));
@@ -83,28 +86,31 @@
     }
 
     /**
-     * Whatever the limits, no completion, start, submission, terminal state or machine is lost, and
-     * no value above the limits is written.
+     * With each combination of limits, no completion, start, submission, terminal state or machine
+     * is lost, and no value above the limits is written.
      */
     @Example
     void continuesFromRecordsOfThePreviousVersion() {
-        Map<String, BitSet> before = new HashMap<>();
+        Map<String, BitSet> completedBefore = new HashMap<>();
         for (String key : List.of("part/0", "part/0/done/1")) {
             ((Map<?, ?>) ((Map<?, ?>) previousVersionValues().get(key)).get("done"))
                     .forEach(
                             (id, text) ->
-                                    before.put(
+                                    completedBefore.put(
                                             (String) id, PreviousVersionStore.parseRanges(text)));
         }
-        assertEquals(5, before.size());
-        for (int valueBytes : new int[] {1_024, 2_048, 8_192}) {
-            for (int txnOps : new int[] {4, 6, 12}) {
-                SingleNodeSimulation node = nodeOnPreviousVersionStore(valueBytes, txnOps, 300);
-                String limits = valueBytes + " bytes, " + txnOps + " operations\n" + node.log;
+        assertEquals(5, completedBefore.size());
+        for (int maxValueBytes : new int[] {1_024, 2_048, 8_192}) {
+            for (int maxTransactionWrites : new int[] {4, 6, 12}) {
+                SingleNodeSimulation node =
+                        nodeOnPreviousVersionStore(maxValueBytes, maxTransactionWrites, 300);
+                String limits =
+                        maxValueBytes + " bytes, " + maxTransactionWrites + " writes\n" + node.log;
                 assertTrue(node.log.contains(LogEventType.SHARD_ACQUIRED), limits);
-                before.forEach((id, set) -> assertCompletionsKept(node, id, set, limits));
+                completedBefore.forEach(
+                        (id, completed) -> assertCompletionsKept(node, id, completed, limits));
                 assertJobStatesKept(node, limits);
-                assertMachinesKept(node, valueBytes, limits);
+                assertMachinesKept(node, maxValueBytes, limits);
             }
         }
     }
@@ -128,22 +134,23 @@
         assertEquals(404, node.pollStatus("wk-000010"), limits);
     }
 
-    /** All machines stay in some group, also while a group that is too long is split. */
+    /** Each machine stays in a group, also while a group record that is too long is split. */
     private static void assertMachinesKept(
-            SingleNodeSimulation node, int valueBytes, String limits) {
-        assertNotNull(node.heartbeat("host-000205", 1, PREVIOUS_TERM), "a machine of its records");
-        // Now the machine's record changes, which splits its group where that is too long.
+            SingleNodeSimulation node, int maxValueBytes, String limits) {
+        assertNotNull(
+                node.heartbeat("host-000205", 1, PREVIOUS_TERM), "a recorded machine is rejected");
+        // This changes the machine's record, which splits its group record if that is too long.
         assertEquals(List.of(), node.heartbeat("host-000265", 1, TERM));
         for (int step = 0; step < 300; step++) {
             node.runSteps(1);
             assertEquals(
                     MACHINES,
                     machineNames(node).distinct().count(),
-                    () -> "a machine was in no group for a while, " + limits);
+                    () -> "a machine was in no group, " + limits);
         }
         Set<String> groups = node.store().valuesWithPrefix("machine/").keySet();
         assertEquals(
-                valueBytes < 6_000,
+                maxValueBytes < 6_000,
                 groups.size() > 1 && !groups.contains("machine/host-0002"),
                 () -> groups + limits);
         assertEquals(MACHINES, machineNames(node).count(), limits);
@@ -154,12 +161,12 @@
                 .flatMap(
                         group ->
                                 ((Map<?, ?>) group.getValue().get("machines"))
-                                        .keySet().stream().map(sign -> group.getKey() + sign));
+                                        .keySet().stream().map(suffix -> group.getKey() + suffix));
     }
 
     /**
-     * Each value that this version writes has the fields that the previous version needs, also for
-     * a service.
+     * Each value that this version writes has the fields that the previous version requires, also
+     * that of a service.
      */
     @Example
     void writesRecordsThatThePreviousVersionReads() {
@@ -170,7 +177,7 @@
         node.runSteps(300);
         assertTrue(
                 node.store().countWithPrefix("node/") > 0,
-                "notes of formats, which that version skips like all keys it does not know");
+                "node records, which the previous version ignores like all unknown keys");
         node.store()
                 .valuesWithPrefix("")
                 .forEach(PreviousVersionFormatsTest::assertReadByPreviousVersion);
@@ -210,7 +217,7 @@
             assertEquals(
                     "sweep",
                     spec.get("shape"),
-                    key + ": any other shape would end that version's process");
+                    key + ": any other workload type would crash the previous version");
             for (String field : SPEC_FIELDS) {
                 assertNotNull(spec.get(field), key + " " + field);
             }
@@ -251,8 +258,8 @@
     }
 
     /**
-     * A leader of the previous version marks a replica that exits successfully as finished; it runs
-     * again all the same.
+     * A leader of the previous version records a replica that exits successfully as completed. The
+     * current version runs it again.
      */
     @Example
     void restartsAReplicaThatThePreviousVersionMarkedCompleted() {
@@ -294,7 +301,7 @@
                 return;
             }
         }
-        throw new AssertionError("it never ran again\n" + node.log);
+        throw new AssertionError("the replica did not run again\n" + node.log);
     }
 
     /** A service without placement constraints. */
--- a/src/test/java/org/shoreusher/simulation/PreviousVersionInteropTest.java
+++ b/src/test/java/org/shoreusher/simulation/PreviousVersionInteropTest.java
@@ -15,24 +15,27 @@
 import org.shoreusher.simulation.PreviousVersionStore.StoredJob;
 
 /**
- * A node of this version and one of the version before services acquire the shard from each other,
- * crash while they do so, and continue from each other's records. The store's limits drop at any
- * time.
+ * Nodes of the current version and a leader of the version before services acquire the shard from
+ * each other, crash during failovers, and continue from each other's records. The store's limits
+ * drop meanwhile. Guards against records of one version that the other misreads or loses.
  */
 class PreviousVersionInteropTest {
     private static final long UPGRADE_MS = 160_000;
     private static final int MIN_WRITES = 5;
 
     /**
-     * Two nodes of the current version recover sooner than one, so the previous version leads less
-     * often.
+     * Lower, since two nodes of the current version recover sooner than one, and the previous
+     * version leads less often.
      */
     private static final int MIN_WRITES_BESIDE_TWO_NODES = 2;
 
     private static final long FAULT_FREE_FROM_MS = 220_000;
     private static final long END_MS = 400_000;
 
-    /** A write of this version must not lose anything that the previous version reads. */
+    /**
+     * The state that the previous version reads from the store. Writes of the current version must
+     * not lose any of it.
+     */
     private static final class DurableState {
         private final ClusterSimulation simulation;
         private final PreviousVersionStore store;
@@ -40,7 +43,7 @@
         private final Map<String, Integer> highWaterMarks = new HashMap<>();
         private final Map<String, Boolean> machineUsage = new HashMap<>();
 
-        /** Transactions of the previous version that changed something. */
+        /** Transactions of the previous version that changed the store. */
         private int previousVersionWrites;
 
         DurableState(ClusterSimulation simulation) {
@@ -48,7 +51,7 @@
             store = new PreviousVersionStore(simulation.store);
         }
 
-        /** Records what the previous version has written as the state to keep. */
+        /** Records the present state as the one that must not be lost. */
         void capture() {
             if (simulation.store.value("part/0") == null) {
                 return;
@@ -61,29 +64,34 @@
             machineUsage.putAll(store.machineUsage());
             if (!store.contradictoryMachines().isEmpty()) {
                 simulation.invariants.recordViolation(
-                        "lost", "used or not: " + store.contradictoryMachines());
+                        "lost",
+                        "machines recorded as used and as unused: "
+                                + store.contradictoryMachines());
             }
         }
 
+        /** Checks the present state against the recorded one, and records it. */
         void checkNothingLost() {
             if (simulation.store.value("part/0") == null) {
                 return;
             }
             Map<String, StoredJob> jobs = store.jobs();
-            Map<String, BitSet> finishedNow = store.completedTasks();
-            Map<String, Integer> marksNow = store.highWaterMarks();
+            Map<String, BitSet> completedNow = store.completedTasks();
+            Map<String, Integer> highWaterMarksNow = store.highWaterMarks();
             jobs.forEach(
                     (id, job) -> {
                         if (job.isOpen()) {
                             BitSet missing =
                                     (BitSet) completedTasks.getOrDefault(id, new BitSet()).clone();
-                            missing.andNot(finishedNow.getOrDefault(id, new BitSet()));
+                            missing.andNot(completedNow.getOrDefault(id, new BitSet()));
                             if (!missing.isEmpty()) {
                                 simulation.invariants.recordViolation(
-                                        "lost", "finished tasks " + missing + " of " + id);
+                                        "lost", "completed tasks " + missing + " of " + id);
                             }
-                            if (marksNow.getOrDefault(id, 0) < highWaterMarks.getOrDefault(id, 0)) {
-                                simulation.invariants.recordViolation("lost", "mark of " + id);
+                            if (highWaterMarksNow.getOrDefault(id, 0)
+                                    < highWaterMarks.getOrDefault(id, 0)) {
+                                simulation.invariants.recordViolation(
+                                        "lost", "high-water mark of " + id);
                             }
                         }
                     });
@@ -92,12 +100,13 @@
                     (id, used) -> {
                         if (used && !machinesNow.getOrDefault(id, true)) {
                             simulation.invariants.recordViolation(
-                                    "lost", id + " reads as never used");
+                                    "lost", "use of " + id + ", which is recorded as unused");
                         }
                     });
             capture();
         }
 
+        /** Called after each transaction, with the host that sent it. */
         void onWrite(String host) {
             if (simulation.runsPreviousVersion(host)) {
                 previousVersionWrites++;
@@ -116,7 +125,7 @@
 
     /**
      * The same with two nodes of the current version that keep a warm standby. The previous version
-     * does not know the standby's field, and drops it whenever it writes the shard's record.
+     * ignores the field of the standby, and drops it whenever it writes the shard record.
      */
     @Property(tries = 40, seed = "78", shrinking = ShrinkingMode.OFF)
     void previousVersionTakesOverFromLeadersWithAStandby(
@@ -152,7 +161,7 @@
         assertTrue(
                 durable.previousVersionWrites
                         > (standby ? MIN_WRITES_BESIDE_TWO_NODES : MIN_WRITES),
-                () -> "it hardly wrote anything: " + durable.previousVersionWrites);
+                () -> "too few writes of the previous version: " + durable.previousVersionWrites);
         assertEquals(List.of(), unfinishedBatchJobs(simulation), log);
         assertEquals(List.of(), simulation.users.missingReplicas(), log);
     }
@@ -179,8 +188,9 @@
     }
 
     /**
-     * Lets the previous version lead for a while. The nodes of the current version are down until
-     * the other one's lease has expired, or both versions try at once.
+     * Lets the previous version lead for a while. Nodes of the current version crash for a random
+     * time: either they are down until the previous version has acquired the shard, or both
+     * versions try to acquire it at the same time.
      */
     private static void scheduleLeadership(
             ClusterSimulation simulation,
@@ -190,7 +200,8 @@
         long atMs = 10_000 + number * 35_000L + simulation.random.nextInt(10_000);
         crashAt(simulation, simulation.controllers.get(0), atMs);
         if (standby) {
-            // The standby is down as well, so that the previous version gets its turn.
+            // The standby crashes as well; otherwise it would acquire the shard before the
+            // previous version.
             crashAt(simulation, simulation.controllers.get(2), atMs);
         }
         simulation.scheduleAt(
@@ -212,7 +223,7 @@
         simulation.scheduleAt(
                 30_000 + simulation.random.nextInt(110_000), simulation.store::applyCurrentLimits);
         if (standby) {
-            // Once more, so that the named standby takes over.
+            // One more crash, after which the named standby takes over.
             simulation.scheduleAt(
                     UPGRADE_MS - 10_000,
                     () ->
--- a/src/test/java/org/shoreusher/simulation/RecordedFormatsTest.java
+++ b/src/test/java/org/shoreusher/simulation/RecordedFormatsTest.java
@@ -16,29 +16,31 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * Stored values and messages between controllers, held against recorded ones byte for byte, so that
- * a renamed class or field moves no name and no order in them.
+ * Compares stored values and messages between controllers with recorded ones byte for byte. Guards
+ * against renames of classes and fields that change a name or the order of fields in them.
  */
 class RecordedFormatsTest {
-    /** Values made with {@link Map#of}, whose fields stand in another order in each process. */
-    private static final List<String> WITHOUT_ORDER = List.of("machine/", "part/0/fence");
+    /** Values that are made with {@link Map#of}; the order of their fields differs by process. */
+    private static final List<String> UNORDERED_KEY_PREFIXES = List.of("machine/", "part/0/fence");
 
     private static Map<String, Object> section(String name) throws IOException {
         return RecordedFormats.asMap(RecordedFormats.recorded().asMap().get(name));
     }
 
-    private static String bytes(String key, Object value) {
+    private static String encodedHex(String key, Object value) {
         Map<String, Object> map = RecordedFormats.asMap(value);
-        boolean ordered = WITHOUT_ORDER.stream().noneMatch(key::startsWith);
+        boolean ordered = UNORDERED_KEY_PREFIXES.stream().noneMatch(key::startsWith);
         return RecordedFormats.hex(FieldMap.toCbor(ordered ? map : EffectHash.sortFields(map)));
     }
 
     @Example
     void recordsAreWrittenAsRecorded() throws IOException {
         Map<String, Object> recorded = section("records");
-        Map<String, Map<String, Object>> now = StoredRecords.samples();
-        assertEquals(recorded.keySet(), now.keySet());
-        now.forEach((key, value) -> assertEquals(bytes(key, recorded.get(key)), bytes(key, value)));
+        Map<String, Map<String, Object>> samples = StoredRecords.samples();
+        assertEquals(recorded.keySet(), samples.keySet());
+        samples.forEach(
+                (key, value) ->
+                        assertEquals(encodedHex(key, recorded.get(key)), encodedHex(key, value)));
     }
 
     @Example
@@ -47,39 +49,44 @@
                 .forEach(
                         (key, value) ->
                                 assertEquals(
-                                        bytes(key, value),
-                                        bytes(
+                                        encodedHex(key, value),
+                                        encodedHex(
                                                 key,
                                                 StoredRecords.again(
                                                         key, RecordedFormats.asMap(value)))));
     }
 
-    /** The fields of descriptions, which a record of a job carries unread. */
+    /** Compares job descriptions, which a job record contains without parsing them. */
     @Example
     void recordedDescriptionsAreRead() throws IOException {
         Map<String, Object> recorded = section("records");
-        Map<String, Map<String, Object>> now = StoredRecords.samples();
-        for (String key : now.keySet().stream().filter(k -> k.startsWith("job/")).toList()) {
+        Map<String, Map<String, Object>> samples = StoredRecords.samples();
+        for (String key :
+                samples.keySet().stream().filter(name -> name.startsWith("job/")).toList()) {
             assertEquals(
-                    StoredRecords.description(now.get(key)),
+                    StoredRecords.description(samples.get(key)),
                     StoredRecords.description(RecordedFormats.asMap(recorded.get(key))),
                     key);
         }
     }
 
-    /** Term, fence, the note of formats and the types: a node's first values, then its next. */
+    /**
+     * The term, the fence, the node record and the machine types: the values that a node writes
+     * into an empty store, and those that a node writes after a failover from them.
+     */
     @Example
     void nodeWritesRecordedValuesAndContinuesFromThem() throws IOException {
         Map<String, Object> recorded = section("node");
-        Map<String, Object> first = RecordedFormats.writtenByNode(Map.of());
-        assertEquals(recorded.keySet(), first.keySet());
-        first.forEach(
-                (key, value) -> assertEquals(bytes(key, recorded.get(key)), bytes(key, value)));
-        Map<String, Object> next = RecordedFormats.writtenByNode(recorded);
-        assertEquals(Map.of("term", 2L), next.get("term"));
-        assertEquals(Map.of("owner", "node-0/1", "term", 2L), next.get("part/0/fence"));
-        assertEquals(recorded.get("node/node-0"), next.get("node/node-0"));
-        assertEquals(recorded.get("types"), next.get("types"));
+        Map<String, Object> firstValues = RecordedFormats.writtenByNode(Map.of());
+        assertEquals(recorded.keySet(), firstValues.keySet());
+        firstValues.forEach(
+                (key, value) ->
+                        assertEquals(encodedHex(key, recorded.get(key)), encodedHex(key, value)));
+        Map<String, Object> nextValues = RecordedFormats.writtenByNode(recorded);
+        assertEquals(Map.of("term", 2L), nextValues.get("term"));
+        assertEquals(Map.of("owner", "node-0/1", "term", 2L), nextValues.get("part/0/fence"));
+        assertEquals(recorded.get("node/node-0"), nextValues.get("node/node-0"));
+        assertEquals(recorded.get("types"), nextValues.get("types"));
     }
 
     @Example
--- a/src/test/java/org/shoreusher/simulation/ServiceFaultsTest.java
+++ b/src/test/java/org/shoreusher/simulation/ServiceFaultsTest.java
@@ -13,7 +13,10 @@
 import org.shoreusher.simulation.ClusterSimulation.Fault;
 import org.shoreusher.simulation.ClusterSimulation.InjectedDefect;
 
-/** Simulations with services only, under faults that are hard on them. */
+/**
+ * Services under hangs, interruption notices, partitions, zone losses and cancellations. Guards
+ * against replicas that run twice, stay down for longer than necessary or outlive a cancellation.
+ */
 class ServiceFaultsTest {
     private static final long FAULT_MS = 60_000;
     private static final long LEASE_MS = 8_000;
@@ -43,8 +46,8 @@
     }
 
     /**
-     * A service that is spread across zones, one of a single zone, and one without zone
-     * constraints.
+     * Creates a simulation with three services: spread across zones, in a single zone, and without
+     * zone constraints.
      */
     private static ClusterSimulation createSimulation(long seed) {
         ClusterSimulation simulation =
@@ -55,6 +58,7 @@
         return simulation;
     }
 
+    /** Runs with a fault at {@link #FAULT_MS}, before which all replicas must run. */
     private static void runWithFault(
             ClusterSimulation simulation, long untilMs, Consumer<ClusterSimulation> fault) {
         simulation.scheduleAt(
@@ -82,21 +86,21 @@
         return machines;
     }
 
-    /** The replicas may still run there, and they do: none is started elsewhere. */
+    /** The replicas may still run while the lease is valid, so none may be started elsewhere. */
     @Example
     void machineThatHangsWithinItsLeaseKeepsItsReplicas() {
         for (long seed = 0; seed < SEEDS; seed++) {
             ClusterSimulation simulation = createSimulation(seed);
-            int[] starts = {0};
+            int[] startsBefore = {0};
             runWithFault(
                     simulation,
                     100_000,
                     cluster -> {
-                        starts[0] = cluster.invariants.taskStarts;
+                        startsBefore[0] = cluster.invariants.taskStarts;
                         machinesWithTasks(cluster).forEach(machine -> machine.hang(LEASE_MS / 2));
                     });
-            assertTrue(starts[0] >= 10, log(simulation));
-            assertEquals(starts[0], simulation.invariants.taskStarts, log(simulation));
+            assertTrue(startsBefore[0] >= 10, log(simulation));
+            assertEquals(startsBefore[0], simulation.invariants.taskStarts, log(simulation));
             assertEquals(List.of(), simulation.users.missingReplicas(), log(simulation));
         }
     }
@@ -105,7 +109,7 @@
     void movesAllReplicasOnInterruptionNotices() {
         for (long seed = 0; seed < SEEDS; seed++) {
             ClusterSimulation simulation = createSimulation(seed);
-            // A boot takes up to 8.5 s here, and the images have to be fetched.
+            // New machines boot within 8.5 s, and then fetch the images.
             runWithFault(
                     simulation,
                     FAULT_MS + 30_000,
@@ -116,7 +120,7 @@
         }
     }
 
-    /** The service of one zone may have to move as a whole, and no zone constraint is violated. */
+    /** All replicas of the single-zone service may have to move to the other zone. */
     @Example
     void servicesWithZoneConstraintsRecoverFromAZoneLoss() {
         for (long seed = 0; seed < SEEDS; seed++) {
@@ -140,7 +144,8 @@
     }
 
     /**
-     * The possible tasks of the machine count towards the quota until its lease has surely expired.
+     * Tasks that may run on the machine count towards the quota until its lease has expired. Then
+     * they are started elsewhere.
      */
     @Example
     void serviceAtItsQuotaWaitsForTheLeaseOfAnUnreachableMachine() {
@@ -149,10 +154,10 @@
                     new ClusterSimulation(
                             seed, SimulationSettings.standard(), 1, InjectedDefect.NONE);
             simulation.users.submit(service(0, "team-0", 12, 2, false, true), 5_000);
-            int[] downAfterLease = {0};
+            int[] missingAfterLease = {0};
             simulation.scheduleAt(
                     FAULT_MS + 30_000,
-                    () -> downAfterLease[0] = simulation.users.missingReplicas().size());
+                    () -> missingAfterLease[0] = simulation.users.missingReplicas().size());
             runWithFault(
                     simulation,
                     FAULT_MS + 40_000,
@@ -163,7 +168,7 @@
                                         cluster.network.partition(
                                                 controller.host, machine.id, 60_000));
                     });
-            assertEquals(0, downAfterLease[0], log(simulation));
+            assertEquals(0, missingAfterLease[0], log(simulation));
         }
     }
 
@@ -219,11 +224,11 @@
     }
 
     /**
-     * The store refuses the leader alone, others confirm the cancellations, and then the store
-     * fails for all nodes for too long.
+     * The store rejects the requests of the leader only, other nodes confirm the cancellations, and
+     * then the store fails for all nodes for longer than the cancellation limit.
      */
     @Example
-    void cancelsServicesThatTheLeaderCannotReadBeforeAnOutage() {
+    void cancelsServicesWhileTheStoreRejectsTheLeader() {
         for (long seed = 0; seed < SEEDS; seed++) {
             ClusterSimulation simulation = createSimulation(seed);
             runWithFault(
@@ -245,14 +250,19 @@
         return response.status() == 200 && "running".equals(response.body().get("status"));
     }
 
-    /** A service is polled for as long as it runs: the responses share reads of the store. */
+    /**
+     * Services are polled for as long as they run. Simultaneous polls share reads of the store, so
+     * that there are fewer store requests than polls.
+     */
     @Example
     void batchesReadsOfThousandsOfPolls() {
         ClusterSimulation simulation = createSimulation(1);
         int polls = 3_000;
         int[] running = {0};
-        int[] handled = {0, 0};
-        simulation.scheduleAt(FAULT_MS - 1, () -> handled[0] = simulation.store.requestsHandled);
+        int[] requestsBefore = {0};
+        int[] requestsAfter = {0};
+        simulation.scheduleAt(
+                FAULT_MS - 1, () -> requestsBefore[0] = simulation.store.requestsHandled);
         for (int i = 0; i < polls; i++) {
             SimulatedController node = simulation.controllers.get(i % 3);
             simulation.scheduleAt(
@@ -263,10 +273,11 @@
                                     response -> running[0] += isRunning(response) ? 1 : 0));
         }
         simulation.scheduleAt(
-                FAULT_MS + polls * 3L + 1_000, () -> handled[1] = simulation.store.requestsHandled);
+                FAULT_MS + polls * 3L + 1_000,
+                () -> requestsAfter[0] = simulation.store.requestsHandled);
         runWithFault(simulation, FAULT_MS + polls * 3L + 2_000, cluster -> {});
-        assertTrue(running[0] > polls * 0.98, () -> "answered: " + running[0]);
-        int requests = handled[1] - handled[0];
-        assertTrue(requests < polls, () -> "requests: " + requests);
+        assertTrue(running[0] > polls * 0.98, () -> "polls with status running: " + running[0]);
+        int requests = requestsAfter[0] - requestsBefore[0];
+        assertTrue(requests < polls, () -> "requests to the store: " + requests);
     }
 }
--- a/src/test/java/org/shoreusher/simulation/ServiceReplicaTest.java
+++ b/src/test/java/org/shoreusher/simulation/ServiceReplicaTest.java
@@ -16,7 +16,7 @@
 import org.shoreusher.core.message.WorkerHeartbeat.TaskStatus;
 import org.shoreusher.log.LogEventType;
 
-/** What a leader does with the replicas of services. */
+/** When and where a leader restarts the replicas of services, and what it preempts for them. */
 class ServiceReplicaTest {
     private final SingleNodeSimulation node = new SingleNodeSimulation();
     private int nextSequenceNumber = 1;
@@ -50,28 +50,24 @@
     }
 
     private static TaskStatus replicaStatus(
-            int number, long attemptNumber, TaskState state, ExitCause exitCause) {
+            int number, long startNumber, TaskState state, ExitCause exitCause) {
         return new TaskStatus(
-                "wk-1",
-                number,
-                SingleNodeSimulation.attemptNumber(attemptNumber),
-                state,
-                exitCause);
+                "wk-1", number, SingleNodeSimulation.attemptNumber(startNumber), state, exitCause);
     }
 
     /**
-     * A replica that exits, even successfully, runs again under a new attempt. The job never
-     * completes, and the worker may forget the old attempt at once.
+     * A replica that exits, even successfully, runs again as a new attempt. The job never
+     * completes, and the worker gets a {@code forget} order for the old attempt at once.
      */
     @Example
     void restartsAReplicaThatExits() {
         startWithOneMachine();
         assertEquals(201, node.submit(service("wk-1", 1, 2)));
-        List<String> first = new ArrayList<>();
-        while (first.isEmpty() && nextSequenceNumber < 20) {
-            first.addAll(heartbeatAndGetStarts());
+        List<String> firstStarts = new ArrayList<>();
+        while (firstStarts.isEmpty() && nextSequenceNumber < 20) {
+            firstStarts.addAll(heartbeatAndGetStarts());
         }
-        assertEquals(List.of("wk-1/0"), first);
+        assertEquals(List.of("wk-1/0"), firstStarts);
         heartbeatAndGetStarts(replicaStatus(0, 1, TaskState.RUNNING, ExitCause.NONE));
         assertEquals("running", node.pollStatus("wk-1"));
         for (int i = 0; i < 20; i++) {
@@ -86,43 +82,39 @@
                         nextSequenceNumber++,
                         TERM,
                         replicaStatus(0, 1, TaskState.EXITED, ExitCause.COMPLETED));
-        assertTrue(orders.contains("forget"), () -> "orders " + orders);
-        List<String> again =
+        assertTrue(orders.contains("forget"), () -> "orders: " + orders);
+        List<String> restarts =
                 new ArrayList<>(orders.contains("run") ? List.of("wk-1/0") : List.of());
-        for (int i = 0; again.isEmpty() && i < 30; i++) {
-            again.addAll(heartbeatAndGetStarts());
+        for (int i = 0; restarts.isEmpty() && i < 30; i++) {
+            restarts.addAll(heartbeatAndGetStarts());
         }
-        assertEquals(List.of("wk-1/0"), again);
+        assertEquals(List.of("wk-1/0"), restarts);
         assertEquals("running", node.pollStatus("wk-1"));
     }
 
-    /** A replica that fails at once again and again is retried with growing delays. */
+    /** A replica that always fails immediately is restarted with increasing delays. */
     @Example
     void backsOffForAReplicaThatAlwaysFails() {
         startWithOneMachine();
         node.submit(service("wk-1", 1, 2));
         int starts = 0;
-        long attemptNumber = 0;
-        boolean there = false;
+        boolean startedLast = false;
         for (int i = 0; i < 400; i++) {
             List<String> started =
-                    there
+                    startedLast
                             ? heartbeatAndGetStarts(
-                                    replicaStatus(
-                                            0, attemptNumber, TaskState.EXITED, ExitCause.ERROR))
+                                    replicaStatus(0, starts, TaskState.EXITED, ExitCause.ERROR))
                             : heartbeatAndGetStarts();
-            there = !started.isEmpty();
-            attemptNumber += started.size();
+            startedLast = !started.isEmpty();
             starts += started.size();
         }
-        int all = starts;
-        // In 96 s: with delays of 1, 2, 4, 8, 16 and 30 s.
-        assertTrue(all >= 4 && all <= 12, () -> "starts " + all);
+        // Within 96 s, with delays of 1, 2, 4, 8, 16 and 30 s.
+        assertTrue(starts >= 4 && starts <= 12, "starts: " + starts);
     }
 
     /**
-     * A replica that fails at once on every machine is tried on another machine each time, with
-     * backoff. It does not count against the machines: none of them is cordoned.
+     * A replica that fails immediately on every machine is restarted on another machine each time,
+     * with increasing delays. The failures are not attributed to the machines: none is cordoned.
      */
     @Example
     void doesNotCordonMachinesForAReplicaThatFailsEverywhere() {
@@ -136,12 +128,12 @@
         List<String> startedOn = new ArrayList<>();
         for (int round = 0; round < 150; round++) {
             for (String machine : machines) {
-                boolean last =
+                boolean ranLast =
                         !startedOn.isEmpty() && startedOn.get(startedOn.size() - 1).equals(machine);
                 TaskStatus failed =
                         replicaStatus(0, startedOn.size(), TaskState.EXITED, ExitCause.ERROR);
                 List<String> started =
-                        last
+                        ranLast
                                 ? node.heartbeatAndGetStarts(
                                         machine, nextSequenceNumber++, TERM, failed)
                                 : node.heartbeatAndGetStarts(machine, nextSequenceNumber++, TERM);
@@ -149,27 +141,28 @@
                 started.forEach(taskName -> startedOn.add(machine));
             }
         }
-        assertTrue(startedOn.size() >= 4 && startedOn.size() <= 12, () -> "starts " + startedOn);
+        assertTrue(
+                startedOn.size() >= 4 && startedOn.size() <= 12, () -> "started on: " + startedOn);
         assertEquals(
                 3,
                 startedOn.subList(0, 3).stream().distinct().count(),
-                () -> "starts " + startedOn);
+                () -> "started on: " + startedOn);
         assertEquals(List.of(), node.log.entries(LogEventType.MACHINE_CORDONED).toList());
     }
 
     /**
-     * Batch tasks of lower priority are preempted at once when a replica finds no capacity. The
-     * replica is placed as soon as that is free.
+     * When there is no capacity for a replica, a batch task of lower priority is preempted at once.
+     * The replica starts on the capacity that this frees.
      */
     @Example
     void preemptsBatchTasksForReplicas() {
         startWithOneMachine();
         node.addOpenJob("wk-2", 4, 2);
-        List<String> batch = new ArrayList<>();
-        while (batch.isEmpty() && nextSequenceNumber < 20) {
-            batch.addAll(heartbeatAndGetStarts());
+        List<String> batchStarts = new ArrayList<>();
+        while (batchStarts.isEmpty() && nextSequenceNumber < 20) {
+            batchStarts.addAll(heartbeatAndGetStarts());
         }
-        assertEquals(4, batch.size());
+        assertEquals(4, batchStarts.size());
         TaskStatus[] running = new TaskStatus[4];
         for (int i = 0; i < 4; i++) {
             running[i] =
@@ -187,21 +180,14 @@
         assertEquals(
                 1,
                 orders.stream().filter(verb -> verb.equals("halt")).count(),
-                () -> "one of them is enough: " + orders);
+                () -> "preempting one task is enough: " + orders);
         node.runSteps(3);
-        running[0] =
-                new TaskStatus(
-                        "wk-2",
-                        0,
-                        SingleNodeSimulation.attemptNumber(1),
-                        TaskState.EXITED,
-                        ExitCause.STOPPED);
-        TaskStatus[] all = running;
-        List<String> next = new ArrayList<>();
+        List<String> nextStarts = new ArrayList<>();
+        // Reports each task as stopped in turn, since any of them may have been preempted.
         for (int stopped = 0; stopped < 4; stopped++) {
-            TaskStatus[] seen = all.clone();
+            TaskStatus[] reported = new TaskStatus[4];
             for (int i = 0; i < 4; i++) {
-                seen[i] =
+                reported[i] =
                         new TaskStatus(
                                 "wk-2",
                                 i,
@@ -209,10 +195,11 @@
                                 i == stopped ? TaskState.EXITED : TaskState.RUNNING,
                                 i == stopped ? ExitCause.STOPPED : ExitCause.NONE);
             }
-            if (next.isEmpty()) {
-                next.addAll(heartbeatAndGetStarts(seen));
+            if (nextStarts.isEmpty()) {
+                nextStarts.addAll(heartbeatAndGetStarts(reported));
             }
         }
-        assertEquals(List.of("wk-1/0"), next, "not another batch task");
+        assertEquals(
+                List.of("wk-1/0"), nextStarts, "the replica starts, and not another batch task");
     }
 }
--- a/src/test/java/org/shoreusher/simulation/ServiceSupportTest.java
+++ b/src/test/java/org/shoreusher/simulation/ServiceSupportTest.java
@@ -9,9 +9,12 @@
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.SettingsBuilder;
 
-/** When a node accepts services, which the version before services does not know. */
+/**
+ * When a node accepts services. Guards against storing a service while a node of the version before
+ * services, which cannot read it, may still acquire the shard.
+ */
 class ServiceSupportTest {
-    /** A cluster of two nodes, of which the other one is not simulated. */
+    /** A leader in a cluster of two nodes, the other of which is not simulated. */
     private static SingleNodeSimulation nodeInClusterOfTwo() {
         Settings settings = PreviousVersionFormatsTest.settingsWithLimits(2_048, 6);
         Settings ofTwoNodes =
@@ -35,8 +38,8 @@
     }
 
     /**
-     * A node rejects services as long as another node may run the previous version, whatever gossip
-     * says.
+     * A node rejects services as long as another node may run the previous version. Only the
+     * version record of that node shows that it does not.
      */
     @Example
     void rejectsServicesUntilEveryNodeSupportsThem() {
@@ -50,16 +53,16 @@
         assertEquals(
                 422,
                 node.submit(PreviousVersionFormatsTest.service("wk-000021", 25)),
-                "all replicas together are above the team's limit");
+                "the replicas together exceed the team's quota");
         assertEquals("pending", node.pollStatus("wk-000020"));
         node.runSteps(100);
-        assertEquals(1, node.log.count(LogEventType.SERVICES_ENABLED), "once");
+        assertEquals(1, node.log.count(LogEventType.SERVICES_ENABLED), "logged once");
     }
 
     /**
-     * A member that is downgraded shows when it acquires the shard. New services are refused until
-     * it is upgraded again, known services are still answered, and its new incarnation enables
-     * services by its version record.
+     * A downgraded member is detected when it acquires the shard. New services are rejected until
+     * its next incarnation writes a version record; submissions of existing services still get
+     * their state.
      */
     @Example
     void rejectsNewServicesAfterAMemberDowngrade() {
@@ -67,11 +70,19 @@
         node.writeToStore("node/node-1", Map.of("formats", 2L, "process", "node-1/new"));
         node.runSteps(5);
         assertEquals(201, node.submit(PreviousVersionFormatsTest.service("wk-000020", 3)));
-        long expiry = node.nowMs + 1_000_000;
+        long leaseExpiryMs = node.nowMs + 1_000_000;
         node.writeToStore("part/0/fence", Map.of("owner", "node-1/old", "term", 9L));
         node.writeToStore(
                 "part/0",
-                Map.of("owner", "node-1/old", "expiry", expiry, "term", 9L, "done", Map.of()));
+                Map.of(
+                        "owner",
+                        "node-1/old",
+                        "expiry",
+                        leaseExpiryMs,
+                        "term",
+                        9L,
+                        "done",
+                        Map.of()));
         node.runSteps(5);
         assertEquals(503, node.submit(PreviousVersionFormatsTest.service("wk-000022", 3)));
         assertEquals(2, countServicesDisabled(node, "[node-1]"));
@@ -83,8 +94,8 @@
     }
 
     /**
-     * Each incarnation writes a version record, so that one of an earlier incarnation on the same
-     * host does not count.
+     * Each incarnation writes its own version record, since the record of an earlier incarnation on
+     * the same host does not show which version the current one runs.
      */
     @Example
     void everyIncarnationWritesItsVersionRecord() {
--- a/src/test/java/org/shoreusher/simulation/ServicesTest.java
+++ b/src/test/java/org/shoreusher/simulation/ServicesTest.java
@@ -17,25 +17,27 @@
 import org.shoreusher.simulation.ClusterSimulation.InjectedDefect;
 
 /**
- * Services: replicas that run until they are cancelled, beside batch jobs and under faults; and the
- * upgrade to the version that has services.
+ * Services (replicas that run until they are cancelled) beside batch jobs, under faults and during
+ * an upgrade from the version before services. Guards against replicas that stay down, and against
+ * work that an upgrade or lower limits of the store lose or block.
  */
 class ServicesTest {
     private static final long FAULT_FREE_FROM_MS = 220_000;
 
     /**
-     * Late enough for a team at its quota, part of which its services use, to complete its jobs.
+     * Late enough for a team to complete its batch jobs while its services use a part of its quota.
      */
     private static final long END_MS = 470_000;
 
-    private static void submitJobsAndServices(ClusterSimulation simulation, long from) {
+    /** Submits batch jobs from the start, and services in the minute from the given time. */
+    private static void submitJobsAndServices(ClusterSimulation simulation, long servicesFromMs) {
         for (int i = 0; i < 34; i++) {
             simulation.users.submit(i, 1_000 + simulation.random.nextInt(120_000));
         }
         for (int i = 40; i < 46; i++) {
             simulation.users.submitService(
                     i,
-                    from + simulation.random.nextInt(60_000),
+                    servicesFromMs + simulation.random.nextInt(60_000),
                     1 + simulation.random.nextInt(3),
                     i % 3 == 0);
         }
@@ -49,7 +51,7 @@
                 () -> "seed " + seed + "\n" + simulation.log);
         assertTrue(
                 simulation.invariants.taskStarts > 80,
-                "hardly anything ran: " + simulation.invariants.taskStarts);
+                "too few task starts: " + simulation.invariants.taskStarts);
         assertEquals(
                 List.of(),
                 simulation.users.jobs.values().stream()
@@ -73,13 +75,15 @@
                         1 + (int) (seed % 2),
                         InjectedDefect.NONE);
         submitJobsAndServices(simulation, 1_000);
-        int[] down = {0};
-        // A replica may just have exited; one that is missing at three times in a row does not
+        int[] checksWithMissingReplicas = {0};
+        // A replica may just have exited. If replicas are missing at all three checks, they do not
         // recover.
         for (int i = 0; i < 3; i++) {
             simulation.scheduleAt(
                     END_MS - 60_000 + i * 20_000L,
-                    () -> down[0] += simulation.users.missingReplicas().isEmpty() ? 0 : 1);
+                    () ->
+                            checksWithMissingReplicas[0] +=
+                                    simulation.users.missingReplicas().isEmpty() ? 0 : 1);
         }
         simulation.faultFreeFromMs = FAULT_FREE_FROM_MS;
         simulation.scheduleAt(FAULT_FREE_FROM_MS, simulation.invariants::checkWaitingJobs);
@@ -90,44 +94,49 @@
                         : CompoundFailuresTest.compoundFaults(seed));
         assertInvariantsAndCompletion(simulation, seed);
         assertTrue(
-                down[0] < 3,
-                () -> "down: " + simulation.users.missingReplicas() + "\n" + simulation.log);
+                checksWithMissingReplicas[0] < 3,
+                () ->
+                        "missing replicas: "
+                                + simulation.users.missingReplicas()
+                                + "\n"
+                                + simulation.log);
     }
 
     /**
-     * Processes start under higher limits and write values that those allow. They are restarted one
-     * after the other with lower limits, some crash before their turn and come back as they were,
-     * and at some time the lower limits apply to all.
+     * Controllers start with higher limits of the store and write values that these allow. They are
+     * upgraded one after the other to lower limits. Some crash before their upgrade and restart
+     * with the higher limits. Finally the store enforces the lower limits.
      */
     @Property(tries = 40, seed = "77", shrinking = ShrinkingMode.OFF)
     void rollingUpgradeToSmallerStoreLimitsKeepsInvariants(
             @ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
-        int ops = seed % 2 == 0 ? 4 : 6;
+        int maxTransactionWrites = seed % 2 == 0 ? 4 : 6;
         ClusterSimulation simulation =
                 new ClusterSimulation(
                         seed,
-                        SimulationSettings.withStoreLimits(60, seed % 3 == 0 ? 1_024 : 2_048, ops),
+                        SimulationSettings.withStoreLimits(
+                                60, seed % 3 == 0 ? 1_024 : 2_048, maxTransactionWrites),
                         SimulationSettings.withStoreLimits(100, 8_192, 12),
                         1,
                         InjectedDefect.NONE,
                         8);
         submitJobsAndServices(simulation, 90_000);
-        long from = 20_000 + simulation.random.nextInt(20_000);
-        int first = simulation.random.nextInt(3);
+        long upgradeMs = 20_000 + simulation.random.nextInt(20_000);
+        int firstUpgraded = simulation.random.nextInt(3);
         for (int i = 0; i < 3; i++) {
-            SimulatedController controller = simulation.controllers.get((first + i) % 3);
+            SimulatedController controller = simulation.controllers.get((firstUpgraded + i) % 3);
             simulation.scheduleAt(
-                    from + i * 12_000L,
+                    upgradeMs + i * 12_000L,
                     () -> controller.upgrade(100 + simulation.random.nextInt(4_000)));
             if (simulation.random.nextInt(3) == 0) {
                 simulation.scheduleAt(
-                        from + i * 12_000L - 3_000,
+                        upgradeMs + i * 12_000L - 3_000,
                         () -> controller.crash(100 + simulation.random.nextInt(2_000)));
             }
         }
-        // The previous version's last writes are made by the leader until shortly before.
+        // Until shortly before, the leader may still write values of the previous version.
         simulation.scheduleAt(
-                from + 40_000 + simulation.random.nextInt(5_000),
+                upgradeMs + 40_000 + simulation.random.nextInt(5_000),
                 simulation.store::applyCurrentLimits);
         simulation.faultFreeFromMs = FAULT_FREE_FROM_MS;
         simulation.scheduleAt(FAULT_FREE_FROM_MS, simulation.invariants::checkWaitingJobs);
@@ -137,38 +146,38 @@
     }
 
     /**
-     * The limits drop at any step, before or after a node's upgrade, to the fewest operations, a
-     * small value and a fraction of the rate, while responses to transactions are lost. No shard is
-     * blocked, and all work is done.
+     * The store's limits drop before, during or after the rolling upgrade, down to 4 writes per
+     * transaction, values of 1,024 bytes and 8 writes per second, while replies to transactions are
+     * lost. No shard may be blocked, and all jobs must end.
      */
     @Property(tries = 40, seed = "404", shrinking = ShrinkingMode.OFF)
     void storeLimitsDroppingAtAnyStepBlockNoShard(
             @ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
-        double rate = new double[] {60, 20, 8}[(int) (seed % 3)];
+        double writesPerS = new double[] {60, 20, 8}[(int) (seed % 3)];
         ClusterSimulation simulation =
                 new ClusterSimulation(
                         seed,
                         SimulationSettings.withStoreLimits(
-                                rate, seed % 2 == 0 ? 1_024 : 2_048, 4 + (int) (seed % 4)),
+                                writesPerS, seed % 2 == 0 ? 1_024 : 2_048, 4 + (int) (seed % 4)),
                         SimulationSettings.withStoreLimits(100, 8_192, 12),
                         1,
                         InjectedDefect.NONE,
                         8);
         submitJobsAndServices(simulation, 100_000);
-        long from = 15_000 + simulation.random.nextInt(40_000);
+        long upgradeMs = 15_000 + simulation.random.nextInt(40_000);
         for (int i = 0; i < 3; i++) {
             SimulatedController controller = simulation.controllers.get(i);
             simulation.scheduleAt(
-                    from + i * 10_000L,
+                    upgradeMs + i * 10_000L,
                     () -> controller.upgrade(100 + simulation.random.nextInt(4_000)));
         }
-        long drop = from + simulation.random.nextInt(60_000);
-        simulation.scheduleAt(drop, simulation.store::applyCurrentLimits);
+        long limitsDropMs = upgradeMs + simulation.random.nextInt(60_000);
+        simulation.scheduleAt(limitsDropMs, simulation.store::applyCurrentLimits);
         simulation.scheduleAt(
-                drop - 2_000, () -> simulation.store.loseReplies(3, seed % 2 == 0, 6_000));
+                limitsDropMs - 2_000, () -> simulation.store.loseReplies(3, seed % 2 == 0, 6_000));
         if (seed % 4 < 2) {
             simulation.scheduleAt(
-                    drop - simulation.random.nextInt(1_000),
+                    limitsDropMs - simulation.random.nextInt(1_000),
                     () ->
                             FaultInjection.currentLeaders(simulation)
                                     .forEach(controller -> controller.crash(200)));
@@ -181,20 +190,22 @@
     }
 
     /**
-     * Hundreds of machines and large jobs make the previous version's records far longer than the
-     * limits to come. A successor splits them before it acquires the shard, and completed tasks do
-     * not run again.
+     * With hundreds of machines and large jobs, the previous version's records are far longer than
+     * the lower limits allow. A successor splits them before it acquires the shard, and completed
+     * tasks do not run again.
      */
     @Example
     void successorSplitsOversizedRecords() {
-        Settings strict =
+        Settings currentSettings =
                 new SettingsBuilder(SimulationSettings.withStoreLimits(40, 2_048, 4))
                         .teams(new Settings.Team("team-0", 1_000, 2_000, 0, 0))
                         .workers(2, 12, 40)
                         .build();
-        Settings previousSettings = new SettingsBuilder(strict).storeLimits(100, 8_192, 12).build();
+        Settings previousSettings =
+                new SettingsBuilder(currentSettings).storeLimits(100, 8_192, 12).build();
         ClusterSimulation simulation =
-                new ClusterSimulation(4, strict, previousSettings, 1, InjectedDefect.NONE, 40);
+                new ClusterSimulation(
+                        4, currentSettings, previousSettings, 1, InjectedDefect.NONE, 40);
         for (int i = 0; i < 8; i++) {
             simulation.users.submit(
                     new SimulatedUsers.SimulatedJob(
@@ -207,8 +218,9 @@
                             6_000),
                     1_000);
         }
-        int[] longest = {0};
-        simulation.scheduleAt(59_000, () -> longest[0] = simulation.store.longestValueBytes());
+        int[] longestValueBytes = {0};
+        simulation.scheduleAt(
+                59_000, () -> longestValueBytes[0] = simulation.store.longestValueBytes());
         for (int i = 0; i < 3; i++) {
             SimulatedController controller = simulation.controllers.get(i);
             simulation.scheduleAt(60_000 + i * 15_000L, () -> controller.upgrade(1_000));
@@ -225,15 +237,18 @@
         simulation.invariants.checkAtEnd();
         assertEquals(List.of(), simulation.invariants.violations, simulation.log::toString);
         assertTrue(
-                longest[0] > strict.maxValueBytes(),
-                () -> "the previous version wrote nothing long: " + longest[0]);
+                longestValueBytes[0] > currentSettings.maxValueBytes(),
+                () ->
+                        "the longest value of the previous version, in bytes: "
+                                + longestValueBytes[0]);
         assertEquals(
                 0,
                 simulation.users.jobs.values().stream().filter(job -> !job.doneConfirmed).count(),
                 simulation.log::toString);
-        // At most a tenth runs again, for completions between two lease renewals.
+        // Tasks whose completion was reported between two lease renewals may run again; these are
+        // at most a tenth.
         assertTrue(
                 simulation.invariants.taskStarts < 8_000 * 1.15,
-                () -> "starts " + simulation.invariants.taskStarts);
+                () -> "task starts: " + simulation.invariants.taskStarts);
     }
 }
--- a/src/test/java/org/shoreusher/simulation/StandbyCrashPointsTest.java
+++ b/src/test/java/org/shoreusher/simulation/StandbyCrashPointsTest.java
@@ -28,8 +28,8 @@
  */
 class StandbyCrashPointsTest {
     /**
-     * Crashes the leader at this point. The heartbeats of all machines are blocked from then on, so
-     * that only the attempt log shows which tasks the last responses started.
+     * Crashes the leader at this point. The crash blocks the heartbeats of all machines for a
+     * while, so that only the attempt log shows which tasks the last responses started.
      */
     private static void crashAt(
             ClusterSimulation simulation, SimulatedController leader, CrashPoint crashPoint) {
@@ -172,8 +172,7 @@
     /**
      * The leader crashes just before a lease renewal, so that reported completions are not yet
      * durable. Half of the machines are unresponsive, and the others have capacity. A completed
-     * task of an unresponsive machine must not run again before its machine may report the
-     * completion.
+     * task of an unresponsive machine must not run again while that machine's lease is valid.
      */
     @Example
     void doesNotRestartACompletedTaskBeforeItsMachineReports() {
