--- a/src/test/java/org/shoreusher/simulation/AutoscalerTest.java
+++ b/src/test/java/org/shoreusher/simulation/AutoscalerTest.java
@@ -31,7 +31,7 @@
             node.cloud =
                     operation -> {
                         terminationRequested[0] |= operation instanceof CloudOperation.Terminate;
-                        return new Command.CloudReply(0, status, Map.of("error", "trouble"));
+                        return new Command.CloudReply(0, status, Map.of("error", "unavailable"));
                     };
             node.runSteps(20);
             int sequenceNumber = 1;
--- a/src/test/java/org/shoreusher/simulation/MigrationStepsTest.java
+++ b/src/test/java/org/shoreusher/simulation/MigrationStepsTest.java
@@ -20,7 +20,7 @@
 
 /**
  * The steps of a single task migration, message by message. Guards against a start on the target
- * before the attempt on the source has surely ended.
+ * before the attempt on the source has ended.
  */
 class MigrationStepsTest {
     /** One migration at a time. */
--- a/src/test/java/org/shoreusher/simulation/ServiceFaultsTest.java
+++ b/src/test/java/org/shoreusher/simulation/ServiceFaultsTest.java
@@ -120,7 +120,10 @@
         }
     }
 
-    /** All replicas of the single-zone service may have to move to the other zone. */
+    /**
+     * All replicas of the single-zone service may have to move to the other zone. No zone
+     * constraint may be violated meanwhile.
+     */
     @Example
     void servicesWithZoneConstraintsRecoverFromAZoneLoss() {
         for (long seed = 0; seed < SEEDS; seed++) {
--- a/src/test/java/org/shoreusher/simulation/ServiceSupportTest.java
+++ b/src/test/java/org/shoreusher/simulation/ServiceSupportTest.java
@@ -39,7 +39,7 @@
 
     /**
      * A node rejects services as long as another node may run the previous version. Only the
-     * version record of that node shows that it does not.
+     * version record of that node, and not its gossip, shows that it does not.
      */
     @Example
     void rejectsServicesUntilEveryNodeSupportsThem() {
--- a/src/test/java/org/shoreusher/simulation/StandbyCrashPointsTest.java
+++ b/src/test/java/org/shoreusher/simulation/StandbyCrashPointsTest.java
@@ -61,7 +61,7 @@
 
     /**
      * The first leader crashes before or after it sends the write that names its standby. Only
-     * after it can the standby be promoted from its log.
+     * after that write can the standby be promoted from its log.
      */
     @Example
     void leaderCrashWhileNamingAStandby() {
