--- a/src/main/java/org/shoreusher/core/store/JobRecord.java
+++ b/src/main/java/org/shoreusher/core/store/JobRecord.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.wire.FieldMap;
-import org.shoreusher.wire.UserFormat;
+import org.shoreusher.wire.JobSpecFormat;
 
 /**
  * A job's record. The description of a completed job is dropped. That of a cancelled job is kept,
@@ -61,7 +61,7 @@
                 spec.taskCount(),
                 acceptedWallMs,
                 0,
-                UserFormat.writeDescription(spec));
+                JobSpecFormat.writeStoredSpec(spec));
     }
 
     /** Returns the record of the job after its completion, without the description. */
@@ -90,7 +90,7 @@
         if (specFields == null || FieldMap.jsonLength(full.toMap()) <= maxValueBytes) {
             return full;
         }
-        Map<String, Object> resources = UserFormat.resourcesOnly(specFields);
+        Map<String, Object> resources = JobSpecFormat.resourcesOnly(specFields);
         return new JobRecord(
                 shardNumber,
                 JobStatus.CANCELLED,
@@ -103,7 +103,7 @@
     /** Parses the job's description. The record must contain one. */
     public JobSpec parseSpec() {
         try {
-            return UserFormat.readDescription(new FieldMap(specFields));
+            return JobSpecFormat.readStoredSpec(new FieldMap(specFields));
         } catch (FieldMap.InvalidFieldException invalid) {
             throw new CorruptRecordException("a job description", specFields, invalid);
         }
--- a/src/main/java/org/shoreusher/user/RequestDecoder.java
+++ b/src/main/java/org/shoreusher/user/RequestDecoder.java
@@ -9,7 +9,7 @@
 import org.shoreusher.core.message.Command;
 import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.wire.FieldMap;
-import org.shoreusher.wire.UserFormat;
+import org.shoreusher.wire.JobSpecFormat;
 import org.shoreusher.wire.WorkerFormat;
 
 /** Decodes HTTP requests into commands by method and path. */
@@ -91,8 +91,8 @@
         String jobId = null;
         try {
             FieldMap fields = FieldMap.parseCbor(bytes(body));
-            jobId = UserFormat.readJobIdOrNull(fields);
-            JobSpec spec = UserFormat.readSubmission(fields);
+            jobId = JobSpecFormat.readJobIdOrNull(fields);
+            JobSpec spec = JobSpecFormat.readSubmission(fields);
             return new Command.Submit(requestId, jobId, spec, null);
         } catch (IOException e) {
             return new Command.Submit(
--- a/src/main/java/org/shoreusher/wire/UserFormat.java
+++ b/src/main/java/org/shoreusher/wire/JobSpecFormat.java
@@ -15,7 +15,7 @@
  * its team "crew", its tasks "sheets", its image "plate", its priority "urgency", its zone "yard",
  * its machine types "presses", spot machines "loaners", and a checkpoint "proof".
  */
-public final class UserFormat {
+public final class JobSpecFormat {
     private static final String BATCH_SHAPE = "sweep";
     private static final String SERVICE_SHAPE = "service";
 
@@ -26,7 +26,7 @@
     private static final String STORED_SERVICE_FIELD = "kept_up";
 
     /**
-     * The fields that {@link #readDescription} requires, and the one that distinguishes services
+     * The fields that {@link #readStoredSpec} requires, and the one that distinguishes services
      * from batch jobs.
      */
     private static final Set<String> REQUIRED_FIELDS =
@@ -50,7 +50,7 @@
                     "proof_interval_s",
                     "proof_s");
 
-    private UserFormat() {}
+    private JobSpecFormat() {}
 
     /** Decodes only the job id of a submission; null if it is absent. */
     public static String readJobIdOrNull(FieldMap fields) throws FieldMap.InvalidFieldException {
@@ -72,8 +72,8 @@
                 fields, shape.equals(BATCH_SHAPE) ? WorkloadType.BATCH : WorkloadType.SERVICE);
     }
 
-    /** Decodes a stored specification, which {@link #writeDescription} has encoded. */
-    public static JobSpec readDescription(FieldMap fields) throws FieldMap.InvalidFieldException {
+    /** Decodes a stored specification, which {@link #writeStoredSpec} has encoded. */
+    public static JobSpec readStoredSpec(FieldMap fields) throws FieldMap.InvalidFieldException {
         return readSpec(
                 fields,
                 fields.flagOr(STORED_SERVICE_FIELD, false)
@@ -159,15 +159,15 @@
 
     /** Encodes a job for submission; {@link #readSubmission} decodes it. */
     public static Map<String, Object> writeSubmission(JobSpec job) {
-        Map<String, Object> fields = writeDescription(job);
+        Map<String, Object> fields = writeStoredSpec(job);
         if (fields.remove(STORED_SERVICE_FIELD) != null) {
             fields.put("shape", SERVICE_SHAPE);
         }
         return fields;
     }
 
-    /** Encodes a job for the store; {@link #readDescription} decodes it. */
-    public static Map<String, Object> writeDescription(JobSpec job) {
+    /** Encodes a job for the store; {@link #readStoredSpec} decodes it. */
+    public static Map<String, Object> writeStoredSpec(JobSpec job) {
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("name_id", job.id());
         fields.put("queue", job.jobClass());
@@ -203,7 +203,7 @@
 
     /**
      * A copy of a stored specification without the fields that are needed only to start tasks.
-     * {@link #readDescription} can decode it; team, priority and resources are unchanged, while
+     * {@link #readStoredSpec} can decode it; team, priority and resources are unchanged, while
      * class and image are empty.
      */
     public static Map<String, Object> resourcesOnly(Map<String, Object> description) {
--- a/src/test/java/org/shoreusher/core/StoredRecords.java
+++ b/src/test/java/org/shoreusher/core/StoredRecords.java
@@ -107,7 +107,7 @@
     }
 
     /** Returns the value after its record class has read and written it. */
-    public static Map<String, Object> again(String key, Map<String, Object> value) {
+    public static Map<String, Object> roundTrip(String key, Map<String, Object> value) {
         if (key.contains("/done/")) {
             return CompletionRecord.fromMap(value).toMap();
         } else if (key.contains("/begun/")) {
@@ -131,7 +131,7 @@
     }
 
     /** Returns the job description that a job's record contains; null if it contains none. */
-    public static JobSpec description(Map<String, Object> value) {
+    public static JobSpec parseJobSpec(Map<String, Object> value) {
         JobRecord job = JobRecord.fromMap(value);
         return job.specFields() == null ? null : job.parseSpec();
     }
--- a/src/test/java/org/shoreusher/peer/MessageBytes.java
+++ b/src/test/java/org/shoreusher/peer/StandbyMessageCodec.java
@@ -3,16 +3,16 @@
 import org.shoreusher.standby.StandbyMessage;
 
 /** Gives tests of other packages access to the encoding of standby messages. */
-public final class MessageBytes {
-    private MessageBytes() {}
+public final class StandbyMessageCodec {
+    private StandbyMessageCodec() {}
 
     /** Encodes a message as it is sent to another controller. */
-    public static byte[] of(StandbyMessage message) {
+    public static byte[] encode(StandbyMessage message) {
         return StandbyCodec.encode(message);
     }
 
     /** Decodes a message; null if the bytes are not a valid message. */
-    public static StandbyMessage read(byte[] bytes) {
+    public static StandbyMessage decode(byte[] bytes) {
         return StandbyCodec.decode(bytes);
     }
 }
--- a/src/test/java/org/shoreusher/simulation/EffectHash.java
+++ b/src/test/java/org/shoreusher/simulation/EffectHash.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import org.shoreusher.core.message.Effect;
 import org.shoreusher.peer.GossipCodec;
-import org.shoreusher.peer.MessageBytes;
+import org.shoreusher.peer.StandbyMessageCodec;
 import org.shoreusher.wire.CloudFormat;
 import org.shoreusher.wire.FieldMap;
 import org.shoreusher.wire.ResponseFormat;
@@ -59,7 +59,7 @@
             addBytes(gossipCodec.encode(gossip.message()));
         } else if (effect instanceof Effect.SendStandbyMessage standby) {
             beginEffect(STANDBY_MESSAGE, host).putString(standby.host());
-            addBytes(MessageBytes.of(standby.message()));
+            addBytes(StandbyMessageCodec.encode(standby.message()));
         }
     }
 
--- a/src/test/java/org/shoreusher/simulation/OversizedRecordsTest.java
+++ b/src/test/java/org/shoreusher/simulation/OversizedRecordsTest.java
@@ -11,7 +11,7 @@
 import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.wire.FieldMap;
-import org.shoreusher.wire.UserFormat;
+import org.shoreusher.wire.JobSpecFormat;
 
 /**
  * Jobs whose records are longer than the store now allows, since they were accepted under a higher
@@ -46,7 +46,7 @@
         record.put("tasks", 2L);
         record.put("accepted", node.nowMs);
         record.put("begun", 0L);
-        record.put("spec", UserFormat.writeDescription(oversizedJob()));
+        record.put("spec", JobSpecFormat.writeStoredSpec(oversizedJob()));
         assertTrue(FieldMap.jsonLength(record) > MAX_VALUE_BYTES);
         node.store().putDirectly("job/" + JOB_ID, record);
     }
@@ -88,7 +88,7 @@
         assertEquals("aborted", node.pollStatus(JOB_ID));
         Map<String, Object> record = node.store().value("job/" + JOB_ID);
         assertTrue(FieldMap.jsonLength(record) <= MAX_VALUE_BYTES);
-        JobSpec storedSpec = UserFormat.readDescription(new FieldMap(record).map("spec"));
+        JobSpec storedSpec = JobSpecFormat.readStoredSpec(new FieldMap(record).map("spec"));
         assertEquals("team-0", storedSpec.team());
         assertEquals(2.0, storedSpec.cpus());
     }
--- a/src/test/java/org/shoreusher/simulation/PreviousVersionFormatsTest.java
+++ b/src/test/java/org/shoreusher/simulation/PreviousVersionFormatsTest.java
@@ -23,7 +23,7 @@
 import org.shoreusher.peer.GossipCodec;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.wire.FieldMap;
-import org.shoreusher.wire.UserFormat;
+import org.shoreusher.wire.JobSpecFormat;
 
 /**
  * A node continues from records of the version before services under various limits of the store,
@@ -181,7 +181,7 @@
         node.store()
                 .valuesWithPrefix("")
                 .forEach(PreviousVersionFormatsTest::assertReadByPreviousVersion);
-        assertEquals(service, readDescription(node, service.id()));
+        assertEquals(service, readStoredSpec(node, service.id()));
     }
 
     private static void assertReadByPreviousVersion(String key, Map<String, Object> value) {
@@ -233,9 +233,9 @@
     }
 
     @SuppressWarnings("unchecked")
-    private static JobSpec readDescription(SingleNodeSimulation node, String id) {
+    private static JobSpec readStoredSpec(SingleNodeSimulation node, String id) {
         try {
-            return UserFormat.readDescription(
+            return JobSpecFormat.readStoredSpec(
                     new FieldMap(
                             (Map<String, Object>) node.store().value("job/" + id).get("spec")));
         } catch (FieldMap.InvalidFieldException exception) {
@@ -279,7 +279,7 @@
                         "begun",
                         0L,
                         "spec",
-                        UserFormat.writeDescription(unconstrainedService("wk-000020"))));
+                        JobSpecFormat.writeStoredSpec(unconstrainedService("wk-000020"))));
         node.writeToStore(
                 "part/0",
                 Map.of(
--- a/src/test/java/org/shoreusher/simulation/PreviousVersionJobs.java
+++ b/src/test/java/org/shoreusher/simulation/PreviousVersionJobs.java
@@ -10,7 +10,7 @@
 import org.shoreusher.core.JobSpecBuilder;
 import org.shoreusher.core.message.JobSpec;
 import org.shoreusher.wire.FieldMap;
-import org.shoreusher.wire.UserFormat;
+import org.shoreusher.wire.JobSpecFormat;
 
 /**
  * Writes job records as a node of the previous version does, which has no services: it accepts,
@@ -48,7 +48,7 @@
             record.put("tasks", (long) spec.taskCount());
             record.put("accepted", PreviousVersionLeader.WALL_CLOCK_START_MS + simulation.nowMs);
             record.put("begun", 0L);
-            record.put("spec", UserFormat.writeDescription(spec));
+            record.put("spec", JobSpecFormat.writeStoredSpec(spec));
             preconditions.put("job/" + spec.id(), 0L);
             records.put(spec.id(), record);
             jobs.add(new SimulatedUsers.SimulatedJob(spec, false, 2_000));
@@ -127,7 +127,7 @@
                 id,
                 job.spec.taskCount(),
                 "CANCELLED",
-                UserFormat.writeDescription(job.spec),
+                JobSpecFormat.writeStoredSpec(job.spec),
                 status -> {
                     if (status == 200 && !job.doneConfirmed) {
                         job.cancelConfirmed = true;
--- a/src/test/java/org/shoreusher/simulation/RecordedFormats.java
+++ b/src/test/java/org/shoreusher/simulation/RecordedFormats.java
@@ -13,7 +13,7 @@
 import org.shoreusher.core.message.Effect.CloudOperation;
 import org.shoreusher.core.message.GossipMessage;
 import org.shoreusher.peer.GossipCodec;
-import org.shoreusher.peer.MessageBytes;
+import org.shoreusher.peer.StandbyMessageCodec;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.settings.SettingsBuilder;
 import org.shoreusher.standby.Attempt;
@@ -163,7 +163,9 @@
                         (name, message) ->
                                 hexByName.put(name, hex(new GossipCodec().encode(message))));
         standbyMessages()
-                .forEach((name, message) -> hexByName.put(name, hex(MessageBytes.of(message))));
+                .forEach(
+                        (name, message) ->
+                                hexByName.put(name, hex(StandbyMessageCodec.encode(message))));
         return hexByName;
     }
 
--- a/src/test/java/org/shoreusher/simulation/RecordedFormatsTest.java
+++ b/src/test/java/org/shoreusher/simulation/RecordedFormatsTest.java
@@ -11,7 +11,7 @@
 import org.shoreusher.core.StoredRecords;
 import org.shoreusher.core.message.GossipMessage;
 import org.shoreusher.peer.GossipCodec;
-import org.shoreusher.peer.MessageBytes;
+import org.shoreusher.peer.StandbyMessageCodec;
 import org.shoreusher.standby.StandbyMessage;
 import org.shoreusher.wire.FieldMap;
 
@@ -52,7 +52,7 @@
                                         encodedHex(key, value),
                                         encodedHex(
                                                 key,
-                                                StoredRecords.again(
+                                                StoredRecords.roundTrip(
                                                         key, RecordedFormats.asMap(value)))));
     }
 
@@ -64,8 +64,8 @@
         for (String key :
                 samples.keySet().stream().filter(name -> name.startsWith("job/")).toList()) {
             assertEquals(
-                    StoredRecords.description(samples.get(key)),
-                    StoredRecords.description(RecordedFormats.asMap(recorded.get(key))),
+                    StoredRecords.parseJobSpec(samples.get(key)),
+                    StoredRecords.parseJobSpec(RecordedFormats.asMap(recorded.get(key))),
                     key);
         }
     }
@@ -106,10 +106,10 @@
         for (Map.Entry<String, StandbyMessage> entry :
                 RecordedFormats.standbyMessages().entrySet()) {
             String hex = (String) recorded.get(entry.getKey());
-            StandbyMessage read = MessageBytes.read(HexFormat.of().parseHex(hex));
+            StandbyMessage read = StandbyMessageCodec.decode(HexFormat.of().parseHex(hex));
             assertNotNull(read, entry.getKey());
             assertEquals(entry.getValue(), read);
-            assertEquals(hex, RecordedFormats.hex(MessageBytes.of(read)));
+            assertEquals(hex, RecordedFormats.hex(StandbyMessageCodec.encode(read)));
         }
     }
 }
--- a/src/test/java/org/shoreusher/simulation/SingleNodeSimulation.java
+++ b/src/test/java/org/shoreusher/simulation/SingleNodeSimulation.java
@@ -21,7 +21,7 @@
 import org.shoreusher.settings.Features;
 import org.shoreusher.settings.Settings;
 import org.shoreusher.simulation.ClusterSimulation.InjectedDefect;
-import org.shoreusher.wire.UserFormat;
+import org.shoreusher.wire.JobSpecFormat;
 
 /** A single core with a store, which a test drives command by command. */
 final class SingleNodeSimulation {
@@ -227,7 +227,7 @@
                         "begun",
                         0L,
                         "spec",
-                        UserFormat.writeSubmission(batchSpec(id, tasks, 2, false))));
+                        JobSpecFormat.writeSubmission(batchSpec(id, tasks, 2, false))));
     }
 
     /**
@@ -281,7 +281,7 @@
                         "begun",
                         1L,
                         "spec",
-                        UserFormat.writeSubmission(batchSpec(id, 2, 2, singleZone))));
+                        JobSpecFormat.writeSubmission(batchSpec(id, 2, 2, singleZone))));
     }
 
     /** Stores an open job with this number of tasks, any of which may have been started. */
@@ -306,7 +306,7 @@
                         "accepted",
                         nowMs,
                         "spec",
-                        UserFormat.writeSubmission(spec)));
+                        JobSpecFormat.writeSubmission(spec)));
     }
 
     private static JobSpec batchSpec(String id, int tasks, double cpus, boolean singleZone) {
--- a/src/test/java/org/shoreusher/wire/FormatsTest.java
+++ b/src/test/java/org/shoreusher/wire/FormatsTest.java
@@ -70,11 +70,12 @@
     @Property(tries = 500, seed = "3")
     void corruptedSubmissionIsDecodedOrRejected(
             @ForAll("jobs") JobSpec job, @ForAll int position, @ForAll byte value) {
-        byte[] bytes = FieldMap.toCbor(UserFormat.writeSubmission(job));
+        byte[] bytes = FieldMap.toCbor(JobSpecFormat.writeSubmission(job));
         bytes[Math.floorMod(position, bytes.length)] = value;
         try {
             assertTrue(
-                    JobSpec.isValidId(UserFormat.readSubmission(FieldMap.parseCbor(bytes)).id()));
+                    JobSpec.isValidId(
+                            JobSpecFormat.readSubmission(FieldMap.parseCbor(bytes)).id()));
         } catch (IOException | FieldMap.InvalidFieldException exception) {
             assertTrue(exception.getMessage() != null);
         }
@@ -121,8 +122,8 @@
             throws IOException, FieldMap.InvalidFieldException {
         assertEquals(
                 job,
-                UserFormat.readSubmission(
-                        FieldMap.parseCbor(FieldMap.toCbor(UserFormat.writeSubmission(job)))));
+                JobSpecFormat.readSubmission(
+                        FieldMap.parseCbor(FieldMap.toCbor(JobSpecFormat.writeSubmission(job)))));
     }
 
     @Example
@@ -146,12 +147,13 @@
                         -1.0);
         invalidValues.forEach(
                 (field, value) -> {
-                    Map<String, Object> map = new LinkedHashMap<>(UserFormat.writeSubmission(job));
+                    Map<String, Object> map =
+                            new LinkedHashMap<>(JobSpecFormat.writeSubmission(job));
                     map.put(field, value);
                     FieldMap.InvalidFieldException exception =
                             assertThrows(
                                     FieldMap.InvalidFieldException.class,
-                                    () -> UserFormat.readSubmission(new FieldMap(map)));
+                                    () -> JobSpecFormat.readSubmission(new FieldMap(map)));
                     assertTrue(exception.getMessage().contains(field), exception.getMessage());
                 });
     }
@@ -163,7 +165,7 @@
     @Example
     void requiresEveryNonNullableField() {
         Map<String, Object> complete =
-                UserFormat.writeSubmission(
+                JobSpecFormat.writeSubmission(
                         new JobSpecBuilder("wk-1")
                                 .team("team")
                                 .priority(JobSpec.Priority.LOW)
@@ -184,11 +186,12 @@
                 Map<String, Object> map = new LinkedHashMap<>(complete);
                 map.put(field, value);
                 if (value == null && List.of("presses", "yard", "due_s").contains(field)) {
-                    assertDoesNotThrow(() -> UserFormat.readSubmission(new FieldMap(map)), field);
+                    assertDoesNotThrow(
+                            () -> JobSpecFormat.readSubmission(new FieldMap(map)), field);
                 } else {
                     assertThrows(
                             FieldMap.InvalidFieldException.class,
-                            () -> UserFormat.readSubmission(new FieldMap(map)),
+                            () -> JobSpecFormat.readSubmission(new FieldMap(map)),
                             field + " " + value);
                 }
             }
