--- a/src/main/java/org/shoreusher/core/store/JobRecord.java
+++ b/src/main/java/org/shoreusher/core/store/JobRecord.java
@@ -15,8 +15,8 @@
  * @param status the job's status
  * @param taskCount the number of tasks
  * @param acceptedWallMs when the job was accepted, in wall-clock ms
- * @param highWaterMark 0 for a job whose high-water mark is in a {@link HighWaterMarkRecord}. In
- *     records from before those existed, this is the mark: no task with this index or a higher one
+ * @param highWaterMark 0 for a job whose high-water mark is in a {@link HighWaterMarkRecord}.
+ *     Versions without those records stored the mark here: no task with this index or a higher one
  *     had ever been started when the record was written
  * @param specFields the fields of the job's description; null for a completed job
  */
@@ -32,7 +32,7 @@
         try {
             FieldMap fields = new FieldMap(value);
             int taskCount = (int) fields.integer("tasks");
-            // A record without the field is from before high-water marks, so any task of the job
+            // Versions without high-water marks did not write this field, so any task of the job
             // may have been started.
             int highWaterMark = fields.has("begun") ? (int) fields.integer("begun") : taskCount;
             return new JobRecord(
--- a/src/main/java/org/shoreusher/core/store/LinearizableReads.java
+++ b/src/main/java/org/shoreusher/core/store/LinearizableReads.java
@@ -47,7 +47,7 @@
     private final List<PendingRead> pendingReads = new ArrayList<>();
     private final List<ReadAwaitingRevision> awaitingRevision = new ArrayList<>();
     private int batchesInFlight;
-    private int singleReadsInFlight;
+    private int individualReadsInFlight;
 
     /**
      * Creates an instance without pending reads.
@@ -78,7 +78,7 @@
 
     /** Returns how many reads are pending. */
     public int pendingCount() {
-        return singleReadsInFlight + pendingReads.size() + awaitingRevision.size();
+        return individualReadsInFlight + pendingReads.size() + awaitingRevision.size();
     }
 
     /**
@@ -232,16 +232,16 @@
         if (rejectIfOverloaded.test(read.requestId())) {
             return;
         }
-        singleReadsInFlight++;
+        individualReadsInFlight++;
         boolean sent =
                 outbox.callStoreForUser(
                         new StoreOperation.Get(StoreSchema.jobKey(read.jobId())),
                         reply -> {
-                            singleReadsInFlight--;
+                            individualReadsInFlight--;
                             onRecordRead(reply, read);
                         });
         if (!sent) {
-            singleReadsInFlight--;
+            individualReadsInFlight--;
             outbox.respondUnavailable(read.requestId());
         }
     }
--- a/src/main/java/org/shoreusher/core/store/Outbox.java
+++ b/src/main/java/org/shoreusher/core/store/Outbox.java
@@ -172,9 +172,9 @@
     }
 
     /**
-     * Returns whether the key-value store is unavailable: the latest call failed, and the last
-     * successful one is longer ago than the call timeout. A call fails if it gets a 503 or no
-     * reply. Also true before the first reply.
+     * Returns whether the key-value store is unavailable: the latest call got a 503 or no reply,
+     * and the last other reply is longer ago than the call timeout. Also true before the first
+     * reply.
      */
     public boolean isStoreUnavailable() {
         return storeHealth.isUnavailable(now.monotonicMs());
--- a/src/main/java/org/shoreusher/core/store/PageLoad.java
+++ b/src/main/java/org/shoreusher/core/store/PageLoad.java
@@ -7,8 +7,8 @@
 
 /**
  * One load of the whole store, page by page. The pages are read at different revisions, so changes
- * after the revision of the first page may be missing. They are read by a watch that starts at that
- * revision.
+ * after the revision of the first page may be missing. A watch that starts at that revision then
+ * reads those changes.
  */
 final class PageLoad {
     private final TreeMap<String, StoreCache.Entry> entries = new TreeMap<>();
--- a/src/main/java/org/shoreusher/core/store/RateLimits.java
+++ b/src/main/java/org/shoreusher/core/store/RateLimits.java
@@ -13,7 +13,7 @@
  */
 final class RateLimits {
     private final TokenBucket storeCalls;
-    private final TokenBucket renewals;
+    private final TokenBucket leaseCalls;
     private final TokenBucket leaderWrites;
     private final TokenBucket userWrites;
     private final TokenBucket cloudCalls;
@@ -26,7 +26,7 @@
      */
     RateLimits(Settings settings, int shardCount) {
         double callsPerS = usable(settings.storeRequestsPerS()) / settings.nodeCount();
-        double renewalsPerS = callsPerS * StoreConstants.LEASE_RENEWAL_REQUEST_SHARE;
+        double leaseCallsPerS = callsPerS * StoreConstants.LEASE_RENEWAL_REQUEST_SHARE;
         double leaderWritesPerS = leaderWritesPerS(settings, shardCount);
         double userWritesPerS = usable(settings.storeWritesPerS()) / settings.nodeCount();
         int leaders = maxLeaders(settings, shardCount);
@@ -34,10 +34,10 @@
                 new TokenBucket(
                         callsPerS * (1 - StoreConstants.LEASE_RENEWAL_REQUEST_SHARE),
                         callsPerS / 2);
-        renewals =
+        leaseCalls =
                 new TokenBucket(
-                        Math.max(StoreConstants.MIN_LEASE_RENEWALS_PER_S, renewalsPerS),
-                        Math.max(StoreConstants.MIN_LEASE_RENEWAL_BURST, renewalsPerS));
+                        Math.max(StoreConstants.MIN_LEASE_RENEWALS_PER_S, leaseCallsPerS),
+                        Math.max(StoreConstants.MIN_LEASE_RENEWAL_BURST, leaseCallsPerS));
         leaderWrites = new TokenBucket(leaderWritesPerS, leaderWritesPerS);
         userWrites = new TokenBucket(userWritesPerS, userWritesPerS);
         cloudCalls =
@@ -88,7 +88,7 @@
      * wait instead.
      */
     boolean tryAcquireForLease(CompareAndSwap operation, long nowMs) {
-        if (!renewals.tryAcquire(1, nowMs)) {
+        if (!leaseCalls.tryAcquire(1, nowMs)) {
             return false;
         }
         leaderWrites.overdraw(operation.writes().size(), nowMs);
--- a/src/main/java/org/shoreusher/core/store/StoreCache.java
+++ b/src/main/java/org/shoreusher/core/store/StoreCache.java
@@ -56,7 +56,7 @@
 
     private boolean loading = true;
     private boolean loaded;
-    private boolean requestInFlight;
+    private boolean callInFlight;
     private PageLoad pageLoad = new PageLoad();
     private long revision;
 
@@ -64,7 +64,7 @@
     private long requiredRevision;
 
     private long completeAtMs = StoreHealth.NEVER_MS;
-    private long nextRequestMs;
+    private long nextCallMs;
 
     /**
      * Creates an empty cache; {@link #step} loads it.
@@ -195,12 +195,12 @@
         }
     }
 
-    /** Requests the next page or the next watch when it is due. */
+    /** Calls the store for the next page or the next watch when it is due. */
     public void step() {
-        if (requestInFlight || outbox.now().monotonicMs() < nextRequestMs) {
+        if (callInFlight || outbox.now().monotonicMs() < nextCallMs) {
             return;
         }
-        long sentAt = outbox.now().monotonicMs();
+        long sentAtMs = outbox.now().monotonicMs();
         StoreOperation operation =
                 loading
                         ? new StoreOperation.Page(pageLoad.lastKey())
@@ -209,13 +209,13 @@
                                 loaded && revision >= requiredRevision
                                         ? StoreConstants.WATCH_LONG_POLL_MS
                                         : 0);
-        requestInFlight =
+        callInFlight =
                 outbox.callStore(
                         operation,
                         reply -> {
-                            requestInFlight = false;
+                            callInFlight = false;
                             try {
-                                onReply(reply, sentAt);
+                                onReply(reply, sentAtMs);
                             } catch (FieldMap.InvalidFieldException invalid) {
                                 outbox.log(
                                         LogEvent.of(LogEventType.STORE_REPLY_INVALID)
@@ -226,7 +226,7 @@
                         });
     }
 
-    private void onReply(StoreReply reply, long sentAt) throws FieldMap.InvalidFieldException {
+    private void onReply(StoreReply reply, long sentAtMs) throws FieldMap.InvalidFieldException {
         if (reply.status() == ReplyStatus.GONE) {
             reload();
         } else if (reply.status() != ReplyStatus.OK) {
@@ -234,7 +234,7 @@
         } else if (loading) {
             onPage(new FieldMap(reply.body()));
         } else {
-            onChanges(new FieldMap(reply.body()), sentAt);
+            onChanges(new FieldMap(reply.body()), sentAtMs);
         }
     }
 
@@ -247,7 +247,7 @@
         scheduleRetry();
     }
 
-    private void onChanges(FieldMap body, long sentAt) throws FieldMap.InvalidFieldException {
+    private void onChanges(FieldMap body, long sentAtMs) throws FieldMap.InvalidFieldException {
         for (StoreFormat.Entry change : StoreFormat.readChanges(body)) {
             apply(change.key(), change.value(), change.version());
         }
@@ -256,12 +256,12 @@
                 .object2LongEntrySet()
                 .removeIf(removal -> removal.getLongValue() <= revision);
         if (revision >= requiredRevision) {
-            // The reply contains every change up to the time of the request, so the cache is
+            // The reply contains every change up to the time of the call, so the cache is
             // complete up to that time.
-            completeAtMs = sentAt;
+            completeAtMs = sentAtMs;
             loaded = true;
         }
-        nextRequestMs = outbox.now().monotonicMs() + watchIntervalMs;
+        nextCallMs = outbox.now().monotonicMs() + watchIntervalMs;
     }
 
     private void onPage(FieldMap body) throws FieldMap.InvalidFieldException {
@@ -294,6 +294,6 @@
     }
 
     private void scheduleRetry() {
-        nextRequestMs = outbox.now().monotonicMs() + StoreConstants.STORE_RETRY_MS;
+        nextCallMs = outbox.now().monotonicMs() + StoreConstants.STORE_RETRY_MS;
     }
 }
--- a/src/main/java/org/shoreusher/core/store/StoreConstants.java
+++ b/src/main/java/org/shoreusher/core/store/StoreConstants.java
@@ -18,12 +18,12 @@
      */
     public static final long WATCH_LONG_POLL_MS = 2_000;
 
-    /** ms; shortest interval between watches, so that a burst of changes costs one request. */
+    /** ms; shortest interval between watches, so that a burst of changes costs one call. */
     static final long MIN_WATCH_INTERVAL_MS = 40;
 
     /**
-     * Share of a node's store request rate that its watch may use. At 22 requests a second that is
-     * one every 130 ms.
+     * Share of a node's rate of store calls that its watch may use. At 22 calls a second that is
+     * one watch every 130 ms.
      */
     static final double WATCH_REQUEST_SHARE = 0.35;
 
@@ -42,15 +42,21 @@
     /** Share of the rate limits of the store and the cloud that all nodes together may use. */
     public static final double RATE_LIMIT_USE_SHARE = 0.9;
 
-    /** Share of a node's store request rate that is reserved for lease renewals. */
+    /**
+     * Share of a node's rate of store calls that is reserved for leaders' leases, mostly for
+     * renewals.
+     */
     static final double LEASE_RENEWAL_REQUEST_SHARE = 0.1;
 
     /**
-     * Lease renewals per second that a node may always send, however low its store request rate is.
+     * Calls for leaders' leases per second that a node may always send, however low its rate of
+     * store calls is.
      */
     static final double MIN_LEASE_RENEWALS_PER_S = 2;
 
-    /** Lease renewals that a node may always send in one burst, however low that rate is. */
+    /**
+     * Calls for leaders' leases that a node may always send in one burst, however low that rate is.
+     */
     static final double MIN_LEASE_RENEWAL_BURST = 4;
 
     /**
@@ -60,8 +66,8 @@
     static final double LEADER_WRITE_SHARE = 0.8;
 
     /**
-     * Bytes; lowest value size limit at which up to a hundred machines share a record, which take
-     * up to 4,000 bytes. With a lower limit, up to ten machines do.
+     * Bytes; lowest value size limit at which up to a hundred machines share a record. They take up
+     * to 4,000 bytes. With a lower limit, up to ten machines share one.
      */
     public static final int WIDE_GROUP_MIN_VALUE_BYTES = 6_000;
 
--- a/src/main/java/org/shoreusher/core/store/StoreHealth.java
+++ b/src/main/java/org/shoreusher/core/store/StoreHealth.java
@@ -8,30 +8,30 @@
     /** A time longer ago than any timeout, which does not overflow when it is subtracted. */
     static final long NEVER_MS = Long.MIN_VALUE / 2;
 
-    private long answeredAtMs = NEVER_MS;
-    private long failedAtMs = NEVER_MS;
+    private long lastReplyAtMs = NEVER_MS;
+    private long lastFailureAtMs = NEVER_MS;
 
     /** Records the status of a reply, or {@link ReplyStatus#NO_REPLY} if there was none. */
     void onReply(int status, long nowMs) {
-        // A 429 shows that the store is available; only a missing reply and a 503 count as
-        // failures.
+        // Only a missing reply or a 503 is a failure: a 429 shows that the store is available.
         if (status == ReplyStatus.NO_REPLY || status == ReplyStatus.SERVICE_UNAVAILABLE) {
-            failedAtMs = nowMs;
+            lastFailureAtMs = nowMs;
         } else {
-            answeredAtMs = nowMs;
+            lastReplyAtMs = nowMs;
         }
     }
 
     /** Returns the ms since the last reply other than 503; very large if there was none. */
     long sinceReplyMs(long nowMs) {
-        return nowMs - answeredAtMs;
+        return nowMs - lastReplyAtMs;
     }
 
     /**
-     * Returns whether the store is unavailable: the latest call failed, and the last successful one
-     * is longer ago than the call timeout. Also true before the first reply.
+     * Returns whether the store is unavailable: the latest call failed, and the last reply other
+     * than 503 is longer ago than the call timeout. Also true before the first reply.
      */
     boolean isUnavailable(long nowMs) {
-        return failedAtMs >= answeredAtMs && sinceReplyMs(nowMs) > SharedConstants.STORE_TIMEOUT_MS;
+        return lastFailureAtMs >= lastReplyAtMs
+                && sinceReplyMs(nowMs) > SharedConstants.STORE_TIMEOUT_MS;
     }
 }
--- a/src/main/java/org/shoreusher/core/store/VersionNegotiation.java
+++ b/src/main/java/org/shoreusher/core/store/VersionNegotiation.java
@@ -16,9 +16,9 @@
 /**
  * Determines which stored formats every member supports, so that a rolling upgrade is safe. Each
  * process of this version writes a version record under a key of its host, with the formats that it
- * supports and its process name. Versions from before version records write none. During an upgrade
- * both versions run side by side, and a process that crashes before it was upgraded restarts in the
- * old version.
+ * supports and its process name. Older versions write no version record. During an upgrade both
+ * versions run side by side, and a process that crashes before its upgrade restarts with the old
+ * version.
  *
  * <p>The version record alone does not show that a member was downgraded after writing it. The
  * downgrade is detected when the member becomes the leader of a shard: the shard's fencing key is
@@ -54,7 +54,7 @@
     private long nextWriteMs;
 
     /**
-     * The hosts of the members, possibly of this node too, that are not known to support services;
+     * The hosts, possibly including the one of this node, that are not known to support services;
      * null if a version record or a fencing key has changed since they were determined.
      */
     private List<String> membersWithoutServices;
@@ -220,15 +220,16 @@
         if (!hasCurrentVersionRecord()) {
             return;
         }
-        List<String> membersLacking = membersWithoutServices();
-        if (membersLacking.equals(loggedMembersWithoutServices)) {
+        List<String> withoutServices = membersWithoutServices();
+        if (withoutServices.equals(loggedMembersWithoutServices)) {
             return;
         }
-        loggedMembersWithoutServices = membersLacking;
-        if (membersLacking.isEmpty()) {
+        loggedMembersWithoutServices = withoutServices;
+        if (withoutServices.isEmpty()) {
             outbox.log(LogEvent.of(LogEventType.SERVICES_ENABLED));
         } else {
-            outbox.log(LogEvent.of(LogEventType.SERVICES_DISABLED).with("members", membersLacking));
+            outbox.log(
+                    LogEvent.of(LogEventType.SERVICES_DISABLED).with("members", withoutServices));
         }
     }
 }
