--- a/src/main/java/org/shoreusher/core/leadership/CompletionSnapshot.java
+++ b/src/main/java/org/shoreusher/core/leadership/CompletionSnapshot.java
@@ -11,8 +11,8 @@
     Map<String, Object> completedRanges(int recordIndex);
 
     /**
-     * Must be called after the store has confirmed a write of these records: marks those completed
-     * tasks of the snapshot as durable that the stored records contain.
+     * Must be called after the store has confirmed a write of these records: marks as durable the
+     * completed tasks that are in both the snapshot and the stored records.
      */
     void markDurable();
 }
--- a/src/main/java/org/shoreusher/core/leadership/LeaderLease.java
+++ b/src/main/java/org/shoreusher/core/leadership/LeaderLease.java
@@ -30,9 +30,9 @@
      * Returns for how many ms after the expiry of its lease a leader may still answer heartbeats,
      * without orders, so that the workers' leases do not expire as well during an outage of the
      * key-value store. A cancellation that has not reached the leader must still take effect in
-     * time, so the grace period is what the time limit of a cancellation leaves after the leader's
+     * time, so the grace period is the time limit of a cancellation minus the sum of the leader's
      * lease, a third of the maximum age of the store cache, the bound on the worker's lease, and
-     * twice the clock offset bound. It is 0 if nothing is left, and at most {@link
+     * twice the clock offset bound. It is at least 0 and at most {@link
      * LeadershipConstants#MAX_GRACE_PERIOD_MS}.
      */
     static long gracePeriodMs(Settings settings) {
@@ -46,8 +46,8 @@
     }
 
     /**
-     * Returns the age in ms that the store cache must not reach if heartbeats are to be answered,
-     * whatever the state of the leader's lease.
+     * Returns the age of the store cache, in ms, from which on heartbeats may no longer be
+     * answered, whatever the state of the leader's lease.
      *
      * <p>A cancellation that is missing from the cache was confirmed to its user after the time at
      * which the cache was last complete. The time from then until the task has stopped is at most
@@ -69,8 +69,8 @@
      * Returns the ms that a leader's lease lasts without renewal: a fixed time, but limited to a
      * share of the workers' leases, so that a successor can answer the workers before their leases
      * expire. With worker leases of 10 s, a leader's lease of 9 s made every crash of a leader stop
-     * its tasks. The lease is at least a multiple of the margin that the leader and a successor
-     * keep at its end, unless that exceeds the fixed time.
+     * the tasks of its shards. The lease is at least a multiple of the margin that the leader and a
+     * successor keep at its end, unless that exceeds the fixed time.
      */
     public static long durationMs(Settings settings) {
         double workerLeaseShareMs =
--- a/src/main/java/org/shoreusher/core/leadership/LeadershipAcquisition.java
+++ b/src/main/java/org/shoreusher/core/leadership/LeadershipAcquisition.java
@@ -45,13 +45,13 @@
     private final LedShards ledShards;
     private final Consumer<AcquiredLeadership> onAcquired;
     private final int firstCandidate;
-    private boolean requestInFlight;
+    private boolean callInFlight;
     private long nextTryMs;
 
     /**
      * Creates the acquisition; {@link #step} tries to acquire shards.
      *
-     * @param context the node's shared collaborators
+     * @param context the objects that all parts of the node share
      * @param processName the name of this process, HOST/SUFFIX
      * @param shardCount the number of shards
      * @param peerView information from gossip about other nodes
@@ -100,12 +100,12 @@
     /** Tries to acquire at most one shard that has no leader. */
     public void step() {
         if (!storeCache.isLoaded()
-                || requestInFlight
+                || callInFlight
                 || storeCache.ageMs() > LeadershipConstants.MAX_STORE_CACHE_AGE_MS
                 || outbox.now().monotonicMs() < nextTryMs) {
             return;
         }
-        for (int offset = 0; offset < shardCount && !requestInFlight; offset++) {
+        for (int offset = 0; offset < shardCount && !callInFlight; offset++) {
             int shardNumber = (firstCandidate + offset) % shardCount;
             ShardRecord record = ShardRecord.in(storeCache, shardNumber);
             vacancies.update(shardNumber, record, ledShards.isLed(shardNumber));
@@ -137,11 +137,11 @@
     }
 
     private void copyCompletions(CompareAndSwap copy) {
-        requestInFlight =
+        callInFlight =
                 outbox.callStoreForLease(
                         copy,
                         reply -> {
-                            requestInFlight = false;
+                            callInFlight = false;
                             if (reply.status() == ReplyStatus.OK) {
                                 storeCache.applyOwnWrites(reply, copy.writes());
                                 pause(0);
@@ -161,11 +161,11 @@
                         completedRanges,
                         null);
         CompareAndSwap write = acquisitionWrite(shardNumber, record);
-        requestInFlight =
+        callInFlight =
                 outbox.callStoreForLease(
                         write,
                         reply -> {
-                            requestInFlight = false;
+                            callInFlight = false;
                             if (reply.status() == ReplyStatus.OK) {
                                 ShardLeadership leadership =
                                         new ShardLeadership(
@@ -214,8 +214,7 @@
 
     private void onFailure(StoreReply reply, int shardNumber, ShardRecord previousRecord) {
         if (reply.status() == ReplyStatus.CONFLICT) {
-            // Another node has acquired this shard, or has raised the term counter for another
-            // shard.
+            // Another node has acquired this shard, or raised the term counter for another one.
             pause(LeadershipConstants.ACQUISITION_CONFLICT_RETRY_MS);
         } else if (previousRecord != null && previousRecord.standby() != null) {
             // During an outage of the store the standby could not acquire the shard either, so its
--- a/src/main/java/org/shoreusher/core/leadership/LeadershipConstants.java
+++ b/src/main/java/org/shoreusher/core/leadership/LeadershipConstants.java
@@ -29,7 +29,7 @@
 
     /**
      * ms; longest time after the expiry of its lease for which a leader still extends its workers'
-     * leases. A successor may have to wait for unresponsive machines longer by up to this time.
+     * leases. This may prolong a successor's wait for unresponsive machines by as much.
      */
     static final long MAX_GRACE_PERIOD_MS = SharedConstants.LEADER_LEASE_MS;
 
--- a/src/main/java/org/shoreusher/core/leadership/NamedStandby.java
+++ b/src/main/java/org/shoreusher/core/leadership/NamedStandby.java
@@ -36,8 +36,10 @@
     }
 
     /**
-     * Must be called when the store has confirmed a version of the record that contains this name
-     * and is later than that in the precondition of every earlier write; null for none.
+     * Must be called when the store has confirmed a version of the record that is later than the
+     * one in the precondition of each earlier write.
+     *
+     * @param standbyProcess the name that this version contains; null if none
      */
     void onRecordConfirmed(String standbyProcess) {
         stored = standbyProcess;
--- a/src/main/java/org/shoreusher/core/leadership/ShardAuthority.java
+++ b/src/main/java/org/shoreusher/core/leadership/ShardAuthority.java
@@ -18,7 +18,7 @@
     /**
      * Creates the authority of a shard whose leadership was acquired.
      *
-     * @param context the node's shared collaborators
+     * @param context the objects that all parts of the node share
      * @param peerView information from gossip about other nodes
      * @param leadership the acquired leadership
      * @param progress the progress of reconciliation
--- a/src/main/java/org/shoreusher/core/leadership/ShardRecordWriter.java
+++ b/src/main/java/org/shoreusher/core/leadership/ShardRecordWriter.java
@@ -13,8 +13,8 @@
 
 /**
  * Writes the record of a shard for its leader. The versions of the fencing key and of the record
- * are preconditions of each write, so writes are sent one at a time: after the first had been
- * applied, the precondition of a second one on the record's version would fail.
+ * are preconditions of each write, so writes are sent one at a time: once the first of two writes
+ * is applied, the record has a later version than the precondition of the second one requires.
  */
 final class ShardRecordWriter {
     private final String shardKey;
