--- a/src/main/java/org/shoreusher/core/CoreConstants.java
+++ b/src/main/java/org/shoreusher/core/CoreConstants.java
@@ -11,8 +11,8 @@
     static final double TEAM_AFFINITY_WEIGHT = 3;
 
     /**
-     * Share of a shard's running machines whose workers must have contacted other nodes before the
-     * leader steps down. A partitioned zone has about half of the machines.
+     * Share of a shard's machines in state {@code UP} whose workers must have contacted other nodes
+     * before the leader steps down. A partitioned zone has about half of the machines.
      */
     static final double STEP_DOWN_UNREACHABLE_SHARE = 0.6;
 
--- a/src/main/java/org/shoreusher/core/HeartbeatRouter.java
+++ b/src/main/java/org/shoreusher/core/HeartbeatRouter.java
@@ -48,7 +48,7 @@
         ShardRecord shardRecord = storeCache.isLoaded() ? shards.shardRecord(shardNumber) : null;
         if (shardRecord == null) {
             outbox.respondUnavailable(command.requestId());
-        } else if (isLeaderLost(shardRecord)) {
+        } else if (needsFailover(shardRecord)) {
             redirectUntilFailover(command.requestId(), shardRecord);
         } else {
             redirectToLeader(command, shardNumber, shardRecord);
@@ -68,8 +68,11 @@
         return shard == null ? shards.shardByHash(machineId) : shard.state().shardNumber();
     }
 
-    /** Returns whether the leader is a previous process of this host or is suspected to be down. */
-    private boolean isLeaderLost(ShardRecord shardRecord) {
+    /**
+     * Returns whether the shard needs another leader: the recorded one is a previous process of
+     * this host, or is suspected to be down.
+     */
+    private boolean needsFailover(ShardRecord shardRecord) {
         return shardRecord.leaderHost().equals(settings.host())
                 || peerGossip.isSuspectedDown(shardRecord);
     }
--- a/src/main/java/org/shoreusher/core/Node.java
+++ b/src/main/java/org/shoreusher/core/Node.java
@@ -32,7 +32,7 @@
 public final class Node {
     private final Outbox outbox;
     private final StoreCache storeCache;
-    private final MachineTypeCatalog machineTypes;
+    private final MachineTypeCatalog typeCatalog;
     private final VersionNegotiation versionNegotiation;
     private final Shards shards;
     private final UserRequests userRequests;
@@ -55,14 +55,14 @@
         outbox = new Outbox(settings, shardCount);
         storeCache = new StoreCache(outbox, settings, this::onStoreChange);
         SubmissionBatches submissionBatches = new SubmissionBatches(settings, outbox, storeCache);
-        machineTypes = new MachineTypeCatalog(settings, outbox, storeCache);
+        typeCatalog = new MachineTypeCatalog(settings, outbox, storeCache);
         versionNegotiation =
                 new VersionNegotiation(
                         settings, features, outbox, storeCache, processName, shardCount);
         NodeContext context =
                 new NodeContext(settings, features, outbox, storeCache, versionNegotiation);
         NodeServices services =
-                new NodeServices(context, submissionBatches, new MachineIndex(), machineTypes);
+                new NodeServices(context, submissionBatches, new MachineIndex(), typeCatalog);
         peerGossip = new PeerGossip(settings, outbox, shardCount, this::ledShard);
         shards = new Shards(shardCount, services, peerGossip, processName);
         newJobAssignment = new NewJobAssignment(peerGossip, shardCount);
@@ -70,7 +70,7 @@
                 new UserRequests(
                         context,
                         submissionBatches,
-                        machineTypes,
+                        typeCatalog,
                         processName,
                         this::taskCounts,
                         newJobAssignment::assign);
@@ -103,7 +103,7 @@
         }
         storeCache.step();
         versionNegotiation.step();
-        machineTypes.step(shards.ledShardCount() > 0);
+        typeCatalog.step(shards.ledShardCount() > 0);
         shards.step();
         userRequests.step();
         if (peerGossip.sendIfDue()) {
@@ -146,7 +146,7 @@
 
     private void handleStandbyMessage(StandbyMessage message) {
         if (message instanceof LogFrame frame) {
-            shards.standbyReplicas().receive(frame);
+            shards.receivedAttemptLogs().receive(frame);
         } else if (message instanceof LogAcknowledgement acknowledgement) {
             Shard shard = shards.ledShard(acknowledgement.stream().shardNumber());
             if (shard != null) {
@@ -161,7 +161,7 @@
      * one stays ready, because the load balancer takes seconds to put a node back into service.
      */
     private boolean isReady() {
-        if (!storeCache.isLoaded() || !machineTypes.isLoaded()) {
+        if (!storeCache.isLoaded() || !typeCatalog.isLoaded()) {
             return false;
         }
         return outbox.sinceStoreReplyMs() < GossipConstants.STORE_UNREACHABLE_TIMEOUT_MS
--- a/src/main/java/org/shoreusher/core/NodeServices.java
+++ b/src/main/java/org/shoreusher/core/NodeServices.java
@@ -6,15 +6,15 @@
 import org.shoreusher.core.store.NodeContext;
 
 /**
- * The collaborators that a node's shards share.
+ * The objects that a node's shards share.
  *
- * @param context the collaborators that all classes of the node share, such as the store cache
+ * @param context the objects that all parts of the node share, such as the store cache
  * @param submissionBatches the jobs that were accepted together and share a stored record
  * @param machineIndex the machine records of all shards, by machine id
- * @param machineTypes the machine types that the cloud offers
+ * @param typeCatalog the catalog of machine types that the cloud offers
  */
 record NodeServices(
         NodeContext context,
         SubmissionBatches submissionBatches,
         MachineIndex machineIndex,
-        MachineTypeCatalog machineTypes) {}
+        MachineTypeCatalog typeCatalog) {}
--- a/src/main/java/org/shoreusher/core/Shard.java
+++ b/src/main/java/org/shoreusher/core/Shard.java
@@ -67,10 +67,10 @@
      *
      * @param shardNumber the shard's number
      * @param shardCount the number of shards
-     * @param services the node's shared collaborators
-     * @param peerView the state of other nodes and shards according to their gossip
+     * @param services the objects that the node's shards share
+     * @param peerView information from gossip about other nodes
      * @param leadership the acquired leadership
-     * @param promotedAttempts the attempt log of the previous leader, if this node was its standby
+     * @param promotedLog the attempt log of the previous leader, if this node was its standby
      */
     Shard(
             int shardNumber,
@@ -78,7 +78,7 @@
             NodeServices services,
             PeerView peerView,
             ShardLeadership leadership,
-            PromotedAttemptLog promotedAttempts) {
+            PromotedAttemptLog promotedLog) {
         this.leadership = leadership;
         outbox = services.context().outbox();
         storeCache = services.context().storeCache();
@@ -112,17 +112,17 @@
                         jobs,
                         machines,
                         scheduling.taskMigration(),
-                        promotedAttempts);
+                        promotedLog);
         autoscaler = new Autoscaler(context, machines, scheduling, runTimeEstimates, shardDemand);
         preemption = new PreemptionPass(context, scheduling);
         heartbeatHandler = createHeartbeatHandler();
     }
 
     private HeartbeatHandler createHeartbeatHandler() {
-        HeartbeatApplier heartbeatReader =
+        HeartbeatApplier heartbeatApplier =
                 new HeartbeatApplier(context, jobs, machines, scheduling, reconciliation);
         return new HeartbeatHandler(
-                context, jobs, machines, scheduling, standbyReplication, heartbeatReader);
+                context, jobs, machines, scheduling, standbyReplication, heartbeatApplier);
     }
 
     private void registerListeners() {
@@ -180,8 +180,8 @@
     }
 
     /**
-     * Gives up the leadership so that another node can take over immediately. Does nothing while a
-     * lease renewal is in flight.
+     * Steps down so that another node can acquire the shard immediately. Does nothing if the
+     * shard's record cannot be written now; see {@link ShardLeadership#stepDown}.
      *
      * @param reason the reason, for the log
      */
@@ -235,7 +235,10 @@
         }
     }
 
-    /** Updates leases, reconciliation, quotas, capacity and preemption of all machines and jobs. */
+    /**
+     * Expires worker leases, then advances reconciliation, quota shares, autoscaling, preemption
+     * and task migration.
+     */
     private void runSchedulingPass() {
         machines.lifecycle().expireWorkerLeases();
         reconciliation.step();
--- a/src/main/java/org/shoreusher/core/ShardAssembly.java
+++ b/src/main/java/org/shoreusher/core/ShardAssembly.java
@@ -102,13 +102,13 @@
                 new MachineRecords(context, services.machineIndex(), leadership);
         MachineLifecycle lifecycle =
                 new MachineLifecycle(
-                        context, services.machineTypes(), machineRecords, terminatedMachines);
+                        context, services.typeCatalog(), machineRecords, terminatedMachines);
         return new ShardMachines(
-                services.machineTypes(),
+                services.typeCatalog(),
                 services.machineIndex(),
                 machineRecords,
                 lifecycle,
-                new CloudInventory(context, services.machineTypes(), lifecycle, terminatedMachines),
+                new CloudInventory(context, services.typeCatalog(), lifecycle, terminatedMachines),
                 terminatedMachines);
     }
 }
--- a/src/main/java/org/shoreusher/core/Shards.java
+++ b/src/main/java/org/shoreusher/core/Shards.java
@@ -22,7 +22,7 @@
     private final StoreCache storeCache;
     private final NodeServices services;
     private final LeadershipPeerView peerView;
-    private final ReceivedAttemptLogs standbyReplicas;
+    private final ReceivedAttemptLogs receivedAttemptLogs;
     private final LeadershipAcquisition acquisition;
     private final Shard[] ledShards;
     private long nextRebalanceMs;
@@ -31,8 +31,8 @@
      * Creates the set of shards, none of which this node leads yet.
      *
      * @param shardCount the number of shards
-     * @param services the node's shared collaborators
-     * @param peerView the state of other nodes according to their gossip
+     * @param services the objects that the node's shards share
+     * @param peerView information from gossip about other nodes
      * @param processName the name of this process, HOST/SUFFIX
      */
     Shards(int shardCount, NodeServices services, LeadershipPeerView peerView, String processName) {
@@ -41,7 +41,7 @@
         storeCache = context.storeCache();
         this.services = services;
         this.peerView = peerView;
-        standbyReplicas = new ReceivedAttemptLogs(context, processName, shardCount);
+        receivedAttemptLogs = new ReceivedAttemptLogs(context, processName, shardCount);
         ledShards = new Shard[shardCount];
         acquisition =
                 new LeadershipAcquisition(
@@ -86,13 +86,13 @@
     }
 
     /** The attempt logs that this node receives as a standby. */
-    ReceivedAttemptLogs standbyReplicas() {
-        return standbyReplicas;
+    ReceivedAttemptLogs receivedAttemptLogs() {
+        return receivedAttemptLogs;
     }
 
     /**
-     * Does the due work of all led shards, and tries to acquire at most one shard that has no
-     * leader.
+     * Does the due work of all led shards, rebalances leadership, and tries to acquire at most one
+     * shard that has no leader.
      */
     void step() {
         for (int shardNumber = 0; shardNumber < ledShards.length; shardNumber++) {
@@ -136,11 +136,11 @@
     /** Starts to act as the leader after the store has confirmed the acquisition. */
     private void startLeading(AcquiredLeadership acquired) {
         int shardNumber = acquired.leadership().shardNumber();
-        PromotedAttemptLog promotedAttempts =
+        PromotedAttemptLog promotedLog =
                 new PromotedAttemptLog(
-                        standbyReplicas.promote(
+                        receivedAttemptLogs.promote(
                                 shardNumber, acquired.namedStandby(), acquired.previousFencing()),
-                        outcome -> standbyReplicas.recordOutcome(shardNumber, outcome));
+                        outcome -> receivedAttemptLogs.recordOutcome(shardNumber, outcome));
         ledShards[shardNumber] =
                 new Shard(
                         shardNumber,
@@ -148,7 +148,7 @@
                         services,
                         peerView,
                         acquired.leadership(),
-                        promotedAttempts);
+                        promotedLog);
     }
 
     /**
--- a/src/main/java/org/shoreusher/core/StoreChangeRouter.java
+++ b/src/main/java/org/shoreusher/core/StoreChangeRouter.java
@@ -49,7 +49,7 @@
         } else if (key.startsWith(StoreSchema.MACHINE_PREFIX)) {
             services.machineIndex().updateGroup(key, after, shards::onMachineRecordChange);
         } else if (key.equals(StoreSchema.MACHINE_TYPES_KEY) && after != null) {
-            services.machineTypes().loadFromStore(after.value());
+            services.typeCatalog().loadFromStore(after.value());
         }
     }
 
--- a/src/main/java/org/shoreusher/core/WorkerReachability.java
+++ b/src/main/java/org/shoreusher/core/WorkerReachability.java
@@ -32,8 +32,8 @@
     /**
      * Returns whether most workers can't reach this node although its lease is valid, as in a
      * one-way partition: after being redirected to this node they have contacted other nodes again.
-     * A leader that did not step down before the partition ends would lose all tasks that run on
-     * those machines.
+     * A leader that did not step down during the partition would lose all tasks on those machines,
+     * because the workers' leases would expire.
      */
     boolean isLeaderUnreachable() {
         if (!authority.isLoaded()
@@ -42,20 +42,19 @@
                         < GossipConstants.REDIRECTED_WORKER_RETRY_MS) {
             return false;
         }
-        // This runs in every batch, so machines are counted only if some workers have returned to
-        // other nodes.
+        // This runs in every batch, so machines are counted only if some workers contacted
+        // other nodes again.
         int unreachableWorkers = peerView.workersUnableToReachLeader(state.shardNumber());
         return unreachableWorkers > 1
                 && unreachableWorkers
-                        > Math.max(
-                                1, runningMachines() * CoreConstants.STEP_DOWN_UNREACHABLE_SHARE);
+                        > Math.max(1, upMachineCount() * CoreConstants.STEP_DOWN_UNREACHABLE_SHARE);
     }
 
-    private int runningMachines() {
-        int runningMachines = 0;
+    private int upMachineCount() {
+        int count = 0;
         for (Machine machine : state.machines().values()) {
-            runningMachines += machine.state() == Machine.State.UP ? 1 : 0;
+            count += machine.state() == Machine.State.UP ? 1 : 0;
         }
-        return runningMachines;
+        return count;
     }
 }
--- a/src/main/java/org/shoreusher/core/heartbeat/HeartbeatApplier.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/HeartbeatApplier.java
@@ -35,7 +35,7 @@
     private final Reconciliation reconciliation;
     private final TaskExitRecorder taskExitRecorder;
 
-    /** Creates the reader of one shard that this process leads. */
+    /** Creates the applier of one shard that this process leads. */
     public HeartbeatApplier(
             ShardContext context,
             ShardJobs jobs,
@@ -92,9 +92,9 @@
     }
 
     /**
-     * Removes the attempts that the heartbeat does not list. Their start order belongs to the
-     * response to an older heartbeat. Either the worker had started the task when it sent this
-     * heartbeat, which would then list it, or it will never start it.
+     * Removes the attempts that the heartbeat does not list. Their start order was in the response
+     * to an older heartbeat. If the worker had carried it out, this heartbeat would list the task;
+     * if not, the worker will never carry it out.
      */
     private void removeAbsentAttempts(Machine machine, ObjectOpenHashSet<String> presentTaskKeys) {
         if (machine.attempts().size() <= presentTaskKeys.size()) {
--- a/src/main/java/org/shoreusher/core/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/HeartbeatHandler.java
@@ -30,7 +30,7 @@
     private final Outbox outbox;
     private final StandbyReplication standbyReplication;
     private final MachineRegistration machineRegistration;
-    private final HeartbeatApplier heartbeatReader;
+    private final HeartbeatApplier heartbeatApplier;
     private final ReportedTaskOrders reportedTaskOrders;
     private final TaskStarter taskStarter;
 
@@ -41,13 +41,13 @@
             ShardMachines machines,
             ShardScheduling scheduling,
             StandbyReplication standbyReplication,
-            HeartbeatApplier heartbeatReader) {
+            HeartbeatApplier heartbeatApplier) {
         shard = context.state();
         authority = context.authority();
         settings = context.settings();
         outbox = context.outbox();
         this.standbyReplication = standbyReplication;
-        this.heartbeatReader = heartbeatReader;
+        this.heartbeatApplier = heartbeatApplier;
         machineRegistration = new MachineRegistration(context, machines);
         reportedTaskOrders = new ReportedTaskOrders(shard, jobs.submissionBatches());
         taskStarter = new TaskStarter(context, jobs, scheduling);
@@ -148,7 +148,7 @@
     private void accept(long requestId, Machine machine, WorkerHeartbeat heartbeat) {
         standbyReplication.discardHeldResponse(machine);
         machine.worker().inferResponseDelivery(heartbeat, outbox.now().monotonicMs(), settings);
-        heartbeatReader.apply(machine, heartbeat);
+        heartbeatApplier.apply(machine, heartbeat);
         standbyReplication.respondOrHold(requestId, machine, decideOrders(machine, heartbeat));
     }
 
--- a/src/main/java/org/shoreusher/core/heartbeat/ReportedTaskOrders.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/ReportedTaskOrders.java
@@ -86,7 +86,7 @@
             return !job.spec().workloadType().runsToCompletion()
                     || job.durablyCompletedTasks().get(task.taskIndex());
         }
-        // A job that has completed is no longer open.
+        // Once the terminal state is in the store, the result is no longer needed.
         JobRecord record = submissionBatches.jobRecord(task.jobId());
         return record == null || record.status() != JobStatus.OPEN;
     }
--- a/src/main/java/org/shoreusher/core/heartbeat/TaskStarter.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/TaskStarter.java
@@ -65,8 +65,8 @@
             for (int i = 0; i < placed.taskCount() && remainingTasks > 0; i++, remainingTasks--) {
                 taskIndex = placed.job().pendingTasks().nextSetBit(taskIndex + 1);
                 if (taskIndex < 0 || taskIndex >= placed.job().highWaterMark()) {
-                    // The raised high-water mark is not durable yet. The next plan includes the
-                    // task again.
+                    // The raised high-water mark is not durable yet. The task stays pending
+                    // for the next plan.
                     break;
                 }
                 startTask(placed.job(), taskIndex, machine, orders);
--- a/src/main/java/org/shoreusher/core/heartbeat/package-info.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/package-info.java
@@ -2,7 +2,7 @@
  * Handling of worker heartbeats by the leader of a shard: whether a heartbeat is accepted, what it
  * changes in the leader's state, and which orders the response contains.
  *
- * <p>Promises: only the newest heartbeat of a machine changes the state of its tasks, and every
+ * <p>Guarantees: only the newest heartbeat of a machine changes the state of its tasks, and every
  * heartbeat gets exactly one response. A task is started only in such a response, only while the
  * leader's lease is valid, and under an attempt number that was never used.
  *
--- a/src/main/java/org/shoreusher/core/reconcile/AttemptRestorer.java
+++ b/src/main/java/org/shoreusher/core/reconcile/AttemptRestorer.java
@@ -46,8 +46,8 @@
 
     /**
      * Restores one attempt of the log, which may be on its machine. An attempt on a machine without
-     * a record in this shard has ended: the previous leader removed the record, or handed it over,
-     * only once that was certain.
+     * a record in this shard has ended: the previous leader removed the record, or handed the
+     * machine over, only once that was certain.
      */
     void restore(Attempt attempt) {
         Machine machine = shard.machines().get(attempt.machineId());
--- a/src/main/java/org/shoreusher/core/reconcile/Reconciliation.java
+++ b/src/main/java/org/shoreusher/core/reconcile/Reconciliation.java
@@ -26,7 +26,7 @@
  * lease has certainly expired, the leader starts only tasks that were certainly never started
  * before or whose last attempt has certainly ended.
  *
- * <p>A new leader that was the standby in sync has the attempts of all machines in its replicated
+ * <p>A new leader that was the in-sync standby has the attempts of all machines in its replicated
  * log, and its reconciliation is complete at once. An attempt on a machine that has not sent a
  * heartbeat yet counts against the machine's resources and the team's quota until a heartbeat
  * arrives or the worker lease has certainly expired.
@@ -137,8 +137,8 @@
     }
 
     /**
-     * Makes only the tasks from the job's high-water mark on pending. They were certainly never
-     * started before.
+     * Makes only the tasks at or above the job's high-water mark pending, because they were
+     * certainly never started before.
      */
     private static void withholdPossiblyRunningTasks(Job job) {
         job.clearPending();
--- a/src/main/java/org/shoreusher/core/reconcile/StoredStateLoader.java
+++ b/src/main/java/org/shoreusher/core/reconcile/StoredStateLoader.java
@@ -100,15 +100,15 @@
 
     private void loadAllCompletedTasks() {
         loadCompletedTasks(leadership.storedCompletions(0), 0);
-        for (int chunk = 1;
-                storeCache.get(StoreSchema.completionKey(shard.shardNumber(), chunk)) != null;
-                chunk++) {
-            loadCompletedTasks(leadership.storedCompletions(chunk), chunk);
+        for (int recordIndex = 1;
+                storeCache.get(StoreSchema.completionKey(shard.shardNumber(), recordIndex)) != null;
+                recordIndex++) {
+            loadCompletedTasks(leadership.storedCompletions(recordIndex), recordIndex);
         }
     }
 
-    /** Loads one chunk of completed tasks, as index ranges by job id. */
-    private void loadCompletedTasks(Map<String, Object> completedByJob, int chunk) {
+    /** Loads the completed tasks of one record, which are given as ranges by job id. */
+    private void loadCompletedTasks(Map<String, Object> completedByJob, int recordIndex) {
         completedByJob.forEach(
                 (jobId, ranges) -> {
                     Job job = shard.jobs().get(jobId);
@@ -117,7 +117,8 @@
                         BitSet completedTasks = TaskRanges.parse((String) ranges);
                         job.completedTasks().or(completedTasks);
                         job.durablyCompletedTasks().or(completedTasks);
-                        CompletionRecords.adoptStoredRecord(job, completedTasks, chunk, settings);
+                        CompletionRecords.adoptStoredRecord(
+                                job, completedTasks, recordIndex, settings);
                     }
                 });
     }
--- a/src/main/java/org/shoreusher/core/replication/HeartbeatResponses.java
+++ b/src/main/java/org/shoreusher/core/replication/HeartbeatResponses.java
@@ -33,18 +33,18 @@
     private final ShardAuthority authority;
     private final Outbox outbox;
 
-    /** ms after which the starts of a held response are no longer sent. */
-    private final long maxStartDelayMs;
+    /** ms; a response that was held for longer is sent without its starts. */
+    private final long ackTimeoutMs;
 
     private final Map<Machine, HeldResponse> heldResponses = new LinkedHashMap<>();
 
     /** ms for which responses were held, since the last statistics in the log. */
     private final Histogram heldDurationMs = new Histogram(MAX_RECORDED_HELD_MS, 2);
 
-    HeartbeatResponses(ShardAuthority authority, Outbox outbox, long maxStartDelayMs) {
+    HeartbeatResponses(ShardAuthority authority, Outbox outbox, long ackTimeoutMs) {
         this.authority = authority;
         this.outbox = outbox;
-        this.maxStartDelayMs = maxStartDelayMs;
+        this.ackTimeoutMs = ackTimeoutMs;
     }
 
     static boolean containStarts(List<WorkerOrder> orders) {
@@ -96,8 +96,7 @@
         heldDurationMs.recordValue(
                 Math.min(MAX_RECORDED_HELD_MS, nowMs() - heldResponse.heldSinceMs));
         // The lease, the store cache and the jobs may have changed since the starts were decided,
-        // so
-        // they are checked again.
+        // so they are checked again.
         if (authority.canRespondToHeartbeats()) {
             send(
                     heldResponse.requestId,
@@ -118,7 +117,7 @@
         boolean canStartTasks =
                 includeStarts
                         && authority.canStartTasks()
-                        && nowMs() - heldResponse.heldSinceMs <= maxStartDelayMs;
+                        && nowMs() - heldResponse.heldSinceMs <= ackTimeoutMs;
         return heldResponse.orders.stream()
                 .filter(
                         order ->
--- a/src/main/java/org/shoreusher/core/replication/ReceivedAttemptLogs.java
+++ b/src/main/java/org/shoreusher/core/replication/ReceivedAttemptLogs.java
@@ -35,7 +35,7 @@
             new EnumMap<>(PromotionOutcome.class);
 
     /**
-     * Creates empty replicas for all shards.
+     * Creates an instance that has received no log yet.
      *
      * @param processName the name of this process, HOST/SUFFIX; no other process, present or past,
      *     has the same
--- a/src/main/java/org/shoreusher/core/replication/StandbyReplication.java
+++ b/src/main/java/org/shoreusher/core/replication/StandbyReplication.java
@@ -110,7 +110,9 @@
         }
     }
 
-    /** Whether orders may include starts in the current phase. Such a response may be held. */
+    /**
+     * Whether orders may include starts in the current phase. A response with starts may be held.
+     */
     public boolean canStartTasks() {
         return phase != Phase.REMOVING_NAME;
     }
--- a/src/main/java/org/shoreusher/core/replication/package-info.java
+++ b/src/main/java/org/shoreusher/core/replication/package-info.java
@@ -4,7 +4,7 @@
  * org.shoreusher.core.replication.StandbyReplication} is the leader's side, {@link
  * org.shoreusher.core.replication.ReceivedAttemptLogs} the standby's.
  *
- * <p>Promises: while the shard record may name a standby, no start order is sent before that
+ * <p>Guarantees: while the shard record may name a standby, no start order is sent before that
  * standby has acknowledged it. When the feature is off, nothing is replicated and no response is
  * held.
  *
--- a/src/main/java/org/shoreusher/standby/AttemptLogSender.java
+++ b/src/main/java/org/shoreusher/standby/AttemptLogSender.java
@@ -86,7 +86,7 @@
         return stream.standby();
     }
 
-    /** The frame to send now, new or resent; empty if none is due. Monotonic ms. */
+    /** The frame to send now, new or resent; empty if none is due. The time is in monotonic ms. */
     public Optional<LogFrame> nextFrame(long nowMs) {
         return stream == null ? Optional.empty() : stream.nextFrame(nowMs, changeCount);
     }
--- a/src/main/java/org/shoreusher/standby/StandbyChooser.java
+++ b/src/main/java/org/shoreusher/standby/StandbyChooser.java
@@ -44,7 +44,10 @@
         this.ownZone = ownZone;
     }
 
-    /** The best candidate; empty if there is none or the backoff has not ended. Monotonic ms. */
+    /**
+     * The best candidate; empty if there is none or the backoff has not ended. The time is in
+     * monotonic ms.
+     */
     public Optional<Candidate> choose(List<Candidate> candidates, long nowMs) {
         if (nowMs < backoffEndsAtMs) {
             return Optional.empty();
