--- a/src/main/java/org/shoreusher/core/cluster/ClusterConstants.java
+++ b/src/main/java/org/shoreusher/core/cluster/ClusterConstants.java
@@ -5,12 +5,12 @@
     private ClusterConstants() {}
 
     /**
-     * Heartbeat intervals after the last heartbeat from which a machine is unresponsive and gets no
-     * new tasks.
+     * Heartbeat intervals; a machine whose last heartbeat is at least this long ago is unresponsive
+     * and gets no new tasks.
      */
     static final double UNRESPONSIVE_HEARTBEAT_INTERVALS = 2.5;
 
-    /** ms; a worker contacts another node after no response for this long; set by the protocol. */
+    /** ms; a worker that gets no response for this long contacts another node (protocol). */
     static final long WORKER_RESPONSE_TIMEOUT_MS = 4_000;
 
     /**
@@ -38,8 +38,8 @@
     public static final int MAX_TASKS_PER_MACHINE = 500;
 
     /**
-     * Number of low bits of an attempt number that count the starts within a term, enough for 16
-     * million starts. The higher bits contain the term.
+     * Number of low bits of an attempt number that count the starts under one leadership, enough
+     * for 16 million. The higher bits contain the term.
      */
     public static final int ATTEMPT_SEQUENCE_BITS = 24;
 
@@ -61,7 +61,7 @@
      */
     static final double SLOW_MACHINE_FACTOR = 2.5;
 
-    /** Minimum number of completed tasks before a mean run time or a machine's slowdown is used. */
+    /** A mean run time, or a machine's slowdown, is used only from this many completed tasks on. */
     public static final int MIN_SLOWDOWN_SAMPLES = 4;
 
     /** Weight of the newest sample in the moving average of a machine's slowdown. */
--- a/src/main/java/org/shoreusher/core/cluster/Job.java
+++ b/src/main/java/org/shoreusher/core/cluster/Job.java
@@ -16,7 +16,7 @@
 
     private final String id;
     private final JobSpec spec;
-    private final long acceptedAtMs;
+    private final long acceptedWallMs;
     private final BitSet completedTasks = new BitSet();
     private final BitSet durablyCompletedTasks = new BitSet();
 
@@ -40,10 +40,10 @@
     private final FailureBackoff failures = new FailureBackoff();
 
     /** Creates a job without pending tasks. */
-    public Job(String id, JobSpec spec, long acceptedAtMs) {
+    public Job(String id, JobSpec spec, long acceptedWallMs) {
         this.id = id;
         this.spec = spec;
-        this.acceptedAtMs = acceptedAtMs;
+        this.acceptedWallMs = acceptedWallMs;
     }
 
     /** The id that the user chose for the job. */
@@ -57,8 +57,8 @@
     }
 
     /** When the job was accepted: ms since the Unix epoch, by the clock of the accepting node. */
-    public long acceptedAtMs() {
-        return acceptedAtMs;
+    public long acceptedWallMs() {
+        return acceptedWallMs;
     }
 
     /** Completed tasks, whether or not the store has recorded them; a live view. */
@@ -71,7 +71,7 @@
         return durablyCompletedTasks;
     }
 
-    /** Tasks waiting to be started; a live view that callers must not change. */
+    /** Pending tasks, which are to be started; a live view that callers must not change. */
     public BitSet pendingTasks() {
         return pendingTasks;
     }
@@ -89,7 +89,7 @@
         return failures.failedMachineIds();
     }
 
-    /** The number of tasks waiting to be started. */
+    /** The number of pending tasks. */
     public int pendingCount() {
         return pendingCount;
     }
@@ -117,7 +117,10 @@
         highWaterMarkRecordIndex = recordIndex;
     }
 
-    /** The index of the completion record of each slice of tasks, or {@link #NO_RECORD}. */
+    /**
+     * The index of the completion record of each slice, a range of consecutive tasks of the job, or
+     * {@link #NO_RECORD}; a live view.
+     */
     public int[] completionRecordBySlice() {
         return completionRecordBySlice;
     }
@@ -152,8 +155,8 @@
 
     /**
      * Whether the zones of the job's active tasks are not known yet. This is the case for a job
-     * with a zone constraint that was started by a previous leader, until all machines have sent a
-     * heartbeat.
+     * with a zone constraint that was started by a previous leader, until reconciliation is
+     * complete.
      */
     public boolean hasUnknownTaskZones() {
         return taskZonesUnknown;
@@ -177,7 +180,7 @@
         largerHalfZone = zone;
     }
 
-    /** The number of starts ordered by this leader or inherited from a previous one. */
+    /** The number of starts that this leader has ordered. */
     public int startedCount() {
         return startedCount;
     }
@@ -270,8 +273,8 @@
     }
 
     /**
-     * Clears all failures. Called when a replica has run for long, so that the cause was a machine
-     * or no longer exists.
+     * Clears all failures. Called when a replica has run for long: the cause of the failures was
+     * then a machine, or no longer exists.
      */
     public void resetFailures() {
         failures.reset();
--- a/src/main/java/org/shoreusher/core/cluster/Machine.java
+++ b/src/main/java/org/shoreusher/core/cluster/Machine.java
@@ -39,7 +39,7 @@
     private final long provisionedWallMs;
     private final WorkerConnection worker = new WorkerConnection();
     private final MachineResources resources;
-    private final RelativeRunTime relativeRunTime = new RelativeRunTime();
+    private final MachineSlowdown slowdown = new MachineSlowdown();
     private State state = State.BOOTING;
 
     /** Whether it is being drained only because it was idle. */
@@ -140,7 +140,7 @@
     /**
      * Handles a termination that was not confirmed. A machine that was drained only because it was
      * idle becomes usable again if this request and all earlier ones were certainly rejected.
-     * Otherwise, during an outage of the cloud's API, tasks would remain pending although idle
+     * Without this, tasks would remain pending during an outage of the cloud's API although idle
      * machines that await termination could run them.
      *
      * @param certainlyRejected whether the cloud has certainly not carried out the request
@@ -232,7 +232,9 @@
         return idleSinceMs != NOT_KNOWN_IDLE_MS;
     }
 
-    /** Time in ms for which heartbeats have listed no task; very long if that is not known. */
+    /**
+     * Time in ms for which heartbeats have listed no task; {@code nowMs + 1} if that is not known.
+     */
     public long idleForMs(long nowMs) {
         return nowMs - idleSinceMs;
     }
@@ -258,12 +260,12 @@
 
     /** Records a task's run time, divided by the mean run time of its job's completed tasks. */
     public void recordRunTime(double ratioToMean) {
-        relativeRunTime.record(ratioToMean);
+        slowdown.record(ratioToMean);
     }
 
     /** Whether its tasks take so much longer than elsewhere that it should get no new ones. */
     public boolean isSlow() {
-        return relativeRunTime.isSlow();
+        return slowdown.isSlow();
     }
 
     /** Adds an attempt and uses its resources. Called by {@link ResourceLedger} only. */
--- a/src/main/java/org/shoreusher/core/cluster/RelativeRunTime.java
+++ b/src/main/java/org/shoreusher/core/cluster/MachineSlowdown.java
@@ -4,7 +4,7 @@
  * The slowdown of a machine: the moving average of its tasks' run times, each divided by the mean
  * run time of its job.
  */
-final class RelativeRunTime {
+final class MachineSlowdown {
     private double average = 1;
     private int sampleCount;
 
--- a/src/main/java/org/shoreusher/core/cluster/ShardContext.java
+++ b/src/main/java/org/shoreusher/core/cluster/ShardContext.java
@@ -6,9 +6,9 @@
 import org.shoreusher.settings.Settings;
 
 /**
- * The objects that the collaborators of one shard share.
+ * The objects that all parts of one shard share.
  *
- * @param nodeContext the collaborators that all classes of the node share
+ * @param nodeContext the objects that all parts of the node share
  * @param state the shard's jobs and machines
  * @param authority the checks of what this node may currently do as the shard's leader
  */
--- a/src/main/java/org/shoreusher/core/cluster/ShardState.java
+++ b/src/main/java/org/shoreusher/core/cluster/ShardState.java
@@ -74,7 +74,7 @@
 
     /**
      * Returns whether new tasks may be started on a machine: it sends heartbeats, receives its
-     * orders, is not evacuated for another shard and has no interruption notice.
+     * orders, is not being evacuated and has no interruption notice.
      */
     public boolean isAvailable(Machine machine) {
         return machine.state() == Machine.State.UP
@@ -96,7 +96,7 @@
                 || (machine.state() == Machine.State.BOOTING && !machine.mayHaveRunTasks());
     }
 
-    /** Time in ms after its last heartbeat from which a machine is unresponsive. */
+    /** A machine whose last heartbeat is at least this many ms ago is unresponsive. */
     public double heartbeatTimeoutMs() {
         return settings.heartbeatIntervalS()
                 * 1000
--- a/src/main/java/org/shoreusher/core/cluster/TaskAttempt.java
+++ b/src/main/java/org/shoreusher/core/cluster/TaskAttempt.java
@@ -56,8 +56,8 @@
     }
 
     /**
-     * The number that is unique among all attempts of the shard: the leader's fencing token in the
-     * high bits, a counter in the low {@link ClusterConstants#ATTEMPT_SEQUENCE_BITS} bits.
+     * The number that is unique among all attempts of the shard: the leader's term in the high
+     * bits, a counter in the low {@link ClusterConstants#ATTEMPT_SEQUENCE_BITS} bits.
      */
     public long attemptNumber() {
         return attemptNumber;
@@ -124,7 +124,9 @@
         return runningSinceMs != NOT_RUNNING_MS;
     }
 
-    /** Time in ms since a heartbeat first listed the task as running; very long if none has. */
+    /**
+     * Time in ms since a heartbeat first listed the task as running; {@code nowMs + 1} if none has.
+     */
     public long runningMs(long nowMs) {
         return nowMs - runningSinceMs;
     }
--- a/src/main/java/org/shoreusher/core/cluster/WorkerConnection.java
+++ b/src/main/java/org/shoreusher/core/cluster/WorkerConnection.java
@@ -91,7 +91,7 @@
 
     /**
      * Whether a previous leader may have started tasks on the machine. If so, only a heartbeat that
-     * was created after the failover reconciles it.
+     * was certainly sent after the failover reconciles it.
      */
     public boolean wasUsedByPreviousLeader() {
         return usedByPreviousLeader;
@@ -168,8 +168,8 @@
                                 - ClusterConstants.HEARTBEAT_LATENESS_MARGIN_MS) {
             // The heartbeat was delayed by a network partition and delivered together with the
             // previous one: a worker without a response would have waited for its timeout first.
-            // Without this check, healthy machines were cordoned half a second after the partition
-            // had healed.
+            // Without this check, healthy machines were cordoned half a second after the
+            // end of the partition.
             return;
         }
         if (hasNewIncarnation && sinceResponseMs < settings.workerLeaseS() * 1000) {
--- a/src/main/java/org/shoreusher/core/message/Effect.java
+++ b/src/main/java/org/shoreusher/core/message/Effect.java
@@ -21,8 +21,8 @@
      *
      * @param callId the id that the reply will carry
      * @param operation the operation
-     * @param urgent whether the call renews or acquires a leader's lease, and so must not queue
-     *     behind other calls
+     * @param urgent whether the call is for a leader's lease, and so must not queue behind other
+     *     calls
      */
     record StoreCall(long callId, StoreOperation operation, boolean urgent) implements Effect {}
 
--- a/src/main/java/org/shoreusher/core/message/MessageConstants.java
+++ b/src/main/java/org/shoreusher/core/message/MessageConstants.java
@@ -22,8 +22,8 @@
     public static final int MAX_TASKS_PER_JOB = 100_000;
 
     /**
-     * Price of an on-demand machine, in multiples of the spot price, up to which it is not avoided
-     * in favour of a spot machine.
+     * On-demand machines whose price exceeds this multiple of the spot price are expensive; see
+     * {@link MachineType#isOnDemandExpensive}.
      */
     static final double MAX_ON_DEMAND_PRICE_FACTOR = 1.5;
 }
--- a/src/main/java/org/shoreusher/core/message/Response.java
+++ b/src/main/java/org/shoreusher/core/message/Response.java
@@ -13,7 +13,7 @@
      *
      * @param jobId the job's id
      * @param displayState the state
-     * @param taskCounts task counts for display; null if the request does not include them
+     * @param taskCounts task counts for display; null if the response does not include them
      * @param created whether this request created the job
      */
     record JobState(String jobId, DisplayState displayState, TaskCounts taskCounts, boolean created)
--- a/src/main/java/org/shoreusher/core/schedule/SchedulingOrder.java
+++ b/src/main/java/org/shoreusher/core/schedule/SchedulingOrder.java
@@ -72,7 +72,7 @@
      * waiting time.
      */
     public double timeToNearestObjectiveS(Job job, long wallMs) {
-        double ageS = (wallMs - job.acceptedAtMs()) / 1000.0;
+        double ageS = (wallMs - job.acceptedWallMs()) / 1000.0;
         double runS = estimates.expectedRunS(job);
         double timeLeftS = Double.MAX_VALUE;
         for (Settings.Objective objective : settings.objectives()) {
@@ -103,7 +103,7 @@
     }
 
     private JobRank rank(Job job, long wallMs) {
-        double ageS = (wallMs - job.acceptedAtMs()) / 1000.0;
+        double ageS = (wallMs - job.acceptedWallMs()) / 1000.0;
         double remainingS = estimatedRemainingS(job);
         // Objectives that can no longer be met are counted; the slack is that of the next
         // attainable one.
