--- a/src/main/java/org/shoreusher/core/store/RateLimits.java
+++ b/src/main/java/org/shoreusher/core/store/RateLimits.java
@@ -26,18 +26,16 @@
      */
     RateLimits(Settings settings, int shardCount) {
         double callsPerS = usable(settings.storeRequestsPerS()) / settings.nodeCount();
-        double leaseCallsPerS = callsPerS * StoreConstants.LEASE_RENEWAL_REQUEST_SHARE;
+        double leaseCallsPerS = callsPerS * StoreConstants.LEASE_CALL_SHARE;
         double leaderWritesPerS = leaderWritesPerS(settings, shardCount);
         double userWritesPerS = usable(settings.storeWritesPerS()) / settings.nodeCount();
         int leaders = maxLeaders(settings, shardCount);
         storeCalls =
-                new TokenBucket(
-                        callsPerS * (1 - StoreConstants.LEASE_RENEWAL_REQUEST_SHARE),
-                        callsPerS / 2);
+                new TokenBucket(callsPerS * (1 - StoreConstants.LEASE_CALL_SHARE), callsPerS / 2);
         leaseCalls =
                 new TokenBucket(
-                        Math.max(StoreConstants.MIN_LEASE_RENEWALS_PER_S, leaseCallsPerS),
-                        Math.max(StoreConstants.MIN_LEASE_RENEWAL_BURST, leaseCallsPerS));
+                        Math.max(StoreConstants.MIN_LEASE_CALLS_PER_S, leaseCallsPerS),
+                        Math.max(StoreConstants.MIN_LEASE_CALL_BURST, leaseCallsPerS));
         leaderWrites = new TokenBucket(leaderWritesPerS, leaderWritesPerS);
         userWrites = new TokenBucket(userWritesPerS, userWritesPerS);
         cloudCalls =
--- a/src/main/java/org/shoreusher/core/store/StoreCache.java
+++ b/src/main/java/org/shoreusher/core/store/StoreCache.java
@@ -83,7 +83,7 @@
         watchIntervalMs =
                 Math.max(
                         StoreConstants.MIN_WATCH_INTERVAL_MS,
-                        (long) Math.ceil(1000 / (callsPerS * StoreConstants.WATCH_REQUEST_SHARE)));
+                        (long) Math.ceil(1000 / (callsPerS * StoreConstants.WATCH_CALL_SHARE)));
         this.outbox = outbox;
         this.listener = listener;
     }
--- a/src/main/java/org/shoreusher/core/store/StoreConstants.java
+++ b/src/main/java/org/shoreusher/core/store/StoreConstants.java
@@ -25,7 +25,7 @@
      * Share of a node's rate of store calls that its watch may use. At 22 calls a second that is
      * one watch every 130 ms.
      */
-    static final double WATCH_REQUEST_SHARE = 0.35;
+    static final double WATCH_CALL_SHARE = 0.35;
 
     /**
      * ms; a store cache that is older than this when its watch fails is loaded again page by page.
@@ -46,18 +46,18 @@
      * Share of a node's rate of store calls that is reserved for leaders' leases, mostly for
      * renewals.
      */
-    static final double LEASE_RENEWAL_REQUEST_SHARE = 0.1;
+    static final double LEASE_CALL_SHARE = 0.1;
 
     /**
      * Calls for leaders' leases per second that a node may always send, however low its rate of
      * store calls is.
      */
-    static final double MIN_LEASE_RENEWALS_PER_S = 2;
+    static final double MIN_LEASE_CALLS_PER_S = 2;
 
     /**
      * Calls for leaders' leases that a node may always send in one burst, however low that rate is.
      */
-    static final double MIN_LEASE_RENEWAL_BURST = 4;
+    static final double MIN_LEASE_CALL_BURST = 4;
 
     /**
      * Share of the store's write rate for the leaders' background writes. Each node also has a
