--- a/src/main/java/org/shoreusher/core/gossip/GossipSender.java
+++ b/src/main/java/org/shoreusher/core/gossip/GossipSender.java
@@ -54,7 +54,7 @@
     }
 
     /** Records the time of the first batch of commands; later calls do nothing. */
-    void noteStart() {
+    void recordStart() {
         if (!isStarted) {
             isStarted = true;
             startedMs = outbox.now().monotonicMs();
--- a/src/main/java/org/shoreusher/core/gossip/PeerGossip.java
+++ b/src/main/java/org/shoreusher/core/gossip/PeerGossip.java
@@ -56,7 +56,7 @@
 
     /** Records the time of the first batch of commands; later calls do nothing. */
     public void noteStart() {
-        sender.noteStart();
+        sender.recordStart();
     }
 
     /** Sends gossip to the peers if it is due; returns whether it did. */
--- a/src/main/java/org/shoreusher/core/gossip/RedirectedWorkers.java
+++ b/src/main/java/org/shoreusher/core/gossip/RedirectedWorkers.java
@@ -31,10 +31,10 @@
     /**
      * Records a heartbeat of a worker whose shard another node leads. Returns whether to redirect
      * the worker to other responsive nodes for a while rather than to its leader. That gives an
-     * unreachable leader time to step down; a worker redirected to it at once would wait there for
-     * its full response timeout. Returns true only if many workers send heartbeats here (more than
-     * two, and more than {@link GossipConstants#REDIRECT_DELAY_MIN_WORKER_SHARE} of all machines),
-     * because a single one may just have missed a response.
+     * unreachable leader time to step down; a worker redirected to it immediately would wait there
+     * for its full response timeout. Returns true only if many workers send heartbeats here (more
+     * than two, and more than {@link GossipConstants#REDIRECT_DELAY_MIN_WORKER_SHARE} of all
+     * machines), because a single one may just have missed a response.
      *
      * @param machineCount the number of machines of all shards
      * @param nowMs monotonic ms
--- a/src/main/java/org/shoreusher/core/gossip/ShardDemand.java
+++ b/src/main/java/org/shoreusher/core/gossip/ShardDemand.java
@@ -107,36 +107,34 @@
     /**
      * Creates the summary of this shard for the other nodes.
      *
-     * @param isSurplus whether the shard has no tasks for a machine
+     * @param isSurplus whether a machine is idle and the shard has no tasks for it
      * @param machineShortfall the number of further machines that the shard could use now
      */
     public ShardSummary summarize(Predicate<Machine> isSurplus, int machineShortfall) {
         double cpuHeadroom = 0;
-        int idleMachines = 0;
+        int surplusMachines = 0;
         for (Machine machine : machines.values()) {
             if (machine.state() == Machine.State.UP || machine.state() == Machine.State.BOOTING) {
                 cpuHeadroom += machine.resources().cpusFree();
             }
-            idleMachines += isSurplus.test(machine) ? 1 : 0;
+            surplusMachines += isSurplus.test(machine) ? 1 : 0;
         }
         Map<String, TeamDemand> demands = new HashMap<>();
         for (Job job : jobs.values()) {
             cpuHeadroom -= job.pendingCount() * job.spec().cpus();
             demands.computeIfAbsent(job.spec().team(), this::ownDemand);
         }
-        return new ShardSummary(cpuHeadroom, idleMachines, machineShortfall, demands);
+        return new ShardSummary(cpuHeadroom, surplusMachines, machineShortfall, demands);
     }
 
-    /**
-     * The number of machines for which the other shards have no tasks, by their recent summaries.
-     */
-    public int idleMachinesElsewhere() {
-        int idleMachines = 0;
+    /** The number of surplus machines of the other shards, by their recent summaries. */
+    public int surplusMachinesElsewhere() {
+        int surplusMachines = 0;
         for (int otherShard = 0; otherShard < shardCount; otherShard++) {
             ShardSummary summary = summaryFromPeers(otherShard);
-            idleMachines += summary == null ? 0 : summary.idleMachines();
+            surplusMachines += summary == null ? 0 : summary.idleMachines();
         }
-        return idleMachines;
+        return surplusMachines;
     }
 
     /** The number of further machines that a shard could use now; 0 if it has no recent summary. */
--- a/src/main/java/org/shoreusher/core/machine/Autoscaler.java
+++ b/src/main/java/org/shoreusher/core/machine/Autoscaler.java
@@ -100,15 +100,15 @@
         return handover.isSurplus(machine);
     }
 
-    /** Number of further machines that the shard could fill at once, as of the last plan. */
+    /** Number of further machines that the shard could fill now, as of the last plan. */
     public int machineShortfall() {
         return shortfall.machines();
     }
 
     /**
-     * Makes the next plan due at once. Called when all pending requests have their final replies: a
-     * plan is limited to the requests that may be pending at once, so the next one may need more
-     * machines.
+     * Makes the next plan due immediately. Called when all pending requests have their final
+     * replies: a plan is limited to the requests that may be pending at the same time, so the next
+     * one may need more machines.
      */
     private void replanNow() {
         nextPlanMs = outbox.now().monotonicMs();
@@ -150,11 +150,11 @@
     }
 
     /**
-     * Shortens the plan by the number of machines that other shards have idle: their handover is
-     * faster and cheaper than booting new machines.
+     * Shortens the plan by the number of surplus machines of other shards: their handover is faster
+     * and cheaper than booting new machines.
      */
     private void removeMachinesAvailableElsewhere(List<MachineCapacity> toProvision) {
-        int needed = Math.max(0, toProvision.size() - shardDemand.idleMachinesElsewhere());
+        int needed = Math.max(0, toProvision.size() - shardDemand.surplusMachinesElsewhere());
         toProvision.subList(needed, toProvision.size()).clear();
     }
 
--- a/src/main/java/org/shoreusher/core/machine/CapacityShortfall.java
+++ b/src/main/java/org/shoreusher/core/machine/CapacityShortfall.java
@@ -12,9 +12,9 @@
 import org.shoreusher.core.schedule.QuotaHeadroom;
 
 /**
- * The machines and CPUs that a shard needs beyond its existing machines to run at once all pending
- * tasks within the quotas that apply to scale-out, as last measured. Requested machines do not
- * count as existing, and tasks that fit no machine type do not count.
+ * The machines and CPUs that a shard needs beyond its existing machines to run all pending tasks
+ * within the quotas that apply to scale-out at the same time, as last measured. Requested machines
+ * do not count as existing, and tasks that fit no machine type do not count.
  */
 final class CapacityShortfall {
     private final ShardState shard;
@@ -30,12 +30,12 @@
         this.pricing = pricing;
     }
 
-    /** Number of further machines that the shard could fill at once; never negative. */
+    /** Number of further machines that the shard could fill now; never negative. */
     int machines() {
         return machines;
     }
 
-    /** Number of further CPUs that the shard could use at once. */
+    /** Number of further CPUs that the shard could use now; never negative. */
     double cpus() {
         return cpus;
     }
--- a/src/main/java/org/shoreusher/core/machine/CloudInventory.java
+++ b/src/main/java/org/shoreusher/core/machine/CloudInventory.java
@@ -24,9 +24,10 @@
 import org.shoreusher.wire.FieldMap;
 
 /**
- * Polls the cloud's machine list for one shard. The list lags behind. Machines of the shard that
- * are missing from it long after they were provisioned have been terminated and are removed,
- * machines that it reports as failed are drained, and listed machines without a record are adopted.
+ * Polls the cloud's inventory, its list of machines, for one shard. The list lags behind. Machines
+ * of the shard that are missing from it long after they were provisioned have been terminated and
+ * are removed, machines that it reports as failed are drained, and listed machines without a record
+ * are adopted.
  */
 public final class CloudInventory {
     /** State in the list of a machine that stopped without being terminated (protocol). */
@@ -161,7 +162,7 @@
             adoptIfStillListed(listedMachine);
         } else {
             // Without this, a machine that is terminated later and still in a lagging list would
-            // count as listed since this time, and could be adopted at once.
+            // count as listed since this time, and could be adopted immediately.
             unrecordedSinceMs.removeLong(listedMachine.machineId());
         }
     }
--- a/src/main/java/org/shoreusher/core/machine/MachineHandover.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineHandover.java
@@ -10,7 +10,7 @@
 import org.shoreusher.core.gossip.ShardDemand;
 import org.shoreusher.core.store.Outbox;
 
-/** Hands idle machines that a shard does not need over to the shard that lacks the most. */
+/** Hands idle machines that a shard does not need over to the shard with the largest shortfall. */
 final class MachineHandover {
     private final ShardState shard;
     private final Outbox outbox;
@@ -54,7 +54,7 @@
 
     /**
      * Hands surplus and evacuated machines over to the shard with the largest shortfall, at most as
-     * many as it lacks.
+     * many as its shortfall.
      *
      * @param ownShortfall number of further machines that this shard could fill itself
      */
@@ -85,11 +85,13 @@
 
     /**
      * Starts the evacuation of the least used machine, which then gets no more tasks, if the target
-     * shard lacks more machines than are being evacuated, this shard lacks none, and enough CPUs
-     * stay free without the machine. Ends all evacuations if there is no target shard. A handover
-     * needs an empty machine; without evacuation a shard keeps many half-full ones.
+     * shard's shortfall exceeds the number of machines that are being evacuated, this shard has no
+     * shortfall, and enough CPUs stay free without the machine. Ends all evacuations if there is no
+     * target shard. A handover needs an empty machine; without evacuation a shard keeps many
+     * half-full ones.
      *
-     * @param targetShortfall number of machines that the target shard lacks; 0 if there is none
+     * @param targetShortfall the target shard's shortfall of machines; 0 if there is no target
+     *     shard
      */
     private void updateEvacuation(int targetShortfall, int ownShortfall) {
         double freeCpus = 0;
--- a/src/main/java/org/shoreusher/core/machine/MachineRecords.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineRecords.java
@@ -27,7 +27,7 @@
  * Keeps the store's records of a shard's machines up to date, and hands machines over to other
  * shards. Each write is a compare-and-swap whose preconditions are the versions of the shard's
  * fencing key and of every group of machines that it changes: shards that share a group can't undo
- * each other's writes, and a previous leader can't write at all.
+ * each other's writes, and no write of a previous leader succeeds.
  */
 public final class MachineRecords {
     private final ShardState shard;
@@ -97,9 +97,9 @@
             return null;
         }
         boolean handingOver = machine.state() == Machine.State.HANDING_OVER;
-        // While members of the previous version may lead, narrow groups record every machine as
-        // used: such a leader would record the use of a machine in a wide group and later read in
-        // the narrow one that the machine has not been used.
+        // A leader of the previous version records in a wide group that a machine may have run
+        // tasks, but later reads the record in the narrow group. While members of that version may
+        // lead, narrow groups therefore record that every machine may have run tasks.
         boolean mixedVersions =
                 wideGroupMigration.isNeeded() && !versionNegotiation.areServicesSupported();
         return new MachineRecord(
--- a/src/main/java/org/shoreusher/core/machine/ReservedReplicaCapacity.java
+++ b/src/main/java/org/shoreusher/core/machine/ReservedReplicaCapacity.java
@@ -28,8 +28,8 @@
     private final ScaleOut scaleOut;
 
     /**
-     * CPUs on on-demand machines that no replica uses, by zone; requested and planned ones
-     * included.
+     * CPUs on on-demand machines that no replica uses, by zone; includes machines that are
+     * requested or planned.
      */
     private final Object2DoubleOpenHashMap<String> freeCpusByZone =
             new Object2DoubleOpenHashMap<>();
--- a/src/main/java/org/shoreusher/core/machine/ScaleIn.java
+++ b/src/main/java/org/shoreusher/core/machine/ScaleIn.java
@@ -92,7 +92,7 @@
         if (!isConfirmed) {
             nextTerminationMs = outbox.now().monotonicMs() + MachineConstants.CLOUD_RETRY_MS;
         }
-        // After any other failure, such as a missing reply, it may still take effect.
+        // After any other failure, such as a missing reply, the termination may still take effect.
         boolean isCertainlyRefused =
                 reply.status() == ReplyStatus.SERVICE_UNAVAILABLE
                         || reply.status() == ReplyStatus.TOO_MANY_REQUESTS;
--- a/src/main/java/org/shoreusher/core/machine/ScaleOut.java
+++ b/src/main/java/org/shoreusher/core/machine/ScaleOut.java
@@ -65,7 +65,7 @@
      */
     private boolean cloudFailing;
 
-    private long nextAttemptMs;
+    private long nextRetryMs;
 
     /**
      * Creates the scale-out of a shard without pending requests.
@@ -149,7 +149,7 @@
 
     /** Sends the pending requests that are not in flight, new and repeated ones, if that is due. */
     void step() {
-        if (outbox.now().monotonicMs() < nextAttemptMs
+        if (outbox.now().monotonicMs() < nextRetryMs
                 || (cloudFailing
                         && pendingRequests.stream()
                                 .anyMatch(pendingRequest -> pendingRequest.inFlight))) {
@@ -185,7 +185,7 @@
                         && !outOfCapacity;
         if (cloudFailing) {
             // A request without a reply may have taken effect, so it is repeated under its name.
-            nextAttemptMs = outbox.now().monotonicMs() + MachineConstants.CLOUD_RETRY_MS;
+            nextRetryMs = outbox.now().monotonicMs() + MachineConstants.CLOUD_RETRY_MS;
             return;
         }
         pendingRequests.remove(pendingRequest);
--- a/src/main/java/org/shoreusher/core/machine/ShardMachines.java
+++ b/src/main/java/org/shoreusher/core/machine/ShardMachines.java
@@ -1,7 +1,7 @@
 package org.shoreusher.core.machine;
 
 /**
- * The objects of this package that other packages use for one shard.
+ * The objects of one shard in this package that other packages use.
  *
  * @param typeCatalog the machine types that the cloud offers
  * @param machineIndex the machine records of all shards
--- a/src/main/java/org/shoreusher/core/machine/TargetParallelism.java
+++ b/src/main/java/org/shoreusher/core/machine/TargetParallelism.java
@@ -33,7 +33,7 @@
         double runTimeS = runTimeEstimates.expectedRunS(job);
         double slackS = schedulingOrder.timeToNearestObjectiveS(job, outbox.now().wallMs());
         // A job that can't meet its objective on a machine that has yet to boot gains nothing from
-        // more parallelism.
+        // running more tasks in parallel.
         boolean isTooLate = slackS < type.bootS() + runTimeS;
         double horizonS =
                 Math.max(
