--- a/src/main/java/org/shoreusher/balance/Balancer.java
+++ b/src/main/java/org/shoreusher/balance/Balancer.java
@@ -31,7 +31,7 @@
     private final MigrationPlanner planner;
     private final BalanceStatistics statistics = new BalanceStatistics();
 
-    /** The migrations in progress, in the order of their beginning. */
+    /** The migrations in progress, in the order in which they began. */
     private final Map<TaskId, Migration> migrations = new LinkedHashMap<>();
 
     /**
@@ -82,7 +82,8 @@
 
     /**
      * Returns the most CPUs that a team may use on a machine while other machines have capacity: at
-     * least those of one task, and infinite unless the team is a high-demand team.
+     * least those of one task, and infinite if the machine is unknown or the team is not a
+     * high-demand team.
      *
      * @param taskCpus CPUs of one task
      * @param fetchShare share of the machine's CPUs by which the limit is raised: the share of a
@@ -245,8 +246,8 @@
     /** Ends a migration without a start at its target. */
     public void abandon(Migration migration, Migration.Reason reason, long nowMs) {
         if (migration.state() == Migration.State.STOPPING) {
-            // The stop order is not withdrawn: the task may still lose the work since its last
-            // checkpoint.
+            // The stop order is not withdrawn, so the work since the task's last checkpoint may
+            // still be lost.
             settleCost(migration, migration.task().unsavedS());
         }
         migration.abandon(reason);
--- a/src/main/java/org/shoreusher/balance/HighDemandTeams.java
+++ b/src/main/java/org/shoreusher/balance/HighDemandTeams.java
@@ -11,8 +11,8 @@
  */
 final class HighDemandTeams {
     /**
-     * Factor on the threshold from which a team becomes a high-demand team; below the product it
-     * stops being one. The hysteresis prevents flapping.
+     * A team stops being a high-demand team below this fraction of the threshold at which it became
+     * one. The hysteresis prevents flapping.
      */
     private static final double RELEASE_FACTOR = 0.8;
 
--- a/src/main/java/org/shoreusher/balance/Migration.java
+++ b/src/main/java/org/shoreusher/balance/Migration.java
@@ -38,8 +38,9 @@
     /** The reason for which a migration was abandoned. The names appear in the log. */
     public enum Reason {
         /**
-         * The target no longer accepts tasks: it is gone, unresponsive, cordoned, draining,
-         * reserved for another shard, under an interruption notice, or behind a one-way partition.
+         * The target no longer accepts tasks: it is gone, unresponsive, cordoned, draining, being
+         * evacuated or handed over to another shard, under an interruption notice, or behind a
+         * one-way partition.
          */
         TARGET_LOST,
         /** The job has reached a terminal state or belongs to another shard. */
--- a/src/main/java/org/shoreusher/balance/MigrationBudget.java
+++ b/src/main/java/org/shoreusher/balance/MigrationBudget.java
@@ -44,7 +44,7 @@
     private final Map<String, Map<Integer, Integer>> migrationCounts = new HashMap<>();
 
     /** Jobs whose tasks are not migrated. */
-    private final Set<String> exhaustedJobs = new HashSet<>();
+    private final Set<String> excludedJobs = new HashSet<>();
 
     private final Map<String, ClassUsage> usageByClass = new HashMap<>();
 
@@ -57,12 +57,12 @@
      * migrations of its tasks is unknown.
      */
     public void markStartedByPreviousLeader(String job) {
-        exhaustedJobs.add(job);
+        excludedJobs.add(job);
     }
 
-    /** Removes a job that has reached a terminal state. */
+    /** Removes a job that has reached a terminal state or belongs to another shard. */
     public void removeJob(String job) {
-        exhaustedJobs.remove(job);
+        excludedJobs.remove(job);
         migrationCounts.remove(job);
     }
 
@@ -85,7 +85,7 @@
         ClassBudget budget = settings.budget(task.jobClass());
         ClassUsage usage = usage(task.jobClass());
         usage.advanceTo(nowMs);
-        return !exhaustedJobs.contains(task.id().job())
+        return !excludedJobs.contains(task.id().job())
                 && migrationsOf(task.id()) < budget.maxMigrationsPerTask()
                 && usage.repeatedS + usage.atRiskS + task.unsavedS()
                         <= budget.maxRepeatedWorkShare() * usage.workedS;
--- a/src/main/java/org/shoreusher/balance/MigrationPlanner.java
+++ b/src/main/java/org/shoreusher/balance/MigrationPlanner.java
@@ -79,7 +79,7 @@
 
     /**
      * Selects migrations of a team; none if its skew is within the margin and the hysteresis. Each
-     * begins at once, so that the next selection takes it into account.
+     * begins immediately, so that the next selection takes it into account.
      */
     void beginMigrations(String team, SchedulerView scheduler, MigrationLimits limits) {
         double shareLimit = load.meanShare(team) + settings.skewMargin();
--- a/src/main/java/org/shoreusher/core/job/OpenJobs.java
+++ b/src/main/java/org/shoreusher/core/job/OpenJobs.java
@@ -21,7 +21,7 @@
      * Creates the open jobs of a shard.
      *
      * @param onJobClosed called with each job that is removed, before its tasks are stopped
-     * @param stopTask orders the worker of an active attempt to stop it at once
+     * @param stopTask orders the worker of an active attempt to stop it immediately
      */
     public OpenJobs(
             ShardContext context, Consumer<Job> onJobClosed, Consumer<TaskAttempt> stopTask) {
--- a/src/main/java/org/shoreusher/core/job/ShardJobs.java
+++ b/src/main/java/org/shoreusher/core/job/ShardJobs.java
@@ -1,7 +1,7 @@
 package org.shoreusher.core.job;
 
 /**
- * The parts of a shard that manage its jobs, for use by other packages.
+ * The objects of one shard in this package that other packages use.
  *
  * @param openJobs the shard's open jobs
  * @param highWaterMarks the durable high-water marks of the jobs
--- a/src/main/java/org/shoreusher/core/job/TerminalStateWriter.java
+++ b/src/main/java/org/shoreusher/core/job/TerminalStateWriter.java
@@ -73,8 +73,8 @@
     private boolean write(Job job, JobRecord record) {
         String key = StoreSchema.jobKey(job.id());
         Map<String, Map<String, Object>> writes = Map.of(key, record.asDone().toMap());
-        // The job's precondition fails if a cancellation was written first. The watch then delivers
-        // it.
+        // If a cancellation was written first, the precondition on the job fails, and the watch
+        // delivers the cancellation.
         return outbox.callStore(
                 new StoreOperation.CompareAndSwap(
                         leadership.preconditions(key, storeCache.version(key)), writes),
--- a/src/main/java/org/shoreusher/core/schedule/BalancerInput.java
+++ b/src/main/java/org/shoreusher/core/schedule/BalancerInput.java
@@ -73,8 +73,8 @@
     }
 
     /**
-     * Whether a task may be migrated: it is the current attempt, is not being stopped, saves its
-     * progress, has run long enough for its start to count, and its job is preemptible.
+     * Whether a task may be migrated: it is the current attempt, is not being stopped, writes
+     * checkpoints, has run long enough for its start to count, and its job is preemptible.
      */
     private boolean isMigratable(TaskAttempt attempt) {
         Job job = attempt.job();
@@ -89,7 +89,7 @@
                 && schedulingOrder.isPreemptible(job, outbox.now().wallMs());
     }
 
-    /** Whether tasks of the job write checkpoints and have no constraints between zones. */
+    /** Whether tasks of the job write checkpoints and the job has no zone constraints. */
     private static boolean canRestartElsewhere(JobSpec spec) {
         return spec.workloadType().runsToCompletion()
                 && spec.checkpointIntervalS() > 0
--- a/src/main/java/org/shoreusher/core/schedule/JobQueue.java
+++ b/src/main/java/org/shoreusher/core/schedule/JobQueue.java
@@ -22,7 +22,7 @@
 
     /**
      * Returns the jobs with pending tasks, in scheduling order, as a new list. Left out are closed
-     * jobs, those that delay starts after failures, and those with zone constraints whose tasks'
+     * jobs, those that are backing off after failures, and those with zone constraints whose tasks'
      * zones are not known yet.
      */
     public List<Job> inSchedulingOrder() {
--- a/src/main/java/org/shoreusher/core/schedule/PlacementPlan.java
+++ b/src/main/java/org/shoreusher/core/schedule/PlacementPlan.java
@@ -33,7 +33,9 @@
     private final Object2ObjectOpenHashMap<Machine, List<PlacedTasks>> plannedTasks =
             new Object2ObjectOpenHashMap<>();
 
-    /** Number of tasks by job that quota allows but no machine could take, in scheduling order. */
+    /**
+     * Number of tasks by job that the quota allows but no machine could take, in scheduling order.
+     */
     private final Object2IntLinkedOpenHashMap<Job> unplacedTasks =
             new Object2IntLinkedOpenHashMap<>();
 
--- a/src/main/java/org/shoreusher/core/schedule/PlannedQuota.java
+++ b/src/main/java/org/shoreusher/core/schedule/PlannedQuota.java
@@ -13,7 +13,7 @@
     private final Object2DoubleOpenHashMap<String> plannedGpus = new Object2DoubleOpenHashMap<>();
 
     /**
-     * Creates a plan that has assigned nothing yet.
+     * Creates the headroom for a plan that has assigned nothing yet.
      *
      * @param cpuHeadroom returns the CPUs of the quota that a team may still use
      * @param gpuHeadroom returns the GPUs of the quota that a team may still use
--- a/src/main/java/org/shoreusher/core/schedule/Preemption.java
+++ b/src/main/java/org/shoreusher/core/schedule/Preemption.java
@@ -22,7 +22,7 @@
  * that started so recently that its start would not count for the objectives.
  */
 final class Preemption {
-    /** CPUs by team that stopping tasks will release and that cover no pending task yet. */
+    /** CPUs by team that tasks being stopped will release, less those that cover pending tasks. */
     private final Object2DoubleOpenHashMap<String> reclaimedTeamCpus =
             new Object2DoubleOpenHashMap<>();
 
@@ -33,12 +33,14 @@
     private final SchedulingOrder schedulingOrder;
     private final ClockReading now;
 
-    /** CPUs on machines that stopping tasks will release and that cover no pending task yet. */
+    /**
+     * CPUs on machines that tasks being stopped will release, less those that cover pending tasks.
+     */
     private double reclaimedCpus;
 
     /**
-     * Collects the tasks that can be preempted now, and the CPUs of those that are already
-     * stopping.
+     * Collects the tasks that can be preempted now, and the CPUs of those that are already being
+     * stopped.
      */
     Preemption(ShardState shard, SchedulingOrder schedulingOrder, ClockReading now) {
         this.schedulingOrder = schedulingOrder;
--- a/src/main/java/org/shoreusher/core/schedule/ProspectiveCapacity.java
+++ b/src/main/java/org/shoreusher/core/schedule/ProspectiveCapacity.java
@@ -9,7 +9,10 @@
 import org.shoreusher.core.cluster.TaskAttempt;
 import org.shoreusher.core.message.JobSpec;
 
-/** The capacity of a machine that is free now or will be when its stopping tasks have exited. */
+/**
+ * The capacity of a machine that is free now or will be when the tasks that are being stopped there
+ * have exited.
+ */
 final class ProspectiveCapacity {
     private final Machine machine;
     private double freeCpus;
--- a/src/main/java/org/shoreusher/core/schedule/QuotaHeadroom.java
+++ b/src/main/java/org/shoreusher/core/schedule/QuotaHeadroom.java
@@ -71,7 +71,7 @@
      * The previous leader kept the team within its quota, so the team's inherited tasks on
      * reconciled machines and its tasks on all others together use at most the quota.
      *
-     * @param unreconciled resources in use on machines that are not reconciled, at most
+     * @param unreconciled upper bound of the resources in use on machines that are not reconciled
      * @param inherited resources of the team's tasks that were found after the failover
      */
     private static double maxUnreconciled(double unreconciled, double quota, double inherited) {
@@ -79,9 +79,9 @@
     }
 
     /**
-     * Returns the CPUs with which further tasks of the team could start if this shard's share were
-     * raised to the part of the quota that other shards do not demand, where that is more; may be
-     * negative. Scale-out is based on it.
+     * Returns the CPU headroom on which scale-out is based: the larger of this shard's share and
+     * the part of the quota that other shards do not demand, less the CPUs that the team's tasks
+     * use or may use; may be negative.
      */
     public double cpuHeadroomForScaleOut(String team) {
         boolean isKnown = settings.teams().containsKey(team);
--- a/src/main/java/org/shoreusher/core/schedule/QuotaShares.java
+++ b/src/main/java/org/shoreusher/core/schedule/QuotaShares.java
@@ -66,9 +66,9 @@
      */
     double cpuShare(String team) {
         Settings.Team teamSettings = settings.teams().get(team);
-        double limit = teamSettings == null ? 0 : teamSettings.maxCpus();
-        if (teamSettings == null || !isShared(limit)) {
-            return limit;
+        double quota = teamSettings == null ? 0 : teamSettings.maxCpus();
+        if (teamSettings == null || !isShared(quota)) {
+            return quota;
         }
         return share(team, QuotaRecord::cpus);
     }
@@ -76,15 +76,15 @@
     /** Returns the GPUs that tasks of the team in this shard may use; see {@link #cpuShare}. */
     double gpuShare(String team) {
         Settings.Team teamSettings = settings.teams().get(team);
-        double limit = teamSettings == null ? 0 : teamSettings.maxGpus();
-        if (teamSettings == null || !isShared(limit)) {
-            return limit;
+        double quota = teamSettings == null ? 0 : teamSettings.maxGpus();
+        if (teamSettings == null || !isShared(quota)) {
+            return quota;
         }
         return share(team, QuotaRecord::gpus);
     }
 
-    private boolean isShared(double limit) {
-        return shardCount > 1 && !Double.isInfinite(limit);
+    private boolean isShared(double quota) {
+        return shardCount > 1 && !Double.isInfinite(quota);
     }
 
     /** Returns this shard's share, or the share after a pending transfer if that is less. */
@@ -102,7 +102,7 @@
 
     /**
      * Returns the CPUs up to which further tasks of the team may start: the share, or the target
-     * share if that is less, so that the surplus can go to a shard with more urgent tasks.
+     * share if that is less, so that the surplus can be transferred to shards below their target.
      */
     double cpuShareForStarts(String team) {
         Double targetShare = targetCpus.get(team);
@@ -149,8 +149,8 @@
             double quantum) {
         QuotaTransfer pending = pendingTransfers.get(team.name());
         if (pending != null && records.version(team.name()) == pending.version()) {
-            // The outcome of the write is unknown. Repeating it is safe: it fails if the record has
-            // changed.
+            // The outcome of the write is unknown. Repeating it is safe, since a repeated write
+            // fails if the record has changed.
             send(team.name(), pending);
             return;
         }
--- a/src/main/java/org/shoreusher/core/schedule/QuotaTargets.java
+++ b/src/main/java/org/shoreusher/core/schedule/QuotaTargets.java
@@ -11,16 +11,16 @@
      * Returns the target share of each shard, in CPUs: high-priority demand is granted first, then
      * other demand, and the remainder is split evenly. Rounding may raise the sum above the quota.
      *
-     * @param limit the quota, in CPUs
+     * @param quota the quota, in CPUs
      * @param demands demand of each shard; null for a shard without recent gossip, which keeps its
      *     share
      * @param currentShares current share of each shard, in CPUs
      * @param quantum target shares are rounded to the nearest multiple of this, in CPUs
      */
     static double[] targetShares(
-            double limit, TeamDemand[] demands, double[] currentShares, double quantum) {
+            double quota, TeamDemand[] demands, double[] currentShares, double quantum) {
         double[] targetShares = new double[currentShares.length];
-        double remaining = limit;
+        double remaining = quota;
         int shardsWithDemand = 0;
         // Only the leader of a shard can lower its share, so without recent gossip from a shard its
         // share is not available to others.
--- a/src/main/java/org/shoreusher/core/schedule/ReplicaPreemption.java
+++ b/src/main/java/org/shoreusher/core/schedule/ReplicaPreemption.java
@@ -12,9 +12,9 @@
 import org.shoreusher.core.message.JobSpec;
 
 /**
- * Selects batch tasks of lower priority to preempt at once, without a grace period, so that pending
- * replicas of services fit on their machines. A replica serves users, so it cannot wait until a
- * task has written a checkpoint or completed, nor until a machine has booted.
+ * Selects batch tasks of lower priority to preempt immediately, without a grace period, so that
+ * pending replicas of services fit on their machines. A replica serves users, so it cannot wait
+ * until a task has written a checkpoint or completed, nor until a machine has booted.
  */
 final class ReplicaPreemption {
     /**
--- a/src/main/java/org/shoreusher/core/schedule/SchedulingOrder.java
+++ b/src/main/java/org/shoreusher/core/schedule/SchedulingOrder.java
@@ -105,8 +105,8 @@
     private JobRank rank(Job job, long wallMs) {
         double ageS = (wallMs - job.acceptedAtMs()) / 1000.0;
         double remainingS = estimatedRemainingS(job);
-        // Objectives that can no longer be met are counted; the slack is that of the next
-        // attainable one.
+        // Counts the objectives that can no longer be met; the slack is that of the next one that
+        // can be met.
         int missedObjectives = 0;
         double slackS = Double.MAX_VALUE;
         for (Settings.Objective objective : settings.objectives()) {
--- a/src/main/java/org/shoreusher/core/schedule/ShardScheduling.java
+++ b/src/main/java/org/shoreusher/core/schedule/ShardScheduling.java
@@ -1,7 +1,7 @@
 package org.shoreusher.core.schedule;
 
 /**
- * The scheduling collaborators of a shard that other packages use.
+ * The objects of one shard in this package that other packages use.
  *
  * @param schedulingOrder the order in which jobs get resources
  * @param jobQueue the jobs with pending tasks
--- a/src/main/java/org/shoreusher/core/schedule/TaskMigration.java
+++ b/src/main/java/org/shoreusher/core/schedule/TaskMigration.java
@@ -46,7 +46,7 @@
 
     private final SpreadLimit spreadLimit;
 
-    /** The migrations in progress, in the order of their beginning. */
+    /** The migrations in progress, in the order in which they began. */
     private final Map<TaskId, MigrationReservation> reservations = new LinkedHashMap<>();
 
     private long nextStepMs;
@@ -111,7 +111,7 @@
         }
     }
 
-    /** Handles that a job has reached a terminal state. */
+    /** Handles that a job has reached a terminal state or belongs to another shard. */
     public void onJobEnded(Job job) {
         if (!isDisabled()) {
             balancer.budget().removeJob(job.id());
