--- a/src/main/java/org/shoreusher/core/user/AdmissionConstants.java
+++ b/src/main/java/org/shoreusher/core/user/AdmissionConstants.java
@@ -30,7 +30,8 @@
     static final long SUBMISSION_QUEUE_TIMEOUT_MS = 600;
 
     /**
-     * Maximum user requests in progress on a node; further requests are rejected with 503 at once.
+     * Maximum user requests in progress on a node; further requests are rejected with 503
+     * immediately.
      */
     static final int MAX_USER_REQUESTS_IN_FLIGHT = 200;
 }
--- a/src/main/java/org/shoreusher/core/user/AdmissionPolicy.java
+++ b/src/main/java/org/shoreusher/core/user/AdmissionPolicy.java
@@ -6,13 +6,13 @@
 import org.shoreusher.settings.Settings;
 
 /**
- * Decides whether a job is admitted: only if its team's limit and the machine types allow it to
+ * Decides whether a job is admitted: only if its team's quota and the machine types allow it to
  * run.
  */
 final class AdmissionPolicy {
     /** The decision on a job. */
     enum Decision {
-        /** The team's limit and the machine types allow the job to run. */
+        /** The team's quota and the machine types allow the job to run. */
         ADMITTED,
         /** The job can never run; the user has to change it. */
         REJECTED,
@@ -28,7 +28,7 @@
     private final VersionNegotiation versionNegotiation;
 
     /**
-     * Creates a policy by the teams' limits, the cloud's machine types and the versions of the
+     * Creates a policy by the teams' quotas, the cloud's machine types and the versions of the
      * nodes.
      */
     AdmissionPolicy(
@@ -41,7 +41,7 @@
     }
 
     Decision decide(JobSpec spec) {
-        if (exceedsTeamLimit(spec)) {
+        if (exceedsQuota(spec)) {
             return Decision.REJECTED;
         }
         // A node of a version without services would treat a replica as a batch task and complete
@@ -56,10 +56,10 @@
     }
 
     /**
-     * Whether the team is not configured, or its limit is too low for the tasks that must run
+     * Whether the team is not configured, or its quota is too low for the tasks that must run
      * concurrently.
      */
-    private boolean exceedsTeamLimit(JobSpec spec) {
+    private boolean exceedsQuota(JobSpec spec) {
         Settings.Team team = settings.teams().get(spec.team());
         int minConcurrentTasks = spec.minConcurrentTasks();
         return team == null
--- a/src/main/java/org/shoreusher/core/user/SubmissionCommit.java
+++ b/src/main/java/org/shoreusher/core/user/SubmissionCommit.java
@@ -28,14 +28,14 @@
  * record of its own. Submissions that arrive while the previous writes are in flight or wait for
  * the rate limit share a record; see {@link SubmissionBatches}. With one write for each, a hundred
  * simultaneous submissions would wait up to six seconds at twenty writes per second. Submissions
- * beyond what the next writes hold are rejected at once.
+ * beyond what the next writes hold are rejected immediately.
  */
 final class SubmissionCommit {
     /**
      * A job that is to be written, with all requests that submit it and the time of the first;
      * monotonic ms.
      */
-    private record PendingSubmission(
+    private record QueuedSubmission(
             String jobId,
             long queuedAtMs,
             Map<String, Object> recordValue,
@@ -68,7 +68,7 @@
     /**
      * Submissions that are not in a write yet, by job id, in the order in which they are written.
      */
-    private final Map<String, PendingSubmission> pendingSubmissions = new LinkedHashMap<>();
+    private final Map<String, QueuedSubmission> queuedSubmissions = new LinkedHashMap<>();
 
     private int writesInFlight;
     private long nextBatchNumber = 1;
@@ -101,16 +101,16 @@
     }
 
     /**
-     * Queues an admitted job, and responds once it is durable or rejected. Responds at once if the
-     * queue is full.
+     * Queues an admitted job, and responds once it is durable or rejected. Responds immediately if
+     * the queue is full.
      */
     void enqueue(long requestId, JobSpec spec) {
-        PendingSubmission queued = pendingSubmissions.get(spec.id());
+        QueuedSubmission queued = queuedSubmissions.get(spec.id());
         if (queued != null) {
             queued.requestIds.add(requestId);
             return;
         }
-        if (pendingSubmissions.size() >= AdmissionConstants.MAX_QUEUED_SUBMISSIONS) {
+        if (queuedSubmissions.size() >= AdmissionConstants.MAX_QUEUED_SUBMISSIONS) {
             outbox.respondUnavailable(requestId);
             return;
         }
@@ -122,9 +122,9 @@
             onTooLong.accept(requestId, spec.id());
             return;
         }
-        pendingSubmissions.put(
+        queuedSubmissions.put(
                 spec.id(),
-                new PendingSubmission(
+                new QueuedSubmission(
                         spec.id(),
                         outbox.now().monotonicMs(),
                         recordValue,
@@ -133,15 +133,15 @@
     }
 
     /** Writes the queued submissions, and rejects those that have been queued for too long. */
-    void commitPending() {
-        while (!pendingSubmissions.isEmpty()
+    void commitQueued() {
+        while (!queuedSubmissions.isEmpty()
                 && writesInFlight < AdmissionConstants.MAX_SUBMISSION_COMMITS_IN_FLIGHT
                 && writeBatch()) {
             // repeats until the queue is empty or a limit is reached
         }
-        // A submission waits only for the next writes: a retry by the user costs less than a long
-        // queue.
-        pendingSubmissions
+        // A submission waits only for the next writes, since a retry by the user costs less
+        // than a long queue.
+        queuedSubmissions
                 .values()
                 .removeIf(
                         submission -> {
@@ -157,7 +157,7 @@
 
     /** Sends the next batch; returns false if the rate limit does not allow it now. */
     private boolean writeBatch() {
-        List<PendingSubmission> batch = nextBatch();
+        List<QueuedSubmission> batch = nextBatch();
         StoreOperation.CompareAndSwap operation = operationFor(batch);
         boolean sent =
                 outbox.callStoreForUser(
@@ -168,20 +168,20 @@
                         });
         if (sent) {
             writesInFlight++;
-            batch.forEach(submission -> pendingSubmissions.remove(submission.jobId()));
+            batch.forEach(submission -> queuedSubmissions.remove(submission.jobId()));
         }
         return sent;
     }
 
     /** The first queued submissions that fit into one record, at least one. */
-    private List<PendingSubmission> nextBatch() {
+    private List<QueuedSubmission> nextBatch() {
         double maxBatchBytes = settings.maxValueBytes() * StoreConstants.RECORD_FILL_SHARE;
         // One precondition for each job, and one for the batch's record.
         int maxBatchSize =
                 StoreConstants.MAX_PRECONDITIONS_PER_WRITE * settings.maxTransactionWrites() - 1;
-        List<PendingSubmission> batch = new ArrayList<>();
+        List<QueuedSubmission> batch = new ArrayList<>();
         int batchBytes = 0;
-        for (PendingSubmission submission : pendingSubmissions.values()) {
+        for (QueuedSubmission submission : queuedSubmissions.values()) {
             if (!batch.isEmpty()
                     && (batchBytes + submission.encodedBytes > maxBatchBytes
                             || batch.size() >= maxBatchSize)) {
@@ -193,7 +193,7 @@
         return batch;
     }
 
-    private StoreOperation.CompareAndSwap operationFor(List<PendingSubmission> batch) {
+    private StoreOperation.CompareAndSwap operationFor(List<QueuedSubmission> batch) {
         Map<String, Long> preconditions = new LinkedHashMap<>();
         Map<String, Map<String, Object>> writes = new LinkedHashMap<>();
         batch.forEach(submission -> preconditions.put(submission.key(), StoreCache.ABSENT));
@@ -212,7 +212,7 @@
 
     private void handleReply(
             StoreReply reply,
-            List<PendingSubmission> batch,
+            List<QueuedSubmission> batch,
             Map<String, Map<String, Object>> writes) {
         switch (reply.status()) {
             case ReplyStatus.OK -> {
@@ -228,15 +228,15 @@
         }
     }
 
-    private void respondCreated(PendingSubmission submission) {
+    private void respondCreated(QueuedSubmission submission) {
         submission.requestIds.forEach(
                 requestId ->
                         outbox.respond(requestId, JobStateResponses.created(submission.jobId())));
     }
 
     /** Responds with the state of jobs that already exist; the others are queued again. */
-    private void handleConflict(List<PendingSubmission> batch, Set<String> failedKeys) {
-        for (PendingSubmission submission : batch) {
+    private void handleConflict(List<QueuedSubmission> batch, Set<String> failedKeys) {
+        for (QueuedSubmission submission : batch) {
             if (failedKeys.contains(submission.key())) {
                 submission.requestIds.forEach(
                         requestId -> onAlreadyExists.accept(requestId, submission.jobId()));
@@ -254,8 +254,8 @@
         }
     }
 
-    private void requeue(PendingSubmission submission) {
-        PendingSubmission queued = pendingSubmissions.putIfAbsent(submission.jobId(), submission);
+    private void requeue(QueuedSubmission submission) {
+        QueuedSubmission queued = queuedSubmissions.putIfAbsent(submission.jobId(), submission);
         if (queued != null) {
             queued.requestIds.addAll(submission.requestIds);
         }
--- a/src/main/java/org/shoreusher/core/user/UserRequests.java
+++ b/src/main/java/org/shoreusher/core/user/UserRequests.java
@@ -16,7 +16,7 @@
 /**
  * Handles the requests of users. A terminal state is returned from memory, since it never changes.
  * Any other state is returned only after a linearizable read of the key-value store; see {@link
- * LinearizableReads}. A request that cannot be served now is rejected at once.
+ * LinearizableReads}. A request that cannot be served now is rejected immediately.
  */
 public final class UserRequests {
     private static final String INVALID_JOB_ID =
@@ -196,7 +196,7 @@
 
     /** Sends the queued writes and reads, and the responses that are due. */
     public void step() {
-        submissionCommit.commitPending();
+        submissionCommit.commitQueued();
         linearizableReads.answerCaughtUpReads();
         terminalJobs.evictCancelledJobs();
         linearizableReads.sendBatch();
--- a/src/main/java/org/shoreusher/core/user/package-info.java
+++ b/src/main/java/org/shoreusher/core/user/package-info.java
@@ -4,7 +4,7 @@
  * <p>Guarantees: every request gets a response. For a valid job id, a response states whether the
  * job exists and whether it is in a terminal state only as the key-value store has confirmed it. A
  * submission or cancellation is durable before it is confirmed to the user. Requests beyond the
- * capacity of a node are rejected at once with a suggested retry delay.
+ * capacity of a node are rejected immediately with a suggested retry delay.
  *
  * <p>May use the packages {@code message}, {@code store}, {@code job} and {@code machine} of the
  * core, and {@code wire}, {@code log} and {@code settings}.
--- a/src/main/java/org/shoreusher/wire/CloudFormat.java
+++ b/src/main/java/org/shoreusher/wire/CloudFormat.java
@@ -64,7 +64,7 @@
         return types;
     }
 
-    /** Decodes the names of the machines that a provision request created. */
+    /** Decodes the ids of the machines that a provision request created. */
     public static List<String> readMachineIds(FieldMap reply)
             throws FieldMap.InvalidFieldException {
         return reply.texts("boxes");
--- a/src/main/java/org/shoreusher/wire/UserFormat.java
+++ b/src/main/java/org/shoreusher/wire/UserFormat.java
@@ -84,7 +84,9 @@
     private static JobSpec readSpec(FieldMap fields, WorkloadType workloadType)
             throws FieldMap.InvalidFieldException {
         String id = fields.text("name_id");
-        require(JobSpec.isValidId(id), "name_id must be wk- and 1 to 37 digits, like wk-000412");
+        require(
+                JobSpec.isValidId(id),
+                "name_id must be wk- followed by 1 to 37 digits, such as wk-000412");
         long tasks = fields.integer("sheets");
         require(
                 tasks >= 1 && tasks <= MessageConstants.MAX_TASKS_PER_JOB,
@@ -206,8 +208,8 @@
      * {@link #readDescription} can decode it; team, priority and resources are unchanged, while
      * class and image are empty.
      */
-    public static Map<String, Object> resourcesOnly(Map<String, Object> description) {
-        Map<String, Object> reduced = new LinkedHashMap<>(description);
+    public static Map<String, Object> resourcesOnly(Map<String, Object> storedSpec) {
+        Map<String, Object> reduced = new LinkedHashMap<>(storedSpec);
         reduced.keySet().retainAll(REQUIRED_FIELDS);
         reduced.put("queue", "");
         reduced.put("plate", "");
