--- a/src/main/java/org/shoreusher/cli/Service.java
+++ b/src/main/java/org/shoreusher/cli/Service.java
@@ -66,7 +66,7 @@
         workers = new WorkerClient(loop);
         gossip = new GossipTransport(group, settings, this::offer);
         standby = new StandbyTransport(group, settings);
-        frontend = new HttpFrontend(group, settings, this::offer, this::lagMs);
+        frontend = new HttpFrontend(group, settings, this::offer, this::eventLoopDelayMs);
     }
 
     /**
@@ -125,7 +125,7 @@
     /**
      * Delay of the event loop in ms: that of the last tick, or of the next one if that is larger.
      */
-    private long lagMs() {
+    private long eventLoopDelayMs() {
         return Math.max(
                 lastTickDelayMs, monotonicMs() - lastTickMs - ServiceConstants.TICK_INTERVAL_MS);
     }
--- a/src/main/java/org/shoreusher/cli/ServiceConstants.java
+++ b/src/main/java/org/shoreusher/cli/ServiceConstants.java
@@ -8,9 +8,9 @@
     public static final int SHARD_COUNT = 1;
 
     /**
-     * Minimum capacity of the core's command queue; when it is full, requests are rejected. If the
-     * socket limit is larger, it is the capacity, since each connection has at most one open
-     * request.
+     * Minimum capacity of the core's command queue; when the queue is full, requests are rejected.
+     * A larger socket limit is used as the capacity instead, since each connection has at most one
+     * pending request.
      */
     public static final int MIN_COMMAND_QUEUE_CAPACITY = 4_096;
 
--- a/src/main/java/org/shoreusher/log/LogEventType.java
+++ b/src/main/java/org/shoreusher/log/LogEventType.java
@@ -16,7 +16,7 @@
     LEASE_RECOVERED,
     /** This node is no longer the leader of a shard. */
     LEADERSHIP_LOST,
-    /** A leader has raised its term because a worker had seen a higher fencing token. */
+    /** A leader has raised its term because a worker had received a higher fencing token. */
     TERM_RAISED,
     /** The key-value store sent a reply that is not valid. */
     STORE_REPLY_INVALID,
@@ -48,7 +48,7 @@
     MIGRATION_ABANDONED,
     /** A task that was to be migrated completed before it was stopped. */
     MIGRATION_OBSOLETE,
-    /** A standby's attempt log has every attempt that may be on a machine. */
+    /** A standby's attempt log contains every attempt that may be on a machine. */
     STANDBY_IN_SYNC,
     /** A leader no longer replicates to a standby. */
     STANDBY_ABANDONED,
@@ -56,11 +56,11 @@
     ATTEMPT_LOG_PROMOTED,
     /** A new leader has no usable attempt log and reconciles from heartbeats. */
     ATTEMPT_LOG_REJECTED,
-    /** A worker reports an attempt that the promoted attempt log lacks; this must never happen. */
+    /** A worker reports an attempt that is not in the promoted attempt log; must never happen. */
     ATTEMPT_LOG_CONTRADICTED,
     /** A connection was closed because another node sent a message that is not valid. */
     PEER_MESSAGE_INVALID,
-    /** Machines, CPUs and waiting tasks of a shard. */
+    /** Machines, CPUs and pending tasks of a shard. */
     SHARD_STATUS(true),
     /** Connections and memory of the process. */
     PROCESS_STATUS(true),
--- a/src/main/java/org/shoreusher/measure/BalanceMeasurement.java
+++ b/src/main/java/org/shoreusher/measure/BalanceMeasurement.java
@@ -98,7 +98,7 @@
                 machines,
                 new CloudStandIn.MachineOffer(
                         CPUS_PER_MACHINE, 64, FETCH_GB_PER_S, List.of("a", "b")),
-                DoubledTeamLoad.teamCpuLimits(machines * CPUS_PER_MACHINE),
+                DoubledTeamLoad.teamCpuQuotas(machines * CPUS_PER_MACHINE),
                 HEARTBEAT_INTERVAL_S,
                 WORKER_LEASE_S,
                 balancerOn ? featuresFile : null);
--- a/src/main/java/org/shoreusher/measure/Cluster.java
+++ b/src/main/java/org/shoreusher/measure/Cluster.java
@@ -46,7 +46,7 @@
             int controllerCount,
             int machineCount,
             CloudStandIn.MachineOffer offer,
-            Map<String, Double> teamCpuLimits,
+            Map<String, Double> teamCpuQuotas,
             double heartbeatIntervalS,
             double workerLeaseS,
             Path featuresFile) {}
@@ -141,8 +141,8 @@
     }
 
     private static boolean isDone(ControllerClient client, String job) {
-        ControllerClient.Response reply = call(client, "/v2/runs/" + job, null);
-        return reply.isOk() && "done".equals(reply.body().get("status"));
+        ControllerClient.Response response = call(client, "/v2/runs/" + job, null);
+        return response.isOk() && "done".equals(response.body().get("status"));
     }
 
     /**
--- a/src/main/java/org/shoreusher/measure/ClusterSettings.java
+++ b/src/main/java/org/shoreusher/measure/ClusterSettings.java
@@ -37,7 +37,7 @@
                 cluster.storePort(),
                 topology.controllerCount(),
                 zones.stream().map(name -> '"' + name + '"').collect(Collectors.joining(",")),
-                teams(topology.teamCpuLimits()),
+                teams(topology.teamCpuQuotas()),
                 topology.heartbeatIntervalS(),
                 topology.workerLeaseS(),
                 (int) (topology.machineCount() * SOCKETS_PER_MACHINE) + OTHER_SOCKETS);
@@ -62,8 +62,8 @@
                 .collect(Collectors.joining(","));
     }
 
-    private static String teams(Map<String, Double> cpuLimits) {
-        return cpuLimits.entrySet().stream()
+    private static String teams(Map<String, Double> cpuQuotas) {
+        return cpuQuotas.entrySet().stream()
                 .map(
                         entry ->
                                 ("{\"name\":\"%s\",\"cpus\":0.0,\"cpus_max\":%s,\"gpus\":0.0,"
--- a/src/main/java/org/shoreusher/measure/DoubledTeamLoad.java
+++ b/src/main/java/org/shoreusher/measure/DoubledTeamLoad.java
@@ -116,7 +116,7 @@
     }
 
     /** The quota of CPUs of each team: all CPUs, so that no quota limits the load. */
-    static Map<String, Double> teamCpuLimits(double cpus) {
+    static Map<String, Double> teamCpuQuotas(double cpus) {
         return Map.of(DOUBLED_TEAM, cpus, OTHER_TEAM, cpus);
     }
 }
--- a/src/main/java/org/shoreusher/measure/FailoverMeasurement.java
+++ b/src/main/java/org/shoreusher/measure/FailoverMeasurement.java
@@ -196,7 +196,7 @@
         awaitQuotaAndSync(failoverMs);
     }
 
-    /** Partitions a share of the machines from the controllers; returns their names. */
+    /** Partitions a share of the machines from the controllers; returns their ids. */
     private Set<String> partitionWorkers() {
         List<WorkerStandIn> workers = cluster.cloud().workers();
         Collections.shuffle(workers, random);
--- a/src/main/java/org/shoreusher/peer/PeerConnections.java
+++ b/src/main/java/org/shoreusher/peer/PeerConnections.java
@@ -59,8 +59,8 @@
         } else if (connection.isWritable()) {
             connection.writeAndFlush(Unpooled.wrappedBuffer(message));
         } else {
-            // The peer is unreachable: the queued messages would arrive minutes late and be
-            // useless.
+            // The peer is unreachable. The queued messages would be useless, since they would
+            // arrive minutes late.
             connection.close();
         }
     }
--- a/src/main/java/org/shoreusher/peer/StandbyTransport.java
+++ b/src/main/java/org/shoreusher/peer/StandbyTransport.java
@@ -10,9 +10,9 @@
 
 /**
  * Sends standby messages to other controllers, on connections separate from those of gossip: a
- * controller without the standby feature closes the connection on such a message, which must not
- * lose gossip. Messages that cannot be sent immediately are dropped; the leader then sends them
- * again or abandons its standby.
+ * controller without the standby feature closes the connection on which it receives one, and no
+ * gossip must be lost with that connection. Messages that cannot be sent immediately are dropped;
+ * the leader then sends them again or abandons its standby.
  */
 public final class StandbyTransport {
     private final Map<String, Settings.Address> addresses = new HashMap<>();
--- a/src/main/java/org/shoreusher/standin/CloudStandIn.java
+++ b/src/main/java/org/shoreusher/standin/CloudStandIn.java
@@ -22,7 +22,7 @@
     public record MachineOffer(
             double cpus, double memoryGb, double fetchGbPerS, List<String> zones) {}
 
-    /** The workers by machine name. */
+    /** The workers by machine id. */
     private final TreeMap<String, WorkerStandIn> machines = new TreeMap<>();
 
     private final TreeMap<String, List<Object>> machinesByRequest = new TreeMap<>();
@@ -92,13 +92,13 @@
     }
 
     private List<Object> start(long count, String zone, boolean spot) {
-        List<Object> names = new ArrayList<>();
+        List<Object> ids = new ArrayList<>();
         for (long i = 0; i < count; i++) {
             String id = String.format("host-%06d", ++machinesProvisioned);
             machines.put(id, workerFactory.apply(new WorkerStandIn.Identity(id, TYPE, zone, spot)));
-            names.add(id);
+            ids.add(id);
         }
-        return names;
+        return ids;
     }
 
     private Response terminate(FieldMap body) throws FieldMap.InvalidFieldException {
@@ -121,12 +121,12 @@
         machines.values().forEach(WorkerStandIn::stop);
     }
 
-    /** The workers of all machines, ordered by machine name. */
+    /** The workers of all machines, ordered by machine id. */
     public synchronized List<WorkerStandIn> workers() {
         return new ArrayList<>(machines.values());
     }
 
-    /** The machine on which a task is active; null if there is none. */
+    /** The id of the machine on which a task is active; null if there is none. */
     public synchronized String machineOf(String task) {
         return machines.entrySet().stream()
                 .filter(entry -> entry.getValue().hasActiveTask(task))
--- a/src/main/java/org/shoreusher/standin/StandInTasks.java
+++ b/src/main/java/org/shoreusher/standin/StandInTasks.java
@@ -14,7 +14,7 @@
  */
 final class StandInTasks {
     /** What the tasks require of their worker. */
-    interface Host {
+    interface Callbacks {
         /** Runs an action after a delay in ms, unless the worker has stopped by then. */
         void schedule(double delayMs, Runnable action);
 
@@ -24,15 +24,15 @@
 
     private final String machine;
     private final WorkerStandIn.Environment environment;
-    private final Host host;
+    private final Callbacks callbacks;
     private final Map<String, StandInTask> tasks = new LinkedHashMap<>();
     private final Set<String> images = new HashSet<>();
     private final Set<String> fetching = new HashSet<>();
 
-    StandInTasks(String machine, WorkerStandIn.Environment environment, Host host) {
+    StandInTasks(String machine, WorkerStandIn.Environment environment, Callbacks callbacks) {
         this.machine = machine;
         this.environment = environment;
-        this.host = host;
+        this.callbacks = callbacks;
     }
 
     /** Names of the tasks that use resources, which are those that have not exited. */
@@ -104,12 +104,13 @@
         JobProfile profile = environment.profiles().apply(name.substring(0, name.indexOf('/')));
         StandInTask task = new StandInTask(name, attempt, profile);
         tasks.put(name, task);
-        host.onTaskChange();
+        callbacks.onTaskChange();
         if (images.contains(profile.image())) {
             run(task);
         } else if (fetching.add(profile.image())) {
             environment.history().recordImageFetch();
-            host.schedule(profile.imageFetchS() * 1_000, () -> onImageFetched(profile.image()));
+            callbacks.schedule(
+                    profile.imageFetchS() * 1_000, () -> onImageFetched(profile.image()));
         }
     }
 
@@ -127,10 +128,10 @@
         task.state = StandInTask.State.RUNNING;
         task.runningSinceNs = System.nanoTime();
         task.initialProgressS = environment.history().recordStart(task.name, machine);
-        host.onTaskChange();
+        callbacks.onTaskChange();
         double remainingS = Math.max(0, task.profile.runTimeS() - task.initialProgressS);
         if (!Double.isInfinite(remainingS)) {
-            host.schedule(remainingS * 1_000, () -> complete(task));
+            callbacks.schedule(remainingS * 1_000, () -> complete(task));
         }
     }
 
@@ -157,9 +158,9 @@
 
     private void checkpoint(StandInTask task) {
         task.state = StandInTask.State.CHECKPOINTING;
-        host.onTaskChange();
+        callbacks.onTaskChange();
         double progressS = task.progressS();
-        host.schedule(
+        callbacks.schedule(
                 task.profile.checkpointDurationS() * 1_000,
                 () -> {
                     if (isInState(task, StandInTask.State.CHECKPOINTING)) {
@@ -177,7 +178,7 @@
     private void exit(StandInTask task, String cause) {
         task.state = StandInTask.State.EXITED;
         task.exitCause = cause;
-        host.onTaskChange();
+        callbacks.onTaskChange();
     }
 
     private void recordInterruption(StandInTask task) {
--- a/src/main/java/org/shoreusher/standin/WorkerStandIn.java
+++ b/src/main/java/org/shoreusher/standin/WorkerStandIn.java
@@ -26,7 +26,7 @@
     private static final int MAX_IDLE_CONNECTIONS = 1;
     private static final int STATUS_MISDIRECTED = 421;
 
-    /** A machine's name, type and zone, and whether it is a spot machine. */
+    /** A machine's id, type and zone, and whether it is a spot machine. */
     public record Identity(String id, String type, String zone, boolean spot) {}
 
     /**
@@ -71,13 +71,13 @@
         this.identity = identity;
         this.environment = environment;
         random = new Random(identity.id().hashCode());
-        tasks = new StandInTasks(identity.id(), environment, new TaskHost());
+        tasks = new StandInTasks(identity.id(), environment, new TaskCallbacks());
         hosts = environment.controllers().keySet().stream().sorted().toList();
         controllerIndex = random.nextInt(hosts.size());
         schedule(random.nextInt((int) MIN_HEARTBEAT_INTERVAL_MS), this::sendHeartbeat);
     }
 
-    /** The machine's name, type and zone. */
+    /** The machine's id, type and zone, and whether it is a spot machine. */
     public Identity identity() {
         return identity;
     }
@@ -109,7 +109,7 @@
     }
 
     /** Connects the tasks to this worker. */
-    private final class TaskHost implements StandInTasks.Host {
+    private final class TaskCallbacks implements StandInTasks.Callbacks {
         @Override
         public void schedule(double delayMs, Runnable action) {
             WorkerStandIn.this.schedule(delayMs, action);
--- a/src/main/java/org/shoreusher/user/FrontendConstants.java
+++ b/src/main/java/org/shoreusher/user/FrontendConstants.java
@@ -23,14 +23,14 @@
     public static final int REQUEST_READ_TIMEOUT_S = 10;
 
     /**
-     * ms; a node that lags by more rejects polls with status 503 immediately. Users wait 2 s for
-     * the response to a poll, and workers 4 s for the response to a heartbeat.
+     * ms; a node whose event loop is delayed by more rejects polls with status 503 immediately.
+     * Users wait 2 s for the response to a poll, and workers 4 s for the response to a heartbeat.
      */
     public static final long SHED_POLLS_LAG_MS = 500;
 
     /**
-     * ms; a node that lags by more also rejects submissions and cancellations. Users wait 5 s for
-     * the response to one.
+     * ms; a node whose event loop is delayed by more also rejects submissions and cancellations.
+     * Users wait 5 s for the response to one.
      */
     public static final long SHED_WRITES_LAG_MS = 1_500;
 }
--- a/src/main/java/org/shoreusher/user/HttpFrontend.java
+++ b/src/main/java/org/shoreusher/user/HttpFrontend.java
@@ -49,11 +49,14 @@
      * Creates a server that does not listen yet.
      *
      * @param core accepts a command, or returns false if its queue is full
-     * @param eventLoopDelayMs how far the processing of commands lags, in ms
+     * @param eventLoopDelayMs returns the current delay of the event loop in ms
      */
     public HttpFrontend(
-            EventLoopGroup loop, Settings settings, Predicate<Command> core, LongSupplier lagMs) {
-        this.eventLoopDelayMs = lagMs;
+            EventLoopGroup loop,
+            Settings settings,
+            Predicate<Command> core,
+            LongSupplier eventLoopDelayMs) {
+        this.eventLoopDelayMs = eventLoopDelayMs;
         this.loop = loop;
         this.settings = settings;
         this.core = core;
@@ -132,7 +135,7 @@
         return connections.count();
     }
 
-    /** How far the processing of commands lags, in ms. */
+    /** The current delay of the event loop in ms. */
     long eventLoopDelayMs() {
         return eventLoopDelayMs.getAsLong();
     }
--- a/src/main/java/org/shoreusher/user/RequestHandler.java
+++ b/src/main/java/org/shoreusher/user/RequestHandler.java
@@ -53,9 +53,9 @@
     }
 
     /**
-     * Whether a user's request is rejected because the node lags. Polls are rejected first, then
-     * submissions and cancellations. Heartbeats are not rejected for this reason, since workers
-     * without responses lose their leases.
+     * Whether a user's request is rejected because the event loop is delayed. Polls are rejected
+     * first, then submissions and cancellations. Heartbeats are not rejected for this reason, since
+     * workers without responses lose their leases.
      */
     private boolean mustShed(HttpMethod method) {
         return frontend.eventLoopDelayMs()
