--- a/src/main/java/org/shoreusher/core/machine/Autoscaler.java
+++ b/src/main/java/org/shoreusher/core/machine/Autoscaler.java
@@ -100,7 +100,7 @@
         return handover.isSurplus(machine);
     }
 
-    /** Number of further machines that the shard could fill now, as of the last plan. */
+    /** Number of further machines that the shard could use now, as of the last plan. */
     public int machineShortfall() {
         return shortfall.machines();
     }
--- a/src/main/java/org/shoreusher/core/machine/CapacityShortfall.java
+++ b/src/main/java/org/shoreusher/core/machine/CapacityShortfall.java
@@ -30,7 +30,7 @@
         this.pricing = pricing;
     }
 
-    /** Number of further machines that the shard could fill now; never negative. */
+    /** Number of further machines that the shard could use now; never negative. */
     int machines() {
         return machines;
     }
--- a/src/main/java/org/shoreusher/core/machine/MachineHandover.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineHandover.java
@@ -56,7 +56,7 @@
      * Hands surplus and evacuated machines over to the shard with the largest shortfall, at most as
      * many as its shortfall.
      *
-     * @param ownShortfall number of further machines that this shard could fill itself
+     * @param ownShortfall number of further machines that this shard could use itself now
      */
     void handOverSurplus(int ownShortfall) {
         OptionalInt targetShard = shardDemand.shardWithLargestShortfall();
--- a/src/main/java/org/shoreusher/peer/StandbyCodec.java
+++ b/src/main/java/org/shoreusher/peer/StandbyCodec.java
@@ -22,7 +22,7 @@
 
 /**
  * Encodes and decodes standby messages. They begin with a marker byte that distinguishes them from
- * gossip: a gossip message begins with the name of its sender, and the marker is Kryo's encoding of
+ * gossip: a gossip message begins with the host of its sender, and the marker is Kryo's encoding of
  * a null string. A version without the standby feature closes the connection on this byte.
  */
 final class StandbyCodec {
