--- a/src/main/java/org/shoreusher/cli/ClassArchiveRun.java
+++ b/src/main/java/org/shoreusher/cli/ClassArchiveRun.java
@@ -10,8 +10,8 @@
 
 /**
  * Used by the build only: loads all classes of the program, starts a controller on loopback and
- * runs {@link ServiceSmokeCheck} against it, so that the JVM archives the classes that start-up and
- * the first requests need. Exits with 0, or with 1 if a step of the check fails.
+ * runs {@link ControllerSmokeCheck} against it, so that the JVM archives the classes that start-up
+ * and the first requests need. Exits with 0, or with 1 if a step of the check fails.
  */
 final class ClassArchiveRun {
     private ClassArchiveRun() {}
@@ -20,7 +20,7 @@
     public static void main(String[] args) throws Exception {
         loadOwnClasses();
         int exitCode = 0;
-        try (ServiceSmokeCheck check = new ServiceSmokeCheck()) {
+        try (ControllerSmokeCheck check = new ControllerSmokeCheck()) {
             Path settingsFile = Files.createTempFile("class-archive-run", ".json");
             Files.writeString(settingsFile, check.settingsJson(), StandardCharsets.UTF_8);
             String[] arguments = {
--- a/src/main/java/org/shoreusher/cli/Service.java
+++ b/src/main/java/org/shoreusher/cli/Controller.java
@@ -29,7 +29,7 @@
  * A running controller. Adapters put commands into a queue; the core processes them in batches and
  * returns effects, which the adapters carry out. All of it runs on one event loop.
  */
-final class Service {
+final class Controller {
     private static final Logger LOG = LoggerFactory.getLogger("shoreusher");
 
     private final Settings settings;
@@ -37,7 +37,7 @@
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final EventLoop loop = group.next();
     private final ManyToOneConcurrentArrayQueue<Command> commandQueue;
-    private final List<Command> batch = new ArrayList<>(ServiceConstants.MAX_COMMANDS_PER_BATCH);
+    private final List<Command> batch = new ArrayList<>(ControllerConstants.MAX_COMMANDS_PER_BATCH);
     private final StoreClient store;
     private final CloudClient cloud;
     private final WorkerClient workers;
@@ -53,14 +53,14 @@
      *
      * @param processName identifies this process: its host and a random incarnation
      */
-    Service(Settings settings, Features features, String processName) {
+    Controller(Settings settings, Features features, String processName) {
         this.settings = settings;
         commandQueue =
                 new ManyToOneConcurrentArrayQueue<>(
                         Math.max(
-                                ServiceConstants.MIN_COMMAND_QUEUE_CAPACITY,
+                                ControllerConstants.MIN_COMMAND_QUEUE_CAPACITY,
                                 settings.maxSockets()));
-        node = new Node(settings, features, processName, ServiceConstants.SHARD_COUNT);
+        node = new Node(settings, features, processName, ControllerConstants.SHARD_COUNT);
         store = new StoreClient(loop, settings, this::enqueueReply);
         cloud = new CloudClient(loop, settings, this::enqueueReply);
         workers = new WorkerClient(loop);
@@ -86,7 +86,7 @@
                         .with("peer", settings.peerAddress()));
         lastTickMs = monotonicMs();
         loop.scheduleWithFixedDelay(
-                this::tick, 0, ServiceConstants.TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+                this::tick, 0, ControllerConstants.TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         if (LOG.isDebugEnabled()) {
             loop.scheduleAtFixedRate(
                     () -> EventLogger.log(LOG, frontend.drainLatencySummary()),
@@ -117,7 +117,7 @@
 
     private void tick() {
         long now = monotonicMs();
-        lastTickDelayMs = Math.max(0, now - lastTickMs - ServiceConstants.TICK_INTERVAL_MS);
+        lastTickDelayMs = Math.max(0, now - lastTickMs - ControllerConstants.TICK_INTERVAL_MS);
         lastTickMs = now;
         offer(new Command.Tick());
     }
@@ -127,7 +127,7 @@
      */
     private long eventLoopDelayMs() {
         return Math.max(
-                lastTickDelayMs, monotonicMs() - lastTickMs - ServiceConstants.TICK_INTERVAL_MS);
+                lastTickDelayMs, monotonicMs() - lastTickMs - ControllerConstants.TICK_INTERVAL_MS);
     }
 
     private static long monotonicMs() {
@@ -163,7 +163,7 @@
 
     private void runBatch() {
         batchScheduled = false;
-        commandQueue.drainTo(batch, ServiceConstants.MAX_COMMANDS_PER_BATCH);
+        commandQueue.drainTo(batch, ControllerConstants.MAX_COMMANDS_PER_BATCH);
         List<Effect> effects =
                 node.step(new ClockReading(monotonicMs(), System.currentTimeMillis()), batch);
         batch.clear();
--- a/src/main/java/org/shoreusher/cli/ServiceConstants.java
+++ b/src/main/java/org/shoreusher/cli/ControllerConstants.java
@@ -1,8 +1,8 @@
 package org.shoreusher.cli;
 
 /** Constants of the event loop, each with its unit and the reason for its value. */
-public final class ServiceConstants {
-    private ServiceConstants() {}
+public final class ControllerConstants {
+    private ControllerConstants() {}
 
     /** Number of shards. The code supports any number; docs/design.md has the figures behind 1. */
     public static final int SHARD_COUNT = 1;
--- a/src/main/java/org/shoreusher/cli/ServiceSmokeCheck.java
+++ b/src/main/java/org/shoreusher/cli/ControllerSmokeCheck.java
@@ -23,7 +23,7 @@
  * jobs run to completion, a service is submitted, its machine fails, its replica is restarted on
  * another one, and the service is cancelled.
  */
-final class ServiceSmokeCheck implements AutoCloseable {
+final class ControllerSmokeCheck implements AutoCloseable {
     /** The job id of the service. */
     static final String SERVICE_ID = "wk-000900";
 
@@ -70,7 +70,7 @@
     private final StoreStandIn store = new StoreStandIn();
     private final StandInServer storeServer = new StandInServer(store::handle);
 
-    ServiceSmokeCheck() throws IOException {}
+    ControllerSmokeCheck() throws IOException {}
 
     /** The settings of the controller that is checked, as JSON. */
     String settingsJson() {
--- a/src/main/java/org/shoreusher/cli/Main.java
+++ b/src/main/java/org/shoreusher/cli/Main.java
@@ -170,7 +170,7 @@
         new SecureRandom().nextBytes(incarnation);
         String processName = settings.host() + "/" + HexFormat.of().formatHex(incarnation);
         try {
-            new Service(settings, features, processName).run();
+            new Controller(settings, features, processName).run();
         } catch (InterruptedException e) {
             return reportError("controller was interrupted and has stopped", EXIT_FAILURE);
         } catch (Exception e) {
--- a/src/main/java/org/shoreusher/core/Node.java
+++ b/src/main/java/org/shoreusher/core/Node.java
@@ -97,7 +97,7 @@
      */
     public List<Effect> step(ClockReading now, List<Command> batch) {
         outbox.setNow(now);
-        peerGossip.noteStart();
+        peerGossip.recordStart();
         for (Command command : batch) {
             handle(command);
         }
--- a/src/main/java/org/shoreusher/core/ShardAssembly.java
+++ b/src/main/java/org/shoreusher/core/ShardAssembly.java
@@ -71,7 +71,7 @@
         OpenJobs openJobs =
                 new OpenJobs(
                         context,
-                        scheduling.taskMigration()::onJobEnded,
+                        scheduling.taskMigration()::onJobClosed,
                         attempt -> scheduling.taskStopper().sendStop(attempt, 0));
         HighWaterMarks highWaterMarks =
                 new HighWaterMarks(
--- a/src/main/java/org/shoreusher/core/gossip/PeerGossip.java
+++ b/src/main/java/org/shoreusher/core/gossip/PeerGossip.java
@@ -55,7 +55,7 @@
     }
 
     /** Records the time of the first batch of commands; later calls do nothing. */
-    public void noteStart() {
+    public void recordStart() {
         sender.recordStart();
     }
 
--- a/src/main/java/org/shoreusher/core/gossip/ShardDemand.java
+++ b/src/main/java/org/shoreusher/core/gossip/ShardDemand.java
@@ -132,7 +132,7 @@
         int surplusMachines = 0;
         for (int otherShard = 0; otherShard < shardCount; otherShard++) {
             ShardSummary summary = summaryFromPeers(otherShard);
-            surplusMachines += summary == null ? 0 : summary.idleMachines();
+            surplusMachines += summary == null ? 0 : summary.surplusMachines();
         }
         return surplusMachines;
     }
--- a/src/main/java/org/shoreusher/core/message/GossipMessage.java
+++ b/src/main/java/org/shoreusher/core/message/GossipMessage.java
@@ -38,7 +38,7 @@
      */
     public record ShardSummary(
             double cpuHeadroom,
-            int idleMachines,
+            int surplusMachines,
             int machineShortfall,
             Map<String, TeamDemand> teamDemands) {}
 
--- a/src/main/java/org/shoreusher/core/schedule/TaskMigration.java
+++ b/src/main/java/org/shoreusher/core/schedule/TaskMigration.java
@@ -112,7 +112,7 @@
     }
 
     /** Handles that a job has reached a terminal state or belongs to another shard. */
-    public void onJobEnded(Job job) {
+    public void onJobClosed(Job job) {
         if (!isDisabled()) {
             balancer.budget().removeJob(job.id());
         }
--- a/src/main/java/org/shoreusher/core/store/LinearizableReads.java
+++ b/src/main/java/org/shoreusher/core/store/LinearizableReads.java
@@ -202,7 +202,7 @@
      * Answers the reads whose revision the store cache has reached, and rejects those that have
      * waited too long.
      */
-    public void answerCaughtUpReads() {
+    public void respondToCaughtUpReads() {
         for (ReadAwaitingRevision awaiting : List.copyOf(awaitingRevision)) {
             if (storeCache.revision() >= awaiting.revision()) {
                 awaitingRevision.remove(awaiting);
--- a/src/main/java/org/shoreusher/core/user/UserRequests.java
+++ b/src/main/java/org/shoreusher/core/user/UserRequests.java
@@ -197,7 +197,7 @@
     /** Sends the queued writes and reads, and the responses that are due. */
     public void step() {
         submissionCommit.commitQueued();
-        linearizableReads.answerCaughtUpReads();
+        linearizableReads.respondToCaughtUpReads();
         terminalJobs.evictCancelledJobs();
         linearizableReads.sendBatch();
     }
--- a/src/main/java/org/shoreusher/peer/GossipCodec.java
+++ b/src/main/java/org/shoreusher/peer/GossipCodec.java
@@ -58,7 +58,7 @@
                             (shardNumber, summary) -> {
                                 output.writeVarInt(shardNumber, true);
                                 output.writeDouble(summary.cpuHeadroom());
-                                output.writeVarInt(summary.idleMachines(), true);
+                                output.writeVarInt(summary.surplusMachines(), true);
                                 output.writeVarInt(summary.machineShortfall(), true);
                                 output.writeVarInt(summary.teamDemands().size(), true);
                                 summary.teamDemands()
--- a/src/main/java/org/shoreusher/user/FrontendConstants.java
+++ b/src/main/java/org/shoreusher/user/FrontendConstants.java
@@ -26,11 +26,11 @@
      * ms; a node whose event loop is delayed by more rejects polls with status 503 immediately.
      * Users wait 2 s for the response to a poll, and workers 4 s for the response to a heartbeat.
      */
-    public static final long SHED_POLLS_LAG_MS = 500;
+    public static final long SHED_POLLS_EVENT_LOOP_DELAY_MS = 500;
 
     /**
      * ms; a node whose event loop is delayed by more also rejects submissions and cancellations.
      * Users wait 5 s for the response to one.
      */
-    public static final long SHED_WRITES_LAG_MS = 1_500;
+    public static final long SHED_WRITES_EVENT_LOOP_DELAY_MS = 1_500;
 }
--- a/src/main/java/org/shoreusher/user/RequestHandler.java
+++ b/src/main/java/org/shoreusher/user/RequestHandler.java
@@ -60,8 +60,8 @@
     private boolean mustShed(HttpMethod method) {
         return frontend.eventLoopDelayMs()
                 > (method.equals(HttpMethod.GET)
-                        ? FrontendConstants.SHED_POLLS_LAG_MS
-                        : FrontendConstants.SHED_WRITES_LAG_MS);
+                        ? FrontendConstants.SHED_POLLS_EVENT_LOOP_DELAY_MS
+                        : FrontendConstants.SHED_WRITES_EVENT_LOOP_DELAY_MS);
     }
 
     @Override
--- a/src/test/java/org/shoreusher/cli/ServiceSmokeCheckTest.java
+++ b/src/test/java/org/shoreusher/cli/ControllerSmokeCheckTest.java
@@ -6,13 +6,13 @@
 import org.shoreusher.settings.Settings;
 
 /** The checks that the build runs against a service, with a whole controller over loopback. */
-class ServiceSmokeCheckTest {
+class ControllerSmokeCheckTest {
     @Example
     void serviceRecoversFromAMachineLossAndEndsWhenCancelled() throws Exception {
-        try (ServiceSmokeCheck smokeCheck = new ServiceSmokeCheck()) {
+        try (ControllerSmokeCheck smokeCheck = new ControllerSmokeCheck()) {
             byte[] file = smokeCheck.settingsJson().getBytes(StandardCharsets.UTF_8);
-            Service controller =
-                    new Service(Settings.parse(file), Features.NONE, "smoke-check/test");
+            Controller controller =
+                    new Controller(Settings.parse(file), Features.NONE, "smoke-check/test");
             Thread thread = new Thread(() -> run(controller));
             thread.start();
             try {
@@ -24,7 +24,7 @@
         }
     }
 
-    private static void run(Service controller) {
+    private static void run(Controller controller) {
         try {
             controller.run();
         } catch (InterruptedException exception) {
--- a/src/test/java/org/shoreusher/core/gossip/PeerGossipTest.java
+++ b/src/test/java/org/shoreusher/core/gossip/PeerGossipTest.java
@@ -39,7 +39,7 @@
 
     private void setTime(long nowMs) {
         outbox.setNow(new ClockReading(nowMs, nowMs));
-        gossip.noteStart();
+        gossip.recordStart();
     }
 
     private void receive(String host, boolean storeReachable, int... ledShards) {
--- a/src/test/java/org/shoreusher/simulation/SimulatedController.java
+++ b/src/test/java/org/shoreusher/simulation/SimulatedController.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.LongFunction;
-import org.shoreusher.cli.ServiceConstants;
+import org.shoreusher.cli.ControllerConstants;
 import org.shoreusher.cloud.CloudConstants;
 import org.shoreusher.core.Node;
 import org.shoreusher.core.message.ClockReading;
@@ -124,7 +124,7 @@
         if (incarnation == expectedIncarnation) {
             enqueue(new Command.Tick());
             simulation.scheduleAfter(
-                    ServiceConstants.TICK_INTERVAL_MS, () -> tick(expectedIncarnation));
+                    ControllerConstants.TICK_INTERVAL_MS, () -> tick(expectedIncarnation));
         }
     }
 
