--- a/src/test/java/org/shoreusher/simulation/AutoscalerTest.java
+++ b/src/test/java/org/shoreusher/simulation/AutoscalerTest.java
@@ -14,7 +14,11 @@
 import org.shoreusher.log.LogEventType;
 import org.shoreusher.settings.SettingsBuilder;
 
-/** Which machines a leader provisions, keeps and terminates, and how it retries failed requests. */
+/**
+ * Which machines a leader provisions, keeps and terminates, and how it retries failed requests.
+ * Guards against machines that are provisioned twice, terminated too early or counted although they
+ * are gone, and against tasks that wait although the cloud has machines.
+ */
 class AutoscalerTest {
     private final SingleNodeSimulation node = new SingleNodeSimulation();
 
@@ -68,11 +72,11 @@
                     requests.add(provision);
                     assertTrue(
                             requests.size() <= 2 || pending.containsKey(provision.name()),
-                            "repeated after its reply, or one request too many:  " + provision);
+                            "third name, or a name that already has a reply: " + provision);
                     assertTrue(
                             !pending.containsKey(provision.name())
                                     || pending.get(provision.name()).equals(provision),
-                            "the name of a pending request with other content: " + provision);
+                            "repeated with other content: " + provision);
                     pending.put(provision.name(), provision);
                     if (requests.size() < 6) {
                         return new Command.CloudReply(0, 0, null);
@@ -83,7 +87,7 @@
                 };
         node.storeShardOfPreviousLeader();
         node.runSteps(20);
-        // The target parallelism is a twelfth of the tasks, which needs two machines in two zones.
+        // A twelfth of the 24 tasks should run in parallel: two, each of which fills a machine.
         node.addOpenJob("wk-1", 24, 8);
         node.runSteps(200);
         assertEquals(
@@ -154,16 +158,17 @@
             node.runSteps(1);
         }
         assertEquals(List.of("host-1"), terminated);
-        // After its lease of 8 s and another minute.
+        // The successor waits for the lease of 8 s, and then for another minute.
         assertTrue(
                 terminatedAtMs[0] - storedAtMs - 600_000 > 60_000,
                 () -> "terminated after ms: " + (terminatedAtMs[0] - storedAtMs - 600_000));
     }
 
     /**
-     * An inventory of 4,200 machines has more pages than the cloud accepts requests in a burst. It
-     * must be read completely: when reading restarted whenever the rate limit delayed a page, it
-     * never was, and machines that had disappeared were counted forever.
+     * An inventory of 4,200 machines has more pages than the cloud accepts requests in a burst, so
+     * the rate limit delays some pages. Reading must continue with the delayed page: when it
+     * restarted from the first page, it never reached the last one, and machines that had
+     * disappeared were counted forever.
      */
     @Example
     void readsAMachineListLongerThanTheCallBurst() {
--- a/src/test/java/org/shoreusher/simulation/CancellationTest.java
+++ b/src/test/java/org/shoreusher/simulation/CancellationTest.java
@@ -25,10 +25,10 @@
     private final SingleNodeSimulation node = new SingleNodeSimulation();
 
     /**
-     * The first heartbeat response after a failover contains no other orders, since the heartbeat
-     * may be old. It must contain stop orders for cancelled tasks: with ten failovers in two
-     * minutes, each leader may send a worker only one response, and each response renews the
-     * worker's lease.
+     * The first heartbeat response after a failover must contain stop orders for cancelled tasks.
+     * It contains no other orders, since the heartbeat may be old. With ten failovers in two
+     * minutes, each leader may send a worker only one response, which renews the worker's lease:
+     * without these orders, cancelled tasks would keep running.
      */
     @Example
     void firstHeartbeatResponseAfterFailoverStopsCancelledTasks() {
@@ -82,7 +82,7 @@
             node.runSteps(1);
         }
         List<String> orders = node.heartbeat("host-1", 2, TERM);
-        assertNotNull(orders, "its lease is valid, so the heartbeat gets a response");
+        assertNotNull(orders, "the leader's lease is valid, so the heartbeat gets a response");
         assertFalse(
                 orders.contains("run"), "started before the store cache contains the cancellation");
         node.runSteps(100);
--- a/src/test/java/org/shoreusher/simulation/ClusterSimulation.java
+++ b/src/test/java/org/shoreusher/simulation/ClusterSimulation.java
@@ -90,10 +90,10 @@
     static final ThreadLocal<ObjLongConsumer<ClusterSimulation>> ON_CREATED =
             ThreadLocal.withInitial(() -> (simulation, seed) -> {});
 
-    /** The features of the controllers that use features. */
+    /** The features of the controllers for which {@link #usesFeatures} holds; others have none. */
     Features features = Features.NONE;
 
-    /** Whether a controller, by its number, uses features. */
+    /** Whether the controller with this number uses {@link #features}. */
     IntPredicate usesFeatures = number -> true;
 
     /** Crashes of controllers between two effects. */
@@ -110,8 +110,8 @@
     }
 
     /**
-     * @param capacity how many machines the cloud has of the small type, in each zone, on demand
-     *     and as spot machines
+     * @param capacity number of machines of the small type that the cloud has in each zone: as many
+     *     on demand as spot machines
      */
     ClusterSimulation(
             long seed,
@@ -170,7 +170,7 @@
                                 controller.host.equals(host) && controller.runsPreviousVersion());
     }
 
-    /** Schedules an action, at once if the time has passed. */
+    /** Schedules an action; if the time has passed, it runs as soon as possible. */
     void scheduleAt(long atMs, Runnable action) {
         events.add(new Event(Math.max(nowMs, atMs), nextSequence++, action));
     }
@@ -179,10 +179,7 @@
         scheduleAt(nowMs + delayMs, action);
     }
 
-    /**
-     * Delivers the retained heartbeats again to every node within 300 ms, while a new leader
-     * starts.
-     */
+    /** Delivers the retained heartbeats again to every node within 300 ms after a failover. */
     void deliverRetainedHeartbeats() {
         for (WorkerHeartbeat heartbeat : List.copyOf(retainedHeartbeats)) {
             duplicateHeartbeats++;
--- a/src/test/java/org/shoreusher/simulation/ClusterSimulationTest.java
+++ b/src/test/java/org/shoreusher/simulation/ClusterSimulationTest.java
@@ -15,8 +15,10 @@
 import org.shoreusher.simulation.ClusterSimulation.InjectedDefect;
 
 /**
- * Runs whole clusters with random faults and checks every invariant of the protocol. The tests
- * whose names begin with {@code detects} inject one defect each, and expect a violation.
+ * Runs whole clusters with random faults and checks every invariant of the protocol. Guards against
+ * faults that break an invariant or leave jobs unfinished. The tests whose names begin with {@code
+ * detects} guard against invariants that detect nothing: each injects a defect and expects a
+ * violation.
  */
 class ClusterSimulationTest {
     private static final long END_MS = 400_000;
@@ -24,10 +26,7 @@
     /** The last fault, including rolling restarts and late duplicates, has ended by then. */
     private static final long FAULT_FREE_FROM_MS = 215_000;
 
-    /**
-     * Random faults with five nodes and few writes; half of the jobs are submitted together at the
-     * start.
-     */
+    /** Five nodes, few writes, random faults; half of the jobs are submitted within 500 ms. */
     private static ClusterSimulation simulateFiveNodes(long seed) {
         ClusterSimulation simulation =
                 new ClusterSimulation(
--- a/src/test/java/org/shoreusher/simulation/CompoundFailuresTest.java
+++ b/src/test/java/org/shoreusher/simulation/CompoundFailuresTest.java
@@ -56,10 +56,7 @@
         }
     }
 
-    /**
-     * Cancels up to this number of running jobs within 200 ms, while about a third of the machines
-     * hang.
-     */
+    /** Cancels up to this number of running jobs within 200 ms; about a third of machines hang. */
     private static void cancelRunningJobs(ClusterSimulation simulation, int maxJobs, long hangMs) {
         List<SimulatedUsers.SimulatedJob> running =
                 simulation.users.jobs.values().stream()
@@ -84,8 +81,8 @@
     }
 
     /**
-     * A fault of this kind. Outages, partitions and hangs have the given duration, which may be far
-     * longer than the workers' lease of 8 s.
+     * A fault of this kind. Outages, partitions and hangs last for the given duration or a part of
+     * it, which may be far longer than the workers' lease of 8 s.
      */
     private static Consumer<ClusterSimulation> fault(FaultKind kind, long durationMs, int node) {
         return switch (kind) {
@@ -121,7 +118,7 @@
         };
     }
 
-    /** The rest of {@link #fault}: crashes and partitions of controllers. */
+    /** The rest of {@link #fault}: the kinds that affect controllers. */
     private static Consumer<ClusterSimulation> controllerFault(
             FaultKind kind, long durationMs, int node) {
         return switch (kind) {
--- a/src/test/java/org/shoreusher/simulation/CrashPoint.java
+++ b/src/test/java/org/shoreusher/simulation/CrashPoint.java
@@ -37,8 +37,8 @@
     }
 
     /**
-     * Matches the effect before which the leader crashes. Each predicate is for one crash, since it
-     * remembers whether it has matched the trigger.
+     * Matches the effect before which the leader crashes. Each predicate serves one crash, since it
+     * stores whether the trigger has matched.
      */
     Predicate<Effect> matcher() {
         boolean[] triggered = {false};
--- a/src/test/java/org/shoreusher/simulation/DecisionDigests.java
+++ b/src/test/java/org/shoreusher/simulation/DecisionDigests.java
@@ -193,10 +193,7 @@
         return lines;
     }
 
-    /**
-     * The kind and the seed of a simulation; further simulations of the same kind and seed are
-     * numbered.
-     */
+    /** The kind and the seed of a simulation; further simulations with both equal are numbered. */
     private static String label(String kind, long seed, List<String> existing) {
         String label = kind + " " + seed + " ";
         for (int number = 2; existing.contains(label); number++) {
--- a/src/test/java/org/shoreusher/simulation/FaultInjection.java
+++ b/src/test/java/org/shoreusher/simulation/FaultInjection.java
@@ -109,7 +109,7 @@
         };
     }
 
-    /** The rest of {@link #fault}: partitions of nodes, and crashes of several nodes or times. */
+    /** The rest of {@link #fault}: partitions, crashes of several nodes, and repeated crashes. */
     private static Consumer<ClusterSimulation> partitionOrCrashFault(
             FaultKind kind, int node, int nodeCount, long durationMs) {
         String host = "node-" + node;
--- a/src/test/java/org/shoreusher/simulation/HeartbeatsTest.java
+++ b/src/test/java/org/shoreusher/simulation/HeartbeatsTest.java
@@ -140,10 +140,7 @@
         assertEquals(Set.of("wk-1/1"), Set.copyOf(started));
     }
 
-    /**
-     * A single-zone job waits, since the zone of the task that may run on the unresponsive machine
-     * is unknown.
-     */
+    /** A single-zone job waits, since the zone of its task that may be running is unknown. */
     @Example
     void singleZoneJobWaitsForUnresponsiveMachines() {
         node.addPartlyStartedJob("wk-1", true);
@@ -229,8 +226,8 @@
                 if (node.heartbeat("host-1", sequenceNumber, TERM).contains("run")) {
                     startedAfterMs = node.nowMs - fromMs;
                 }
-                // The duplicates end here. Each may be the heartbeat whose response the worker
-                // waits for.
+                // No more duplicates. The worker may still wait for the response to any of them,
+                // so none of them shows that its lease has expired.
                 if (!newerHeartbeats && sequenceNumber == 30) {
                     break;
                 }
@@ -322,9 +319,10 @@
     }
 
     /**
-     * A successor waits for an unresponsive machine as long as the previous leader may have renewed
-     * the machine's lease, and no longer. That leader may do so in a grace period, while it gets
-     * gossip from this node that the store is unavailable: here until this node's start.
+     * A successor waits for an unresponsive machine until every lease that the previous leader may
+     * have renewed has expired, and no longer. In its grace period, that leader renews leases while
+     * it has recent gossip from this node that the store is unavailable; this node has sent no such
+     * gossip since its start.
      */
     @Example
     void successorWaitsForTheGracePeriodOfThePreviousLeader() {
--- a/src/test/java/org/shoreusher/simulation/Invariants.java
+++ b/src/test/java/org/shoreusher/simulation/Invariants.java
@@ -8,9 +8,7 @@
 import java.util.Set;
 import org.shoreusher.core.message.JobSpec;
 
-/**
- * Checks the protocol's invariants against what workers run and users are told in the simulation.
- */
+/** Checks the protocol's invariants on the tasks that run and the responses that users receive. */
 final class Invariants {
     private static final long MAX_WITHOUT_RESPONSE_MS = 75_000;
     private static final long MAX_WAITING_MS = 90_000;
@@ -91,17 +89,22 @@
                 || (spec.singleZone() && inZone != ofJob)
                 || (spec.spreadAcrossZones() && inZone > (spec.taskCount() + 1) / 2)) {
             recordViolation(
-                    "wrong_place", taskName + " in " + machine.zone + " on " + machine.type);
+                    "wrong_place",
+                    taskName
+                            + " may not run in zone "
+                            + machine.zone
+                            + " on a machine of type "
+                            + machine.type);
         }
         checkCancelled(taskName, job);
     }
 
-    /** No task runs longer than the limit after its cancellation was confirmed. */
+    /** Checks that a task runs no longer than the limit after its cancellation was confirmed. */
     private void checkCancelled(String taskName, SimulatedUsers.SimulatedJob job) {
         if (job.cancelConfirmed
                 && simulation.nowMs - job.cancelConfirmedAtMs
                         > simulation.settings.cancellationLimitS() * 1000) {
-            recordViolation("ran_cancelled", taskName);
+            recordViolation("ran_cancelled", taskName + " ran past the cancellation limit");
         }
     }
 
@@ -141,15 +144,15 @@
     }
 
     /**
-     * Once all faults have ended, no job waits for 90 s while a suitable machine has capacity and
-     * the job's team is below its quota. Schedules its next check.
+     * Checks that no job waits for 90 s while a suitable machine has capacity and the job's team is
+     * below its quota. Called once all faults have ended; schedules the next check.
      */
     void checkWaitingJobs() {
         for (SimulatedUsers.SimulatedJob job : simulation.users.jobs.values()) {
             if (job.accepted
                     && !job.doneConfirmed
                     && !job.cancelRequested
-                    && canMakeProgress(job)) {
+                    && waitsDespiteCapacity(job)) {
                 long sinceMs =
                         waitingSinceMs.computeIfAbsent(job.spec.id(), id -> simulation.nowMs);
                 if (simulation.nowMs - sinceMs > MAX_WAITING_MS) {
@@ -168,8 +171,8 @@
         simulation.scheduleAfter(5_000, this::checkWaitingJobs);
     }
 
-    /** Whether no task of the job runs, and one of them could start on a machine now. */
-    private boolean canMakeProgress(SimulatedUsers.SimulatedJob job) {
+    /** Whether the job has unfinished tasks, none of which runs although one could start now. */
+    private boolean waitsDespiteCapacity(SimulatedUsers.SimulatedJob job) {
         JobSpec spec = job.spec;
         boolean hasUnfinishedTask = false;
         for (int i = 0; i < spec.taskCount(); i++) {
@@ -204,10 +207,7 @@
         return false;
     }
 
-    /**
-     * Once all faults have ended, the user of a job gets a response every 75 s, whatever happens to
-     * other jobs.
-     */
+    /** Checks that after all faults a user gets a response every 75 s, whatever other jobs do. */
     private void checkRecentResponse(SimulatedUsers.SimulatedJob job) {
         long sinceMs = Math.max(job.lastResponseAtMs, simulation.faultFreeFromMs);
         if (job.accepted
@@ -244,7 +244,12 @@
         if ((job.doneConfirmed && job.doneConfirmedAtMs < sentAtMs && !done)
                 || (job.cancelConfirmed && job.cancelConfirmedAtMs < sentAtMs && !cancelled)
                 || (cancelled && !job.cancelRequested)) {
-            recordViolation("went_back", id + " is now " + status);
+            recordViolation(
+                    "went_back",
+                    id
+                            + " is now "
+                            + status
+                            + ", although its user received another status or did not cancel it");
         }
         if (cancelled && !job.cancelConfirmed) {
             job.cancelConfirmed = true;
@@ -256,10 +261,7 @@
         }
     }
 
-    /**
-     * At the end of a run, at least half of each team's jobs, and of its largest jobs, must be
-     * done.
-     */
+    /** Checks at the end that at least half of each team's jobs, and of its largest, are done. */
     void checkHalfOfJobsServed() {
         Map<String, List<SimulatedUsers.SimulatedJob>> teams = new HashMap<>();
         simulation.users.jobs.values().stream()
--- a/src/test/java/org/shoreusher/simulation/LargestClusterTest.java
+++ b/src/test/java/org/shoreusher/simulation/LargestClusterTest.java
@@ -11,7 +11,10 @@
 import org.shoreusher.simulation.ClusterSimulation.Fault;
 import org.shoreusher.simulation.ClusterSimulation.InjectedDefect;
 
-/** A cluster of 4,000 machines, the largest size that is supported. */
+/**
+ * A cluster of 4,000 machines, the largest size that is supported. Guards against a failover that
+ * breaks an invariant or leaves jobs unfinished only at this size.
+ */
 class LargestClusterTest {
     private static final int MACHINES = 4_000;
     private static final long ZONE_ISOLATED_MS = 50_000;
--- a/src/test/java/org/shoreusher/simulation/LeaderFailureTest.java
+++ b/src/test/java/org/shoreusher/simulation/LeaderFailureTest.java
@@ -104,7 +104,8 @@
 
     /**
      * A leader loses the store and its peers, but not its workers. It must detect without gossip
-     * that it is isolated: in a grace period it would keep its workers from the successor.
+     * that it is isolated: in a grace period it would keep its workers, and the successor would
+     * have to wait for them.
      */
     @Example
     void leaderThatReachesOnlyItsWorkersReleasesThem() {
--- a/src/test/java/org/shoreusher/simulation/MigrationStepsTest.java
+++ b/src/test/java/org/shoreusher/simulation/MigrationStepsTest.java
@@ -90,9 +90,7 @@
         }
     }
 
-    /**
-     * Sends heartbeats until a task of the first machine gets a stop order; returns it, or null.
-     */
+    /** Sends heartbeats until the first machine gets a stop order; returns its task, or null. */
     private String awaitStopOrder(int maxHeartbeats) {
         for (int i = 0; i < maxHeartbeats; i++) {
             heartbeatAll();
@@ -243,7 +241,7 @@
         for (int i = 0; i < 4; i++) {
             heartbeatAll();
         }
-        // A quarter of all CPUs and the margin of a tenth are 2.8 of 8.
+        // The mean use of 2 CPUs per machine and the margin, a tenth of 8 CPUs, allow 2.8 CPUs.
         assertEquals(List.of(2, 2, 2, 2), workers.stream().map(ScriptedWorker::taskCount).toList());
         // The load doubles twice, and the allowed share rises with it: no task waits.
         node.addOpenJob(new JobSpecBuilder("wk-000002").taskCount(8).cpus(1).build());
--- a/src/test/java/org/shoreusher/simulation/PreviousVersionFormatsTest.java
+++ b/src/test/java/org/shoreusher/simulation/PreviousVersionFormatsTest.java
@@ -152,7 +152,7 @@
         assertEquals(
                 maxValueBytes < 6_000,
                 groups.size() > 1 && !groups.contains("machine/host-0002"),
-                () -> groups + limits);
+                () -> "machine groups " + groups + ", " + limits);
         assertEquals(MACHINES, machineNames(node).count(), limits);
     }
 
@@ -202,7 +202,7 @@
         } else if (key.startsWith("part/0/begun/")) {
             ((Map<?, ?>) value.get("begun"))
                     .values()
-                    .forEach(below -> assertTrue(below instanceof Number, key));
+                    .forEach(mark -> assertTrue(mark instanceof Number, key));
         }
     }
 
--- a/src/test/java/org/shoreusher/simulation/PreviousVersionInteropTest.java
+++ b/src/test/java/org/shoreusher/simulation/PreviousVersionInteropTest.java
@@ -21,6 +21,8 @@
  */
 class PreviousVersionInteropTest {
     private static final long UPGRADE_MS = 160_000;
+
+    /** The previous version must change the store in more transactions than this. */
     private static final int MIN_WRITES = 5;
 
     /**
@@ -200,8 +202,7 @@
         long atMs = 10_000 + number * 35_000L + simulation.random.nextInt(10_000);
         crashAt(simulation, simulation.controllers.get(0), atMs);
         if (standby) {
-            // The standby crashes as well; otherwise it would acquire the shard before the
-            // previous version.
+            // The standby crashes too; else it would acquire the shard before the previous version.
             crashAt(simulation, simulation.controllers.get(2), atMs);
         }
         simulation.scheduleAt(
@@ -223,7 +224,7 @@
         simulation.scheduleAt(
                 30_000 + simulation.random.nextInt(110_000), simulation.store::applyCurrentLimits);
         if (standby) {
-            // One more crash, after which the named standby takes over.
+            // One more crash, after which the named standby acquires the shard.
             simulation.scheduleAt(
                     UPGRADE_MS - 10_000,
                     () ->
--- a/src/test/java/org/shoreusher/simulation/PreviousVersionJobs.java
+++ b/src/test/java/org/shoreusher/simulation/PreviousVersionJobs.java
@@ -31,10 +31,7 @@
         store = new PreviousVersionStore(simulation.store);
     }
 
-    /**
-     * Accepts jobs in one transaction: a single job gets a record of its own, several share a
-     * record.
-     */
+    /** Accepts jobs in one transaction: one job gets its own record, several a batch record. */
     void accept(int count) {
         Map<String, Long> preconditions = new LinkedHashMap<>();
         Map<String, Object> records = new LinkedHashMap<>();
@@ -78,9 +75,7 @@
                 : Map.of("jobs", records);
     }
 
-    /**
-     * Some jobs have a description that exceeds the maximum value length of the current version.
-     */
+    /** A random job; some have a description longer than the current version may store. */
     private JobSpec randomJob(String id, boolean ownRecord) {
         int types = ownRecord && simulation.random.nextInt(3) == 0 ? 400 : 1;
         return new JobSpecBuilder(id)
--- a/src/test/java/org/shoreusher/simulation/PreviousVersionLeader.java
+++ b/src/test/java/org/shoreusher/simulation/PreviousVersionLeader.java
@@ -206,7 +206,7 @@
         Map<String, Object> value = simulation.store.value("part/0/begun/" + recordNumber);
         Map<String, Object> marks = new LinkedHashMap<>();
         if (value != null) {
-            ((Map<?, ?>) value.get("begun")).forEach((id, below) -> marks.put((String) id, below));
+            ((Map<?, ?>) value.get("begun")).forEach((id, mark) -> marks.put((String) id, mark));
         }
         return marks;
     }
@@ -334,9 +334,8 @@
             marks.keySet().retainAll(open);
         }
         int tasks = store.jobs().get(jobId).taskCount();
-        long below =
-                Math.min(tasks, Math.max(1, 2 * store.highWaterMarks().getOrDefault(jobId, 0)));
-        marks.put(jobId, below);
+        long mark = Math.min(tasks, Math.max(1, 2 * store.highWaterMarks().getOrDefault(jobId, 0)));
+        marks.put(jobId, mark);
         int writtenRecord = recordNumber;
         String key = "part/0/begun/" + recordNumber;
         send(
@@ -353,7 +352,7 @@
         return marks.keySet().stream().mapToInt(id -> id.length() + MARK_OVERHEAD_BYTES).sum();
     }
 
-    /** Records running machines as used in groups of 100, whatever smaller groups contain them. */
+    /** Records running machines as used, in groups of 100, even if smaller groups contain them. */
     private void recordMachines() {
         Map<String, Map<String, Object>> groups = new LinkedHashMap<>();
         for (SimulatedWorker machine : simulation.cloud.machines()) {
--- a/src/test/java/org/shoreusher/simulation/PreviousVersionStore.java
+++ b/src/test/java/org/shoreusher/simulation/PreviousVersionStore.java
@@ -65,9 +65,9 @@
                 recordNumber++) {
             mapField(store.value("part/0/begun/" + recordNumber), "begun")
                     .forEach(
-                            (id, below) ->
+                            (id, mark) ->
                                     marks.merge(
-                                            (String) id, ((Number) below).intValue(), Math::max));
+                                            (String) id, ((Number) mark).intValue(), Math::max));
         }
         return marks;
     }
--- a/src/test/java/org/shoreusher/simulation/RecordedFormatsTest.java
+++ b/src/test/java/org/shoreusher/simulation/RecordedFormatsTest.java
@@ -56,7 +56,7 @@
                                                         key, RecordedFormats.asMap(value)))));
     }
 
-    /** Compares job descriptions, which a job record contains without parsing them. */
+    /** Compares job descriptions, which the round trip of a job record does not parse. */
     @Example
     void recordedDescriptionsAreRead() throws IOException {
         Map<String, Object> recorded = section("records");
@@ -71,8 +71,8 @@
     }
 
     /**
-     * The term, the fence, the node record and the machine types: the values that a node writes
-     * into an empty store, and those that a node writes after a failover from them.
+     * Compares the term, the fence, the node record and the machine types: first as a node writes
+     * them into an empty store, then as a node writes them that finds the recorded ones.
      */
     @Example
     void nodeWritesRecordedValuesAndContinuesFromThem() throws IOException {
--- a/src/test/java/org/shoreusher/simulation/ResourceUsage.java
+++ b/src/test/java/org/shoreusher/simulation/ResourceUsage.java
@@ -6,7 +6,7 @@
 
 /**
  * Running totals of the resources that running tasks use, by machine, by team, and by job and zone.
- * They spare a simulation of thousands of machines a scan of all tasks at every start.
+ * Without them, a simulation of thousands of machines would scan all tasks at every start.
  */
 final class ResourceUsage {
     private final Map<String, Double> cpusOfTeam = new HashMap<>();
--- a/src/test/java/org/shoreusher/simulation/SaturatedCluster.java
+++ b/src/test/java/org/shoreusher/simulation/SaturatedCluster.java
@@ -79,14 +79,14 @@
         assertEquals(List.of(), simulation.users.unfinishedJobs(), simulation.log::toString);
         assertEquals(
                 0,
-                StandbySimulations.promotionOutcomes(simulation)
+                StandbySimulations.failoverOutcomes(simulation)
                         .getOrDefault("contradicted_by_heartbeat", 0),
                 simulation.log::toString);
     }
 
     /** How many failovers promoted the replicated attempt log. */
     static int promotionsInSync(ClusterSimulation simulation) {
-        return StandbySimulations.promotionOutcomes(simulation).getOrDefault("in_sync", 0);
+        return StandbySimulations.failoverOutcomes(simulation).getOrDefault("in_sync", 0);
     }
 
     /** The controller that the shard record names as the standby; null if it names none. */
@@ -105,7 +105,7 @@
     /**
      * How many failovers found that the shard record names another incarnation as standby, or none.
      */
-    static int promotionsWithoutName(ClusterSimulation simulation) {
-        return StandbySimulations.promotionOutcomes(simulation).getOrDefault("not_named", 0);
+    static int failoversWithoutNamedStandby(ClusterSimulation simulation) {
+        return StandbySimulations.failoverOutcomes(simulation).getOrDefault("not_named", 0);
     }
 }
--- a/src/test/java/org/shoreusher/simulation/ServiceFaultsTest.java
+++ b/src/test/java/org/shoreusher/simulation/ServiceFaultsTest.java
@@ -45,10 +45,7 @@
                 1_000);
     }
 
-    /**
-     * Creates a simulation with three services: spread across zones, in a single zone, and without
-     * zone constraints.
-     */
+    /** Creates a simulation of three services: spread across zones, single-zone, unconstrained. */
     private static ClusterSimulation createSimulation(long seed) {
         ClusterSimulation simulation =
                 new ClusterSimulation(seed, SimulationSettings.standard(), 1, InjectedDefect.NONE);
@@ -58,7 +55,7 @@
         return simulation;
     }
 
-    /** Runs with a fault at {@link #FAULT_MS}, before which all replicas must run. */
+    /** Runs with a fault at {@link #FAULT_MS}, just before which all replicas must run. */
     private static void runWithFault(
             ClusterSimulation simulation, long untilMs, Consumer<ClusterSimulation> fault) {
         simulation.scheduleAt(
--- a/src/test/java/org/shoreusher/simulation/ServiceReplicaTest.java
+++ b/src/test/java/org/shoreusher/simulation/ServiceReplicaTest.java
@@ -16,7 +16,11 @@
 import org.shoreusher.core.message.WorkerHeartbeat.TaskStatus;
 import org.shoreusher.log.LogEventType;
 
-/** When and where a leader restarts the replicas of services, and what it preempts for them. */
+/**
+ * When and where a leader restarts the replicas of services, and what it preempts for them. Guards
+ * against replicas that stay down, that are restarted without delay, or whose own failures cordon
+ * machines.
+ */
 class ServiceReplicaTest {
     private final SingleNodeSimulation node = new SingleNodeSimulation();
     private int nextSequenceNumber = 1;
--- a/src/test/java/org/shoreusher/simulation/ServiceSupportTest.java
+++ b/src/test/java/org/shoreusher/simulation/ServiceSupportTest.java
@@ -39,7 +39,7 @@
 
     /**
      * A node rejects services as long as another node may run the previous version. Only the
-     * version record of that node, and not its gossip, shows that it does not.
+     * version record of the other node, and not its gossip, shows that it runs the current version.
      */
     @Example
     void rejectsServicesUntilEveryNodeSupportsThem() {
@@ -61,8 +61,8 @@
 
     /**
      * A downgraded member is detected when it acquires the shard. New services are rejected until
-     * its next incarnation writes a version record; submissions of existing services still get
-     * their state.
+     * its next incarnation writes a version record; a repeated submission of an existing service
+     * still gets the service's state.
      */
     @Example
     void rejectsNewServicesAfterAMemberDowngrade() {
--- a/src/test/java/org/shoreusher/simulation/ServicesTest.java
+++ b/src/test/java/org/shoreusher/simulation/ServicesTest.java
@@ -76,8 +76,7 @@
                         InjectedDefect.NONE);
         submitJobsAndServices(simulation, 1_000);
         int[] checksWithMissingReplicas = {0};
-        // A replica may just have exited. If replicas are missing at all three checks, they do not
-        // recover.
+        // A replica may just have exited, so replicas may be missing at two of the three checks.
         for (int i = 0; i < 3; i++) {
             simulation.scheduleAt(
                     END_MS - 60_000 + i * 20_000L,
@@ -134,7 +133,7 @@
                         () -> controller.crash(100 + simulation.random.nextInt(2_000)));
             }
         }
-        // Until shortly before, the leader may still write values of the previous version.
+        // The last upgrade is 16 to 21 s earlier; until then, the leader may write longer values.
         simulation.scheduleAt(
                 upgradeMs + 40_000 + simulation.random.nextInt(5_000),
                 simulation.store::applyCurrentLimits);
@@ -146,7 +145,7 @@
     }
 
     /**
-     * The store's limits drop before, during or after the rolling upgrade, down to 4 writes per
+     * The store's limits drop during or after the rolling upgrade, down to 4 writes per
      * transaction, values of 1,024 bytes and 8 writes per second, while replies to transactions are
      * lost. No shard may be blocked, and all jobs must end.
      */
@@ -245,8 +244,8 @@
                 0,
                 simulation.users.jobs.values().stream().filter(job -> !job.doneConfirmed).count(),
                 simulation.log::toString);
-        // Tasks whose completion was reported between two lease renewals may run again; these are
-        // at most a tenth.
+        // Tasks that fail (one in 60) run again, and so may those whose completion was reported
+        // between two lease renewals (at most a tenth).
         assertTrue(
                 simulation.invariants.taskStarts < 8_000 * 1.15,
                 () -> "task starts: " + simulation.invariants.taskStarts);
--- a/src/test/java/org/shoreusher/simulation/SimulatedController.java
+++ b/src/test/java/org/shoreusher/simulation/SimulatedController.java
@@ -37,8 +37,8 @@
     final CrashInjector crashInjector = new CrashInjector();
 
     /**
-     * Whether it first starts when it is upgraded; until then a {@link PreviousVersionLeader} of
-     * the test stands in for it.
+     * Whether it first starts when it is upgraded; until then the test may run a {@link
+     * PreviousVersionLeader} in its place.
      */
     boolean startsOnUpgradeOnly;
 
--- a/src/test/java/org/shoreusher/simulation/SimulatedNetwork.java
+++ b/src/test/java/org/shoreusher/simulation/SimulatedNetwork.java
@@ -62,15 +62,16 @@
     }
 
     /**
-     * Partitions the machines and the node of a zone from everything else, but not from each other.
+     * Partitions the node of a zone from the store, the cloud, the users and all other nodes, and
+     * the machines of the zone from all other nodes.
      */
-    void isolateZone(String zone, String nodeInIt, long durationMs) {
-        partition(nodeInIt, SimulatedStore.HOST, durationMs);
-        partition(nodeInIt, SimulatedCloud.HOST, durationMs);
-        partition(nodeInIt, SimulatedUsers.HOST, durationMs);
+    void isolateZone(String zone, String nodeInZone, long durationMs) {
+        partition(nodeInZone, SimulatedStore.HOST, durationMs);
+        partition(nodeInZone, SimulatedCloud.HOST, durationMs);
+        partition(nodeInZone, SimulatedUsers.HOST, durationMs);
         for (SimulatedController controller : simulation.controllers) {
-            if (!controller.host.equals(nodeInIt)) {
-                partition(nodeInIt, controller.host, durationMs);
+            if (!controller.host.equals(nodeInZone)) {
+                partition(nodeInZone, controller.host, durationMs);
                 for (SimulatedWorker machine : simulation.cloud.machines()) {
                     if (machine.zone.equals(zone)) {
                         partition(controller.host, machine.id, durationMs);
--- a/src/test/java/org/shoreusher/simulation/SimulatedStore.java
+++ b/src/test/java/org/shoreusher/simulation/SimulatedStore.java
@@ -224,7 +224,7 @@
                 && simulation.nowMs < repliesLostUntilMs
                 && simulation.random.nextInt(10) < repliesLostPerTen) {
             repliesLost++;
-            // No rate limit applies: only transactions that are executed can cause a violation.
+            // Without a rate limit, since a rejected transaction could not cause a violation.
             simulation.scheduleAfter(
                     lostWritesApplyAtOnce ? 0 : 2_000 + simulation.random.nextInt(10_000),
                     () -> compareAndSwap(host, swap, (status, body) -> {}));
@@ -337,8 +337,8 @@
     }
 
     /**
-     * Replies if there are changes, the time is over, or the changes after the requested revision
-     * are no longer in the log; returns whether it replied.
+     * Replies if there are changes, the watch has expired, or the changes after the requested
+     * revision are no longer in the log; returns whether it replied.
      */
     private boolean replyToWatch(PendingWatch pending) {
         if (pending.watch.afterRevision() < compactedRevision) {
--- a/src/test/java/org/shoreusher/simulation/SimulatedTasks.java
+++ b/src/test/java/org/shoreusher/simulation/SimulatedTasks.java
@@ -109,10 +109,7 @@
                 () -> continueTask(name, task, () -> runTask(name, task)));
     }
 
-    /**
-     * Runs the next step of a task, once the machine no longer hangs, unless the task is gone by
-     * then.
-     */
+    /** Runs the next step of a task once the machine no longer hangs, if the task still exists. */
     private void continueTask(String name, SimulatedTask task, Runnable step) {
         if (worker.isTerminated() || tasks.get(name) != task || task.state == TaskState.EXITED) {
             return;
@@ -161,8 +158,7 @@
                                 task,
                                 () -> {
                                     if (task.state == TaskState.CHECKPOINTING) {
-                                        // A stop order came first; the task exits after its
-                                        // checkpoint.
+                                        // Stopped meanwhile; exits after its checkpoint.
                                         return;
                                     }
                                     if (simulation.random.nextInt(60) == 0) {
--- a/src/test/java/org/shoreusher/simulation/SimulatedUsers.java
+++ b/src/test/java/org/shoreusher/simulation/SimulatedUsers.java
@@ -16,7 +16,7 @@
     /** The host name of all users in the simulated network. */
     static final String HOST = "user";
 
-    /** A job, and what its user was told about it. */
+    /** A job, and what its user has requested and received. */
     static final class SimulatedJob {
         final JobSpec spec;
         final boolean userCancels;
@@ -53,7 +53,7 @@
     /** How many batch jobs in ten are cancelled when their last task completes. */
     int cancelAtCompletionPerTen;
 
-    /** Submissions that no cluster can run or that lack a field. */
+    /** Invalid submissions that were sent; see {@link #submitInvalid}. */
     int invalidSubmitted;
 
     /** Invalid submissions that got a response; any but the expected rejection is a violation. */
@@ -305,8 +305,7 @@
                                     simulation.invariants.statusReported(job, response, sentAtMs);
                                 },
                                 () -> {});
-                        // A repeated submission returns the job's status even if its body is
-                        // invalid.
+                        // A repeat with an invalid body must return the job's status as well.
                         send(
                                 node,
                                 requestId ->
--- a/src/test/java/org/shoreusher/simulation/SimulationSettings.java
+++ b/src/test/java/org/shoreusher/simulation/SimulationSettings.java
@@ -10,10 +10,7 @@
 final class SimulationSettings {
     private SimulationSettings() {}
 
-    /**
-     * Three nodes in two zones, two teams with guarantees and quotas, and ample limits of the
-     * store.
-     */
+    /** Three nodes in two zones, two teams with guarantees and quotas, and high store limits. */
     static Settings standard() {
         // An ordered map: the core iterates over the teams, and runs must be reproducible.
         Map<String, Settings.Team> teams = new LinkedHashMap<>();
@@ -72,7 +69,7 @@
                 .build();
     }
 
-    /** Teams whose quotas exceed what a few jobs need. */
+    /** The standard settings with quotas of 40 and 200 CPUs, and without guarantees. */
     static Settings ampleQuota() {
         return new SettingsBuilder(standard())
                 .teams(
--- a/src/test/java/org/shoreusher/simulation/SingleNodeSimulation.java
+++ b/src/test/java/org/shoreusher/simulation/SingleNodeSimulation.java
@@ -28,7 +28,7 @@
     /** The term of the leader of {@link #storeShardOfPreviousLeader}. */
     static final long PREVIOUS_TERM = 5;
 
-    /** The term in which the node leads that shard first. */
+    /** The term that begins when the node first acquires that shard. */
     static final long TERM = 6;
 
     /** The cloud's reply to an operation; by default status 0, which means no reply. */
@@ -64,7 +64,7 @@
         return (TERM << ClusterConstants.ATTEMPT_SEQUENCE_BITS) + startNumber;
     }
 
-    /** Runs this number of steps; the first gets the commands that are pending. */
+    /** Runs this number of steps; each gets the commands that were added since the last. */
     void runSteps(int count) {
         for (int i = 0; i < count; i++) {
             nowMs += STEP_MS;
--- a/src/test/java/org/shoreusher/simulation/StandbyCrashPointsTest.java
+++ b/src/test/java/org/shoreusher/simulation/StandbyCrashPointsTest.java
@@ -7,9 +7,9 @@
 import static org.shoreusher.simulation.SaturatedCluster.LEASES_VALID_MS;
 import static org.shoreusher.simulation.SaturatedCluster.UNRESPONSIVE_MS;
 import static org.shoreusher.simulation.SaturatedCluster.assertInvariants;
+import static org.shoreusher.simulation.SaturatedCluster.failoversWithoutNamedStandby;
 import static org.shoreusher.simulation.SaturatedCluster.namedStandby;
 import static org.shoreusher.simulation.SaturatedCluster.promotionsInSync;
-import static org.shoreusher.simulation.SaturatedCluster.promotionsWithoutName;
 import static org.shoreusher.simulation.SaturatedCluster.simulate;
 
 import java.util.HashMap;
@@ -78,7 +78,7 @@
                                                 cluster -> crashFirstLeader(cluster, crashPoint))));
                 assertInvariants(simulation);
                 boolean fromLog =
-                        StandbySimulations.firstPromotionOutcome(simulation).equals("in_sync");
+                        StandbySimulations.firstFailoverOutcome(simulation).equals("in_sync");
                 if (crashPoint == CrashPoint.BEFORE_NAMING) {
                     promotedBefore += fromLog ? 1 : 0;
                 } else {
@@ -121,11 +121,11 @@
             assertInvariants(simulation);
             assertTrue(simulation.crashes > 0, "the leader did not remove the standby");
             promoted += promotionsInSync(simulation);
-            withoutName += promotionsWithoutName(simulation);
+            withoutName += failoversWithoutNamedStandby(simulation);
         }
         assertTrue(
                 promoted > 0 && withoutName > 0,
-                promoted + " promotions from the log, " + withoutName + " without a name");
+                promoted + " promotions from the log, " + withoutName + " without a named standby");
     }
 
     /** Matches the write that removes the standby, or the first effect after it. */
--- a/src/test/java/org/shoreusher/simulation/StandbyFaultsTest.java
+++ b/src/test/java/org/shoreusher/simulation/StandbyFaultsTest.java
@@ -18,7 +18,7 @@
 class StandbyFaultsTest {
     private static final int SIMULATIONS = 24;
 
-    private final Map<String, Integer> promotionOutcomes = new TreeMap<>();
+    private final Map<String, Integer> failoverOutcomes = new TreeMap<>();
 
     private void assertInvariantsAndCount(ClusterSimulation simulation, long seed) {
         assertEquals(
@@ -29,15 +29,15 @@
                 List.of(),
                 simulation.users.unfinishedJobs(),
                 () -> "seed " + seed + "\n" + simulation.log);
-        StandbySimulations.promotionOutcomes(simulation)
-                .forEach((outcome, count) -> promotionOutcomes.merge(outcome, count, Integer::sum));
+        StandbySimulations.failoverOutcomes(simulation)
+                .forEach((outcome, count) -> failoverOutcomes.merge(outcome, count, Integer::sum));
     }
 
     private void assertPromotions(int minInSync) {
-        assertEquals(0, promotionOutcomes.getOrDefault("contradicted_by_heartbeat", 0));
+        assertEquals(0, failoverOutcomes.getOrDefault("contradicted_by_heartbeat", 0));
         assertTrue(
-                promotionOutcomes.getOrDefault("in_sync", 0) >= minInSync,
-                () -> "promotions: " + promotionOutcomes);
+                failoverOutcomes.getOrDefault("in_sync", 0) >= minInSync,
+                () -> "promotions: " + failoverOutcomes);
     }
 
     @Example
--- a/src/test/java/org/shoreusher/simulation/StandbyPartitionsTest.java
+++ b/src/test/java/org/shoreusher/simulation/StandbyPartitionsTest.java
@@ -5,10 +5,10 @@
 import static org.shoreusher.simulation.SaturatedCluster.FAULT_MS;
 import static org.shoreusher.simulation.SaturatedCluster.UNRESPONSIVE_MS;
 import static org.shoreusher.simulation.SaturatedCluster.assertInvariants;
+import static org.shoreusher.simulation.SaturatedCluster.failoversWithoutNamedStandby;
 import static org.shoreusher.simulation.SaturatedCluster.faultOnLeader;
 import static org.shoreusher.simulation.SaturatedCluster.namedStandby;
 import static org.shoreusher.simulation.SaturatedCluster.promotionsInSync;
-import static org.shoreusher.simulation.SaturatedCluster.promotionsWithoutName;
 import static org.shoreusher.simulation.SaturatedCluster.simulate;
 
 import java.util.ArrayList;
@@ -43,12 +43,13 @@
         return simulations.stream().mapToInt(SaturatedCluster::promotionsInSync).sum();
     }
 
-    private static int totalPromotionsWithoutName(List<ClusterSimulation> simulations) {
-        return simulations.stream().mapToInt(SaturatedCluster::promotionsWithoutName).sum();
+    private static int totalFailoversWithoutNamedStandby(List<ClusterSimulation> simulations) {
+        return simulations.stream().mapToInt(SaturatedCluster::failoversWithoutNamedStandby).sum();
     }
 
     private static void assertAtLeast(int expected, int actual) {
-        assertTrue(actual >= expected, () -> "at least " + expected + " expected, but " + actual);
+        assertTrue(
+                actual >= expected, () -> "expected at least " + expected + " but was " + actual);
     }
 
     private static void crashWithMachinesUnresponsive(
@@ -72,7 +73,7 @@
                             namedStandby(simulation).crash(100);
                             simulation.scheduleAfter(200, () -> leader.crash(DOWNTIME_MS));
                         });
-        assertAtLeast(1, totalPromotionsWithoutName(simulations));
+        assertAtLeast(1, totalFailoversWithoutNamedStandby(simulations));
     }
 
     @Example
@@ -87,7 +88,7 @@
         simulations.forEach(
                 simulation ->
                         assertTrue(promotionsInSync(simulation) == 0, simulation.log::toString));
-        assertAtLeast(6, totalPromotionsWithoutName(simulations));
+        assertAtLeast(6, totalFailoversWithoutNamedStandby(simulations));
     }
 
     /**
@@ -110,7 +111,8 @@
                                         crashWithMachinesUnresponsive(simulation, second, leader);
                                     });
                         });
-        simulations.forEach(simulation -> assertAtLeast(1, promotionsWithoutName(simulation)));
+        simulations.forEach(
+                simulation -> assertAtLeast(1, failoversWithoutNamedStandby(simulation)));
     }
 
     @Example
@@ -141,10 +143,7 @@
                                                 simulation, leader, 20_000))));
     }
 
-    /**
-     * A leader is paused for longer than its lease, and then sends log frames of a term that has
-     * ended.
-     */
+    /** A leader is paused until its lease has expired, and then sends frames of an ended term. */
     @Example
     void leaderResumedAfterAPauseStartsNothing() {
         assertAtLeast(
--- a/src/test/java/org/shoreusher/simulation/StandbyRandomCrashesTest.java
+++ b/src/test/java/org/shoreusher/simulation/StandbyRandomCrashesTest.java
@@ -19,7 +19,7 @@
 
     @Example
     void leaderCrashAtAnyEffectLosesAndDuplicatesNothing() {
-        Map<String, Integer> promotions = new TreeMap<>();
+        Map<String, Integer> outcomes = new TreeMap<>();
         for (long seed = 0; seed < SIMULATIONS; seed++) {
             String seedText = "seed " + seed + "\n";
             ClusterSimulation simulation =
@@ -35,13 +35,13 @@
                     List.of(),
                     simulation.log.entries(LogEventType.ATTEMPT_LOG_CONTRADICTED).toList(),
                     () -> seedText + simulation.log);
-            StandbySimulations.promotionOutcomes(simulation)
-                    .forEach((outcome, count) -> promotions.merge(outcome, count, Integer::sum));
+            StandbySimulations.failoverOutcomes(simulation)
+                    .forEach((outcome, count) -> outcomes.merge(outcome, count, Integer::sum));
         }
-        System.out.println("promotions in " + SIMULATIONS + " simulations: " + promotions);
-        assertEquals(0, promotions.getOrDefault("contradicted_by_heartbeat", 0));
+        System.out.println("promotions in " + SIMULATIONS + " simulations: " + outcomes);
+        assertEquals(0, outcomes.getOrDefault("contradicted_by_heartbeat", 0));
         assertTrue(
-                promotions.getOrDefault("in_sync", 0) > 2 * SIMULATIONS,
-                () -> "too few promotions from the log: " + promotions);
+                outcomes.getOrDefault("in_sync", 0) > 2 * SIMULATIONS,
+                () -> "too few promotions from the log: " + outcomes);
     }
 }
--- a/src/test/java/org/shoreusher/simulation/StandbySimulations.java
+++ b/src/test/java/org/shoreusher/simulation/StandbySimulations.java
@@ -24,10 +24,7 @@
     private static final long FIRST_CRASH_MS = 25_000;
     private static final long LAST_CRASH_MS = 140_000;
 
-    /**
-     * A leader returns about this many effects (responses, store calls, frames, log lines) in a few
-     * seconds.
-     */
+    /** A leader returns about this number of effects of any kind in a few seconds. */
     private static final int MAX_EFFECTS = 600;
 
     private StandbySimulations() {}
@@ -98,14 +95,14 @@
     }
 
     /** The number of failovers by outcome, as logged. */
-    static Map<String, Integer> promotionOutcomes(ClusterSimulation simulation) {
+    static Map<String, Integer> failoverOutcomes(ClusterSimulation simulation) {
         Map<String, Integer> counts = new HashMap<>();
-        promotions(simulation)
+        failoverEvents(simulation)
                 .forEach(entry -> counts.merge(entry.text("outcome"), 1, Integer::sum));
         return counts;
     }
 
-    private static Stream<EventLog.Entry> promotions(ClusterSimulation simulation) {
+    private static Stream<EventLog.Entry> failoverEvents(ClusterSimulation simulation) {
         return simulation
                 .log
                 .entries()
@@ -116,7 +113,7 @@
     }
 
     /** The outcome of the first failover from another leader; there must be one. */
-    static String firstPromotionOutcome(ClusterSimulation simulation) {
-        return promotions(simulation).findFirst().orElseThrow().text("outcome");
+    static String firstFailoverOutcome(ClusterSimulation simulation) {
+        return failoverEvents(simulation).findFirst().orElseThrow().text("outcome");
     }
 }
--- a/src/test/java/org/shoreusher/simulation/UnseenCancellationsTest.java
+++ b/src/test/java/org/shoreusher/simulation/UnseenCancellationsTest.java
@@ -23,7 +23,7 @@
 class UnseenCancellationsTest {
     private static final long FAULT_MS = 60_000;
 
-    /** Runs a simulation with jobs of long tasks, all of which run when the first fault begins. */
+    /** Runs a simulation with tasks so long that those started still run at the first fault. */
     private static ClusterSimulation simulate(long seed, List<Fault> faults) {
         ClusterSimulation simulation =
                 new ClusterSimulation(seed, SimulationSettings.standard(), 1, InjectedDefect.NONE);
@@ -71,8 +71,8 @@
 
     /**
      * The store rejects the requests of the leader only, other nodes confirm cancellations, and
-     * then the store fails for all nodes: for about a shard's lease, for lease and grace period, or
-     * for about or longer than the cancellation limit.
+     * then the store fails for all nodes for about 5, 15, 31 or 60 s: within the shard's lease of 9
+     * s, within lease and grace period, for about the cancellation limit, or for twice that.
      */
     @Property(tries = 40, seed = "60", shrinking = ShrinkingMode.OFF)
     void stopsTasksInTimeAlthoughTheLeaderMissesTheCancellation(
--- a/src/test/java/org/shoreusher/simulation/WireResponse.java
+++ b/src/test/java/org/shoreusher/simulation/WireResponse.java
@@ -4,7 +4,7 @@
 import org.shoreusher.core.message.Effect;
 import org.shoreusher.wire.ResponseFormat;
 
-/** A response in its wire format. */
+/** A response in its wire format; {@code retryAfterS} is 0 without a Retry-After header. */
 record WireResponse(long requestId, int status, Map<String, Object> body, int retryAfterS) {
     static WireResponse of(Effect.Respond response) {
         return new WireResponse(
