--- a/src/test/java/org/shoreusher/simulation/AutoscalerTest.java
+++ b/src/test/java/org/shoreusher/simulation/AutoscalerTest.java
@@ -87,7 +87,7 @@
                 };
         node.storeShardOfPreviousLeader();
         node.runSteps(20);
-        // A twelfth of the 24 tasks should run in parallel: two, each of which fills a machine.
+        // A twelfth of the 24 tasks is to run in parallel: two, on two machines in two zones.
         node.addOpenJob("wk-1", 24, 8);
         node.runSteps(200);
         assertEquals(
--- a/src/test/java/org/shoreusher/simulation/ClusterSimulation.java
+++ b/src/test/java/org/shoreusher/simulation/ClusterSimulation.java
@@ -170,7 +170,7 @@
                                 controller.host.equals(host) && controller.runsPreviousVersion());
     }
 
-    /** Schedules an action; if the time has passed, it runs as soon as possible. */
+    /** Schedules an action, at once if the time has passed. */
     void scheduleAt(long atMs, Runnable action) {
         events.add(new Event(Math.max(nowMs, atMs), nextSequence++, action));
     }
--- a/src/test/java/org/shoreusher/simulation/HeartbeatsTest.java
+++ b/src/test/java/org/shoreusher/simulation/HeartbeatsTest.java
@@ -24,7 +24,8 @@
 /**
  * How a leader handles heartbeats that are delayed, duplicated or from terminated machines, and
  * what it may start while machines are unresponsive. Guards against starting a task that may still
- * run on another machine.
+ * run on another machine, against longer waiting than that requires, and against registering a
+ * terminated machine.
  */
 class HeartbeatsTest {
     private final SingleNodeSimulation node = new SingleNodeSimulation();
--- a/src/test/java/org/shoreusher/simulation/LeaderFailureTest.java
+++ b/src/test/java/org/shoreusher/simulation/LeaderFailureTest.java
@@ -253,7 +253,7 @@
     @Example
     void replacesAMachineWithAOneWayPartition() {
         for (long seed : new long[] {0, 3, 6}) {
-            List<SimulatedWorker> unreachable = new ArrayList<>();
+            List<SimulatedWorker> partitioned = new ArrayList<>();
             ClusterSimulation simulation =
                     ClusterSimulationTest.simulate(
                             seed,
@@ -264,16 +264,16 @@
                                             cluster -> {
                                                 for (SimulatedWorker machine :
                                                         cluster.cloud.machines()) {
-                                                    if (unreachable.isEmpty()
+                                                    if (partitioned.isEmpty()
                                                             && machine.hasTasks()) {
                                                         machine.blockInbound(1_000_000);
-                                                        unreachable.add(machine);
+                                                        partitioned.add(machine);
                                                     }
                                                 }
                                             })));
             assertEquals(List.of(), simulation.invariants.violations);
-            assertEquals(1, unreachable.size());
-            String id = unreachable.get(0).id;
+            assertEquals(1, partitioned.size());
+            String id = partitioned.get(0).id;
             // Without the cordon, tasks would be started on it repeatedly, since it seems idle, and
             // it would not be terminated while tasks are pending.
             assertTrue(
--- a/src/test/java/org/shoreusher/simulation/RecordedFormatsTest.java
+++ b/src/test/java/org/shoreusher/simulation/RecordedFormatsTest.java
@@ -72,7 +72,7 @@
 
     /**
      * Compares the term, the fence, the node record and the machine types: first as a node writes
-     * them into an empty store, then as a node writes them that finds the recorded ones.
+     * them into an empty store, then as a node writes them after a failover from the recorded ones.
      */
     @Example
     void nodeWritesRecordedValuesAndContinuesFromThem() throws IOException {
--- a/src/test/java/org/shoreusher/simulation/UnseenCancellationsTest.java
+++ b/src/test/java/org/shoreusher/simulation/UnseenCancellationsTest.java
@@ -71,8 +71,8 @@
 
     /**
      * The store rejects the requests of the leader only, other nodes confirm cancellations, and
-     * then the store fails for all nodes for about 5, 15, 31 or 60 s: within the shard's lease of 9
-     * s, within lease and grace period, for about the cancellation limit, or for twice that.
+     * then the store fails for all nodes for about 5, 15, 31 or 60 s: less than the 9 s of the
+     * shard's lease, less than lease and grace period, about the cancellation limit, or twice that.
      */
     @Property(tries = 40, seed = "60", shrinking = ShrinkingMode.OFF)
     void stopsTasksInTimeAlthoughTheLeaderMissesTheCancellation(
