--- a/src/test/java/org/shoreusher/simulation/HeartbeatsTest.java
+++ b/src/test/java/org/shoreusher/simulation/HeartbeatsTest.java
@@ -24,7 +24,8 @@
 /**
  * How a leader handles heartbeats that are delayed, duplicated or from terminated machines, and
  * what it may start while machines are unresponsive. Guards against starting a task that may still
- * run on another machine.
+ * run on another machine, against longer waiting than that requires, and against registering a
+ * terminated machine.
  */
 class HeartbeatsTest {
     private final SingleNodeSimulation node = new SingleNodeSimulation();
@@ -140,10 +141,7 @@
         assertEquals(Set.of("wk-1/1"), Set.copyOf(started));
     }
 
-    /**
-     * A single-zone job waits, since the zone of the task that may run on the unresponsive machine
-     * is unknown.
-     */
+    /** A single-zone job waits, since the zone of its task that may be running is unknown. */
     @Example
     void singleZoneJobWaitsForUnresponsiveMachines() {
         node.addPartlyStartedJob("wk-1", true);
@@ -229,8 +227,8 @@
                 if (node.heartbeat("host-1", sequenceNumber, TERM).contains("run")) {
                     startedAfterMs = node.nowMs - fromMs;
                 }
-                // The duplicates end here. Each may be the heartbeat whose response the worker
-                // waits for.
+                // No more duplicates. The worker may still wait for the response to any of them,
+                // so none of them shows that its lease has expired.
                 if (!newerHeartbeats && sequenceNumber == 30) {
                     break;
                 }
@@ -322,9 +320,10 @@
     }
 
     /**
-     * A successor waits for an unresponsive machine as long as the previous leader may have renewed
-     * the machine's lease, and no longer. That leader may do so in a grace period, while it gets
-     * gossip from this node that the store is unavailable: here until this node's start.
+     * A successor waits for an unresponsive machine until every lease that the previous leader may
+     * have renewed has expired, and no longer. In its grace period, that leader renews leases while
+     * it has recent gossip from this node that the store is unavailable; this node has sent no such
+     * gossip since its start.
      */
     @Example
     void successorWaitsForTheGracePeriodOfThePreviousLeader() {
