--- a/src/main/java/org/shoreusher/core/NewJobAssignment.java
+++ b/src/main/java/org/shoreusher/core/NewJobAssignment.java
@@ -18,22 +18,25 @@
         assignedCpus = new double[shardCount];
     }
 
-    /** Clears the assigned CPUs; from now on gossip includes the jobs assigned so far. */
+    /**
+     * Clears the assigned CPUs; called after each gossip round, since later shard summaries include
+     * the jobs assigned so far.
+     */
     void reset() {
         Arrays.fill(assignedCpus, 0);
     }
 
     /**
-     * Returns the number of the shard with the most headroom for a new job, and subtracts the job
-     * from that headroom until the next gossip round.
+     * Returns the number of the shard with the most headroom for a new job, preferring shards with
+     * jobs of its team, and subtracts the job from that headroom until the next gossip round.
      */
     int assign(JobSpec spec) {
         int bestShard = 0;
-        double mostHeadroom = Double.NEGATIVE_INFINITY;
+        double bestScore = Double.NEGATIVE_INFINITY;
         for (int shardNumber = 0; shardNumber < assignedCpus.length; shardNumber++) {
-            double headroom = headroom(shardNumber, spec.team());
-            if (headroom > mostHeadroom) {
-                mostHeadroom = headroom;
+            double score = score(shardNumber, spec.team());
+            if (score > bestScore) {
+                bestScore = score;
                 bestShard = shardNumber;
             }
         }
@@ -41,7 +44,10 @@
         return bestShard;
     }
 
-    private double headroom(int shardNumber, String team) {
+    /**
+     * The CPU headroom of a shard plus a bonus for the CPUs that the team already demands there.
+     */
+    private double score(int shardNumber, String team) {
         ShardSummary summary = peerGossip.shardSummary(shardNumber);
         if (summary == null) {
             return CoreConstants.UNKNOWN_SHARD_HEADROOM_CPUS - assignedCpus[shardNumber];
--- a/src/main/java/org/shoreusher/core/gossip/GossipSender.java
+++ b/src/main/java/org/shoreusher/core/gossip/GossipSender.java
@@ -58,7 +58,7 @@
         if (!isStarted) {
             isStarted = true;
             startedMs = outbox.now().monotonicMs();
-            // A previous process on this host may have sent such gossip until it ended.
+            // A previous process on this host may have reported a store outage until it ended.
             lastStoreOutageSentMs = startedMs;
         }
     }
--- a/src/main/java/org/shoreusher/core/gossip/RedirectedWorkers.java
+++ b/src/main/java/org/shoreusher/core/gossip/RedirectedWorkers.java
@@ -4,23 +4,28 @@
 import org.shoreusher.core.message.WorkerHeartbeat;
 
 /**
- * The workers of a shard led by another node that now send heartbeats to this node although that
- * leader has responded to them before. A worker that does so repeatedly is counted as unable to
+ * The workers of one shard that another node leads. That leader has responded to them before, but
+ * now they send heartbeats to this node. A worker that does so repeatedly is counted as unable to
  * reach its leader. The number of such workers is sent to the leader by gossip. A leader that most
  * of its workers can't reach steps down, because their leases would expire while it renews its own.
  */
 final class RedirectedWorkers {
     /** The heartbeats of one worker that this node has redirected; times in monotonic ms. */
     private static final class RedirectHistory {
-        long firstRedirectMs;
+        /**
+         * The first redirect since the last pause of more than {@link
+         * GossipConstants#REDIRECT_EPISODE_GAP_MS}.
+         */
+        long episodeStartMs;
+
         long lastRedirectMs;
         long incarnation;
         long sequenceNumber;
 
         /**
-         * Whether the last two heartbeats, the second newer than the first, arrived within {@link
-         * GossipConstants#REDIRECTED_WORKER_RETRY_MS}. Delayed copies of an old heartbeat don't
-         * count.
+         * Whether the newest heartbeat arrived less than {@link
+         * GossipConstants#REDIRECTED_WORKER_RETRY_MS} after the one before it. Delayed copies of an
+         * older heartbeat don't count.
          */
         boolean isRepeated;
     }
@@ -51,12 +56,12 @@
                         && nowMs - history.lastRedirectMs
                                 < GossipConstants.REDIRECTED_WORKER_RETRY_MS;
         if (nowMs - history.lastRedirectMs > GossipConstants.REDIRECT_EPISODE_GAP_MS) {
-            history.firstRedirectMs = nowMs;
+            history.episodeStartMs = nowMs;
         }
         history.lastRedirectMs = nowMs;
         history.incarnation = heartbeat.incarnation();
         history.sequenceNumber = heartbeat.sequenceNumber();
-        return nowMs - history.firstRedirectMs < GossipConstants.MAX_REDIRECT_DELAY_MS
+        return nowMs - history.episodeStartMs < GossipConstants.MAX_REDIRECT_DELAY_MS
                 && historyByMachine.size()
                         > Math.max(
                                 2, machineCount * GossipConstants.REDIRECT_DELAY_MIN_WORKER_SHARE);
--- a/src/main/java/org/shoreusher/core/job/SubmissionBatches.java
+++ b/src/main/java/org/shoreusher/core/job/SubmissionBatches.java
@@ -75,8 +75,9 @@
 
     /**
      * Handles a new or removed batch in the store cache. If two batches contain the same job, the
-     * older batch counts, whichever becomes visible first. Otherwise the leaders of two shards
-     * could each treat the job as the other's, and none would start it.
+     * older batch counts, whichever becomes visible first. The batches may assign the job to
+     * different shards; if each leader counted the batch that assigns it to the other's shard,
+     * neither would start it.
      *
      * @param after the batch; null if it was removed
      * @param onNewJob called with the id and record of each job for which this batch counts from
@@ -122,8 +123,8 @@
 
     /**
      * Removes the records of batches whose jobs all have records of their own, at most once per
-     * {@link JobConstants#SUBMISSION_BATCH_CLEANUP_INTERVAL_MS}. Only the leader of a shard may
-     * call this.
+     * {@link JobConstants#SUBMISSION_BATCH_CLEANUP_INTERVAL_MS} and at most half as many at once as
+     * a transaction may write. Only the leader of a shard may call this.
      */
     public void removeEmptyBatches(ShardLeadership leadership) {
         if (removalInFlight || outbox.now().monotonicMs() < nextRemovalMs) {
--- a/src/main/java/org/shoreusher/core/leadership/LeaseRenewal.java
+++ b/src/main/java/org/shoreusher/core/leadership/LeaseRenewal.java
@@ -22,6 +22,9 @@
  * leader.
  */
 final class LeaseRenewal {
+    /** The number of the shard's own record among the records that store completed tasks. */
+    private static final int SHARD_RECORD_INDEX = 0;
+
     private final Settings settings;
     private final Outbox outbox;
     private final LeadershipState state;
@@ -59,7 +62,7 @@
      * same write stores completed tasks and the name of the standby.
      *
      * @param completionSupplier supplies the completed tasks to write, or null while they are not
-     *     loaded; they are then left as they are stored
+     *     loaded; the stored ones are then kept unchanged
      */
     void renewIfDue(Supplier<CompletionSnapshot> completionSupplier) {
         if (recordWriter.isWriteInFlight() || outbox.now().monotonicMs() < nextRenewalMs) {
@@ -76,8 +79,8 @@
                         expiryWallMs,
                         state.term(),
                         completions == null
-                                ? storedCompletions.completedRanges(0)
-                                : completions.completedRanges(0));
+                                ? storedCompletions.completedRanges(SHARD_RECORD_INDEX)
+                                : completions.completedRanges(SHARD_RECORD_INDEX));
         Map<String, Map<String, Object>> writes = recordWriter.writes(record);
         if (completions != null) {
             storedCompletions.addChangedRecords(completions, writes);
--- a/src/main/java/org/shoreusher/core/machine/MachineConstants.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineConstants.java
@@ -8,8 +8,8 @@
     private MachineConstants() {}
 
     /**
-     * CPUs, as a share of the CPUs of the shard's largest available machine, that must stay free on
-     * the other machines when a machine is evacuated in order to be handed over to another shard.
+     * Share of the CPUs of the shard's largest available machine. A machine is evacuated in order
+     * to be handed over to another shard only if the other machines have more free CPUs than this.
      */
     static final double HANDOVER_MIN_FREE_MACHINE_SHARE = 0.5;
 
@@ -37,14 +37,14 @@
     static final int MAX_TERMINATED_MACHINE_IDS = 20_000;
 
     /**
-     * ms; a machine considered terminated that the inventory has listed for longer than this, far
-     * longer than the inventory's lag, still exists.
+     * ms; a machine considered terminated still exists if the inventory has listed it for longer
+     * than this, which is far longer than the inventory's lag.
      */
     static final long TERMINATED_STILL_LISTED_MS = 60_000;
 
     /**
-     * Jobs of which a task failed on a machine, with no task succeeding there in between, from
-     * which the machine is cordoned as faulty.
+     * Number of jobs; a machine is cordoned as faulty once tasks of this many jobs have failed on
+     * it, with no task succeeding there in between.
      */
     static final int FAULTY_MACHINE_FAILED_JOBS = 3;
 
@@ -87,8 +87,8 @@
     static final long ON_DEMAND_IDLE_TIMEOUT_MS = 5_000;
 
     /**
-     * On-demand capacity reserved in each zone, in halves of the largest service: the number of
-     * services that may be submitted while a machine boots.
+     * Number of services that may be submitted while a machine boots. For each of them, on-demand
+     * capacity for the larger half of the largest service is reserved in each zone.
      */
     static final int RESERVED_CAPACITY_HALF_SERVICES = 3;
 
--- a/src/main/java/org/shoreusher/core/schedule/Preemption.java
+++ b/src/main/java/org/shoreusher/core/schedule/Preemption.java
@@ -18,23 +18,27 @@
  * team where its quota is used up, and for batch jobs also tasks of any team where no machine has
  * capacity.
  *
- * <p>Only tasks that write checkpoints are preempted, so that they can save their work, and none
- * that started so recently that its start would not count for the objectives.
+ * <p>Only tasks that write checkpoints are preempted, so that they can save their work, and only if
+ * they started long enough ago for the start to count for the objectives.
  */
 final class Preemption {
-    /** CPUs by team that tasks being stopped will release, less those that cover pending tasks. */
+    /**
+     * By team, CPUs of the quota that tasks being stopped will release and that no pending task has
+     * been counted against yet.
+     */
     private final Object2DoubleOpenHashMap<String> reclaimedTeamCpus =
             new Object2DoubleOpenHashMap<>();
 
-    /** Tasks that can be preempted and are not chosen yet, in preemption order. */
-    private final List<TaskAttempt> victims = new ArrayList<>();
+    /** Tasks that can be preempted and have not been chosen yet, in preemption order. */
+    private final List<TaskAttempt> candidates = new ArrayList<>();
 
     private final List<TaskAttempt> chosen = new ArrayList<>();
     private final SchedulingOrder schedulingOrder;
     private final ClockReading now;
 
     /**
-     * CPUs on machines that tasks being stopped will release, less those that cover pending tasks.
+     * CPUs on machines that tasks being stopped will release and that no pending task has been
+     * counted against yet.
      */
     private double reclaimedCpus;
 
@@ -52,13 +56,13 @@
                     reclaimedTeamCpus.addTo(spec.team(), spec.cpus());
                     reclaimedCpus += spec.cpus();
                 } else if (shard.isAvailable(machine) && isPreemptible(attempt)) {
-                    victims.add(attempt);
+                    candidates.add(attempt);
                 }
             }
         }
         // Lowest priority first, then the task that has run for the shortest time: it probably has
         // the most work left, so stopping it frees capacity for the longest time.
-        victims.sort(
+        candidates.sort(
                 Comparator.comparing((TaskAttempt attempt) -> attempt.job().spec().priority())
                         .reversed()
                         .thenComparing(attempt -> -attempt.runningSinceMs())
@@ -119,19 +123,19 @@
     }
 
     /**
-     * Selects victims of lower priority, on machines that the pending job may use, until they
+     * Selects candidates of lower priority, on machines that the pending job may use, until they
      * release enough CPUs or none is left.
      */
     private void selectVictims(
-            JobSpec pendingSpec, double requiredCpus, Predicate<TaskAttempt> isCandidate) {
+            JobSpec pendingSpec, double requiredCpus, Predicate<TaskAttempt> isEligible) {
         double missingCpus = requiredCpus;
-        Iterator<TaskAttempt> remaining = victims.iterator();
+        Iterator<TaskAttempt> remaining = candidates.iterator();
         while (missingCpus > 0 && remaining.hasNext()) {
             TaskAttempt victim = remaining.next();
             JobSpec spec = victim.job().spec();
             Machine machine = victim.machine();
             if (spec.priority().compareTo(pendingSpec.priority()) > 0
-                    && isCandidate.test(victim)
+                    && isEligible.test(victim)
                     && pendingSpec.allowsMachine(
                             machine.type().name(), machine.zone(), machine.isSpot())) {
                 remaining.remove();
--- a/src/main/java/org/shoreusher/core/store/EffectBuffer.java
+++ b/src/main/java/org/shoreusher/core/store/EffectBuffer.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import org.shoreusher.core.message.Effect;
 
-/** Collects the effects of a batch in order. */
+/** Collects the effects of one batch of commands, in order. */
 final class EffectBuffer {
     private List<Effect> effects = new ArrayList<>();
 
--- a/src/main/java/org/shoreusher/core/user/SubmissionCommit.java
+++ b/src/main/java/org/shoreusher/core/user/SubmissionCommit.java
@@ -33,13 +33,13 @@
 final class SubmissionCommit {
     /**
      * A job that is to be written, with all requests that submit it and the time of the first;
-     * monotonic ms.
+     * monotonic ms. {@code entryBytes} is the length of its record within a batch record.
      */
     private record QueuedSubmission(
             String jobId,
             long queuedAtMs,
             Map<String, Object> recordValue,
-            int encodedBytes,
+            int entryBytes,
             List<Long> requestIds) {
         /** The key of the job's own record. */
         String key() {
@@ -139,7 +139,7 @@
                 && writeBatch()) {
             // repeats until the queue is empty or a limit is reached
         }
-        // A submission waits only for the next writes, since a retry by the user costs less
+        // The timeout is only long enough for the next writes, since a retry by the user costs less
         // than a long queue.
         queuedSubmissions
                 .values()
@@ -183,12 +183,12 @@
         int batchBytes = 0;
         for (QueuedSubmission submission : queuedSubmissions.values()) {
             if (!batch.isEmpty()
-                    && (batchBytes + submission.encodedBytes > maxBatchBytes
+                    && (batchBytes + submission.entryBytes > maxBatchBytes
                             || batch.size() >= maxBatchSize)) {
                 break;
             }
             batch.add(submission);
-            batchBytes += submission.encodedBytes;
+            batchBytes += submission.entryBytes;
         }
         return batch;
     }
@@ -246,6 +246,10 @@
         }
     }
 
+    /**
+     * The keys whose preconditions failed; empty if the reply is invalid, so that all jobs are
+     * queued again.
+     */
     private static Set<String> failedPreconditions(StoreReply reply) {
         try {
             return new HashSet<>(StoreFormat.readFailedKeys(new FieldMap(reply.body())));
--- a/src/main/java/org/shoreusher/settings/SettingsValidator.java
+++ b/src/main/java/org/shoreusher/settings/SettingsValidator.java
@@ -7,8 +7,8 @@
     private static final int MIN_VALUE_BYTES = 1024;
     private static final double BYTES_PER_KB = 1024;
 
-    /** The leader's lease divided by this is the exclusive upper bound of the clock offset. */
-    private static final int MIN_LEASE_PER_CLOCK_OFFSET = 4;
+    /** The leader's lease must be more than this many times the maximum clock offset. */
+    private static final int MIN_LEASE_TO_CLOCK_OFFSET_RATIO = 4;
 
     private SettingsValidator() {}
 
@@ -51,19 +51,19 @@
         require(
                 settings.maxTransactionWrites() >= SharedConstants.MIN_TRANSACTION_WRITES,
                 "deployment.state.txn_ops",
-                "must be at least "
+                "and state.next.txn_ops must both be at least "
                         + SharedConstants.MIN_TRANSACTION_WRITES
-                        + ", also in state.next, since a leadership change writes three keys",
+                        + ", since a leadership change writes three keys",
                 settings.maxTransactionWrites());
         require(
                 settings.maxValueBytes() >= MIN_VALUE_BYTES,
                 "deployment.state.value_kb",
-                "must be at least 1, also in state.next",
+                "and state.next.value_kb must both be at least 1",
                 settings.maxValueBytes() / BYTES_PER_KB);
     }
 
     private static void validateLimits(Settings settings) throws InvalidSettingsException {
-        long offsetBoundMs = SharedConstants.LEADER_LEASE_MS / MIN_LEASE_PER_CLOCK_OFFSET;
+        long offsetBoundMs = SharedConstants.LEADER_LEASE_MS / MIN_LEASE_TO_CLOCK_OFFSET_RATIO;
         require(
                 settings.maxClockOffsetMs() >= 0 && settings.maxClockOffsetMs() < offsetBoundMs,
                 "deployment.clock_off_ms",
--- a/src/test/java/org/shoreusher/DocumentationTest.java
+++ b/src/test/java/org/shoreusher/DocumentationTest.java
@@ -40,8 +40,8 @@
 import org.shoreusher.standby.PromotionOutcome;
 
 /**
- * Every name in code font on the pages exists: identifiers in the sources, and names of messages,
- * stored records, settings and logs as string literals or in the list of external names.
+ * Checks the names in code font on the pages: identifiers exist in the sources, and names of
+ * messages, stored records, settings and logs exist as literals or on the list of external names.
  */
 class DocumentationTest {
     private static final Path MAIN_SOURCES = Path.of("src/main");
@@ -114,7 +114,7 @@
     @Example
     void everyTypeOnTheArchitecturePageExists() {
         List<String> named = typesNamedIn("docs/architecture.md");
-        assertTrue(named.size() > 50, () -> "the page names types: " + named);
+        assertTrue(named.size() > 50, () -> "too few types on the page: " + named);
         assertEquals(List.of(), missingTypes(named));
     }
 
@@ -124,7 +124,7 @@
         named.addAll(typesNamedIn("docs/design.md"));
         named.addAll(typesNamedIn("docs/compound-failures.md"));
         named.addAll(typesNamedIn("docs/glossary.md"));
-        assertTrue(named.size() > 100, () -> "the pages name types: " + named);
+        assertTrue(named.size() > 100, () -> "too few types on the pages: " + named);
         assertEquals(List.of(), missingTypes(named));
     }
 
@@ -239,7 +239,7 @@
 
     /**
      * Whether a text of several words, such as a key, a flag or a setting with its value, has only
-     * words of external names and placeholders. Words of keys are in literals with a slash.
+     * words of external names and placeholders; with a slash, only words of literals with a slash.
      */
     private static boolean isComposedOfExternalNames(String text) {
         Set<String> words = wordsOf(text);
@@ -306,7 +306,7 @@
         final Set<String> packages = new HashSet<>();
         final Set<String> literals = new HashSet<>();
 
-        /** The words of the literals without spaces, which are no messages. */
+        /** The words of the literals without spaces; those with spaces are messages. */
         final Set<String> literalWords = new HashSet<>();
 
         /** The words of the literals with a slash, which are parts of keys and paths. */
--- a/src/test/java/org/shoreusher/core/cluster/FailureBackoffTest.java
+++ b/src/test/java/org/shoreusher/core/cluster/FailureBackoffTest.java
@@ -13,11 +13,11 @@
 
     @Example
     void firstFailureDoesNotDelayAndEachFurtherOneDoublesTheDelay() {
-        failures.recordFailure("machine-1", 0, true);
+        recordDelayingFailure(0);
         assertFalse(failures.isBackingOff(0));
         long delayMs = ClusterConstants.MIN_FAILURE_BACKOFF_MS;
         for (int i = 0; i < 40; i++) {
-            failures.recordFailure("machine-1", 0, true);
+            recordDelayingFailure(0);
             assertTrue(failures.isBackingOff(delayMs - 1), "failure " + (i + 2));
             assertFalse(failures.isBackingOff(delayMs), "failure " + (i + 2));
             delayMs = Math.min(2 * delayMs, ClusterConstants.MAX_FAILURE_BACKOFF_MS);
@@ -35,12 +35,17 @@
 
     @Example
     void resetClearsFailuresButNotACurrentDelay() {
-        failures.recordFailure("machine-1", 0, true);
-        failures.recordFailure("machine-1", 0, true);
+        recordDelayingFailure(0);
+        recordDelayingFailure(0);
         failures.reset();
         assertTrue(failures.failedMachineIds().isEmpty());
         assertTrue(failures.isBackingOff(0));
-        failures.recordFailure("machine-1", 2 * ClusterConstants.MIN_FAILURE_BACKOFF_MS, true);
+        recordDelayingFailure(2 * ClusterConstants.MIN_FAILURE_BACKOFF_MS);
         assertFalse(failures.isBackingOff(2 * ClusterConstants.MIN_FAILURE_BACKOFF_MS));
     }
+
+    /** Records a failure of a job without completed tasks, whose failures delay its next start. */
+    private void recordDelayingFailure(long nowMs) {
+        failures.recordFailure("machine-1", nowMs, true);
+    }
 }
--- a/src/test/java/org/shoreusher/simulation/HeartbeatsTest.java
+++ b/src/test/java/org/shoreusher/simulation/HeartbeatsTest.java
@@ -17,6 +17,7 @@
 import org.shoreusher.core.message.Command;
 import org.shoreusher.core.message.Effect.CloudOperation;
 import org.shoreusher.core.message.MessageConstants;
+import org.shoreusher.core.message.ReplyStatus;
 import org.shoreusher.core.message.WorkerHeartbeat.ExitCause;
 import org.shoreusher.core.message.WorkerHeartbeat.TaskState;
 import org.shoreusher.core.message.WorkerHeartbeat.TaskStatus;
@@ -24,8 +25,8 @@
 /**
  * How a leader handles heartbeats that are delayed, duplicated or from terminated machines, and
  * what it may start while machines are unresponsive. Guards against starting a task that may still
- * run on another machine, against longer waiting than that requires, and against registering a
- * terminated machine.
+ * run on another machine, against waiting longer than necessary to prevent that, and against
+ * registering a terminated machine.
  */
 class HeartbeatsTest {
     private final SingleNodeSimulation node = new SingleNodeSimulation();
@@ -70,7 +71,8 @@
                                 new TaskStatus("wk-1", 0, 1, TaskState.EXITED, ExitCause.STOPPED))
                         .stream()
                         .filter(verb -> verb.equals("halt"))
-                        .toList());
+                        .toList(),
+                "a task that has exited needs no order to stop");
         node.runSteps(3);
         List<String> laterOrders = new ArrayList<>(node.heartbeat("host-1", 24, TERM));
         laterOrders.addAll(node.heartbeat("host-2", 14, TERM));
@@ -102,7 +104,11 @@
                         terminated.addAll(termination.machineIds());
                     }
                     return new Command.CloudReply(
-                            0, operation instanceof CloudOperation.Terminate ? 200 : 0, Map.of());
+                            0,
+                            operation instanceof CloudOperation.Terminate
+                                    ? ReplyStatus.OK
+                                    : ReplyStatus.NO_REPLY,
+                            Map.of());
                 };
         for (int i = 1; terminated.isEmpty() && i < 600; i++) {
             node.runSteps(1);
@@ -193,7 +199,7 @@
     }
 
     /**
-     * Since before a failover a machine gets no messages: it keeps sending heartbeats with the
+     * A machine has received no messages since before a failover, so its heartbeats still carry the
      * previous term. Once newer heartbeats show that its lease from the previous leader has
      * expired, the tasks of that leader are started elsewhere. Duplicates of a single heartbeat do
      * not show that.
@@ -227,8 +233,8 @@
                 if (node.heartbeat("host-1", sequenceNumber, TERM).contains("run")) {
                     startedAfterMs = node.nowMs - fromMs;
                 }
-                // No more duplicates. The worker may still wait for the response to any of them,
-                // so none of them shows that its lease has expired.
+                // Further duplicates would change nothing: the worker may still be waiting for the
+                // response to any of them, so none shows that its lease has expired.
                 if (!newerHeartbeats && sequenceNumber == 30) {
                     break;
                 }
@@ -255,6 +261,7 @@
             node.addOpenJob("wk-1", 1);
             node.runSteps(3);
             if (recordLost) {
+                // All transactions are executed late, and their replies are lost.
                 node.store().loseReplies(10, false, 60_000);
             }
             List<String> started = new ArrayList<>();
@@ -321,9 +328,10 @@
 
     /**
      * A successor waits for an unresponsive machine until every lease that the previous leader may
-     * have renewed has expired, and no longer. In its grace period, that leader renews leases while
-     * it has recent gossip from this node that the store is unavailable; this node has sent no such
-     * gossip since its start.
+     * have renewed has expired, and no longer. In its grace period, that leader renews the leases
+     * of its workers only while it has recent gossip from this node that the store is unavailable.
+     * This node has sent none since its start, so the wait is the maximum age of gossip plus one
+     * lease of a worker, counted from the start.
      */
     @Example
     void successorWaitsForTheGracePeriodOfThePreviousLeader() {
@@ -347,7 +355,7 @@
                 startedAfterMs < waitMs + 2_500, "started too late, after ms: " + startedAfterMs);
     }
 
-    /** The first task of the job as running, unless another machine's orders start it. */
+    /** The first task of the job as running; empty if the orders to another machine start it. */
     private static TaskStatus[] running(String jobId, List<String> ordersElsewhere) {
         return ordersElsewhere.contains("run")
                 ? new TaskStatus[0]
--- a/src/test/java/org/shoreusher/simulation/SimulatedNetwork.java
+++ b/src/test/java/org/shoreusher/simulation/SimulatedNetwork.java
@@ -36,7 +36,7 @@
      */
     void send(String source, String destination, Runnable deliver) {
         long delayMs = 1 + simulation.random.nextInt(8);
-        // More late messages with the defect that only late responses expose.
+        // This injected defect shows only if responses are late, so more messages are delayed.
         if (simulation.random.nextInt(
                         simulation.injectedDefect
                                         == ClusterSimulation.InjectedDefect.LATE_RESPONSES_EXECUTED
--- a/src/test/java/org/shoreusher/simulation/SimulatedWorker.java
+++ b/src/test/java/org/shoreusher/simulation/SimulatedWorker.java
@@ -16,8 +16,8 @@
     private static final long HEARTBEAT_CHECK_INTERVAL_MS = 50;
     private static final long RETRY_DELAY_MS = 1_000;
 
-    /** One in this number of heartbeats is delivered again later. */
-    private static final int ONE_HEARTBEAT_DUPLICATED_IN = 12;
+    /** On average, one in this number of heartbeats is delivered again later. */
+    private static final int HEARTBEATS_PER_DUPLICATE = 12;
 
     final String id;
     final String type;
@@ -209,7 +209,7 @@
      * The response to the duplicate is dropped.
      */
     private void maybeDuplicateLater(WorkerHeartbeat heartbeat) {
-        if (simulation.random.nextInt(ONE_HEARTBEAT_DUPLICATED_IN) > 0) {
+        if (simulation.random.nextInt(HEARTBEATS_PER_DUPLICATE) > 0) {
             return;
         }
         simulation.scheduleAfter(
