--- a/src/main/java/org/shoreusher/core/machine/MachineConstants.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineConstants.java
@@ -11,7 +11,7 @@
      * Share of the CPUs of the shard's largest available machine. A machine is evacuated in order
      * to be handed over to another shard only if the other machines have more free CPUs than this.
      */
-    static final double HANDOVER_MIN_FREE_MACHINE_SHARE = 0.5;
+    static final double HANDOVER_MIN_FREE_CPUS_SHARE = 0.5;
 
     /** ms; a machine must have been idle this long before it is handed over to another shard. */
     static final long HANDOVER_MIN_IDLE_MS = 1_000;
@@ -90,7 +90,7 @@
      * Number of services that may be submitted while a machine boots. For each of them, on-demand
      * capacity for the larger half of the largest service is reserved in each zone.
      */
-    static final int RESERVED_CAPACITY_HALF_SERVICES = 3;
+    static final int RESERVED_CAPACITY_SERVICES = 3;
 
     /**
      * CPUs reserved in each zone while there is no service, and so no service size: enough for two
--- a/src/main/java/org/shoreusher/core/machine/MachineHandover.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineHandover.java
@@ -113,7 +113,7 @@
                 && ownShortfall == 0
                 && leastUsed != null
                 && freeCpus - leastUsed.resources().cpusFree()
-                        > largestMachineCpus * MachineConstants.HANDOVER_MIN_FREE_MACHINE_SHARE) {
+                        > largestMachineCpus * MachineConstants.HANDOVER_MIN_FREE_CPUS_SHARE) {
             leastUsed.setEvacuating(true);
         }
     }
--- a/src/main/java/org/shoreusher/core/machine/ReservedReplicaCapacity.java
+++ b/src/main/java/org/shoreusher/core/machine/ReservedReplicaCapacity.java
@@ -175,7 +175,7 @@
                                         objective.kind() == ObjectiveKind.WAIT
                                                 && objective.withinS() < type.bootS());
         return largestHalfCpus > 0
-                ? MachineConstants.RESERVED_CAPACITY_HALF_SERVICES * largestHalfCpus + type.cpus()
+                ? MachineConstants.RESERVED_CAPACITY_SERVICES * largestHalfCpus + type.cpus()
                 : replicasExpected
                         ? Math.max(type.cpus(), MachineConstants.RESERVED_CAPACITY_INITIAL_CPUS)
                         : 0;
