--- a/src/main/java/org/shoreusher/measure/Cluster.java
+++ b/src/main/java/org/shoreusher/measure/Cluster.java
@@ -37,7 +37,7 @@
      * @param controllerCount number of controllers
      * @param machineCount largest number of machines that the cloud provisions
      * @param offer properties of a machine
-     * @param teamCpuLimits quota of CPUs by team
+     * @param teamCpuQuotas quota of CPUs by team
      * @param heartbeatIntervalS heartbeat interval of the workers in s
      * @param workerLeaseS duration of the workers' leases in s
      * @param featuresFile features file of the controllers; null for none
