--- a/src/main/java/org/shoreusher/core/store/CompletionRecordSplitter.java
+++ b/src/main/java/org/shoreusher/core/store/CompletionRecordSplitter.java
@@ -61,6 +61,7 @@
 
     private void addPiece(String jobId, String ranges, int overheadBytes) {
         int pieceBytes = overheadBytes + ranges.length();
+        // A record has one entry for each job, so the next piece of a job needs another record.
         if (currentBytes + pieceBytes > maxRecordBytes || current.containsKey(jobId)) {
             records.add(current);
             current = new LinkedHashMap<>();
--- a/src/main/java/org/shoreusher/core/store/JobRecord.java
+++ b/src/main/java/org/shoreusher/core/store/JobRecord.java
@@ -71,8 +71,8 @@
     }
 
     /**
-     * Returns the record of the job after its cancellation. If it would exceed the size limit of
-     * values, because the job was accepted under a higher limit, only the resources of the
+     * Returns the record of the job after its cancellation. If that record would exceed the size
+     * limit of values, because the job was accepted under a higher limit, only the resources of the
      * description are kept: otherwise the store would reject the write on every retry, and the job
      * could never be cancelled.
      *
--- a/src/main/java/org/shoreusher/core/store/LinearizableReads.java
+++ b/src/main/java/org/shoreusher/core/store/LinearizableReads.java
@@ -55,8 +55,8 @@
      * @param settings the deployment's settings
      * @param outbox sends the calls to the store
      * @param storeCache the store cache
-     * @param cachedRecords returns the record of a job in the store cache: its own, or else that in
-     *     its submission batch; null if there is neither
+     * @param cachedRecords returns the record of a job in the store cache: its own record, or else
+     *     the one in its submission batch; null if there is neither
      * @param terminalRecords returns the record of a recently terminated job, or null
      * @param rejectIfOverloaded rejects a request if this node is overloaded, and returns whether
      *     it did
@@ -116,11 +116,11 @@
             return;
         }
         Map<String, Long> preconditions = new LinkedHashMap<>();
+        int maxPreconditions =
+                StoreConstants.MAX_PRECONDITIONS_PER_WRITE * settings.maxTransactionWrites();
         List<PendingRead> batch = new ArrayList<>();
         for (PendingRead read : pendingReads) {
-            if (preconditions.size()
-                    >= StoreConstants.MAX_PRECONDITIONS_PER_WRITE
-                            * settings.maxTransactionWrites()) {
+            if (preconditions.size() >= maxPreconditions) {
                 break;
             }
             String jobKey = StoreSchema.jobKey(read.jobId());
@@ -149,6 +149,7 @@
             try {
                 changedKeys.addAll(StoreFormat.readFailedKeys(new FieldMap(reply.body())));
             } catch (FieldMap.InvalidFieldException invalid) {
+                // Any of the jobs may have changed.
                 batch.forEach(read -> changedKeys.add(StoreSchema.jobKey(read.jobId())));
             }
         } else if (reply.status() != ReplyStatus.OK) {
--- a/src/main/java/org/shoreusher/core/store/Outbox.java
+++ b/src/main/java/org/shoreusher/core/store/Outbox.java
@@ -20,6 +20,11 @@
  * callback that was given with the call.
  */
 public final class Outbox {
+    /** The value of {@link Effect.StoreCall#urgent} in calls for a leader's lease. */
+    private static final boolean URGENT = true;
+
+    private static final boolean NOT_URGENT = false;
+
     private final EffectBuffer effects = new EffectBuffer();
     private final PendingCalls<StoreReply> storeCalls = new PendingCalls<>();
     private final PendingCalls<CloudReply> cloudCalls = new PendingCalls<>();
@@ -94,7 +99,7 @@
         if (!rateLimits.tryAcquireForLeader(operation, now.monotonicMs())) {
             return false;
         }
-        sendStoreCall(operation, false, callback);
+        sendStoreCall(operation, NOT_URGENT, callback);
         return true;
     }
 
@@ -108,7 +113,7 @@
         if (!rateLimits.tryAcquireForUser(operation, now.monotonicMs())) {
             return false;
         }
-        sendStoreCall(operation, false, callback);
+        sendStoreCall(operation, NOT_URGENT, callback);
         return true;
     }
 
@@ -124,7 +129,7 @@
         if (!rateLimits.tryAcquireForLease(operation, now.monotonicMs())) {
             return false;
         }
-        sendStoreCall(operation, true, callback);
+        sendStoreCall(operation, URGENT, callback);
         return true;
     }
 
--- a/src/main/java/org/shoreusher/core/store/PageLoad.java
+++ b/src/main/java/org/shoreusher/core/store/PageLoad.java
@@ -48,6 +48,7 @@
             entries.put(entry.key(), new StoreCache.Entry(entry.value(), entry.version()));
             lastKey = entry.key();
         }
+        // Without any key so far there is none after which a next page could start.
         return !StoreFormat.hasMorePages(page) || lastKey == null;
     }
 }
--- a/src/main/java/org/shoreusher/core/store/QuotaRecord.java
+++ b/src/main/java/org/shoreusher/core/store/QuotaRecord.java
@@ -14,8 +14,8 @@
 @SuppressWarnings("ArrayRecordComponent") // read on the hot path of quota checks, never compared
 public record QuotaRecord(double[] cpus, double[] gpus) {
     /**
-     * Reads the record from its stored fields. Shares for another number of shards are read as
-     * zeros.
+     * Reads the record from its stored fields. Shares that were stored for another number of shards
+     * are read as zeros.
      *
      * @param value the stored fields
      * @param shardCount the number of shards
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Reads the shares of one resource. Shares for another number of shards are read as zeros, so
-     * that the shares never add up to more than the team's quota.
+     * Reads the shares of one resource. Shares that were stored for another number of shards are
+     * read as zeros, so that the shares never add up to more than the team's quota.
      */
     private static double[] sharesFrom(Object storedShares, int shardCount) {
         double[] shares = new double[shardCount];
--- a/src/main/java/org/shoreusher/core/store/RateLimits.java
+++ b/src/main/java/org/shoreusher/core/store/RateLimits.java
@@ -8,8 +8,8 @@
  * This node's share of the rate limits of the key-value store and the cloud, as token buckets.
  *
  * <p>The shares of leaders' and users' writes add up to more than the rate limit, because both are
- * rarely used up at the same time. If they are, the store replies 429, and the write is retried
- * later as after any other failure.
+ * rarely used up at the same time. If both are used up together, the store replies 429, and the
+ * write is retried later as after any other failure.
  */
 final class RateLimits {
     private final TokenBucket storeCalls;
--- a/src/main/java/org/shoreusher/core/store/StoreCache.java
+++ b/src/main/java/org/shoreusher/core/store/StoreCache.java
@@ -101,7 +101,7 @@
         return loading ? NO_REVISION : revision;
     }
 
-    /** Returns the ms since the time up to which the cache is known to contain every change. */
+    /** Returns the ms for which changes may be missing; very large until first complete. */
     public long ageMs() {
         return outbox.now().monotonicMs() - completeAtMs;
     }
@@ -184,9 +184,9 @@
     }
 
     /**
-     * Removes a key from the cache only, not from the store. Changes of the key up to its cached
-     * version that a watch still delivers are ignored: an older one could restore a completed job
-     * as open.
+     * Removes a key from the cache only, not from the store. A watch may still deliver changes of
+     * the key up to its cached version. They are ignored, because an older one could restore a
+     * completed job as open.
      */
     public void evict(String key) {
         Entry entry = entries.remove(key);
@@ -201,14 +201,13 @@
             return;
         }
         long sentAtMs = outbox.now().monotonicMs();
+        // A cache that has not caught up reads the changes that are available, without waiting.
+        boolean caughtUp = loaded && revision >= requiredRevision;
+        long blockMs = caughtUp ? StoreConstants.WATCH_LONG_POLL_MS : 0;
         StoreOperation operation =
                 loading
                         ? new StoreOperation.Page(pageLoad.lastKey())
-                        : new StoreOperation.Watch(
-                                revision,
-                                loaded && revision >= requiredRevision
-                                        ? StoreConstants.WATCH_LONG_POLL_MS
-                                        : 0);
+                        : new StoreOperation.Watch(revision, blockMs);
         callInFlight =
                 outbox.callStore(
                         operation,
@@ -239,8 +238,8 @@
     }
 
     private void onFailure() {
-        // A reply that exceeds the size limit counts as missing, and so would the reply to every
-        // retry. The size of a watch reply is unbounded, that of a page is not.
+        // A reply above the size limit counts as missing. The size of a watch reply is unbounded,
+        // so the reply to every retry may exceed the limit too; the size of a page is bounded.
         if (loaded && !loading && ageMs() > StoreConstants.STORE_CACHE_RELOAD_AGE_MS) {
             reload();
         }
@@ -277,7 +276,7 @@
         load.entries().forEach((key, entry) -> apply(key, entry.value(), entry.version()));
     }
 
-    /** Removes entries that the pages do not contain, unless newer than the first page. */
+    /** Removes entries that the pages lack, unless written after the first page's revision. */
     private void removeMissingEntries(PageLoad load) {
         for (String key : entries.keySet().toArray(new String[0])) {
             if (!load.entries().containsKey(key)
--- a/src/main/java/org/shoreusher/core/store/StoreConstants.java
+++ b/src/main/java/org/shoreusher/core/store/StoreConstants.java
@@ -55,7 +55,8 @@
     static final double MIN_LEASE_CALLS_PER_S = 2;
 
     /**
-     * Calls for leaders' leases that a node may always send in one burst, however low that rate is.
+     * Calls for leaders' leases that a node may always send in one burst, however low its rate of
+     * store calls is.
      */
     static final double MIN_LEASE_CALL_BURST = 4;
 
@@ -66,8 +67,8 @@
     static final double LEADER_WRITE_SHARE = 0.8;
 
     /**
-     * Bytes; lowest value size limit at which up to a hundred machines share a record. They take up
-     * to 4,000 bytes. With a lower limit, up to ten machines share one.
+     * Bytes; lowest value size limit at which up to a hundred machines share a record. A hundred
+     * machines take up to 4,000 bytes. With a lower limit, up to ten machines share one.
      */
     public static final int WIDE_GROUP_MIN_VALUE_BYTES = 6_000;
 
--- a/src/main/java/org/shoreusher/core/store/TokenBucket.java
+++ b/src/main/java/org/shoreusher/core/store/TokenBucket.java
@@ -5,6 +5,8 @@
     private final double tokensPerMs;
     private final double burst;
     private double tokens;
+
+    /** Monotonic ms; the minimum value before the first request. */
     private long refilledAtMs = Long.MIN_VALUE;
 
     /**
