--- a/src/main/java/org/shoreusher/core/leadership/LeaderLease.java
+++ b/src/main/java/org/shoreusher/core/leadership/LeaderLease.java
@@ -50,11 +50,12 @@
      * answered, whatever the state of the leader's lease.
      *
      * <p>A cancellation that is missing from the cache was confirmed to its user after the time at
-     * which the cache was last complete. The time from then until the task has stopped is at most
-     * the sum of: the age of the cache, the worker's whole lease after the last response (tasks on
-     * a machine that hangs run no longer than that, and a task that saves a checkpoint ends with
-     * the lease), the drift of both clocks, and a margin for the delivery of the confirmation to
-     * the user. A lease renewal does not transfer cancellations, so it is irrelevant here.
+     * which the cache was last complete. The time from this confirmation until the task has stopped
+     * is at most the sum of: the age of the cache, the worker's whole lease after the last response
+     * (tasks on a machine that hangs run no longer than that, and a task that saves a checkpoint
+     * ends with the lease), the drift of both clocks, and a margin for the delivery of the
+     * confirmation to the user. A lease renewal does not transfer cancellations, so it is
+     * irrelevant here.
      */
     static long maxStoreCacheAgeMs(Settings settings) {
         return (long)
@@ -147,7 +148,8 @@
     }
 
     /**
-     * Returns whether a node other than the leader may acquire a shard.
+     * Returns whether a node other than the leader may acquire a shard: the recorded expiry is in
+     * the past by more than the clock offset bound plus the margin.
      *
      * @param settings the deployment's settings
      * @param recordedExpiryWallMs the expiry in the shard's record, in wall-clock ms
--- a/src/main/java/org/shoreusher/core/leadership/LeadershipAcquisition.java
+++ b/src/main/java/org/shoreusher/core/leadership/LeadershipAcquisition.java
@@ -35,6 +35,11 @@
         int ledShardCount();
     }
 
+    private static final long NO_PAUSE_MS = 0;
+
+    /** The standby that the record of a new leader names. */
+    private static final String NO_STANDBY = null;
+
     private final Settings settings;
     private final Outbox outbox;
     private final StoreCache storeCache;
@@ -144,7 +149,7 @@
                             callInFlight = false;
                             if (reply.status() == ReplyStatus.OK) {
                                 storeCache.applyOwnWrites(reply, copy.writes());
-                                pause(0);
+                                pause(NO_PAUSE_MS);
                             }
                         });
     }
@@ -159,7 +164,7 @@
                         sentAt.wallMs() + LeaderLease.durationMs(settings),
                         TermRecord.in(storeCache).term() + 1,
                         completedRanges,
-                        null);
+                        NO_STANDBY);
         CompareAndSwap write = acquisitionWrite(shardNumber, record);
         callInFlight =
                 outbox.callStoreForLease(
@@ -200,7 +205,7 @@
     }
 
     private void onAcquired(AcquiredLeadership acquired) {
-        pause(0);
+        pause(NO_PAUSE_MS);
         ShardRecord previousRecord = acquired.previousRecord();
         outbox.log(
                 LogEvent.of(LogEventType.SHARD_ACQUIRED)
--- a/src/main/java/org/shoreusher/core/leadership/LeadershipConstants.java
+++ b/src/main/java/org/shoreusher/core/leadership/LeadershipConstants.java
@@ -65,8 +65,8 @@
     static final int MAX_COMPLETION_RECORDS_PER_WRITE = 8;
 
     /**
-     * ms; delay between two tries of a node to acquire a shard, and delay for each peer that should
-     * try before it.
+     * ms; delay between two tries of a node to acquire a shard. Before the first try, a node also
+     * waits this long for each peer that should try before it.
      */
     static final long ACQUISITION_INTERVAL_MS = 700;
 
--- a/src/main/java/org/shoreusher/core/leadership/LeaseRenewal.java
+++ b/src/main/java/org/shoreusher/core/leadership/LeaseRenewal.java
@@ -22,9 +22,6 @@
  * leader.
  */
 final class LeaseRenewal {
-    /** The number of the shard's own record among the records that store completed tasks. */
-    private static final int SHARD_RECORD_INDEX = 0;
-
     private final Settings settings;
     private final Outbox outbox;
     private final LeadershipState state;
@@ -79,8 +76,10 @@
                         expiryWallMs,
                         state.term(),
                         completions == null
-                                ? storedCompletions.completedRanges(SHARD_RECORD_INDEX)
-                                : completions.completedRanges(SHARD_RECORD_INDEX));
+                                ? storedCompletions.completedRanges(
+                                        StoredCompletions.SHARD_RECORD_INDEX)
+                                : completions.completedRanges(
+                                        StoredCompletions.SHARD_RECORD_INDEX));
         Map<String, Map<String, Object>> writes = recordWriter.writes(record);
         if (completions != null) {
             storedCompletions.addChangedRecords(completions, writes);
--- a/src/main/java/org/shoreusher/core/leadership/ShardLeadership.java
+++ b/src/main/java/org/shoreusher/core/leadership/ShardLeadership.java
@@ -172,7 +172,7 @@
      * the standby.
      *
      * @param completionSupplier supplies the completed tasks to write, or null while they are not
-     *     loaded; they are then left as they are stored
+     *     loaded; the stored ones are then kept unchanged
      */
     public void renewLease(Supplier<CompletionSnapshot> completionSupplier) {
         renewal.renewIfDue(completionSupplier);
@@ -193,7 +193,7 @@
      *
      * @param key the key
      * @param version the version that the key must have; 0 if the key must be absent
-     * @return that precondition and the fencing precondition
+     * @return the precondition on the key, and the fencing precondition
      */
     public Map<String, Long> preconditions(String key, long version) {
         return recordWriter.preconditions(key, version);
@@ -216,7 +216,7 @@
                 recordWriter.newRecord(
                         state.leaseExpiryWallMs(),
                         raisedTerm,
-                        storedCompletions.completedRanges(0));
+                        storedCompletions.completedRanges(StoredCompletions.SHARD_RECORD_INDEX));
         Map<String, Long> preconditions = recordWriter.recordPreconditions();
         preconditions.put(StoreSchema.TERM_KEY, storeCache.version(StoreSchema.TERM_KEY));
         Map<String, Map<String, Object>> writes = recordWriter.writes(record);
@@ -262,7 +262,9 @@
         // contains every start order that this leader has sent.
         ShardRecord record =
                 recordWriter.newRecord(
-                        EXPIRED_WALL_MS, state.term(), completions.completedRanges(0));
+                        EXPIRED_WALL_MS,
+                        state.term(),
+                        completions.completedRanges(StoredCompletions.SHARD_RECORD_INDEX));
         if (recordWriter.writeLast(record)) {
             state.loseLeadership("stepped down: " + reason);
         }
--- a/src/main/java/org/shoreusher/core/leadership/ShardRecordWriter.java
+++ b/src/main/java/org/shoreusher/core/leadership/ShardRecordWriter.java
@@ -148,8 +148,8 @@
     }
 
     /**
-     * Adopts a version of the record that was read if it is later than the last confirmed one;
-     * returns whether it is.
+     * Adopts a record that was read from the store if its version is later than the last confirmed
+     * one; returns whether the record was adopted.
      */
     boolean adopt(ShardRecord record, long version) {
         if (version <= recordVersion) {
--- a/src/main/java/org/shoreusher/core/leadership/ShardVacancies.java
+++ b/src/main/java/org/shoreusher/core/leadership/ShardVacancies.java
@@ -94,7 +94,9 @@
                 + (grantsHeadStart ? standbySettings.headStartMs() : 0);
     }
 
-    /** Restarts the delay for a shard without a leader. */
+    /**
+     * Restarts the delay for a shard without a leader; it then runs from the next {@link #update}.
+     */
     void restartDelay(int shardNumber) {
         vacantSinceMs[shardNumber] = NOT_VACANT;
     }
--- a/src/main/java/org/shoreusher/core/leadership/StoredCompletions.java
+++ b/src/main/java/org/shoreusher/core/leadership/StoredCompletions.java
@@ -12,6 +12,9 @@
  * completion records.
  */
 final class StoredCompletions {
+    /** The number of the shard's own record among the records that store completed tasks. */
+    static final int SHARD_RECORD_INDEX = 0;
+
     private final int shardNumber;
     private final StoreCache storeCache;
     private final int maxRecordsPerWrite;
@@ -33,7 +36,7 @@
      * there is no completion record with this number.
      */
     Map<String, Object> completedRanges(int recordIndex) {
-        if (recordIndex == 0) {
+        if (recordIndex == SHARD_RECORD_INDEX) {
             return ShardRecord.in(storeCache, shardNumber).completedRanges();
         }
         CompletionRecord completionRecord =
@@ -56,6 +59,8 @@
             int recordIndex = 1 + (previousIndex + offset - 1) % completionRecordCount;
             String key = StoreSchema.completionKey(shardNumber, recordIndex);
             Map<String, Object> completedRanges = completions.completedRanges(recordIndex);
+            // An empty record is written too if it is not stored yet: readers stop at the first
+            // number without a record.
             if (!completedRanges.equals(completedRanges(recordIndex))
                     || storeCache.get(key) == null) {
                 writes.put(key, new CompletionRecord(completedRanges).toMap());
