--- a/src/main/java/org/shoreusher/core/reconcile/AttemptRestorer.java
+++ b/src/main/java/org/shoreusher/core/reconcile/AttemptRestorer.java
@@ -28,7 +28,10 @@
         this.machineIndex = machineIndex;
     }
 
-    /** Whether each machine of the log that still has a record in this shard has been loaded. */
+    /**
+     * Whether all machines of the log have been loaded. Machines without a record in this shard are
+     * left out.
+     */
     boolean areAllMachinesLoaded(List<Attempt> attempts) {
         return attempts.stream()
                 .map(Attempt::machineId)
@@ -47,7 +50,7 @@
     /**
      * Restores one attempt of the log, which may be on its machine. An attempt on a machine without
      * a record in this shard has ended: the previous leader removed the record, or handed the
-     * machine over, only once that was certain.
+     * machine over, only once the end of the attempt was certain.
      */
     void restore(Attempt attempt) {
         Machine machine = shard.machines().get(attempt.machineId());
--- a/src/main/java/org/shoreusher/core/reconcile/Reconciliation.java
+++ b/src/main/java/org/shoreusher/core/reconcile/Reconciliation.java
@@ -96,7 +96,7 @@
      * its worker lease has certainly expired.
      */
     public void step() {
-        if (!progress.isComplete() && countUnreconciled() == 0) {
+        if (!progress.isComplete() && updateUnreconciled() == 0) {
             complete("heartbeats");
         }
     }
@@ -111,9 +111,8 @@
      * @param fencingToken the highest term that the worker had received when it sent the heartbeat
      */
     public void handleUnknownAttempt(Machine machine, TaskStatus task, long fencingToken) {
-        boolean isFromPreviousLeader =
-                task.attemptNumber() >>> ClusterConstants.ATTEMPT_SEQUENCE_BITS
-                        < leadership.acquisitionTerm();
+        long startTerm = task.attemptNumber() >>> ClusterConstants.ATTEMPT_SEQUENCE_BITS;
+        boolean isFromPreviousLeader = startTerm < leadership.acquisitionTerm();
         if (usesPromotedLog
                 && isFromPreviousLeader
                 && fencingToken >= leadership.acquisitionTerm()) {
@@ -133,7 +132,7 @@
         progress.markIncomplete();
         taskMigration.abandonAll();
         shard.jobs().values().forEach(Reconciliation::withholdPossiblyRunningTasks);
-        countUnreconciled();
+        updateUnreconciled();
     }
 
     /**
@@ -148,8 +147,11 @@
                         && (job.spec().singleZone() || job.spec().spreadAcrossZones()));
     }
 
-    /** Counts the machines whose tasks are unknown, and records their total CPUs and GPUs. */
-    private int countUnreconciled() {
+    /**
+     * Records the total CPUs and GPUs of the machines whose tasks are unknown, and returns the
+     * number of these machines.
+     */
+    private int updateUnreconciled() {
         int unreconciled = 0;
         double unreconciledCpus = 0;
         double unreconciledGpus = 0;
--- a/src/main/java/org/shoreusher/core/reconcile/StoredStateLoader.java
+++ b/src/main/java/org/shoreusher/core/reconcile/StoredStateLoader.java
@@ -30,6 +30,9 @@
  * machines and high-water marks.
  */
 final class StoredStateLoader {
+    /** The number of the shard's own record among the records that store completed tasks. */
+    private static final int SHARD_RECORD_INDEX = 0;
+
     private final ShardState shard;
     private final Settings settings;
     private final StoreCache storeCache;
@@ -99,7 +102,7 @@
     }
 
     private void loadAllCompletedTasks() {
-        loadCompletedTasks(leadership.storedCompletions(0), 0);
+        loadCompletedTasks(leadership.storedCompletions(SHARD_RECORD_INDEX), SHARD_RECORD_INDEX);
         for (int recordIndex = 1;
                 storeCache.get(StoreSchema.completionKey(shard.shardNumber(), recordIndex)) != null;
                 recordIndex++) {
--- a/src/main/java/org/shoreusher/core/replication/AttemptLogWriter.java
+++ b/src/main/java/org/shoreusher/core/replication/AttemptLogWriter.java
@@ -35,11 +35,11 @@
     /**
      * Writes the end of an attempt. For a completed task, the end is written only once the
      * completion is durable, which takes until the leader's next lease renewal. A new leader with
-     * the end in its log, but no completion in the store, would start the task again although a
-     * worker that has not sent it a heartbeat yet has the result.
+     * the end in its log, but no completion in the store, would start the task again, although a
+     * worker has the result but has not sent the new leader a heartbeat yet.
      */
     void writeEnd(TaskAttempt attempt) {
-        if (isEndDurable(attempt)) {
+        if (mayWriteEnd(attempt)) {
             logSender.recordEnd(attemptIdOf(attempt));
         } else {
             completedNotDurable.add(attempt);
@@ -50,16 +50,19 @@
     void writeDurableEnds() {
         completedNotDurable.removeIf(
                 attempt -> {
-                    boolean isDurable = isEndDurable(attempt);
-                    if (isDurable) {
+                    boolean mayWrite = mayWriteEnd(attempt);
+                    if (mayWrite) {
                         logSender.recordEnd(attemptIdOf(attempt));
                     }
-                    return isDurable;
+                    return mayWrite;
                 });
     }
 
-    /** Whether the task has not completed, its completion is durable, or its job is closed. */
-    private static boolean isEndDurable(TaskAttempt attempt) {
+    /**
+     * Whether the end of an attempt may be written: the task has not completed, its completion is
+     * durable, or its job is closed.
+     */
+    private static boolean mayWriteEnd(TaskAttempt attempt) {
         Job job = attempt.job();
         return !job.completedTasks().get(attempt.taskIndex())
                 || job.durablyCompletedTasks().get(attempt.taskIndex())
--- a/src/main/java/org/shoreusher/core/replication/HeartbeatResponses.java
+++ b/src/main/java/org/shoreusher/core/replication/HeartbeatResponses.java
@@ -20,6 +20,11 @@
     /** ms; longer durations are recorded as this one. */
     private static final long MAX_RECORDED_HELD_MS = 10_000;
 
+    private static final int HISTOGRAM_SIGNIFICANT_DIGITS = 2;
+
+    private static final boolean WITH_STARTS = true;
+    private static final boolean WITHOUT_STARTS = false;
+
     /**
      * A response with starts that waits for the standby's acknowledgement.
      *
@@ -39,7 +44,8 @@
     private final Map<Machine, HeldResponse> heldResponses = new LinkedHashMap<>();
 
     /** ms for which responses were held, since the last statistics in the log. */
-    private final Histogram heldDurationMs = new Histogram(MAX_RECORDED_HELD_MS, 2);
+    private final Histogram heldDurationMs =
+            new Histogram(MAX_RECORDED_HELD_MS, HISTOGRAM_SIGNIFICANT_DIGITS);
 
     HeartbeatResponses(ShardAuthority authority, Outbox outbox, long ackTimeoutMs) {
         this.authority = authority;
@@ -79,7 +85,7 @@
     void sendAcknowledged(long acknowledgedChangeCount) {
         for (Map.Entry<Machine, HeldResponse> entry : List.copyOf(heldResponses.entrySet())) {
             if (entry.getValue().requiredChangeCount <= acknowledgedChangeCount) {
-                release(entry.getKey(), entry.getValue(), true);
+                release(entry.getKey(), entry.getValue(), WITH_STARTS);
             }
         }
     }
@@ -87,7 +93,7 @@
     /** Sends all held responses without their starts. */
     void sendWithoutStarts() {
         for (Map.Entry<Machine, HeldResponse> entry : List.copyOf(heldResponses.entrySet())) {
-            release(entry.getKey(), entry.getValue(), false);
+            release(entry.getKey(), entry.getValue(), WITHOUT_STARTS);
         }
     }
 
--- a/src/main/java/org/shoreusher/core/replication/ReceivedAttemptLogs.java
+++ b/src/main/java/org/shoreusher/core/replication/ReceivedAttemptLogs.java
@@ -25,6 +25,11 @@
  * when this node becomes the leader of a shard. Does nothing when the warm standby is off.
  */
 public final class ReceivedAttemptLogs {
+    /** The sequence number in an acknowledgement by a process that has applied no record. */
+    private static final long NOTHING_APPLIED = 0;
+
+    private static final boolean REJECTED = false;
+
     private final Settings settings;
     private final StandbySettings standbySettings;
     private final Outbox outbox;
@@ -38,7 +43,7 @@
      * Creates an instance that has received no log yet.
      *
      * @param processName the name of this process, HOST/SUFFIX; no other process, present or past,
-     *     has the same
+     *     has the same name
      * @param shardCount the number of shards
      */
     public ReceivedAttemptLogs(NodeContext context, String processName, int shardCount) {
@@ -57,7 +62,8 @@
     /**
      * Handles a log frame from a leader and sends the acknowledgement. A frame for an earlier
      * process of this host is rejected: that process and its table no longer exist, and the
-     * rejection saves the leader the wait for its acknowledgement timeout.
+     * rejection saves the leader the wait for its acknowledgement timeout. A frame for this process
+     * from an earlier term, for an unknown shard or for another host is ignored.
      */
     public void receive(LogFrame frame) {
         LogStream stream = frame.stream();
@@ -69,7 +75,7 @@
                 receiverFor(stream.shardNumber()).receive(frame).ifPresent(this::send);
             }
         } else if (LogStream.hostOf(stream.standby()).equals(settings.host())) {
-            send(new LogAcknowledgement(stream, 0, false));
+            send(new LogAcknowledgement(stream, NOTHING_APPLIED, REJECTED));
         }
     }
 
--- a/src/main/java/org/shoreusher/core/replication/StandbyReplication.java
+++ b/src/main/java/org/shoreusher/core/replication/StandbyReplication.java
@@ -30,10 +30,10 @@
  * <p>Invariant: <em>while the shard record may name a standby, no start order is sent before that
  * standby has acknowledged it.</em> A response that contains starts is held until then. Ends of
  * attempts, and responses without starts, are not held. A standby is named only after it has
- * acknowledged a snapshot and every start sent since. Starts are held already before the write that
- * names it is sent. When a named standby is abandoned, for example because it does not acknowledge
- * in time, its name is removed from the record, and no task is started until the store has
- * confirmed the removal.
+ * acknowledged a snapshot and every start sent since. Starts are held from before the write that
+ * names the standby is sent. When a named standby is abandoned, for example because it does not
+ * acknowledge in time, its name is removed from the record, and no task is started until the store
+ * has confirmed the removal.
  */
 public final class StandbyReplication implements ResourceLedger.Listener {
     /** The phases of replication to a standby. */
@@ -50,6 +50,9 @@
         REMOVING_NAME
     }
 
+    /** More changes than any held response requires to be acknowledged. */
+    private static final long ALL_CHANGES = Long.MAX_VALUE;
+
     private final ShardAuthority authority;
     private final int shardNumber;
     private final Outbox outbox;
@@ -163,7 +166,7 @@
             case REMOVING_NAME -> awaitRemoval();
         }
         responses.sendAcknowledged(
-                requiresAcknowledgement() ? logSender.acknowledgedChangeCount() : Long.MAX_VALUE);
+                requiresAcknowledgement() ? logSender.acknowledgedChangeCount() : ALL_CHANGES);
         Optional<LogFrame> frame = logSender.nextFrame(nowMs());
         if (frame.isPresent()) {
             sendFrame(frame.get());
