--- a/src/main/java/org/shoreusher/core/heartbeat/HeartbeatApplier.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/HeartbeatApplier.java
@@ -97,6 +97,7 @@
      * if not, the worker will never carry it out.
      */
     private void removeAbsentAttempts(Machine machine, ObjectOpenHashSet<String> presentTaskKeys) {
+        // Each present task has an attempt at this point, so none is absent if the sizes are equal.
         if (machine.attempts().size() <= presentTaskKeys.size()) {
             return;
         }
@@ -182,12 +183,13 @@
      */
     private Job placeholderJob(Machine machine, String jobId) {
         JobRecord record = submissionBatches.jobRecord(jobId);
+        String unknownTeam = "";
         JobSpec spec =
                 record != null && record.specFields() != null
                         ? record.parseSpec()
                         : JobSpec.withResourcesOnly(
                                 jobId,
-                                "",
+                                unknownTeam,
                                 machine.type().cpus(),
                                 machine.type().gpus(),
                                 machine.type().memGb());
--- a/src/main/java/org/shoreusher/core/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/HeartbeatHandler.java
@@ -100,14 +100,14 @@
 
     /**
      * Records the position of a newer heartbeat in the order of heartbeats. Returns whether the
-     * heartbeat is newer and the worker lease from the previous leader has expired. Then no task of
-     * that leader can be left on the machine, although the worker has not received this leader's
-     * term.
+     * heartbeat is newer and the worker lease from the previous leader has expired. If so, no task
+     * of the previous leader can be left on the machine, although the worker has not received this
+     * leader's term.
      *
      * <p>Each newer heartbeat with an old fencing token shows that the worker did not receive this
-     * leader's response to the one before. Its lease therefore runs from the last response of the
-     * previous leader. Without this check, a one-way partition between one worker and the leader
-     * delays the reconciliation of the whole shard until the partition has healed.
+     * leader's response to the one before. The worker's lease therefore runs from the last response
+     * of the previous leader. Without this check, a one-way partition between one worker and the
+     * leader delays the reconciliation of the whole shard until the partition has healed.
      */
     private boolean recordOrderAndCheckLeaseExpiry(Machine machine, WorkerHeartbeat heartbeat) {
         if (!heartbeat.isNewerThan(
--- a/src/main/java/org/shoreusher/core/heartbeat/MachineRegistration.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/MachineRegistration.java
@@ -39,8 +39,9 @@
                     ? machines.lifecycle().addRecordedMachine(machineId, record)
                     : null;
         }
-        // The same holds for a machine that a previous leader terminated. A machine that has a
-        // fencing token but no record is therefore registered only if the cloud lists it.
+        // Nor may a delayed heartbeat register a machine that a previous leader terminated. A
+        // machine that has a fencing token but no record is therefore registered only if the cloud
+        // lists it.
         if (heartbeat.fencingToken() > 0 && !machines.inventory().isListed(machineId)) {
             return null;
         }
--- a/src/main/java/org/shoreusher/core/heartbeat/TaskExitRecorder.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/TaskExitRecorder.java
@@ -17,6 +17,9 @@
 
 /** Records the tasks that have exited, with their completion or their failure. */
 final class TaskExitRecorder {
+    /** s; the grace period of a stop that takes effect at once. */
+    private static final double NO_GRACE_PERIOD_S = 0;
+
     private final ShardState shard;
     private final Outbox outbox;
     private final ResourceLedger ledger;
@@ -82,8 +85,13 @@
         runTimeEstimates.recordRunTime(job, runTimeS);
     }
 
-    /** Records the first completion of a task, and stops another active attempt at it, if any. */
-    private void recordCompletion(Job job, int taskIndex, TaskAttempt completedAttempt) {
+    /**
+     * Records the first completion of a task, and stops its active attempt if that is on another
+     * machine.
+     *
+     * @param attemptOnMachine the attempt at the task on the reporting machine; null if none
+     */
+    private void recordCompletion(Job job, int taskIndex, TaskAttempt attemptOnMachine) {
         if (taskIndex < 0
                 || taskIndex >= job.spec().taskCount()
                 || job.completedTasks().get(taskIndex)) {
@@ -93,9 +101,9 @@
         job.setPending(taskIndex, false);
         terminalStateWriter.queueIfComplete(job);
         TaskAttempt activeAttempt = job.activeAttempts().get(taskIndex);
-        if (activeAttempt != null && activeAttempt != completedAttempt) {
+        if (activeAttempt != null && activeAttempt != attemptOnMachine) {
             activeAttempt.requireStop();
-            taskStopper.sendStop(activeAttempt, 0);
+            taskStopper.sendStop(activeAttempt, NO_GRACE_PERIOD_S);
         }
     }
 
--- a/src/main/java/org/shoreusher/core/heartbeat/TaskStarter.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/TaskStarter.java
@@ -20,6 +20,12 @@
 
 /** Starts tasks on a machine in the response to its heartbeat. */
 final class TaskStarter {
+    /** s; only a {@code STOP} order has a grace period. */
+    private static final double NO_GRACE_PERIOD_S = 0;
+
+    /** The started attempt is the current one of its task, not a surplus one. */
+    private static final boolean ASSIGNED_TO_JOB = true;
+
     private final ShardState shard;
     private final ShardAuthority authority;
     private final Outbox outbox;
@@ -85,10 +91,14 @@
                         machine,
                         TaskAttempt.State.START_ORDERED,
                         outbox.now().monotonicMs());
-        ledger.add(attempt, true);
+        ledger.add(attempt, ASSIGNED_TO_JOB);
         job.recordStart();
         orders.add(
                 new WorkerOrder(
-                        WorkerOrder.Kind.START, job.id(), taskIndex, attempt.attemptNumber(), 0));
+                        WorkerOrder.Kind.START,
+                        job.id(),
+                        taskIndex,
+                        attempt.attemptNumber(),
+                        NO_GRACE_PERIOD_S));
     }
 }
--- a/src/main/java/org/shoreusher/standby/AttemptLogReceiver.java
+++ b/src/main/java/org/shoreusher/standby/AttemptLogReceiver.java
@@ -72,6 +72,7 @@
 
     private void apply(LogRecord record) {
         boolean isSnapshotBegin = record instanceof SnapshotBegin;
+        // The first record of a stream, and no other one, is a snapshot begin.
         if (isSnapshotBegin != (lastAppliedSequenceNumber == 0)) {
             inconsistent = true;
         } else if (record instanceof AttemptStarted started) {
--- a/src/main/java/org/shoreusher/standby/AttemptTable.java
+++ b/src/main/java/org/shoreusher/standby/AttemptTable.java
@@ -9,7 +9,7 @@
 /**
  * The attempts that may be on machines, with a checksum that is updated with every change: the sum
  * of the attempts' 64-bit hashes, which does not depend on their order. XXH3 is as fast as any hash
- * of its library on such records (docs/standby-design.md).
+ * of its library on these attempts (docs/standby-design.md).
  */
 public final class AttemptTable {
     private final Object2ObjectOpenHashMap<AttemptId, Attempt> attempts =
--- a/src/main/java/org/shoreusher/standby/OutgoingStream.java
+++ b/src/main/java/org/shoreusher/standby/OutgoingStream.java
@@ -29,7 +29,10 @@
     private final AttemptTable table;
     private final int maxFrameRecords;
     private final ArrayDeque<LogRecord> pendingRecords = new ArrayDeque<>();
+
+    /** The attempts in the table when the stream began; empty once the snapshot has ended. */
     private List<Attempt> snapshotAttempts;
+
     private int snapshotSentCount;
     private boolean snapshotEnded;
     private boolean snapshotAcknowledged;
@@ -38,7 +41,9 @@
     /** The frame that is not acknowledged yet; null if there is none. */
     private LogFrame frameInFlight;
 
+    /** When the frame in flight was sent first; resending does not change it. */
     private long firstSentMs;
+
     private long lastSentMs;
     private long nextSequenceNumber = 1;
     private long nextChecksumMs;
@@ -92,6 +97,7 @@
         }
         frameInFlight = new LogFrame(stream, nextSequenceNumber, records);
         nextSequenceNumber += records.size();
+        // The records that are still pending are the latest changes.
         changeCountInFlight = changeCount - pendingRecords.size();
         firstSentMs = nowMs;
         lastSentMs = nowMs;
@@ -107,6 +113,7 @@
         }
         while (snapshotSentCount < snapshotAttempts.size() && records.size() < maxFrameRecords) {
             Attempt attempt = snapshotAttempts.get(snapshotSentCount++);
+            // Attempts that have ended since the stream began are skipped.
             if (table.contains(attempt.id())) {
                 records.add(new AttemptStarted(attempt));
             }
--- a/src/main/java/org/shoreusher/standby/StandbyChooser.java
+++ b/src/main/java/org/shoreusher/standby/StandbyChooser.java
@@ -58,6 +58,7 @@
                                         (Candidate candidate) ->
                                                 failuresByHost.getInt(
                                                         hostOf(candidate.processName())))
+                                // False sorts first, so another zone is preferred.
                                 .thenComparing(candidate -> ownZone.equals(candidate.zone()))
                                 .thenComparing(Candidate::processName));
     }
