--- a/src/main/java/org/shoreusher/core/machine/CapacityShortfall.java
+++ b/src/main/java/org/shoreusher/core/machine/CapacityShortfall.java
@@ -12,9 +12,9 @@
 import org.shoreusher.core.schedule.QuotaHeadroom;
 
 /**
- * The machines and CPUs that a shard needs beyond its existing machines to run all pending tasks
- * within the quotas that apply to scale-out at the same time, as last measured. Requested machines
- * do not count as existing, and tasks that fit no machine type do not count.
+ * The machines and CPUs that a shard lacks, as last measured: what it needs beyond its existing
+ * machines in order to run at the same time all pending tasks that the quotas for scale-out allow.
+ * Requested machines do not count as existing, and tasks that fit no machine type do not count.
  */
 final class CapacityShortfall {
     private final ShardState shard;
--- a/src/main/java/org/shoreusher/core/machine/CloudInventory.java
+++ b/src/main/java/org/shoreusher/core/machine/CloudInventory.java
@@ -161,8 +161,9 @@
         if (machine == null && lifecycle.shouldAdopt(listedMachine.machineId())) {
             adoptIfStillListed(listedMachine);
         } else {
-            // Without this, a machine that is terminated later and still in a lagging list would
-            // count as listed since this time, and could be adopted immediately.
+            // Otherwise the old time would remain after the shard has recorded the machine. Once
+            // the machine is terminated, a lagging list may still contain it; it would count as
+            // unrecorded since the old time, and could be adopted immediately.
             unrecordedSinceMs.removeLong(listedMachine.machineId());
         }
     }
--- a/src/main/java/org/shoreusher/core/machine/MachineConstants.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineConstants.java
@@ -23,9 +23,9 @@
     static final long MACHINE_RECORD_WRITE_INTERVAL_MS = 150;
 
     /**
-     * Largest share of a shard's machines behind a one-way partition at which these machines are
-     * cordoned. If there are more, the fault is more likely in this node's network than in the
-     * machines.
+     * Share of a shard's machines. Machines behind a one-way partition are cordoned only if their
+     * share is at most this, or if there is only one. If there are more, the fault is more likely
+     * in this node's network than in the machines.
      */
     static final double MAX_ONE_WAY_PARTITIONED_SHARE = 0.25;
 
--- a/src/main/java/org/shoreusher/core/machine/MachineCordon.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineCordon.java
@@ -19,6 +19,8 @@
  * terminates it when it is empty.
  */
 final class MachineCordon {
+    private static final double NO_GRACE_PERIOD_S = 0;
+
     private final ShardState shard;
     private final TaskStopper taskStopper;
     private final Settings settings;
@@ -59,8 +61,8 @@
 
     /**
      * Whether machines behind a one-way partition count as faulty themselves. If there are more
-     * than one and more than a share of the shard's machines, the fault is more likely in this
-     * node's network.
+     * than one and more than {@link MachineConstants#MAX_ONE_WAY_PARTITIONED_SHARE} of the shard's
+     * machines, the fault is more likely in this node's network.
      */
     private boolean arePartitionedMachinesFaulty() {
         long partitionedCount =
@@ -102,6 +104,8 @@
                 && partitionedMachinesAreFaulty) {
             return Optional.of("one-way partition");
         }
+        // A machine with an interruption notice is not reported as faulty if it is unresponsive:
+        // step() drains it anyway once it has no tasks.
         return machine.worker().hasInterruptionNotice()
                 ? Optional.empty()
                 : findUnresponsiveness(machine);
@@ -118,10 +122,10 @@
     }
 
     /**
-     * Whether a machine has not booted within a multiple of its nominal boot time. A machine that
-     * may have run tasks under a previous leader has booted: without that check, a successor
-     * terminated all machines behind a network partition, and their replacements had empty image
-     * caches.
+     * Whether a machine has not booted within {@link MachineConstants#BOOT_TIMEOUT_FACTOR} times
+     * its nominal boot time. A machine that may have run tasks has booted, under a previous leader:
+     * when this was not checked, a successor terminated all machines behind a network partition,
+     * and their replacements had empty image caches.
      */
     private boolean hasFailedToBoot(Machine machine) {
         return !machine.mayHaveRunTasks()
@@ -152,7 +156,7 @@
         for (TaskAttempt attempt : machine.attempts().values()) {
             if (!attempt.job().spec().workloadType().runsToCompletion() && !attempt.mustStop()) {
                 attempt.requireStop();
-                taskStopper.sendStop(attempt, 0);
+                taskStopper.sendStop(attempt, NO_GRACE_PERIOD_S);
             }
         }
     }
--- a/src/main/java/org/shoreusher/core/machine/MachineHandover.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineHandover.java
@@ -53,8 +53,8 @@
     }
 
     /**
-     * Hands surplus and evacuated machines over to the shard with the largest shortfall, at most as
-     * many as its shortfall.
+     * Hands surplus and evacuated machines over to the shard with the largest shortfall of
+     * machines, at most as many as that shard lacks.
      *
      * @param ownShortfall number of further machines that this shard could use itself now
      */
@@ -92,6 +92,7 @@
      *
      * @param targetShortfall the target shard's shortfall of machines; 0 if there is no target
      *     shard
+     * @param ownShortfall this shard's shortfall of machines
      */
     private void updateEvacuation(int targetShortfall, int ownShortfall) {
         double freeCpus = 0;
--- a/src/main/java/org/shoreusher/core/machine/MachineKindSelector.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineKindSelector.java
@@ -49,6 +49,8 @@
             }
             for (String zone : type.zones()) {
                 MachineKind kind = new MachineKind(type.name(), zone, spot);
+                // The price is at most the lowest one so far; if it is equal, the number of
+                // machines in the zone decides.
                 boolean isBetter =
                         best == null
                                 || price < lowestPrice
@@ -71,8 +73,8 @@
 
     /**
      * Whether on-demand machines of this type may be provisioned for tasks that may run on spot
-     * machines. If they cost a multiple of the spot price, only a large shortfall of CPUs justifies
-     * it.
+     * machines. If on-demand machines of the type are expensive, only a large shortfall of CPUs, as
+     * measured after the previous plan, justifies it.
      */
     private boolean isOnDemandWorthwhile(MachineType type) {
         return !type.isOnDemandExpensive()
--- a/src/main/java/org/shoreusher/core/machine/MachineLifecycle.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineLifecycle.java
@@ -64,7 +64,8 @@
      * schedules the write of its record.
      *
      * @param type null if the machine's type is not in the catalog; then nothing is added
-     * @param provisionedWallMs wall-clock ms at which it was requested, as far as that is known
+     * @param provisionedWallMs wall-clock ms at which it was requested; for an adopted machine,
+     *     computed from its age in the cloud's list
      * @return the machine; null if {@code type} is null
      */
     public Machine addNewMachine(
@@ -99,7 +100,7 @@
     }
 
     /**
-     * Returns the tasks of machines whose worker leases have certainly expired to the queue. The
+     * Makes the tasks on machines whose worker leases have certainly expired pending again. The
      * workers have killed these tasks by then.
      */
     public void expireWorkerLeases() {
@@ -131,7 +132,7 @@
     }
 
     /**
-     * Removes a machine that no longer exists: returns its tasks to the queue and schedules the
+     * Removes a machine that no longer exists: makes its tasks pending again and schedules the
      * removal of its record.
      */
     void removeTerminated(Machine machine, RemovalReason reason) {
@@ -148,7 +149,7 @@
 
     /**
      * Handles a machine that the cloud reports as failed. Nothing runs on it any more: its tasks
-     * return to the queue, and it is drained if it is booting or up.
+     * become pending again, and it is drained if it is booting or up.
      */
     void handleMachineFailure(Machine machine) {
         machine.snapshotAttempts().forEach(ledger::remove);
@@ -172,7 +173,8 @@
      */
     public void applyRecord(String id, MachineRecord record) {
         Machine machine = shard.machines().get(id);
-        // A write made before the machine was terminated may reach the store cache afterwards.
+        // A record that was written before the machine was terminated may reach the store cache
+        // after the termination, so terminated machines are excluded.
         if (authority.isLoaded()
                 && machine == null
                 && record.shardNumber() == shard.shardNumber()
--- a/src/main/java/org/shoreusher/core/machine/MachinePricing.java
+++ b/src/main/java/org/shoreusher/core/machine/MachinePricing.java
@@ -17,9 +17,10 @@
 
     /** Returns the type with the lowest spot price per task of a job; empty if no type fits it. */
     Optional<MachineType> cheapestType(JobSpec spec) {
+        boolean spot = true;
         return typeCatalog.all().stream()
                 .filter(type -> type.canFit(spec))
-                .min(Comparator.comparingDouble(type -> pricePerTask(type, true, spec)));
+                .min(Comparator.comparingDouble(type -> pricePerTask(type, spot, spec)));
     }
 
     /**
@@ -33,6 +34,9 @@
 
     /** Returns how many tasks of a job fit on an empty machine, at least 1. */
     static int tasksPerMachine(MachineType type, JobSpec spec) {
-        return Math.max(1, new MachineCapacity(type, "", true).fittingTaskCount(spec));
+        // The number does not depend on the zone or on whether the machine is a spot machine.
+        String zone = "";
+        boolean spot = true;
+        return Math.max(1, new MachineCapacity(type, zone, spot).fittingTaskCount(spec));
     }
 }
--- a/src/main/java/org/shoreusher/core/machine/MachineRecords.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineRecords.java
@@ -100,7 +100,7 @@
         // A leader of the previous version records in a wide group that a machine may have run
         // tasks, but later reads the record in the narrow group. While members of that version may
         // lead, narrow groups therefore record that every machine may have run tasks.
-        boolean mixedVersions =
+        boolean assumesUse =
                 wideGroupMigration.isNeeded() && !versionNegotiation.areServicesSupported();
         return new MachineRecord(
                 handingOver ? machine.handoverTargetShard() : shard.shardNumber(),
@@ -108,7 +108,7 @@
                 machine.zone(),
                 machine.isSpot(),
                 machine.provisionedWallMs(),
-                handingOver || mixedVersions || machine.mayHaveRunTasks());
+                handingOver || assumesUse || machine.mayHaveRunTasks());
     }
 
     /**
@@ -133,6 +133,7 @@
         addGroupWrites(groups, preconditions, writes);
         addWideGroupRemovals(preconditions, writes);
         if (writes.isEmpty()) {
+            // No group changes, so the store cache is already as it would be after a write.
             applyWriteResult(batch);
         } else {
             send(batch, preconditions, writes);
--- a/src/main/java/org/shoreusher/core/machine/MachineTypeCatalog.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineTypeCatalog.java
@@ -84,9 +84,11 @@
                 storeCache.get(StoreSchema.MACHINE_TYPES_KEY) == null
                         && FieldMap.jsonLength(reply.body()) <= settings.maxValueBytes();
         if (parse(reply.body()) && shouldStore) {
+            // The reply is ignored: if the write fails, the store may have types from another node,
+            // and otherwise the next read of the types tries to store them again.
             outbox.callStore(
                     new StoreOperation.CompareAndSwap(
-                            Map.of(StoreSchema.MACHINE_TYPES_KEY, 0L),
+                            Map.of(StoreSchema.MACHINE_TYPES_KEY, StoreCache.ABSENT),
                             Map.of(StoreSchema.MACHINE_TYPES_KEY, reply.body())),
                     storeReply -> {});
         }
--- a/src/main/java/org/shoreusher/core/machine/ProvisionPlan.java
+++ b/src/main/java/org/shoreusher/core/machine/ProvisionPlan.java
@@ -13,8 +13,8 @@
 import org.shoreusher.core.schedule.MachineCapacity;
 
 /**
- * A plan of the machines to provision: places the tasks of one job after the other, and adds
- * machines for the tasks that fit on none.
+ * A plan of the machines to provision: places tasks job by job, and adds machines for the tasks
+ * that fit on none.
  */
 final class ProvisionPlan {
     private final BinPacker binPacker;
--- a/src/main/java/org/shoreusher/core/machine/ReservedReplicaCapacity.java
+++ b/src/main/java/org/shoreusher/core/machine/ReservedReplicaCapacity.java
@@ -102,12 +102,13 @@
     }
 
     private void addMissingMachines(MachineType type, ProvisionPlan plan) {
+        boolean spot = false;
         for (String zone : type.zones()) {
-            MachineKind kind = new MachineKind(type.name(), zone, false);
+            MachineKind kind = new MachineKind(type.name(), zone, spot);
             while (hasTooLittleCapacity(zone)
                     && plan.toProvision().size() < plan.maxNewMachines()
                     && !scaleOut.isUnavailable(kind)) {
-                MachineCapacity capacity = new MachineCapacity(type, zone, false);
+                MachineCapacity capacity = new MachineCapacity(type, zone, spot);
                 plan.toProvision().add(capacity);
                 addCapacity(capacity);
             }
--- a/src/main/java/org/shoreusher/core/machine/ScaleIn.java
+++ b/src/main/java/org/shoreusher/core/machine/ScaleIn.java
@@ -78,7 +78,7 @@
                     && machine.attempts().isEmpty()
                     && ids.size() < MachineConstants.MAX_MACHINES_PER_TERMINATE) {
                 // From now on no task starts on it, whatever the outcome of the call, unless the
-                // cloud certainly refuses to terminate a machine that was drained as idle.
+                // cloud certainly rejects terminating a machine that was drained as idle.
                 machine.beginTermination();
                 ids.add(machine.id());
             }
@@ -92,8 +92,9 @@
         if (!isConfirmed) {
             nextTerminationMs = outbox.now().monotonicMs() + MachineConstants.CLOUD_RETRY_MS;
         }
-        // After any other failure, such as a missing reply, the termination may still take effect.
-        boolean isCertainlyRefused =
+        // After a failure with any status other than these, for example without a reply, the
+        // termination may still take effect.
+        boolean isCertainlyRejected =
                 reply.status() == ReplyStatus.SERVICE_UNAVAILABLE
                         || reply.status() == ReplyStatus.TOO_MANY_REQUESTS;
         for (String id : ids) {
@@ -101,7 +102,7 @@
             if (machine != null && isConfirmed) {
                 lifecycle.removeTerminated(machine, RemovalReason.TERMINATED);
             } else if (machine != null) {
-                machine.handleUnconfirmedTermination(isCertainlyRefused);
+                machine.handleUnconfirmedTermination(isCertainlyRejected);
             }
         }
     }
--- a/src/main/java/org/shoreusher/core/machine/ScaleOut.java
+++ b/src/main/java/org/shoreusher/core/machine/ScaleOut.java
@@ -165,6 +165,7 @@
                                     pendingRequest.inFlight = false;
                                     handleReply(pendingRequest, reply);
                                 });
+                // Not in flight: the rate limit left no token for the request.
                 if (!pendingRequest.inFlight || cloudFailing) {
                     return;
                 }
--- a/src/main/java/org/shoreusher/core/machine/TargetParallelism.java
+++ b/src/main/java/org/shoreusher/core/machine/TargetParallelism.java
@@ -32,13 +32,14 @@
         }
         double runTimeS = runTimeEstimates.expectedRunS(job);
         double slackS = schedulingOrder.timeToNearestObjectiveS(job, outbox.now().wallMs());
-        // A job that can't meet its objective on a machine that has yet to boot gains nothing from
-        // running more tasks in parallel.
+        // If a task on a new machine would end too late for the job's objective, running more
+        // tasks in parallel gains nothing.
+        boolean hasObjective = slackS != Double.MAX_VALUE;
         boolean isTooLate = slackS < type.bootS() + runTimeS;
         double horizonS =
                 Math.max(
                         runTimeS,
-                        slackS == Double.MAX_VALUE || isTooLate
+                        !hasObjective || isTooLate
                                 ? MachineConstants.SCALE_OUT_HORIZON_S
                                 : slackS * MachineConstants.SCALE_OUT_SLACK_SHARE);
         return (int) Math.ceil(job.pendingCount() * Math.min(1, runTimeS / horizonS));
--- a/src/main/java/org/shoreusher/core/machine/WideGroupMigration.java
+++ b/src/main/java/org/shoreusher/core/machine/WideGroupMigration.java
@@ -82,9 +82,10 @@
 
     /** Whether a narrow group contains the machine, or this shard has removed it. */
     private boolean isMoved(String id) {
-        return machineIndex.group(StoreSchema.machineGroupKey(id, false)).containsKey(id)
-                || (machineIndex.group(StoreSchema.machineGroupKey(id, true)).get(id).shardNumber()
-                                == shard.shardNumber()
+        String narrowKey = StoreSchema.machineGroupKey(id, false);
+        String wideKey = StoreSchema.machineGroupKey(id, true);
+        return machineIndex.group(narrowKey).containsKey(id)
+                || (machineIndex.group(wideKey).get(id).shardNumber() == shard.shardNumber()
                         && !shard.machines().containsKey(id));
     }
 }
