--- a/src/main/java/org/shoreusher/core/CoreConstants.java
+++ b/src/main/java/org/shoreusher/core/CoreConstants.java
@@ -7,7 +7,10 @@
     /** ms; how often a node checks whether it leads at least two shards more than another node. */
     static final long SHARD_REBALANCE_INTERVAL_MS = 5_000;
 
-    /** Weight of a team's CPUs in a shard when the shard of the team's next job is chosen. */
+    /**
+     * CPUs of headroom that each CPU demanded by a team in a shard counts for when the shard of the
+     * team's next job is chosen.
+     */
     static final double TEAM_AFFINITY_WEIGHT = 3;
 
     /**
--- a/src/main/java/org/shoreusher/core/HeartbeatRouter.java
+++ b/src/main/java/org/shoreusher/core/HeartbeatRouter.java
@@ -93,8 +93,9 @@
     private void redirectToLeader(
             Command.Heartbeat command, int shardNumber, ShardRecord shardRecord) {
         WorkerHeartbeat heartbeat = command.workerHeartbeat();
+        boolean hadResponseFromLeader = heartbeat.fencingToken() >= shardRecord.term();
         boolean awaitsFailover =
-                heartbeat.fencingToken() >= shardRecord.term()
+                hadResponseFromLeader
                         && peerGossip.recordRedirectedWorker(
                                 shardNumber, heartbeat, machineIndex.recordsById().size());
         String leaderHost = shardRecord.leaderHost();
--- a/src/main/java/org/shoreusher/core/Shard.java
+++ b/src/main/java/org/shoreusher/core/Shard.java
@@ -210,6 +210,8 @@
         leadership.logLeaseExpiry();
         leadership.renewLease(() -> authority.isLoaded() ? completionRecords() : null);
         if (!authority.isLoaded()) {
+            // The store cache must include the acquisition of the leadership. It then includes all
+            // writes of previous leaders, since these fail after the acquisition.
             if (storeCache.revision() < leadership.acquisitionRevision()
                     || !machines.typeCatalog().isLoaded()) {
                 return;
--- a/src/main/java/org/shoreusher/core/ShardAssembly.java
+++ b/src/main/java/org/shoreusher/core/ShardAssembly.java
@@ -23,6 +23,8 @@
 
 /** Creates the collaborators of a led shard, grouped by package. */
 final class ShardAssembly {
+    private static final double NO_GRACE_PERIOD_S = 0;
+
     private final NodeServices services;
     private final ShardContext context;
     private final ShardLeadership leadership;
@@ -72,7 +74,7 @@
                 new OpenJobs(
                         context,
                         scheduling.taskMigration()::onJobClosed,
-                        attempt -> scheduling.taskStopper().sendStop(attempt, 0));
+                        attempt -> scheduling.taskStopper().sendStop(attempt, NO_GRACE_PERIOD_S));
         HighWaterMarks highWaterMarks =
                 new HighWaterMarks(
                         context.state().shardNumber(),
--- a/src/main/java/org/shoreusher/core/StoreChangeRouter.java
+++ b/src/main/java/org/shoreusher/core/StoreChangeRouter.java
@@ -57,6 +57,7 @@
         return services.submissionBatches();
     }
 
+    /** Handles the record of a job under the job's own key, not in a submission batch. */
     private void onOwnJobRecord(String key, StoreCache.Entry entry) {
         String jobId = key.substring(StoreSchema.JOB_PREFIX.length());
         submissionBatches().ownRecordCreated(jobId);
