--- a/src/main/java/org/shoreusher/core/cluster/Job.java
+++ b/src/main/java/org/shoreusher/core/cluster/Job.java
@@ -273,8 +273,8 @@
     }
 
     /**
-     * Clears all failures. Called when a replica has run for long: the cause of the failures was
-     * then a machine, or no longer exists.
+     * Clears all failures. Called when a replica has run for a long time, which shows that the
+     * cause of the failures was a machine or no longer exists.
      */
     public void resetFailures() {
         failures.reset();
--- a/src/main/java/org/shoreusher/core/cluster/ShardState.java
+++ b/src/main/java/org/shoreusher/core/cluster/ShardState.java
@@ -73,8 +73,9 @@
     }
 
     /**
-     * Returns whether new tasks may be started on a machine: it sends heartbeats, receives its
-     * orders, is not being evacuated and has no interruption notice.
+     * Returns whether new tasks may be started on a machine: it is up, its worker has sent this
+     * leader a heartbeat less than {@link #heartbeatTimeoutMs} ago and receives responses, and the
+     * machine is not being evacuated and has no interruption notice.
      */
     public boolean isAvailable(Machine machine) {
         return machine.state() == Machine.State.UP
--- a/src/main/java/org/shoreusher/core/cluster/TaskAttempt.java
+++ b/src/main/java/org/shoreusher/core/cluster/TaskAttempt.java
@@ -87,8 +87,9 @@
     }
 
     /**
-     * Whether the attempt must be stopped without a checkpoint: its job was cancelled or is
-     * unknown, or the task has completed on another machine.
+     * Whether the attempt must be stopped without a checkpoint. Reasons are that its job is closed
+     * or unknown, that the task has completed or is active on another machine, that a service
+     * replica needs its capacity, or that it is a service replica on a draining machine.
      */
     public boolean mustStop() {
         return mustStop;
--- a/src/main/java/org/shoreusher/core/cluster/WorkerConnection.java
+++ b/src/main/java/org/shoreusher/core/cluster/WorkerConnection.java
@@ -134,7 +134,10 @@
         previousLeaderRenewalAtMs = renewalBoundMs;
     }
 
-    /** Records that the lease may have been renewed as late as a time; never moves it back. */
+    /**
+     * Records that the lease may have been renewed as late as {@code renewedAtMs}; an earlier time
+     * than the recorded one has no effect.
+     */
     public void recordPossibleRenewal(long renewedAtMs) {
         leaseRenewedAtMs = Math.max(leaseRenewedAtMs, renewedAtMs);
     }
@@ -153,8 +156,8 @@
     /**
      * Infers from a new heartbeat whether the response to the previous one reached the worker. A
      * worker without a response waits for its timeout and tries other nodes before it contacts this
-     * one again, and eventually its incarnation ends although the responses were sent in time. Must
-     * be called before the heartbeat is applied.
+     * one again. If it receives none for longer than its lease, it starts a new incarnation
+     * although the responses were sent in time. Must be called before the heartbeat is applied.
      */
     public void inferResponseDelivery(WorkerHeartbeat heartbeat, long nowMs, Settings settings) {
         if (lastResponseAtMs == NEVER_MS) {
@@ -173,6 +176,8 @@
             return;
         }
         if (hasNewIncarnation && sinceResponseMs < settings.workerLeaseS() * 1000) {
+            // The worker's lease expired although the last response would have renewed it. This
+            // suffices to assume a one-way partition.
             unacknowledgedResponses =
                     Math.max(
                             unacknowledgedResponses + 1,
