--- a/src/main/java/org/shoreusher/core/message/GossipMessage.java
+++ b/src/main/java/org/shoreusher/core/message/GossipMessage.java
@@ -32,7 +32,7 @@
      *
      * @param cpuHeadroom free CPUs of its machines minus the CPUs of its pending tasks; may be
      *     negative
-     * @param idleMachines the number of machines for which the shard has no work
+     * @param surplusMachines the number of idle machines that the shard does not need
      * @param machineShortfall the number of further machines that the shard could use now
      * @param teamDemands the demand of each team with an open job in the shard
      */
--- a/src/main/java/org/shoreusher/core/message/JobSpec.java
+++ b/src/main/java/org/shoreusher/core/message/JobSpec.java
@@ -47,6 +47,8 @@
         double checkpointIntervalS,
         double checkpointDurationS,
         double deadlineS) {
+    private static final String ID_PREFIX = "wk-";
+    private static final int MAX_ID_LENGTH = 40;
 
     /**
      * A substitute for an unknown job description, used to account for the resources of a task that
@@ -56,7 +58,7 @@
             String id, String team, double cpus, double gpus, double memGb) {
         return new JobSpec(
                 id,
-                "",
+                /* jobClass= */ "",
                 team,
                 WorkloadType.BATCH,
                 Priority.LOW,
@@ -64,17 +66,17 @@
                 cpus,
                 gpus,
                 memGb,
-                "",
-                0,
-                null,
-                null,
-                false,
-                false,
-                true,
-                1,
-                0,
-                0,
-                Double.NaN);
+                /* image= */ "",
+                /* imageGb= */ 0,
+                /* machineTypes= */ null,
+                /* zone= */ null,
+                /* singleZone= */ false,
+                /* spreadAcrossZones= */ false,
+                /* spotAllowed= */ true,
+                /* estimatedRunS= */ 1,
+                /* checkpointIntervalS= */ 0,
+                /* checkpointDurationS= */ 0,
+                /* deadlineS= */ Double.NaN);
     }
 
     /** Priorities, the highest first. */
@@ -106,10 +108,13 @@
 
     /** Whether a string is a valid job id: {@code wk-} and 1 to 37 digits. */
     public static boolean isValidId(String id) {
-        if (id == null || id.length() < 4 || id.length() > 40 || !id.startsWith("wk-")) {
+        if (id == null
+                || id.length() <= ID_PREFIX.length()
+                || id.length() > MAX_ID_LENGTH
+                || !id.startsWith(ID_PREFIX)) {
             return false;
         }
-        for (int i = 3; i < id.length(); i++) {
+        for (int i = ID_PREFIX.length(); i < id.length(); i++) {
             if (id.charAt(i) < '0' || id.charAt(i) > '9') {
                 return false;
             }
