--- a/src/test/java/org/shoreusher/balance/BalancerTest.java
+++ b/src/test/java/org/shoreusher/balance/BalancerTest.java
@@ -14,17 +14,22 @@
 
 /** Tests when the balancer migrates tasks, and when it does not. */
 class BalancerTest {
+    private static final double SKEW_MARGIN = 0.2;
+    private static final double HYSTERESIS = 0.05;
+    private static final double HIGH_DEMAND_SHARE = 0.1;
+    private static final double MIN_GAIN_FACTOR = 2;
+
     private static BalanceSettings settings(
             int maxMigrations, double cooldownS, ClassBudget budget) {
         return new BalanceSettings(
-                0.2,
-                0.05,
-                0.1,
+                SKEW_MARGIN,
+                HYSTERESIS,
+                HIGH_DEMAND_SHARE,
                 maxMigrations,
                 maxMigrations,
                 maxMigrations,
                 cooldownS,
-                2,
+                MIN_GAIN_FACTOR,
                 budget,
                 Map.of());
     }
@@ -47,8 +52,7 @@
         for (int i = 0; i < 10; i++) {
             scheduler.planMigrations().forEach(scheduler::complete);
         }
-        // The margin is 0.2 and the hysteresis 0.05.
-        assertTrue(scheduler.balancer.load().skew(FakeScheduler.TEAM) <= 0.25);
+        assertTrue(scheduler.balancer.load().skew(FakeScheduler.TEAM) <= SKEW_MARGIN + HYSTERESIS);
         assertEquals(List.of(), scheduler.planMigrations(), "no further migration is needed");
     }
 
@@ -80,37 +84,49 @@
     @Example
     void limitsConcurrentMigrationsPerZone() {
         BalanceSettings onePerZone =
-                new BalanceSettings(0.2, 0.05, 0.1, 8, 8, 1, 0, 2, AMPLE_BUDGET, Map.of());
+                new BalanceSettings(
+                        SKEW_MARGIN,
+                        HYSTERESIS,
+                        HIGH_DEMAND_SHARE,
+                        /* maxConcurrentMigrations= */ 8,
+                        /* maxMigrationsPerTeam= */ 8,
+                        /* maxMigrationsPerZone= */ 1,
+                        /* cooldownS= */ 0,
+                        MIN_GAIN_FACTOR,
+                        AMPLE_BUDGET,
+                        Map.of());
         FakeScheduler scheduler = new FakeScheduler(onePerZone).addMachines(6);
-        for (int machine = 0; machine < 4; machine++) {
-            for (int i = 0; i < (machine < 3 ? 8 : 0); i++) {
+        int fullMachines = 3;
+        for (int machine = 0; machine < fullMachines; machine++) {
+            for (int i = 0; i < 8; i++) {
                 scheduler.addTask(machine, 1);
             }
         }
         List<Migration> migrations = scheduler.planMigrations();
         long intoZoneA =
                 migrations.stream()
-                        .filter(
-                                migration ->
-                                        Integer.parseInt(migration.target().substring(2)) % 2 == 0)
+                        .filter(migration -> machineNumber(migration.target()) % 2 == 0)
                         .count();
         assertTrue(intoZoneA <= 1 && migrations.size() - intoZoneA <= 1, migrations::toString);
         assertFalse(migrations.isEmpty());
     }
 
     /**
-     * For the cooldown after a migration, no task leaves its target and none is migrated to its
-     * source. Otherwise an oscillating load would migrate tasks back and forth.
+     * During the cooldown after a migration, no task leaves the migration's target and none is
+     * migrated to the migration's source. Otherwise an oscillating load would migrate tasks back
+     * and forth.
      */
     @Example
     void machinesCoolDownAfterAMigration() {
         FakeScheduler scheduler = schedulerWithOneFullMachine(settings(1, 15, AMPLE_BUDGET));
         Migration migration = scheduler.planMigrations().get(0);
         scheduler.complete(migration);
-        int target = Integer.parseInt(migration.target().substring(2));
+        int target = machineNumber(migration.target());
         for (int i = 0; i < 7; i++) {
             scheduler.addTask(target, 1);
         }
+        // The cooldown of 15 s began at 0, so it has not ended. The loop plans until nothing more
+        // may be migrated; its first pass checks the migration that has been completed above.
         scheduler.nowMs = 14_000;
         for (Migration next = migration;
                 next != null;
@@ -125,10 +141,16 @@
                 scheduler.complete(next);
             }
         }
+        // The cooldowns of all migrations that were completed at 14 s have ended.
         scheduler.nowMs = 29_000;
         assertEquals(migration.target(), firstOrNull(scheduler.planMigrations()).task().machine());
     }
 
+    /** The number of a machine whose id is {@link FakeScheduler#machineId}. */
+    private static int machineNumber(String machineId) {
+        return Integer.parseInt(machineId.substring(FakeScheduler.machineId(0).length() - 1));
+    }
+
     private static Migration firstOrNull(List<Migration> migrations) {
         return migrations.isEmpty() ? null : migrations.get(0);
     }
@@ -139,17 +161,19 @@
         for (int i = 0; i < 8; i++) {
             // An image fetch of 2 s, a checkpoint of 1 s and a start latency of 2 s, times the gain
             // factor of 2, make 10 s.
-            scheduler.addTask(0, 1, 9.9, 0);
+            scheduler.addTask(0, 1, /* remainingS= */ 9.9, /* unsavedS= */ 0);
         }
         assertEquals(List.of(), scheduler.planMigrations());
-        scheduler.addTask(0, 0, 10, 0);
+        // The machine is full, so the task uses no CPUs.
+        scheduler.addTask(0, 0, /* remainingS= */ 10, /* unsavedS= */ 0);
         assertEquals(1, scheduler.planMigrations().size());
     }
 
     @Example
     void limitsMigrationsPerTaskByJobClass() {
         FakeScheduler scheduler =
-                schedulerWithOneFullMachine(settings(8, 0, new ClassBudget(0, 1)));
+                schedulerWithOneFullMachine(
+                        settings(8, 0, new ClassBudget(/* maxMigrationsPerTask= */ 0, 1)));
         assertEquals(List.of(), scheduler.planMigrations());
     }
 
@@ -160,10 +184,12 @@
     @Example
     void boundsRepeatedWorkByTheWorkDone() {
         FakeScheduler scheduler =
-                new FakeScheduler(settings(8, 0, new ClassBudget(5, 0.1))).addMachines(6);
+                new FakeScheduler(
+                                settings(8, 0, new ClassBudget(5, /* maxRepeatedWorkShare= */ 0.1)))
+                        .addMachines(6);
         for (int i = 0; i < 8; i++) {
-            scheduler.addTask(0, 1, 300, 10);
-            scheduler.addTask(1, 1, 300, 10);
+            scheduler.addTask(0, 1, /* remainingS= */ 300, /* unsavedS= */ 10);
+            scheduler.addTask(1, 1, /* remainingS= */ 300, /* unsavedS= */ 10);
         }
         assertEquals(
                 List.of(),
@@ -175,7 +201,8 @@
         scheduler.nowMs = 50_000;
         List<Migration> one = scheduler.planMigrations();
         assertEquals(1, one.size());
-        scheduler.balancer.markLeftSource(one.get(0), false, 0);
+        boolean isCheckpointed = false;
+        scheduler.balancer.markLeftSource(one.get(0), isCheckpointed, 0);
         assertEquals(10, scheduler.balancer.budget().repeatedS("c"));
         assertEquals(
                 List.of(),
@@ -189,8 +216,8 @@
     }
 
     /**
-     * A failover must not reset a budget: tasks of jobs that were started before it are not
-     * migrated.
+     * A failover must not reset a budget: tasks of jobs that were started before the failover are
+     * not migrated.
      */
     @Example
     void doesNotMigrateJobsStartedUnderAPreviousLeader() {
@@ -203,13 +230,15 @@
     void limitsCpusPerMachineOnlyForHighDemandTeams() {
         FakeScheduler scheduler = new FakeScheduler(settings(8, 0, AMPLE_BUDGET)).addMachines(100);
         scheduler.addTask(0, 1);
+        // The machines have 800 CPUs, so a team needs a demand of 80 to become a high-demand team.
         scheduler.balancer.updateDemand(Map.of(FakeScheduler.TEAM, 40.0));
         assertFalse(scheduler.balancer.isHighDemand(FakeScheduler.TEAM));
         assertTrue(
                 Double.isInfinite(scheduler.balancer.maxTeamCpus("m-0", FakeScheduler.TEAM, 1, 0)));
         scheduler.balancer.updateDemand(Map.of(FakeScheduler.TEAM, 159.0));
         assertTrue(scheduler.balancer.isHighDemand(FakeScheduler.TEAM));
-        // The team demands a fifth of all CPUs, and the margin is another fifth.
+        // The team demands a fifth of all CPUs, including the one in use, and the margin is another
+        // fifth.
         assertEquals(3.2, scheduler.balancer.maxTeamCpus("m-0", FakeScheduler.TEAM, 1, 0), 1e-9);
         assertEquals(
                 5,
--- a/src/test/java/org/shoreusher/balance/FakeScheduler.java
+++ b/src/test/java/org/shoreusher/balance/FakeScheduler.java
@@ -7,6 +7,11 @@
 final class FakeScheduler implements SchedulerView {
     static final String TEAM = "t";
     static final double MACHINE_CPUS = 8;
+    private static final long SOURCE_STOP_TIMEOUT_MS = 20_000;
+    private static final long TARGET_START_TIMEOUT_MS = 10_000;
+    private static final double FETCH_GB_PER_S = 1;
+    private static final double IMAGE_GB = 2;
+    private static final double CHECKPOINT_DURATION_S = 1;
 
     /** A task and the machine on which it currently is. */
     private static final class PlacedTask {
@@ -21,11 +26,14 @@
 
     final Balancer balancer;
     private final List<PlacedTask> tasks = new ArrayList<>();
-    private int nextIndex;
+    private int nextTaskIndex;
     long nowMs;
 
     FakeScheduler(BalanceSettings settings) {
-        balancer = new Balancer(settings, new Balancer.Timeouts(20_000, 10_000));
+        balancer =
+                new Balancer(
+                        settings,
+                        new Balancer.Timeouts(SOURCE_STOP_TIMEOUT_MS, TARGET_START_TIMEOUT_MS));
     }
 
     static String machineId(int number) {
@@ -34,29 +42,30 @@
 
     FakeScheduler addMachines(int count) {
         for (int i = 0; i < count; i++) {
-            balancer.load().addMachine(machineId(i), i % 2 == 0 ? "a" : "b", MACHINE_CPUS, 1);
+            String zone = i % 2 == 0 ? "a" : "b";
+            balancer.load().addMachine(machineId(i), zone, MACHINE_CPUS, FETCH_GB_PER_S);
         }
         return this;
     }
 
-    /** Adds a running task with a long remaining run time and a short checkpoint. */
+    /** Adds a running task with a long remaining run time and no unsaved work. */
     MigratableTask addTask(int machine, double cpus) {
-        return addTask(machine, cpus, 300, 0);
+        return addTask(machine, cpus, /* remainingS= */ 300, /* unsavedS= */ 0);
     }
 
     MigratableTask addTask(int machine, double cpus, double remainingS, double unsavedS) {
         MigratableTask task =
                 new MigratableTask(
-                        new TaskId("wk-1", nextIndex++),
+                        new TaskId("wk-1", nextTaskIndex++),
                         "c",
                         TEAM,
                         cpus,
                         "image",
-                        2,
+                        IMAGE_GB,
                         machineId(machine),
                         remainingS,
                         unsavedS,
-                        1);
+                        CHECKPOINT_DURATION_S);
         tasks.add(new PlacedTask(task));
         balancer.load().addTask(machineId(machine), TEAM, cpus, "image");
         return task;
@@ -72,7 +81,8 @@
     void complete(Migration migration) {
         PlacedTask placed = findTask(migration.task().id());
         balancer.load().removeTask(placed.machine, TEAM, placed.task.cpus());
-        balancer.markLeftSource(migration, true, nowMs);
+        boolean isCheckpointed = true;
+        balancer.markLeftSource(migration, isCheckpointed, nowMs);
         balancer.load().addTask(migration.target(), TEAM, placed.task.cpus(), "image");
         balancer.markStarted(migration, nowMs);
         placed.machine = migration.target();
--- a/src/test/java/org/shoreusher/balance/LoadModelTest.java
+++ b/src/test/java/org/shoreusher/balance/LoadModelTest.java
@@ -50,6 +50,7 @@
                             new PlacedTask(
                                     machine, "t-" + random.nextInt(2), 1 + random.nextInt(3));
                     load.addTask(task.machine, task.team, task.cpus, "image");
+                    // The load model ignores a task on a machine that it does not contain.
                     if (machines.containsKey(machine)) {
                         tasks.add(task);
                     }
--- a/src/test/java/org/shoreusher/balance/MigrationPlannerOptimalityTest.java
+++ b/src/test/java/org/shoreusher/balance/MigrationPlannerOptimalityTest.java
@@ -32,6 +32,8 @@
         for (int i = 0; i < CASES; i++) {
             List<int[]> tasks = new ArrayList<>();
             for (int count = 0; count < 9; count++) {
+                // The index of its machine, and its CPUs. All tasks start on the first two
+                // machines.
                 int[] task = {random.nextInt(2), 1 + random.nextInt(3)};
                 if (usedCpus(tasks, task[0]) + task[1] <= FakeScheduler.MACHINE_CPUS) {
                     tasks.add(task);
@@ -52,11 +54,20 @@
 
     /** Returns the highest CPU usage of a machine after all migrations that the planner begins. */
     private static double plannedMaximum(List<int[]> tasks) {
-        ClassBudget ample = new ClassBudget(100, 1);
+        ClassBudget ample = new ClassBudget(/* maxMigrationsPerTask= */ 100, 1);
         FakeScheduler scheduler =
                 new FakeScheduler(
                                 new BalanceSettings(
-                                        MARGIN, 0, 0.01, 8, 8, 8, 0, 1, ample, Map.of()))
+                                        MARGIN,
+                                        /* hysteresis= */ 0,
+                                        /* highDemandShare= */ 0.01,
+                                        /* maxConcurrentMigrations= */ 8,
+                                        /* maxMigrationsPerTeam= */ 8,
+                                        /* maxMigrationsPerZone= */ 8,
+                                        /* cooldownS= */ 0,
+                                        /* minGainFactor= */ 1,
+                                        ample,
+                                        Map.of()))
                         .addMachines(MACHINES);
         for (int[] task : tasks) {
             scheduler.addTask(task[0], task[1]);
--- a/src/test/java/org/shoreusher/core/CoreTestData.java
+++ b/src/test/java/org/shoreusher/core/CoreTestData.java
@@ -21,21 +21,28 @@
                 List.of(),
                 unusedAddress,
                 unusedAddress,
-                3,
+                /* nodeCount= */ 3,
                 List.of("a"),
-                Map.of("team", new Settings.Team("team", 8, 16, 0, 0)),
+                Map.of(
+                        "team",
+                        new Settings.Team(
+                                "team",
+                                /* guaranteedCpus= */ 8,
+                                /* maxCpus= */ 16,
+                                /* guaranteedGpus= */ 0,
+                                /* maxGpus= */ 0)),
                 objectives,
-                1,
-                10,
-                40,
-                1000,
-                1000,
-                1024,
-                12,
-                5,
-                3,
-                1000,
-                25);
+                /* heartbeatIntervalS= */ 1,
+                /* workerLeaseS= */ 10,
+                /* cancellationLimitS= */ 40,
+                /* storeRequestsPerS= */ 1000,
+                /* storeWritesPerS= */ 1000,
+                /* maxValueBytes= */ 1024,
+                /* maxTransactionWrites= */ 12,
+                /* cloudRequestsPerS= */ 5,
+                /* inventoryLagS= */ 3,
+                /* maxSockets= */ 1000,
+                /* maxClockOffsetMs= */ 25);
     }
 
     /**
--- a/src/test/java/org/shoreusher/core/StoredRecords.java
+++ b/src/test/java/org/shoreusher/core/StoredRecords.java
@@ -47,13 +47,21 @@
     private static void putJobs(Map<String, Map<String, Object>> store) {
         JobRecord open = JobRecord.open(0, batchJob("wk-000001"), ACCEPTED_MS);
         JobRecord service = JobRecord.open(1, serviceJob("wk-000002"), ACCEPTED_MS + 1);
-        JobRecord started = new JobRecord(0, JobStatus.OPEN, 7, ACCEPTED_MS, 3, open.specFields());
+        JobRecord started =
+                new JobRecord(
+                        0,
+                        JobStatus.OPEN,
+                        /* taskCount= */ 7,
+                        ACCEPTED_MS,
+                        /* highWaterMark= */ 3,
+                        open.specFields());
         store.put(StoreSchema.jobKey("wk-000001"), open.toMap());
         store.put(StoreSchema.jobKey("wk-000002"), service.toMap());
         store.put(StoreSchema.jobKey("wk-000003"), started.toMap());
         store.put(StoreSchema.jobKey("wk-000004"), open.asDone().toMap());
         store.put(
                 StoreSchema.jobKey("wk-000005"), open.asCancelled(LARGE_VALUE_LIMIT_BYTES).toMap());
+        // No description fits into the limit, so the record keeps only its resources.
         store.put(StoreSchema.jobKey("wk-000006"), open.asCancelled(1).toMap());
         Map<String, Map<String, Object>> submissions = new LinkedHashMap<>();
         submissions.put("wk-000007", open.toMap());
--- a/src/test/java/org/shoreusher/core/job/CompletionRecordsTest.java
+++ b/src/test/java/org/shoreusher/core/job/CompletionRecordsTest.java
@@ -103,6 +103,7 @@
             int recordNumber = random.nextInt(recordCount);
             Map<String, Object> record = records.get(recordNumber);
             record.put(job.id(), TaskRanges.format(completed));
+            // A leader fills a record to at most three quarters of the limit.
             // A successor splits the shard's own record if it is too long to be written again.
             int maxBytes =
                     recordNumber == 0
@@ -198,6 +199,7 @@
         ShardStore store = new ShardStore(new Random(seed));
         store.fill();
         store.load();
+        // Tasks complete before the first 30 renewals; writes may fail in the first 41.
         for (int renewal = 0; renewal < 60; renewal++) {
             if (renewal < 30) {
                 store.completeSomeTasks();
--- a/src/test/java/org/shoreusher/core/job/HighWaterMarksTest.java
+++ b/src/test/java/org/shoreusher/core/job/HighWaterMarksTest.java
@@ -139,6 +139,7 @@
             shard.writeRequestedMarks(
                     highWaterMarks,
                     () -> {
+                        // All writes fail at first, then two in three, and at the end none.
                         boolean fails =
                                 currentRound < 20 || (currentRound < 100 && random.nextInt(3) > 0);
                         return fails ? FAILURES[random.nextInt(FAILURES.length)] : ReplyStatus.OK;
--- a/src/test/java/org/shoreusher/core/job/SubmissionBatchesTest.java
+++ b/src/test/java/org/shoreusher/core/job/SubmissionBatchesTest.java
@@ -42,6 +42,7 @@
                         .build();
         for (boolean isDone : new boolean[] {false, true}) {
             Outbox outbox = new Outbox(SETTINGS, 1);
+            // An array, since the cache's listener is created before the batches.
             SubmissionBatches[] submissionBatches = new SubmissionBatches[1];
             List<String> notified = new ArrayList<>();
             StoreCache storeCache =
@@ -83,6 +84,7 @@
                 CoreTestData.job("wk-1", "c", JobSpec.Priority.HIGH, 3, 1, Double.NaN, 0).spec();
         for (boolean isOlderFirst : new boolean[] {true, false}) {
             Outbox outbox = new Outbox(settings, 2);
+            // An array, since the cache's listener is created before the batches.
             SubmissionBatches[] submissionBatches = new SubmissionBatches[1];
             List<Integer> notified = new ArrayList<>();
             StoreCache storeCache =
@@ -98,12 +100,14 @@
                                 }
                             });
             submissionBatches[0] = new SubmissionBatches(settings, outbox, storeCache);
+            // The batch for shard 1 is the older one, since its version is lower.
             for (int shardNumber : isOlderFirst ? new int[] {1, 0} : new int[] {0, 1}) {
+                long version = shardNumber == 1 ? 5 : 6;
                 storeCache.apply(
                         StoreSchema.submissionBatchKey("n/" + shardNumber, 1),
                         SubmissionBatchRecord.toMap(
                                 Map.of("wk-1", JobRecord.open(shardNumber, spec, 0).toMap())),
-                        shardNumber == 1 ? 5 : 6);
+                        version);
             }
             assertEquals(1, submissionBatches[0].jobRecord("wk-1").shardNumber());
             assertEquals(1, notified.get(notified.size() - 1));
--- a/src/test/java/org/shoreusher/core/schedule/BinPackerTest.java
+++ b/src/test/java/org/shoreusher/core/schedule/BinPackerTest.java
@@ -32,7 +32,7 @@
             String zone,
             boolean singleZone,
             boolean spreadAcrossZones,
-            boolean spot) {
+            boolean spotAllowed) {
         return new JobSpecBuilder(id)
                 .jobClass("c")
                 .team("team")
@@ -43,11 +43,15 @@
                 .zone(zone)
                 .singleZone(singleZone)
                 .spreadAcrossZones(spreadAcrossZones)
-                .spotAllowed(spot)
+                .spotAllowed(spotAllowed)
                 .estimatedRunS(10)
                 .build();
     }
 
+    private static JobSpec unconstrainedSpec(String id, int tasks, double cpus) {
+        return spec(id, tasks, cpus, null, false, false, true);
+    }
+
     private static List<MachineCapacity> randomMachines(Random random) {
         List<MachineCapacity> capacities = new ArrayList<>();
         for (int i = 0; i < 1 + random.nextInt(6); i++) {
@@ -79,7 +83,11 @@
         Random random = new Random(seed);
         List<MachineCapacity> capacities = randomMachines(random);
         double quotaCpus = random.nextInt(40);
-        BinPacker packer = new BinPacker(capacities, team -> quotaCpus, team -> 0);
+        BinPacker packer =
+                new BinPacker(
+                        capacities,
+                        /* cpuHeadroom= */ team -> quotaCpus,
+                        /* gpuHeadroom= */ team -> 0);
         List<Job> jobs = new ArrayList<>();
         for (int i = 0; i < 1 + random.nextInt(4); i++) {
             Job job = randomJob(i, random);
@@ -137,9 +145,9 @@
                                         new MachineCapacity(empty),
                                         new MachineCapacity(half),
                                         new MachineCapacity(full))),
-                        team -> 100,
-                        team -> 0);
-        packer.place(new Job("wk-1", spec("wk-1", 3, 2, null, false, false, true), 0), 3);
+                        /* cpuHeadroom= */ team -> 100,
+                        /* gpuHeadroom= */ team -> 0);
+        packer.place(new Job("wk-1", unconstrainedSpec("wk-1", 3, 2), 0), 3);
         assertEquals(
                 List.of("m-half", "m-empty"),
                 packer.placedTasks().stream()
@@ -150,8 +158,9 @@
 
     /**
      * Without a reservation, a task that needs a whole machine might never start, because smaller
-     * tasks take any capacity that becomes free. The emptiest machine is reserved for it, and no
-     * other job is placed there. A machine that is too small for the task is never reserved.
+     * tasks take any capacity that becomes free. The emptiest machine is reserved for the large
+     * task, and no other job is placed there. A machine that is too small for the task is never
+     * reserved.
      */
     @Example
     void reservesAMachineForALargerTask() {
@@ -163,17 +172,12 @@
                 new BinPacker(
                         new ArrayList<>(
                                 List.of(new MachineCapacity(half), new MachineCapacity(full))),
-                        team -> 100,
-                        team -> 0);
-        assertEquals(
-                1,
-                packer.place(new Job("wk-1", spec("wk-1", 1, 8, null, false, false, true), 0), 1));
-        assertEquals(
-                List.of(half),
-                packer.reserveMachines(spec("wk-1", 1, 8, null, false, false, true), 1));
-        assertEquals(
-                2,
-                packer.place(new Job("wk-2", spec("wk-2", 3, 1, null, false, false, true), 0), 3));
+                        /* cpuHeadroom= */ team -> 100,
+                        /* gpuHeadroom= */ team -> 0);
+        // place returns the number of tasks that no machine can take.
+        assertEquals(1, packer.place(new Job("wk-1", unconstrainedSpec("wk-1", 1, 8), 0), 1));
+        assertEquals(List.of(half), packer.reserveMachines(unconstrainedSpec("wk-1", 1, 8), 1));
+        assertEquals(2, packer.place(new Job("wk-2", unconstrainedSpec("wk-2", 3, 1), 0), 3));
         assertEquals(
                 List.of("m-full"),
                 packer.placedTasks().stream()
@@ -181,7 +185,7 @@
                         .toList());
         assertEquals(
                 List.of(),
-                packer.reserveMachines(spec("wk-3", 1, 9, null, false, false, true), 1),
+                packer.reserveMachines(unconstrainedSpec("wk-3", 1, 9), 1),
                 "a machine with 8 CPUs must not be reserved for a task of 9 CPUs");
     }
 
--- a/src/test/java/org/shoreusher/core/schedule/QuotaTargetsTest.java
+++ b/src/test/java/org/shoreusher/core/schedule/QuotaTargetsTest.java
@@ -11,6 +11,8 @@
 
 /** Tests the target shares of shards in a team's quota. */
 class QuotaTargetsTest {
+    private static final double QUANTUM_CPUS = 1;
+
     /** A shard without recent gossip keeps its share, and high-priority demand is granted first. */
     @Property(tries = 300, seed = "22")
     void keepsSharesWithoutGossipAndPrefersHighPriorityDemand(
@@ -27,7 +29,7 @@
                             : new TeamDemand(random.nextInt(30), random.nextInt(60));
         }
         double quotaCpus = Arrays.stream(shares).sum();
-        double[] targets = QuotaTargets.targetShares(quotaCpus, demands, shares, 1);
+        double[] targets = QuotaTargets.targetShares(quotaCpus, demands, shares, QUANTUM_CPUS);
         double highPriorityCpus =
                 Arrays.stream(demands)
                         .filter(demand -> demand != null)
@@ -45,7 +47,8 @@
                             || targets[shardNumber]
                                     >= demands[shardNumber].highPriorityCpus() - 0.5);
         }
-        // Each target may be rounded up by at most half a CPU.
+        // Targets are rounded to multiples of the quantum, so each exceeds its exact value by at
+        // most half a CPU.
         assertTrue(Arrays.stream(targets).sum() <= quotaCpus + shardCount);
     }
 }
--- a/src/test/java/org/shoreusher/core/schedule/SchedulingOrderTest.java
+++ b/src/test/java/org/shoreusher/core/schedule/SchedulingOrderTest.java
@@ -129,6 +129,7 @@
         Job startedJob =
                 CoreTestData.job("wk-2", "large", JobSpec.Priority.LOW, 500, 30, Double.NaN, 0);
         startedJob.recordStart();
+        // A job that has not started counts as starved from an age of 150 s.
         for (long now : new long[] {100_000, 200_000}) {
             Job urgent =
                     CoreTestData.job(
--- a/src/test/java/org/shoreusher/core/store/StoreCacheTest.java
+++ b/src/test/java/org/shoreusher/core/store/StoreCacheTest.java
@@ -13,6 +13,7 @@
 import org.shoreusher.core.message.Command.StoreReply;
 import org.shoreusher.core.message.Effect;
 import org.shoreusher.core.message.Effect.StoreOperation;
+import org.shoreusher.core.message.ReplyStatus;
 
 /** Keeping the store cache current with the store. */
 class StoreCacheTest {
@@ -45,15 +46,20 @@
         storeCache.step();
         assertTrue(nextStoreOperation(outbox) instanceof StoreOperation.Page);
         outbox.onReply(
-                new StoreReply(1, 200, Map.of("entries", List.of(), "more", false, "ledger", 5L)));
+                new StoreReply(
+                        1,
+                        ReplyStatus.OK,
+                        Map.of("entries", List.of(), "more", false, "ledger", 5L)));
         storeCache.apply("job/wk-1", Map.of("status", "DONE"), 9);
         storeCache.evict("job/wk-1");
         storeCache.step();
-        assertEquals(new StoreOperation.Watch(5, 0), nextStoreOperation(outbox));
+        assertEquals(
+                new StoreOperation.Watch(/* afterRevision= */ 5, /* blockMs= */ 0),
+                nextStoreOperation(outbox));
         outbox.onReply(
                 new StoreReply(
                         2,
-                        200,
+                        ReplyStatus.OK,
                         Map.of(
                                 "ledger",
                                 7L,
@@ -85,10 +91,13 @@
         storeCache.step();
         nextStoreOperation(outbox);
         outbox.onReply(
-                new StoreReply(1, 200, Map.of("entries", List.of(), "more", false, "ledger", 5L)));
+                new StoreReply(
+                        1,
+                        ReplyStatus.OK,
+                        Map.of("entries", List.of(), "more", false, "ledger", 5L)));
         storeCache.step();
         nextStoreOperation(outbox);
-        outbox.onReply(new StoreReply(2, 200, Map.of("ledger", 5L, "log", List.of())));
+        outbox.onReply(new StoreReply(2, ReplyStatus.OK, Map.of("ledger", 5L, "log", List.of())));
         StoreOperation lastOperation = null;
         for (int call = 3; call < 100 && !(lastOperation instanceof StoreOperation.Page); call++) {
             outbox.setNow(
@@ -102,7 +111,7 @@
                     lastOperation instanceof StoreOperation.Page
                             == outbox.now().monotonicMs() > 21_000 + 500,
                     "operation sent at " + outbox.now().monotonicMs() + " ms: " + lastOperation);
-            outbox.onReply(new StoreReply(call, 0, null));
+            outbox.onReply(new StoreReply(call, ReplyStatus.NO_REPLY, null));
         }
         assertTrue(lastOperation instanceof StoreOperation.Page);
     }
--- a/src/test/java/org/shoreusher/core/user/JobStateResponsesTest.java
+++ b/src/test/java/org/shoreusher/core/user/JobStateResponsesTest.java
@@ -12,6 +12,7 @@
 /** The job states and task counts in responses to users. */
 class JobStateResponsesTest {
     private static final String JOB_ID = "wk-000001";
+    private static final int MAX_VALUE_BYTES = 10_000;
     private static final JobRecord OPEN =
             JobRecord.open(
                     0,
@@ -48,13 +49,13 @@
                 responses(3, 2).withCounts(JOB_ID, OPEN.asDone()));
         assertEquals(
                 new JobState(JOB_ID, DisplayState.CANCELLED, new TaskCounts(3, 0), false),
-                responses(3, 2).withCounts(JOB_ID, OPEN.asCancelled(10_000)));
+                responses(3, 2).withCounts(JOB_ID, OPEN.asCancelled(MAX_VALUE_BYTES)));
         assertEquals(
                 new JobState(JOB_ID, DisplayState.DONE),
                 responses(3, 2).stateOnly(JOB_ID, OPEN.asDone()));
         assertEquals(
                 new JobState(JOB_ID, DisplayState.CANCELLED),
-                responses(3, 2).stateOnly(JOB_ID, OPEN.asCancelled(10_000)));
+                responses(3, 2).stateOnly(JOB_ID, OPEN.asCancelled(MAX_VALUE_BYTES)));
     }
 
     @Example
--- a/src/test/java/org/shoreusher/measure/MeasurementsTest.java
+++ b/src/test/java/org/shoreusher/measure/MeasurementsTest.java
@@ -38,6 +38,7 @@
 
     @Example
     void rejectsUnknownMeasurementsAndOptions() throws Exception {
+        // Exit codes: 2 for a usage error, 1 for an option value out of bounds.
         assertEquals(2, Measurements.run(new String[] {}));
         assertEquals(2, Measurements.run(new String[] {"everything"}));
         assertEquals(2, Measurements.run(new String[] {"takeover", "--speed", "1"}));
--- a/src/test/java/org/shoreusher/net/ConnectionsTest.java
+++ b/src/test/java/org/shoreusher/net/ConnectionsTest.java
@@ -23,6 +23,9 @@
 
 /** Closing of connections and rejection of requests, on real sockets of the loopback interface. */
 class ConnectionsTest {
+    private static final int SOCKET_TIMEOUT_MS = 20_000;
+    private static final int MAX_CLIENT_CONNECTIONS = 2;
+
     private static final String UNKNOWN_PATH_MESSAGE =
             "GET /nothing is not supported; allowed are POST /v2/runs, GET /v2/runs/ID,"
                     + " POST /v2/runs/ID/cancel, POST /hello and GET /ready";
@@ -35,7 +38,7 @@
     void closesConnectionsAfterDirectOrders() throws Exception {
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         try (ServerSocket server = new ServerSocket(0, 10, InetAddress.getLoopbackAddress())) {
-            server.setSoTimeout(20_000);
+            server.setSoTimeout(SOCKET_TIMEOUT_MS);
             WorkerClient client = new WorkerClient(group.next());
             group.next()
                     .execute(
@@ -43,17 +46,17 @@
                                     client.sendOrders(
                                             new Effect.SendOrders(
                                                     "127.0.0.1:" + server.getLocalPort(),
-                                                    1,
-                                                    1,
+                                                    /* fencingToken= */ 1,
+                                                    /* workerIncarnation= */ 1,
                                                     List.of(
                                                             new WorkerOrder(
                                                                     WorkerOrder.Kind.STOP,
                                                                     "wk-1",
-                                                                    0,
-                                                                    1,
-                                                                    0)))));
+                                                                    /* taskIndex= */ 0,
+                                                                    /* attemptNumber= */ 1,
+                                                                    /* gracePeriodS= */ 0)))));
             try (Socket socket = server.accept()) {
-                socket.setSoTimeout(20_000);
+                socket.setSoTimeout(SOCKET_TIMEOUT_MS);
                 InputStream input = socket.getInputStream();
                 assertTrue(input.read(new byte[4_096]) > 0);
                 socket.getOutputStream()
@@ -85,19 +88,20 @@
         HttpFrontend frontend =
                 new HttpFrontend(
                         group,
-                        settings(port, SharedConstants.RESERVED_SOCKETS + 2),
-                        command -> true,
-                        () -> 0L);
+                        settings(port, SharedConstants.RESERVED_SOCKETS + MAX_CLIENT_CONNECTIONS),
+                        /* core= */ command -> true,
+                        /* eventLoopDelayMs= */ () -> 0L);
         frontend.listen();
         try (Socket first = new Socket(InetAddress.getLoopbackAddress(), port);
                 Socket second = new Socket(InetAddress.getLoopbackAddress(), port)) {
             assertEquals(404, requestUnknownPath(first));
             assertEquals(404, requestUnknownPath(second));
+            // Leaves the second connection as the least recently used one.
             assertEquals(404, requestUnknownPath(first));
             try (Socket third = new Socket(InetAddress.getLoopbackAddress(), port)) {
                 assertEquals(404, requestUnknownPath(third));
                 assertEquals(404, requestUnknownPath(first));
-                second.setSoTimeout(20_000);
+                second.setSoTimeout(SOCKET_TIMEOUT_MS);
                 assertEquals(-1, second.getInputStream().read());
             }
         } finally {
@@ -112,12 +116,12 @@
         int port = freePort();
         new HttpFrontend(
                         group,
-                        settings(port, SharedConstants.RESERVED_SOCKETS + 2),
-                        command -> true,
-                        () -> 0L)
+                        settings(port, SharedConstants.RESERVED_SOCKETS + MAX_CLIENT_CONNECTIONS),
+                        /* core= */ command -> true,
+                        /* eventLoopDelayMs= */ () -> 0L)
                 .listen();
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            socket.setSoTimeout(20_000);
+            socket.setSoTimeout(SOCKET_TIMEOUT_MS);
             socket.getOutputStream()
                     .write(
                             ("POST /v2/runs HTTP/1.1\r\nhost: x\r\ncontent-length: "
@@ -141,7 +145,7 @@
     }
 
     private static int requestUnknownPath(Socket socket) throws Exception {
-        socket.setSoTimeout(20_000);
+        socket.setSoTimeout(SOCKET_TIMEOUT_MS);
         socket.getOutputStream()
                 .write(
                         "GET /nothing HTTP/1.1\r\nhost: x\r\n\r\n"
@@ -167,20 +171,20 @@
                 List.of(),
                 front,
                 front,
-                3,
+                /* nodeCount= */ 3,
                 List.of("a"),
-                Map.of(),
-                List.of(),
-                1.5,
-                8,
-                30,
-                400,
-                100,
-                4096,
-                12,
-                10,
-                3,
+                /* teams= */ Map.of(),
+                /* objectives= */ List.of(),
+                /* heartbeatIntervalS= */ 1.5,
+                /* workerLeaseS= */ 8,
+                /* cancellationLimitS= */ 30,
+                /* storeRequestsPerS= */ 400,
+                /* storeWritesPerS= */ 100,
+                /* maxValueBytes= */ 4096,
+                /* maxTransactionWrites= */ 12,
+                /* cloudRequestsPerS= */ 10,
+                /* inventoryLagS= */ 3,
                 sockets,
-                80);
+                /* maxClockOffsetMs= */ 80);
     }
 }
--- a/src/test/java/org/shoreusher/peer/StandbyCodecTest.java
+++ b/src/test/java/org/shoreusher/peer/StandbyCodecTest.java
@@ -32,14 +32,15 @@
 class StandbyCodecTest {
     private static final LogStream STREAM = new LogStream(0, 9, "node-0/a", "node-1/b", 3);
 
-    private static LogFrame frame(int records, String name) {
+    /** A frame with two records for each attempt, and with a suffix on job and machine names. */
+    private static LogFrame frame(int attempts, String nameSuffix) {
         List<LogRecord> list = new ArrayList<>();
         list.add(new SnapshotBegin());
-        for (int i = 0; i < records; i++) {
-            AttemptId id = new AttemptId("wk-" + i % 7 + name, i, (9L << 24) + i);
+        for (int i = 0; i < attempts; i++) {
+            AttemptId id = new AttemptId("wk-" + i % 7 + nameSuffix, i, (9L << 24) + i);
             list.add(
                     new AttemptStarted(
-                            new Attempt(id, "host-" + i + name, "team-" + i, 0.5, 1, 4.25)));
+                            new Attempt(id, "host-" + i + nameSuffix, "team-" + i, 0.5, 1, 4.25)));
             list.add(new AttemptEnded(id));
         }
         list.add(new SnapshotEnd(new Checksum(-5, 0)));
@@ -57,7 +58,8 @@
     }
 
     /**
-     * A frame of the maximum number of records that the settings allow, with names of 100 bytes.
+     * A frame with more records than the 500 that the settings allow, and with names of more than
+     * 100 bytes.
      */
     @Example
     void longestFrameIsBelowTheMessageLimit() {
@@ -86,6 +88,7 @@
     void rejectsOtherFormatVersionsAndWrongLengths() {
         byte[] valid = StandbyCodec.encode(frame(3, ""));
         byte[] otherVersion = valid.clone();
+        // The format version follows the marker byte.
         otherVersion[1]++;
         assertNull(StandbyCodec.decode(otherVersion));
         assertNull(StandbyCodec.decode(Arrays.copyOf(valid, valid.length + 1)));
@@ -100,6 +103,7 @@
         Random random = new Random(seed);
         byte[] bytes = StandbyCodec.encode(frame(5, ""));
         for (int i = 1 + random.nextInt(4); i > 0; i--) {
+            // The marker and the format version stay, since any other value is rejected.
             bytes[2 + random.nextInt(bytes.length - 2)] = (byte) random.nextInt();
         }
         Object decoded = StandbyCodec.decode(bytes);
--- a/src/test/java/org/shoreusher/settings/FeaturesFileTest.java
+++ b/src/test/java/org/shoreusher/settings/FeaturesFileTest.java
@@ -19,6 +19,7 @@
         return FeaturesFile.parse(text.getBytes(StandardCharsets.UTF_8), settings);
     }
 
+    /** Replaces the kind of the only objective, so that {@code rush} is a known job class. */
     private static final String OBJECTIVE_WITH_CLASS = "finished\",\"class\":\"rush\"";
 
     @Example
@@ -60,6 +61,8 @@
                         0,
                         3.5,
                         new ClassBudget(2, 0),
+                        // A class does not inherit repeated_share from the section: the default
+                        // applies.
                         Map.of("rush", new ClassBudget(0, 0.02))),
                 balance);
     }
@@ -81,7 +84,7 @@
                         .standby());
     }
 
-    /** Files that are rejected, and the message for each. */
+    /** Contents of files that are rejected, and the message for each. */
     private static final String[][] REJECTED = {
         {
             "[balanse]",
--- a/src/test/java/org/shoreusher/settings/SettingsTest.java
+++ b/src/test/java/org/shoreusher/settings/SettingsTest.java
@@ -61,6 +61,7 @@
 
     @Example
     void namesTheInvalidField() {
+        // The text that is replaced, its replacement, and a part of the message.
         String[][] cases = {
             {"\"zone\":\"a\",", "\"zone\":1,", "zone must be text; found 1"},
             {"127.0.0.1:8080", "here", "front"},
@@ -92,6 +93,7 @@
         assertEquals(20, parse(VALID).maxTransactionWrites());
         String rate = "\"write_rps\":25.0";
         assertEquals(6, parse(VALID.replace(rate, "\"write_rps\":6.5")).maxTransactionWrites());
+        // A lower rate still allows SharedConstants.MIN_TRANSACTION_WRITES writes.
         assertEquals(4, parse(VALID.replace(rate, "\"write_rps\":3")).maxTransactionWrites());
     }
 
@@ -124,6 +126,7 @@
                                         + "\"value_kb\":64,\"txn_ops\":60,\"new\":1}"));
         assertEquals(parse(VALID), wider);
         assertEquals(parse(VALID), parse(VALID.replace(ops, ops + ",\"next\":null")));
+        // The section "next", and a part of the message.
         String[][] invalid = {
             {"{\"write_rps\":0}", "state.next.write_rps"},
             {"{\"value_kb\":-2}", "state.next.value_kb"},
--- a/src/test/java/org/shoreusher/standby/AttemptLogTest.java
+++ b/src/test/java/org/shoreusher/standby/AttemptLogTest.java
@@ -109,6 +109,7 @@
 
     @Example
     void resendsFramesAndFailsAnUnresponsiveStandby() {
+        // A frame without an acknowledgement is sent again after 200 ms.
         sender.attach(STANDBY, nowMs);
         LogFrame first = sender.nextFrame(nowMs).orElseThrow();
         assertEquals(Optional.empty(), sender.nextFrame(nowMs + 100));
@@ -119,6 +120,7 @@
 
     @Example
     void failsAStandbyThatFallsFarBehind() {
+        // A standby may be at most 40 full frames behind.
         sender.attach(STANDBY, nowMs);
         sender.nextFrame(nowMs);
         for (int i = 0; i < 40 * FRAME_RECORDS; i++) {
@@ -232,6 +234,7 @@
                 PromotionOutcome.TERM_MISMATCH,
                 receiver.promotionOutcome(STANDBY, STANDBY, "node-2/d", TERM));
         assertEquals(List.of(attempt(1)), receiver.takeTable().copyAttempts());
+        // The receiver has handed over its table, so it cannot be promoted a second time.
         assertEquals(PromotionOutcome.LOG_INCONSISTENT, outcome());
     }
 
@@ -254,6 +257,8 @@
 
     @Example
     void prefersAnotherZoneAndBacksOffUntilAStandbyIsNamed() {
+        // The backoff is 1 s after the first failure and doubles with each further one, up to 60 s.
+        // A standby that has been named for long enough resets it.
         StandbyChooser chooser = new StandbyChooser("a");
         StandbyChooser.Candidate sameZone = new StandbyChooser.Candidate("node-1/x", "a");
         StandbyChooser.Candidate otherZone = new StandbyChooser.Candidate("node-2/y", "b");
