--- a/src/main/java/org/shoreusher/net/HttpCaller.java
+++ b/src/main/java/org/shoreusher/net/HttpCaller.java
@@ -195,7 +195,7 @@
 
         private void finish(int status, Map<String, Object> body) {
             if (pendingCall != null) {
-                timeout.cancel(false);
+                timeout.cancel(/* mayInterruptIfRunning= */ false);
                 PendingCall call = pendingCall;
                 pendingCall = null;
                 call.complete(status, body);
@@ -213,6 +213,7 @@
                 try {
                     body = FieldMap.parseCbor(ByteBufUtil.getBytes(response.content())).asMap();
                 } catch (IOException e) {
+                    // Only a success requires a valid body.
                     status = status == ReplyStatus.OK ? ReplyStatus.NO_REPLY : status;
                 }
             }
--- a/src/main/java/org/shoreusher/peer/GossipCodec.java
+++ b/src/main/java/org/shoreusher/peer/GossipCodec.java
@@ -16,6 +16,9 @@
  * bytes cannot create objects of other classes. Not thread-safe.
  */
 public final class GossipCodec {
+    /** Kryo's option for integers of variable length that are rarely negative. */
+    private static final boolean OPTIMIZE_POSITIVE = true;
+
     private final Kryo kryo = new Kryo();
 
     /** Creates a codec for gossip messages only. */
@@ -52,15 +55,15 @@
             output.writeLong(message.sentWallMs());
             output.writeBoolean(message.storeReachable());
             output.writeDouble(message.uptimeS());
-            output.writeVarInt(message.shards().size(), true);
+            output.writeVarInt(message.shards().size(), OPTIMIZE_POSITIVE);
             message.shards()
                     .forEach(
                             (shardNumber, summary) -> {
-                                output.writeVarInt(shardNumber, true);
+                                output.writeVarInt(shardNumber, OPTIMIZE_POSITIVE);
                                 output.writeDouble(summary.cpuHeadroom());
-                                output.writeVarInt(summary.surplusMachines(), true);
-                                output.writeVarInt(summary.machineShortfall(), true);
-                                output.writeVarInt(summary.teamDemands().size(), true);
+                                output.writeVarInt(summary.surplusMachines(), OPTIMIZE_POSITIVE);
+                                output.writeVarInt(summary.machineShortfall(), OPTIMIZE_POSITIVE);
+                                output.writeVarInt(summary.teamDemands().size(), OPTIMIZE_POSITIVE);
                                 summary.teamDemands()
                                         .forEach(
                                                 (team, demand) -> {
@@ -69,23 +72,23 @@
                                                     output.writeDouble(demand.otherCpus());
                                                 });
                             });
-            output.writeVarInt(message.redirectedWorkers().size(), true);
+            output.writeVarInt(message.redirectedWorkers().size(), OPTIMIZE_POSITIVE);
             message.redirectedWorkers()
                     .forEach(
                             (shardNumber, workers) -> {
-                                output.writeVarInt(shardNumber, true);
-                                output.writeVarInt(workers, true);
+                                output.writeVarInt(shardNumber, OPTIMIZE_POSITIVE);
+                                output.writeVarInt(workers, OPTIMIZE_POSITIVE);
                             });
             writeTaskCounts(output, message.runningTasks());
             writeTaskCounts(output, message.completedTasks());
         }
 
         private static void writeTaskCounts(Output output, Map<String, Integer> counts) {
-            output.writeVarInt(counts.size(), true);
+            output.writeVarInt(counts.size(), OPTIMIZE_POSITIVE);
             counts.forEach(
                     (jobId, count) -> {
                         output.writeString(jobId);
-                        output.writeVarInt(count, true);
+                        output.writeVarInt(count, OPTIMIZE_POSITIVE);
                     });
         }
 
@@ -101,17 +104,20 @@
             Map<Integer, ShardSummary> shards = new HashMap<>();
             for (int i = readEntryCount(input); i > 0; i--) {
                 shards.put(
-                        input.readVarInt(true),
+                        input.readVarInt(OPTIMIZE_POSITIVE),
                         new ShardSummary(
                                 input.readDouble(),
-                                input.readVarInt(true),
-                                input.readVarInt(true),
+                                input.readVarInt(OPTIMIZE_POSITIVE),
+                                input.readVarInt(OPTIMIZE_POSITIVE),
                                 readDemands(input)));
             }
             Map<Integer, Integer> redirectedWorkers = new HashMap<>();
             for (int i = readEntryCount(input); i > 0; i--) {
-                redirectedWorkers.put(input.readVarInt(true), input.readVarInt(true));
+                redirectedWorkers.put(
+                        input.readVarInt(OPTIMIZE_POSITIVE), input.readVarInt(OPTIMIZE_POSITIVE));
             }
+            Map<String, Integer> runningTasks = readTaskCounts(input);
+            Map<String, Integer> completedTasks = readTaskCounts(input);
             return new GossipMessage(
                     senderHost,
                     sentWallMs,
@@ -119,8 +125,8 @@
                     uptimeS,
                     shards,
                     redirectedWorkers,
-                    readTaskCounts(input),
-                    readTaskCounts(input));
+                    runningTasks,
+                    completedTasks);
         }
 
         private static Map<String, TeamDemand> readDemands(Input input) {
@@ -135,13 +141,13 @@
         private static Map<String, Integer> readTaskCounts(Input input) {
             Map<String, Integer> counts = new HashMap<>();
             for (int i = readEntryCount(input); i > 0; i--) {
-                counts.put(input.readString(), input.readVarInt(true));
+                counts.put(input.readString(), input.readVarInt(OPTIMIZE_POSITIVE));
             }
             return counts;
         }
 
         private static int readEntryCount(Input input) {
-            int count = input.readVarInt(true);
+            int count = input.readVarInt(OPTIMIZE_POSITIVE);
             if (count < 0 || count > PeerConstants.MAX_PEER_MESSAGE_ENTRIES) {
                 throw new KryoException(
                         "a list or map of a gossip message must have 0 to "
--- a/src/main/java/org/shoreusher/peer/GossipTransport.java
+++ b/src/main/java/org/shoreusher/peer/GossipTransport.java
@@ -43,7 +43,7 @@
         this.loop = loop;
         this.settings = settings;
         this.core = core;
-        connections = new PeerConnections(loop, false);
+        connections = new PeerConnections(loop, /* sendsOnConnect= */ false);
     }
 
     /**
@@ -66,10 +66,11 @@
                                                         NetConstants.IDLE_CONNECTION_TIMEOUT_S),
                                                 new LengthFieldBasedFrameDecoder(
                                                         PeerConstants.MAX_PEER_MESSAGE_BYTES,
-                                                        0,
+                                                        /* lengthFieldOffset= */ 0,
                                                         PeerConstants.LENGTH_PREFIX_BYTES,
-                                                        0,
-                                                        PeerConstants.LENGTH_PREFIX_BYTES),
+                                                        /* lengthAdjustment= */ 0,
+                                                        /* initialBytesToStrip= */ PeerConstants
+                                                                .LENGTH_PREFIX_BYTES),
                                                 new FrameHandler());
                             }
                         })
--- a/src/main/java/org/shoreusher/peer/PeerConnections.java
+++ b/src/main/java/org/shoreusher/peer/PeerConnections.java
@@ -68,6 +68,7 @@
     private void connect(String host, Settings.Address address, byte[] message) {
         Optional<byte[]> firstMessage = sendsOnConnect ? Optional.of(message) : Optional.empty();
         if (firstMessages.put(host, firstMessage) != null) {
+            // A connection is already being opened; its first message has been replaced.
             return;
         }
         ChannelFuture connection = bootstrap.connect(address.ip(), address.port());
--- a/src/main/java/org/shoreusher/peer/StandbyCodec.java
+++ b/src/main/java/org/shoreusher/peer/StandbyCodec.java
@@ -32,6 +32,9 @@
     /** The version of the format, sent after the marker; other versions are rejected. */
     private static final int FORMAT_VERSION = 1;
 
+    /** Kryo's option for integers of variable length that are rarely negative. */
+    private static final boolean OPTIMIZE_POSITIVE = true;
+
     private static final int LOG_FRAME = 1;
     private static final int LOG_ACKNOWLEDGEMENT = 2;
 
@@ -59,12 +62,12 @@
         if (message instanceof LogFrame frame) {
             output.writeByte(LOG_FRAME);
             writeStream(output, frame.stream());
-            output.writeVarLong(frame.firstSequenceNumber(), true);
+            output.writeVarLong(frame.firstSequenceNumber(), OPTIMIZE_POSITIVE);
             writeRecords(output, frame.records());
         } else if (message instanceof LogAcknowledgement acknowledgement) {
             output.writeByte(LOG_ACKNOWLEDGEMENT);
             writeStream(output, acknowledgement.stream());
-            output.writeVarLong(acknowledgement.lastAppliedSequenceNumber(), true);
+            output.writeVarLong(acknowledgement.lastAppliedSequenceNumber(), OPTIMIZE_POSITIVE);
             output.writeBoolean(acknowledgement.accepted());
         }
         return output.toBytes();
@@ -79,7 +82,7 @@
             }
             int kind = input.readByte();
             LogStream stream = readStream(input);
-            long sequenceNumber = input.readVarLong(true);
+            long sequenceNumber = input.readVarLong(OPTIMIZE_POSITIVE);
             StandbyMessage message =
                     switch (kind) {
                         case LOG_FRAME -> new LogFrame(stream, sequenceNumber, readRecords(input));
@@ -97,20 +100,20 @@
     }
 
     private static void writeStream(Output output, LogStream stream) {
-        output.writeVarInt(stream.shardNumber(), true);
-        output.writeVarLong(stream.term(), true);
+        output.writeVarInt(stream.shardNumber(), OPTIMIZE_POSITIVE);
+        output.writeVarLong(stream.term(), OPTIMIZE_POSITIVE);
         output.writeString(stream.leader());
         output.writeString(stream.standby());
-        output.writeVarLong(stream.streamNumber(), true);
+        output.writeVarLong(stream.streamNumber(), OPTIMIZE_POSITIVE);
     }
 
     private static LogStream readStream(Input input) {
         return new LogStream(
-                input.readVarInt(true),
-                input.readVarLong(true),
+                input.readVarInt(OPTIMIZE_POSITIVE),
+                input.readVarLong(OPTIMIZE_POSITIVE),
                 readText(input),
                 readText(input),
-                input.readVarLong(true));
+                input.readVarLong(OPTIMIZE_POSITIVE));
     }
 
     private static String readText(Input input) {
@@ -134,9 +137,9 @@
                 addName(nameIndexes, names, ended.id().jobId());
             }
         }
-        output.writeVarInt(names.size(), true);
+        output.writeVarInt(names.size(), OPTIMIZE_POSITIVE);
         names.forEach(output::writeString);
-        output.writeVarInt(records.size(), true);
+        output.writeVarInt(records.size(), OPTIMIZE_POSITIVE);
         records.forEach(record -> writeRecord(output, nameIndexes, record));
     }
 
@@ -156,8 +159,8 @@
             Attempt attempt = started.attempt();
             output.writeByte(ATTEMPT_STARTED);
             writeId(output, nameIndexes, attempt.id());
-            output.writeVarInt(nameIndexes.getInt(attempt.machineId()), true);
-            output.writeVarInt(nameIndexes.getInt(attempt.team()), true);
+            output.writeVarInt(nameIndexes.getInt(attempt.machineId()), OPTIMIZE_POSITIVE);
+            output.writeVarInt(nameIndexes.getInt(attempt.team()), OPTIMIZE_POSITIVE);
             output.writeDouble(attempt.cpus());
             output.writeDouble(attempt.gpus());
             output.writeDouble(attempt.memGb());
@@ -175,14 +178,14 @@
 
     private static void writeId(
             Output output, Object2IntOpenHashMap<String> nameIndexes, AttemptId id) {
-        output.writeVarInt(nameIndexes.getInt(id.jobId()), true);
-        output.writeVarInt(id.taskIndex(), true);
-        output.writeVarLong(id.attemptNumber(), true);
+        output.writeVarInt(nameIndexes.getInt(id.jobId()), OPTIMIZE_POSITIVE);
+        output.writeVarInt(id.taskIndex(), OPTIMIZE_POSITIVE);
+        output.writeVarLong(id.attemptNumber(), OPTIMIZE_POSITIVE);
     }
 
     private static void writeChecksum(Output output, Checksum checksum) {
         output.writeLong(checksum.digest());
-        output.writeVarInt(checksum.size(), true);
+        output.writeVarInt(checksum.size(), OPTIMIZE_POSITIVE);
     }
 
     private static List<LogRecord> readRecords(Input input) {
@@ -214,8 +217,8 @@
     private static Attempt readAttempt(Input input, List<String> names) {
         return new Attempt(
                 readId(input, names),
-                names.get(input.readVarInt(true)),
-                names.get(input.readVarInt(true)),
+                names.get(input.readVarInt(OPTIMIZE_POSITIVE)),
+                names.get(input.readVarInt(OPTIMIZE_POSITIVE)),
                 input.readDouble(),
                 input.readDouble(),
                 input.readDouble());
@@ -223,15 +226,17 @@
 
     private static AttemptId readId(Input input, List<String> names) {
         return new AttemptId(
-                names.get(input.readVarInt(true)), input.readVarInt(true), input.readVarLong(true));
+                names.get(input.readVarInt(OPTIMIZE_POSITIVE)),
+                input.readVarInt(OPTIMIZE_POSITIVE),
+                input.readVarLong(OPTIMIZE_POSITIVE));
     }
 
     private static Checksum readChecksum(Input input) {
-        return new Checksum(input.readLong(), input.readVarInt(true));
+        return new Checksum(input.readLong(), input.readVarInt(OPTIMIZE_POSITIVE));
     }
 
     private static int readEntryCount(Input input) {
-        int count = input.readVarInt(true);
+        int count = input.readVarInt(OPTIMIZE_POSITIVE);
         if (count < 0 || count > PeerConstants.MAX_PEER_MESSAGE_ENTRIES) {
             throw new KryoException(
                     "a list of a standby message must have 0 to "
--- a/src/main/java/org/shoreusher/peer/StandbyTransport.java
+++ b/src/main/java/org/shoreusher/peer/StandbyTransport.java
@@ -11,8 +11,9 @@
 /**
  * Sends standby messages to other controllers, on connections separate from those of gossip: a
  * controller without the standby feature closes the connection on which it receives one, and no
- * gossip must be lost with that connection. Messages that cannot be sent immediately are dropped;
- * the leader then sends them again or abandons its standby.
+ * gossip must be lost with that connection. While a connection is being opened, only the latest
+ * message is kept; if the send buffer of a connection is full, the message is dropped. The leader
+ * sends a lost message again or abandons its standby.
  */
 public final class StandbyTransport {
     private final Map<String, Settings.Address> addresses = new HashMap<>();
@@ -23,7 +24,7 @@
     /** Creates a transport to the members in the settings. */
     public StandbyTransport(EventLoopGroup loop, Settings settings) {
         settings.members().forEach(member -> addresses.put(member.host(), member.address()));
-        connections = new PeerConnections(loop, true);
+        connections = new PeerConnections(loop, /* sendsOnConnect= */ true);
     }
 
     /** Sends a message to the controller of a host; does nothing if the host is not a member. */
--- a/src/main/java/org/shoreusher/settings/FeaturesFile.java
+++ b/src/main/java/org/shoreusher/settings/FeaturesFile.java
@@ -111,6 +111,7 @@
                                 settings,
                                 defaults.defaultBudget()));
         section.rejectUnknownKeys();
+        // A section that is not enabled is validated too.
         return enabled ? balance : null;
     }
 
@@ -134,6 +135,7 @@
                         section.integerOr(
                                 "most_attempts", 0, MAX_ATTEMPTS, defaults.maxAttempts()));
         section.rejectUnknownKeys();
+        // A section that is not enabled is validated too.
         return enabled ? standby : null;
     }
 
@@ -148,6 +150,10 @@
                 section.numberOr("repeated_share", 0, 1, defaults.maxRepeatedWorkShare()));
     }
 
+    /**
+     * The budgets of single job classes. A class does not inherit from the section {@code balance}:
+     * the {@code defaults} apply to the keys that it leaves out.
+     */
     private static Map<String, ClassBudget> budgets(
             FeatureSection classes, Settings settings, ClassBudget defaults)
             throws InvalidSettingsException {
--- a/src/main/java/org/shoreusher/settings/Settings.java
+++ b/src/main/java/org/shoreusher/settings/Settings.java
@@ -10,7 +10,7 @@
  * The validated settings file, which the platform provides. Unknown fields are ignored. If the file
  * announces future limits of the store ({@code state.next}), the stricter of the current and the
  * future limit applies from the start: the file does not state when the future limits take effect,
- * and records above them could then no longer be rewritten.
+ * and from then on, records above a future limit could no longer be rewritten.
  *
  * @param host name of this node
  * @param zone zone of this node
--- a/src/main/java/org/shoreusher/settings/SettingsParser.java
+++ b/src/main/java/org/shoreusher/settings/SettingsParser.java
@@ -15,6 +15,7 @@
 final class SettingsParser {
     private static final int DEFAULT_MAX_SOCKETS = 1_000;
     private static final int BYTES_PER_KB = 1024;
+    private static final double DEFAULT_DEADLINE_FACTOR = 1;
 
     private SettingsParser() {}
 
@@ -114,7 +115,7 @@
                             fields.textOr("class", ""),
                             fields.numberOr("within_s", Double.NaN),
                             fields.numberOr("share", Double.NaN),
-                            fields.numberOr("times", 1)));
+                            fields.numberOr("times", DEFAULT_DEADLINE_FACTOR)));
         }
         return List.copyOf(objectives);
     }
@@ -125,6 +126,7 @@
             throws InvalidSettingsException {
         double current = store.number(field);
         double announced = futureStore.numberOr(field, current);
+        // SettingsValidator rejects a current limit that is not above 0.
         if (announced <= 0 && futureStore.has(field)) {
             throw futureStore.invalid(
                     field, "must be above 0" + InvalidSettingsException.found(announced));
--- a/src/main/java/org/shoreusher/user/BodyAggregator.java
+++ b/src/main/java/org/shoreusher/user/BodyAggregator.java
@@ -16,9 +16,10 @@
 
     @Override
     protected void handleOversizedMessage(ChannelHandlerContext context, HttpMessage oversized) {
+        boolean keepAlive = false;
         ResponseWriter.writeError(
                 context,
-                false,
+                keepAlive,
                 HttpResponseStatus.BAD_REQUEST,
                 "the request body is longer than the limit of "
                         + FrontendConstants.MAX_REQUEST_BODY_BYTES
--- a/src/main/java/org/shoreusher/user/ConnectionTimeouts.java
+++ b/src/main/java/org/shoreusher/user/ConnectionTimeouts.java
@@ -74,7 +74,7 @@
 
     private void cancel() {
         if (timeout != null) {
-            timeout.cancel(false);
+            timeout.cancel(/* mayInterruptIfRunning= */ false);
         }
     }
 }
--- a/src/main/java/org/shoreusher/user/HttpFrontend.java
+++ b/src/main/java/org/shoreusher/user/HttpFrontend.java
@@ -114,6 +114,7 @@
 
     private void recordLatency(PendingRequest request) {
         long latencyUs = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - request.receivedAtNs());
+        // The histogram rejects values above its highest trackable value.
         userLatencyUs.recordValue(Math.min(userLatencyUs.getHighestTrackableValue(), latencyUs));
     }
 
--- a/src/main/java/org/shoreusher/user/RejectedRequestException.java
+++ b/src/main/java/org/shoreusher/user/RejectedRequestException.java
@@ -14,7 +14,7 @@
      * @param problem a sentence for the sender of the request
      */
     RejectedRequestException(HttpResponseStatus status, String problem) {
-        super(problem, null, false, false);
+        super(problem, null, /* enableSuppression= */ false, /* writableStackTrace= */ false);
         this.status = status;
     }
 
--- a/src/main/java/org/shoreusher/user/RequestDecoder.java
+++ b/src/main/java/org/shoreusher/user/RequestDecoder.java
@@ -93,12 +93,15 @@
             FieldMap fields = FieldMap.parseCbor(bytes(body));
             jobId = JobSpecFormat.readJobIdOrNull(fields);
             JobSpec spec = JobSpecFormat.readSubmission(fields);
-            return new Command.Submit(requestId, jobId, spec, null);
+            return new Command.Submit(requestId, jobId, spec, /* validationError= */ null);
         } catch (IOException e) {
             return new Command.Submit(
-                    requestId, null, null, "the request body must be exactly one CBOR map");
+                    requestId,
+                    /* jobId= */ null,
+                    /* spec= */ null,
+                    "the request body must be exactly one CBOR map");
         } catch (FieldMap.InvalidFieldException e) {
-            return new Command.Submit(requestId, jobId, null, e.getMessage());
+            return new Command.Submit(requestId, jobId, /* spec= */ null, e.getMessage());
         }
     }
 
--- a/src/main/java/org/shoreusher/user/RequestHandler.java
+++ b/src/main/java/org/shoreusher/user/RequestHandler.java
@@ -25,10 +25,10 @@
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
         if (!request.decoderResult().isSuccess()) {
-            timeouts.onRequestComplete(context, false);
+            timeouts.onRequestComplete(context, /* fromWorker= */ false);
             ResponseWriter.writeError(
                     context,
-                    false,
+                    /* keepAlive= */ false,
                     HttpResponseStatus.BAD_REQUEST,
                     "the request is not valid HTTP, or its request line or headers are too long");
             return;
--- a/src/main/java/org/shoreusher/wire/CloudFormat.java
+++ b/src/main/java/org/shoreusher/wire/CloudFormat.java
@@ -14,6 +14,10 @@
  * "presses", zones "yards", machines "boxes" and spot machines "loaners".
  */
 public final class CloudFormat {
+    private static final double DEFAULT_PRICE_PER_HOUR = 1;
+    private static final double DEFAULT_IMAGE_FETCH_GB_PER_S = 1;
+    private static final double DEFAULT_BOOT_S = 60;
+
     private CloudFormat() {}
 
     /** The HTTP request of a cloud operation. */
@@ -47,7 +51,7 @@
             throws FieldMap.InvalidFieldException {
         List<MachineType> types = new ArrayList<>();
         for (FieldMap type : reply.maps("presses")) {
-            double price = type.numberOr("rate", 1);
+            double onDemandPrice = type.numberOr("rate", DEFAULT_PRICE_PER_HOUR);
             types.add(
                     new MachineType(
                             type.text("sku"),
@@ -55,10 +59,10 @@
                             type.numberOr("gpus", 0),
                             type.number("mem_gb"),
                             type.numberOr("cache_gb", 0),
-                            type.numberOr("pull_gb_per_s", 1),
-                            price,
-                            type.numberOr("low_price", price),
-                            type.numberOr("ready_s", 60),
+                            type.numberOr("pull_gb_per_s", DEFAULT_IMAGE_FETCH_GB_PER_S),
+                            onDemandPrice,
+                            type.numberOr("low_price", onDemandPrice),
+                            type.numberOr("ready_s", DEFAULT_BOOT_S),
                             type.texts("yards")));
         }
         return types;
--- a/src/main/java/org/shoreusher/wire/FieldMap.java
+++ b/src/main/java/org/shoreusher/wire/FieldMap.java
@@ -44,7 +44,7 @@
          * @param message names the field and the allowed values
          */
         public InvalidFieldException(String message) {
-            super(message, null, false, false);
+            super(message, null, /* enableSuppression= */ false, /* writableStackTrace= */ false);
             problem = message;
         }
 
@@ -55,7 +55,11 @@
          * @param found what was found instead, for example "it is a list"
          */
         InvalidFieldException(String field, String problem, String found) {
-            super(field + " " + problem + ", but " + found, null, false, false);
+            super(
+                    field + " " + problem + ", but " + found,
+                    null,
+                    /* enableSuppression= */ false,
+                    /* writableStackTrace= */ false);
             this.problem = problem;
         }
 
--- a/src/main/java/org/shoreusher/wire/JobSpecFormat.java
+++ b/src/main/java/org/shoreusher/wire/JobSpecFormat.java
@@ -29,7 +29,7 @@
      * The fields that {@link #readStoredSpec} requires, and the one that distinguishes services
      * from batch jobs.
      */
-    private static final Set<String> REQUIRED_FIELDS =
+    private static final Set<String> MINIMAL_SPEC_FIELDS =
             Set.of(
                     "name_id",
                     "queue",
@@ -210,7 +210,7 @@
      */
     public static Map<String, Object> resourcesOnly(Map<String, Object> storedSpec) {
         Map<String, Object> reduced = new LinkedHashMap<>(storedSpec);
-        reduced.keySet().retainAll(REQUIRED_FIELDS);
+        reduced.keySet().retainAll(MINIMAL_SPEC_FIELDS);
         reduced.put("queue", "");
         reduced.put("plate", "");
         return reduced;
--- a/src/main/java/org/shoreusher/worker/WorkerClient.java
+++ b/src/main/java/org/shoreusher/worker/WorkerClient.java
@@ -13,6 +13,8 @@
  * pooled connections to hundreds of workers have exhausted the sockets of a node.
  */
 public final class WorkerClient {
+    private static final int MAX_IDLE_CONNECTIONS = 0;
+
     private final EventLoop loop;
     private int callsInFlight;
 
@@ -31,7 +33,7 @@
             return;
         }
         callsInFlight++;
-        new HttpCaller(loop, address.get(), 0)
+        new HttpCaller(loop, address.get(), MAX_IDLE_CONNECTIONS)
                 .call(
                         "/orders",
                         WorkerFormat.directOrders(
