--- a/src/main/java/org/shoreusher/cli/ClassArchiveRun.java
+++ b/src/main/java/org/shoreusher/cli/ClassArchiveRun.java
@@ -43,7 +43,8 @@
         try (JarFile jarFile = new JarFile(jar)) {
             for (JarEntry entry : (Iterable<JarEntry>) jarFile.stream()::iterator) {
                 if (entry.getName().endsWith(".class")) {
-                    Class.forName(className(entry), false, ClassArchiveRun.class.getClassLoader());
+                    ClassLoader loader = ClassArchiveRun.class.getClassLoader();
+                    Class.forName(className(entry), /* initialize= */ false, loader);
                 }
             }
         }
--- a/src/main/java/org/shoreusher/cli/Controller.java
+++ b/src/main/java/org/shoreusher/cli/Controller.java
@@ -123,7 +123,8 @@
     }
 
     /**
-     * Delay of the event loop in ms: that of the last tick, or of the next one if that is larger.
+     * Delay of the event loop in ms: by how much the last tick was late, or by how much the next
+     * one is overdue already if that is more.
      */
     private long eventLoopDelayMs() {
         return Math.max(
--- a/src/main/java/org/shoreusher/cli/ControllerSmokeCheck.java
+++ b/src/main/java/org/shoreusher/cli/ControllerSmokeCheck.java
@@ -32,6 +32,7 @@
     private static final long POLL_INTERVAL_MS = 50;
     private static final int BATCH_JOBS = 5;
     private static final int MACHINES = 50;
+    // The next two are report_s and lease_s of the settings below.
     private static final long HEARTBEAT_INTERVAL_MS = 300;
     private static final long WORKER_LEASE_MS = 2_000;
 
@@ -63,7 +64,8 @@
                     new TaskHistory());
     private final CloudStandIn cloud =
             new CloudStandIn(
-                    new CloudStandIn.MachineOffer(4, 8, 1, List.of("z")),
+                    new CloudStandIn.MachineOffer(
+                            /* cpus= */ 4, /* memoryGb= */ 8, /* fetchGbPerS= */ 1, List.of("z")),
                     MACHINES,
                     identity -> new WorkerStandIn(identity, environment));
     private final StandInServer cloudServer = new StandInServer(cloud::handle);
@@ -103,6 +105,7 @@
         String failedMachine = cloud.machineOf(REPLICA);
         cloud.removeMachine(failedMachine);
         System.out.println("machine removed: " + failedMachine);
+        // The removed machine has no tasks any more, so any machine found is another one.
         await("the replica runs on another machine", () -> cloud.machineOf(REPLICA) != null);
         cancel();
         await("the replica has ended", () -> cloud.machineOf(REPLICA) == null);
--- a/src/main/java/org/shoreusher/cli/Main.java
+++ b/src/main/java/org/shoreusher/cli/Main.java
@@ -160,7 +160,8 @@
         System.setProperty("org.slf4j.simpleLogger.log.shoreusher", logLevel);
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "error");
         System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
-        // One arena with chunks of 64 KiB is enough for hundreds of connections, and saves memory
+        // One arena with chunks of 64 KiB (pages of 8 KiB, order 3) is enough for hundreds of
+        // connections, and saves memory
         // on small machines.
         System.setProperty("io.netty.allocator.numHeapArenas", "1");
         System.setProperty("io.netty.allocator.numDirectArenas", "1");
--- a/src/main/java/org/shoreusher/measure/BalanceMeasurement.java
+++ b/src/main/java/org/shoreusher/measure/BalanceMeasurement.java
@@ -32,6 +32,7 @@
     private static final int MAX_MACHINES = 4_000;
     private static final int MAX_DURATION_S = 3_600;
     private static final double CPUS_PER_MACHINE = 8;
+    private static final double MEMORY_GB_PER_MACHINE = 64;
     private static final double FETCH_GB_PER_S = 0.5;
     private static final double HEARTBEAT_INTERVAL_S = 0.8;
     private static final double WORKER_LEASE_S = 10;
@@ -97,7 +98,7 @@
                 CONTROLLERS,
                 machines,
                 new CloudStandIn.MachineOffer(
-                        CPUS_PER_MACHINE, 64, FETCH_GB_PER_S, List.of("a", "b")),
+                        CPUS_PER_MACHINE, MEMORY_GB_PER_MACHINE, FETCH_GB_PER_S, List.of("a", "b")),
                 DoubledTeamLoad.teamCpuQuotas(machines * CPUS_PER_MACHINE),
                 HEARTBEAT_INTERVAL_S,
                 WORKER_LEASE_S,
--- a/src/main/java/org/shoreusher/measure/Cluster.java
+++ b/src/main/java/org/shoreusher/measure/Cluster.java
@@ -30,6 +30,8 @@
 final class Cluster implements AutoCloseable {
     private static final String LOOPBACK = "127.0.0.1";
     private static final long POLL_INTERVAL_MS = 50;
+    private static final double START_TIMEOUT_S = 30;
+    private static final double SUBMIT_TIMEOUT_S = 60;
 
     /**
      * Size of a deployment, and the settings of its controllers and workers.
@@ -37,7 +39,7 @@
      * @param controllerCount number of controllers
      * @param machineCount largest number of machines that the cloud provisions
      * @param offer properties of a machine
-     * @param teamCpuLimits quota of CPUs by team
+     * @param teamCpuQuotas quota of CPUs by team
      * @param heartbeatIntervalS heartbeat interval of the workers in s
      * @param workerLeaseS duration of the workers' leases in s
      * @param featuresFile features file of the controllers; null for none
@@ -108,7 +110,10 @@
         }
         for (int i = 0; i < clients.size(); i++) {
             ControllerClient client = clients.get(i);
-            await("controller " + i + " is ready", 30, () -> call(client, "/ready", null).isOk());
+            await(
+                    "controller " + i + " is ready",
+                    START_TIMEOUT_S,
+                    () -> call(client, "/ready", null).isOk());
         }
     }
 
@@ -128,7 +133,7 @@
         int[] nextClient = {0};
         await(
                 job.id() + " is accepted",
-                60,
+                SUBMIT_TIMEOUT_S,
                 () -> {
                     ControllerClient client = clients.get(nextClient[0]++ % clients.size());
                     return call(client, "/v2/runs", job.toBody()).isAccepted();
--- a/src/main/java/org/shoreusher/measure/FailoverMeasurement.java
+++ b/src/main/java/org/shoreusher/measure/FailoverMeasurement.java
@@ -37,6 +37,8 @@
     private static final int MAX_JOBS = 1_000;
     private static final double MAX_PARTITIONED_SHARE = 0.5;
     private static final double CPUS_PER_MACHINE = 4;
+    private static final double MEMORY_GB_PER_MACHINE = 8;
+    private static final double FETCH_GB_PER_S = 1;
 
     /** The team's quota as a share of all CPUs; the load always uses up the quota. */
     private static final double QUOTA_SHARE = 0.85;
@@ -86,7 +88,11 @@
             return new Cluster.Topology(
                     CONTROLLERS,
                     machines,
-                    new CloudStandIn.MachineOffer(CPUS_PER_MACHINE, 8, 1, List.of("a", "b")),
+                    new CloudStandIn.MachineOffer(
+                            CPUS_PER_MACHINE,
+                            MEMORY_GB_PER_MACHINE,
+                            FETCH_GB_PER_S,
+                            List.of("a", "b")),
                     Map.of("team", quotaCpus()),
                     HEARTBEAT_INTERVAL_S,
                     WORKER_LEASE_S,
@@ -145,10 +151,10 @@
         check();
     }
 
-    /** Waits until the team is at its quota and, with the standby on, the standby is in sync. */
+    /** Waits until the team is at its quota and the standby, if on, is in sync after sinceMs. */
     private void awaitQuotaAndSync(long sinceMs) throws InterruptedException {
         load.sustainUntil(
-                "the team is at its quota",
+                "the team is at its quota, and the standby is in sync if it is on",
                 () ->
                         cluster.history().runningCount() >= load.maxRunningTasks() * PLACED_SHARE
                                 && (!configuration.standby() || isStandbyInSync(sinceMs)));
--- a/src/main/java/org/shoreusher/measure/FleetMeasurement.java
+++ b/src/main/java/org/shoreusher/measure/FleetMeasurement.java
@@ -27,6 +27,10 @@
     private static final int TASKS_PER_JOB = 500;
     private static final int FAILOVERS = 2;
     private static final double CPUS_PER_MACHINE = 4;
+    private static final double MEMORY_GB_PER_MACHINE = 8;
+    private static final double FETCH_GB_PER_S = 1;
+    private static final double IMAGE_GB = 0.1;
+    private static final double IMAGE_FETCH_S = 0.1;
     private static final double RUN_TIME_S = 3_600;
     private static final double HEARTBEAT_INTERVAL_S = 5;
     private static final double WORKER_LEASE_S = 26.5;
@@ -49,11 +53,15 @@
                 new Cluster.Topology(
                         CONTROLLERS,
                         machines,
-                        new CloudStandIn.MachineOffer(CPUS_PER_MACHINE, 8, 1, List.of("a", "b")),
+                        new CloudStandIn.MachineOffer(
+                                CPUS_PER_MACHINE,
+                                MEMORY_GB_PER_MACHINE,
+                                FETCH_GB_PER_S,
+                                List.of("a", "b")),
                         Map.of("team", machines * CPUS_PER_MACHINE),
                         HEARTBEAT_INTERVAL_S,
                         WORKER_LEASE_S,
-                        null);
+                        /* featuresFile= */ null);
         try (Cluster cluster = new Cluster(topology)) {
             cluster.start();
             long startMs = ControllerProcess.nowMs();
@@ -84,8 +92,8 @@
                 "team",
                 tasks,
                 CPUS_PER_MACHINE / tasksPerMachine,
-                0.1,
-                new JobProfile("image", 0.1, RUN_TIME_S, 0, 0));
+                IMAGE_GB,
+                new JobProfile("image", IMAGE_FETCH_S, RUN_TIME_S, 0, 0));
     }
 
     /** Prints memory use of each controller, and CPU use of the leader, while nothing changes. */
--- a/src/main/java/org/shoreusher/measure/JobRequest.java
+++ b/src/main/java/org/shoreusher/measure/JobRequest.java
@@ -21,6 +21,8 @@
         double imageGb,
         JobProfile profile) {
 
+    private static final double MEMORY_GB_PER_TASK = 0.5;
+
     /** The body of the submission. */
     Map<String, Object> toBody() {
         Map<String, Object> body = new LinkedHashMap<>();
@@ -32,7 +34,7 @@
         body.put("sheets", (long) taskCount);
         body.put("cpus", cpus);
         body.put("gpus", 0.0);
-        body.put("mem_gb", 0.5);
+        body.put("mem_gb", MEMORY_GB_PER_TASK);
         body.put("plate", profile.image());
         body.put("size_gb", imageGb);
         body.put("one_zone", false);
--- a/src/main/java/org/shoreusher/measure/LoadSkewSampler.java
+++ b/src/main/java/org/shoreusher/measure/LoadSkewSampler.java
@@ -13,6 +13,9 @@
     private static final double MS_PER_S = 1_000;
     private static final int SIGNIFICANT_DIGITS = 2;
 
+    /** Required by the load model, but without effect on the skew. */
+    private static final double FETCH_GB_PER_S = 1;
+
     private final String team;
     private final double margin;
     private final double bound;
@@ -23,7 +26,9 @@
 
     /** The longest uninterrupted time for which a condition has been true. */
     private static final class LongestPeriod {
+        /** Start of the current period; -1 while the condition is false. */
         private long sinceMs = -1;
+
         private long longestMs;
 
         void sample(boolean holds, long nowMs) {
@@ -52,7 +57,7 @@
         Map<String, Double> used = new HashMap<>();
         for (WorkerStandIn worker : machines.workers()) {
             String id = worker.identity().id();
-            load.addMachine(id, worker.identity().zone(), machineCpus, 1);
+            load.addMachine(id, worker.identity().zone(), machineCpus, FETCH_GB_PER_S);
             for (String task : worker.activeTasks()) {
                 JobRequest job = jobs.get(task.substring(0, task.indexOf('/')));
                 load.addTask(id, job.team(), job.cpus(), job.profile().image());
@@ -63,6 +68,7 @@
         skews.recordValue(Math.round(Math.min(1, latest) * SKEW_SCALE));
         long nowMs = ControllerProcess.nowMs();
         aboveBound.sample(latest > bound, nowMs);
+        // The most CPUs that the team may use on a machine that can take one more of its tasks.
         double maxTeamCpus =
                 (load.meanShare(team) + margin) * machineCpus - DoubledTeamLoad.TASK_CPUS;
         boolean hasFreeCapacity =
--- a/src/main/java/org/shoreusher/measure/RunCommand.java
+++ b/src/main/java/org/shoreusher/measure/RunCommand.java
@@ -34,6 +34,7 @@
             words.remove(flagIndex);
         }
         if (features != null) {
+            // The last word is the flag whose value, the settings file, is appended.
             words.add(words.size() - 1, FEATURES_FLAG);
             words.add(words.size() - 1, features.toString());
         }
--- a/src/main/java/org/shoreusher/measure/SustainedLoad.java
+++ b/src/main/java/org/shoreusher/measure/SustainedLoad.java
@@ -9,7 +9,8 @@
 /** Submits jobs so that a team is always at its quota and has a backlog of pending tasks. */
 final class SustainedLoad {
     private static final double TASK_CPUS = 2;
-    private static final double RUN_TIME_S = 12;
+    private static final double MEAN_RUN_TIME_S = 12;
+    private static final double NO_CHECKPOINTS = 0;
     private static final double IMAGE_GB = 0.1;
     private static final double IMAGE_FETCH_S = 0.1;
 
@@ -65,7 +66,8 @@
     }
 
     private JobRequest nextJob() {
-        double runTimeS = RUN_TIME_S * (0.5 + random.nextDouble());
+        // From half to one and a half times the mean.
+        double runTimeS = MEAN_RUN_TIME_S * (0.5 + random.nextDouble());
         return new JobRequest(
                 String.format("wk-%06d", jobs.size() + 1),
                 "c",
@@ -73,7 +75,7 @@
                 tasksPerJob,
                 TASK_CPUS,
                 IMAGE_GB,
-                new JobProfile("image", IMAGE_FETCH_S, runTimeS, 0, 0));
+                new JobProfile("image", IMAGE_FETCH_S, runTimeS, NO_CHECKPOINTS, 0));
     }
 
     /** Maintains the backlog for a duration. */
--- a/src/main/java/org/shoreusher/standin/CloudStandIn.java
+++ b/src/main/java/org/shoreusher/standin/CloudStandIn.java
@@ -25,7 +25,9 @@
     /** The workers by machine id. */
     private final TreeMap<String, WorkerStandIn> machines = new TreeMap<>();
 
-    private final TreeMap<String, List<Object>> machinesByRequest = new TreeMap<>();
+    /** By the name of the request, so that a repeated request gets the same machines. */
+    private final TreeMap<String, List<Object>> machineIdsByRequest = new TreeMap<>();
+
     private final MachineOffer offer;
     private final int capacity;
     private final Function<WorkerStandIn.Identity, WorkerStandIn> workerFactory;
@@ -81,14 +83,14 @@
 
     private Response provision(FieldMap body) throws FieldMap.InvalidFieldException {
         String name = body.text("hire");
-        if (!machinesByRequest.containsKey(name)) {
+        if (!machineIdsByRequest.containsKey(name)) {
             long count = Math.min(body.integer("number"), capacity - machines.size());
             if (count <= 0) {
                 return new Response(503, Map.of("error", "no capacity"));
             }
-            machinesByRequest.put(name, start(count, body.text("yard"), body.flag("loaners")));
+            machineIdsByRequest.put(name, start(count, body.text("yard"), body.flag("loaners")));
         }
-        return Response.ok(Map.of("boxes", machinesByRequest.get(name)));
+        return Response.ok(Map.of("boxes", machineIdsByRequest.get(name)));
     }
 
     private List<Object> start(long count, String zone, boolean spot) {
--- a/src/main/java/org/shoreusher/standin/ControllerClient.java
+++ b/src/main/java/org/shoreusher/standin/ControllerClient.java
@@ -60,6 +60,7 @@
                                                 response.complete(
                                                         new Response(status, responseBody))));
         try {
+            // The caller's timeout starts only when the connection is open.
             return response.get(2 * TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (ExecutionException | TimeoutException e) {
             return Response.NONE;
--- a/src/main/java/org/shoreusher/standin/StandInServer.java
+++ b/src/main/java/org/shoreusher/standin/StandInServer.java
@@ -92,7 +92,7 @@
 
     @Override
     public void close() {
-        server.stop(0);
+        server.stop(/* delayS= */ 0);
         threads.shutdownNow();
     }
 }
--- a/src/main/java/org/shoreusher/standin/StandInTask.java
+++ b/src/main/java/org/shoreusher/standin/StandInTask.java
@@ -20,9 +20,15 @@
     final long attempt;
     final JobProfile profile;
     State state = State.FETCHING;
+
+    /** Null until the task has exited. */
     String exitCause;
+
     boolean checkpointSaved;
+
+    /** The progress that earlier attempts had checkpointed, in s. */
     double initialProgressS;
+
     long runningSinceNs;
 
     StandInTask(String name, long attempt, JobProfile profile) {
@@ -41,7 +47,7 @@
         return initialProgressS + (System.nanoTime() - runningSinceNs) / 1e9;
     }
 
-    /** Progress in s that is saved by periodic checkpoints. */
+    /** Progress in s that periodic checkpoints have saved; 0 if the task has none. */
     double checkpointedS() {
         return profile.checkpointIntervalS() <= 0
                 ? 0
--- a/src/main/java/org/shoreusher/standin/StandInTasks.java
+++ b/src/main/java/org/shoreusher/standin/StandInTasks.java
@@ -142,6 +142,10 @@
         }
     }
 
+    /**
+     * Stops a task, after a checkpoint if the grace period is long enough for one. An order without
+     * a grace period also interrupts a checkpoint.
+     */
     private void stop(StandInTask task, double gracePeriodS) {
         if (task.state == StandInTask.State.RUNNING
                 && task.profile.checkpointIntervalS() > 0
--- a/src/main/java/org/shoreusher/standin/StoreStandIn.java
+++ b/src/main/java/org/shoreusher/standin/StoreStandIn.java
@@ -53,6 +53,7 @@
     private Response transaction(FieldMap body) throws FieldMap.InvalidFieldException {
         List<Object> failed = new ArrayList<>();
         for (FieldMap guard : body.maps("guards")) {
+            // A precondition with version 0 requires that the key does not exist.
             Entry entry = entries.get(guard.text("k"));
             if (guard.integer("stamp") != (entry == null ? 0 : entry.version())) {
                 failed.add(guard.text("k"));
@@ -86,6 +87,7 @@
     private Response watch(Map<String, String> query) throws InterruptedException {
         long after = Long.parseLong(query.get("after"));
         long deadlineMs = System.currentTimeMillis() + Long.parseLong(query.get("block_ms"));
+        // The first pass computes the actual time; 1 only lets it begin.
         for (long remainingMs = 1; revision <= after && remainingMs > 0; ) {
             remainingMs = deadlineMs - System.currentTimeMillis();
             if (remainingMs > 0) {
@@ -93,11 +95,11 @@
             }
         }
         List<Object> events = new ArrayList<>();
-        int firstChange = changes.size();
-        while (firstChange > 0 && changes.get(firstChange - 1).revision() > after) {
-            firstChange--;
+        int firstNewIndex = changes.size();
+        while (firstNewIndex > 0 && changes.get(firstNewIndex - 1).revision() > after) {
+            firstNewIndex--;
         }
-        changes.subList(firstChange, changes.size()).forEach(change -> events.add(event(change)));
+        changes.subList(firstNewIndex, changes.size()).forEach(change -> events.add(event(change)));
         return Response.ok(Map.of("ledger", revision, "log", events));
     }
 
--- a/src/main/java/org/shoreusher/standin/TaskHistory.java
+++ b/src/main/java/org/shoreusher/standin/TaskHistory.java
@@ -15,8 +15,8 @@
  * machines at once. Thread-safe.
  */
 public final class TaskHistory {
-    private final Map<String, String> machines = new HashMap<>();
-    private final Map<String, Double> checkpointedS = new HashMap<>();
+    private final Map<String, String> machineByTask = new HashMap<>();
+    private final Map<String, Double> checkpointedSByTask = new HashMap<>();
     private final Map<String, Double> repeatedWorkSByJob = new HashMap<>();
     private final Map<String, Long> firstStartMsByTask = new HashMap<>();
     private final Set<String> completed = new HashSet<>();
@@ -31,12 +31,12 @@
         long nowMs = System.nanoTime() / 1_000_000;
         startTimesMs.add(nowMs);
         firstStartMsByTask.putIfAbsent(task, nowMs);
-        String previousMachine = machines.put(task, machine);
+        String previousMachine = machineByTask.put(task, machine);
         if (previousMachine != null) {
             violations.add(
                     task + " started on " + machine + " while running on " + previousMachine);
         }
-        return checkpointedS.getOrDefault(task, 0.0);
+        return checkpointedSByTask.getOrDefault(task, 0.0);
     }
 
     /**
@@ -45,15 +45,15 @@
      */
     synchronized void recordEnd(
             String task, String machine, double progressS, double checkpointedProgressS) {
-        machines.remove(task, machine);
-        checkpointedS.merge(task, checkpointedProgressS, Math::max);
+        machineByTask.remove(task, machine);
+        checkpointedSByTask.merge(task, checkpointedProgressS, Math::max);
         repeatedWorkSByJob.merge(
                 jobOf(task), Math.max(0, progressS - checkpointedProgressS), Double::sum);
     }
 
     /** Records that a task has completed. */
     synchronized void recordCompletion(String task, String machine) {
-        machines.remove(task, machine);
+        machineByTask.remove(task, machine);
         completed.add(task);
     }
 
@@ -68,12 +68,12 @@
 
     /** Number of running tasks. */
     public synchronized int runningCount() {
-        return machines.size();
+        return machineByTask.size();
     }
 
     /** Number of running tasks on the machines that match. */
     public synchronized int runningCountOn(Predicate<String> matches) {
-        return (int) machines.values().stream().filter(matches).count();
+        return (int) machineByTask.values().stream().filter(matches).count();
     }
 
     /** Time of the first start of each task, as {@link System#nanoTime} in ms. */
--- a/src/main/java/org/shoreusher/standin/WorkerStandIn.java
+++ b/src/main/java/org/shoreusher/standin/WorkerStandIn.java
@@ -25,6 +25,7 @@
     private static final double INTERVAL_JITTER_SHARE = 0.25;
     private static final int MAX_IDLE_CONNECTIONS = 1;
     private static final int STATUS_MISDIRECTED = 421;
+    private static final double NS_PER_MS = 1e6;
 
     /** A machine's id, type and zone, and whether it is a spot machine. */
     public record Identity(String id, String type, String zone, boolean spot) {}
@@ -183,12 +184,12 @@
             return;
         }
         caller().closeIdleConnections();
-        int redirect =
+        int redirectIndex =
                 status == STATUS_MISDIRECTED && body != null
                         ? hosts.indexOf(body.get("foreman"))
                         : -1;
-        if (redirect >= 0 && redirect != controllerIndex) {
-            controllerIndex = redirect;
+        if (redirectIndex >= 0 && redirectIndex != controllerIndex) {
+            controllerIndex = redirectIndex;
             schedule(random.nextInt((int) MIN_HEARTBEAT_INTERVAL_MS), this::sendHeartbeat);
         } else {
             controllerIndex = (controllerIndex + 1) % hosts.size();
@@ -208,7 +209,7 @@
     private void scheduleEarlyHeartbeat() {
         hasUnreportedChange = true;
         if (!heartbeatInFlight) {
-            double sinceMs = (System.nanoTime() - lastHeartbeatNs) / 1e6;
+            double sinceMs = (System.nanoTime() - lastHeartbeatNs) / NS_PER_MS;
             scheduleUnlessSent(Math.max(0, MIN_HEARTBEAT_INTERVAL_MS - sinceMs));
         }
     }
@@ -242,6 +243,7 @@
 
     private void onAccepted(FieldMap response, long sentNs, long heartbeatIncarnation) {
         try {
+            // Ignores a response to a previous incarnation, or one with a lower fencing token.
             if (heartbeatIncarnation != incarnation || response.integer("baton") < fencingToken) {
                 return;
             }
