--- a/src/main/java/org/shoreusher/balance/BalanceSettings.java
+++ b/src/main/java/org/shoreusher/balance/BalanceSettings.java
@@ -44,7 +44,17 @@
     /** Defaults of the settings that a features file leaves out. */
     public static final BalanceSettings DEFAULTS =
             new BalanceSettings(
-                    0.25, 0.05, 0.2, 8, 4, 4, 15, 2, new ClassBudget(1, 0.02), Map.of());
+                    /* skewMargin= */ 0.25,
+                    /* hysteresis= */ 0.05,
+                    /* highDemandShare= */ 0.2,
+                    /* maxConcurrentMigrations= */ 8,
+                    /* maxMigrationsPerTeam= */ 4,
+                    /* maxMigrationsPerZone= */ 4,
+                    /* cooldownS= */ 15,
+                    /* minGainFactor= */ 2,
+                    new ClassBudget(
+                            /* maxMigrationsPerTask= */ 1, /* maxRepeatedWorkShare= */ 0.02),
+                    /* budgetsByClass= */ Map.of());
 
     /** Returns the budget of a job class, or the default budget if it has none of its own. */
     public ClassBudget budget(String jobClass) {
--- a/src/main/java/org/shoreusher/balance/BalanceStatistics.java
+++ b/src/main/java/org/shoreusher/balance/BalanceStatistics.java
@@ -35,11 +35,11 @@
     /**
      * Counts a task that has started at its target.
      *
-     * @param afterMs ms since its migration began
+     * @param durationMs ms from the beginning of its migration to its start
      */
-    void recordStarted(long afterMs) {
+    void recordStarted(long durationMs) {
         started++;
-        migrationMs.recordValue(Math.min(MAX_DURATION_MS, Math.max(0, afterMs)));
+        migrationMs.recordValue(Math.min(MAX_DURATION_MS, Math.max(0, durationMs)));
     }
 
     /** Counts a migration whose task completed before it was stopped. */
--- a/src/main/java/org/shoreusher/balance/Balancer.java
+++ b/src/main/java/org/shoreusher/balance/Balancer.java
@@ -18,8 +18,10 @@
     /**
      * The timeouts of a migration, which depend on the deployment's settings.
      *
-     * @param sourceStopMs ms within which the task must have left its source
-     * @param targetStartMs ms after that within which it must have started at its target
+     * @param sourceStopMs ms from the beginning of the migration within which the task must have
+     *     left its source
+     * @param targetStartMs ms from the time at which the task left its source within which it must
+     *     have started at its target
      */
     public record Timeouts(long sourceStopMs, long targetStartMs) {}
 
@@ -35,14 +37,14 @@
     private final Map<TaskId, Migration> migrations = new LinkedHashMap<>();
 
     /**
-     * Machines from which no task is migrated until the given time, because a migration to them has
-     * just ended.
+     * By machine id, the time until which no task is migrated from the machine, because a migration
+     * to it has just ended.
      */
     private final Map<String, Long> sourceCooldownUntilMs = new HashMap<>();
 
     /**
-     * Machines to which no task is migrated until the given time, because a migration from them has
-     * just ended.
+     * By machine id, the time until which no task is migrated to the machine, because a migration
+     * from it has just ended.
      */
     private final Map<String, Long> targetCooldownUntilMs = new HashMap<>();
 
@@ -82,13 +84,13 @@
 
     /**
      * Returns the most CPUs that a team may use on a machine while other machines have capacity: at
-     * least those of one task, and infinite if the machine is unknown or the team is not a
+     * least the CPUs of one task; infinite if the machine is unknown or the team is not a
      * high-demand team.
      *
      * @param taskCpus CPUs of one task
-     * @param fetchShare share of the machine's CPUs by which the limit is raised: the share of a
-     *     task's time that fetching its image elsewhere would take if the machine has the image, or
-     *     0
+     * @param fetchShare share of the machine's CPUs by which the limit is raised because the
+     *     machine has the task's image: the share of a task's time that fetching the image
+     *     elsewhere would take; 0 for no raise
      */
     public double maxTeamCpus(String machine, String team, double taskCpus, double fetchShare) {
         MachineLoad machineLoad = load.machineLoad(machine);
@@ -247,7 +249,7 @@
     public void abandon(Migration migration, Migration.Reason reason, long nowMs) {
         if (migration.state() == Migration.State.STOPPING) {
             // The stop order is not withdrawn, so the work since the task's last checkpoint may
-            // still be lost.
+            // still be lost. In later states the cost was settled when the task left its source.
             settleCost(migration, migration.task().unsavedS());
         }
         migration.abandon(reason);
@@ -266,6 +268,7 @@
                         : Migration.Reason.TARGET_UNRESPONSIVE);
     }
 
+    /** Records the cost of a migration: seconds of work to repeat. Called once per migration. */
     private void settleCost(Migration migration, double repeatedS) {
         budget.settle(migration.task(), repeatedS);
         statistics.recordRepeatedWork(repeatedS);
@@ -273,8 +276,10 @@
 
     private void finish(Migration migration, long nowMs) {
         migrations.remove(migration.task().id());
-        long untilMs = nowMs + Math.round(settings.cooldownS() * 1_000);
-        targetCooldownUntilMs.put(migration.task().machine(), untilMs);
-        sourceCooldownUntilMs.put(migration.target(), untilMs);
+        // Until the cooldown ends, the source accepts no migrated task and the target gives up
+        // none.
+        long cooldownUntilMs = nowMs + Math.round(settings.cooldownS() * 1_000);
+        targetCooldownUntilMs.put(migration.task().machine(), cooldownUntilMs);
+        sourceCooldownUntilMs.put(migration.target(), cooldownUntilMs);
     }
 }
--- a/src/main/java/org/shoreusher/balance/LoadModel.java
+++ b/src/main/java/org/shoreusher/balance/LoadModel.java
@@ -39,53 +39,53 @@
      * @param fetchGbPerS rate of image fetches in GB/s; if it is not positive, fetches count as
      *     free
      */
-    public void addMachine(String id, String zone, double machineCpus, double fetchGbPerS) {
-        if (machines.containsKey(id) || machineCpus <= 0) {
+    public void addMachine(String machineId, String zone, double machineCpus, double fetchGbPerS) {
+        if (machines.containsKey(machineId) || machineCpus <= 0) {
             return;
         }
-        machines.put(id, new MachineLoad(id, zone, machineCpus, fetchGbPerS));
-        machineOrder.add(id);
+        machines.put(machineId, new MachineLoad(machineId, zone, machineCpus, fetchGbPerS));
+        machineOrder.add(machineId);
         totalCpus += machineCpus;
     }
 
     /** Removes a machine with its tasks; does nothing if it is unknown. */
-    public void removeMachine(String id) {
-        MachineLoad machine = machines.remove(id);
+    public void removeMachine(String machineId) {
+        MachineLoad machine = machines.remove(machineId);
         if (machine == null) {
             return;
         }
-        machineOrder.remove(id);
+        machineOrder.remove(machineId);
         totalCpus -= machine.cpus();
         for (String name : machine.teams()) {
             TeamLoad team = teams.get(name);
-            team.machines.remove(id);
+            team.machines.remove(machineId);
             team.cpus -= machine.teamCpus(name);
         }
     }
 
     /** Adds a task that is or may be on a machine. Unknown machines are ignored. */
-    public void addTask(String id, String team, double taskCpus, String image) {
-        MachineLoad machine = machines.get(id);
+    public void addTask(String machineId, String team, double taskCpus, String image) {
+        MachineLoad machine = machines.get(machineId);
         if (machine == null) {
             return;
         }
         machine.addTask(team, taskCpus, image);
         TeamLoad load = teams.computeIfAbsent(team, name -> new TeamLoad());
-        load.machines.add(id);
+        load.machines.add(machineId);
         load.cpus += taskCpus;
     }
 
     /** Removes a task that is certainly no longer on a machine. Unknown machines are ignored. */
-    public void removeTask(String id, String team, double taskCpus) {
-        MachineLoad machine = machines.get(id);
+    public void removeTask(String machineId, String team, double taskCpus) {
+        MachineLoad machine = machines.get(machineId);
         TeamLoad load = teams.get(team);
-        if (machine == null || load == null || !load.machines.contains(id)) {
+        if (machine == null || load == null || !load.machines.contains(machineId)) {
             return;
         }
         machine.removeTask(team, taskCpus);
         load.cpus -= taskCpus;
         if (!machine.hasTeam(team)) {
-            load.machines.remove(id);
+            load.machines.remove(machineId);
         }
     }
 
@@ -101,8 +101,8 @@
     }
 
     /** Returns the CPUs that a team uses on one machine; 0 for an unknown team or machine. */
-    public double teamCpusOn(String id, String team) {
-        MachineLoad machine = machines.get(id);
+    public double teamCpusOn(String machineId, String team) {
+        MachineLoad machine = machines.get(machineId);
         return machine == null ? 0 : machine.teamCpus(team);
     }
 
@@ -114,8 +114,8 @@
     /** Returns the skew of a team, which the class comment defines. */
     public double skew(String team) {
         double maxShare = 0;
-        for (String id : machinesOf(team)) {
-            maxShare = Math.max(maxShare, machines.get(id).shareBeyondOneTask(team));
+        for (String machineId : machinesOf(team)) {
+            maxShare = Math.max(maxShare, machines.get(machineId).shareBeyondOneTask(team));
         }
         return Math.max(0, maxShare - meanShare(team));
     }
@@ -132,8 +132,8 @@
     }
 
     /** Returns the load of a machine; null if it is unknown. */
-    MachineLoad machineLoad(String id) {
-        return machines.get(id);
+    MachineLoad machineLoad(String machineId) {
+        return machines.get(machineId);
     }
 
     int machineCount() {
--- a/src/main/java/org/shoreusher/balance/MachineLoad.java
+++ b/src/main/java/org/shoreusher/balance/MachineLoad.java
@@ -9,15 +9,15 @@
 /** The load of one machine by team, and the images that its tasks have used. */
 final class MachineLoad {
     /**
-     * The usage of the machine by one team. Task sizes are kept because the largest task does not
-     * count as skew.
+     * The usage of the machine by one team. Task taskCountByCpus are kept because the largest task
+     * does not count as skew.
      */
     private static final class TeamUsage {
         /** CPUs that the team's tasks use, in total. */
         private double cpus;
 
         /** Number of tasks by CPUs per task. */
-        private final TreeMap<Double, Integer> sizes = new TreeMap<>();
+        private final TreeMap<Double, Integer> taskCountByCpus = new TreeMap<>();
     }
 
     private final String id;
@@ -51,7 +51,7 @@
     void addTask(String team, double taskCpus, String image) {
         TeamUsage usage = teams.computeIfAbsent(team, name -> new TeamUsage());
         usage.cpus += taskCpus;
-        usage.sizes.merge(taskCpus, 1, Integer::sum);
+        usage.taskCountByCpus.merge(taskCpus, 1, Integer::sum);
         images.add(image);
     }
 
@@ -62,8 +62,9 @@
             return;
         }
         usage.cpus -= taskCpus;
-        usage.sizes.computeIfPresent(taskCpus, (size, count) -> count > 1 ? count - 1 : null);
-        if (usage.sizes.isEmpty()) {
+        usage.taskCountByCpus.computeIfPresent(
+                taskCpus, (cpusPerTask, count) -> count > 1 ? count - 1 : null);
+        if (usage.taskCountByCpus.isEmpty()) {
             teams.remove(team);
         }
     }
@@ -77,7 +78,7 @@
     /** Returns the share of the machine's CPUs that the team's tasks except the largest use. */
     double shareBeyondOneTask(String team) {
         TeamUsage usage = teams.get(team);
-        return usage == null ? 0 : Math.max(0, usage.cpus - usage.sizes.lastKey()) / cpus;
+        return usage == null ? 0 : Math.max(0, usage.cpus - usage.taskCountByCpus.lastKey()) / cpus;
     }
 
     boolean hasTeam(String team) {
--- a/src/main/java/org/shoreusher/balance/MigrationPlanner.java
+++ b/src/main/java/org/shoreusher/balance/MigrationPlanner.java
@@ -31,12 +31,14 @@
         /** Whether the task may be migrated: it is not being migrated, and its budget allows it. */
         boolean canMigrate(MigratableTask task);
 
-        /** Whether tasks may leave the machine: none is being or was recently migrated to it. */
+        /**
+         * Whether tasks may leave the machine: no migration to it is in progress or ended recently.
+         */
         boolean canLeave(String machine);
 
         /**
-         * Whether tasks may be migrated to the machine: none is being or was recently migrated from
-         * it.
+         * Whether tasks may be migrated to the machine: no migration from it is in progress or
+         * ended recently.
          */
         boolean canEnter(String machine);
 
@@ -78,8 +80,9 @@
     }
 
     /**
-     * Selects migrations of a team; none if its skew is within the margin and the hysteresis. Each
-     * begins immediately, so that the next selection takes it into account.
+     * Selects migrations of a team, at most one from each source and to each target; none unless
+     * the skew exceeds the margin by more than the hysteresis. Each migration begins immediately,
+     * so that the next selection takes it into account.
      */
     void beginMigrations(String team, SchedulerView scheduler, MigrationLimits limits) {
         double shareLimit = load.meanShare(team) + settings.skewMargin();
@@ -100,7 +103,11 @@
         }
     }
 
-    /** Returns at most {@link #MAX_SOURCES} machines above the limit, the largest share first. */
+    /**
+     * Returns at most {@link #MAX_SOURCES} machines of which the team, without its largest task and
+     * the tasks being stopped to migrate, uses a larger share than the limit; the largest share,
+     * with the tasks being stopped, first.
+     */
     private List<MachineLoad> sources(String team, double shareLimit, MigrationLimits limits) {
         List<MachineLoad> sources = new ArrayList<>();
         for (String id : load.machinesOf(team)) {
@@ -118,8 +125,8 @@
     }
 
     /**
-     * Returns the next {@link #MAX_TARGETS} machines in round-robin order, sorted by the team's
-     * share after the migrations in progress, smallest first.
+     * Returns the next machines in round-robin order, at most {@link #MAX_TARGETS}, sorted by the
+     * team's projected share, smallest first.
      */
     private List<MachineLoad> targets(String team, MigrationLimits limits) {
         List<MachineLoad> targets = new ArrayList<>();
@@ -136,6 +143,7 @@
         return targets;
     }
 
+    /** Returns the team's share of the machine after the migrations to it that are in progress. */
     private static double projectedShare(MachineLoad machine, String team, MigrationLimits limits) {
         return (machine.teamCpus(team) + limits.incomingCpus(machine.id(), team)) / machine.cpus();
     }
