--- a/src/main/java/org/shoreusher/core/schedule/BalancerInput.java
+++ b/src/main/java/org/shoreusher/core/schedule/BalancerInput.java
@@ -73,8 +73,9 @@
     }
 
     /**
-     * Whether a task may be migrated: it is the current attempt, is not being stopped, writes
-     * checkpoints, has run long enough for its start to count, and its job is preemptible.
+     * Whether a task may be migrated: the attempt is the task's current one and is not being
+     * stopped, the task writes checkpoints and has run long enough for its start to count for the
+     * objectives, and its job is preemptible.
      */
     private boolean isMigratable(TaskAttempt attempt) {
         Job job = attempt.job();
@@ -100,6 +101,8 @@
     private MigratableTask toMigratableTask(TaskAttempt attempt) {
         JobSpec spec = attempt.job().spec();
         double runningS = attempt.runningMs(outbox.now().monotonicMs()) / 1000.0;
+        double remainingS = runTimeEstimates.expectedRunS(attempt.job()) - runningS;
+        double unsavedS = Math.min(spec.checkpointIntervalS(), runningS);
         return new MigratableTask(
                 new TaskId(attempt.job().id(), attempt.taskIndex()),
                 spec.jobClass(),
@@ -108,8 +111,8 @@
                 spec.image(),
                 spec.imageGb(),
                 attempt.machine().id(),
-                runTimeEstimates.expectedRunS(attempt.job()) - runningS,
-                Math.min(spec.checkpointIntervalS(), runningS),
+                remainingS,
+                unsavedS,
                 spec.checkpointDurationS());
     }
 
--- a/src/main/java/org/shoreusher/core/schedule/BalancerSpreadLimit.java
+++ b/src/main/java/org/shoreusher/core/schedule/BalancerSpreadLimit.java
@@ -4,7 +4,7 @@
 import org.shoreusher.core.cluster.Machine;
 import org.shoreusher.core.message.JobSpec;
 
-/** Limits the load of high-demand teams on a machine as the balancer computes it. */
+/** The limit that the balancer computes; only high-demand teams are limited. */
 final class BalancerSpreadLimit implements SpreadLimit {
     private final Balancer balancer;
 
--- a/src/main/java/org/shoreusher/core/schedule/BinPacker.java
+++ b/src/main/java/org/shoreusher/core/schedule/BinPacker.java
@@ -186,15 +186,18 @@
         if (!capacity.isProvisioned() || spec.cpus() <= 0 || pass == SpreadPass.UNLIMITED) {
             return Integer.MAX_VALUE;
         }
-        double allowed = spreadLimit.maxTeamCpus(capacity.machine(), spec, pass);
-        if (Double.isInfinite(allowed)) {
+        double allowedCpus = spreadLimit.maxTeamCpus(capacity.machine(), spec, pass);
+        if (Double.isInfinite(allowedCpus)) {
             return Integer.MAX_VALUE;
         }
-        double used =
+        double usedCpus =
                 spreadLimit.teamCpusUsed(capacity.machine(), spec.team())
                         + capacity.plannedCpus(spec.team());
         return (int)
-                Math.max(0, Math.floor((allowed - used) / spec.cpus() + ClusterConstants.EPSILON));
+                Math.max(
+                        0,
+                        Math.floor(
+                                (allowedCpus - usedCpus) / spec.cpus() + ClusterConstants.EPSILON));
     }
 
     /**
--- a/src/main/java/org/shoreusher/core/schedule/PlacementPlan.java
+++ b/src/main/java/org/shoreusher/core/schedule/PlacementPlan.java
@@ -43,6 +43,7 @@
     private final Object2ObjectOpenHashMap<Machine, Job> reservedFor =
             new Object2ObjectOpenHashMap<>();
 
+    /** Monotonic time in ms from which the next heartbeat makes a new plan. */
     private long nextPlanMs = Long.MIN_VALUE;
 
     /** Creates an empty plan; the first call of {@link #takeTasksToStart} fills it. */
@@ -88,7 +89,7 @@
                 break;
             }
             if (triedJobs.add(job)) {
-                place(packer, job, 0);
+                place(packer, job, /* plannedCount= */ 0);
             }
             // A reserved machine takes no tasks of jobs after the one that it is reserved for.
             if (reservedFor.get(machine) == job && job.pendingCount() > 0) {
@@ -107,6 +108,7 @@
         int unplaced = unplacedTasks.getInt(job);
         packer.place(job, Math.min(plannedCount + unplaced, job.pendingCount()));
         if (packer.placedTasks().size() > placedBefore) {
+            // The packer has a single machine, so it places all tasks of the job in one entry.
             int placedCount = packer.placedTasks().get(placedBefore).taskCount();
             unplaced -= Math.max(0, placedCount - plannedCount);
         }
--- a/src/main/java/org/shoreusher/core/schedule/Preemption.java
+++ b/src/main/java/org/shoreusher/core/schedule/Preemption.java
@@ -95,17 +95,18 @@
             if (tasksOverQuota > 0) {
                 double missingCpus =
                         tasksOverQuota * spec.cpus() - reclaimedTeamCpus.getDouble(spec.team());
+                // What tasks being stopped release beyond this job's need is left for later jobs.
                 reclaimedTeamCpus.put(spec.team(), Math.max(0, -missingCpus));
                 selectVictims(
                         spec,
                         missingCpus,
-                        victim -> victim.job().spec().team().equals(spec.team()));
+                        candidate -> candidate.job().spec().team().equals(spec.team()));
             }
             // ReplicaPreemption frees capacity for replicas of services.
             if (unplacedTasks > 0 && spec.workloadType().runsToCompletion()) {
                 double missingCpus = unplacedTasks * spec.cpus() - reclaimedCpus;
                 reclaimedCpus = Math.max(0, -missingCpus);
-                selectVictims(spec, missingCpus, victim -> true);
+                selectVictims(spec, missingCpus, candidate -> true);
             }
         }
         return chosen;
@@ -131,16 +132,16 @@
         double missingCpus = requiredCpus;
         Iterator<TaskAttempt> remaining = candidates.iterator();
         while (missingCpus > 0 && remaining.hasNext()) {
-            TaskAttempt victim = remaining.next();
-            JobSpec spec = victim.job().spec();
-            Machine machine = victim.machine();
-            if (spec.priority().compareTo(pendingSpec.priority()) > 0
-                    && isEligible.test(victim)
+            TaskAttempt candidate = remaining.next();
+            JobSpec candidateSpec = candidate.job().spec();
+            Machine machine = candidate.machine();
+            if (candidateSpec.priority().compareTo(pendingSpec.priority()) > 0
+                    && isEligible.test(candidate)
                     && pendingSpec.allowsMachine(
                             machine.type().name(), machine.zone(), machine.isSpot())) {
                 remaining.remove();
-                chosen.add(victim);
-                missingCpus -= spec.cpus();
+                chosen.add(candidate);
+                missingCpus -= candidateSpec.cpus();
             }
         }
     }
--- a/src/main/java/org/shoreusher/core/schedule/PreemptionPass.java
+++ b/src/main/java/org/shoreusher/core/schedule/PreemptionPass.java
@@ -10,6 +10,9 @@
 
 /** Preempts running tasks of a shard so that pending tasks of higher priority can start. */
 public final class PreemptionPass {
+    /** A replica cannot wait for a checkpoint, so the task is killed immediately. */
+    private static final double NO_GRACE_PERIOD_S = 0;
+
     private final ShardState shard;
     private final ShardAuthority authority;
     private final Outbox outbox;
@@ -37,12 +40,7 @@
      * it acts on every call, without a grace period, and also during reconciliation.
      */
     public void preemptForReplicas() {
-        if (!authority.canStartTasks()
-                || shard.jobs().values().stream()
-                        .allMatch(
-                                job ->
-                                        job.spec().workloadType().runsToCompletion()
-                                                || job.pendingCount() == 0)) {
+        if (!authority.canStartTasks() || !hasPendingReplicas()) {
             return;
         }
         List<Job> services = jobQueue.inSchedulingOrder();
@@ -50,10 +48,18 @@
         for (TaskAttempt attempt :
                 new ReplicaPreemption(shard, quotaHeadroom, outbox.now()).choose(services)) {
             attempt.requireStop();
-            taskStopper.sendStop(attempt, 0);
+            taskStopper.sendStop(attempt, NO_GRACE_PERIOD_S);
         }
     }
 
+    private boolean hasPendingReplicas() {
+        return shard.jobs().values().stream()
+                .anyMatch(
+                        job ->
+                                !job.spec().workloadType().runsToCompletion()
+                                        && job.pendingCount() != 0);
+    }
+
     /**
      * Evicts preemptible tasks gracefully where pending tasks of higher priority find no capacity
      * or quota. Acts at most once per {@link ScheduleConstants#PREEMPTION_INTERVAL_MS}, and only
@@ -61,7 +67,7 @@
      */
     public void preemptForPriority() {
         // Until reconciliation is complete, the headroom is limited by the tasks that machines may
-        // still be running, and stopping known tasks would not change that.
+        // still be running, and stopping known tasks would not raise it.
         if (outbox.now().monotonicMs() < nextPreemptionMs
                 || !authority.isReconciled()
                 || !authority.canStartTasks()) {
--- a/src/main/java/org/shoreusher/core/schedule/ProspectiveCapacity.java
+++ b/src/main/java/org/shoreusher/core/schedule/ProspectiveCapacity.java
@@ -49,26 +49,28 @@
     /**
      * Returns the tasks of lower priority to preempt so that one task of the job fits, in
      * preemption order: an empty list if it fits already, an empty Optional if it would not fit
-     * even then.
+     * even without all of them.
      */
     Optional<List<TaskAttempt>> selectVictims(JobSpec spec) {
         List<TaskAttempt> victims = new ArrayList<>();
-        double cpus = 0;
-        double gpus = 0;
-        double memGb = 0;
+        double releasedCpus = 0;
+        double releasedGpus = 0;
+        double releasedMemGb = 0;
         for (TaskAttempt attempt : preemptible) {
-            if (fits(spec, cpus, gpus, memGb)) {
+            if (fits(spec, releasedCpus, releasedGpus, releasedMemGb)) {
                 break;
             }
             JobSpec victimSpec = attempt.job().spec();
             if (victimSpec.priority().compareTo(spec.priority()) > 0) {
                 victims.add(attempt);
-                cpus += victimSpec.cpus();
-                gpus += victimSpec.gpus();
-                memGb += victimSpec.memGb();
+                releasedCpus += victimSpec.cpus();
+                releasedGpus += victimSpec.gpus();
+                releasedMemGb += victimSpec.memGb();
             }
         }
-        return fits(spec, cpus, gpus, memGb) ? Optional.of(victims) : Optional.empty();
+        return fits(spec, releasedCpus, releasedGpus, releasedMemGb)
+                ? Optional.of(victims)
+                : Optional.empty();
     }
 
     /** Replaces the victims by one task of the job in the prospective capacity. */
--- a/src/main/java/org/shoreusher/core/schedule/QuotaHeadroom.java
+++ b/src/main/java/org/shoreusher/core/schedule/QuotaHeadroom.java
@@ -84,9 +84,9 @@
      * use or may use; may be negative.
      */
     public double cpuHeadroomForScaleOut(String team) {
-        boolean isKnown = settings.teams().containsKey(team);
+        boolean isKnownTeam = settings.teams().containsKey(team);
         double notDemandedElsewhere =
-                isKnown ? maxCpus(team) - shardDemand.demandElsewhereCpus(team) : 0;
+                isKnownTeam ? maxCpus(team) - shardDemand.demandElsewhereCpus(team) : 0;
         return Math.max(notDemandedElsewhere, quotaShares.cpuShare(team))
                 - ledger.usedCpus(team)
                 - maxUnreconciledCpus(team);
--- a/src/main/java/org/shoreusher/core/schedule/QuotaRecords.java
+++ b/src/main/java/org/shoreusher/core/schedule/QuotaRecords.java
@@ -83,6 +83,7 @@
                 finiteOrZero(team.maxCpus()), finiteOrZero(team.maxGpus()), shardCount);
     }
 
+    /** Returns the value to store: 0 stands for a resource without a quota and is ignored. */
     private static double finiteOrZero(double limit) {
         return Double.isInfinite(limit) ? 0 : limit;
     }
--- a/src/main/java/org/shoreusher/core/schedule/QuotaShares.java
+++ b/src/main/java/org/shoreusher/core/schedule/QuotaShares.java
@@ -61,8 +61,8 @@
     }
 
     /**
-     * Returns the CPUs that tasks of the team in this shard may use: infinite without a quota, 0
-     * for an unknown team or if its quota record is missing.
+     * Returns the CPUs that tasks of the team in this shard may use: infinite without a quota, the
+     * whole quota with a single shard, 0 for an unknown team or if its quota record is missing.
      */
     double cpuShare(String team) {
         Settings.Team teamSettings = settings.teams().get(team);
@@ -83,6 +83,7 @@
         return share(team, QuotaRecord::gpus);
     }
 
+    /** Whether the quota is divided among several shards. */
     private boolean isShared(double quota) {
         return shardCount > 1 && !Double.isInfinite(quota);
     }
@@ -167,10 +168,15 @@
         }
         int recipient = shardFurthestBelowTarget(demands, targets, stored.cpus(), quantum);
         if (recipient != NO_SHARD) {
-            double cpuCount = Math.min(surplusCpus, targets[recipient] - stored.cpus()[recipient]);
+            double transferredCpus =
+                    Math.min(surplusCpus, targets[recipient] - stored.cpus()[recipient]);
             QuotaTransfer transfer =
                     QuotaTransfer.of(
-                            records.version(team.name()), stored, shardNumber, recipient, cpuCount);
+                            records.version(team.name()),
+                            stored,
+                            shardNumber,
+                            recipient,
+                            transferredCpus);
             pendingTransfers.put(team.name(), transfer);
             send(team.name(), transfer);
         }
--- a/src/main/java/org/shoreusher/core/schedule/QuotaTargets.java
+++ b/src/main/java/org/shoreusher/core/schedule/QuotaTargets.java
@@ -21,7 +21,7 @@
             double quota, TeamDemand[] demands, double[] currentShares, double quantum) {
         double[] targetShares = new double[currentShares.length];
         double remaining = quota;
-        int shardsWithDemand = 0;
+        int shardsWithGossip = 0;
         // Only the leader of a shard can lower its share, so without recent gossip from a shard its
         // share is not available to others.
         for (int shard = 0; shard < demands.length; shard++) {
@@ -29,14 +29,15 @@
                 targetShares[shard] = currentShares[shard];
                 remaining -= currentShares[shard];
             } else {
-                shardsWithDemand++;
+                shardsWithGossip++;
             }
         }
         remaining -= grant(remaining, demands, TeamDemand::highPriorityCpus, targetShares);
         remaining -= grant(remaining, demands, TeamDemand::otherCpus, targetShares);
         for (int shard = 0; shard < demands.length; shard++) {
             if (demands[shard] != null) {
-                double share = targetShares[shard] + Math.max(0, remaining) / shardsWithDemand;
+                double share = targetShares[shard] + Math.max(0, remaining) / shardsWithGossip;
+                // Rounds to the nearest multiple, and a half up.
                 targetShares[shard] = Math.floor(share / quantum + 0.5) * quantum;
             }
         }
@@ -44,7 +45,8 @@
     }
 
     /**
-     * Grants one kind of demand in full, or the same fraction to each shard if less remains.
+     * Grants one kind of demand in full or, if the remaining CPUs are fewer, the same fraction of
+     * it to each shard.
      *
      * @return the CPUs granted
      */
@@ -57,12 +59,13 @@
         for (TeamDemand demand : demands) {
             totalDemand += demand == null ? 0 : kind.applyAsDouble(demand);
         }
-        double ratio = totalDemand <= 0 ? 0 : Math.min(1, Math.max(0, remaining) / totalDemand);
+        double grantedFraction =
+                totalDemand <= 0 ? 0 : Math.min(1, Math.max(0, remaining) / totalDemand);
         for (int shard = 0; shard < demands.length; shard++) {
             if (demands[shard] != null) {
-                targetShares[shard] += kind.applyAsDouble(demands[shard]) * ratio;
+                targetShares[shard] += kind.applyAsDouble(demands[shard]) * grantedFraction;
             }
         }
-        return totalDemand * ratio;
+        return totalDemand * grantedFraction;
     }
 }
--- a/src/main/java/org/shoreusher/core/schedule/QuotaTransfer.java
+++ b/src/main/java/org/shoreusher/core/schedule/QuotaTransfer.java
@@ -10,7 +10,7 @@
  */
 record QuotaTransfer(long version, QuotaRecord shares) {
     /**
-     * Returns a transfer of CPUs, and of GPUs in the same proportion, rounded down.
+     * Returns a transfer of CPUs and of the same fraction of the GPUs, rounded down to whole GPUs.
      *
      * @param version version of the stored record
      * @param stored the stored record
--- a/src/main/java/org/shoreusher/core/schedule/ReplicaPreemption.java
+++ b/src/main/java/org/shoreusher/core/schedule/ReplicaPreemption.java
@@ -129,10 +129,10 @@
                 spec.checkpointIntervalS() > 0
                         ? Math.min(runningS, spec.checkpointIntervalS())
                         : runningS;
-        double uncountedStartS =
+        double uncountedStartPenaltyS =
                 now.monotonicMs() - attempt.createdMs() < ScheduleConstants.MIN_COUNTED_RUN_MS
                         ? ScheduleConstants.MIN_COUNTED_RUN_MS / 1000.0
                         : 0;
-        return spec.cpus() * (lostS + uncountedStartS);
+        return spec.cpus() * (lostS + uncountedStartPenaltyS);
     }
 }
--- a/src/main/java/org/shoreusher/core/schedule/SchedulingOrder.java
+++ b/src/main/java/org/shoreusher/core/schedule/SchedulingOrder.java
@@ -29,7 +29,8 @@
      * @param remainingCpuS CPU-seconds of the pending tasks if the job has ample slack; 0 if it is
      *     sorted by slack
      * @param slackS seconds until the latest start time that still meets the next attainable
-     *     objective, or without one the default deadline; negative only in the latter case
+     *     objective; if none is attainable, until the one for the default deadline, which alone can
+     *     be negative
      */
     private record JobRank(
             Job job, int priorityBand, int missedObjectives, double remainingCpuS, double slackS) {}
@@ -76,7 +77,7 @@
         double runS = estimates.expectedRunS(job);
         double timeLeftS = Double.MAX_VALUE;
         for (Settings.Objective objective : settings.objectives()) {
-            double objectiveSlackS = slackS(objective, job, ageS, 0);
+            double objectiveSlackS = slackS(objective, job, ageS, /* remainingS= */ 0);
             if (objectiveSlackS > runS || objective.kind() == ObjectiveKind.WAIT) {
                 timeLeftS = Math.min(timeLeftS, Math.max(objectiveSlackS, runS));
             }
@@ -148,9 +149,9 @@
     }
 
     /**
-     * Whether the job is not fully started, its team has guaranteed capacity, and the time limit of
-     * a guarantee objective is near but not past. Whether the job fits into the guaranteed capacity
-     * is not checked.
+     * Whether some tasks of the job have not started, its team has guaranteed capacity, and the
+     * time limit of a guarantee objective is near but not past. Whether the job fits into the
+     * guaranteed capacity is not checked.
      */
     private boolean isGuaranteeUrgent(Job job, double ageS) {
         Settings.Team team = settings.teams().get(job.spec().team());
--- a/src/main/java/org/shoreusher/core/schedule/SpreadLimit.java
+++ b/src/main/java/org/shoreusher/core/schedule/SpreadLimit.java
@@ -21,7 +21,7 @@
 
     /**
      * Returns the most CPUs that the job's team may use on the machine in this pass; infinite
-     * without a limit.
+     * without a limit. Not called for {@link SpreadPass#UNLIMITED}.
      */
     double maxTeamCpus(Machine machine, JobSpec spec, SpreadPass pass);
 
--- a/src/main/java/org/shoreusher/core/schedule/TaskMigration.java
+++ b/src/main/java/org/shoreusher/core/schedule/TaskMigration.java
@@ -29,10 +29,13 @@
  * <p>Invariant: a migrated task starts at its target only in a response to a heartbeat, under the
  * same checks as any other task, and only after the source has reported that the task is gone or
  * the source's worker lease has certainly expired. Capacity at the target is reserved as long as
- * the migration is in progress. The team's quota is charged for the attempt at the source until
- * that is gone, and from then on for the reservation, so never twice.
+ * the migration is in progress. The team's quota is charged for the attempt at the source until the
+ * attempt is gone, and from then on for the reservation, so never twice.
  */
 public final class TaskMigration implements ResourceLedger.Listener {
+    /** Heartbeat intervals, beyond the worker lease, for which the task may stay on its source. */
+    private static final int SOURCE_STOP_EXTRA_HEARTBEAT_INTERVALS = 2;
+
     private final ShardState shard;
     private final ShardAuthority authority;
     private final QuotaHeadroom quotaHeadroom;
@@ -77,7 +80,8 @@
         // sends a heartbeat within a few intervals after that.
         long heartbeatMs = Math.round(context.settings().heartbeatIntervalS() * 1_000);
         return new Balancer.Timeouts(
-                LeaderLease.workerLeaseBoundMs(context.settings()) + 2 * heartbeatMs,
+                LeaderLease.workerLeaseBoundMs(context.settings())
+                        + SOURCE_STOP_EXTRA_HEARTBEAT_INTERVALS * heartbeatMs,
                 ScheduleConstants.MIGRATION_START_HEARTBEAT_INTERVALS * heartbeatMs);
     }
 
@@ -156,6 +160,7 @@
             balancer.markLeftSource(
                     reservation.migration(), attempt.isCheckpointed(), outbox.now().monotonicMs());
             reservation.markLeftSource();
+            // While the task waits for the target, it must not be placed elsewhere.
             job.setPending(attempt.taskIndex(), false);
             ledger.reserve(job.spec());
         }
@@ -277,6 +282,7 @@
      */
     private void release(MigrationReservation reservation) {
         reservations.remove(reservation.taskId());
+        // A negative count releases the reserved capacity.
         reservation.target().resources().reserve(reservation.spec(), -1);
         if (!reservation.hasLeftSource()) {
             return;
--- a/src/main/java/org/shoreusher/core/schedule/TaskStopper.java
+++ b/src/main/java/org/shoreusher/core/schedule/TaskStopper.java
@@ -46,7 +46,8 @@
     /**
      * Sends an order to stop a task directly to its worker. Responses to heartbeats repeat the
      * order until the task is gone, so nothing is sent directly if the machine is unresponsive or
-     * not reconciled, or within {@link ScheduleConstants#STOP_ORDER_RETRY_MS} of the last order.
+     * not reconciled, or within {@link ScheduleConstants#STOP_ORDER_RETRY_MS} of the last direct
+     * order for the task.
      *
      * @param gracePeriodS seconds until the task is killed
      */
--- a/src/main/java/org/shoreusher/core/schedule/ZoneConstraints.java
+++ b/src/main/java/org/shoreusher/core/schedule/ZoneConstraints.java
@@ -10,14 +10,20 @@
 final class ZoneConstraints {
     private final Object2IntOpenHashMap<String> tasksPerZone = new Object2IntOpenHashMap<>();
     private final boolean singleZone;
-    private final int maxPerZone;
+
+    /** Most tasks in the zone that may get the larger half; of an odd number, one more. */
+    private final int maxInLargerHalfZone;
+
+    /** Most tasks in a zone that may get only the smaller half. */
     private final int maxInOtherZones;
+
+    /** The only zone that may get the larger half of an odd number of tasks; null for any zone. */
     private final String largerHalfZone;
 
     /** Creates the constraints, given the tasks of the job that are or may be on machines. */
     ZoneConstraints(Job job) {
         singleZone = job.spec().singleZone();
-        maxPerZone =
+        maxInLargerHalfZone =
                 job.spec().spreadAcrossZones()
                         ? (job.spec().taskCount() + 1) / 2
                         : Integer.MAX_VALUE;
@@ -40,7 +46,8 @@
             return 0;
         }
         boolean mayGetLargerHalf = largerHalfZone == null || largerHalfZone.equals(zone);
-        return (mayGetLargerHalf ? maxPerZone : maxInOtherZones) - tasksPerZone.getInt(zone);
+        return (mayGetLargerHalf ? maxInLargerHalfZone : maxInOtherZones)
+                - tasksPerZone.getInt(zone);
     }
 
     /** Records tasks of the job that the current plan has placed in the zone. */
