--- a/src/main/java/org/shoreusher/core/gossip/GossipSender.java
+++ b/src/main/java/org/shoreusher/core/gossip/GossipSender.java
@@ -72,6 +72,8 @@
      * Until when a peer may rely on this node's gossip that it can't reach the store; monotonic ms.
      */
     long storeOutageGossipValidUntilMs() {
+        // Peers also check the age by the sender's wall clock, from which their own may differ by
+        // twice the largest offset.
         return lastStoreOutageSentMs
                 + GossipConstants.MAX_GOSSIP_AGE_MS
                 + 2 * settings.maxClockOffsetMs()
--- a/src/main/java/org/shoreusher/core/gossip/RedirectedWorkers.java
+++ b/src/main/java/org/shoreusher/core/gossip/RedirectedWorkers.java
@@ -4,8 +4,8 @@
 import org.shoreusher.core.message.WorkerHeartbeat;
 
 /**
- * The workers of one shard that another node leads. That leader has responded to them before, but
- * now they send heartbeats to this node. A worker that does so repeatedly is counted as unable to
+ * The workers of one shard, led by another node, that send heartbeats to this node although the
+ * leader has responded to them before. A worker that does so repeatedly is counted as unable to
  * reach its leader. The number of such workers is sent to the leader by gossip. A leader that most
  * of its workers can't reach steps down, because their leases would expire while it renews its own.
  */
@@ -30,16 +30,20 @@
         boolean isRepeated;
     }
 
+    /** A node delays redirects only if more workers of the shard than these have contacted it. */
+    private static final int REDIRECT_DELAY_MIN_WORKERS = 2;
+
     private final Object2ObjectOpenHashMap<String, RedirectHistory> historyByMachine =
             new Object2ObjectOpenHashMap<>();
 
     /**
      * Records a heartbeat of a worker whose shard another node leads. Returns whether to redirect
-     * the worker to other responsive nodes for a while rather than to its leader. That gives an
-     * unreachable leader time to step down; a worker redirected to it immediately would wait there
-     * for its full response timeout. Returns true only if many workers send heartbeats here (more
-     * than two, and more than {@link GossipConstants#REDIRECT_DELAY_MIN_WORKER_SHARE} of all
-     * machines), because a single one may just have missed a response.
+     * the worker to other responsive nodes for a while rather than to its leader. The delay gives
+     * an unreachable leader time to step down; a worker redirected to it immediately would wait
+     * there for its full response timeout. Returns true only if many workers send heartbeats here
+     * (more than {@link #REDIRECT_DELAY_MIN_WORKERS}, and more than {@link
+     * GossipConstants#REDIRECT_DELAY_MIN_WORKER_SHARE} of all machines), because a single one may
+     * just have missed a response.
      *
      * @param machineCount the number of machines of all shards
      * @param nowMs monotonic ms
@@ -51,8 +55,9 @@
         if (!heartbeat.isNewerThan(history.incarnation, history.sequenceNumber)) {
             return false;
         }
+        boolean hasEarlierHeartbeat = history.incarnation > 0;
         history.isRepeated =
-                history.incarnation > 0
+                hasEarlierHeartbeat
                         && nowMs - history.lastRedirectMs
                                 < GossipConstants.REDIRECTED_WORKER_RETRY_MS;
         if (nowMs - history.lastRedirectMs > GossipConstants.REDIRECT_EPISODE_GAP_MS) {
@@ -64,7 +69,8 @@
         return nowMs - history.episodeStartMs < GossipConstants.MAX_REDIRECT_DELAY_MS
                 && historyByMachine.size()
                         > Math.max(
-                                2, machineCount * GossipConstants.REDIRECT_DELAY_MIN_WORKER_SHARE);
+                                REDIRECT_DELAY_MIN_WORKERS,
+                                machineCount * GossipConstants.REDIRECT_DELAY_MIN_WORKER_SHARE);
     }
 
     /** Removes all workers; called when the shard has another leader. */
--- a/src/main/java/org/shoreusher/core/job/CompletionRecordAssignment.java
+++ b/src/main/java/org/shoreusher/core/job/CompletionRecordAssignment.java
@@ -61,6 +61,9 @@
         }
     }
 
+    /**
+     * Returns the index of the first record after record 0 without completed tasks in the store.
+     */
     private int firstUnusedRecord() {
         int recordIndex = 1;
         while (isStored.test(recordIndex)) {
@@ -88,6 +91,7 @@
         }
     }
 
+    /** Returns the number of records, which the return value of {@link #assign} describes. */
     private int recordCount() {
         int recordCount = bytesByRecord.size();
         while (isStored.test(recordCount)) {
--- a/src/main/java/org/shoreusher/core/job/CompletionRecords.java
+++ b/src/main/java/org/shoreusher/core/job/CompletionRecords.java
@@ -119,16 +119,17 @@
         for (Job job : jobs) {
             if (storedValue.get(job.id()) instanceof String ranges) {
                 BitSet ownTasks = tasksByJob.get(job.id());
-                BitSet storedOnlyHere = TaskRanges.parse(ranges);
+                BitSet keptTasks = TaskRanges.parse(ranges);
                 if (ownTasks != null) {
-                    storedOnlyHere.andNot(ownTasks);
+                    keptTasks.andNot(ownTasks);
                 }
-                removeStoredElsewhere(job, recordIndex, storedOnlyHere);
-                if (!storedOnlyHere.isEmpty()) {
+                removeStoredElsewhere(job, recordIndex, keptTasks);
+                // Left are tasks of other slices that are stored in no other record that counts.
+                if (!keptTasks.isEmpty()) {
                     if (ownTasks != null) {
-                        storedOnlyHere.or(ownTasks);
+                        keptTasks.or(ownTasks);
                     }
-                    tasksByJob.put(job.id(), storedOnlyHere);
+                    tasksByJob.put(job.id(), keptTasks);
                 }
             }
         }
--- a/src/main/java/org/shoreusher/core/job/OpenJobs.java
+++ b/src/main/java/org/shoreusher/core/job/OpenJobs.java
@@ -42,7 +42,8 @@
         if (record.status() != JobStatus.OPEN) {
             close(jobId);
         } else if (!jobs.containsKey(jobId)) {
-            // The job was accepted while this node was the leader, so no task has been started.
+            // The job was accepted while this node was the leader, so no task has been started
+            // and all are pending.
             add(jobId, record).markPendingFrom(0);
         } else {
             jobs.get(jobId).raiseHighWaterMark(record.highWaterMark());
--- a/src/main/java/org/shoreusher/core/job/RunTimeEstimates.java
+++ b/src/main/java/org/shoreusher/core/job/RunTimeEstimates.java
@@ -9,6 +9,9 @@
  * job's class.
  */
 public final class RunTimeEstimates {
+    /** The assumed ratio while no task of the class has completed. */
+    private static final double DEFAULT_RATIO = 1;
+
     /**
      * The exponentially weighted mean ratio of actual to estimated run time, by job class. Each is
      * held in an array of one element, so that an update allocates nothing.
@@ -23,12 +26,15 @@
             double ratio = runTimeS / job.spec().estimatedRunS();
             double[] meanRatio =
                     meanRatioByClass.computeIfAbsent(
-                            job.spec().jobClass(), jobClass -> new double[] {1});
+                            job.spec().jobClass(), jobClass -> new double[] {DEFAULT_RATIO});
             meanRatio[0] += (ratio - meanRatio[0]) * JobConstants.RUN_TIME_SAMPLE_WEIGHT;
         }
     }
 
-    /** The expected run time of a task of the job, in seconds; at least 1. */
+    /**
+     * The expected run time of a task of the job, in seconds; at least {@link
+     * JobConstants#MIN_RUN_TIME_S}.
+     */
     public double expectedRunS(Job job) {
         if (job.observedRunCount() > 0) {
             return Math.max(JobConstants.MIN_RUN_TIME_S, job.meanRunTimeS());
@@ -36,6 +42,6 @@
         double[] meanRatio = meanRatioByClass.get(job.spec().jobClass());
         return Math.max(
                 JobConstants.MIN_RUN_TIME_S,
-                job.spec().estimatedRunS() * (meanRatio == null ? 1 : meanRatio[0]));
+                job.spec().estimatedRunS() * (meanRatio == null ? DEFAULT_RATIO : meanRatio[0]));
     }
 }
--- a/src/main/java/org/shoreusher/core/job/SubmissionBatches.java
+++ b/src/main/java/org/shoreusher/core/job/SubmissionBatches.java
@@ -138,6 +138,7 @@
                 (key, jobIds) -> {
                     if (jobIds.isEmpty() && writes.size() < settings.maxTransactionWrites() / 2) {
                         preconditions.put(key, storeCache.version(key));
+                        // A null value deletes the record.
                         writes.put(key, null);
                     }
                 });
--- a/src/main/java/org/shoreusher/core/job/TerminalJobCache.java
+++ b/src/main/java/org/shoreusher/core/job/TerminalJobCache.java
@@ -33,6 +33,7 @@
     private final Cache<String, JobRecord> terminalJobs =
             Caffeine.newBuilder()
                     .maximumSize(JobConstants.MAX_CACHED_TERMINAL_JOBS)
+                    // Maintenance of the cache runs on the calling thread.
                     .executor(Runnable::run)
                     .build();
 
@@ -94,6 +95,6 @@
                 record.taskCount(),
                 record.acceptedWallMs(),
                 record.highWaterMark(),
-                null);
+                /* specFields= */ null);
     }
 }
--- a/src/main/java/org/shoreusher/core/user/JobStateResponses.java
+++ b/src/main/java/org/shoreusher/core/user/JobStateResponses.java
@@ -8,6 +8,8 @@
 
 /** Builds the responses with the state of a job. */
 final class JobStateResponses {
+    private static final int NONE_RUNNING = 0;
+
     private final TaskCountSource taskCounts;
 
     /** Creates responses with the counts of a source, which are for display only. */
@@ -20,18 +22,21 @@
         TaskCounts currentCounts = taskCounts.taskCounts(jobId);
         return switch (record.status()) {
             case DONE ->
-                    withCounts(jobId, DisplayState.DONE, new TaskCounts(record.taskCount(), 0));
+                    withCounts(
+                            jobId,
+                            DisplayState.DONE,
+                            new TaskCounts(record.taskCount(), NONE_RUNNING));
             case CANCELLED ->
                     withCounts(
                             jobId,
                             DisplayState.CANCELLED,
-                            new TaskCounts(currentCounts.completed(), 0));
+                            new TaskCounts(currentCounts.completed(), NONE_RUNNING));
             case OPEN -> withCounts(jobId, openState(currentCounts), currentCounts);
         };
     }
 
     private static Response withCounts(String jobId, DisplayState state, TaskCounts counts) {
-        return new JobState(jobId, state, counts, false);
+        return new JobState(jobId, state, counts, /* created= */ false);
     }
 
     /** The response with the state of an existing job, without its task counts. */
@@ -47,7 +52,8 @@
 
     /** The response to a submission that has just become durable. */
     static Response created(String jobId) {
-        return new JobState(jobId, DisplayState.PENDING, null, true);
+        return new JobState(
+                jobId, DisplayState.PENDING, /* taskCounts= */ null, /* created= */ true);
     }
 
     private static DisplayState openState(TaskCounts currentCounts) {
--- a/src/main/java/org/shoreusher/core/user/SubmissionCommit.java
+++ b/src/main/java/org/shoreusher/core/user/SubmissionCommit.java
@@ -32,8 +32,9 @@
  */
 final class SubmissionCommit {
     /**
-     * A job that is to be written, with all requests that submit it and the time of the first;
-     * monotonic ms. {@code entryBytes} is the length of its record within a batch record.
+     * A job that is to be written, with all requests that submit it. {@code queuedAtMs} is the time
+     * of the first request, in monotonic ms, and {@code entryBytes} the length of the job's record
+     * within a batch record.
      */
     private record QueuedSubmission(
             String jobId,
@@ -259,6 +260,7 @@
     }
 
     private void requeue(QueuedSubmission submission) {
+        // The job may have been submitted again while its write was in flight.
         QueuedSubmission queued = queuedSubmissions.putIfAbsent(submission.jobId(), submission);
         if (queued != null) {
             queued.requestIds.addAll(submission.requestIds);
--- a/src/main/java/org/shoreusher/core/user/UserRequests.java
+++ b/src/main/java/org/shoreusher/core/user/UserRequests.java
@@ -109,7 +109,9 @@
                             validationError == null ? INVALID_JOB_ID : validationError));
             return;
         }
-        // The response for an existing job is its state, whether or not the body is valid.
+        // An admitted job that is not in memory is written without a read; the write fails if the
+        // job exists. All others are read first, because the response for an existing job is its state,
+        // whether or not the body is valid.
         if (spec != null
                 && storeCache.isLoaded()
                 && !isInMemory(jobId)
--- a/src/main/java/org/shoreusher/core/user/package-info.java
+++ b/src/main/java/org/shoreusher/core/user/package-info.java
@@ -1,8 +1,8 @@
 /**
  * The requests of users: submitting, polling and cancelling jobs.
  *
- * <p>Guarantees: every request gets a response. For a valid job id, a response states whether the
- * job exists and whether it is in a terminal state only as the key-value store has confirmed it. A
+ * <p>Guarantees: every request gets a response. For a valid job id, a response states that the job
+ * exists, does not exist or is in a terminal state only if the key-value store has confirmed it. A
  * submission or cancellation is durable before it is confirmed to the user. Requests beyond the
  * capacity of a node are rejected immediately with a suggested retry delay.
  *
