--- a/src/main/java/org/shoreusher/core/user/JobCancellation.java
+++ b/src/main/java/org/shoreusher/core/user/JobCancellation.java
@@ -130,8 +130,8 @@
     }
 
     /**
-     * Reads the job again, because it has changed since, and retries; responds that the
-     * service is unavailable if no try is left.
+     * Reads the job again, because it has changed since, and retries; responds that the service is
+     * unavailable if no try is left.
      */
     private void retryAfterConflict(CancelRequest request) {
         if (request.triesLeft <= 1) {
--- a/src/main/java/org/shoreusher/core/user/UserRequests.java
+++ b/src/main/java/org/shoreusher/core/user/UserRequests.java
@@ -110,7 +110,8 @@
             return;
         }
         // An admitted job that is not in memory is written without a read; the write fails if the
-        // job exists. All others are read first, because the response for an existing job is its state,
+        // job exists. All others are read first, because the response for an existing job is its
+        // state,
         // whether or not the body is valid.
         if (spec != null
                 && storeCache.isLoaded()
