--- a/src/main/java/org/shoreusher/balance/LoadModel.java
+++ b/src/main/java/org/shoreusher/balance/LoadModel.java
@@ -12,11 +12,11 @@
  * The load of the machines by team. The caller updates it with every task that is added or removed
  * and every machine that sends a heartbeat or is removed.
  *
- * <p>The skew of a team is the largest share of a machine's CPUs that the team uses there beyond
- * one task, less the team's mean share over all machines: {@code max_m((c_tm - q_tm) / C_m) - sum
- * c_tm / sum C_m}, where {@code c_tm} are the team's CPUs on machine {@code m}, {@code q_tm} its
- * largest task there and {@code C_m} the machine's CPUs. It is at least 0. The largest task is left
- * out because a single task cannot be spread.
+ * <p>The skew of a team is the maximum over all machines of the share of a machine's CPUs that the
+ * team uses there without its largest task, minus the team's share of the CPUs of all machines:
+ * {@code max_m((c_tm - q_tm) / C_m) - sum c_tm / sum C_m}, where {@code c_tm} are the team's CPUs
+ * on machine {@code m}, {@code q_tm} its largest task there and {@code C_m} the machine's CPUs. It
+ * is at least 0. The largest task is left out because a single task cannot be spread.
  */
 public final class LoadModel {
     /** A team's load on all machines, and the ids of the machines that it uses. */
--- a/src/main/java/org/shoreusher/balance/SchedulerView.java
+++ b/src/main/java/org/shoreusher/balance/SchedulerView.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** The current state of machines and tasks in the scheduler that the balancer needs. */
+/** The scheduler's current state of machines and tasks, as far as the balancer needs it. */
 public interface SchedulerView {
     /** Returns the tasks of a team on a machine that may be migrated now. */
     List<MigratableTask> migratableTasks(String machine, String team);
--- a/src/main/java/org/shoreusher/core/gossip/GossipConstants.java
+++ b/src/main/java/org/shoreusher/core/gossip/GossipConstants.java
@@ -11,16 +11,16 @@
     static final double SHARD_REBALANCE_MIN_PEER_UPTIME_S = 10;
 
     /**
-     * ms; about how often a worker that cannot reach its leader contacts another node: its response
-     * timeout of 4 s, a pause of 1 s, and up to 3 s for which its redirect to the leader is
-     * delayed.
+     * ms; approximate interval at which a worker that cannot reach its leader contacts another node
+     * and is redirected: its response timeout of 4 s, a pause of 1 s, and up to 3 s for which the
+     * redirect to the leader is delayed.
      */
     public static final long REDIRECTED_WORKER_RETRY_MS = 8_000;
 
     /**
-     * ms; a worker whose redirect to the leader is delayed sends a heartbeat every 500 ms. A longer
-     * gap means that it was redirected to the leader in between, so a new episode with its own
-     * delay begins.
+     * ms; a gap between a worker's heartbeats above this value ends the delay of its redirects, and
+     * the next heartbeat begins a new one. A worker whose redirect to the leader is delayed sends a
+     * heartbeat every 500 ms, so after such a gap it was redirected to the leader in between.
      */
     static final long REDIRECT_EPISODE_GAP_MS = 2_000;
 
@@ -38,7 +38,8 @@
 
     /**
      * ms; a node without a reply from the store for this long reports to its peers that it cannot
-     * reach the store, and is not ready if a peer can, so that users are routed to other nodes.
+     * reach the store. If a peer can reach the store, the node's readiness check also fails, so
+     * that users are routed to other nodes.
      */
     public static final long STORE_UNREACHABLE_TIMEOUT_MS = 4_500;
 
--- a/src/main/java/org/shoreusher/core/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/HeartbeatHandler.java
@@ -55,9 +55,9 @@
 
     /**
      * Handles one heartbeat of a machine that belongs to this shard, or to no shard yet. The
-     * request gets exactly one response: at once or, if a standby has to acknowledge the starts in
-     * it first, later. A heartbeat that must not renew the worker's lease gets the response
-     * "unavailable", and the worker tries another node.
+     * request gets exactly one response: immediately, or after a standby has acknowledged the task
+     * starts in the response, if that is required. A heartbeat that must not renew the worker's
+     * lease gets the response "unavailable", and the worker tries another node.
      */
     public void handle(long requestId, WorkerHeartbeat heartbeat) {
         if (!authority.canRespondToHeartbeats() || hasNewerFencingToken(heartbeat)) {
@@ -99,7 +99,7 @@
     }
 
     /**
-     * Records the position of a newer heartbeat in the order of heartbeats. Returns whether the
+     * Records the incarnation and sequence number of a newer heartbeat. Returns whether the
      * heartbeat is newer and the worker lease from the previous leader has expired. If so, no task
      * of the previous leader can be left on the machine, although the worker has not received this
      * leader's term.
@@ -154,6 +154,7 @@
 
     private List<WorkerOrder> decideOrders(Machine machine, WorkerHeartbeat heartbeat) {
         if (!authority.isLeader()) {
+            // The leader's lease has expired, but the worker's may still be extended.
             return reportedTaskOrders.stopOrdersForCancelledJobs(heartbeat);
         }
         List<WorkerOrder> orders = new ArrayList<>();
@@ -165,6 +166,10 @@
         return orders;
     }
 
+    /**
+     * Whether tasks may start on the machine. The store must have recorded that the machine may
+     * have run tasks, and the machine needs free capacity or tasks that are ready to migrate to it.
+     */
     private boolean canStartTasksOn(Machine machine) {
         return machine.hasDurableUseRecord()
                 && taskStarter.hasCapacityOrMigratedTasks(machine)
--- a/src/main/java/org/shoreusher/core/machine/CloudInventory.java
+++ b/src/main/java/org/shoreusher/core/machine/CloudInventory.java
@@ -30,7 +30,7 @@
  * are adopted.
  */
 public final class CloudInventory {
-    /** State in the list of a machine that stopped without being terminated (protocol). */
+    /** Protocol value of the state of a listed machine that stopped without being terminated. */
     private static final String FAILED_STATE = "failed";
 
     private final ShardState shard;
@@ -161,16 +161,16 @@
         if (machine == null && lifecycle.shouldAdopt(listedMachine.machineId())) {
             adoptIfStillListed(listedMachine);
         } else {
-            // Otherwise the old time would remain after the shard has recorded the machine. Once
-            // the machine is terminated, a lagging list may still contain it; it would count as
-            // unrecorded since the old time, and could be adopted immediately.
+            // If the time of the first listing remained after the shard has recorded the machine,
+            // a lagging list that still contains the machine after its termination could cause
+            // its immediate adoption, because it would count as unrecorded since that time.
             unrecordedSinceMs.removeLong(listedMachine.machineId());
         }
     }
 
     private void removeUnlistedMachines(ClockReading requestedAt) {
-        // A list is at most twice the inventory's lag old, and a machine stays listed from its
-        // first listing until its termination.
+        // A list shows a state that is at most twice the inventory's lag old, so it contains each
+        // machine that was provisioned before that time and has not been terminated.
         long maxListDelayMs =
                 (long) (2 * settings.inventoryLagS() * 1000)
                         + MachineConstants.INVENTORY_LAG_MARGIN_MS;
--- a/src/main/java/org/shoreusher/core/machine/MachineCordon.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineCordon.java
@@ -26,7 +26,7 @@
     private final Settings settings;
     private final Outbox outbox;
 
-    /** Creates the cordon of a shard. */
+    /** Creates the component for the machines of a shard. */
     MachineCordon(ShardContext context, TaskStopper taskStopper) {
         shard = context.state();
         settings = context.settings();
--- a/src/main/java/org/shoreusher/core/machine/MachineIndex.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineIndex.java
@@ -12,9 +12,10 @@
 
 /**
  * The records of all machines by machine id, from the store cache. The store keeps the records in
- * groups, one key each. A machine may be in two groups: a narrow one, and a wide one that a leader
- * with a larger limit on the size of values wrote. The record in the narrow group has precedence,
- * but the machine may have run tasks if either record states it.
+ * groups, one key each. A machine may be in two groups: a narrow one of up to ten machines, and a
+ * wide one of up to a hundred, written by a leader with a larger limit on the size of values. The
+ * record in the narrow group has precedence, but the machine may have run tasks if either record
+ * states it.
  */
 public final class MachineIndex {
     private final Object2ObjectOpenHashMap<String, MachineRecord> recordsById =
--- a/src/main/java/org/shoreusher/core/machine/TargetParallelism.java
+++ b/src/main/java/org/shoreusher/core/machine/TargetParallelism.java
@@ -6,7 +6,7 @@
 import org.shoreusher.core.schedule.SchedulingOrder;
 import org.shoreusher.core.store.Outbox;
 
-/** Calculates for how many tasks of a job machines should be provisioned at the same time. */
+/** Calculates the number of a job's tasks that should have machines at the same time. */
 final class TargetParallelism {
     private final Outbox outbox;
     private final RunTimeEstimates runTimeEstimates;
--- a/src/main/java/org/shoreusher/core/store/TokenBucket.java
+++ b/src/main/java/org/shoreusher/core/store/TokenBucket.java
@@ -6,7 +6,7 @@
     private final double burst;
     private double tokens;
 
-    /** Monotonic ms; the minimum value before the first request. */
+    /** Monotonic time of the last refill in ms; Long.MIN_VALUE before the first request. */
     private long refilledAtMs = Long.MIN_VALUE;
 
     /**
--- a/src/main/java/org/shoreusher/log/LogEvent.java
+++ b/src/main/java/org/shoreusher/log/LogEvent.java
@@ -53,7 +53,10 @@
         return Collections.unmodifiableList(fields);
     }
 
-    /** Returns the unquoted text of a field's value, or null if there is no such field. */
+    /**
+     * Returns the text of a field's value, or null if there is no such field. In contrast to {@link
+     * Field#text()}, the text is never quoted.
+     */
     public String text(String name) {
         for (Field field : fields) {
             if (field.name().equals(name)) {
--- a/src/main/java/org/shoreusher/wire/WorkerFormat.java
+++ b/src/main/java/org/shoreusher/wire/WorkerFormat.java
@@ -12,8 +12,9 @@
 
 /**
  * Decodes heartbeats of workers and encodes orders to them. In the protocol, a machine is called
- * "box", a task "sheet", an attempt number "try", a worker's incarnation "shift", the sequence
- * number of a heartbeat "tally", and the fencing token "baton".
+ * "box", its machine type "press", its zone "yard", a spot machine "loaners", a task "sheet", an
+ * attempt number "try", a worker's incarnation "shift", the sequence number of a heartbeat "tally",
+ * the fencing token "baton", and the grace period of a stop order "wind_down_s".
  */
 public final class WorkerFormat {
     private WorkerFormat() {}
--- a/src/test/java/org/shoreusher/core/CoreTestData.java
+++ b/src/test/java/org/shoreusher/core/CoreTestData.java
@@ -14,16 +14,16 @@
     public static Settings settings(List<Settings.Objective> objectives) {
         Settings.Address unusedAddress = new Settings.Address("127.0.0.1", 1);
         return new Settings(
-                "n",
-                "a",
-                unusedAddress,
-                unusedAddress,
-                List.of(),
-                unusedAddress,
-                unusedAddress,
+                /* host= */ "n",
+                /* zone= */ "a",
+                /* frontAddress= */ unusedAddress,
+                /* peerAddress= */ unusedAddress,
+                /* members= */ List.of(),
+                /* cloudAddress= */ unusedAddress,
+                /* storeAddress= */ unusedAddress,
                 /* nodeCount= */ 3,
-                List.of("a"),
-                Map.of(
+                /* zones= */ List.of("a"),
+                /* teams= */ Map.of(
                         "team",
                         new Settings.Team(
                                 "team",
--- a/src/test/java/org/shoreusher/core/cluster/JobTest.java
+++ b/src/test/java/org/shoreusher/core/cluster/JobTest.java
@@ -16,6 +16,7 @@
         assertTrue(!job.isSuspectedFaulty() && !job.isBackingOff(1_000));
         job.recordFailure("m-2", 2_000);
         assertTrue(job.isSuspectedFaulty() && job.isBackingOff(2_500));
+        // A completed task shows that the job can succeed, and ends the suspicion.
         job.completedTasks().set(0);
         assertTrue(!job.isSuspectedFaulty());
     }
--- a/src/test/java/org/shoreusher/simulation/MigrationsTest.java
+++ b/src/test/java/org/shoreusher/simulation/MigrationsTest.java
@@ -30,7 +30,10 @@
     private static final long FAULT_FREE_FROM_MS = 170_000;
     private static final long END_MS = 330_000;
 
-    /** Two migrations per task, unlimited repeated work, and many concurrent migrations. */
+    /**
+     * Two migrations per task, repeated work up to the whole time that tasks were on machines, and
+     * many concurrent migrations.
+     */
     private static final Features FEATURES =
             new Features(
                     new BalanceSettings(
@@ -45,7 +48,7 @@
                             new ClassBudget(
                                     /* maxMigrationsPerTask= */ 2, /* maxRepeatedWorkShare= */ 1),
                             /* budgetsByClass= */ Map.of()),
-                    null);
+                    /* standby= */ null);
 
     /** The task, source and target of a migration, as logged at its start. */
     private record StartedMigration(String taskName, String source, String target) {
@@ -114,7 +117,7 @@
                         .checkpointIntervalS(4)
                         .checkpointDurationS(1)
                         .build();
-        return new SimulatedUsers.SimulatedJob(spec, false, runMs);
+        return new SimulatedUsers.SimulatedJob(spec, /* userCancels= */ false, runMs);
     }
 
     private static void assertInvariantsAndCompletion(ClusterSimulation simulation) {
@@ -123,22 +126,23 @@
     }
 
     /**
-     * Runs six simulations with a fault at the start of about a third of the migrations. Checks the
-     * invariants, that each simulation had a fault, and that the expected event was logged.
+     * Runs six simulations and calls {@code onMigration}, which may inject a fault, at the start of
+     * the first migration of each and about a third of the others. Checks the invariants, that each
+     * simulation had a migration, and that the expected event was logged in one of them.
      */
-    private static void simulateWithFault(
+    private static void simulateMigrations(
             BiConsumer<ClusterSimulation, StartedMigration> onMigration, LogEventType expected) {
-        simulateWithFault(onMigration, expected, "");
+        simulateMigrations(onMigration, expected, "");
     }
 
     /** Also checks that the reason of the expected event starts with this text. */
-    private static void simulateWithFault(
+    private static void simulateMigrations(
             BiConsumer<ClusterSimulation, StartedMigration> onMigration,
             LogEventType expected,
             String reason) {
         long expectedEvents = 0;
         for (long seed = 0; seed < 6; seed++) {
-            int[] faults = {0};
+            int[] migrationCount = {0};
             ClusterSimulation simulation =
                     simulate(
                             seed,
@@ -150,12 +154,13 @@
                                         migration.source(cluster) != null
                                                 && migration.target(cluster) != null;
                                 if (machinesExist
-                                        && (faults[0]++ == 0 || cluster.random.nextInt(3) == 0)) {
+                                        && (migrationCount[0]++ == 0
+                                                || cluster.random.nextInt(3) == 0)) {
                                     onMigration.accept(cluster, migration);
                                 }
                             });
             assertInvariantsAndCompletion(simulation);
-            assertTrue(faults[0] > 0, "no migration started with seed " + seed);
+            assertTrue(migrationCount[0] > 0, "no migration started with seed " + seed);
             expectedEvents +=
                     simulation
                             .log
@@ -168,12 +173,12 @@
 
     @Example
     void migratedTasksCompleteOnce() {
-        simulateWithFault((simulation, migration) -> {}, LogEventType.MIGRATION_COMPLETED);
+        simulateMigrations((simulation, migration) -> {}, LogEventType.MIGRATION_COMPLETED);
     }
 
     @Example
     void targetIsTerminated() {
-        simulateWithFault(
+        simulateMigrations(
                 (simulation, migration) -> simulation.cloud.terminate(migration.target(simulation)),
                 LogEventType.MIGRATION_ABANDONED,
                 "target_lost");
@@ -181,7 +186,7 @@
 
     @Example
     void targetHangsOrIsPartitioned() {
-        simulateWithFault(
+        simulateMigrations(
                 (simulation, migration) -> {
                     SimulatedWorker target = migration.target(simulation);
                     switch (simulation.random.nextInt(3)) {
@@ -198,9 +203,10 @@
                 "target");
     }
 
+    /** The leader issues the stop order immediately before it logs the start of a migration. */
     @Example
     void sourceBecomesUnresponsiveAfterTheStopOrder() {
-        simulateWithFault(
+        simulateMigrations(
                 (simulation, migration) -> {
                     SimulatedWorker source = migration.source(simulation);
                     if (simulation.random.nextBoolean()) {
@@ -217,14 +223,14 @@
 
     @Example
     void sourceIsTerminated() {
-        simulateWithFault(
+        simulateMigrations(
                 (simulation, migration) -> simulation.cloud.terminate(migration.source(simulation)),
                 LogEventType.MACHINE_REMOVED);
     }
 
     @Example
     void sourceOrTargetGetsAnInterruptionNotice() {
-        simulateWithFault(
+        simulateMigrations(
                 (simulation, migration) -> {
                     SimulatedWorker machine =
                             simulation.random.nextBoolean()
@@ -237,7 +243,7 @@
 
     @Example
     void jobIsCancelledAtAnyStep() {
-        simulateWithFault(
+        simulateMigrations(
                 (simulation, migration) -> {
                     SimulatedUsers.SimulatedJob job =
                             simulation.users.jobs.get(
@@ -252,7 +258,7 @@
 
     @Example
     void leaderCrashesAtAnyStep() {
-        simulateWithFault(
+        simulateMigrations(
                 (simulation, migration) ->
                         simulation.scheduleAfter(
                                 simulation.random.nextInt(6_000),
@@ -274,7 +280,7 @@
      */
     @Example
     void leaderStepsDownDuringMigrations() {
-        simulateWithFault(
+        simulateMigrations(
                 (simulation, migration) -> {
                     if (simulation.nowMs < FAULT_FREE_FROM_MS - 40_000) {
                         FaultInjection.currentLeaders(simulation)
@@ -285,12 +291,12 @@
                     }
                 },
                 LogEventType.LEADERSHIP_LOST,
-                "stepped down: most");
+                "stepped down: most workers reach only other nodes");
     }
 
     @Example
     void storeOutageDuringMigrations() {
-        simulateWithFault(
+        simulateMigrations(
                 (simulation, migration) ->
                         simulation.store.outage(3_000 + simulation.random.nextInt(9_000)),
                 LogEventType.LEASE_EXPIRED);
@@ -302,7 +308,7 @@
      */
     @Example
     void staleHeartbeatsArriveDuringFailover() {
-        simulateWithFault(
+        simulateMigrations(
                 (simulation, migration) -> {
                     simulation.retainHeartbeats = true;
                     simulation.scheduleAfter(
--- a/src/test/java/org/shoreusher/simulation/SimulatedWorker.java
+++ b/src/test/java/org/shoreusher/simulation/SimulatedWorker.java
@@ -195,6 +195,7 @@
         if (simulation.injectedDefect == ClusterSimulation.InjectedDefect.LATE_RESPONSES_EXECUTED
                 && !terminated
                 && response.status() == ReplyStatus.OK) {
+            // Each response, late or not, without the checks and lease renewal of handleResponse().
             tasks.executeOrders(response.body());
         } else if (requestNumber == sentRequestNumber && requestInFlight && !terminated) {
             long delayMs = Math.max(0, hangingUntilMs - simulation.nowMs);
@@ -303,6 +304,7 @@
             } else {
                 targetNode = leader;
                 nextHeartbeatAtMs = simulation.nowMs + simulation.random.nextInt(500);
+                // A redirected worker need not keep the minimum interval between heartbeats.
                 lastHeartbeatAtMs = 0;
             }
         } else {
