--- a/src/main/java/org/shoreusher/core/ShardAssembly.java
+++ b/src/main/java/org/shoreusher/core/ShardAssembly.java
@@ -12,6 +12,7 @@
 import org.shoreusher.core.machine.MachineRecords;
 import org.shoreusher.core.machine.ShardMachines;
 import org.shoreusher.core.machine.TerminatedMachines;
+import org.shoreusher.core.message.WorkerOrder;
 import org.shoreusher.core.schedule.BinPackerFactory;
 import org.shoreusher.core.schedule.JobQueue;
 import org.shoreusher.core.schedule.QuotaHeadroom;
@@ -23,8 +24,6 @@
 
 /** Creates the collaborators of a led shard, grouped by package. */
 final class ShardAssembly {
-    private static final double NO_GRACE_PERIOD_S = 0;
-
     private final NodeServices services;
     private final ShardContext context;
     private final ShardLeadership leadership;
@@ -74,7 +73,10 @@
                 new OpenJobs(
                         context,
                         scheduling.taskMigration()::onJobClosed,
-                        attempt -> scheduling.taskStopper().sendStop(attempt, NO_GRACE_PERIOD_S));
+                        attempt ->
+                                scheduling
+                                        .taskStopper()
+                                        .sendStop(attempt, WorkerOrder.NO_GRACE_PERIOD_S));
         HighWaterMarks highWaterMarks =
                 new HighWaterMarks(
                         context.state().shardNumber(),
--- a/src/main/java/org/shoreusher/core/heartbeat/ReportedTaskOrders.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/ReportedTaskOrders.java
@@ -18,9 +18,6 @@
 
 /** Decides which tasks of a heartbeat get a {@code STOP} or a {@code FORGET} order. */
 final class ReportedTaskOrders {
-    /** s; the grace period of a stop that takes effect at once, and of other orders. */
-    private static final double NO_GRACE_PERIOD_S = 0;
-
     private final ShardState shard;
     private final SubmissionBatches submissionBatches;
 
@@ -42,7 +39,7 @@
     void addStopOrders(Machine machine, List<WorkerOrder> orders) {
         for (TaskAttempt attempt : machine.attempts().values()) {
             if (attempt.mustStop()) {
-                orders.add(TaskStopper.stopOrder(attempt, NO_GRACE_PERIOD_S));
+                orders.add(TaskStopper.stopOrder(attempt, WorkerOrder.NO_GRACE_PERIOD_S));
             } else if (attempt.isBeingEvicted()
                     && attempt.state() != TaskAttempt.State.CHECKPOINTING) {
                 orders.add(TaskStopper.stopOrder(attempt, TaskStopper.gracePeriodS(attempt)));
@@ -96,6 +93,10 @@
 
     private static WorkerOrder order(WorkerOrder.Kind kind, TaskStatus task) {
         return new WorkerOrder(
-                kind, task.jobId(), task.taskIndex(), task.attemptNumber(), NO_GRACE_PERIOD_S);
+                kind,
+                task.jobId(),
+                task.taskIndex(),
+                task.attemptNumber(),
+                WorkerOrder.NO_GRACE_PERIOD_S);
     }
 }
--- a/src/main/java/org/shoreusher/core/heartbeat/TaskExitRecorder.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/TaskExitRecorder.java
@@ -12,14 +12,12 @@
 import org.shoreusher.core.job.TerminalStateWriter;
 import org.shoreusher.core.message.WorkerHeartbeat.ExitCause;
 import org.shoreusher.core.message.WorkerHeartbeat.TaskStatus;
+import org.shoreusher.core.message.WorkerOrder;
 import org.shoreusher.core.schedule.TaskStopper;
 import org.shoreusher.core.store.Outbox;
 
 /** Records the tasks that have exited, with their completion or their failure. */
 final class TaskExitRecorder {
-    /** s; the grace period of a stop that takes effect at once. */
-    private static final double NO_GRACE_PERIOD_S = 0;
-
     private final ShardState shard;
     private final Outbox outbox;
     private final ResourceLedger ledger;
@@ -103,7 +101,7 @@
         TaskAttempt activeAttempt = job.activeAttempts().get(taskIndex);
         if (activeAttempt != null && activeAttempt != attemptOnMachine) {
             activeAttempt.requireStop();
-            taskStopper.sendStop(activeAttempt, NO_GRACE_PERIOD_S);
+            taskStopper.sendStop(activeAttempt, WorkerOrder.NO_GRACE_PERIOD_S);
         }
     }
 
--- a/src/main/java/org/shoreusher/core/heartbeat/TaskStarter.java
+++ b/src/main/java/org/shoreusher/core/heartbeat/TaskStarter.java
@@ -20,9 +20,6 @@
 
 /** Starts tasks on a machine in the response to its heartbeat. */
 final class TaskStarter {
-    /** s; only a {@code STOP} order has a grace period. */
-    private static final double NO_GRACE_PERIOD_S = 0;
-
     /** The started attempt is the current one of its task, not a surplus one. */
     private static final boolean ASSIGNED_TO_JOB = true;
 
@@ -99,6 +96,6 @@
                         job.id(),
                         taskIndex,
                         attempt.attemptNumber(),
-                        NO_GRACE_PERIOD_S));
+                        WorkerOrder.NO_GRACE_PERIOD_S));
     }
 }
--- a/src/main/java/org/shoreusher/core/leadership/LeaseRenewal.java
+++ b/src/main/java/org/shoreusher/core/leadership/LeaseRenewal.java
@@ -7,6 +7,7 @@
 import org.shoreusher.core.message.Effect.StoreOperation;
 import org.shoreusher.core.message.Effect.StoreOperation.CompareAndSwap;
 import org.shoreusher.core.message.ReplyStatus;
+import org.shoreusher.core.store.CompletionRecord;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.ShardRecord;
 import org.shoreusher.core.store.StoreSchema;
@@ -77,9 +78,8 @@
                         state.term(),
                         completions == null
                                 ? storedCompletions.completedRanges(
-                                        StoredCompletions.SHARD_RECORD_INDEX)
-                                : completions.completedRanges(
-                                        StoredCompletions.SHARD_RECORD_INDEX));
+                                        CompletionRecord.SHARD_RECORD_INDEX)
+                                : completions.completedRanges(CompletionRecord.SHARD_RECORD_INDEX));
         Map<String, Map<String, Object>> writes = recordWriter.writes(record);
         if (completions != null) {
             storedCompletions.addChangedRecords(completions, writes);
--- a/src/main/java/org/shoreusher/core/leadership/ShardLeadership.java
+++ b/src/main/java/org/shoreusher/core/leadership/ShardLeadership.java
@@ -5,6 +5,7 @@
 import org.shoreusher.core.message.ClockReading;
 import org.shoreusher.core.message.Effect.StoreOperation.CompareAndSwap;
 import org.shoreusher.core.message.ReplyStatus;
+import org.shoreusher.core.store.CompletionRecord;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.core.store.ShardRecord;
 import org.shoreusher.core.store.StoreCache;
@@ -216,7 +217,7 @@
                 recordWriter.newRecord(
                         state.leaseExpiryWallMs(),
                         raisedTerm,
-                        storedCompletions.completedRanges(StoredCompletions.SHARD_RECORD_INDEX));
+                        storedCompletions.completedRanges(CompletionRecord.SHARD_RECORD_INDEX));
         Map<String, Long> preconditions = recordWriter.recordPreconditions();
         preconditions.put(StoreSchema.TERM_KEY, storeCache.version(StoreSchema.TERM_KEY));
         Map<String, Map<String, Object>> writes = recordWriter.writes(record);
@@ -264,7 +265,7 @@
                 recordWriter.newRecord(
                         EXPIRED_WALL_MS,
                         state.term(),
-                        completions.completedRanges(StoredCompletions.SHARD_RECORD_INDEX));
+                        completions.completedRanges(CompletionRecord.SHARD_RECORD_INDEX));
         if (recordWriter.writeLast(record)) {
             state.loseLeadership("stepped down: " + reason);
         }
--- a/src/main/java/org/shoreusher/core/leadership/StoredCompletions.java
+++ b/src/main/java/org/shoreusher/core/leadership/StoredCompletions.java
@@ -12,9 +12,6 @@
  * completion records.
  */
 final class StoredCompletions {
-    /** The number of the shard's own record among the records that store completed tasks. */
-    static final int SHARD_RECORD_INDEX = 0;
-
     private final int shardNumber;
     private final StoreCache storeCache;
     private final int maxRecordsPerWrite;
@@ -36,7 +33,7 @@
      * there is no completion record with this number.
      */
     Map<String, Object> completedRanges(int recordIndex) {
-        if (recordIndex == SHARD_RECORD_INDEX) {
+        if (recordIndex == CompletionRecord.SHARD_RECORD_INDEX) {
             return ShardRecord.in(storeCache, shardNumber).completedRanges();
         }
         CompletionRecord completionRecord =
--- a/src/main/java/org/shoreusher/core/machine/MachineCordon.java
+++ b/src/main/java/org/shoreusher/core/machine/MachineCordon.java
@@ -6,6 +6,7 @@
 import org.shoreusher.core.cluster.ShardState;
 import org.shoreusher.core.cluster.TaskAttempt;
 import org.shoreusher.core.leadership.LeaderLease;
+import org.shoreusher.core.message.WorkerOrder;
 import org.shoreusher.core.schedule.TaskStopper;
 import org.shoreusher.core.store.Outbox;
 import org.shoreusher.log.LogEvent;
@@ -19,8 +20,6 @@
  * terminates it when it is empty.
  */
 final class MachineCordon {
-    private static final double NO_GRACE_PERIOD_S = 0;
-
     private final ShardState shard;
     private final TaskStopper taskStopper;
     private final Settings settings;
@@ -156,7 +155,7 @@
         for (TaskAttempt attempt : machine.attempts().values()) {
             if (!attempt.job().spec().workloadType().runsToCompletion() && !attempt.mustStop()) {
                 attempt.requireStop();
-                taskStopper.sendStop(attempt, NO_GRACE_PERIOD_S);
+                taskStopper.sendStop(attempt, WorkerOrder.NO_GRACE_PERIOD_S);
             }
         }
     }
--- a/src/main/java/org/shoreusher/core/message/WorkerOrder.java
+++ b/src/main/java/org/shoreusher/core/message/WorkerOrder.java
@@ -13,6 +13,8 @@
  */
 public record WorkerOrder(
         Kind kind, String jobId, int taskIndex, long attemptNumber, double gracePeriodS) {
+    /** s; a stop with this grace period takes effect at once. Other orders have none either. */
+    public static final double NO_GRACE_PERIOD_S = 0;
 
     /** What the worker is to do with the task. */
     public enum Kind {
--- a/src/main/java/org/shoreusher/core/reconcile/StoredStateLoader.java
+++ b/src/main/java/org/shoreusher/core/reconcile/StoredStateLoader.java
@@ -17,6 +17,7 @@
 import org.shoreusher.core.machine.MachineLifecycle;
 import org.shoreusher.core.machine.ShardMachines;
 import org.shoreusher.core.schedule.TaskMigration;
+import org.shoreusher.core.store.CompletionRecord;
 import org.shoreusher.core.store.JobRecord;
 import org.shoreusher.core.store.JobStatus;
 import org.shoreusher.core.store.MachineRecord;
@@ -30,9 +31,6 @@
  * machines and high-water marks.
  */
 final class StoredStateLoader {
-    /** The number of the shard's own record among the records that store completed tasks. */
-    private static final int SHARD_RECORD_INDEX = 0;
-
     private final ShardState shard;
     private final Settings settings;
     private final StoreCache storeCache;
@@ -102,7 +100,9 @@
     }
 
     private void loadAllCompletedTasks() {
-        loadCompletedTasks(leadership.storedCompletions(SHARD_RECORD_INDEX), SHARD_RECORD_INDEX);
+        loadCompletedTasks(
+                leadership.storedCompletions(CompletionRecord.SHARD_RECORD_INDEX),
+                CompletionRecord.SHARD_RECORD_INDEX);
         for (int recordIndex = 1;
                 storeCache.get(StoreSchema.completionKey(shard.shardNumber(), recordIndex)) != null;
                 recordIndex++) {
--- a/src/main/java/org/shoreusher/core/schedule/PreemptionPass.java
+++ b/src/main/java/org/shoreusher/core/schedule/PreemptionPass.java
@@ -6,13 +6,11 @@
 import org.shoreusher.core.cluster.ShardState;
 import org.shoreusher.core.cluster.TaskAttempt;
 import org.shoreusher.core.leadership.ShardAuthority;
+import org.shoreusher.core.message.WorkerOrder;
 import org.shoreusher.core.store.Outbox;
 
 /** Preempts running tasks of a shard so that pending tasks of higher priority can start. */
 public final class PreemptionPass {
-    /** A replica cannot wait for a checkpoint, so the task is killed immediately. */
-    private static final double NO_GRACE_PERIOD_S = 0;
-
     private final ShardState shard;
     private final ShardAuthority authority;
     private final Outbox outbox;
@@ -48,7 +46,8 @@
         for (TaskAttempt attempt :
                 new ReplicaPreemption(shard, quotaHeadroom, outbox.now()).choose(services)) {
             attempt.requireStop();
-            taskStopper.sendStop(attempt, NO_GRACE_PERIOD_S);
+            // A replica cannot wait for a checkpoint, so the task is killed immediately.
+            taskStopper.sendStop(attempt, WorkerOrder.NO_GRACE_PERIOD_S);
         }
     }
 
--- a/src/main/java/org/shoreusher/core/store/CompletionRecord.java
+++ b/src/main/java/org/shoreusher/core/store/CompletionRecord.java
@@ -12,6 +12,9 @@
  * @param completedRanges completed tasks as ranges, by job id
  */
 public record CompletionRecord(Map<String, Object> completedRanges) {
+    /** The number of the shard's own record among the records that store completed tasks. */
+    public static final int SHARD_RECORD_INDEX = 0;
+
     /**
      * Returns the largest size in bytes, as JSON, at which a record with completed tasks is
      * written.
--- a/src/main/java/org/shoreusher/settings/SettingsParser.java
+++ b/src/main/java/org/shoreusher/settings/SettingsParser.java
@@ -14,7 +14,7 @@
 /** Maps the fields of the settings file to {@link Settings}. */
 final class SettingsParser {
     private static final int DEFAULT_MAX_SOCKETS = 1_000;
-    private static final int BYTES_PER_KB = 1024;
+    static final int BYTES_PER_KB = 1024;
     private static final double DEFAULT_DEADLINE_FACTOR = 1;
 
     private SettingsParser() {}
--- a/src/main/java/org/shoreusher/settings/SettingsValidator.java
+++ b/src/main/java/org/shoreusher/settings/SettingsValidator.java
@@ -5,7 +5,6 @@
 /** Checks the values of {@link Settings} and their relations to each other. */
 final class SettingsValidator {
     private static final int MIN_VALUE_BYTES = 1024;
-    private static final double BYTES_PER_KB = 1024;
 
     /** The leader's lease must be more than this many times the maximum clock offset. */
     private static final int MIN_LEASE_TO_CLOCK_OFFSET_RATIO = 4;
@@ -59,7 +58,7 @@
                 settings.maxValueBytes() >= MIN_VALUE_BYTES,
                 "deployment.state.value_kb",
                 "and state.next.value_kb must both be at least 1",
-                settings.maxValueBytes() / BYTES_PER_KB);
+                settings.maxValueBytes() / (double) SettingsParser.BYTES_PER_KB);
     }
 
     private static void validateLimits(Settings settings) throws InvalidSettingsException {
